--- a/oatport/api/intake.py
+++ b/oatport/api/intake.py
@@ -127,9 +127,7 @@
                     # One that names others is not laid under live/, where an earlier version would start it.
                     sets[job_key(ref)] = sets[(waits_key if lies_apart(record) else live_key)(ref)] = record
                 try:
-                    result = await self._state.commit(
-                        {job_key(ref): 0 for ref in left}, sets, timeout_us=timeout_us
-                    )
+                    result = await self._state.commit({job_key(ref): 0 for ref in left}, sets, timeout_us=timeout_us)
                 except NoAnswer:
                     break
                 except Refused as error:
@@ -159,4 +157,3 @@
             return False
         self._bucket.take()
         return True
-
--- a/oatport/api/jobview.py
+++ b/oatport/api/jobview.py
@@ -104,7 +104,7 @@
             if not left:
                 return
             names = sorted(left)
-            names = names[bisect.bisect_left(names, left[0]):][:NAMES_MOST]
+            names = names[bisect.bisect_left(names, left[0]) :][:NAMES_MOST]
             self._under_way.update(names)
             # Who comes from here on is answered by the next read: this one may be older than what they were told.
             came = {ref: len(self._wanted[ref]) for ref in names}
@@ -205,7 +205,7 @@
                 rows, asked = await self._state.some(JOBS, missing)
             for ref, (record, version) in rows.items():
                 found[ref] = self.learn(ref, record, version, mark)
-            missing = missing[len(asked):]
+            missing = missing[len(asked) :]
 
     async def named(self, refs: list[str]) -> tuple[str | None, str | None]:
         """Of jobs named in a submission, one that was never accepted, and a service; read no earlier than now.
@@ -249,8 +249,10 @@
         no refresh would bring it again.
         """
         known = self._known.get(ref)
-        if known is not None and (known.version > version or (
-                known.version == version and (known.state in wire.FINAL or len(known.needs) > 0))):
+        if known is not None and (
+            known.version > version
+            or (known.version == version and (known.state in wire.FINAL or len(known.needs) > 0))
+        ):
             return known  # what was found out about the jobs that it names holds
         job = record["job"]
         state = str(record["state"])
@@ -295,9 +297,8 @@
                 revision, news = found
                 for item in news:
                     if "set" in item:
-                        self.learn(item["set"][len(JOBS):], item["value"], int(item["entryRev"]), self._forgets)
+                        self.learn(item["set"][len(JOBS) :], item["value"], int(item["entryRev"]), self._forgets)
                 self._revision = max(self._revision, revision)
                 return
         # The first time, or too long ago: what is known may be out of date, and is read again job by job.
         self._forget(await self._state.revision(JOBS, timeout_us=WITHIN))
-
--- a/oatport/api/server.py
+++ b/oatport/api/server.py
@@ -110,9 +110,7 @@
             log.exception("%s %s failed", request.method, request.path)
             answer = Answer(500, {"error": "internal error"}, {"Retry-After": "1"})
         body = b"" if answer.value is None else wire.dumps(answer.value)
-        response = web.Response(
-            status=answer.status, body=body, headers=answer.headers, content_type=wire.CBOR_TYPE
-        )
+        response = web.Response(status=answer.status, body=body, headers=answer.headers, content_type=wire.CBOR_TYPE)
         if answer.headers.get("Connection") == "close":
             response.force_close()
         return response
--- a/oatport/api/users.py
+++ b/oatport/api/users.py
@@ -125,8 +125,14 @@
             return later()
         if known:
             return Answer(200, known)
-        return Answer(422, {"error": f"{wire.NEEDS}: {never} was never accepted" if never is not None else
-                            f"{wire.NEEDS}: {service} is a service, which is never done"})
+        return Answer(
+            422,
+            {
+                "error": f"{wire.NEEDS}: {never} was never accepted"
+                if never is not None
+                else f"{wire.NEEDS}: {service} is a service, which is never done"
+            },
+        )
 
     def never_runs(self, job: wire.Submission) -> str | None:
         team = self._teams.get(job.team)
@@ -181,8 +187,10 @@
             return {"ref": ref, "status": state, "done": total if state == wire.DONE else 0, "running": 0}
         done, running = self._backstage.display.get(ref, (0, 0))
         value: dict[str, Any] = {
-            "ref": ref, "status": wire.RUNNING_JOB if running else wire.QUEUED,
-            "done": min(done, total), "running": running,
+            "ref": ref,
+            "status": wire.RUNNING_JOB if running else wire.QUEUED,
+            "done": min(done, total),
+            "running": running,
         }
         if known.needs and not (done or running):
             value[wire.NEEDS] = list(known.needs[:NEEDS_SHOWN])  # those that it still waits for
--- a/oatport/cli.py
+++ b/oatport/cli.py
@@ -27,8 +27,12 @@
     parser = argparse.ArgumentParser(prog="oatport", description="A cluster scheduler for rented machines.")
     parser.add_argument("--version", action="version", version=f"oatport {__version__}")
     parser.add_argument("--config", metavar="FILE", help="serve with this platform settings file (TOML)")
-    parser.add_argument("--tuning", metavar="FILE", default=os.environ.get("OATPORT_TUNING"),
-                        help="operators' own settings (INI); also $OATPORT_TUNING")
+    parser.add_argument(
+        "--tuning",
+        metavar="FILE",
+        default=os.environ.get("OATPORT_TUNING"),
+        help="operators' own settings (INI); also $OATPORT_TUNING",
+    )
     commands = parser.add_subparsers(dest="command")
     serve = commands.add_parser("serve", help="run a controller node")
     serve.add_argument("file", help="platform settings file (TOML)")
@@ -162,7 +166,7 @@
             print(f"{arguments.file}: ok")
             return 0
         if arguments.command == "submit":
-            with (sys.stdin if arguments.file == "-" else open(arguments.file, encoding="utf-8")) as source:
+            with sys.stdin if arguments.file == "-" else open(arguments.file, encoding="utf-8") as source:
                 job = json.load(source)
             return asyncio.run(_call(arguments.node, "POST", "/submissions", job))
         if arguments.command == "queues":
--- a/oatport/clients/cloud.py
+++ b/oatport/clients/cloud.py
@@ -13,9 +13,7 @@
 
 
 class CloudClient:
-    def __init__(
-        self, net: Connector, address: str, rps: float, may_act: Callable[[], bool]
-    ) -> None:
+    def __init__(self, net: Connector, address: str, rps: float, may_act: Callable[[], bool]) -> None:
         self._http = net.client(address)
         # A little under the cloud's own limit, since an earlier leader may have used some of it.
         self._budget = Bucket(rps * 0.85)
--- a/oatport/clients/http.py
+++ b/oatport/clients/http.py
@@ -76,11 +76,16 @@
 def make_session(sockets: int, *, idle_us: int = 30 * SECOND) -> aiohttp.ClientSession:
     """`sockets` // 4 connections in use at a time; `idle_us`: how long an idle one is kept, 0 for not at all."""
     connector = aiohttp.TCPConnector(
-        limit=max(16, sockets // 4), limit_per_host=12, use_dns_cache=False,
-        keepalive_timeout=seconds(idle_us) if idle_us else None, force_close=not idle_us,
+        limit=max(16, sockets // 4),
+        limit_per_host=12,
+        use_dns_cache=False,
+        keepalive_timeout=seconds(idle_us) if idle_us else None,
+        force_close=not idle_us,
     )
     return aiohttp.ClientSession(
-        connector=connector, timeout=aiohttp.ClientTimeout(total=None), auto_decompress=False,
+        connector=connector,
+        timeout=aiohttp.ClientTimeout(total=None),
+        auto_decompress=False,
         cookie_jar=aiohttp.DummyCookieJar(),
     )
 
--- a/oatport/clients/state.py
+++ b/oatport/clients/state.py
@@ -98,14 +98,18 @@
         status, value = await self._call("GET", wire.STORE, query=query)
         if status != 200:
             raise Refused(status, value)
-        rows = {row["path"][len(prefix):]: (row["value"], int(row["entryRev"])) for row in value["rows"]}
+        rows = {row["path"][len(prefix) :]: (row["value"], int(row["entryRev"])) for row in value["rows"]}
         last = max(rows, default="") if value.get("hasNext") else None
         asked = [name for name in names if last is None or name <= last]
         return {name: rows[name] for name in asked if name in rows}, asked
 
     async def commit(
-        self, conditions: dict[str, int], sets: dict[str, Any], drops: list[str] | None = None,
-        lease: int | None = None, timeout_us: int = DEADLINE,
+        self,
+        conditions: dict[str, int],
+        sets: dict[str, Any],
+        drops: list[str] | None = None,
+        lease: int | None = None,
+        timeout_us: int = DEADLINE,
     ) -> Applied | Conflict:
         """A conditional transaction. Writes arrive late, so none goes without a condition."""
         assert conditions
--- a/oatport/control/agenda.py
+++ b/oatport/control/agenda.py
@@ -41,8 +41,18 @@
     """Plain jobs of one shape find room on the same machines, and are of one team."""
     spec = job.spec
     return (
-        job.rank, job.pressing, job.tier, spec.spot, spec.zone, tuple(spec.types) if spec.types else None, spec.team,
-        job.guaranteed, spec.cpus, spec.gpus, spec.memory_gb, job.run_step,
+        job.rank,
+        job.pressing,
+        job.tier,
+        spec.spot,
+        spec.zone,
+        tuple(spec.types) if spec.types else None,
+        spec.team,
+        job.guaranteed,
+        spec.cpus,
+        spec.gpus,
+        spec.memory_gb,
+        job.run_step,
     )
 
 
--- a/oatport/control/backlog.py
+++ b/oatport/control/backlog.py
@@ -95,8 +95,11 @@
     usual = job.from_at + (NO_DEADLINE if start is None else min(start + run, NO_DEADLINE))
     job.due, job.late = times[0] if times else usual, job.suspect
     if times and not job.suspect:
-        job.target = times[0] if times[0] >= wall + run else next(
-            (due for due in times if due >= wall + run), wall + NO_DEADLINE)
+        job.target = (
+            times[0]
+            if times[0] >= wall + run
+            else next((due for due in times if due >= wall + run), wall + NO_DEADLINE)
+        )
 
 
 def mark_late(cluster: Cluster, by_type: dict[str, _Pool], wall: int) -> None:
@@ -126,9 +129,7 @@
             left = [(job, times) for job, times in left if times]
 
 
-def _take_by_deadline(
-    pool: _Pool, jobs: list[tuple[Job, list[int]]], wall: int
-) -> list[tuple[Job, list[int]]]:
+def _take_by_deadline(pool: _Pool, jobs: list[tuple[Job, list[int]]], wall: int) -> list[tuple[Job, list[int]]]:
     """Take jobs into the pool's work by the first of their deadlines; those that can't meet it."""
     missed: list[tuple[Job, list[int]]] = []
     taken: list[tuple[float, str, Job, list[int]]] = []
@@ -163,7 +164,8 @@
         least = job.spec.cpus * job.pending if job.kind is Kind.GANG else 1.0
         return (
             round((total + (pool.idle if job.rank == IDLE_RANK else 0.0)) / pool.total)
-            if pool.total > 0 else 600 * SECOND,
+            if pool.total > 0
+            else 600 * SECOND,
             round(owned / pool.owned) if pool.owned >= least else None,
         )
 
@@ -245,7 +247,10 @@
     ages = [now - m.rented_at for m in cluster.machines.values() if m.spot and m.up_at]
     # Since when an earlier leader's tasks run is not known.
     running = [
-        now - t.running_since for m in cluster.machines.values() if m.zone not in cluster.dark for t in m.work
+        now - t.running_since
+        for m in cluster.machines.values()
+        if m.zone not in cluster.dark
+        for t in m.work
         if t.running_since and t.claimed_at and not t.job.suspect and t.job.rank < IDLE_RANK
     ]
     cluster.router.learn(ages, running)
--- a/oatport/control/cancellations.py
+++ b/oatport/control/cancellations.py
@@ -45,8 +45,9 @@
     def of(cls, message: object) -> Told:
         """From ["told", for how long back, [ref, ...]]. Raises ValueError for anything else: that proves nothing."""
         match message:
-            case ["told", int() as whole_us, list() as refs, *_] if (
-                    not isinstance(whole_us, bool) and all(isinstance(ref, str) for ref in refs)):
+            case ["told", int() as whole_us, list() as refs, *_] if not isinstance(whole_us, bool) and all(
+                isinstance(ref, str) for ref in refs
+            ):
                 return cls(refs, whole_us)
         raise ValueError("not what was told")
 
--- a/oatport/control/cluster.py
+++ b/oatport/control/cluster.py
@@ -156,9 +156,7 @@
 
     def on_report(self, report: wire.Report, now: int, wall: int) -> Machine | None:
         """Take in a worker's report, an answer of /commands or of /show; None: not a usable machine."""
-        machine = self.add_machine(
-            report.machine, report.type, report.zone, report.spot, report.address, now, wall
-        )
+        machine = self.add_machine(report.machine, report.type, report.zone, report.spot, report.address, now, wall)
         if machine is None:
             return None
         if (report.session, report.seq) <= (machine.session, machine.seq):
@@ -230,14 +228,17 @@
         `Work` and `sent` take this back with whatever they change about the machine.
         """
         return (
-            not machine.strays and not machine.ended and not machine.unanswered and listed == len(machine.tasks)
-            and all(task.acked is not None and task.stopping is None and not task.job.suspect
-                    and not task.job.cancelled for task in machine.tasks)
+            not machine.strays
+            and not machine.ended
+            and not machine.unanswered
+            and listed == len(machine.tasks)
+            and all(
+                task.acked is not None and task.stopping is None and not task.job.suspect and not task.job.cancelled
+                for task in machine.tasks
+            )
         )
 
-    def _on_listed(
-        self, task: Task, machine: Machine, row: wire.TaskReport, report: wire.Report, now: int
-    ) -> None:
+    def _on_listed(self, task: Task, machine: Machine, row: wire.TaskReport, report: wire.Report, now: int) -> None:
         if task.acked is None and task.sent_session == report.session:
             machine.deaf = False
         task.acked = (report.session, report.seq)
@@ -249,8 +250,13 @@
                 task.running_since = now
                 self.served.began(task.job)
                 if task.claimed_at:
-                    log.debug("task %s %s runs on %s %d ms after its claim", task.name, task.job.kind, machine.name,
-                              (now - task.claimed_at) // MS)
+                    log.debug(
+                        "task %s %s runs on %s %d ms after its claim",
+                        task.name,
+                        task.job.kind,
+                        machine.name,
+                        (now - task.claimed_at) // MS,
+                    )
             job = task.job
             if task.status != row.status:
                 task.status = row.status
@@ -289,8 +295,11 @@
             self.to_send.add(machine)  # placed by this leader, its first start is just due
             return
         if task.sent_session and report.session <= task.sent_session:
-            if task.job.cancelled and task.acked is None and not (
-                    machine.unanswered.get(key) or key in machine.in_answer):
+            if (
+                task.job.cancelled
+                and task.acked is None
+                and not (machine.unanswered.get(key) or key in machine.in_answer)
+            ):
                 pass  # no start of it is under way, and none goes out any more: it isn't there and won't be
             elif task.acked is None or machine.unanswered.get(key):
                 self.to_send.add(machine)  # our start is on its way or was lost: repeat it
@@ -408,9 +417,14 @@
         end before `cancel_s` is over.
         """
         return bool(machine.unanswered) and any(
-            task.job.cancelled and not task.job.lost_cause and task.acked is None
-            and task.sent_session == machine.session and machine.unanswered.get((task.name, task.attempt))
-            and now >= self.lease_bound(task.job) for task in machine.tasks)
+            task.job.cancelled
+            and not task.job.lost_cause
+            and task.acked is None
+            and task.sent_session == machine.session
+            and machine.unanswered.get((task.name, task.attempt))
+            and now >= self.lease_bound(task.job)
+            for task in machine.tasks
+        )
 
     def _may_forget(self, machine: Machine, name: str, attempt: int) -> bool:
         """Not while a start of it may land (it would start again), nor before its end is committed."""
--- a/oatport/control/darkness.py
+++ b/oatport/control/darkness.py
@@ -71,8 +71,11 @@
         for zone, since in self.cluster.dark.items():
             alive = lives_until(self.cluster.settings, since, zone in kept)
             there = sorted(
-                (m for m in self.cluster.machines.values()
-                 if m.zone == zone and not m.releasing and m.heard_at <= since and (m.up_at or m.was_up)),
+                (
+                    m
+                    for m in self.cluster.machines.values()
+                    if m.zone == zone and not m.releasing and m.heard_at <= since and (m.up_at or m.was_up)
+                ),
                 key=lambda m: m.name,
             )
             movers = self._movers(there)
@@ -93,7 +96,8 @@
         """Replicas that lost their machine and wait for another one outside the dark zones."""
         return sum(
             min(len(job.again), elsewhere(self.cluster, job) + job.pending)
-            for job in self.cluster.waiting if job.kind is Kind.SERVICE and not job.suspect
+            for job in self.cluster.waiting
+            if job.kind is Kind.SERVICE and not job.suspect
         )
 
     def _movers(self, machines: list[Machine]) -> list[tuple[Machine, int]]:
--- a/oatport/control/fleet.py
+++ b/oatport/control/fleet.py
@@ -41,8 +41,13 @@
             elif job.rank != IDLE_RANK:
                 spot_room -= cpus  # what waits would have it first
         owned = [
-            m for m in cluster.machines.values()
-            if not m.spot and m.up_at and not m.draining and not m.releasing and m.type.gpus == 0
+            m
+            for m in cluster.machines.values()
+            if not m.spot
+            and m.up_at
+            and not m.draining
+            and not m.releasing
+            and m.type.gpus == 0
             and m.zone not in cluster.dark
         ]
         room = 0.0
@@ -88,8 +93,7 @@
         if chosen is None:
             room = self._spare() - self._warm_cpus()
             movable = [
-                m for m in owned
-                if m.tasks and m.type.cpus <= room and all(self._settled(t, now) for t in m.tasks)
+                m for m in owned if m.tasks and m.type.cpus <= room and all(self._settled(t, now) for t in m.tasks)
             ]
             # The one that saves most for each replica that has to move.
             movable.sort(key=lambda m: (m.steady_cpus / m.price, m.name))
@@ -108,8 +112,11 @@
     def _settled(task: Task, now: int) -> bool:
         """A replica that has run for a while: one that is stopped early counts as never started (PROTOCOL)."""
         return (
-            task.job.kind is Kind.SERVICE and task.phase is Phase.PLACED and task.stopping is None
-            and task.running_since > 0 and now - task.running_since > SETTLED
+            task.job.kind is Kind.SERVICE
+            and task.phase is Phase.PLACED
+            and task.stopping is None
+            and task.running_since > 0
+            and now - task.running_since > SETTLED
         )
 
     @staticmethod
@@ -125,7 +132,9 @@
                 # Within its zone a move changes nothing about the spread.
                 there = job.zones.get(other.zone, 0) + moved.get((job.ref, other.zone), 0)
                 if (
-                    other is machine or other.surplus or other.steady_cpus <= 0
+                    other is machine
+                    or other.surplus
+                    or other.steady_cpus <= 0
                     or room_for(spec, *free[other.name]) <= 0
                     or (spec.spread and other.zone != machine.zone and there >= zone_cap(spec))
                     or (spec.zone is not None and other.zone != spec.zone)
@@ -200,9 +209,7 @@
 
     def _warm_cpus(self) -> float:
         """Owned room kept for services to come, so that they start at once."""
-        used = sum(
-            j.spec.cpus * j.on_machines for j in self.cluster.jobs.values() if j.kind is Kind.SERVICE
-        )
+        used = sum(j.spec.cpus * j.on_machines for j in self.cluster.jobs.values() if j.kind is Kind.SERVICE)
         return self.cluster.tuning.warm_share * used
 
 
--- a/oatport/control/formats.py
+++ b/oatport/control/formats.py
@@ -38,8 +38,13 @@
         """The answers of one round, one's own among them; what is none does not count."""
         boots: dict[str, str] = {}
         for row in answers:
-            if isinstance(row, list) and len(row) >= 4 and row[0] == "formats" and isinstance(row[3], int) \
-                    and row[3] >= READS:
+            if (
+                isinstance(row, list)
+                and len(row) >= 4
+                and row[0] == "formats"
+                and isinstance(row[3], int)
+                and row[3] >= READS
+            ):
                 boots[str(row[1])] = str(row[2])
         complete = boots.keys() == set(self.nodes)
         opens = complete and boots == self._before
--- a/oatport/control/layout.py
+++ b/oatport/control/layout.py
@@ -55,7 +55,7 @@
 
 def first_of(key: str) -> tuple[str, int]:
     """The job, and the first task, of a record of tasks."""
-    ref, _, part = key[len(LIVE):].partition("/")
+    ref, _, part = key[len(LIVE) :].partition("/")
     chunk, _, offset = part.partition(".")
     return ref, int(chunk or 0) * CHUNK_TASKS + int(offset or 0)
 
@@ -66,7 +66,7 @@
 
 def group_of(key: str) -> tuple[int, int]:
     """The first machine number of a fleet record, and of its group."""
-    group, _, offset = key[len(FLEET):].partition(".")
+    group, _, offset = key[len(FLEET) :].partition(".")
     low = int(group) * FLEET_CHUNK
     return low + int(offset or 0), low
 
@@ -134,5 +134,3 @@
         """All records of a group."""
         _, low = group_of(key)
         yield from (self.fleet_key(n) for n in range(low, low + FLEET_CHUNK, self.part_machines))
-
-
--- a/oatport/control/model.py
+++ b/oatport/control/model.py
@@ -89,13 +89,24 @@
     pauses: int = 0
 
     def value(self, opened: int) -> dict[str, Any]:
-        return {"open": opened, "plan": [list(row) for row in self.plan], "why": self.why, "n": self.changes,
-                "paused": self.paused_until, "pauses": self.pauses}
+        return {
+            "open": opened,
+            "plan": [list(row) for row in self.plan],
+            "why": self.why,
+            "n": self.changes,
+            "paused": self.paused_until,
+            "pauses": self.pauses,
+        }
 
     @classmethod
     def of(cls, value: Any) -> Hold:
-        return cls([(int(at), int(count)) for at, count in value["plan"]], str(value["why"]), int(value["n"]),
-                   int(value.get("paused", 0)), int(value.get("pauses", 0)))
+        return cls(
+            [(int(at), int(count)) for at, count in value["plan"]],
+            str(value["why"]),
+            int(value["n"]),
+            int(value.get("paused", 0)),
+            int(value.get("pauses", 0)),
+        )
 
 
 @dataclass(slots=True, eq=False)
@@ -221,8 +232,13 @@
 
     def live_value(self, tasks: int) -> dict[str, Any]:
         """The value of live/REF once a task of it was touched: the job with its first tasks."""
-        value = {**self.record(wire.QUEUED), "rev": self.version, **self.rows_value(0, tasks),
-                 "tier": self.tier, "lost": self.lost}
+        value = {
+            **self.record(wire.QUEUED),
+            "rev": self.version,
+            **self.rows_value(0, tasks),
+            "tier": self.tier,
+            "lost": self.lost,
+        }
         if self.from_at != self.submitted_at:
             value["from"] = self.from_at
         if self.suspect:
@@ -340,7 +356,8 @@
     def room_without(self, tasks: list[Task], spec: wire.Submission) -> int:
         """The same once some of its tasks are gone."""
         return room_for(
-            spec, self.free_cpus + sum(t.job.spec.cpus for t in tasks),
+            spec,
+            self.free_cpus + sum(t.job.spec.cpus for t in tasks),
             self.free_gpus + sum(t.job.spec.gpus for t in tasks),
             self.free_memory + sum(t.job.spec.memory_gb for t in tasks),
         )
@@ -367,9 +384,16 @@
 
     def usable(self, token: int, now: int, fresh_us: int) -> bool:
         return (
-            self.recorded and self.token == token and self.up_at > 0 and not self.draining and not self.releasing
-            and not self.surplus and not self.deaf
-            and not self.taken_at and now - self.heard_at <= fresh_us and now >= self.blocked_until
+            self.recorded
+            and self.token == token
+            and self.up_at > 0
+            and not self.draining
+            and not self.releasing
+            and not self.surplus
+            and not self.deaf
+            and not self.taken_at
+            and now - self.heard_at <= fresh_us
+            and now >= self.blocked_until
         )
 
     @property
@@ -399,7 +423,8 @@
 
 def allowed_types(spec: wire.Submission, types: dict[str, wire.MachineType]) -> list[wire.MachineType]:
     return [
-        kind for kind in types.values()
+        kind
+        for kind in types.values()
         if (spec.types is None or kind.name in spec.types)
         and (spec.zone is None or spec.zone in kind.zones)
         and fit_count(kind, spec) > 0
--- a/oatport/control/placer.py
+++ b/oatport/control/placer.py
@@ -71,7 +71,7 @@
             if use is not None and limit < (job.pending if job.kind is Kind.GANG else 1):
                 self._make_quota(job, now)
                 # The rest of a line is of the same team, and wants as much.
-                line.over = line.plain and not any(use.rank_arrays[job.rank + 1:])
+                line.over = line.plain and not any(use.rank_arrays[job.rank + 1 :])
             if job.rank == IDLE_RANK and len(cluster.urgent) > CLAIMS_AHEAD:
                 self.look_by(now + CLAIMS_PAUSE)
                 line.over = line.plain
@@ -92,8 +92,14 @@
                 # What machines with GPUs have left beside a gang is room for those that found none before.
                 cluster.replan = cluster.replan or bool(got)
             else:
-                sort = (spec.spot, job.tier, spec.zone, tuple(spec.types) if spec.types else None, job.rank,
-                        self._gpus_kept and job.run_step)
+                sort = (
+                    spec.spot,
+                    job.tier,
+                    spec.zone,
+                    tuple(spec.types) if spec.types else None,
+                    job.rank,
+                    self._gpus_kept and job.run_step,
+                )
                 free_to_go = not (spec.spread or spec.one_zone)
                 if free_to_go and any(
                     spec.cpus >= cpus and spec.gpus >= gpus and spec.memory_gb >= memory_gb
@@ -175,8 +181,20 @@
         mates = job.kind is Kind.SERVICE and spec.tasks >= cluster.tuning.mate_room_tasks
         fills_for = cluster.predictor.run_time(job.ref, spec) // RUN_STEP if self._gpus_kept else 0
         key = (
-            job.kind, job.rank, job.tier, spec.spot, spec.zone, tuple(spec.types) if spec.types else None, spec.cpus,
-            spec.gpus, spec.memory_gb, spec.image, spec.image_gb, within, mates, cluster.takes_free_spot(job),
+            job.kind,
+            job.rank,
+            job.tier,
+            spec.spot,
+            spec.zone,
+            tuple(spec.types) if spec.types else None,
+            spec.cpus,
+            spec.gpus,
+            spec.memory_gb,
+            spec.image,
+            spec.image_gb,
+            within,
+            mates,
+            cluster.takes_free_spot(job),
             fills_for,
         )
         ranking = self._rankings.get(key)
@@ -270,8 +288,7 @@
         per_zone: dict[str, int] = {}
         on_spot = self.cluster.takes_free_spot(job)
         ordered = sorted(
-            (m for m in machines
-             if m.fits(spec) and machine_allowed(job, m) and (on_spot or not m.spot)),
+            (m for m in machines if m.fits(spec) and machine_allowed(job, m) and (on_spot or not m.spot)),
             key=lambda m: (m.slow > 1.6 and m.slow_count > 1, spec.image not in m.images, m.spot, m.free_cpus),
         )
         for machine in ordered:
--- a/oatport/control/predictor.py
+++ b/oatport/control/predictor.py
@@ -121,8 +121,11 @@
         ratios = sorted(self._ratio.items(), key=lambda item: -item[1][0])[:40]
         return {
             "ratio": [[name, round(weight, 3), round(total, 3)] for name, (weight, total) in ratios],
-            "mean": [[name, round(self._mean[name][0], 3), round(self._mean[name][1])]
-                     for name, _ in ratios if name in self._mean],
+            "mean": [
+                [name, round(self._mean[name][0], 3), round(self._mean[name][1])]
+                for name, _ in ratios
+                if name in self._mean
+            ],
             "recent": [took // (SECOND // 10) for took in list(self._recent)[-60:]],
             "lives": [[held // SECOND, taken] for held, taken in list(self._lives)[-60:]],
         }
--- a/oatport/control/preemption.py
+++ b/oatport/control/preemption.py
@@ -48,7 +48,7 @@
 
     def _may_stop(self, job: Job, now: int) -> bool:
         """Is there anybody at all whom it may stop? If only later, that is when to look again."""
-        if any(self.cluster.rank_tasks[job.rank + 1:]):
+        if any(self.cluster.rank_tasks[job.rank + 1 :]):
             return True
         if not job.guaranteed or not self.cluster.rank_tasks[job.rank]:
             return False
@@ -66,7 +66,7 @@
         spec = job.spec
         use = self.cluster.teams[spec.team]
         # Looked for among all that the team runs, for each of its waiting jobs twice a second: only if there is any.
-        if job.suspect or not any(use.rank_arrays[job.rank + 1:]):
+        if job.suspect or not any(use.rank_arrays[job.rank + 1 :]):
             return
         if job.preempt_after > now:
             self.look_by(job.preempt_after)
@@ -76,9 +76,11 @@
         cpus -= max(use.limits.cpus_max - use.cpus, 0.0) if use.limits.cpus_max > 0 else cpus
         gpus -= max(use.limits.gpus_max - use.gpus, 0.0) if use.limits.gpus_max > 0 else gpus
         lower = [
-            task for other in self.cluster.jobs.values()
+            task
+            for other in self.cluster.jobs.values()
             if other.spec.team == spec.team and other.rank > job.rank and other.kind is Kind.ARRAY and not other.once
-            for task in other.tasks.values() if task.phase is Phase.PLACED
+            for task in other.tasks.values()
+            if task.phase is Phase.PLACED
         ]
         # What is being stopped already frees some.
         cpus -= sum(t.job.spec.cpus for t in lower if t.stopping is not None)
@@ -94,7 +96,8 @@
     def _for_guarantee(self, job: Job, now: int) -> bool:
         """May it stop other teams' work of its own priority? Only after a moment: room may just come free."""
         return (
-            job.guaranteed and bool(job.hungry_since)
+            job.guaranteed
+            and bool(job.hungry_since)
             and now - job.hungry_since > self.cluster.tuning.us("guarantee_patience_s")
         )
 
@@ -108,8 +111,12 @@
                 yield task
             elif for_guarantee and other.rank == job.rank and other.spec.team != job.spec.team:
                 theirs = teams.get(other.spec.team)
-                if theirs is not None and theirs.beyond_guarantee() and not other.guaranteed \
-                        and other.kind is not Kind.SERVICE:
+                if (
+                    theirs is not None
+                    and theirs.beyond_guarantee()
+                    and not other.guaranteed
+                    and other.kind is not Kind.SERVICE
+                ):
                     yield task
 
     def _cheapest_victims(self, job: Job, usable: list[Machine], wanted: int, now: int) -> list[Task]:
@@ -188,8 +195,7 @@
                 stopping = True
 
         def enough() -> bool:
-            return (free[0] + 1e-9 >= spec.cpus and free[1] + 1e-9 >= spec.gpus
-                    and free[2] + 1e-9 >= spec.memory_gb)
+            return free[0] + 1e-9 >= spec.cpus and free[1] + 1e-9 >= spec.gpus and free[2] + 1e-9 >= spec.memory_gb
 
         if stopping and job.kind is not Kind.GANG and enough():
             return []
--- a/oatport/control/ranking.py
+++ b/oatport/control/ranking.py
@@ -23,7 +23,10 @@
     """
 
     def __init__(
-        self, machines: Iterable[Machine], may: Callable[[Machine], bool], merit: Callable[[Machine], Merit],
+        self,
+        machines: Iterable[Machine],
+        may: Callable[[Machine], bool],
+        merit: Callable[[Machine], Merit],
         read: int = 0,
     ) -> None:
         self._may = may
@@ -47,7 +50,7 @@
 
         Read from where it was left; a ranking that is not asked any more costs nothing.
         """
-        for machine in dict.fromkeys(claimed[self._read:]):
+        for machine in dict.fromkeys(claimed[self._read :]):
             place = self._place.get(machine)
             if place is not None and self._may(machine):
                 heapq.heappush(self._heaps.setdefault(machine.zone, []), (self._merit(machine), place, machine))
--- a/oatport/control/records.py
+++ b/oatport/control/records.py
@@ -34,8 +34,25 @@
 MODEL_KEY, CATALOG_KEY, LEADER_KEY, DARK_KEY = "model", "catalog", "leader", "dark"
 
 __all__ = [
-    "ACCEPT_KEYS", "CANCEL_MARK", "CATALOG_KEY", "DARK_KEY", "FLEET", "JOBS", "LEADER_KEY", "LIVE", "MODEL_KEY", "MORE",
-    "WAITS", "Batch", "Records", "cancel_key", "chunk_key", "first_of", "job_key", "live_key", "waits_key",
+    "ACCEPT_KEYS",
+    "CANCEL_MARK",
+    "CATALOG_KEY",
+    "DARK_KEY",
+    "FLEET",
+    "JOBS",
+    "LEADER_KEY",
+    "LIVE",
+    "MODEL_KEY",
+    "MORE",
+    "WAITS",
+    "Batch",
+    "Records",
+    "cancel_key",
+    "chunk_key",
+    "first_of",
+    "job_key",
+    "live_key",
+    "waits_key",
 ]
 
 
@@ -109,8 +126,11 @@
 
     def unwritten(self, job: Job, index: int) -> bool:
         """What became of a task is in no record yet, as far as is known."""
-        return any(key in waits for key in self.keys_of(job, index)
-                   for waits in (self.dirty, self.urgent, self.in_flight, self._held_back))
+        return any(
+            key in waits
+            for key in self.keys_of(job, index)
+            for waits in (self.dirty, self.urgent, self.in_flight, self._held_back)
+        )
 
     def touch_machine(self, machine: Machine, *, urgent: bool = False) -> None:
         key = self.layout.fleet_key(machine.number)
@@ -124,11 +144,21 @@
 
     def fleet_value(self, key: str) -> dict[str, Any]:
         low, high = self.layout.fleet_span(key)
-        value: dict[str, Any] = {"m": [
-            [machine.name, machine.type.name, machine.zone, machine.spot, machine.address,
-             machine.rented_wall, bool(machine.up_at or machine.was_up)]
-            for machine in self.machines.values() if low <= machine.number < high
-        ]}
+        value: dict[str, Any] = {
+            "m": [
+                [
+                    machine.name,
+                    machine.type.name,
+                    machine.zone,
+                    machine.spot,
+                    machine.address,
+                    machine.rented_wall,
+                    bool(machine.up_at or machine.was_up),
+                ]
+                for machine in self.machines.values()
+                if low <= machine.number < high
+            ]
+        }
         if high - low < FLEET_CHUNK:
             value["n"] = high - low
         return value
@@ -221,7 +251,8 @@
             batch.conditions[job_key(job.ref)] = job.version
             # Since when it is done: what needs it counts its times from then, also under another leader.
             batch.sets[job_key(job.ref)] = job.record(wire.LOST if job.lost_cause else wire.DONE) | {
-                "ended": self.now + self.wall_offset}
+                "ended": self.now + self.wall_offset
+            }
             self._add_drops(batch, keys, max_ops)
             batch.finished.append(job)
         self._add_urgent(batch, max_ops, IDLE_RANK)
@@ -331,7 +362,7 @@
                 return
         elif key.startswith(MODEL_KEY):
             parts = self.predictor.parts(self.layout.limit)
-            number = int(key[len(MODEL_KEY) + 1:] or 0)
+            number = int(key[len(MODEL_KEY) + 1 :] or 0)
             if number < len(parts):
                 batch.sets[key] = parts[number]
             elif self.versions.get(key):
@@ -404,8 +435,7 @@
             self.to_clean[job] = None
         for job in batch.called_off:
             self.to_call_off[job.ref] = job
-        finished_keys = {
-            k for job in (*batch.finished, *batch.cleaned, *batch.called_off) for k in self._job_keys(job)}
+        finished_keys = {k for job in (*batch.finished, *batch.cleaned, *batch.called_off) for k in self._job_keys(job)}
         claimed = {self.layout.task_key(t.job, t.index): t.job.rank for t, _, _ in batch.claims}
         written = [(key, len(value.get("t", ()))) for key, value in batch.sets.items() if not key.startswith(JOBS)]
         parts = [part for name, rows in written for part in self._parts_of(name, rows)]
@@ -418,5 +448,5 @@
         for key in batch.drops:
             if key.startswith((FLEET, MODEL_KEY)):
                 self.dirty[key] = None
-            elif key not in finished_keys and not (key.startswith(WAITS) and key[len(WAITS):] in self.jobs):
+            elif key not in finished_keys and not (key.startswith(WAITS) and key[len(WAITS) :] in self.jobs):
                 self.orphans.append(key)  # waits/REF goes with the next try of the first claim
--- a/oatport/control/recovery.py
+++ b/oatport/control/recovery.py
@@ -73,8 +73,7 @@
     cancelled: dict[str, int] = {}
     waits: dict[str, tuple[Any, int]] = {}
     apart: dict[str, Any] = {}  # first chunks of before version 0.3, which did not lie with their jobs
-    cluster.layout.parts = any(
-        row["path"] == FORMATS_KEY and reads_of(row["value"]) >= READS for row in rows)
+    cluster.layout.parts = any(row["path"] == FORMATS_KEY and reads_of(row["value"]) >= READS for row in rows)
     for name, type_name, zone, spot, address, rented, was_up in machines_recorded(rows):
         machine = cluster.add_machine(name, type_name, zone, spot, address, now, wall, max(0, wall - rented))
         if machine is None:
@@ -93,9 +92,9 @@
             cluster.dark = {str(zone): now - max(0, wall - int(since)) for zone, since in value["zones"].items()}
             cluster.kept = {str(zone) for zone in value.get("kept", ())} & cluster.dark.keys()
         elif key.startswith(WAITS):
-            waits[key[len(WAITS):]] = value, version
+            waits[key[len(WAITS) :]] = value, version
         elif key.startswith(LIVE):
-            ref, _, part = key[len(LIVE):].partition("/")
+            ref, _, part = key[len(LIVE) :].partition("/")
             if not part:
                 spec, at, _ = read_job(value)
                 # As accepted, it has the revision of jobs/REF; from the first claim on it tells that one.
@@ -122,7 +121,8 @@
         if found is None:
             # Its head went with its end, which the keys outlived: a large job dropped in parts.
             cluster.orphans += [
-                key for key in cluster.versions if key.startswith(f"{LIVE}{ref}/") and key != cancel_key(ref)]
+                key for key in cluster.versions if key.startswith(f"{LIVE}{ref}/") and key != cancel_key(ref)
+            ]
             continue
         job = found
         parts.sort(key=lambda part: part[:2])
@@ -223,7 +223,8 @@
 def silent(machines: list[Machine], now: int, silent_us: int) -> list[Machine]:
     """Machines that were up and have not been heard of for a while."""
     return [
-        m for m in machines
+        m
+        for m in machines
         if not m.releasing and (m.up_at or m.was_up) and now - max(m.heard_at, m.known_since) > silent_us
     ]
 
--- a/oatport/control/rentals.py
+++ b/oatport/control/rentals.py
@@ -61,7 +61,8 @@
         """Its like was rented in another zone a moment ago. What was not tried is not known to be there."""
         return any(
             now - self.granted.get((machine.type.name, zone, machine.spot), -GRANTED_FOR) < GRANTED_FOR
-            for zone in machine.type.zones if zone not in self.cluster.dark
+            for zone in machine.type.zones
+            if zone not in self.cluster.dark
         )
 
     def _asked(self, type_name: str, zone: str, spot: bool) -> bool:
@@ -101,9 +102,7 @@
         self._sorts = Counter((m.type.name, m.zone, m.spot) for m in cluster.machines.values())
         self._found.clear()
         # Machines with GPUs are kept for those who need them, so a gang that waits may own a part of its room.
-        self._free_rooms = [
-            self._gpu_room(m) for m in cluster.usable_now if m.free_gpus > 0 and not m.gone
-        ]
+        self._free_rooms = [self._gpu_room(m) for m in cluster.usable_now if m.free_gpus > 0 and not m.gone]
         planned: dict[tuple[str, str, bool], int] = {}
         for job in sorted(cluster.waiting, key=lambda j: (j.rank, not j.pressing, j.deadline or j.from_at)):
             if sum(planned.values()) >= PLANNED_MOST:
@@ -138,8 +137,12 @@
         """What a machine has for work that needs its GPUs: array tasks that need none are stopped for it."""
         fillers = [t.job.spec for t in machine.tasks if t.job.spec.gpus == 0 and t.job.kind is Kind.ARRAY]
         return Room(
-            machine.type, machine.zone, machine.spot, machine.free_cpus + sum(s.cpus for s in fillers),
-            machine.free_gpus, machine.free_memory + sum(s.memory_gb for s in fillers),
+            machine.type,
+            machine.zone,
+            machine.spot,
+            machine.free_cpus + sum(s.cpus for s in fillers),
+            machine.free_gpus,
+            machine.free_memory + sum(s.memory_gb for s in fillers),
         )
 
     def _freeing(self, now: int) -> list[float]:
@@ -162,7 +165,12 @@
         return [cpus, given_way]
 
     def _cover(
-        self, job: Job, coming: Rooms, freeing: list[float], planned: dict[tuple[str, str, bool], int], now: int,
+        self,
+        job: Job,
+        coming: Rooms,
+        freeing: list[float],
+        planned: dict[tuple[str, str, bool], int],
+        now: int,
     ) -> None:
         cluster, spec = self.cluster, job.spec
         left = min(job.pending, cluster.teams.room(spec))
@@ -199,7 +207,13 @@
                 only_zone = room.zone
         most_held = max((fit_count(kind, spec) for kind in cluster.allowed(job)), default=0)
         sought = (
-            spec.cpus, spec.gpus, spec.memory_gb, spec.zone, tuple(spec.types) if spec.types else None, spot, job.kind,
+            spec.cpus,
+            spec.gpus,
+            spec.memory_gb,
+            spec.zone,
+            tuple(spec.types) if spec.types else None,
+            spot,
+            job.kind,
             job.run_step,
         )
         bound = spec.spread or spec.one_zone or job.kind is Kind.SERVICE
@@ -225,9 +239,7 @@
             sort = (kind.name, zone, spot)
             planned[sort] = planned.get(sort, 0) + 1
 
-    def _cover_gang(
-        self, job: Job, coming: Rooms, planned: dict[tuple[str, str, bool], int], now: int
-    ) -> None:
+    def _cover_gang(self, job: Job, coming: Rooms, planned: dict[tuple[str, str, bool], int], now: int) -> None:
         """Machines for a whole gang, in the zone that lacks the fewest; none where it can't be whole."""
         spec, spot = job.spec, job.tier == SPOT
         zones = sorted({zone for kind in self.cluster.allowed(job) for zone in kind.zones})
--- a/oatport/control/repeats.py
+++ b/oatport/control/repeats.py
@@ -57,7 +57,5 @@
         try:
             repeats[name] = Repeat(text)
         except ValueError:
-            raise SettingsError(
-                f"{path}: [{SECTION}] {name}: must be {', '.join(Repeat)}, got {text!r}"
-            ) from None
+            raise SettingsError(f"{path}: [{SECTION}] {name}: must be {', '.join(Repeat)}, got {text!r}") from None
     return repeats
--- a/oatport/control/router.py
+++ b/oatport/control/router.py
@@ -29,7 +29,12 @@
         self.threshold = min(percentile, self.predictor.half_life(spot_ages) or percentile)
 
     def route(
-        self, job: Job, wall: int, queue_wait: int | None, spot_open: bool = True, on_demand_open: bool = True,
+        self,
+        job: Job,
+        wall: int,
+        queue_wait: int | None,
+        spot_open: bool = True,
+        on_demand_open: bool = True,
         spot_wait: int = 0,
     ) -> str:
         """The tier of a job for which no owned room is free.
--- a/oatport/control/served.py
+++ b/oatport/control/served.py
@@ -83,7 +83,13 @@
     def line(self) -> str:
         """Started of accepted, and done, of each."""
         rows = [("class", self.classes), ("team", self.teams)]
-        return "served (started/accepted, done): " + "; ".join(
-            f"{kind} {name} {row.started}/{row.accepted}, {row.done}"
-            for kind, named in rows for name, row in sorted(named.items())
-        ) + "; largest " + " ".join(f"{name} {began}/{count}" for name, (began, count) in self.largest().items())
+        return (
+            "served (started/accepted, done): "
+            + "; ".join(
+                f"{kind} {name} {row.started}/{row.accepted}, {row.done}"
+                for kind, named in rows
+                for name, row in sorted(named.items())
+            )
+            + "; largest "
+            + " ".join(f"{name} {began}/{count}" for name, (began, count) in self.largest().items())
+        )
--- a/oatport/control/sightings.py
+++ b/oatport/control/sightings.py
@@ -111,8 +111,9 @@
         The sessions of a machine that was back within a blink began anew: what it told after an old copy had come was
         taken for older, and answered all the same.
         """
-        done = {(row.task, row.attempt) for row in report.tasks
-                if row.status == wire.EXITED and row.why == wire.WHY_DONE}
+        done = {
+            (row.task, row.attempt) for row in report.tasks if row.status == wire.EXITED and row.why == wire.WHY_DONE
+        }
         for task in [task for task in machine.tasks if (task.name, task.attempt) in done] if done else ():
             if task.phase is Phase.PLACED and task.job.kind is not Kind.SERVICE:
                 self.finish_task(task, self.now, measured=False)
@@ -124,8 +125,12 @@
         off from the others as well as from the state service, and was still reported to. `until` (steady): by then
         the leases have ended that an earlier leader gave, and with them what the machine could tell.
         """
-        return self.ends_unknown and now < until and not machine.heard_at and any(
-            not task.claimed_at for task in machine.work)
+        return (
+            self.ends_unknown
+            and now < until
+            and not machine.heard_at
+            and any(not task.claimed_at for task in machine.work)
+        )
 
     def witnesses(self, machine: Machine) -> bool:
         """It must not be returned or given up yet: it holds ends that are written nowhere else.
--- a/oatport/control/suitability.py
+++ b/oatport/control/suitability.py
@@ -45,7 +45,8 @@
 
         def may(machine: Machine) -> bool:
             return (
-                machine.fits(spec) and (on_spot or not machine.spot)
+                machine.fits(spec)
+                and (on_spot or not machine.spot)
                 and (spec.types is None or machine.type.name in spec.types)
                 and (spec.zone is None or machine.zone == spec.zone)
                 and not (no_gpus and machine.type.gpus > 0 and not cluster.fills(job, machine, cluster.now))
@@ -71,7 +72,9 @@
             service and within is not None and self._fetch(spec, machine) > within,
             # A machine full of replicas can't take over a lost mate of theirs, which would need no fetch there:
             # room for one more is left to work that can be stopped for it, where there is such work.
-            service and self._crowded and spec.tasks >= self.cluster.tuning.mate_room_tasks
+            service
+            and self._crowded
+            and spec.tasks >= self.cluster.tuning.mate_room_tasks
             and machine.type.cpus - machine.steady_cpus < 2 * spec.cpus - 1e-9,
             spec.image not in machine.images,
             # Otherwise replicas together, and the rest away from them: machines without replicas can be
--- a/oatport/control/work.py
+++ b/oatport/control/work.py
@@ -31,7 +31,11 @@
     """The part of the leader's view that is about jobs; `Cluster` adds the machines."""
 
     def __init__(
-        self, token: int, settings: ClusterSettings, tuning: Tuning, types: dict[str, wire.MachineType],
+        self,
+        token: int,
+        settings: ClusterSettings,
+        tuning: Tuning,
+        types: dict[str, wire.MachineType],
         predictor: Predictor,
     ) -> None:
         super().__init__(predictor, Layout(settings.state.least_value_bytes, max(map(len, settings.zones), default=0)))
@@ -41,7 +45,10 @@
         self.types = types
         self.types_seen = 0  # goes up when the catalog changes
         self.router = Router(
-            predictor, tuning.us("spot_threshold_s"), tuning.slack_factor, tuning.threshold_percentile,
+            predictor,
+            tuning.us("spot_threshold_s"),
+            tuning.slack_factor,
+            tuning.threshold_percentile,
             tail_factor=tuning.tail_factor,
         )
         self.start_aims = {aim.job_class: micros(aim.within_s) for aim in settings.objectives if aim.kind == "wait"}
--- a/oatport/lab/bound.py
+++ b/oatport/lab/bound.py
@@ -50,7 +50,8 @@
         b_ub=np.full(slots, night.capacity * step / hour),
         A_eq=coo_matrix((ones, (by_group, columns)), shape=(len(groups), count)).tocsr(),
         b_eq=np.array([work[group] / hour for group in groups]),
-        bounds=(0, None), method="highs",
+        bounds=(0, None),
+        method="highs",
     )
     if done.status != 0:
         raise RuntimeError(f"no bound: {done.message}")
--- a/oatport/lab/cli.py
+++ b/oatport/lab/cli.py
@@ -67,8 +67,9 @@
         except builds.NoHistory as error:
             print(f"oatport: lab rehearse: {error}", file=sys.stderr)
             return 2
-    asked = world.Asked(arguments.seed, arguments.seeds, arguments.nodes, arguments.machines, plan, arguments.story,
-                        arguments.broken)
+    asked = world.Asked(
+        arguments.seed, arguments.seeds, arguments.nodes, arguments.machines, plan, arguments.story, arguments.broken
+    )
     figures, bad = world.rehearse(asked, arguments.jobs)
     for result in bad[:3]:
         if result.errors:
@@ -87,8 +88,7 @@
         print(f"oatport: {error.name} is missing: pip install 'oatport[lab,queues]'", file=sys.stderr)
         return 2
     try:
-        result = run_queues(
-            arguments.seed, arguments.moves, arguments.kills, arguments.gateways, arguments.broken)
+        result = run_queues(arguments.seed, arguments.moves, arguments.kills, arguments.gateways, arguments.broken)
     except (ValueError, ModuleNotFoundError) as error:
         print(f"oatport: lab queues: {error}", file=sys.stderr)
         return 2
@@ -110,10 +110,13 @@
     if arguments.json:
         print(json.dumps(result))
         return 0
-    print(f"{result['jobs']} jobs on {result['capacity_cpus']:.0f} CPUs, "
-          f"seed {result['seed']}, fault {result['fault']}")
+    print(
+        f"{result['jobs']} jobs on {result['capacity_cpus']:.0f} CPUs, seed {result['seed']}, fault {result['fault']}"
+    )
     for name in ("deadlines_met", "cost"):
         print(f"  {name:14}" + "  ".join(f"{way} {value:,}" for way, value in result[name].items()))
-    print(f"  released late {result['released_late']}, plans made anew {result['replans']}, "
-          f"planning {result['plan_ms_p99']} ms (99th percentile)")
+    print(
+        f"  released late {result['released_late']}, plans made anew {result['replans']}, "
+        f"planning {result['plan_ms_p99']} ms (99th percentile)"
+    )
     return 0
--- a/oatport/lab/page.py
+++ b/oatport/lab/page.py
@@ -49,7 +49,7 @@
     figure.savefig(out, format="svg", metadata={"Date": None})
     pyplot.close(figure)
     text = out.getvalue()
-    return Markup(text[text.index("<svg"):])
+    return Markup(text[text.index("<svg") :])
 
 
 def _night(night: Night, immediate: Outcome, windows: Outcome) -> Any:
@@ -82,8 +82,10 @@
 def write(path: str, night: Night, immediate: Outcome, windows: Outcome, result: dict[str, Any]) -> None:
     """Raises OSError if the file can't be written."""
     matplotlib.rcParams["svg.hashsalt"] = "oatport"  # the same page from the same seed
-    plots = [("Price, load and held work", _night(night, immediate, windows)),
-             ("Jobs by slack", _slack(immediate, windows))]
+    plots = [
+        ("Price, load and held work", _night(night, immediate, windows)),
+        ("Jobs by slack", _slack(immediate, windows)),
+    ]
     html = TEMPLATE.render(result=result, ways=("immediate", "windows", "bound"), plots=plots)
     with open(path, "w", encoding="utf-8") as out:
         out.write(html)
--- a/oatport/lab/queues.py
+++ b/oatport/lab/queues.py
@@ -121,14 +121,20 @@
     def start_node(self, name: str) -> None:
         state, cloud = self._outside[0], self._outside[1]
         settings = Settings(
-            node_name=name, bind=self.addresses[name], internal_addr=self._inside[name],
+            node_name=name,
+            bind=self.addresses[name],
+            internal_addr=self._inside[name],
             services=Services(cloud=cloud, state=state),
             cluster=ClusterSettings(
                 workers=Workers(report_s=0.25, lease_s=10.0, gang_wait_s=40.0, gang_peer_s=4.0, cancel_s=35.0),
                 state=StateLimits(rps=3000.0, write_rps=3000.0, value_kb=32.0, txn_ops=16),
-                cloud=CloudLimits(rps=10.0, list_lag_s=1.0), size=NODES, zones=["a", "b"], teams=[Team("crew")],
+                cloud=CloudLimits(rps=10.0, list_lag_s=1.0),
+                size=NODES,
+                zones=["a", "b"],
+                teams=[Team("crew")],
             ),
-            zone="a", peers=[Peer(other, address) for other, address in self._inside.items() if other != name],
+            zone="a",
+            peers=[Peer(other, address) for other, address in self._inside.items() if other != name],
         )
         node = Node(settings, Tuning(), None, {ONCE: Repeat.BEFORE_START})
         self.nodes[name] = node, asyncio.get_running_loop().create_task(node.run())
@@ -143,15 +149,30 @@
         await asyncio.gather(task, return_exceptions=True)
 
     def start_gateway(self, name: str) -> None:
-        fields = {"team": "crew", "image": "img", "cpus": "1", "memory_gb": "0.1", "estimate_s": "0.2", "spot": "yes",
-                  "image_gb": "0.1"}
+        fields = {
+            "team": "crew",
+            "image": "img",
+            "cpus": "1",
+            "memory_gb": "0.1",
+            "estimate_s": "0.2",
+            "spot": "yes",
+            "image_gb": "0.1",
+        }
         queues = tuple(
             QueueSettings(queue, Template.make({**fields, "job_class": queue}, frozenset({"tasks"})), prefetch=100)
             for queue in (ONCE, OFTEN)
         )
         settings = GatewaySettings(
-            name=name, state=self._outside[0], nodes=tuple(self.addresses.values()), host="127.0.0.1",
-            port=self.broker.port, lease_s=4.0, requests_per_s=2000.0, changes_per_s=2000.0, txn_ops=16, queues=queues,
+            name=name,
+            state=self._outside[0],
+            nodes=tuple(self.addresses.values()),
+            host="127.0.0.1",
+            port=self.broker.port,
+            lease_s=4.0,
+            requests_per_s=2000.0,
+            changes_per_s=2000.0,
+            txn_ops=16,
+            queues=queues,
         )
         link = BrokenLink(settings, self.broken) if self.broken else Link(settings)
         state = StateClient(HttpConnector(self.session), settings.state)
@@ -239,7 +260,8 @@
                         channel = await connection.channel(publisher_confirms=True)
                     await channel.default_exchange.publish(
                         aio_pika.Message(b"{}", message_id=identity, reply_to=REPLIES, delivery_mode=2),
-                        routing_key=queue, timeout=3.0,
+                        routing_key=queue,
+                        timeout=3.0,
                     )
                     self.confirmed.add(identity)
                 except asyncio.CancelledError:
@@ -321,8 +343,7 @@
         rate = 80.0
         began = time.monotonic()
         senders.last_at = began
-        trouble = asyncio.get_running_loop().create_task(
-            _trouble(place, rng, kills, max(moves / rate, kills * 0.4)))
+        trouble = asyncio.get_running_loop().create_task(_trouble(place, rng, kills, max(moves / rate, kills * 0.4)))
         await senders.send_all(wanted, rate)
         await trouble
         place.broker.fault = lambda point: False
@@ -340,22 +361,32 @@
     waits = sorted(senders.waited) or [0.0]
     answers = Counter(_kind(answer) for _, _, answer in senders.raw)
     return {
-        "seed": seed, **found, "changes_per_message": round(changes / max(moves, 1), 2),
-        "messages_per_s": round(moves / took, 1), "p50_ms": round(waits[len(waits) // 2] * 1000),
-        "p99_ms": round(waits[int(len(waits) * 0.99)] * 1000), "kills": kills, "gateways": gateways, "break": broken,
-        "redelivered": place.broker.redelivered, "kinds": dict(sorted(answers.items())),
+        "seed": seed,
+        **found,
+        "changes_per_message": round(changes / max(moves, 1), 2),
+        "messages_per_s": round(moves / took, 1),
+        "p50_ms": round(waits[len(waits) // 2] * 1000),
+        "p99_ms": round(waits[int(len(waits) * 0.99)] * 1000),
+        "kills": kills,
+        "gateways": gateways,
+        "break": broken,
+        "redelivered": place.broker.redelivered,
+        "kinds": dict(sorted(answers.items())),
     }
 
 
 def _kind(answer: str) -> str:
     import json
+
     return str(json.loads(answer).get("answer"))
 
 
 def sound(result: dict[str, Any]) -> bool:
     """Nothing double, nothing lost, nothing against its class."""
     return (
-        result["answered_once"] == result["moves"] and not result["double_answers"] and not result["lost"]
+        result["answered_once"] == result["moves"]
+        and not result["double_answers"]
+        and not result["lost"]
         and not result["runs_against_class"]
     )
 
--- a/oatport/lab/windows.py
+++ b/oatport/lab/windows.py
@@ -100,19 +100,36 @@
     limits = ClusterSettings(
         workers=Workers(report_s=1.0, lease_s=10.0, gang_wait_s=40.0, gang_peer_s=4.0, cancel_s=35.0),
         state=StateLimits(rps=100.0, write_rps=50.0, value_kb=8.0, txn_ops=12),
-        cloud=CloudLimits(rps=5.0, list_lag_s=3.0), size=1, zones=["z"], teams=[Team("crew")],
+        cloud=CloudLimits(rps=5.0, list_lag_s=3.0),
+        size=1,
+        zones=["z"],
+        teams=[Team("crew")],
     )
-    types = {"plain": MachineType(
-        name="plain", cpus=64.0, gpus=0.0, memory_gb=256.0, price=1.0, spot_price=0.4, boot_s=30.0, zones=["z"],
-        fetch_gb_per_s=1.0, cache_gb=100.0,
-    )}
+    types = {
+        "plain": MachineType(
+            name="plain",
+            cpus=64.0,
+            gpus=0.0,
+            memory_gb=256.0,
+            price=1.0,
+            spot_price=0.4,
+            boot_s=30.0,
+            zones=["z"],
+            fetch_gb_per_s=1.0,
+            cache_gb=100.0,
+        )
+    }
     return Cluster(1, limits, Tuning(), types, Predictor())
 
 
 def settings(night: Night) -> WindowSettings:
     return WindowSettings(
-        on=True, capacity_cpus=night.capacity, horizon_s=16 * 3600.0, classes=((CLASS, Deferral()),),
-        fresh_s=3 * 3600.0, dead_s=12 * 3600.0,
+        on=True,
+        capacity_cpus=night.capacity,
+        horizon_s=16 * 3600.0,
+        classes=((CLASS, Deferral()),),
+        fresh_s=3 * 3600.0,
+        dead_s=12 * 3600.0,
     )
 
 
@@ -199,11 +216,16 @@
     immediate, windows, least = run_night(night)
     times = sorted(windows.plan_ms)
     result = {
-        "seed": seed, "fault": fault, "jobs": len(night.jobs), "capacity_cpus": night.capacity,
+        "seed": seed,
+        "fault": fault,
+        "jobs": len(night.jobs),
+        "capacity_cpus": night.capacity,
         "deadlines_met": {"immediate": len(immediate.met), "windows": len(windows.met), "bound": possible(night)},
         "cost": {"immediate": round(immediate.cost, 2), "windows": round(windows.cost, 2), "bound": round(least, 2)},
-        "released_late": windows.released_late, "replans": windows.replans,
-        "plan_ms_p99": round(times[int(0.99 * (len(times) - 1))], 3), "plan_ms_max": round(times[-1], 3),
+        "released_late": windows.released_late,
+        "replans": windows.replans,
+        "plan_ms_p99": round(times[int(0.99 * (len(times) - 1))], 3),
+        "plan_ms_max": round(times[-1], 3),
     }
     if page is not None:
         from oatport.lab.page import write
--- a/oatport/lab/world/breaks.py
+++ b/oatport/lab/world/breaks.py
@@ -150,8 +150,12 @@
         if state == "done":
             self.cluster.job_done(ref, ended)
 
-    return [patch.object(Pipelines, "cancelled", direct), patch.object(JobView, "_with_needed", one_step),
-            patch.object(Chains, "cancel_after", unseen), patch.object(ChainKeeper, "_take", forgets)]
+    return [
+        patch.object(Pipelines, "cancelled", direct),
+        patch.object(JobView, "_with_needed", one_step),
+        patch.object(Chains, "cancel_after", unseen),
+        patch.object(ChainKeeper, "_take", forgets),
+    ]
 
 
 def _gate() -> list[Any]:
@@ -161,9 +165,11 @@
 
 def _size() -> list[Any]:
     """Records are as large as they get."""
-    return [patch.object(Layout, "part_tasks", property(lambda self: CHUNK_TASKS)),
-            patch.object(Layout, "head_tasks", lambda self, job: CHUNK_TASKS),
-            patch.object(Layout, "part_machines", property(lambda self: FLEET_CHUNK))]
+    return [
+        patch.object(Layout, "part_tasks", property(lambda self: CHUNK_TASKS)),
+        patch.object(Layout, "head_tasks", lambda self, job: CHUNK_TASKS),
+        patch.object(Layout, "part_machines", property(lambda self: FLEET_CHUNK)),
+    ]
 
 
 def _copies() -> list[Any]:
@@ -206,8 +212,10 @@
 
 def _returned() -> list[Any]:
     """Machines are returned, or given up, though they alone tell of an end."""
-    return [patch.object(Sightings, "witnesses", lambda self, machine: False),
-            patch.object(Sightings, "hasten", lambda self, machine: None)]
+    return [
+        patch.object(Sightings, "witnesses", lambda self, machine: False),
+        patch.object(Sightings, "hasten", lambda self, machine: None),
+    ]
 
 
 def _handed_on() -> list[Any]:
@@ -219,8 +227,11 @@
     async def nothing(self: Telling, token: int) -> tuple[list[Any], bool]:
         return [], True
 
-    return [patch.object(Telling, "ends_loop", idle), patch.object(Telling, "deposed", lambda self, lead: None),
-            patch.object(Telling, "ended_before", nothing)]
+    return [
+        patch.object(Telling, "ends_loop", idle),
+        patch.object(Telling, "deposed", lambda self, lead: None),
+        patch.object(Telling, "ended_before", nothing),
+    ]
 
 
 def _whole() -> list[Any]:
@@ -263,10 +274,25 @@
 
 
 GUARDS: dict[str, Callable[[], list[Any]]] = {
-    "fencing": _fencing, "write-ahead": _write_ahead, "forget": _forget, "unproven": _unproven,
-    "boot": _boot, "early": _early, "orphan": _orphan, "gate": _gate, "size": _size,
-    "copies": _copies, "told": _told, "order": _copies, "conditions": _conditions, "ends": _ends,
-    "returned": _returned, "handed-on": _handed_on, "whole": _whole, "asked": _asked, "one-key": _one_key,
+    "fencing": _fencing,
+    "write-ahead": _write_ahead,
+    "forget": _forget,
+    "unproven": _unproven,
+    "boot": _boot,
+    "early": _early,
+    "orphan": _orphan,
+    "gate": _gate,
+    "size": _size,
+    "copies": _copies,
+    "told": _told,
+    "order": _copies,
+    "conditions": _conditions,
+    "ends": _ends,
+    "returned": _returned,
+    "handed-on": _handed_on,
+    "whole": _whole,
+    "asked": _asked,
+    "one-key": _one_key,
 }
 
 
--- a/oatport/lab/world/builds.py
+++ b/oatport/lab/world/builds.py
@@ -44,7 +44,8 @@
     def make_node(self, settings: Any, network: Net, host: Host, boot: str) -> Any:
         host.context.run(self.times.CLOCK.set, host)
         return host.context.run(
-            self.node.Node, settings, self.settings.Tuning(), net=_Network(self, network, host), boot=boot)
+            self.node.Node, settings, self.settings.Tuning(), net=_Network(self, network, host), boot=boot
+        )
 
 
 def production_commit(root: Path = ROOT) -> str:
--- a/oatport/lab/world/checker.py
+++ b/oatport/lab/world/checker.py
@@ -71,8 +71,10 @@
         ask.started_at = ask.started_at or now
         there = self.places.get(task)
         if there is not None:
-            self.break_of("ran_twice", f"{task} attempt {attempt} starts on {worker.name}, "
-                                       f"attempt {there.attempt} is on {there.worker.name}")
+            self.break_of(
+                "ran_twice",
+                f"{task} attempt {attempt} starts on {worker.name}, attempt {there.attempt} is on {there.worker.name}",
+            )
         if task in self._done[ref]:
             self._began_again(worker, task)
         self.counts["starts_cancelled"] += ask.cancelled_at is not None
@@ -91,7 +93,8 @@
         use[1] += float(ask.body["accelerators"])
         limits = next(t for t in self.settings.teams if t.name == team)
         if (limits.cpus_max > 0 and use[0] > limits.cpus_max + EPSILON) or (
-                limits.gpus_max > 0 and use[1] > limits.gpus_max + EPSILON):
+            limits.gpus_max > 0 and use[1] > limits.gpus_max + EPSILON
+        ):
             self.break_of("quota", f"{team} uses {use[0]:g} CPUs and {use[1]:g} GPUs with {task} on {worker.name}")
 
     def _began_again(self, worker: Worker, task: str) -> None:
@@ -108,8 +111,11 @@
         if fate in TROUBLES:
             self.counts["results_lost"] += 1
             return
-        self.break_of("ran_twice", f"{task} starts on {worker.name} though it was done on "
-                                   f"{self._done_on[task].name}{': ' + fate if fate else ''}")
+        self.break_of(
+            "ran_twice",
+            f"{task} starts on {worker.name} though it was done on "
+            f"{self._done_on[task].name}{': ' + fate if fate else ''}",
+        )
 
     def took_in(self, tasks: list[str]) -> None:
         """A leader answered a report that told of these ends. That of one task of a gang tells of all (PROTOCOL)."""
@@ -128,7 +134,8 @@
         for team in self.settings.teams:
             cpus, gpus = self._use[team.name]
             self._at_limit[team.name] += (team.cpus_max > 0 and cpus >= AT_LIMIT * team.cpus_max) or (
-                team.gpus_max > 0 and gpus >= AT_LIMIT * team.gpus_max)
+                team.gpus_max > 0 and gpus >= AT_LIMIT * team.gpus_max
+            )
 
     def at_limit(self) -> dict[str, float]:
         """For each team the share of the time in which it was at its limit."""
@@ -199,10 +206,14 @@
         if ask.done_at is not None and state != "done":
             self.break_of("went_back", f"{ask.ref} was done, and is called {state}")
         fallen = self._fallen_since(ask)
-        if state in ("queued", "running") and fallen is not None and (
-                now > max(fallen, ask.accepted_at or now) + self.settings.workers.cancel_s + EPSILON):
-            self.break_of("orphaned", f"{ask.ref} is called {state}, a job before it was cancelled "
-                                      f"{now - fallen:.0f} s ago")
+        if (
+            state in ("queued", "running")
+            and fallen is not None
+            and (now > max(fallen, ask.accepted_at or now) + self.settings.workers.cancel_s + EPSILON)
+        ):
+            self.break_of(
+                "orphaned", f"{ask.ref} is called {state}, a job before it was cancelled {now - fallen:.0f} s ago"
+            )
         if state == "aborted":
             if what != "cancel" and ask.cancel_at is None and not self._may_fall(ask):
                 self.break_of("went_back", f"{ask.ref} is called cancelled, and nobody cancelled it")
@@ -221,8 +232,11 @@
 
     def _fallen_since(self, ask: Ask) -> float | None:
         """Since when a user knows that a job before it is cancelled; None: nobody was told so."""
-        times = [need.cancelled_at if need.cancelled_at is not None else self._fallen_since(need)
-                 for need in ask.needs if need.completed_at is None or need.cancelled_at is not None]
+        times = [
+            need.cancelled_at if need.cancelled_at is not None else self._fallen_since(need)
+            for need in ask.needs
+            if need.completed_at is None or need.cancelled_at is not None
+        ]
         return min((at for at in times if at is not None), default=None)
 
     @staticmethod
@@ -264,8 +278,14 @@
         end = self.loop.time()
         rows: defaultdict[str, list[Ask]] = defaultdict(list)
         for ask in self.asks.values():
-            if ask.accepted_at is not None and ask.accepted_at < end - STARTED_WITHIN and not ask.mistaken and (
-                    ask.cancel_at is None) and not self._waits(ask) and not self._may_fall(ask):
+            if (
+                ask.accepted_at is not None
+                and ask.accepted_at < end - STARTED_WITHIN
+                and not ask.mistaken
+                and (ask.cancel_at is None)
+                and not self._waits(ask)
+                and not self._may_fall(ask)
+            ):
                 rows[str(ask.body["cargo"])].append(ask)
         least, longest = 1.0, 0.0
         for asks in rows.values():
@@ -281,10 +301,20 @@
 
     def pipelines(self) -> dict[str, int]:
         """Pipelines whose last job was submitted and not cancelled, and those of them that were complete in time."""
-        lasts = [a for a in self.asks.values() if a.last and a.accepted_at is not None and a.cancelled_at is None
-                 and a.at + float(a.body["tideS"]) < self.loop.time()]
-        return {"pipelines": len(lasts), "in_time": sum(
-            a.completed_at is not None and a.completed_at <= a.at + float(a.body["tideS"]) for a in lasts)}
+        lasts = [
+            a
+            for a in self.asks.values()
+            if a.last
+            and a.accepted_at is not None
+            and a.cancelled_at is None
+            and a.at + float(a.body["tideS"]) < self.loop.time()
+        ]
+        return {
+            "pipelines": len(lasts),
+            "in_time": sum(
+                a.completed_at is not None and a.completed_at <= a.at + float(a.body["tideS"]) for a in lasts
+            ),
+        }
 
     # --- shares -----------------------------------------------------------------------------
 
@@ -304,8 +334,13 @@
         for by in ("cargo", "crew"):
             rows: defaultdict[str, list[Ask]] = defaultdict(list)
             for ask in self.asks.values():
-                if ask.accepted_at is not None and ask.accepted_at < end - STARTED_WITHIN and not ask.mistaken and (
-                        ask.cancel_at is None or ask.cancel_at > end) and not self._waits(ask):
+                if (
+                    ask.accepted_at is not None
+                    and ask.accepted_at < end - STARTED_WITHIN
+                    and not ask.mistaken
+                    and (ask.cancel_at is None or ask.cancel_at > end)
+                    and not self._waits(ask)
+                ):
                     rows[str(ask.body[by])].append(ask)
             for name, asks in sorted(rows.items()):
                 waiting = [ask for ask in asks if ask.started_at is None]
@@ -318,7 +353,7 @@
         use = self._use[str(body["crew"])][0] + float(body["cores"])
         if (limits.cpus_max > 0 and use > limits.cpus_max) or (worker.spot and not body["driftwood"]):
             return False
-        if (body["berthKinds"] is not None and worker.type not in body["berthKinds"]):
+        if body["berthKinds"] is not None and worker.type not in body["berthKinds"]:
             return False
         return body["harbor"] in (None, worker.zone) and worker.fits(body)
 
@@ -343,8 +378,11 @@
             for ask in kept:
                 tasks = int(ask.body["legs"])
                 wanted = (end - ask.at) * SECOND * tasks
-                completed += (min(1.0, ask.up_us / wanted) if ask.body["rig"] == "standing" and wanted > 0
-                              else ask.completed / tasks)
+                completed += (
+                    min(1.0, ask.up_us / wanted)
+                    if ask.body["rig"] == "standing" and wanted > 0
+                    else ask.completed / tasks
+                )
             found[name] = {
                 "accepted": sum(a.accepted_at is not None for a in asks) / len(asks),
                 "started": sum(a.started_at is not None for a in kept) / len(kept),
--- a/oatport/lab/world/cloud.py
+++ b/oatport/lab/world/cloud.py
@@ -54,8 +54,15 @@
     def add(self, kind: str, zone: str, spot: bool) -> str:
         name = f"vm-{self.rented:06d}"
         self.rented += 1
-        self.machines[name] = {"ref": name, "address": "", "berthKind": kind, "harbor": zone, "driftwood": spot,
-                               "status": "booting", "ageS": 0.0}
+        self.machines[name] = {
+            "ref": name,
+            "address": "",
+            "berthKind": kind,
+            "harbor": zone,
+            "driftwood": spot,
+            "status": "booting",
+            "ageS": 0.0,
+        }
         self.on_rent(self.machines[name])
         return name
 
@@ -88,8 +95,9 @@
     def picture(self) -> None:
         """Remember what a list says from a while later on; to be called every second."""
         now = self.host.loop.time()
-        self._lists.append((now, [dict(m, ageS=now - self.born.get(name, now))
-                                  for name, m in sorted(self.registry.machines.items())]))
+        self._lists.append(
+            (now, [dict(m, ageS=now - self.born.get(name, now)) for name, m in sorted(self.registry.machines.items())])
+        )
         while len(self._lists) > 2 and self._lists[1][0] < now - 2 * self.lag_s:
             self._lists.popleft()
 
@@ -127,4 +135,3 @@
     if rng.random() < 0.03:
         times = rng.uniform(2.0, 4.0)
     return micros(startup_s * times)
-
--- a/oatport/lab/world/deployment.py
+++ b/oatport/lab/world/deployment.py
@@ -24,10 +24,30 @@
 ZONES = ("a", "b")
 STATE, CLOUD = "10.2.0.1:2379", "10.2.0.2:8443"
 CATALOG = [
-    {"label": "m8", "cores": 8.0, "accelerators": 0.0, "memoryGb": 32.0, "cacheGb": 100.0, "fetchGbPerS": 1.0,
-     "price": 1.0, "marketPrice": 0.4, "startupS": 8.0, "harbors": list(ZONES)},
-    {"label": "g16", "cores": 16.0, "accelerators": 4.0, "memoryGb": 64.0, "cacheGb": 100.0, "fetchGbPerS": 1.0,
-     "price": 8.0, "marketPrice": 3.0, "startupS": 12.0, "harbors": list(ZONES)},
+    {
+        "label": "m8",
+        "cores": 8.0,
+        "accelerators": 0.0,
+        "memoryGb": 32.0,
+        "cacheGb": 100.0,
+        "fetchGbPerS": 1.0,
+        "price": 1.0,
+        "marketPrice": 0.4,
+        "startupS": 8.0,
+        "harbors": list(ZONES),
+    },
+    {
+        "label": "g16",
+        "cores": 16.0,
+        "accelerators": 4.0,
+        "memoryGb": 64.0,
+        "cacheGb": 100.0,
+        "fetchGbPerS": 1.0,
+        "price": 8.0,
+        "marketPrice": 3.0,
+        "startupS": 12.0,
+        "harbors": list(ZONES),
+    },
 ]
 TYPES = wire.catalog({"berthKinds": CATALOG})
 # class -> its share of the jobs; what one is like is drawn in `_job`
@@ -43,15 +63,20 @@
     later = NextLimits(write_rps=write_rps * 0.7, value_kb=2.0, txn_ops=4) if plan.limits_fall else NextLimits()
     return ClusterSettings(
         workers=Workers(report_s=1.5, lease_s=12.0, gang_wait_s=30.0, gang_peer_s=4.0, cancel_s=36.0),
-        state=StateLimits(rps=max(150.0, plan.machines / 2), write_rps=write_rps, value_kb=32.0, txn_ops=16,
-                          next=later),
+        state=StateLimits(
+            rps=max(150.0, plan.machines / 2), write_rps=write_rps, value_kb=32.0, txn_ops=16, next=later
+        ),
         cloud=CloudLimits(rps=4.0, list_lag_s=3.0),
-        size=plan.nodes, zones=list(ZONES), clock_off_ms=5.0,
+        size=plan.nodes,
+        zones=list(ZONES),
+        clock_off_ms=5.0,
         teams=_teams(plan, cpus),
-        objectives=[Objective(kind="wait", job_class="serve", within_s=8.0),
-                    Objective(kind="deadline", job_class="batch"),
-                    Objective(kind="deadline", job_class="settle"),
-                    Objective(kind="wait", job_class="train", within_s=40.0)],
+        objectives=[
+            Objective(kind="wait", job_class="serve", within_s=8.0),
+            Objective(kind="deadline", job_class="batch"),
+            Objective(kind="deadline", job_class="settle"),
+            Objective(kind="wait", job_class="train", within_s=40.0),
+        ],
     )
 
 
@@ -59,9 +84,11 @@
     """With less than their usual share a limit on GPUs too, of no less than the largest gang needs."""
     share = plan.team_share
     gpus = max(4.0, round(0.2 * plan.machines * share)) if share < 1 else 0.0
-    return [Team("north", cpus=cpus * 0.3 * share, cpus_max=max(cpus * 0.7 * share, 12.0), gpus_max=gpus),
-            Team("south", cpus=cpus * 0.3 * share, cpus_max=cpus * 0.6 * share),
-            Team("east", cpus_max=cpus * 0.25 * share)]
+    return [
+        Team("north", cpus=cpus * 0.3 * share, cpus_max=max(cpus * 0.7 * share, 12.0), gpus_max=gpus),
+        Team("south", cpus=cpus * 0.3 * share, cpus_max=cpus * 0.6 * share),
+        Team("east", cpus_max=cpus * 0.25 * share),
+    ]
 
 
 def node_addresses(plan: Plan) -> dict[str, tuple[str, str]]:
@@ -76,7 +103,11 @@
 def node_settings(plan: Plan, name: str, cluster: ClusterSettings) -> Settings:
     places = node_addresses(plan)
     return Settings(
-        node_name=name, bind=places[name][0], internal_addr=places[name][1], zone=node_zone(name), cluster=cluster,
+        node_name=name,
+        bind=places[name][0],
+        internal_addr=places[name][1],
+        zone=node_zone(name),
+        cluster=cluster,
         services=Services(cloud=CLOUD, state=STATE),
         peers=[Peer(other, inside, node_zone(other)) for other, (_, inside) in places.items() if other != name],
     )
@@ -111,10 +142,17 @@
     for fault in plan.faults:
         if fault.kind == "singles":
             count = round(fault.amount * fault.for_s)
-            asks += [Ask(_job(rng, "local", plan) | {"legs": 1, "cores": 1.0, "voyageS": rng.uniform(1, 8)},
-                         begins + fault.at_s - JOBS_FROM_S + rng.uniform(0, fault.for_s)) for _ in range(count)]
-    asks += [Ask(_job(rng, "serve", plan), begins + rng.uniform(0, 1))
-             for _ in range(round(SERVICES_AT_START * plan.machines))]
+            asks += [
+                Ask(
+                    _job(rng, "local", plan) | {"legs": 1, "cores": 1.0, "voyageS": rng.uniform(1, 8)},
+                    begins + fault.at_s - JOBS_FROM_S + rng.uniform(0, fault.for_s),
+                )
+                for _ in range(count)
+            ]
+    asks += [
+        Ask(_job(rng, "serve", plan), begins + rng.uniform(0, 1))
+        for _ in range(round(SERVICES_AT_START * plan.machines))
+    ]
     asks.sort(key=lambda ask: ask.at)
     for number, ask in enumerate(asks):
         ask.body["ref"] = f"j-{number + 1:06d}"
@@ -148,9 +186,18 @@
         for number, (name, team, urgency, tasks, run, needs) in enumerate(STAGES):
             mean = rng.uniform(*run)
             job = _job(rng, "local", plan) | {
-                "ref": f"j-{700_000 + len(asks) + number}", "cargo": name, "crew": team, "urgency": urgency,
-                "cores": 0.5, "legs": rng.randint(*tasks), "voyageS": mean, "harbor": None, "berthKinds": None,
-                "driftwood": True, "hull": f"img-{name}", "sizeGb": 0.5,
+                "ref": f"j-{700_000 + len(asks) + number}",
+                "cargo": name,
+                "crew": team,
+                "urgency": urgency,
+                "cores": 0.5,
+                "legs": rng.randint(*tasks),
+                "voyageS": mean,
+                "harbor": None,
+                "berthKinds": None,
+                "driftwood": True,
+                "hull": f"img-{name}",
+                "sizeGb": 0.5,
             }
             if name == "fit":
                 job |= {"rig": "gang", "samePlace": True, "driftwood": False, "mooringS": 4.0, "stowS": 1.0}
@@ -170,29 +217,71 @@
 
 def _job(rng: random.Random, name: str, plan: Plan) -> dict[str, Any]:
     job: dict[str, Any] = {
-        "ref": "", "cargo": name, "crew": TEAMS[name], "rig": "array", "urgency": "normal", "legs": 1, "cores": 1.0,
-        "accelerators": 0.0, "memoryGb": 2.0, "hull": f"img-{name}-{rng.randrange(3)}", "sizeGb": rng.uniform(0.3, 2.5),
-        "berthKinds": None, "harbor": None, "samePlace": False, "spread": False, "driftwood": True, "voyageS": 10.0,
-        "mooringS": 0.0, "stowS": 0.0, "tideS": None,
+        "ref": "",
+        "cargo": name,
+        "crew": TEAMS[name],
+        "rig": "array",
+        "urgency": "normal",
+        "legs": 1,
+        "cores": 1.0,
+        "accelerators": 0.0,
+        "memoryGb": 2.0,
+        "hull": f"img-{name}-{rng.randrange(3)}",
+        "sizeGb": rng.uniform(0.3, 2.5),
+        "berthKinds": None,
+        "harbor": None,
+        "samePlace": False,
+        "spread": False,
+        "driftwood": True,
+        "voyageS": 10.0,
+        "mooringS": 0.0,
+        "stowS": 0.0,
+        "tideS": None,
     }
     if name == "serve":
-        job |= {"rig": "standing", "legs": rng.randint(2, 4), "cores": 2.0, "urgency": "production", "spread": True,
-                "driftwood": False, "voyageS": 0.0}
+        job |= {
+            "rig": "standing",
+            "legs": rng.randint(2, 4),
+            "cores": 2.0,
+            "urgency": "production",
+            "spread": True,
+            "driftwood": False,
+            "voyageS": 0.0,
+        }
     elif name == "batch":
         run = rng.uniform(6, 30)
-        job |= {"legs": rng.randint(2, max(4, min(40, plan.machines // 3))), "cores": rng.choice([2.0, 4.0]),
-                "voyageS": run, "tideS": run * 3 + 40}
+        job |= {
+            "legs": rng.randint(2, max(4, min(40, plan.machines // 3))),
+            "cores": rng.choice([2.0, 4.0]),
+            "voyageS": run,
+            "tideS": run * 3 + 40,
+        }
         if rng.random() < 0.3:
             job |= {"mooringS": 4.0, "stowS": 2.0}
     elif name == "train":
-        job |= {"rig": "gang", "legs": rng.randint(1, 2), "cores": 6.0, "accelerators": 2.0, "memoryGb": 16.0,
-                "urgency": "high", "samePlace": rng.random() < 0.7, "voyageS": rng.uniform(15, 40), "mooringS": 5.0,
-                "stowS": 2.0}
+        job |= {
+            "rig": "gang",
+            "legs": rng.randint(1, 2),
+            "cores": 6.0,
+            "accelerators": 2.0,
+            "memoryGb": 16.0,
+            "urgency": "high",
+            "samePlace": rng.random() < 0.7,
+            "voyageS": rng.uniform(15, 40),
+            "mooringS": 5.0,
+            "stowS": 2.0,
+        }
     elif name == "guest":
         job |= {"legs": rng.randint(4, 30), "urgency": "idle", "voyageS": rng.uniform(3, 12)}
         if plan.old_nodes:  # records that the old version writes larger than the next limits allow
             job |= {"legs": rng.randint(60, 140), "cores": 0.25, "voyageS": rng.uniform(20, 60)}
     else:
-        job |= {"legs": rng.randint(1, 4), "cores": 2.0, "voyageS": rng.uniform(5, 20), "harbor": rng.choice(ZONES),
-                "driftwood": rng.random() < 0.5, "berthKinds": ["m8"]}
+        job |= {
+            "legs": rng.randint(1, 4),
+            "cores": 2.0,
+            "voyageS": rng.uniform(5, 20),
+            "harbor": rng.choice(ZONES),
+            "driftwood": rng.random() < 0.5,
+            "berthKinds": ["m8"],
+        }
     return job
--- a/oatport/lab/world/drawing.py
+++ b/oatport/lab/world/drawing.py
@@ -61,8 +61,14 @@
     def slow_requests(self) -> None:
         """So are transactions, rentals and releases."""
         at, target = self.moment(), self.rng.choice(["state", "cloud"])
-        self.add("links_slow", at, self.rng.uniform(3, 7), source="node", target=target,
-                 amount=self.rng.uniform(0.2, 0.5) if target == "state" else self.rng.uniform(0.5, 3))
+        self.add(
+            "links_slow",
+            at,
+            self.rng.uniform(3, 7),
+            source="node",
+            target=target,
+            amount=self.rng.uniform(0.2, 0.5) if target == "state" else self.rng.uniform(0.5, 3),
+        )
         self.add("node_crash", at + self.rng.uniform(0.8, 3), self.end())
 
     def lost_commit(self) -> None:
@@ -129,8 +135,14 @@
 # Each plan has one of these, by weight. What starts that are overtaken hit is seldom, and hidden by other troubles.
 AIMED = {Draw.overtaken_starts: 10, Draw.in_flight: 7, Draw.long_cut: 4, Draw.lost_commit: 2}
 OTHERS = (
-    Draw.slow_requests, Draw.all_at_once, Draw.in_a_row, Draw.in_an_outage, Draw.in_a_cut, Draw.in_a_takeover,
-    Draw.in_a_handover, Draw.late_commit,
+    Draw.slow_requests,
+    Draw.all_at_once,
+    Draw.in_a_row,
+    Draw.in_an_outage,
+    Draw.in_a_cut,
+    Draw.in_a_takeover,
+    Draw.in_a_handover,
+    Draw.late_commit,
 )
 
 
@@ -141,8 +153,15 @@
     plan = Draw(seed, nodes, machines, zones, for_s)
     rng, few, node, end = plan.rng, plan.few, plan.node, plan.end
     makers: list[Callable[[float], Fault]] = [
-        lambda at: Fault("node_cut", at, rng.uniform(3, 35), node=node(), what=rng.choice(WHAT), mode=rng.choice(MODES),
-                         way=rng.choice(WAYS)),
+        lambda at: Fault(
+            "node_cut",
+            at,
+            rng.uniform(3, 35),
+            node=node(),
+            what=rng.choice(WHAT),
+            mode=rng.choice(MODES),
+            way=rng.choice(WAYS),
+        ),
         lambda at: Fault("node_refused", at, rng.uniform(3, 30), node=node()),
         lambda at: Fault("peers_refuse", at, rng.uniform(5, 30)),
         lambda at: Fault("node_freeze", at, rng.uniform(1, 25), node=node()),
@@ -153,10 +172,22 @@
         lambda at: Fault("machine_die", at, count=rng.randint(1, few)),
         lambda at: Fault("machines_taken", at, count=rng.randint(1, few), amount=rng.choice([0.0, 15.0])),
         lambda at: Fault("zone_cut", at, rng.uniform(5, 40), zone=rng.choice(zones), mode=rng.choice(MODES)),
-        lambda at: Fault("links_slow", at, rng.uniform(5, 30), source="node", target=rng.choice(["worker", "state"]),
-                         amount=rng.uniform(0.05, 2.5)),
-        lambda at: Fault("links_lossy", at, rng.uniform(5, 30), source="node", target=rng.choice(["worker", "node"]),
-                         amount=rng.uniform(0.05, 0.5)),
+        lambda at: Fault(
+            "links_slow",
+            at,
+            rng.uniform(5, 30),
+            source="node",
+            target=rng.choice(["worker", "state"]),
+            amount=rng.uniform(0.05, 2.5),
+        ),
+        lambda at: Fault(
+            "links_lossy",
+            at,
+            rng.uniform(5, 30),
+            source="node",
+            target=rng.choice(["worker", "node"]),
+            amount=rng.uniform(0.05, 0.5),
+        ),
         lambda at: Fault("links_cut", at, rng.uniform(1, 8), source="node", target="worker"),
         lambda at: Fault("links_cut", at, rng.uniform(1, 8), source="worker", target="node"),
         lambda at: Fault("state_down", at, rng.uniform(2, 25)),
@@ -172,8 +203,14 @@
     for pattern in (aimed, *rng.sample(OTHERS, others)):
         pattern(plan)
     usual = machines / 2
-    return Plan(tuple(sorted(plan.faults, key=lambda f: f.at_s)), for_s, nodes, machines,
-                usual * (0.5 if alone else rng.choice((0.5, 0.5, 1, 2))), PIPELINES)
+    return Plan(
+        tuple(sorted(plan.faults, key=lambda f: f.at_s)),
+        for_s,
+        nodes,
+        machines,
+        usual * (0.5 if alone else rng.choice((0.5, 0.5, 1, 2))),
+        PIPELINES,
+    )
 
 
 def _end_of_day(
@@ -203,8 +240,15 @@
     if rng.random() < 0.5:
         plan.add("users_cancel", rng.uniform(12, 50), count=plan.few)
     if rng.random() < 0.3:
-        plan.add("node_cut", rng.uniform(12, 50), rng.uniform(2, 30), node=plan.node(), what=rng.choice(WHAT),
-                 mode=rng.choice(MODES), way=rng.choice(WAYS))
+        plan.add(
+            "node_cut",
+            rng.uniform(12, 50),
+            rng.uniform(2, 30),
+            node=plan.node(),
+            what=rng.choice(WHAT),
+            mode=rng.choice(MODES),
+            way=rng.choice(WAYS),
+        )
     if rng.random() < 0.3:
         plan.add("machines_taken", rng.uniform(12, 50), count=plan.few, amount=rng.choice([0.0, 15.0]))
     faults = tuple(sorted(plan.faults, key=lambda f: f.at_s))
--- a/oatport/lab/world/limits.py
+++ b/oatport/lab/world/limits.py
@@ -47,19 +47,32 @@
 
     def cancelled(self, at: float) -> None:
         """Jobs that run are cancelled, some of their machines hang, and the leader changes."""
-        self.add("cancel_now", at, count=self.few * self.rng.choice([2, 6]),
-                 amount=self.rng.choice([0.0, LEASE_S * self.rng.uniform(0.2, 2.0)]))
+        self.add(
+            "cancel_now",
+            at,
+            count=self.few * self.rng.choice([2, 6]),
+            amount=self.rng.choice([0.0, LEASE_S * self.rng.uniform(0.2, 2.0)]),
+        )
         self._not_reached(at + self.rng.uniform(-2, 2))
         self._lag(at)
         self._lead_changes(at + self.rng.uniform(-1.5, 4))
 
     def ended(self, at: float) -> None:
         """Tasks end all the time, and machines are taken back or returned, when the leader changes."""
-        self.add("rush", max(1.0, at - 8), 8.0, name=self.rng.choice(["local", "train", "guest"]),
-                 amount=self.rng.uniform(5, 15))
+        self.add(
+            "rush",
+            max(1.0, at - 8),
+            8.0,
+            name=self.rng.choice(["local", "train", "guest"]),
+            amount=self.rng.uniform(5, 15),
+        )
         if self.rng.random() < 0.6:
-            self.add("machines_taken", at - self.rng.uniform(0, 8), count=self.few * 3,
-                     amount=self.rng.choice([0.0, 4.0, 15.0]))
+            self.add(
+                "machines_taken",
+                at - self.rng.uniform(0, 8),
+                count=self.few * 3,
+                amount=self.rng.choice([0.0, 4.0, 15.0]),
+            )
         if self.rng.random() < 0.5:
             self.add("machine_die", at - self.rng.uniform(0, 3), count=self.few)
         self._lag(at)
@@ -88,8 +101,7 @@
 
     def away(self, at: float) -> None:
         """All controllers are away for longer than a lease, or the state service is, with jobs cancelled before."""
-        self.add("cancel_now", at - self.rng.uniform(0, 3), count=self.few * 4,
-                 amount=self.rng.choice([0.0, LEASE_S]))
+        self.add("cancel_now", at - self.rng.uniform(0, 3), count=self.few * 4, amount=self.rng.choice([0.0, LEASE_S]))
         if self.rng.random() < 0.5:
             self.add("node_crash", at, LEASE_S + self.rng.uniform(-3, 4), node=ALL)
         else:
--- a/oatport/lab/world/machine.py
+++ b/oatport/lab/world/machine.py
@@ -108,7 +108,8 @@
         self._told = self._signature()
         try:
             status, value = await self._net.request(
-                host, self._addresses[self._at], "POST", wire.REPORT, body, REPORT_WITHIN, "")
+                host, self._addresses[self._at], "POST", wire.REPORT, body, REPORT_WITHIN, ""
+            )
         except NoAnswer:
             status, value = 0, None
         if status == 200:
--- a/oatport/lab/world/meetings.py
+++ b/oatport/lab/world/meetings.py
@@ -15,18 +15,26 @@
     rng = plan.rng
 
     def hints_lost() -> None:
-        plan.add("node_cut", at, span + rng.uniform(0.2, 1.0), what="nodes", mode="lost",
-                 way=rng.choice(["from", "both"]))
+        plan.add(
+            "node_cut", at, span + rng.uniform(0.2, 1.0), what="nodes", mode="lost", way=rng.choice(["from", "both"])
+        )
 
     def answers_lost() -> None:
         """Cancelled, and nobody knows: asked again at another node, polled, told from what a node learnt by then."""
-        plan.add("links_cut", at, span * rng.uniform(0.5, 1.2), source="state", target=rng.choice(plan.names),
-                 mode="lost")
+        plan.add(
+            "links_cut", at, span * rng.uniform(0.5, 1.2), source="state", target=rng.choice(plan.names), mode="lost"
+        )
 
     def users_unsure() -> None:
         plan.add("links_lossy", at, span + 4, source="node", target="users", amount=rng.uniform(0.3, 0.9))
-        plan.add("links_cut", at + rng.uniform(0, span), rng.uniform(0.3, 3), source=rng.choice(plan.names),
-                 target="users", mode="lost")
+        plan.add(
+            "links_cut",
+            at + rng.uniform(0, span),
+            rng.uniform(0.3, 3),
+            source=rng.choice(plan.names),
+            target="users",
+            mode="lost",
+        )
 
     def derived() -> None:
         plan.add("cancel_needed", at + rng.uniform(0.1, span), count=3)
@@ -41,8 +49,14 @@
         plan.add("links_slow", at, rng.uniform(3, 30), source="node", target="node", amount=rng.uniform(0.1, 0.6))
 
     def one_way() -> None:
-        plan.add("node_cut", at + rng.uniform(0, span + 5), rng.uniform(3, 25), what="nodes",
-                 way=rng.choice(["to", "from"]), mode=rng.choice(["hold", "lost"]))
+        plan.add(
+            "node_cut",
+            at + rng.uniform(0, span + 5),
+            rng.uniform(3, 25),
+            what="nodes",
+            way=rng.choice(["to", "from"]),
+            mode=rng.choice(["hold", "lost"]),
+        )
 
     def late_starts() -> None:
         """Starts of what is cancelled a moment later are under way, and some are for long."""
@@ -50,7 +64,15 @@
         plan.add("links_slow", at - 1, span + 1, source="node", target="worker", amount=rng.uniform(1, 5))
 
     makers: list[Callable[[], None]] = [
-        hints_lost, hints_lost, answers_lost, users_unsure, derived, teller_ends, refused_twice, slow_peers, one_way,
+        hints_lost,
+        hints_lost,
+        answers_lost,
+        users_unsure,
+        derived,
+        teller_ends,
+        refused_twice,
+        slow_peers,
+        one_way,
         late_starts,
     ]
     for make in rng.sample(makers, rng.randint(1, 3)):
@@ -161,11 +183,23 @@
             self.add("rush", at - 1.5, 2.5, name=name, amount=self.rng.uniform(6, 20))
             held = self.rng.randrange(3)
             if held == 0:
-                self.add("links_slow", at, self.rng.uniform(1, 3), source="node", target="worker",
-                         amount=self.rng.uniform(2, 9))
+                self.add(
+                    "links_slow",
+                    at,
+                    self.rng.uniform(1, 3),
+                    source="node",
+                    target="worker",
+                    amount=self.rng.uniform(2, 9),
+                )
             elif held == 1:
-                self.add("links_cut", at, self.rng.uniform(2, LEASE_S - 1), source=self.rng.choice(["node", "worker"]),
-                         target=self.rng.choice(["worker", "node"]), mode="hold")
+                self.add(
+                    "links_cut",
+                    at,
+                    self.rng.uniform(2, LEASE_S - 1),
+                    source=self.rng.choice(["node", "worker"]),
+                    target=self.rng.choice(["worker", "node"]),
+                    mode="hold",
+                )
             else:
                 self.add("machine_hang", at, self.rng.uniform(2, LEASE_S), count=self.few * 3)
             self.cancels(at + self.rng.uniform(0, 2), 1.0)
@@ -202,7 +236,6 @@
         else:
             self.add("state_down", at + self.rng.uniform(2, 12), self.rng.uniform(2, 20))
 
-
     def close_looks(self) -> None:
         """Users ask at all nodes, and repeat, right after each news; among slow answers and changes of the leader."""
         at = self.moment(60)
@@ -211,8 +244,16 @@
         self.cancels(at, 10.0)
         self.add("cancel_at_end", max(6.0, at - 15), 40.0)
         for kind, amount in self.rng.sample(
-                [("state_slow", 0.5), ("lost_answers", 0.4), ("late_writes", 0.4), ("node_refused", 0.0),
-                 ("node_crash", 0.0), ("peers_refuse", 0.0)], 3):
+            [
+                ("state_slow", 0.5),
+                ("lost_answers", 0.4),
+                ("late_writes", 0.4),
+                ("node_refused", 0.0),
+                ("node_crash", 0.0),
+                ("peers_refuse", 0.0),
+            ],
+            3,
+        ):
             when = at + self.rng.uniform(-6, 6)
             if kind == "node_crash":
                 self.add(kind, when, self.end(), node=self.node())
@@ -228,8 +269,9 @@
         at = self.moment(50)
         self.add("lost_answers", at, self.rng.uniform(4, 20), amount=self.rng.choice([0.3, 0.7, 1.0]))
         self.add("close_looks", max(6.0, at - 8), 40.0)
-        self.add("rush", max(1.0, at - 2), 8.0, name=self.rng.choice(["local", "batch"]),
-                 amount=self.rng.uniform(4, 12))
+        self.add(
+            "rush", max(1.0, at - 2), 8.0, name=self.rng.choice(["local", "batch"]), amount=self.rng.uniform(4, 12)
+        )
         self.cancels(at + 0.5, 8.0)
         self.add("cancel_at_end", at, 20.0)
         if self.rng.random() < 0.6:
@@ -238,14 +280,25 @@
     def hands_change(self) -> None:
         """Jobs are cancelled in the seconds in which one controller's work changes hands."""
         for at in self._rounds():
-            self.add("rush", max(1.0, at - 4), 4.0, name=self.rng.choice(["local", "batch", "train"]),
-                     amount=self.rng.uniform(5, 15))
+            self.add(
+                "rush",
+                max(1.0, at - 4),
+                4.0,
+                name=self.rng.choice(["local", "batch", "train"]),
+                amount=self.rng.uniform(5, 15),
+            )
             away = self.end()
             self.add("node_crash", at, away)
             self.cancels(at - self.rng.uniform(0.2, 1.0), 1.0 + self.rng.uniform(1, 5), 6)
             if self.rng.random() < 0.4:
-                self.add("links_slow", at - 1, 4.0, source="node", target=self.rng.choice(["worker", "state", "node"]),
-                         amount=self.rng.uniform(0.1, 0.5))
+                self.add(
+                    "links_slow",
+                    at - 1,
+                    4.0,
+                    source="node",
+                    target=self.rng.choice(["worker", "state", "node"]),
+                    amount=self.rng.uniform(0.1, 0.5),
+                )
 
     def singles_swarm(self) -> None:
         """One-task jobs come four a second for long, a quarter of them cancelled."""
@@ -255,7 +308,6 @@
         if self.rng.random() < 0.5:
             self.add("late_writes", at + self.rng.uniform(5, 50), 5.0, amount=0.3)
 
-
     def bound_to_zones(self) -> None:
         """Jobs bound to one zone, arrays too, lose machines; so does the zone."""
         at = self.moment(60)
@@ -305,17 +357,36 @@
             self.add("rush", max(1.0, at - 8), 25.0, name=name, amount=self.rng.uniform(3, 8))
         self.add("no_capacity", at - 6, 40.0)
         for target in self.rng.sample(["worker", "state", "node"], 2):
-            self.add("links_slow", at, self.rng.uniform(8, 25), source="node", target=target,
-                     amount=self.rng.uniform(0.05, 0.5))
+            self.add(
+                "links_slow",
+                at,
+                self.rng.uniform(8, 25),
+                source="node",
+                target=target,
+                amount=self.rng.uniform(0.05, 0.5),
+            )
         if self.rng.random() < 0.5:
             self.add("node_crash", at + self.rng.uniform(0, 15), self.end(), node=self.node())
 
 
 MEETINGS = (
-    Meeting.slow_state, Meeting.ends_far_apart, Meeting.back_and_forth, Meeting.old_reports, Meeting.leader_alone,
-    Meeting.held_commands, Meeting.unreached_machines, Meeting.late_transactions, Meeting.close_looks,
-    Meeting.answers_lost, Meeting.hands_change, Meeting.singles_swarm, Meeting.bound_to_zones, Meeting.zone_away,
-    Meeting.at_the_last_task, Meeting.many_leaders, Meeting.no_room,
+    Meeting.slow_state,
+    Meeting.ends_far_apart,
+    Meeting.back_and_forth,
+    Meeting.old_reports,
+    Meeting.leader_alone,
+    Meeting.held_commands,
+    Meeting.unreached_machines,
+    Meeting.late_transactions,
+    Meeting.close_looks,
+    Meeting.answers_lost,
+    Meeting.hands_change,
+    Meeting.singles_swarm,
+    Meeting.bound_to_zones,
+    Meeting.zone_away,
+    Meeting.at_the_last_task,
+    Meeting.many_leaders,
+    Meeting.no_room,
 )
 
 
--- a/oatport/lab/world/net.py
+++ b/oatport/lab/world/net.py
@@ -50,7 +50,8 @@
 
     def covers(self, source: Host, target: Host) -> bool:
         return (
-            self.source in source.tags and self.target in target.tags
+            self.source in source.tags
+            and self.target in target.tags
             and not (self.unless and self.unless in source.tags and self.unless in target.tags)
         )
 
--- a/oatport/lab/world/plan.py
+++ b/oatport/lab/world/plan.py
@@ -137,9 +137,15 @@
     return parse(table)
 
 
-LIMITS = {"for_s": (1, 100_000), "nodes": (1, 7), "machines": (1, 5000), "jobs_a_minute": (0, 100_000),
-          "pipelines_a_minute": (0, 10_000), "pipelines_from_s": (0, 100_000),
-          "team_share": (0.1, 10)}
+LIMITS = {
+    "for_s": (1, 100_000),
+    "nodes": (1, 7),
+    "machines": (1, 5000),
+    "jobs_a_minute": (0, 100_000),
+    "pipelines_a_minute": (0, 10_000),
+    "pipelines_from_s": (0, 100_000),
+    "team_share": (0.1, 10),
+}
 
 
 def parse(table: dict[str, Any]) -> Plan:
--- a/oatport/lab/world/rehearse.py
+++ b/oatport/lab/world/rehearse.py
@@ -27,8 +27,14 @@
 SHOWN, WIDTH = 40, 400  # of the newest messages of those concerned
 
 # name -> a plan of that family by seed, nodes and machines
-STORIES: dict[str, Callable[[int, int, int], Plan]] = {"any": draw, "upgrade": upgrade, "evening": evening, "gap": gap,
-                                                    "meetings": meetings, "limits": limits}
+STORIES: dict[str, Callable[[int, int, int], Plan]] = {
+    "any": draw,
+    "upgrade": upgrade,
+    "evening": evening,
+    "gap": gap,
+    "meetings": meetings,
+    "limits": limits,
+}
 
 
 @dataclass(frozen=True)
@@ -87,10 +93,16 @@
     words = {word.strip(",:;") for row in again.violations[:3] for word in row.split()}
     names = {word for word in words if word.startswith(("vm-", "j-"))}
     concerned = [line for line in again.last if "/commit" not in line and any(name in line for name in names)]
-    return "\n".join([
-        f"seed {failed.seed} fails:", *(f"  {row}" for row in again.violations[:5]), "with this plan:", plan.toml(),
-        "the last messages of those concerned, up to then:", *(line[:WIDTH] for line in concerned[-SHOWN:]),
-    ])
+    return "\n".join(
+        [
+            f"seed {failed.seed} fails:",
+            *(f"  {row}" for row in again.violations[:5]),
+            "with this plan:",
+            plan.toml(),
+            "the last messages of those concerned, up to then:",
+            *(line[:WIDTH] for line in concerned[-SHOWN:]),
+        ]
+    )
 
 
 def rehearse(asked: Asked, jobs: int = 0) -> tuple[dict[str, Any], list[Result]]:
@@ -112,7 +124,8 @@
         "violations": sum(len(result.violations) for result in results),
         "caught": sum(bool(result.violations) for result in results) if asked.guard else 0,
         "errors": sum(len(result.errors) for result in results),
-        "lease_kills": total["lease_kills"], "lease_kills_unreached": total["lease_kills_unreached"],
+        "lease_kills": total["lease_kills"],
+        "lease_kills_unreached": total["lease_kills_unreached"],
         "leaderless_s_max": max(result.leaderless_s_max for result in results),
         "served_min_class": round(min(result.least(result.by_class) for result in results), 4),
         "served_min_team": round(min(result.least(result.by_team) for result in results), 4),
@@ -121,8 +134,10 @@
         "too_early": sum(row.startswith("too_early") for result in results for row in result.violations),
         "orphaned": sum(row.startswith("orphaned") for result in results for row in result.violations),
         "over_limit": total["over_limit"],
-        "pipelines": total["pipelines"], "in_time": total["in_time"],
-        "starts_after_done": total["starts_after_done"], "results_lost": total["results_lost"],
+        "pipelines": total["pipelines"],
+        "in_time": total["in_time"],
+        "starts_after_done": total["starts_after_done"],
+        "results_lost": total["results_lost"],
         "starts_cancelled": total["starts_cancelled"],
         "at_limit_most": round(max(max(result.at_limit.values(), default=0.0) for result in results), 3),
         "at_limit_least": round(min(max(result.at_limit.values(), default=0.0) for result in results), 3),
@@ -132,8 +147,11 @@
         "largest_served_min": round(min(result.largest_served for result in results), 4),
         "largest_begin_s_max": round(max(result.largest_begin_s for result in results), 1),
         "wall_s": round(time.monotonic() - began, 1),
-        "starts": total["starts"], "stops": total["stops"], "rentals": total["rentals"],
-        "state_requests": total["state_requests"], "state_changes": total["state_changes"],
+        "starts": total["starts"],
+        "stops": total["stops"],
+        "rentals": total["rentals"],
+        "state_requests": total["state_requests"],
+        "state_changes": total["state_changes"],
         "digests": [result.digest for result in results] if len(results) <= 20 else [],
     }, bad
 
--- a/oatport/lab/world/state.py
+++ b/oatport/lab/world/state.py
@@ -101,7 +101,8 @@
                 self.over_limit += 1
                 return 400, {"error": "too large"}
         failed = [
-            c["path"] for c in body.get("if") or []
+            c["path"]
+            for c in body.get("if") or []
             if (self.items[c["path"]][1] if c["path"] in self.items else 0) != c["entryRev"]
         ]
         if failed:
@@ -126,10 +127,13 @@
         if after < self._dropped:
             return 410, None
         news: list[dict[str, Any]] = []
-        for revision, key, value in self.log[bisect.bisect_right(self.log, after, key=lambda row: row[0]):]:
+        for revision, key, value in self.log[bisect.bisect_right(self.log, after, key=lambda row: row[0]) :]:
             if key.startswith(under):
-                news.append({"drop": key, "entryRev": revision} if value is None
-                            else {"set": key, "value": value, "entryRev": revision})
+                news.append(
+                    {"drop": key, "entryRev": revision}
+                    if value is None
+                    else {"set": key, "value": value, "entryRev": revision}
+                )
         return 200, {"ledgerRev": self.revision, "news": news}
 
 
@@ -198,7 +202,7 @@
             return await self._watch(asked["under"], int(asked["from"]), int(asked.get("waitMs", 0)))
         if path == wire.STORE:
             return self.store.list(asked["under"], asked.get("from", ""), min(int(asked.get("page", 1000)), 1000))
-        return self.store.get(path[len(wire.STORE) + 1:])
+        return self.store.get(path[len(wire.STORE) + 1 :])
 
     def _carry_out(self, body: Any) -> None:
         if not self.down:
--- a/oatport/lab/world/troubles.py
+++ b/oatport/lab/world/troubles.py
@@ -130,10 +130,13 @@
         return [self.machines[name] for name in self._rng.sample(names, min(count, len(names)))]
 
     def _on_machine_cut(self, fault: Fault) -> Callable[[], None]:
-        return self._ruled(*(
-            Rule(*ends, fault.mode) for machine in self._some(fault.count)
-            for ends in ((machine.host.name, EVERY), (EVERY, machine.host.name))
-        ))
+        return self._ruled(
+            *(
+                Rule(*ends, fault.mode)
+                for machine in self._some(fault.count)
+                for ends in ((machine.host.name, EVERY), (EVERY, machine.host.name))
+            )
+        )
 
     def _on_machine_hang(self, fault: Fault) -> None:
         self._hang(self._some(fault.count), fault.for_s)
@@ -210,12 +213,16 @@
         return self._cut(fault.source, fault.target, fault.mode, "to")
 
     def _on_links_slow(self, fault: Fault) -> Callable[[], None]:
-        return self._ruled(Rule(fault.source, fault.target, "slow", amount=fault.amount),
-                           Rule(fault.target, fault.source, "slow", amount=fault.amount))
+        return self._ruled(
+            Rule(fault.source, fault.target, "slow", amount=fault.amount),
+            Rule(fault.target, fault.source, "slow", amount=fault.amount),
+        )
 
     def _on_links_lossy(self, fault: Fault) -> Callable[[], None]:
-        return self._ruled(Rule(fault.source, fault.target, "lossy", amount=fault.amount),
-                           Rule(fault.target, fault.source, "lossy", amount=fault.amount))
+        return self._ruled(
+            Rule(fault.source, fault.target, "lossy", amount=fault.amount),
+            Rule(fault.target, fault.source, "lossy", amount=fault.amount),
+        )
 
     def _on_state_down(self, fault: Fault) -> Callable[[], None]:
         self.state.set_down(True)
@@ -268,8 +275,11 @@
 
     def _on_users_cancel(self, fault: Fault) -> None:
         now = self.loop.time()
-        asks = [ask for ask in self.checker.asks.values()
-                if ask.accepted_at is not None and ask.done_at is None and ask.cancel_at is None]
+        asks = [
+            ask
+            for ask in self.checker.asks.values()
+            if ask.accepted_at is not None and ask.done_at is None and ask.cancel_at is None
+        ]
         for ask in self._rng.sample(asks, min(fault.count, len(asks))):
             ask.cancel_at = now
             if fault.amount > 0:
@@ -280,8 +290,11 @@
         """Users call off jobs that run and have long to go, all at once; some of their machines hang meanwhile."""
         now = self.loop.time()
         running = {task.rsplit("/", 1)[0]: place.worker for task, place in self.checker.places.items()}
-        asks = [ask for ref, ask in self.checker.asks.items()
-                if ref in running and ask.done_at is None and ask.cancel_at is None and ask.accepted_at is not None]
+        asks = [
+            ask
+            for ref, ask in self.checker.asks.items()
+            if ref in running and ask.done_at is None and ask.cancel_at is None and ask.accepted_at is not None
+        ]
         asks = self._rng.sample(asks, min(fault.count, len(asks)))
         for ask in asks:
             ask.cancel_at = now + self._rng.uniform(0, 0.2)
@@ -298,8 +311,13 @@
     def _on_close_looks(self, fault: Fault) -> Callable[[], None]:
         def news(ask: Ask) -> None:
             user = self.users[ask.ref]
-            self.loop.later(self._rng.randrange(5_000), None, lambda: self.loop.create_task(
-                user.look(self._binds(), self._rng.random() < 0.1), context=self.people.context))
+            self.loop.later(
+                self._rng.randrange(5_000),
+                None,
+                lambda: self.loop.create_task(
+                    user.look(self._binds(), self._rng.random() < 0.1), context=self.people.context
+                ),
+            )
 
         def end() -> None:
             self.checker.on_news = lambda ask: None
@@ -345,8 +363,11 @@
 
     def _on_cancel_needed(self, fault: Fault) -> None:
         now = self.loop.time()
-        asks = [ask for ask in self._needed() if ask.accepted_at is not None and ask.done_at is None
-                and ask.cancel_at is None]
+        asks = [
+            ask
+            for ask in self._needed()
+            if ask.accepted_at is not None and ask.done_at is None and ask.cancel_at is None
+        ]
         for ask in self._rng.sample(asks, min(fault.count, len(asks))):
             ask.cancel_at = now
             self._cancel_at_once(ask)
@@ -378,8 +399,13 @@
         names = sorted(set(deployment.node_addresses(self.plan)) - self.new)
         self._rng.shuffle(names)
         for turn in range(0, len(names), fault.count):
-            self.loop.later(round(turn // fault.count * fault.amount * SECOND), None, self._replace,
-                            names[turn:turn + fault.count], fault.for_s)
+            self.loop.later(
+                round(turn // fault.count * fault.amount * SECOND),
+                None,
+                self._replace,
+                names[turn : turn + fault.count],
+                fault.for_s,
+            )
 
     def _replace(self, names: list[str], away_s: float) -> None:
         for name in names:
--- a/oatport/lab/world/users.py
+++ b/oatport/lab/world/users.py
@@ -47,8 +47,7 @@
         while True:
             await asyncio.sleep(PROBE_EVERY)
             try:
-                status, _ = await self._net.request(
-                    self._host, seen.address, "GET", wire.READY, None, PROBE_WITHIN, "")
+                status, _ = await self._net.request(self._host, seen.address, "GET", wire.READY, None, PROBE_WITHIN, "")
             except NoAnswer:
                 status = 0
             self._judge(seen, status == 200)
@@ -122,7 +121,11 @@
     """One user's dealings with one job; `told` hears every answer."""
 
     def __init__(
-        self, balancer: Balancer, host: Host, ask: Ask, rng: random.Random,
+        self,
+        balancer: Balancer,
+        host: Host,
+        ask: Ask,
+        rng: random.Random,
         told: Callable[[Ask, str, int, Any], None],
     ) -> None:
         self._balancer, self._host, self.ask, self._rng, self._told = balancer, host, ask, rng, told
@@ -131,8 +134,9 @@
     async def live(self) -> None:
         loop, ask = self._host.loop, self.ask
         await asyncio.sleep(max(0.0, ask.at - loop.time()))
-        while not all(need.accepted_at is not None and (not ask.late or need.done_at or need.cancelled_at)
-                      for need in ask.needs):
+        while not all(
+            need.accepted_at is not None and (not ask.late or need.done_at or need.cancelled_at) for need in ask.needs
+        ):
             if any(need.gave_up for need in ask.needs):
                 ask.gave_up = True
                 return
@@ -175,7 +179,8 @@
             async with self._one:
                 try:
                     status, value = await self._balancer.ask_at(
-                        self._host, address, method, path, self.ask.body if repeats else None, POLL_WITHIN)
+                        self._host, address, method, path, self.ask.body if repeats else None, POLL_WITHIN
+                    )
                 except NoAnswer:
                     status, value = 0, None
                 self._told(self.ask, "submit" if repeats else "poll", status, value)
--- a/oatport/lab/world/worker.py
+++ b/oatport/lab/world/worker.py
@@ -73,7 +73,6 @@
             for worker, _ in there.values():
                 worker.stirred()
 
-
     def stands(self, task: str, attempt: int) -> bool:
         """Its progress has stopped: a task of the attempt is gone, or was told to stop."""
         key = (task.rsplit("/", 1)[0], attempt)
@@ -82,9 +81,18 @@
 
 class Worker:
     def __init__(
-        self, clock: Callable[[], int], name: str, address: str, type_name: str, zone: str, spot: bool,
-        cores: float, job_of: Callable[[str], dict[str, Any] | None], lease_us: int = 10 * SECOND,
-        kind: wire.MachineType | None = None, gangs: Gangs | None = None,
+        self,
+        clock: Callable[[], int],
+        name: str,
+        address: str,
+        type_name: str,
+        zone: str,
+        spot: bool,
+        cores: float,
+        job_of: Callable[[str], dict[str, Any] | None],
+        lease_us: int = 10 * SECOND,
+        kind: wire.MachineType | None = None,
+        gangs: Gangs | None = None,
     ) -> None:
         self._clock = clock
         self.name, self.address, self.type, self.zone, self.spot = name, address, type_name, zone, spot
@@ -270,9 +278,16 @@
         if self.taken_at is not None:
             self.notice_s = max(0.0, (self.taken_at - self._clock()) / SECOND)
         return {
-            "berth": self.name, "address": self.address, "berthKind": self.type, "harbor": self.zone,
-            "driftwood": self.spot, "watch": self.session, "logline": self.seq, "helm": self.token,
-            "recallS": self.notice_s, "legs": legs,
+            "berth": self.name,
+            "address": self.address,
+            "berthKind": self.type,
+            "harbor": self.zone,
+            "driftwood": self.spot,
+            "watch": self.session,
+            "logline": self.seq,
+            "helm": self.token,
+            "recallS": self.notice_s,
+            "legs": legs,
         }
 
     def answer(self, sent_at: int, session: int, body: dict[str, Any]) -> bool:
--- a/oatport/lab/world/world.py
+++ b/oatport/lab/world/world.py
@@ -89,15 +89,27 @@
         host = Host(self.loop, "cloud", EVERY)
         self.registry = Registry(deployment.CATALOG, dict(deployment.capacity(self.plan)))
         self.registry.on_rent, self.registry.on_release = self._rented, self._released
-        self.cloud = CloudService(host, random.Random(f"cloud {self.seed}"), self.registry,
-                                  self.settings.cloud.rps, self.settings.cloud.list_lag_s)
+        self.cloud = CloudService(
+            host,
+            random.Random(f"cloud {self.seed}"),
+            self.registry,
+            self.settings.cloud.rps,
+            self.settings.cloud.list_lag_s,
+        )
         self.net.listen(deployment.CLOUD, host, self.cloud.serve)
         self.people = Host(self.loop, "users", EVERY)
 
     def start_node(self, name: str) -> None:
         rng = self._rng
-        host = Host(self.loop, name, EVERY, "node", f"zone:{deployment.node_zone(name)}",
-                    drift=rng.uniform(0, 0.0005), off_us=rng.randrange(-4000, 4000))
+        host = Host(
+            self.loop,
+            name,
+            EVERY,
+            "node",
+            f"zone:{deployment.node_zone(name)}",
+            drift=rng.uniform(0, 0.0005),
+            off_us=rng.randrange(-4000, 4000),
+        )
         self._boots[name] += 1
         settings = deployment.node_settings(self.plan, name, self.settings)
         for address in (settings.bind, settings.internal_addr):
@@ -105,8 +117,7 @@
         boot = f"{name}-{self._boots[name]}"
         # By its host's clocks: by the machine's, when a process began depended on for how long that had been up.
         if name in self.new:
-            node: Any = host.context.run(
-                Node, settings, self.tuning, net=NodeNetwork(self.net, host), boot=boot)
+            node: Any = host.context.run(Node, settings, self.tuning, net=NodeNetwork(self.net, host), boot=boot)
         else:
             node = builds.production().make_node(settings, self.net, host, boot)
         self.nodes[name], self.hosts[name] = node, host
@@ -139,8 +150,17 @@
         host = Host(self.loop, name, EVERY, "worker", f"zone:{row['harbor']}", drift=rng.uniform(0, 0.0005))
         kind = deployment.TYPES[row["berthKind"]]
         worker = Worker(
-            host.steady, name, row["address"], kind.name, row["harbor"], row["driftwood"], kind.cpus, self._job_of,
-            micros(self.settings.workers.lease_s), kind, self.gangs,
+            host.steady,
+            name,
+            row["address"],
+            kind.name,
+            row["harbor"],
+            row["driftwood"],
+            kind.cpus,
+            self._job_of,
+            micros(self.settings.workers.lease_s),
+            kind,
+            self.gangs,
         )
         worker.results, worker.progress = self.results, self.progress
         worker.speed = rng.uniform(0.92, 1.05) if rng.random() > 0.03 else 0.3
@@ -176,7 +196,8 @@
         """A node that lives could answer this machine now."""
         return not machine.frozen and any(
             not node.frozen and self.net.carries(machine, node) and self.net.carries(node, machine)
-            for node in self.hosts.values())
+            for node in self.hosts.values()
+        )
 
     def _job_of(self, ref: str) -> dict[str, Any] | None:
         ask = self.checker.asks.get(ref)
@@ -207,17 +228,35 @@
             self.checker.closed = self.net.closed = True
             self.loop.dissolve()
             asyncio.set_event_loop(None)
-        counts = {**self.checker.counts, "state_requests": self.state.asked["requests"],
-                  "state_changes": self.state.asked["changes"], "state_429": self.state.asked["429"],
-                  "rentals": self.cloud.asked["rentals"], "machines_rented": self.registry.rented,
-                  "turns": self.loop.turns, "over_limit": self.store.over_limit, "gate_early": self.gate_early,
-                  **self.checker.pipelines()}
+        counts = {
+            **self.checker.counts,
+            "state_requests": self.state.asked["requests"],
+            "state_changes": self.state.asked["changes"],
+            "state_429": self.state.asked["429"],
+            "rentals": self.cloud.asked["rentals"],
+            "machines_rented": self.registry.rented,
+            "turns": self.loop.turns,
+            "over_limit": self.store.over_limit,
+            "gate_early": self.gate_early,
+            **self.checker.pipelines(),
+        }
         if self.store.over_limit and FORMATS_KEY in self.store.items:
             self.checker.violations.append(f"over_limit: {self.store.over_limit} values or transactions were too large")
         return Result(
-            self.seed, self.checker.violations, errors, self.net.digest, self.net.sent, counts,
-            round(self._leaderless_most, 2), self.checker.served("cargo"), self.checker.served("crew"),
-            self._last, starved, self.checker.forgotten_most, *largest, self.checker.at_limit(),
+            self.seed,
+            self.checker.violations,
+            errors,
+            self.net.digest,
+            self.net.sent,
+            counts,
+            round(self._leaderless_most, 2),
+            self.checker.served("cargo"),
+            self.checker.served("crew"),
+            self._last,
+            starved,
+            self.checker.forgotten_most,
+            *largest,
+            self.checker.at_limit(),
         )
 
     def _remember(self) -> None:
@@ -230,8 +269,11 @@
                 self.registry.add(kind, zone, spot)
         for name in self._boots:
             self.start_node(name)
-        binds = [bind for name, (bind, _) in deployment.node_addresses(plan).items()
-                 if self.users_at is None or name in self.users_at]
+        binds = [
+            bind
+            for name, (bind, _) in deployment.node_addresses(plan).items()
+            if self.users_at is None or name in self.users_at
+        ]
         balancer = Balancer(loop, self.net, self.people, binds)
         for seen in balancer.nodes:
             loop.create_task(balancer.probe(seen), context=self.people.context)
--- a/oatport/queues/client.py
+++ b/oatport/queues/client.py
@@ -77,9 +77,16 @@
         identity = message_id or secrets.token_hex(16)
         await self._channel.default_exchange.publish(
             aio_pika.Message(
-                json.dumps(body).encode(), message_id=identity, reply_to=self._reply_to, expiration=expires_s,
-                delivery_mode=aio_pika.DeliveryMode.PERSISTENT, content_type="application/json",
-            ), routing_key=self._queue, mandatory=True, timeout=10,
+                json.dumps(body).encode(),
+                message_id=identity,
+                reply_to=self._reply_to,
+                expiration=expires_s,
+                delivery_mode=aio_pika.DeliveryMode.PERSISTENT,
+                content_type="application/json",
+            ),
+            routing_key=self._queue,
+            mandatory=True,
+            timeout=10,
         )
         return identity
 
@@ -88,7 +95,9 @@
         assert self._channel is not None
         await self._channel.default_exchange.publish(
             aio_pika.Message(b"", type="cancel", correlation_id=message_id, reply_to=self._reply_to),
-            routing_key=self._queue, mandatory=True, timeout=10,
+            routing_key=self._queue,
+            mandatory=True,
+            timeout=10,
         )
 
     async def call(self, body: Any, *, message_id: str | None = None, timeout_s: float = 600.0) -> dict[str, Any]:
--- a/oatport/queues/gateway.py
+++ b/oatport/queues/gateway.py
@@ -56,8 +56,12 @@
 
     def start(self) -> None:
         for name, loop in (
-            ("members", self._member_loop), ("rows", self._rows_loop), ("jobs", self._jobs_loop),
-            ("tell", self._tell_loop), ("sweep", self._sweep_loop), ("prune", self._prune_loop),
+            ("members", self._member_loop),
+            ("rows", self._rows_loop),
+            ("jobs", self._jobs_loop),
+            ("tell", self._tell_loop),
+            ("sweep", self._sweep_loop),
+            ("prune", self._prune_loop),
         ):
             self.group.keep(name, loop)
 
@@ -112,9 +116,7 @@
             log.info("taking the place of an earlier gateway %s", self.settings.name)
         asked = steady()
         lease = await self.state.hold(self._life)
-        result = await self.state.commit(
-            {key: found[1] if found else 0}, {key: {"boot": self.boot}}, lease=lease
-        )
+        result = await self.state.commit({key: found[1] if found else 0}, {key: {"boot": self.boot}}, lease=lease)
         if isinstance(result, Applied):
             self._lease = lease
             self._mandate = Mandate(self._life, asked)
@@ -127,9 +129,9 @@
             # Another process has this name: two must not share one place, nor take it from one another in turns.
             self._ousted = mine is not None
             raise NoLease
-        wanted = parts_for(self.settings.name, [row["path"][len(MEMBERS):] for row in members])
+        wanted = parts_for(self.settings.name, [row["path"][len(MEMBERS) :] for row in members])
         rows, _ = await self.state.list_all(PART_KEYS)
-        held = {int(row["path"][len(PART_KEYS):]): (row["value"], row["entryRev"]) for row in rows}
+        held = {int(row["path"][len(PART_KEYS) :]): (row["value"], row["entryRev"]) for row in rows}
         for part, token in list(self.outbox.parts.items()):
             if held.get(part, ({}, 0))[1] != token:
                 self.outbox.disown(part)
@@ -213,7 +215,7 @@
 
     async def _jobs_loop(self) -> None:
         async def take(key: str, value: Any, version: int) -> None:
-            ref = key[len(JOBS):]
+            ref = key[len(JOBS) :]
             if ref in self.outbox.rows:
                 # Recorded together: each waits for the others' company in one transaction.
                 self.group.once("answer", self._job_changed(ref, value))
--- a/oatport/queues/intake.py
+++ b/oatport/queues/intake.py
@@ -55,8 +55,12 @@
     """`wrote`: told of each row that was written here, with its version."""
 
     def __init__(
-        self, store: Store, core: Core, wrote: Callable[[Row, int], None],
-        clock: Callable[[], int] = time_of_day, pause: Callable[[float], Awaitable[None]] = asyncio.sleep,
+        self,
+        store: Store,
+        core: Core,
+        wrote: Callable[[Row, int], None],
+        clock: Callable[[], int] = time_of_day,
+        pause: Callable[[float], Awaitable[None]] = asyncio.sleep,
     ) -> None:
         self._store = store
         self._core = core
--- a/oatport/queues/link.py
+++ b/oatport/queues/link.py
@@ -48,7 +48,8 @@
         connection = self._connection
         if connection is not None and connection.transport is not None:
             writer = getattr(connection.transport.connection, "_writer", None) or getattr(
-                connection.transport.connection, "writer", None)
+                connection.transport.connection, "writer", None
+            )
             if writer is not None:
                 writer.transport.abort()
 
@@ -113,12 +114,23 @@
             return
         expiration = incoming.expiration
         message = Message(
-            incoming.body, incoming.message_id, headers, incoming.reply_to or "", incoming.correlation_id,
-            incoming.type or "", float(expiration) if isinstance(expiration, int | float) else None,
+            incoming.body,
+            incoming.message_id,
+            headers,
+            incoming.reply_to or "",
+            incoming.correlation_id,
+            incoming.type or "",
+            float(expiration) if isinstance(expiration, int | float) else None,
         )
         verdict = await self.gateway.intake.take(queue, message)
-        log.debug("queue %s message %s job %s: %s %s", queue.name, incoming.message_id, verdict.ref, verdict.action,
-                  verdict.reason)
+        log.debug(
+            "queue %s message %s job %s: %s %s",
+            queue.name,
+            incoming.message_id,
+            verdict.ref,
+            verdict.action,
+            verdict.reason,
+        )
         await self._settle(queue, incoming, verdict)
 
     async def _settle(self, queue: QueueSettings, incoming: AbstractIncomingMessage, verdict: Verdict) -> None:
@@ -151,8 +163,10 @@
     async def _bury(self, queue: QueueSettings, incoming: AbstractIncomingMessage, reason: str) -> bool:
         """To the dead-letter exchange, with the reason."""
         message = aio_pika.Message(
-            incoming.body, headers={**dict(incoming.headers or {}), REASON: reason[:200]},
-            message_id=incoming.message_id, delivery_mode=aio_pika.DeliveryMode.PERSISTENT,
+            incoming.body,
+            headers={**dict(incoming.headers or {}), REASON: reason[:200]},
+            message_id=incoming.message_id,
+            delivery_mode=aio_pika.DeliveryMode.PERSISTENT,
         )
         return await self._send(queue.dead_letter, queue.name, message, mandatory=False)
 
@@ -161,8 +175,11 @@
         if not row.reply_to:
             return True
         message = aio_pika.Message(
-            json.dumps(row.message()).encode(), content_type="application/json", message_id=row.answer_id,
-            correlation_id=row.identity, delivery_mode=aio_pika.DeliveryMode.PERSISTENT,
+            json.dumps(row.message()).encode(),
+            content_type="application/json",
+            message_id=row.answer_id,
+            correlation_id=row.identity,
+            delivery_mode=aio_pika.DeliveryMode.PERSISTENT,
         )
         return await self._send("", row.reply_to, message, mandatory=True)
 
--- a/oatport/queues/outbox.py
+++ b/oatport/queues/outbox.py
@@ -37,7 +37,12 @@
     """`entitled`: the lease can't have ended. Times are of the time of day, in microseconds."""
 
     def __init__(
-        self, store: Store, core: Core, publish: Publish, entitled: Callable[[], bool], clock: Callable[[], int],
+        self,
+        store: Store,
+        core: Core,
+        publish: Publish,
+        entitled: Callable[[], bool],
+        clock: Callable[[], int],
     ) -> None:
         self._store = store
         self._core = core
@@ -153,7 +158,8 @@
         """Rows that wait for their job for long: their gateway may have died between row and job."""
         now = self._clock()
         found = [
-            ref for ref, (row, _) in self.rows.items()
+            ref
+            for ref, (row, _) in self.rows.items()
             if row.state == TAKEN and now - self._seen_at.get(ref, now) > ORPHAN_AFTER
         ]
         for ref in found:
--- a/oatport/queues/rows.py
+++ b/oatport/queues/rows.py
@@ -61,8 +61,15 @@
     def of(cls, ref: str, value: Any) -> Row:
         """Raises KeyError, TypeError or ValueError at a strange value."""
         return cls(
-            ref, str(value["q"]), str(value["id"]), str(value.get("to") or ""), value.get("job"),
-            int(value.get("exp") or 0), str(value["s"]), str(value.get("a") or ""), str(value.get("why") or ""),
+            ref,
+            str(value["q"]),
+            str(value["id"]),
+            str(value.get("to") or ""),
+            value.get("job"),
+            int(value.get("exp") or 0),
+            str(value["s"]),
+            str(value.get("a") or ""),
+            str(value.get("why") or ""),
             int(value.get("at") or 0),
         )
 
--- a/oatport/queues/settings.py
+++ b/oatport/queues/settings.py
@@ -97,14 +97,21 @@
     if not queues:
         raise SettingsError(f"{path}: at least one [queue NAME] must be given")
     return GatewaySettings(
-        name=gateway["name"], state=gateway["state"], nodes=nodes, host=broker.get("host", "127.0.0.1"),
-        port=int(_number(broker, "port", 5672, 1, 65535, at)), virtual_host=broker.get("virtual_host", "/"),
-        user=broker.get("user", "guest"), password=password, tls_ca=broker.get("tls_ca", ""),
+        name=gateway["name"],
+        state=gateway["state"],
+        nodes=nodes,
+        host=broker.get("host", "127.0.0.1"),
+        port=int(_number(broker, "port", 5672, 1, 65535, at)),
+        virtual_host=broker.get("virtual_host", "/"),
+        user=broker.get("user", "guest"),
+        password=password,
+        tls_ca=broker.get("tls_ca", ""),
         heartbeat_s=int(_number(broker, "heartbeat_s", 10, 1, 600, at)),
         lease_s=_number(gateway, "lease_s", 10, 1, 600, where),
         requests_per_s=_number(gateway, "requests_per_s", 50, 1, 1e6, where),
         changes_per_s=_number(gateway, "changes_per_s", 40, 1, 1e6, where),
-        txn_ops=int(_number(gateway, "txn_ops", 12, 2, 1000, where)), queues=queues,
+        txn_ops=int(_number(gateway, "txn_ops", 12, 2, 1000, where)),
+        queues=queues,
     )
 
 
@@ -115,8 +122,11 @@
         raise SettingsError(f"{where}: names no queue")
     own = parser[section]
     fields = {key.removeprefix("job."): text for key, text in own.items() if key.startswith("job.")}
-    _known([key for key in own if not key.startswith("job.")],
-           {"prefetch", "identity_header", "hash_identity", "dead_letter", "opens"}, where)
+    _known(
+        [key for key in own if not key.startswith("job.")],
+        {"prefetch", "identity_header", "hash_identity", "dead_letter", "opens"},
+        where,
+    )
     opens = frozenset(part.strip() for part in own.get("opens", "").split(",") if part.strip())
     try:
         template = Template.make(fields, opens)
@@ -126,7 +136,11 @@
     if hashed is None:
         raise SettingsError(f"{where} hash_identity: expected yes or no")
     return QueueSettings(
-        name, template, int(_number(own, "prefetch", 200, 1, 65535, where)), own.get("identity_header", ""), hashed,
+        name,
+        template,
+        int(_number(own, "prefetch", 200, 1, 65535, where)),
+        own.get("identity_header", ""),
+        hashed,
         own.get("dead_letter", ""),
     )
 
--- a/oatport/queues/store.py
+++ b/oatport/queues/store.py
@@ -115,7 +115,8 @@
             self.changed += len(batch)
             try:
                 result = await self.state.commit(
-                    conditions, {c.key: c.value for c in batch if c.value is not None},
+                    conditions,
+                    {c.key: c.value for c in batch if c.value is not None},
                     [c.key for c in batch if c.value is None],
                 )
             except NoLease:
--- a/oatport/queues/templates.py
+++ b/oatport/queues/templates.py
@@ -17,9 +17,22 @@
 # Fields of a submission as INI keys, by the field's own terms.
 NAMES = {field.name: field.encode_name for field in msgspec.structs.fields(wire.Submission)}
 DEFAULTS: dict[str, Any] = {
-    "kind": "array", "priority": "normal", "tasks": 1, "cpus": 1.0, "gpus": 0.0, "memory_gb": 1.0, "image_gb": 1.0,
-    "types": None, "zone": None, "one_zone": False, "spread": False, "spot": False, "estimate_s": 30.0,
-    "checkpoint_s": 0.0, "save_s": 0.0, "deadline_s": None,
+    "kind": "array",
+    "priority": "normal",
+    "tasks": 1,
+    "cpus": 1.0,
+    "gpus": 0.0,
+    "memory_gb": 1.0,
+    "image_gb": 1.0,
+    "types": None,
+    "zone": None,
+    "one_zone": False,
+    "spread": False,
+    "spot": False,
+    "estimate_s": 30.0,
+    "checkpoint_s": 0.0,
+    "save_s": 0.0,
+    "deadline_s": None,
 }
 NEEDED = ("job_class", "team", "image")
 SETTABLE = frozenset(NAMES) - {"ref", "job_class", "team"}
--- a/oatport/service/chainkeeper.py
+++ b/oatport/service/chainkeeper.py
@@ -44,7 +44,7 @@
                 for ref in asked:
                     record = found[ref][0] if ref in found else {}
                     self._take(ref, str(record.get("state")), int(record.get("ended", 0)))
-                unknown = unknown[len(asked):]
+                unknown = unknown[len(asked) :]
                 self._helm.wake()
                 await asyncio.sleep(LOOK_S / 4)
             if self.cluster.pipelines.unknown:
@@ -65,7 +65,8 @@
         gate = formats.Gate([home.node_name, *home.peers])
         while not self._helm.over and not self.cluster.layout.parts:
             answers = await asyncio.gather(
-                *(peer.ask("formats") for peer in home.peers.values()), return_exceptions=True)
+                *(peer.ask("formats") for peer in home.peers.values()), return_exceptions=True
+            )
             own = formats.answer(home.node_name, home.boot)
             if gate.heard([own, *(row for row in answers if not isinstance(row, BaseException))]):
                 try:
@@ -76,7 +77,8 @@
 
     async def _open(self, gate: formats.Gate) -> None:
         result = await self.state.commit(
-            {LEADER_KEY: self._helm.token, formats.FORMATS_KEY: 0}, {formats.FORMATS_KEY: gate.record()})
+            {LEADER_KEY: self._helm.token, formats.FORMATS_KEY: 0}, {formats.FORMATS_KEY: gate.record()}
+        )
         if not isinstance(result, Applied):
             found = await self.state.get(formats.FORMATS_KEY)
             if found is None or formats.reads_of(found[0]) < formats.READS:
--- a/oatport/service/fleetkeeper.py
+++ b/oatport/service/fleetkeeper.py
@@ -28,9 +28,7 @@
         self._helm = helm
         self.cluster = helm.cluster
         self.fleet = Fleet(helm.cluster)
-        self.cloud = CloudClient(
-            net, helm.settings.services.cloud, helm.settings.cluster.cloud.rps, helm.entitled
-        )
+        self.cloud = CloudClient(net, helm.settings.services.cloud, helm.settings.cluster.cloud.rps, helm.entitled)
         self.home = helm.home
         self.state = helm.state
         self.tuning = helm.tuning
@@ -70,8 +68,7 @@
             recorded, version = found or ({}, 0)
             self.home.types = types
             layout = self.cluster.layout
-            await write_types(
-                self.state, self._helm.token, version, {**recorded, **types}, layout.limit, layout.parts)
+            await write_types(self.state, self._helm.token, version, {**recorded, **types}, layout.limit, layout.parts)
         self.cluster.learn_types(types)
 
     async def rent_loop(self) -> None:
@@ -113,9 +110,7 @@
             return True
         if not self._listed_at:
             return False
-        waiting = any(
-            m.was_up and not m.confirmed(self._helm.token) for m in self.cluster.machines.values()
-        )
+        waiting = any(m.was_up and not m.confirmed(self._helm.token) for m in self.cluster.machines.values())
         return not waiting or now - self._helm.began > 3 * SECOND
 
     async def rent(self, rental: Rental) -> None:
@@ -127,9 +122,7 @@
             names: list[str] | None = None
             while names is None and steady() < until and not self._helm.over:
                 try:
-                    names = await self.cloud.rent(
-                        request, rental.type, rental.zone, rental.spot, rental.count
-                    )
+                    names = await self.cloud.rent(request, rental.type, rental.zone, rental.spot, rental.count)
                 except Refused as error:
                     reason = error.value.get("error") if isinstance(error.value, dict) else None
                     if error.status == 503 and reason == "no capacity":
@@ -149,9 +142,7 @@
                 self.fleet.grant(rental, steady())
             log.info("rented %d %s in %s (spot %s)", len(names), rental.type, rental.zone, rental.spot)
             for name in names:
-                self.cluster.add_machine(
-                    name, rental.type, rental.zone, rental.spot, "", steady(), time_of_day()
-                )
+                self.cluster.add_machine(name, rental.type, rental.zone, rental.spot, "", steady(), time_of_day())
         finally:
             self.fleet.under_way.remove(rental)
             self._helm.wake()
@@ -206,8 +197,11 @@
             # Once listed, a machine stays listed until it is gone; the list may be old, though, so
             # only a machine that was listed and is silent is taken off, by a release that proves it.
             lost = [
-                m for m in cluster.machines.values()
-                if m.listed and m.name not in listed and now - max(m.heard_at, m.known_since) > 2 * SECOND
+                m
+                for m in cluster.machines.values()
+                if m.listed
+                and m.name not in listed
+                and now - max(m.heard_at, m.known_since) > 2 * SECOND
                 and not m.releasing
             ]
             if lost:
--- a/oatport/service/groupcommit.py
+++ b/oatport/service/groupcommit.py
@@ -123,12 +123,12 @@
             log.error("records differ from what was expected: %s", others)
             self._helm.depose("records differ from what was expected")
             return
-        cancelled = {key: await self._reread(key[len(JOBS):]) for key in failed}
+        cancelled = {key: await self._reread(key[len(JOBS) :]) for key in failed}
         self.cluster.put_back(batch)
         for key, version in cancelled.items():
             if version:
-                self.cluster.cancel_waiting(key[len(JOBS):], version)  # its user was faster than its needed job's
-            job = self.cluster.jobs.get(key[len(JOBS):])
+                self.cluster.cancel_waiting(key[len(JOBS) :], version)  # its user was faster than its needed job's
+            job = self.cluster.jobs.get(key[len(JOBS) :])
             if job is not None and job.cancelled:
                 job.finishing = False
                 self.cluster.to_finish.pop(job, None)
--- a/oatport/service/lead.py
+++ b/oatport/service/lead.py
@@ -53,8 +53,16 @@
 
 class Lead:
     def __init__(
-        self, home: Home, settings: Settings, tuning: Tuning, net: Network,
-        state: StateClient, token: int, lease: int, held_at: int, windows: WindowSettings | None = None,
+        self,
+        home: Home,
+        settings: Settings,
+        tuning: Tuning,
+        net: Network,
+        state: StateClient,
+        token: int,
+        lease: int,
+        held_at: int,
+        windows: WindowSettings | None = None,
         repeats: Repeats | None = None,
     ) -> None:
         self.home = home
@@ -98,7 +106,8 @@
         """Load what is recorded; reports confirm it."""
         asked = steady()  # cancellations told while the records are read may not be among them
         (rows, revision), (ended, complete) = await asyncio.gather(
-            read_records(self.state), self.home.ended_before(self.token))
+            read_records(self.state), self.home.ended_before(self.token)
+        )
         await self._know_types(types_recorded(rows))
         load(self.cluster, rows, steady(), time_of_day())
         self.cluster.now = steady()
@@ -112,11 +121,19 @@
         for kind, ref, value, rev in self._early:
             self._told(kind, ref, value, rev)
         self._early.clear()
-        log.info("leading with token %d: %d jobs, %d machines recorded", self.token, len(self.cluster.jobs),
-                 len(self.cluster.machines))
+        log.info(
+            "leading with token %d: %d jobs, %d machines recorded",
+            self.token,
+            len(self.cluster.jobs),
+            len(self.cluster.machines),
+        )
         for name, loop in (
-            ("watch", self._watch_loop), ("write", self.commits.loop), ("plan", self._plan_loop),
-            ("send", self._send_loop), ("display", self._display_loop), ("tick", self._tick_loop),
+            ("watch", self._watch_loop),
+            ("write", self.commits.loop),
+            ("plan", self._plan_loop),
+            ("send", self._send_loop),
+            ("display", self._display_loop),
+            ("tick", self._tick_loop),
         ):
             self.group.keep(name, loop)
         self.keeper.start()
@@ -245,7 +262,7 @@
                 continue
             # Of each job only the last: one that came and ended meanwhile is not taken up again.
             for key, item in last.items():
-                ref, state = key[len(JOBS):], str(item["value"]["state"])
+                ref, state = key[len(JOBS) :], str(item["value"]["state"])
                 if state == wire.CANCELLED:
                     self.cluster.cancel_job(ref, int(item["entryRev"]), self.clock.known_at)
                 elif state == wire.DONE:
--- a/oatport/service/network.py
+++ b/oatport/service/network.py
@@ -57,7 +57,8 @@
 
     def open(self) -> None:
         self._sessions = {
-            Keep.LONG: make_session(self._sockets.most), Keep.WORKER: make_session(self._sockets.most),
+            Keep.LONG: make_session(self._sockets.most),
+            Keep.WORKER: make_session(self._sockets.most),
             Keep.ONCE: make_session(self._sockets.calls * 4, idle_us=0),  # probes: most of them hang
         }
 
--- a/oatport/service/node.py
+++ b/oatport/service/node.py
@@ -47,8 +47,13 @@
 
 class Node:
     def __init__(
-        self, settings: Settings, tuning: Tuning, windows: WindowSettings | None = None, repeats: Repeats | None = None,
-        net: Network | None = None, boot: str = "",
+        self,
+        settings: Settings,
+        tuning: Tuning,
+        windows: WindowSettings | None = None,
+        repeats: Repeats | None = None,
+        net: Network | None = None,
+        boot: str = "",
     ) -> None:
         self.settings = settings
         self._net = net or HttpNetwork(settings.cluster.resources.sockets)
@@ -91,10 +96,18 @@
             self.peers[peer.node_name] = PeerClient(net, peer.node_name, peer.endpoint)
         inside = Peers()
         for tag, handler in (
-            ("ping", self._on_ping), ("accepted", self.telling.on_hint), ("cancelled", self.telling.on_hint),
-            ("display", self._on_display), ("probe", self._on_probe), ("handover", self._on_handover),
-            ("carried out", self.keeping.on_carried_out), ("kept", self.keeping.on_kept), ("explain", self._on_explain),
-            ("formats", self._on_formats), ("told", self.telling.on_told), ("ends", self.telling.on_ends),
+            ("ping", self._on_ping),
+            ("accepted", self.telling.on_hint),
+            ("cancelled", self.telling.on_hint),
+            ("display", self._on_display),
+            ("probe", self._on_probe),
+            ("handover", self._on_handover),
+            ("carried out", self.keeping.on_carried_out),
+            ("kept", self.keeping.on_kept),
+            ("explain", self._on_explain),
+            ("formats", self._on_formats),
+            ("told", self.telling.on_told),
+            ("ends", self.telling.on_ends),
             ("ended", self.telling.on_ended),
         ):
             inside.on(tag, handler)
@@ -382,10 +395,14 @@
             self._next_heard = now
         if now - self._next_heard < NEXT_DOWN_FOR:
             return None
-        return next((
-            peer for name, peer in self.peers.items()
-            if self._peer_served.get(name, (False, 0))[0] and self._standing.next_answers(name, self._peer_served)
-        ), None)
+        return next(
+            (
+                peer
+                for name, peer in self.peers.items()
+                if self._peer_served.get(name, (False, 0))[0] and self._standing.next_answers(name, self._peer_served)
+            ),
+            None,
+        )
 
     def nodes_heard(self) -> dict[str, list[int]]:
         heard: dict[str, list[int]] = {}
@@ -434,8 +451,9 @@
         self._take_from = 0
         self._leader, self._leader_token = self.node_name, token
         self._next_heard = steady()
-        lead = Lead(self, self.settings, self.tuning, self._net, self.state, token, lease, held_at, self.windows,
-                    self.repeats)
+        lead = Lead(
+            self, self.settings, self.tuning, self._net, self.state, token, lease, held_at, self.windows, self.repeats
+        )
         self.lead = lead
         try:
             await lead.take_over()
--- a/oatport/service/telling.py
+++ b/oatport/service/telling.py
@@ -127,11 +127,15 @@
         """
         answers = await asyncio.gather(
             *(peer.ask("ended", token, timeout_us=ENDED_WITHIN) for peer in self._here.peers.values()),
-            return_exceptions=True)
+            return_exceptions=True,
+        )
         lists, complete = [self.ends.before(token)], True
         for name, answer in zip(self._here.peers, answers, strict=True):
-            if isinstance(answer, NoAnswer) and not isinstance(answer, NotSent | NotUnderstood) and (
-                    name == (self._here.last_leader or name)):
+            if (
+                isinstance(answer, NoAnswer)
+                and not isinstance(answer, NotSent | NotUnderstood)
+                and (name == (self._here.last_leader or name))
+            ):
                 complete = False
             try:
                 if isinstance(answer, BaseException):
@@ -165,7 +169,8 @@
         """Put into effect what users were told, and move the moment of knowledge on if all nodes told all."""
         asked, since = steady(), lead.clock.known_at
         answers = await asyncio.gather(
-            *(peer.ask("told", asked - since) for peer in self._here.peers.values()), return_exceptions=True)
+            *(peer.ask("told", asked - since) for peer in self._here.peers.values()), return_exceptions=True
+        )
         answered = steady()
         if lead is not self._here.lead:
             return
--- a/oatport/service/watching.py
+++ b/oatport/service/watching.py
@@ -31,7 +31,10 @@
     """Acts for a leader; what is judged lost goes to `release`, whose answer proves it gone."""
 
     def __init__(
-        self, helm: Helm, net: Network, release: Callable[[list[Machine], str], Awaitable[None]],
+        self,
+        helm: Helm,
+        net: Network,
+        release: Callable[[list[Machine], str], Awaitable[None]],
         fleet: Fleet,
     ) -> None:
         self._helm = helm
@@ -150,7 +153,8 @@
         """Dark zones with a node that was cut off along with them: it answers their workers."""
         heard = self.home.nodes_heard()
         self.cluster.note_kept(
-            zone for zone, since in self.cluster.dark.items()
+            zone
+            for zone, since in self.cluster.dark.items()
             if any(abs(at - since) < NODE_LOST_WITHIN for at in heard.get(zone, ()))
         )
         return frozenset(self.cluster.kept)
--- a/oatport/service/windowkeeper.py
+++ b/oatport/service/windowkeeper.py
@@ -54,8 +54,13 @@
         self._helm.group.keep("windows", self._loop)
         if self.settings.feed:
             client = FeedClient(
-                self._session, self.settings.feed, self.settings.zone, self.book, self.settings.poll_s,
-                self.settings.timeout_s, self._helm.wake,
+                self._session,
+                self.settings.feed,
+                self.settings.zone,
+                self.book,
+                self.settings.poll_s,
+                self.settings.timeout_s,
+                self._helm.wake,
             )
             self._helm.group.keep("price feed", client.loop)
 
--- a/oatport/settings.py
+++ b/oatport/settings.py
@@ -180,7 +180,9 @@
         names.add(peer.node_name)
     cluster = settings.cluster
     for section, value in (
-        ("workers", cluster.workers), ("state", cluster.state), ("cloud", cluster.cloud),
+        ("workers", cluster.workers),
+        ("state", cluster.state),
+        ("cloud", cluster.cloud),
         ("resources", cluster.resources),
     ):
         for name in value.__struct_fields__:
--- a/oatport/windows/client.py
+++ b/oatport/windows/client.py
@@ -24,7 +24,13 @@
     """Keeps a book up to date. `changed` is called when some hour to come costs something else."""
 
     def __init__(
-        self, session: aiohttp.ClientSession, url: str, zone: str, book: Book, poll_s: float, timeout_s: float,
+        self,
+        session: aiohttp.ClientSession,
+        url: str,
+        zone: str,
+        book: Book,
+        poll_s: float,
+        timeout_s: float,
         changed: Callable[[], None],
     ) -> None:
         self._session = session
@@ -63,7 +69,9 @@
         """The body, read whole within the deadline: an answer that drips is none."""
         async with asyncio.timeout(self._timeout_s):
             async with self._session.get(
-                self._url, headers={"Accept": f"{wire.CBOR_TYPE}, {JSON_TYPE}"}, allow_redirects=False,
+                self._url,
+                headers={"Accept": f"{wire.CBOR_TYPE}, {JSON_TYPE}"},
+                allow_redirects=False,
             ) as response:
                 if response.status != 200:
                     raise BadSeries(f"status {response.status}")
--- a/oatport/windows/feed.py
+++ b/oatport/windows/feed.py
@@ -68,8 +68,13 @@
 
 def encode(intervals: list[Interval], zone: str, made_at: int) -> dict[str, Any]:
     """The same the other way: a body before it is JSON or CBOR."""
-    return {"v": VERSION, "zone": zone, "at": made_at / SECOND, "intervals": [
-        {"start": row.start / SECOND, "len": (row.end - row.start) / SECOND, "price": row.price}
-        | ({"co2": row.co2} if row.co2 is not None else {})
-        for row in intervals
-    ]}
+    return {
+        "v": VERSION,
+        "zone": zone,
+        "at": made_at / SECOND,
+        "intervals": [
+            {"start": row.start / SECOND, "len": (row.end - row.start) / SECOND, "price": row.price}
+            | ({"co2": row.co2} if row.co2 is not None else {})
+            for row in intervals
+        ],
+    }
--- a/oatport/windows/holding.py
+++ b/oatport/windows/holding.py
@@ -115,8 +115,15 @@
         assert deadline is not None
         longest = round(run * self.margins.factor(spec.job_class) * max(rounds, 1))
         latest = deadline - longest - self._reserve(job)
-        return Need(job.ref, cpus, 1 if whole else tasks, max(run, SECOND), latest,
-                    self._sort(deferral.price, deferral.carbon), deferral.lateness)
+        return Need(
+            job.ref,
+            cpus,
+            1 if whole else tasks,
+            max(run, SECOND),
+            latest,
+            self._sort(deferral.price, deferral.carbon),
+            deferral.lateness,
+        )
 
     def _reserve(self, job: Job) -> int:
         """Time for what the plan knows nothing of: a machine to boot, once more if it never comes up, an image."""
@@ -311,7 +318,10 @@
             return {"job": ref, "held": paused, "why": why, "pending": job.pending}
         age = self.book.age(wall)
         return {
-            "job": ref, "held": True, "why": plan.why, "tasks_held": job.held,
+            "job": ref,
+            "held": True,
+            "why": plan.why,
+            "tasks_held": job.held,
             "windows": [
                 {"from": slot * self.planner.step / SECOND, "tasks": self._tasks(job, count)}
                 for slot, count in sorted(plan.starts.items())
@@ -322,7 +332,7 @@
             "margin": round(self.margins.factor(job.spec.job_class), 2),
             "prices_age_s": None if age is None else seconds(age),
             "earlier_if": "the latest safe start comes, its class's tasks take longer than predicted, "
-                          "an earlier hour gets cheaper or has room, or the price series gets too old to count",
+            "an earlier hour gets cheaper or has room, or the price series gets too old to count",
         }
 
     def record(self) -> dict[str, Any]:
--- a/oatport/windows/planner.py
+++ b/oatport/windows/planner.py
@@ -163,8 +163,11 @@
         """Jobs that should have started more than a slot ago."""
         if not self._latest or self._latest[0][0] + self.step >= self.now:
             return set()  # the soonest bound comes first
-        return {ref for at, ref in self._latest if at + self.step < self.now
-                and ref in self.plans and self.plans[ref].need.latest == at}
+        return {
+            ref
+            for at, ref in self._latest
+            if at + self.step < self.now and ref in self.plans and self.plans[ref].need.latest == at
+        }
 
     def due(self) -> list[tuple[str, int]]:
         """Jobs of which tasks start now, and how many: each is told once."""
@@ -255,9 +258,7 @@
         self.work += len(self.plans)
         unit = sorted(self._unit.get(sort, [1.0] * self.slots)[: max(until - self._first + 1, 1)])
         room = self.capacity * self.step
-        levels = [
-            unit[min(int((demand + expected * share) / room), len(unit) - 1)] for share in DEMANDS
-        ]
+        levels = [unit[min(int((demand + expected * share) / room), len(unit) - 1)] for share in DEMANDS]
         return sum(levels) / len(levels)
 
     def advance(self, sort: str, expected: float) -> list[str]:
@@ -299,7 +300,8 @@
     def soon(self, until: int) -> list[tuple[str, int]]:
         """Jobs with tasks that start up to a moment, and how many."""
         return [
-            (ref, count) for number in sorted(n for n in self._in_slot if n <= until // self.step)
+            (ref, count)
+            for number in sorted(n for n in self._in_slot if n <= until // self.step)
             for ref, count in self._in_slot[number].items()
         ]
 
--- a/oatport/windows/prices.py
+++ b/oatport/windows/prices.py
@@ -83,24 +83,23 @@
 
     def learn(self, intervals: Iterable[Interval], made_at: int, now: int) -> bool:
         """Take a series in; True if any hour to come costs something else now. Raises BadSeries."""
-        fresh = [
-            Interval(row.start, row.end, row.price, row.co2, now)
-            for row in check(intervals, made_at, now)
-        ]
+        fresh = [Interval(row.start, row.end, row.price, row.co2, now) for row in check(intervals, made_at, now)]
         kept: list[Interval] = []
         for old in self.rows:
             if old.end > now - self.dead_us:
                 kept += _without(old, fresh)
         rows = sorted(kept + fresh, key=lambda row: row.start)
         changed = [_terms(r) for r in rows if r.end > now] != [_terms(r) for r in self.rows if r.end > now]
-        self.rows, self.read_at, self.problem = rows[-2 * INTERVALS_MOST:], now, ""
+        self.rows, self.read_at, self.problem = rows[-2 * INTERVALS_MOST :], now, ""
         self.version += changed
         self._rescale()
         return changed
 
     def _rescale(self) -> None:
-        now = (_middle([row.price for row in self.rows]),
-               _middle([row.co2 for row in self.rows if row.co2 is not None]))
+        now = (
+            _middle([row.price for row in self.rows]),
+            _middle([row.co2 for row in self.rows if row.co2 is not None]),
+        )
         if any(abs(new - old) > 0.2 * abs(old) for new, old in zip(now, self._middles, strict=True)):
             self._middles = now
 
@@ -158,8 +157,10 @@
     def load(self, value: Any, now: int) -> None:
         """Take a record back; a strange one is as good as none."""
         try:
-            rows = [Interval(int(s), int(e), float(p), None if c is None else float(c), min(int(r), now))
-                    for s, e, p, c, r in value["rows"]]
+            rows = [
+                Interval(int(s), int(e), float(p), None if c is None else float(c), min(int(r), now))
+                for s, e, p, c, r in value["rows"]
+            ]
             self.rows = check(rows, 0, now) if rows else []
             self.read_at = min(int(value["read"]), now)
             self.version += 1
@@ -178,8 +179,12 @@
     for row in fresh:
         if row.end <= old.start or row.start >= old.end:
             continue
-        left = [part for low, high in left for part in ((low, min(high, row.start)), (max(low, row.end), high))
-                if part[0] < part[1]]
+        left = [
+            part
+            for low, high in left
+            for part in ((low, min(high, row.start)), (max(low, row.end), high))
+            if part[0] < part[1]
+        ]
     return [Interval(low, high, old.price, old.co2, old.read_at) for low, high in left]
 
 
--- a/oatport/wire.py
+++ b/oatport/wire.py
@@ -110,9 +110,14 @@
     if not 1 <= job.tasks <= 100_000:
         raise BadMessage("legs: must be 1 to 100000")
     for name, number, low in (
-        ("cores", job.cpus, True), ("accelerators", job.gpus, False), ("memoryGb", job.memory_gb, False),
-        ("sizeGb", job.image_gb, False), ("voyageS", job.estimate_s, False),
-        ("mooringS", job.checkpoint_s, False), ("stowS", job.save_s, False), ("tideS", job.deadline_s or 0.0, False),
+        ("cores", job.cpus, True),
+        ("accelerators", job.gpus, False),
+        ("memoryGb", job.memory_gb, False),
+        ("sizeGb", job.image_gb, False),
+        ("voyageS", job.estimate_s, False),
+        ("mooringS", job.checkpoint_s, False),
+        ("stowS", job.save_s, False),
+        ("tideS", job.deadline_s or 0.0, False),
     ):
         if not math.isfinite(number) or number < 0 or number > 1e9 or (low and number == 0):
             raise BadMessage(f"{name}: out of range")
--- a/standins/broker.py
+++ b/standins/broker.py
@@ -113,8 +113,20 @@
         self.connections.add(connection)
         try:
             await connection.run()
-        except (ConnectionError, asyncio.IncompleteReadError, TimeoutError, exceptions.PAMQPException, struct.error,
-                ValueError, KeyError, IndexError, TypeError, AttributeError, UnicodeError, OverflowError):
+        except (
+            ConnectionError,
+            asyncio.IncompleteReadError,
+            TimeoutError,
+            exceptions.PAMQPException,
+            struct.error,
+            ValueError,
+            KeyError,
+            IndexError,
+            TypeError,
+            AttributeError,
+            UnicodeError,
+            OverflowError,
+        ):
             pass  # a broken frame, or a broken connection: it ends, nothing else does
         finally:
             self.connections.discard(connection)
@@ -127,7 +139,8 @@
             return [self.queues[key]] if key in self.queues else []
         kind = self.exchanges.get(exchange)
         names = {
-            queue for name, bound, queue in self.bindings
+            queue
+            for name, bound, queue in self.bindings
             if name == exchange and (kind == "fanout" or bound == key or (kind == "topic" and _matches(bound, key)))
         }
         return [self.queues[name] for name in sorted(names) if name in self.queues]
@@ -148,8 +161,9 @@
             channel.delivered += 1
             channel.unacked[channel.delivered] = (queue, message)
             self.redelivered += message.redelivered
-            channel.send(commands.Basic.Deliver(
-                tag, channel.delivered, message.redelivered, message.exchange, message.key))
+            channel.send(
+                commands.Basic.Deliver(tag, channel.delivered, message.redelivered, message.exchange, message.key)
+            )
             _send_content(channel, message)
             if self.fault("deliver"):
                 channel.connection.drop()
@@ -181,7 +195,7 @@
 def _send_content(channel: Channel, message: Stored) -> None:
     channel.send(header.ContentHeader(0, len(message.payload), message.properties))
     for at in range(0, len(message.payload), FRAME_MOST - 8):
-        channel.send(body.ContentBody(message.payload[at:at + FRAME_MOST - 8]))
+        channel.send(body.ContentBody(message.payload[at : at + FRAME_MOST - 8]))
 
 
 class Connection:
@@ -219,9 +233,22 @@
         if await self._reader.readexactly(8) != b"AMQP\x00\x00\x09\x01":
             self._writer.write(b"AMQP\x00\x00\x09\x01")
             return
-        self.send(commands.Connection.Start(0, 9, {"product": "stand-in", "capabilities": {
-            "publisher_confirms": True, "basic.nack": True, "connection.blocked": True,
-            "consumer_cancel_notify": True}}), 0)
+        self.send(
+            commands.Connection.Start(
+                0,
+                9,
+                {
+                    "product": "stand-in",
+                    "capabilities": {
+                        "publisher_confirms": True,
+                        "basic.nack": True,
+                        "connection.blocked": True,
+                        "consumer_cancel_notify": True,
+                    },
+                },
+            ),
+            0,
+        )
         beats = asyncio.get_running_loop().create_task(self._beat())
         data = b""
         try:
@@ -347,7 +374,8 @@
             arguments = value.arguments or {}
             dead_letter = arguments.get("x-dead-letter-exchange")
             queue = broker.declare(
-                name, durable=bool(value.durable), dead_letter=str(dead_letter) if dead_letter else None)
+                name, durable=bool(value.durable), dead_letter=str(dead_letter) if dead_letter else None
+            )
             if value.exclusive:
                 queue.exclusive = self
             channel.send(commands.Queue.DeclareOk(name, len(queue.messages), len(queue.consumers)))
--- a/standins/serve.py
+++ b/standins/serve.py
@@ -21,10 +21,20 @@
 from oatport.lab.world.state import KeyStore
 from oatport.lab.world.worker import Worker
 
-TYPES: list[dict[str, Any]] = [{
-    "label": "m8", "cores": 8.0, "accelerators": 0, "memoryGb": 32.0, "cacheGb": 50.0, "fetchGbPerS": 1.0, "price": 1.0,
-    "marketPrice": 0.4, "startupS": 1, "harbors": ["a", "b"],
-}]
+TYPES: list[dict[str, Any]] = [
+    {
+        "label": "m8",
+        "cores": 8.0,
+        "accelerators": 0,
+        "memoryGb": 32.0,
+        "cacheGb": 50.0,
+        "fetchGbPerS": 1.0,
+        "price": 1.0,
+        "marketPrice": 0.4,
+        "startupS": 1,
+        "harbors": ["a", "b"],
+    }
+]
 
 
 def clock() -> int:
@@ -60,8 +70,10 @@
 
     async def start(self) -> None:
         self._session = make_session(512)
-        self._runners = [await _listen(self._addresses[0], self._on_state),
-                         await _listen(self._addresses[1], self._on_cloud)]
+        self._runners = [
+            await _listen(self._addresses[0], self._on_state),
+            await _listen(self._addresses[1], self._on_cloud),
+        ]
 
     async def close(self) -> None:
         for task in self._tasks.values():
@@ -79,7 +91,7 @@
             page = int(query.get("page", "1000"))
             return _answer(*self.state.list(query.get("under", ""), query.get("from", ""), page))
         if path.startswith(wire.STORE + "/"):
-            return _answer(*self.state.get(path[len(wire.STORE) + 1:]))
+            return _answer(*self.state.get(path[len(wire.STORE) + 1 :]))
         if path == wire.COMMIT:
             return _answer(*self.state.commit(body))
         if path == wire.HOLDS:
@@ -146,8 +158,16 @@
         port = runner.addresses[0][1]
         machine["address"], machine["status"] = f"127.0.0.1:{port}", "running"
         self._worker_runners[name] = runner
-        worker = Worker(clock, name, machine["address"], machine["berthKind"], machine["harbor"],
-                            machine["driftwood"], TYPES[0]["cores"], self._job)
+        worker = Worker(
+            clock,
+            name,
+            machine["address"],
+            machine["berthKind"],
+            machine["harbor"],
+            machine["driftwood"],
+            TYPES[0]["cores"],
+            self._job,
+        )
         self.workers[name] = worker
         names = list(self.nodes)
         at = random.choice(names)
@@ -156,7 +176,8 @@
             sent, session = clock(), worker.session
             try:
                 status, value = await HttpClient(self._session, self.nodes[at]).request(
-                    "POST", wire.REPORT, worker.report(), timeout_us=4_000_000)
+                    "POST", wire.REPORT, worker.report(), timeout_us=4_000_000
+                )
             except NoAnswer:
                 status, value = 0, None
             if status == 200:
--- a/standins/smoke.py
+++ b/standins/smoke.py
@@ -38,30 +38,76 @@
 def settings(index: int, ports: list[int]) -> str:
     """The platform's file for node `index`; ports: state, cloud, then bind and internal of each node."""
     lines = [
-        f'node_name = "n{index}"', f'zone = "{"ab"[index % 2]}"',
-        f'bind = "127.0.0.1:{ports[2 + 2 * index]}"', f'internal_addr = "127.0.0.1:{ports[3 + 2 * index]}"',
+        f'node_name = "n{index}"',
+        f'zone = "{"ab"[index % 2]}"',
+        f'bind = "127.0.0.1:{ports[2 + 2 * index]}"',
+        f'internal_addr = "127.0.0.1:{ports[3 + 2 * index]}"',
     ]
     for other in range(3):
         if other != index:
-            lines += ["[[peers]]", f'node_name = "n{other}"', f'zone = "{"ab"[other % 2]}"',
-                      f'endpoint = "127.0.0.1:{ports[3 + 2 * other]}"']
+            lines += [
+                "[[peers]]",
+                f'node_name = "n{other}"',
+                f'zone = "{"ab"[other % 2]}"',
+                f'endpoint = "127.0.0.1:{ports[3 + 2 * other]}"',
+            ]
     lines += [
-        "[services]", f'cloud = "127.0.0.1:{ports[1]}"', f'state = "127.0.0.1:{ports[0]}"',
-        "[cluster]", "size = 3", 'zones = ["a", "b"]', "clock_off_ms = 5.0",
-        "[[cluster.teams]]", 'name = "crew"', "cpus = 8.0", "cpus_max = 64.0",
-        "[cluster.workers]", "report_s = 0.5", "lease_s = 10.0", "gang_wait_s = 20.0", "gang_peer_s = 4.0",
-        "cancel_s = 30.0", "[cluster.state]", "rps = 200.0", "write_rps = 100.0", "value_kb = 32.0", "txn_ops = 16",
-        "[cluster.cloud]", "rps = 10.0", "list_lag_s = 1.0",
-        "[cluster.resources]", "cpu_share = 1.0", "mem_mb = 200.0", "sockets = 500",
+        "[services]",
+        f'cloud = "127.0.0.1:{ports[1]}"',
+        f'state = "127.0.0.1:{ports[0]}"',
+        "[cluster]",
+        "size = 3",
+        'zones = ["a", "b"]',
+        "clock_off_ms = 5.0",
+        "[[cluster.teams]]",
+        'name = "crew"',
+        "cpus = 8.0",
+        "cpus_max = 64.0",
+        "[cluster.workers]",
+        "report_s = 0.5",
+        "lease_s = 10.0",
+        "gang_wait_s = 20.0",
+        "gang_peer_s = 4.0",
+        "cancel_s = 30.0",
+        "[cluster.state]",
+        "rps = 200.0",
+        "write_rps = 100.0",
+        "value_kb = 32.0",
+        "txn_ops = 16",
+        "[cluster.cloud]",
+        "rps = 10.0",
+        "list_lag_s = 1.0",
+        "[cluster.resources]",
+        "cpu_share = 1.0",
+        "mem_mb = 200.0",
+        "sockets = 500",
     ]
     return "\n".join(lines) + "\n"
 
 
 def job(ref: str, rig: str, legs: int, voyage: float) -> dict[str, Any]:
-    return {"ref": ref, "cargo": "smoke", "crew": "crew", "rig": rig, "urgency": "normal", "legs": legs,
-            "cores": 2.0, "accelerators": 0.0, "memoryGb": 1.0, "hull": "img", "sizeGb": 0.1, "berthKinds": None,
-            "harbor": None, "samePlace": False, "spread": False, "driftwood": True, "voyageS": voyage,
-            "mooringS": 0.0, "stowS": 0.0, "tideS": None}
+    return {
+        "ref": ref,
+        "cargo": "smoke",
+        "crew": "crew",
+        "rig": rig,
+        "urgency": "normal",
+        "legs": legs,
+        "cores": 2.0,
+        "accelerators": 0.0,
+        "memoryGb": 1.0,
+        "hull": "img",
+        "sizeGb": 0.1,
+        "berthKinds": None,
+        "harbor": None,
+        "samePlace": False,
+        "spread": False,
+        "driftwood": True,
+        "voyageS": voyage,
+        "mooringS": 0.0,
+        "stowS": 0.0,
+        "tideS": None,
+    }
 
 
 async def _until(what: str, probe: Any, limit_s: float = 30.0) -> None:
@@ -118,8 +164,18 @@
 
 async def _leader(ask: Any) -> int:
     # A report of a worker that doesn't exist, of a type that doesn't either: harmless to a leader.
-    report = {"berth": "vm-none", "address": "127.0.0.1:1", "berthKind": "none", "harbor": "a", "driftwood": False,
-              "watch": 1, "logline": 1, "helm": 0, "recallS": None, "legs": []}
+    report = {
+        "berth": "vm-none",
+        "address": "127.0.0.1:1",
+        "berthKind": "none",
+        "harbor": "a",
+        "driftwood": False,
+        "watch": 1,
+        "logline": 1,
+        "helm": 0,
+        "recallS": None,
+        "legs": [],
+    }
     for index in range(3):
         if (await ask(index, "POST", wire.REPORT, report))[0] == 200:
             return index
--- a/tests/scale.py
+++ b/tests/scale.py
@@ -95,8 +95,9 @@
     found.plan = calls(lambda: world.placer.plan(world.now))
     world.commit()
     world.send()
-    found.rent = calls(lambda: (world.fleet.mark_surplus(world.now), world.fleet.wanted(world.now),
-                                world.fleet.to_release(world.now)))
+    found.rent = calls(
+        lambda: (world.fleet.mark_surplus(world.now), world.fleet.wanted(world.now), world.fleet.to_release(world.now))
+    )
     found.move = calls(lambda: world.fleet.to_move(world.now))
     world.now += 1_000_000
     reports = [wire.report(worker.report()) for worker in world.workers.values()]
@@ -111,8 +112,12 @@
     found.held = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
     found.changes = len(world.state.log)
-    rows = [row for key, (value, _, _) in world.state.items.items() if key.startswith(("live/", "fleet/"))
-            for row in (key, value)]
+    rows = [
+        row
+        for key, (value, _, _) in world.state.items.items()
+        if key.startswith(("live/", "fleet/"))
+        for row in (key, value)
+    ]
     found.takeover_bytes = len(wire.dumps(rows))
     found.takeover = calls(world.take_over)
     return found
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -35,6 +35,7 @@
 
 # --- the list ----------------------------------------------------------------------------------
 
+
 def told(began: int = 0, kept_s: int = 70, most: int = 100) -> Cancellations:
     return Cancellations(began, kept_s * SECOND, most)
 
@@ -85,10 +86,21 @@
     assert not Told([], 10 * whole).covers(since, asked, asked + ANSWERED_WITHIN + 1)  # how long was it on its way?
 
 
-@pytest.mark.parametrize("answer", [
-    None, [], ["told"], ["pong", 5, []], ["told", 5], ["told", True, []], ["told", 5.0, []], ["told", 5, [7]],
-    ["told", 5, "j-1"], {"told": 5},
-])
+@pytest.mark.parametrize(
+    "answer",
+    [
+        None,
+        [],
+        ["told"],
+        ["pong", 5, []],
+        ["told", 5],
+        ["told", True, []],
+        ["told", 5.0, []],
+        ["told", 5, [7]],
+        ["told", 5, "j-1"],
+        {"told": 5},
+    ],
+)
 def test_a_strange_answer_proves_nothing(answer: object) -> None:
     with pytest.raises(ValueError):
         Told.of(answer)
@@ -103,6 +115,7 @@
 
 # --- the gate -----------------------------------------------------------------------------------
 
+
 class Asked:
     """A node's users, asked as over HTTP; each answer is noted with what the desk had been told before it left."""
 
@@ -152,6 +165,7 @@
 
 # --- a leader that can't read --------------------------------------------------------------------
 
+
 async def blind(state: KeyStore) -> tuple[Node, Any]:
     """A leading node whose state service refuses it; what it knows is 20 s old."""
     node = Node(node_settings(), Tuning())
@@ -173,16 +187,20 @@
 WHOLE = 600 * SECOND
 
 
-@pytest.mark.parametrize(("answers", "moves"), [
-    ([["told", WHOLE, ["j-000001"]], ["told", WHOLE, []]], True),
-    ([["told", WHOLE, []], None], False),  # one can't be asked, or is of an earlier version
-    ([["told", 19 * SECOND, []], ["told", WHOLE, []]], False),  # one began, or left something out, after that moment
-    ([["told", WHOLE, []], ["pong", "n2", None, 0, False, WHOLE]], False),
-    ([["told", WHOLE, [5]], ["told", WHOLE, []]], False),
-])
-async def test_knowledge_moves_on_only_if_every_node_told_all(
-    state: KeyStore, answers: list[Any], moves: bool
-) -> None:
+@pytest.mark.parametrize(
+    ("answers", "moves"),
+    [
+        ([["told", WHOLE, ["j-000001"]], ["told", WHOLE, []]], True),
+        ([["told", WHOLE, []], None], False),  # one can't be asked, or is of an earlier version
+        (
+            [["told", 19 * SECOND, []], ["told", WHOLE, []]],
+            False,
+        ),  # one began, or left something out, after that moment
+        ([["told", WHOLE, []], ["pong", "n2", None, 0, False, WHOLE]], False),
+        ([["told", WHOLE, [5]], ["told", WHOLE, []]], False),
+    ],
+)
+async def test_knowledge_moves_on_only_if_every_node_told_all(state: KeyStore, answers: list[Any], moves: bool) -> None:
     node, lead = await blind(state)
     before = lead.clock.known_at
     running(lead, state)
@@ -273,6 +291,7 @@
 
 # --- what a leader makes of it -------------------------------------------------------------------
 
+
 def test_a_job_that_the_leader_does_not_know_is_remembered_and_never_started() -> None:
     world = World()
     world.machine(1)
@@ -329,7 +348,7 @@
     ref, machine = unsure(world, worker)
     world.cancel(ref, tell=False)
     world.cluster.cancel_told(ref, 0, world.now)
-    
+
     def orders() -> list[str]:
         return [order["orderKind"] for order in world.cluster.commands(machine, world.now, direct=False)[0]]
 
@@ -375,10 +394,14 @@
 
 # --- whole deployments ---------------------------------------------------------------------------
 
+
 def meeting(*more: Fault, refused_s: float = 5.0, hints_lost_s: float = 2.4, count: int = 20) -> Plan:
     """At 20 s the state service refuses the leader alone, others confirm cancellations; at 22.2 s it is down."""
-    faults = [Fault("node_refused", 20.0, refused_s), Fault("users_cancel", 20.3, count=count, amount=1.5),
-              Fault("state_down", 22.2, 48.0)]
+    faults = [
+        Fault("node_refused", 20.0, refused_s),
+        Fault("users_cancel", 20.3, count=count, amount=1.5),
+        Fault("state_down", 22.2, 48.0),
+    ]
     if hints_lost_s:
         faults.append(Fault("node_cut", 20.0, hints_lost_s, what="nodes", mode="lost"))
     return Plan(tuple(sorted([*faults, *more], key=lambda f: f.at_s)), 80.0, 3, 20, 20.0, 5.0)
@@ -397,10 +420,14 @@
     "hints lost": meeting(),
     "hints come": meeting(hints_lost_s=0.0),
     "handover begun": meeting(refused_s=30.0, hints_lost_s=0.0),
-    "users unsure": meeting(Fault("links_lossy", 20.0, 6.0, source="node", target="users", amount=0.8),
-                            Fault("links_cut", 20.5, 2.0, source="n1", target="users", mode="lost")),
-    "commits unsure": meeting(Fault("links_cut", 20.2, 2.0, source="state", target="n1", mode="lost"),
-                              Fault("links_cut", 20.2, 1.0, source="state", target="n2", mode="lost")),
+    "users unsure": meeting(
+        Fault("links_lossy", 20.0, 6.0, source="node", target="users", amount=0.8),
+        Fault("links_cut", 20.5, 2.0, source="n1", target="users", mode="lost"),
+    ),
+    "commits unsure": meeting(
+        Fault("links_cut", 20.2, 2.0, source="state", target="n1", mode="lost"),
+        Fault("links_cut", 20.2, 1.0, source="state", target="n2", mode="lost"),
+    ),
     "derived": meeting(Fault("cancel_needed", 20.4, count=3)),
     "refused twice": meeting(Fault("node_refused", 16.0, 1.5)),
     "slow peers": meeting(Fault("links_slow", 20.0, 30.0, source="node", target="node", amount=0.3)),
@@ -415,12 +442,16 @@
     assert result.counts.get("lease_kills", 0) == 0
 
 
-@pytest.mark.parametrize("more", [
-    Fault("node_crash", 21.9, 0.1, node="n1"), Fault("node_crash", 21.9, 0.1, node="n2"),  # before the leader asks
-    Fault("node_crash", 26.0, 0.1, node="n1"),  # after
-    Fault("links_cut", 23.0, 30.0, source="n1", target="n0", mode="hold"),
-    Fault("links_cut", 23.0, 30.0, source="n0", target="n2", mode="lost"),
-])
+@pytest.mark.parametrize(
+    "more",
+    [
+        Fault("node_crash", 21.9, 0.1, node="n1"),
+        Fault("node_crash", 21.9, 0.1, node="n2"),  # before the leader asks
+        Fault("node_crash", 26.0, 0.1, node="n1"),  # after
+        Fault("links_cut", 23.0, 30.0, source="n1", target="n0", mode="hold"),
+        Fault("links_cut", 23.0, 30.0, source="n0", target="n2", mode="lost"),
+    ],
+)
 def test_where_nobody_can_tell_what_was_confirmed_leases_end_in_time(more: Fault) -> None:
     """A process that told users so is gone, or can't be asked: the bound of the outage stands."""
     result = told_by_others(meeting(more))
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -164,7 +164,8 @@
 def test_where_a_start_is_expected_soon_a_gang_does_not_wait_for_long_work() -> None:
     world = World()
     world.settings = msgspec.structs.replace(
-        world.settings, objectives=[Objective("wait", job_class="train", within_s=35.0)])
+        world.settings, objectives=[Objective("wait", job_class="train", within_s=35.0)]
+    )
     world.take_over()
     world.machine(1, "a", kind="g16")
     world.settle(2)
@@ -180,7 +181,8 @@
     """It waited 40 s for an ordinary machine to boot beside one."""
     world = World([Team("crew")])
     world.settings = msgspec.structs.replace(
-        world.settings, objectives=[Objective("wait", job_class="train", within_s=35.0)])
+        world.settings, objectives=[Objective("wait", job_class="train", within_s=35.0)]
+    )
     world.take_over()
     world.machine(1, "a", kind="g16", spot=True)
     world.settle(2)
@@ -244,7 +246,8 @@
     """One large array, first by deadline, made six small ones late that were submitted after it."""
     world = World([Team("crew")])
     world.settings = msgspec.structs.replace(
-        world.settings, objectives=[Objective("deadline", job_class="train", times=t) for t in (1.0, 3.0)])
+        world.settings, objectives=[Objective("deadline", job_class="train", times=t) for t in (1.0, 3.0)]
+    )
     world.take_over()
     for number in range(1, 5):
         world.machine(number)
@@ -266,7 +269,8 @@
 def test_a_job_that_misses_its_deadline_is_still_wanted_by_its_classs_aim() -> None:
     world = World([Team("crew")])
     world.settings = msgspec.structs.replace(
-        world.settings, objectives=[Objective("finished", job_class="train", within_s=300.0)])
+        world.settings, objectives=[Objective("finished", job_class="train", within_s=300.0)]
+    )
     world.take_over()
     world.machine(1)
     world.settle(2)
@@ -472,7 +476,8 @@
     """A fetch of 4 s breaks an aim of 1 s; lower work is stopped where the image lies."""
     world = World()
     world.settings = msgspec.structs.replace(
-        world.settings, objectives=[Objective("wait", job_class="train", within_s=1.0)])
+        world.settings, objectives=[Objective("wait", job_class="train", within_s=1.0)]
+    )
     world.take_over()
     warm = world.machine(1)
     first = world.submit(rig="standing", urgency="production", legs=1, sizeGb=4.0)
@@ -614,9 +619,12 @@
     path.write_text(good + "\n[unheard]\nof = 1\n")
     assert load(path).node_name == "n0"
     for old, new, named in (
-        ("lease_s = 10.0", "lease_s = -1.0", "lease_s"), ('state = "127.0.0.1:', 'state = "', "services.state"),
-        ("txn_ops = 16", "", "txn_ops"), ('node_name = "n1"', 'node_name = "n0"', "peers[0].node_name"),
-        ("cancel_s = 30.0", 'cancel_s = "soon"', "cancel_s"), ("size = 3", "size = = 3", "not TOML"),
+        ("lease_s = 10.0", "lease_s = -1.0", "lease_s"),
+        ('state = "127.0.0.1:', 'state = "', "services.state"),
+        ("txn_ops = 16", "", "txn_ops"),
+        ('node_name = "n1"', 'node_name = "n0"', "peers[0].node_name"),
+        ("cancel_s = 30.0", 'cancel_s = "soon"', "cancel_s"),
+        ("size = 3", "size = = 3", "not TOML"),
     ):
         path.write_text(good.replace(old, new))
         assert main(["check", str(path)]) == 2
--- a/tests/test_evening.py
+++ b/tests/test_evening.py
@@ -83,12 +83,17 @@
 
 
 def test_troubles_of_the_evening_break_no_rule() -> None:
-    for number, fault in enumerate((
-        Fault("machine_deaf", 12.0, 20.0, count=5), Fault("machine_deaf", 12.0, 15.0, zone="a"),
-        Fault("report_copies", 10.0, 30.0, amount=20.0), Fault("late_repeats", 10.0, 30.0, amount=5.0),
-        Fault("node_alone", 12.0, 20.0), Fault("machine_blink", 15.0, count=4),
-        Fault("machine_blink", 15.0, count=4, amount=1.0),
-    )):
+    for number, fault in enumerate(
+        (
+            Fault("machine_deaf", 12.0, 20.0, count=5),
+            Fault("machine_deaf", 12.0, 15.0, zone="a"),
+            Fault("report_copies", 10.0, 30.0, amount=20.0),
+            Fault("late_repeats", 10.0, 30.0, amount=5.0),
+            Fault("node_alone", 12.0, 20.0),
+            Fault("machine_blink", 15.0, count=4),
+            Fault("machine_blink", 15.0, count=4, amount=1.0),
+        )
+    ):
         plan = Plan((fault, Fault("node_crash", 20.0, 0.1)), 50.0, 3, 20, 20.0, 6.0)
         found = play(Asked(plan=plan), number)
         assert (found.violations, found.errors) == ([], []), fault.kind
--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -115,8 +115,15 @@
                 status, value = world.state.commit(world.transaction(batch))
                 assert status == 200, value
                 world.cluster.committed(batch, value["ledgerRev"], world.now)
-        before = {ref: {i: row for i, row in placed(world, ref).items() if world.cluster.jobs[ref].tasks[i].phase
-                        is Phase.PLACED} for ref in refs if ref in world.cluster.jobs}
+        before = {
+            ref: {
+                i: row
+                for i, row in placed(world, ref).items()
+                if world.cluster.jobs[ref].tasks[i].phase is Phase.PLACED
+            }
+            for ref in refs
+            if ref in world.cluster.jobs
+        }
         world.take_over()
         for ref, rows in before.items():
             after = placed(world, ref)
@@ -134,7 +141,8 @@
     keys = list(layout.task_keys(large, 0, 300))
     assert keys[0] == "live/j-1/0000.00" and "live/j-1/0001" in keys
     assert [layout.task_key(large, i) for i in range(300)] == [
-        key for key in keys for _ in range(*layout.task_span(large, key)) if True][:300]
+        key for key in keys for _ in range(*layout.task_span(large, key)) if True
+    ][:300]
 
 
 def test_limits_that_hold_all_leave_records_as_they_were() -> None:
@@ -171,9 +179,23 @@
 
 
 async def test_a_catalog_in_parts() -> None:
-    kinds = wire.catalog({"berthKinds": [
-        {"label": f"kind-{i}", "cores": 8.0, "accelerators": 0.0, "memoryGb": 32.0, "price": 1.0, "marketPrice": 0.4,
-         "startupS": 30, "harbors": ["a", "b"]} for i in range(40)]})
+    kinds = wire.catalog(
+        {
+            "berthKinds": [
+                {
+                    "label": f"kind-{i}",
+                    "cores": 8.0,
+                    "accelerators": 0.0,
+                    "memoryGb": 32.0,
+                    "price": 1.0,
+                    "marketPrice": 0.4,
+                    "startupS": 30,
+                    "harbors": ["a", "b"],
+                }
+                for i in range(40)
+            ]
+        }
+    )
     assert max(map(json_size, type_values(kinds.values(), 2048))) <= 2048
     state = KeyStore(lambda: 0, 2048, 4)
     token = state.commit({"if": [], "then": [{"set": "leader", "value": {}}]})[1]["ledgerRev"]
@@ -194,12 +216,16 @@
     assert not Gate(["n0", "n1"]).heard([*both, answer("n0", "a")])
 
 
-@pytest.mark.parametrize("second", [
-    [answer("n0", "a")],  # silence
-    [answer("n0", "a"), answer("n1", "c")],  # it was started again, and may be an earlier version next time
-    [answer("n0", "a"), ["formats", "n1", "b", 1]], [answer("n0", "a"), ["pong", "n1"]],
-    [answer("n0", "a"), answer("n0", "b")],
-])
+@pytest.mark.parametrize(
+    "second",
+    [
+        [answer("n0", "a")],  # silence
+        [answer("n0", "a"), answer("n1", "c")],  # it was started again, and may be an earlier version next time
+        [answer("n0", "a"), ["formats", "n1", "b", 1]],
+        [answer("n0", "a"), ["pong", "n1"]],
+        [answer("n0", "a"), answer("n0", "b")],
+    ],
+)
 def test_the_gate_stays_shut(second: list[Any]) -> None:
     gate = Gate(["n0", "n1"])
     gate.heard([answer("n0", "a"), answer("n1", "b")])
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -22,12 +22,17 @@
     assert red.covers("tests/test_a.py::test_x[3]") and not red.covers("tests/test_a.py::test_xy")
 
 
-@pytest.mark.parametrize(("text", "said"), [
-    ("tests/test_a.py::test_x | because", "must be"), ("test_x | because | issue 1", "must be"),
-    ("tests/test_a.py::test_x | | issue 1", "must be"), (f"{LINE.format('x')}\n\n", "must be"),
-    (f"{LINE.format('x')}\n{LINE.format('x')}", "twice"),
-    ("\n".join(LINE.format(name) for name in "abcd"), "3 at most"),
-])
+@pytest.mark.parametrize(
+    ("text", "said"),
+    [
+        ("tests/test_a.py::test_x | because", "must be"),
+        ("test_x | because | issue 1", "must be"),
+        ("tests/test_a.py::test_x | | issue 1", "must be"),
+        (f"{LINE.format('x')}\n\n", "must be"),
+        (f"{LINE.format('x')}\n{LINE.format('x')}", "twice"),
+        ("\n".join(LINE.format(name) for name in "abcd"), "3 at most"),
+    ],
+)
 def test_a_bad_list_is_refused_in_one_line(text: str, said: str) -> None:
     with pytest.raises(BadList, match=said) as caught:
         parse(text)
@@ -44,16 +49,24 @@
     (tmp_path / "pyproject.toml").write_text('[tool.pytest.ini_options]\ntestpaths = ["tests"]\n', encoding="utf-8")
     (tmp_path / "KNOWN-RED.txt").write_text(listed, encoding="utf-8")
     done = subprocess.run(
-        [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider"], cwd=tmp_path, capture_output=True, text=True,
-        timeout=60, check=False)
+        [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider"],
+        cwd=tmp_path,
+        capture_output=True,
+        text=True,
+        timeout=60,
+        check=False,
+    )
     return done.returncode, done.stdout + done.stderr
 
 
-@pytest.mark.parametrize(("listed", "status", "said"), [
-    ("bad", 0, "known red: tests/test_a.py::test_bad: the world is round (issue 7)"),
-    ("good", 1, "XPASS(strict)"),  # its fault is mended: the line has to go, and the other one fails
-    ("gone", 4, "there is no test tests/test_a.py::test_gone"),
-])
+@pytest.mark.parametrize(
+    ("listed", "status", "said"),
+    [
+        ("bad", 0, "known red: tests/test_a.py::test_bad: the world is round (issue 7)"),
+        ("good", 1, "XPASS(strict)"),  # its fault is mended: the line has to go, and the other one fails
+        ("gone", 4, "there is no test tests/test_a.py::test_gone"),
+    ],
+)
 def test_a_run_passes_over_just_what_is_listed(tmp_path: Path, listed: str, status: int, said: str) -> None:
     code, output = run(tmp_path, LINE.format(listed))
     assert code == status and said in output, output
--- a/tests/test_limits_properties.py
+++ b/tests/test_limits_properties.py
@@ -41,8 +41,12 @@
         for number in range(1, 5):
             self._watch(self.world.machine(number, "ab"[number % 2]))
         self.world.settle(2)
-        for team, kind, tasks, run in (("crew", "array", 6, 5.0), ("other", "array", 3, 30.0), ("crew", "gang", 2, 8.0),
-                                       ("other", "standing", 2, 30.0)):
+        for team, kind, tasks, run in (
+            ("crew", "array", 6, 5.0),
+            ("other", "array", 3, 30.0),
+            ("crew", "gang", 2, 8.0),
+            ("other", "standing", 2, 30.0),
+        ):
             self.submit(team, kind, tasks, run)
         self._usual()
         self._usual()
@@ -55,8 +59,14 @@
     def _began(self, worker: Worker, task: str, attempt: int) -> None:
         now = self.world.now
         for other in self.world.workers.values():
-            held = [row for (name, _), row in other.tasks.items() if name == task and row.status != "ended"
-                    and (row.ends_at is None or row.ends_at > now) and now - other.answered_at <= other.lease_us]
+            held = [
+                row
+                for (name, _), row in other.tasks.items()
+                if name == task
+                and row.status != "ended"
+                and (row.ends_at is None or row.ends_at > now)
+                and now - other.answered_at <= other.lease_us
+            ]
             if other is not worker and held:
                 self.broken.append(f"{task} attempt {attempt} starts on {worker.name}, and is on {other.name}")
         if task in self.known and task.rsplit("/", 1)[0] not in self.cancelled:
@@ -64,12 +74,22 @@
 
     # --- users ------------------------------------------------------------------------------
 
-    @rule(team=st.sampled_from(sorted(LIMITS)), kind=st.sampled_from(["array", "gang", "standing"]),
-          tasks=st.integers(1, 3), run=st.sampled_from([2.0, 6.0, 30.0]))
+    @rule(
+        team=st.sampled_from(sorted(LIMITS)),
+        kind=st.sampled_from(["array", "gang", "standing"]),
+        tasks=st.integers(1, 3),
+        run=st.sampled_from([2.0, 6.0, 30.0]),
+    )
     def submit(self, team: str, kind: str, tasks: int, run: float) -> None:
         if len(self.world.jobs) < 8:
-            self.world.submit(crew=team, rig=kind, legs=tasks, cores=2.0 if kind == "gang" else 4.0, voyageS=run,
-                              spread=kind == "standing")
+            self.world.submit(
+                crew=team,
+                rig=kind,
+                legs=tasks,
+                cores=2.0 if kind == "gang" else 4.0,
+                voyageS=run,
+                spread=kind == "standing",
+            )
 
     @rule(pick=st.integers(0, 7), tell=st.booleans())
     def cancel(self, pick: int, tell: bool) -> None:
@@ -136,8 +156,11 @@
     def _was_applied(self, batch: Batch) -> bool:
         items = self.world.state.items
         rows = [items.get(key) for key in batch.sets]
-        return all(row is not None and row[0] == value for row, value in zip(rows, batch.sets.values(), strict=True)) \
-            and len({row[1] for row in rows if row is not None}) <= 1 and not any(key in items for key in batch.drops)
+        return (
+            all(row is not None and row[0] == value for row, value in zip(rows, batch.sets.values(), strict=True))
+            and len({row[1] for row in rows if row is not None}) <= 1
+            and not any(key in items for key in batch.drops)
+        )
 
     @precondition(lambda self: self.late)
     @rule()
@@ -295,5 +318,10 @@
 
 
 TestDeployment = Deployment.TestCase
-TestDeployment.settings = settings(max_examples=200, stateful_step_count=80, deadline=None, derandomize=True,
-                                   suppress_health_check=[HealthCheck.too_slow, HealthCheck.filter_too_much])
+TestDeployment.settings = settings(
+    max_examples=200,
+    stateful_step_count=80,
+    deadline=None,
+    derandomize=True,
+    suppress_health_check=[HealthCheck.too_slow, HealthCheck.filter_too_much],
+)
