--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -28,20 +28,24 @@
     assert found.counts["starts"] > 50
 
 
-@pytest.mark.parametrize(("guard", "name", "rule"), [
-    ("asked", "close_looks", "went_back"),  # an answer from what was heard a second ago
-    ("asked", "at_the_last_task", "went_back"),
-    ("conditions", "answers_lost", "went_back"),
-    ("conditions", "hands_change", "ran_twice"),
-    ("conditions", "singles_swarm", "ran_twice"),
-    ("conditions", "bound_to_zones", "ran_twice"),
-    ("conditions", "at_the_last_task", "ran_twice"),
-    ("conditions", "no_room", "ran_twice"),
-])
+@pytest.mark.parametrize(
+    ("guard", "name", "rule"),
+    [
+        ("asked", "close_looks", "went_back"),  # an answer from what was heard a second ago
+        ("asked", "at_the_last_task", "went_back"),
+        ("conditions", "answers_lost", "went_back"),
+        ("conditions", "hands_change", "ran_twice"),
+        ("conditions", "singles_swarm", "ran_twice"),
+        ("conditions", "bound_to_zones", "ran_twice"),
+        ("conditions", "at_the_last_task", "ran_twice"),
+        ("conditions", "no_room", "ran_twice"),
+    ],
+)
 def test_a_guard_that_is_off_is_noticed_where_two_troubles_meet(guard: str, name: str, rule: str) -> None:
     seeds = [_seed(name, turn) for turn in range(12)]  # which of them show it differs with the hashes of texts
-    assert any(row.startswith(rule) for seed in seeds for row in play(
-        Asked(plan=meetings(seed), guard=guard), seed).violations), (guard, name)
+    assert any(
+        row.startswith(rule) for seed in seeds for row in play(Asked(plan=meetings(seed), guard=guard), seed).violations
+    ), (guard, name)
 
 
 def test_a_job_that_is_accepted_though_it_can_not_run_is_noticed() -> None:
@@ -64,13 +68,23 @@
         assert found.counts["starts"] > 200
 
 
-@pytest.mark.parametrize(("guard", "seeds"), [
-    ("ends", (1, 2)), ("returned", (10, 15)), ("handed-on", (48,)), ("whole", (11, 27)), ("unproven", (6, 12)),
-])
+@pytest.mark.parametrize(
+    ("guard", "seeds"),
+    [
+        ("ends", (1, 2)),
+        ("returned", (10, 15)),
+        ("handed-on", (48,)),
+        ("whole", (11, 27)),
+        ("unproven", (6, 12)),
+    ],
+)
 def test_the_checker_notices_what_keeps_tasks_from_running_twice(guard: str, seeds: tuple[int, ...]) -> None:
     tried = dict.fromkeys([*seeds, *range(1, 51)])
-    assert any(row.startswith("ran_twice") for seed in tried for row in play(
-        Asked(story="limits", guard=guard), seed).violations), guard
+    assert any(
+        row.startswith("ran_twice")
+        for seed in tried
+        for row in play(Asked(story="limits", guard=guard), seed).violations
+    ), guard
 
 
 def test_a_plan_that_leaves_no_team_at_its_limit_is_seen() -> None:
--- a/tests/test_needs.py
+++ b/tests/test_needs.py
@@ -25,13 +25,30 @@
 
 def done(state: KeyStore, ref: str) -> None:
     record, version, _ = state.items[job_key(ref)]
-    assert state.commit({"if": [{"path": job_key(ref), "entryRev": version}],
-                         "then": [{"set": job_key(ref), "value": {**record, "state": wire.DONE}}]})[0] == 200
-
-
-@pytest.mark.parametrize("named", [
-    "j-000001", [1], ["x-1"], ["j-"], ["j-1", None], {"j-1": 1}, ["j-000009"], [["j-1"]],
-])
+    assert (
+        state.commit(
+            {
+                "if": [{"path": job_key(ref), "entryRev": version}],
+                "then": [{"set": job_key(ref), "value": {**record, "state": wire.DONE}}],
+            }
+        )[0]
+        == 200
+    )
+
+
+@pytest.mark.parametrize(
+    "named",
+    [
+        "j-000001",
+        [1],
+        ["x-1"],
+        ["j-"],
+        ["j-1", None],
+        {"j-1": 1},
+        ["j-000009"],
+        [["j-1"]],
+    ],
+)
 def test_lists_that_are_none(named: Any) -> None:
     with pytest.raises(wire.BadMessage, match="waitsOn"):
         wire.submission(body_of("j-000009", waitsOn=named))
@@ -183,8 +200,14 @@
     spec = job("j-000001")
     refs = [f"j-{number * 37 % 5003:06d}" for number in range(1, 5001)]
     for ref in refs:
-        state.commit({"if": [], "then": [{"set": job_key(ref), "value": {
-            "state": "queued", "at": 0, "job": {**wire_of(spec), "ref": ref}}}]})
+        state.commit(
+            {
+                "if": [],
+                "then": [
+                    {"set": job_key(ref), "value": {"state": "queued", "at": 0, "job": {**wire_of(spec), "ref": ref}}}
+                ],
+            }
+        )
     users, client, _ = node(state)
     waiting, rounds = list(refs), 0
     while waiting and rounds < 15:  # users come back every 5 s: 75 s
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -347,7 +347,8 @@
     world.settle(12)
     assert world.record(first) == wire.DONE
     assert world.cluster.rank_tasks == [0, 0, 0, 0] or sum(world.cluster.rank_tasks) == len(
-        [t for job in world.cluster.jobs.values() for t in job.tasks.values() if t.machine])
+        [t for job in world.cluster.jobs.values() for t in job.tasks.values() if t.machine]
+    )
     world.settle(12)
     assert world.cluster.rank_tasks == [0, 0, 0, 0]
     assert all(abs(sum(m.rank_cpus)) < 1e-9 for m in world.cluster.machines.values())
@@ -387,11 +388,13 @@
 
     def known(self, ref: str) -> Known:
         return {"waits": Known.OPEN, "runs": Known.OPEN, "done": Known.DONE, "cancelled": Known.CANCELLED}[
-            self.state[ref]]
+            self.state[ref]
+        ]
 
     def fallen(self, ref: str) -> bool:
         return self.state[ref] == "cancelled" or any(
-            self.fallen(need) for need in self.needs[ref] if self.state[need] != "done")
+            self.fallen(need) for need in self.needs[ref] if self.state[need] != "done"
+        )
 
     def ready(self, ref: str) -> bool:
         return all(self.state[need] == "done" for need in self.needs[ref])
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -16,7 +16,10 @@
 
 needs = st.builds(
     lambda number, cpus, tasks, run, slack: Need(f"j-{number}", cpus, tasks, run * SECOND, NOW + slack * SECOND),
-    st.integers(0, 30), st.sampled_from([1.0, 2.0, 4.0]), st.integers(1, 30), st.integers(1, 2000),
+    st.integers(0, 30),
+    st.sampled_from([1.0, 2.0, 4.0]),
+    st.integers(1, 30),
+    st.integers(1, 2000),
     st.integers(-600, 45 * 300),
 )
 units = st.lists(st.floats(-3, 5).map(lambda value: round(value, 2)), min_size=SLOTS, max_size=SLOTS)
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -59,8 +59,14 @@
         if self.state.touch(lease)[0] == 404:
             raise NoLease
 
-    async def commit(self, conditions: dict[str, int], sets: dict[str, Any], drops: list[str] | None = None,
-                     lease: int | None = None, timeout_us: int = 0) -> Any:
+    async def commit(
+        self,
+        conditions: dict[str, int],
+        sets: dict[str, Any],
+        drops: list[str] | None = None,
+        lease: int | None = None,
+        timeout_us: int = 0,
+    ) -> Any:
         result = await super().commit(conditions, sets, drops)
         for key in sets if lease is not None and hasattr(result, "revision") else ():
             value, version, _ = self.state.items[key]
@@ -175,11 +181,20 @@
     assert all(three[name] <= two[name] for name in "ab")
 
 
-@pytest.mark.parametrize(("body", "why"), [
-    (b"[1]", "not a JSON object"), (b"{", "not JSON"), (b'{"team": "x"}', "does not open: team"),
-    (b'{"tasks": 0}', "legs"), (b'{"tasks": "many"}', "tasks|legs|Expected"), (b'{"tasks": 1e400}', "."),
-    (b"[" * 60_000, "at most"), (b"[" * 20_000, "not JSON"), (b"\xff\xfe", "not JSON"),
-])
+@pytest.mark.parametrize(
+    ("body", "why"),
+    [
+        (b"[1]", "not a JSON object"),
+        (b"{", "not JSON"),
+        (b'{"team": "x"}', "does not open: team"),
+        (b'{"tasks": 0}', "legs"),
+        (b'{"tasks": "many"}', "tasks|legs|Expected"),
+        (b'{"tasks": 1e400}', "."),
+        (b"[" * 60_000, "at most"),
+        (b"[" * 20_000, "not JSON"),
+        (b"\xff\xfe", "not JSON"),
+    ],
+)
 def test_messages_that_can_become_no_job(body: bytes, why: str) -> None:
     with pytest.raises(BadMessage, match=why):
         MOVES.template.job("j-1", body)
@@ -195,8 +210,12 @@
     sly = Template.make({**FIELDS, "image": "{{ message.__class__.__mro__ }}"}, frozenset())
     with pytest.raises(BadMessage, match="image"):
         sly.job("j-1", b"{}")
-    for fields, opens in ((FIELDS | {"nope": "1"}, set()), ({"team": "x"}, set()), (FIELDS, {"team"}),
-                          (FIELDS | {"image": "{{"}, set())):
+    for fields, opens in (
+        (FIELDS | {"nope": "1"}, set()),
+        ({"team": "x"}, set()),
+        (FIELDS, {"team"}),
+        (FIELDS | {"image": "{{"}, set()),
+    ):
         with pytest.raises(ValueError):
             Template.make(fields, frozenset(opens))
 
@@ -368,8 +387,18 @@
 
 
 def gateway_of(state: KeyStore, name: str, link: Link | None = None, port: int = 1) -> Gateway:
-    own = GatewaySettings(name, "h:1", ("h:2",), "127.0.0.1", port, lease_s=1.0, requests_per_s=1e6, changes_per_s=1e6,
-                          txn_ops=16, queues=(MOVES,))
+    own = GatewaySettings(
+        name,
+        "h:1",
+        ("h:2",),
+        "127.0.0.1",
+        port,
+        lease_s=1.0,
+        requests_per_s=1e6,
+        changes_per_s=1e6,
+        txn_ops=16,
+        queues=(MOVES,),
+    )
 
     async def nobody(row: Row) -> bool:
         return True
@@ -489,8 +518,11 @@
 async def test_a_connection_that_breaks_at_any_point_makes_no_double_and_loses_none(site: Site, point: str) -> None:
     rng, got = random.Random(point), list[str]()
     async with Sender(site.url, "moves") as sender:
-        held = [c for c in site.broker.connections if any(
-            q.consumers and q.consumers[0][0].connection is c for q in [site.broker.queues["moves"]])]
+        held = [
+            c
+            for c in site.broker.connections
+            if any(q.consumers and q.consumers[0][0].connection is c for q in [site.broker.queues["moves"]])
+        ]
 
         left = 4  # so many times, not for so long: on a busy machine the connection never came up again for long enough
 
@@ -503,8 +535,12 @@
 
         site.broker.fault = fault
         ids = [await _sent(sender, f"m-{number}") for number in range(12)]
-        got = [answer["id"] for answer in await asyncio.gather(
-            *(sender.call({}, message_id=identity, timeout_s=60) for identity in ids))]
+        got = [
+            answer["id"]
+            for answer in await asyncio.gather(
+                *(sender.call({}, message_id=identity, timeout_s=60) for identity in ids)
+            )
+        ]
         assert left < 4
     assert sorted(got) == sorted(ids)
     core: Any = site.gateways[0][0].core
@@ -514,8 +550,11 @@
 
 def _from_gateway(site: Site, held: list[Any]) -> bool:
     """Only the gateway's connection breaks: the sender's is not what is looked at."""
-    connections = [c for c in site.broker.connections if c in held or any(
-        consumer[0].connection is c for consumer in site.broker.queues["moves"].consumers)]
+    connections = [
+        c
+        for c in site.broker.connections
+        if c in held or any(consumer[0].connection is c for consumer in site.broker.queues["moves"].consumers)
+    ]
     for connection in connections:
         connection.drop()
     return False
@@ -545,8 +584,10 @@
     async with Sender(site.url, "moves") as sender:
         assert sender._channel is not None
         import aio_pika
+
         await sender._channel.default_exchange.publish(
-            aio_pika.Message(b"\x00" * 100, message_id="p-1", headers={REASON: "came back"}), routing_key="moves")
+            aio_pika.Message(b"\x00" * 100, message_id="p-1", headers={REASON: "came back"}), routing_key="moves"
+        )
         await sender._channel.default_exchange.publish(aio_pika.Message(b"\x00" * 100), routing_key="moves")
         assert (await sender.call({}, timeout_s=5))["answer"] == "done"
     await until(lambda: len(site.broker.queues["bad-moves"].messages) == 1)
@@ -569,16 +610,26 @@
 
 
 def _frames() -> bytes:
-    return b"AMQP\x00\x00\x09\x01" + b"".join(frame.marshal(value, number) for value, number in (
-        (commands.Connection.StartOk({}, "PLAIN", "\x00guest\x00guest"), 0), (commands.Connection.TuneOk(0, 0, 0), 0),
-        (commands.Connection.Open(), 0), (commands.Channel.Open(), 1), (commands.Queue.Declare(queue="q"), 1),
-        (commands.Basic.Consume(queue="q"), 1), (commands.Basic.Publish(routing_key="q"), 1),
-        (commands.Basic.Ack(1), 1), (commands.Basic.Qos(prefetch_count=3), 1),
-    ))
-
-
-@given(st.lists(st.tuples(st.integers(0, len(_frames()) - 1), st.integers(0, 255)), min_size=1, max_size=12),
-       st.integers(0, 40))
+    return b"AMQP\x00\x00\x09\x01" + b"".join(
+        frame.marshal(value, number)
+        for value, number in (
+            (commands.Connection.StartOk({}, "PLAIN", "\x00guest\x00guest"), 0),
+            (commands.Connection.TuneOk(0, 0, 0), 0),
+            (commands.Connection.Open(), 0),
+            (commands.Channel.Open(), 1),
+            (commands.Queue.Declare(queue="q"), 1),
+            (commands.Basic.Consume(queue="q"), 1),
+            (commands.Basic.Publish(routing_key="q"), 1),
+            (commands.Basic.Ack(1), 1),
+            (commands.Basic.Qos(prefetch_count=3), 1),
+        )
+    )
+
+
+@given(
+    st.lists(st.tuples(st.integers(0, len(_frames()) - 1), st.integers(0, 255)), min_size=1, max_size=12),
+    st.integers(0, 40),
+)
 @settings(max_examples=60, derandomize=True, deadline=None)
 def test_mutated_frames_end_a_connection_and_nothing_else(changes: list[tuple[int, int]], cut: int) -> None:
     data = bytearray(_frames())
@@ -605,13 +656,25 @@
     asyncio.run(story())
 
 
-@given(st.binary(max_size=200), st.one_of(st.none(), st.text(max_size=50)), st.one_of(st.none(), st.floats(0, 5)),
-       st.sampled_from(["", "cancel", "other"]), st.one_of(st.none(), st.text(max_size=20)),
-       st.dictionaries(st.text(max_size=5), st.one_of(st.integers(), st.text(max_size=5), st.lists(st.integers())),
-                       max_size=3))
+@given(
+    st.binary(max_size=200),
+    st.one_of(st.none(), st.text(max_size=50)),
+    st.one_of(st.none(), st.floats(0, 5)),
+    st.sampled_from(["", "cancel", "other"]),
+    st.one_of(st.none(), st.text(max_size=20)),
+    st.dictionaries(
+        st.text(max_size=5), st.one_of(st.integers(), st.text(max_size=5), st.lists(st.integers())), max_size=3
+    ),
+)
 @settings(max_examples=150, derandomize=True, deadline=None)
-def test_any_message_gets_a_verdict(body: bytes, identity: str | None, expires: float | None, kind: str,
-                                    correlation: str | None, headers: dict[str, Any]) -> None:
+def test_any_message_gets_a_verdict(
+    body: bytes,
+    identity: str | None,
+    expires: float | None,
+    kind: str,
+    correlation: str | None,
+    headers: dict[str, Any],
+) -> None:
     async def story() -> None:
         desk = Desk()
         message = Message(body, identity, headers, "replies", correlation, kind, expires)
@@ -640,14 +703,23 @@
 """
 
 
-@pytest.mark.parametrize(("old", "new", "why"), [
-    ("name = g\n", "", "name"), ("state = h:1", "state = h", "state"), ("nodes = h:2", "nodes =", "nodes"),
-    ("[broker]", "[broker]\nport = 0", "port"), ("[broker]", "[broker]\nhots = x", "did you mean host"),
-    ("[broker]\n", "", r"\[broker\]"), ("job.team = crew", "job.crew = x", "no such field"),
-    ("job.team = crew\n", "", "team: must be given"), ("[queue moves]", "[queue ]", "names no queue"),
-    ("[queue moves]", "[queue moves]\nprefetch = 0", "prefetch"), ("[queue moves]", "[strange]", "no such section"),
-    ("[broker]", "[broker]\npassword_file = /no/such", "password_file"),
-])
+@pytest.mark.parametrize(
+    ("old", "new", "why"),
+    [
+        ("name = g\n", "", "name"),
+        ("state = h:1", "state = h", "state"),
+        ("nodes = h:2", "nodes =", "nodes"),
+        ("[broker]", "[broker]\nport = 0", "port"),
+        ("[broker]", "[broker]\nhots = x", "did you mean host"),
+        ("[broker]\n", "", r"\[broker\]"),
+        ("job.team = crew", "job.crew = x", "no such field"),
+        ("job.team = crew\n", "", "team: must be given"),
+        ("[queue moves]", "[queue ]", "names no queue"),
+        ("[queue moves]", "[queue moves]\nprefetch = 0", "prefetch"),
+        ("[queue moves]", "[strange]", "no such section"),
+        ("[broker]", "[broker]\npassword_file = /no/such", "password_file"),
+    ],
+)
 def test_bad_gateway_settings_name_the_field(
     old: str, new: str, why: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
@@ -679,6 +751,7 @@
 
 def test_the_audit_sees_what_is_wrong() -> None:
     from collections import Counter
+
     senders = Senders(1)
     senders.sent = {"a": ("moves", 0.0), "b": ("moves", 0.0), "c": ("replays", 0.0)}
     senders.confirmed = {"a", "b", "c"}
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -17,10 +17,15 @@
     world.settle()
     head, _, _ = world.state.items[live_key(ref)]
     assert len(world.live(ref)) == 2
-    world.state.commit({"if": [], "then": [
-        {"set": live_key(ref), "value": {k: head[k] for k in ("job", "at", "state")}},
-        {"set": f"{live_key(ref)}/0000", "value": {"t": head["t"]}},
-    ]})
+    world.state.commit(
+        {
+            "if": [],
+            "then": [
+                {"set": live_key(ref), "value": {k: head[k] for k in ("job", "at", "state")}},
+                {"set": f"{live_key(ref)}/0000", "value": {"t": head["t"]}},
+            ],
+        }
+    )
     world.take_over()
     world.cluster.jobs[ref].version = head["rev"]  # the head had the revision of jobs/REF then
     assert world.cluster.jobs[ref].on_machines == 2
--- a/tests/test_rush.py
+++ b/tests/test_rush.py
@@ -54,8 +54,9 @@
         if step == 12:
             name = sorted(world.workers)[rng.randrange(len(world.workers))]
             world.released(name)
-        now = {(worker.name, f"{task}/{attempt}") for worker in world.workers.values()
-               for task, attempt in worker.starts}
+        now = {
+            (worker.name, f"{task}/{attempt}") for worker in world.workers.values() for task, attempt in worker.starts
+        }
         started += sorted(now - seen)
         seen |= now
     return started
@@ -73,8 +74,10 @@
 def test_the_agenda_walks_in_order_while_jobs_come_and_go() -> None:
     rng = random.Random(7)
     found = Agenda()
-    jobs = [waiting(n, tideS=float(rng.randrange(60, 600)), urgency=rng.choice(["normal", "high", "idle"]))
-            for n in range(1, 200)]
+    jobs = [
+        waiting(n, tideS=float(rng.randrange(60, 600)), urgency=rng.choice(["normal", "high", "idle"]))
+        for n in range(1, 200)
+    ]
     for one in jobs[:150]:
         found.add(one)
     assert [one for _, one in found.walk()] == sorted(jobs[:150], key=order_key)
@@ -285,7 +288,8 @@
     world, machine, _ = calm_world(cores=4.0)
     other = world.submit(legs=1, cores=1.0, berthKinds=["g16"], sizeGb=0.0)
     world.workers[machine.name].commands(
-        wire.commands_body(world.cluster.token, machine.session, [wire.start(f"{other}/0", 7)]))
+        wire.commands_body(world.cluster.token, machine.session, [wire.start(f"{other}/0", 7)])
+    )
     report = wire.report(world.workers[machine.name].report())
     world.cluster.on_report(report, world.now, world.now)
     assert (f"{other}/0", 7) in machine.strays
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -160,8 +160,17 @@
     node = Node(node_settings(), Tuning())
     node.state = FakeStateClient(state)  # type: ignore[assignment]
     node._leader = "n1"
-    report = {"berth": "vm-1", "address": "h:1", "berthKind": "m8", "harbor": "a", "driftwood": False, "watch": 1,
-              "logline": 1, "helm": 0, "legs": []}
+    report = {
+        "berth": "vm-1",
+        "address": "h:1",
+        "berthKind": "m8",
+        "harbor": "a",
+        "driftwood": False,
+        "watch": 1,
+        "logline": 1,
+        "helm": 0,
+        "legs": [],
+    }
     answer = await handle_report(node, "POST", Body(report))  # type: ignore[arg-type]
     assert (answer.status, answer.value) == (421, {"harbormaster": "n1"})
     for bad in ({}, [], {**report, "legs": [{"leg": 3}]}, {**report, "watch": "x"}):
@@ -260,6 +269,7 @@
     await lead._know_types(types_recorded(rows))
     load(lead.cluster, rows, steady(), time_of_day())
     assert "vm-000001" in lead.cluster.machines
+
     # What the cloud does not tell any more stays recorded.
     async def cloud_tells() -> dict[str, wire.MachineType]:
         return {"new": replace(TYPES["m8"], name="new")}
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -53,8 +53,18 @@
     answer = await node._handle(*poll)  # type: ignore[arg-type]
     assert (answer.status, answer.headers["Connection"], len(asked)) == (503, "close", 2)
     assert (await node._handle("GET", wire.READY, Body(None))).status == 200  # type: ignore[arg-type]
-    report = {"berth": "vm-000001", "address": "h:1", "berthKind": "m8", "harbor": "a", "driftwood": False, "watch": 1,
-              "logline": 1, "helm": 0, "recallS": None, "legs": []}
+    report = {
+        "berth": "vm-000001",
+        "address": "h:1",
+        "berthKind": "m8",
+        "harbor": "a",
+        "driftwood": False,
+        "watch": 1,
+        "logline": 1,
+        "helm": 0,
+        "recallS": None,
+        "legs": [],
+    }
     assert (await node._handle("POST", wire.REPORT, Body(report))).status == 421  # type: ignore[arg-type]
 
 
--- a/tests/test_still.py
+++ b/tests/test_still.py
@@ -226,9 +226,14 @@
 
 async def test_the_lead_is_left_to_a_node_after_which_workers_try_another_zone() -> None:
     """A zone with two of three nodes was cut off, its leader with it: workers outside waited for both in turn."""
+
     def node(name: str, **zones: str) -> Node:
-        settings = replace(node_settings(), node_name=name, zone=zones[name],
-                           peers=[Peer(n, "h:1", zone) for n, zone in zones.items() if n != name])
+        settings = replace(
+            node_settings(),
+            node_name=name,
+            zone=zones[name],
+            peers=[Peer(n, "h:1", zone) for n, zone in zones.items() if n != name],
+        )
         found = Node(settings, Tuning())
         found.peers = {peer.node_name: FakePeer(None) for peer in settings.peers}  # type: ignore[misc]
         found._peer_served = dict.fromkeys(found.peers, (True, 0))
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -43,8 +43,20 @@
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_an_old_leader_starts_no_job_that_waits(seed: int) -> None:
     """Users reach the one new node alone, old ones lead: what waits is safe before anything is switched on."""
-    plan = Plan((Fault("node_crash", 8.0, 4.0, node="n1"), Fault("cancel_needed", 25.0, count=3),
-                 Fault("node_crash", 40.0, 2.0)), 70.0, 3, 20, 10.0, 12.0, 12.0, old_nodes=True)
+    plan = Plan(
+        (
+            Fault("node_crash", 8.0, 4.0, node="n1"),
+            Fault("cancel_needed", 25.0, count=3),
+            Fault("node_crash", 40.0, 2.0),
+        ),
+        70.0,
+        3,
+        20,
+        10.0,
+        12.0,
+        12.0,
+        old_nodes=True,
+    )
     world = World(plan, seed)
     world.new, world.users_at = {"n1"}, {"n1"}
     led: set[str] = set()
--- a/tests/test_users.py
+++ b/tests/test_users.py
@@ -77,7 +77,9 @@
     users, client, desk = node(state)
     client.faults = ["refuse"] * 4
     for answer in (
-        await users.submit(job()), await users.show("j-000001"), await users.cancel("j-000001"),
+        await users.submit(job()),
+        await users.show("j-000001"),
+        await users.cancel("j-000001"),
         await users.submit(job(crew="nobody")),  # not even 422: it might be a known job
     ):
         assert answer.status == 503
@@ -158,11 +160,27 @@
     assert (await users.show("j-000404")).status == 404
 
 
-@pytest.mark.parametrize("change", [
-    {"legs": 0}, {"legs": 100_001}, {"legs": 1.5}, {"ref": "x-1"}, {"ref": "j-"}, {"ref": "j-1/2"},
-    {"cores": float("nan")}, {"cores": -1.0}, {"cores": "4"}, {"rig": "other"}, {"urgency": None},
-    {"spread": 1}, {"voyageS": float("inf")}, {"hull": ""}, {"berthKinds": "m8"}, {"cores": None},
-])
+@pytest.mark.parametrize(
+    "change",
+    [
+        {"legs": 0},
+        {"legs": 100_001},
+        {"legs": 1.5},
+        {"ref": "x-1"},
+        {"ref": "j-"},
+        {"ref": "j-1/2"},
+        {"cores": float("nan")},
+        {"cores": -1.0},
+        {"cores": "4"},
+        {"rig": "other"},
+        {"urgency": None},
+        {"spread": 1},
+        {"voyageS": float("inf")},
+        {"hull": ""},
+        {"berthKinds": "m8"},
+        {"cores": None},
+    ],
+)
 def test_malformed_submissions(change: dict[str, Any]) -> None:
     with pytest.raises(wire.BadMessage):
         wire.submission(body_of(**{"ref": "j-1", **change}))
@@ -183,8 +201,12 @@
 async def test_what_can_never_run(state: KeyStore) -> None:
     users, _, _ = node(state)
     for change in (
-        {"crew": "nobody"}, {"cores": 99.0}, {"berthKinds": ["none"]}, {"harbor": "mars"},
-        {"rig": "gang", "legs": 9}, {"rig": "standing", "legs": 9},
+        {"crew": "nobody"},
+        {"cores": 99.0},
+        {"berthKinds": ["none"]},
+        {"harbor": "mars"},
+        {"rig": "gang", "legs": 9},
+        {"rig": "standing", "legs": 9},
     ):
         assert (await users.submit(job(**change))).status == 422
     assert (await users.submit(job(legs=9))).status == 201  # an array: one task at a time is enough
--- a/tests/test_whereabouts.py
+++ b/tests/test_whereabouts.py
@@ -227,8 +227,20 @@
     assert len(found) == ROWS_MOST and found[0] == ("j-000001", 2 * ROWS_MOST - 1, 1)
 
 
-@pytest.mark.parametrize("rows", [None, 5, [5], [["j-000001", 0]], [["j-000001", "0", 1]], [["j-000001", 0, 1.5]],
-                                  [[1, 0, 1]], [["j-000001", True, 1]], [["j-000001", 0, 1]] * 3000])
+@pytest.mark.parametrize(
+    "rows",
+    [
+        None,
+        5,
+        [5],
+        [["j-000001", 0]],
+        [["j-000001", "0", 1]],
+        [["j-000001", 0, 1.5]],
+        [[1, 0, 1]],
+        [["j-000001", True, 1]],
+        [["j-000001", 0, 1]] * 3000,
+    ],
+)
 def test_what_are_no_ends_proves_nothing(rows: Any) -> None:
     with pytest.raises((ValueError, TypeError)):
         parse(rows)
@@ -249,10 +261,16 @@
 
 async def test_a_takeover_asks_all_nodes_and_strange_or_missing_answers_are_none() -> None:
     node = Node(node_settings(), Tuning())
-    node.peers = {name: Peer(answer) for name, answer in {  # type: ignore[assignment, misc]
-        "old": NotUnderstood("status 400"), "strange": ["ended", [["x"]]], "other": ["seen", 1, True],
-        "short": ["ended"], "down": NotSent("refused"),
-    }.items()}
+    node.peers = {
+        name: Peer(answer)
+        for name, answer in {  # type: ignore[assignment, misc]
+            "old": NotUnderstood("status 400"),
+            "strange": ["ended", [["x"]]],
+            "other": ["seen", 1, True],
+            "short": ["ended"],
+            "down": NotSent("refused"),
+        }.items()
+    }
     assert await node.telling.ended_before(9) == ([], False)
     node.peers["n3"] = Peer(["ended", [["j-000001", 2, 1]]])  # type: ignore[assignment]
     assert await node.telling.ended_before(9) == ([("j-000001", 2, 1)], True)
@@ -332,8 +350,13 @@
 
 
 def _start_behind_its_back(world: World, worker: Worker, ref: str, index: int = 0, attempt: int = 9) -> None:
-    worker.commands({"helm": worker.token, "watch": worker.session, "orders": [
-        {"orderKind": "start", "leg": f"{ref}/{index}", "sailing": attempt}]})
+    worker.commands(
+        {
+            "helm": worker.token,
+            "watch": worker.session,
+            "orders": [{"orderKind": "start", "leg": f"{ref}/{index}", "sailing": attempt}],
+        }
+    )
     world.cluster.on_report(wire.report(worker.report()), world.now, world.now)
 
 
@@ -428,8 +451,9 @@
     worker = world.machine(1)
     world.settle(2)
     ref = world.submit(legs=1, cores=1.0, voyageS=500.0)
-    worker.commands({"helm": worker.token, "watch": 1, "orders": [
-        {"orderKind": "start", "leg": f"{ref}/0", "sailing": 9}]})
+    worker.commands(
+        {"helm": worker.token, "watch": 1, "orders": [{"orderKind": "start", "leg": f"{ref}/0", "sailing": 9}]}
+    )
     world.plan()
     world.commit()
     world.send()
@@ -452,14 +476,22 @@
     lead.cluster = lead.commits.cluster = world.cluster
     claimed, waiting = "j-000001", "j-000002"
     record = {"state": "queued", "at": 0, "job": job(waiting)}
-    version = state.commit({"if": [], "then": [
-        {"set": job_key(waiting), "value": record}, {"set": waits_key(waiting), "value": record},
-        {"set": job_key(claimed), "value": {"state": "queued"}}, {"set": live_key(claimed), "value": {}}]},
+    version = state.commit(
+        {
+            "if": [],
+            "then": [
+                {"set": job_key(waiting), "value": record},
+                {"set": waits_key(waiting), "value": record},
+                {"set": job_key(claimed), "value": {"state": "queued"}},
+                {"set": live_key(claimed), "value": {}},
+            ],
+        },
     )[1]["ledgerRev"]
     cancelled = {**record, "state": wire.CANCELLED}
     batch = Batch(
         conditions={job_key(waiting): version, job_key(claimed): version, live_key(claimed): version},
-        sets={job_key(waiting): cancelled, live_key(claimed): {"t": [[1, "vm-000001"]]}})
+        sets={job_key(waiting): cancelled, live_key(claimed): {"t": [[1, "vm-000001"]]}},
+    )
     client.faults = ["late"]
     state.commit({"if": [], "then": [{"set": job_key(waiting), "value": cancelled}]})  # by its user
     assert not await lead.commits._was_applied(batch)
--- a/tests/test_windows.py
+++ b/tests/test_windows.py
@@ -45,16 +45,19 @@
 # --- what a feed says -----------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize(("rows", "made_at", "why"), [
-    ([], 0, "no intervals"),
-    (hours(1.0) + hours(2.0), 0, "overlap"),
-    ([Interval(DAY, DAY, 1.0)], 0, "length"),
-    (hours(math.nan), 0, "not a usable number"),
-    (hours(math.inf), 0, "not a usable number"),
-    (hours(1.0, 1e9), 0, "not a usable number"),
-    (hours(1.0), DAY + HOUR, "in the future"),
-    (hours(*[1.0] * 3000), 0, "at most"),
-])
+@pytest.mark.parametrize(
+    ("rows", "made_at", "why"),
+    [
+        ([], 0, "no intervals"),
+        (hours(1.0) + hours(2.0), 0, "overlap"),
+        ([Interval(DAY, DAY, 1.0)], 0, "length"),
+        (hours(math.nan), 0, "not a usable number"),
+        (hours(math.inf), 0, "not a usable number"),
+        (hours(1.0, 1e9), 0, "not a usable number"),
+        (hours(1.0), DAY + HOUR, "in the future"),
+        (hours(*[1.0] * 3000), 0, "at most"),
+    ],
+)
 def test_a_series_that_cannot_be_used_changes_nothing(rows: list[Interval], made_at: int, why: str) -> None:
     known = book(5.0, 6.0)
     with pytest.raises(BadSeries, match=why):
@@ -83,9 +86,12 @@
 
 def test_a_stale_series_loses_weight_until_it_counts_for_nothing() -> None:
     known = book(*[10.0, 30.0] * 12)
-    spread = [max(unit) - min(unit) for unit in (
-        known.slots((DAY + age * HOUR) // HOUR, 4, HOUR, DAY + age * HOUR, 1.0, 0.0) for age in (0, 4, 6, 9)
-    )]
+    spread = [
+        max(unit) - min(unit)
+        for unit in (
+            known.slots((DAY + age * HOUR) // HOUR, 4, HOUR, DAY + age * HOUR, 1.0, 0.0) for age in (0, 4, 6, 9)
+        )
+    ]
     assert spread[0] > spread[1] > spread[2] > 0 == spread[3]
 
 
@@ -104,15 +110,25 @@
 
 def wire_body(value: Any) -> bytes:
     import json
+
     return json.dumps(value).encode()
 
 
-@pytest.mark.parametrize("body", [
-    b"", b"{}", b"[1]", b"\xff", wire_body({"v": 2, "zone": "z", "at": 1, "intervals": []}),
-    wire_body({"v": 1, "zone": "other", "at": 1, "intervals": []}), b"[" * 100_000,
-    wire_body({"v": 1, "zone": "z", "at": 1, "intervals": [{"start": 0, "len": -1, "price": 1}]}),
-    b'{"v": 1, "zone": "z", "at": NaN, "intervals": []}', b" " * 300_000,
-])
+@pytest.mark.parametrize(
+    "body",
+    [
+        b"",
+        b"{}",
+        b"[1]",
+        b"\xff",
+        wire_body({"v": 2, "zone": "z", "at": 1, "intervals": []}),
+        wire_body({"v": 1, "zone": "other", "at": 1, "intervals": []}),
+        b"[" * 100_000,
+        wire_body({"v": 1, "zone": "z", "at": 1, "intervals": [{"start": 0, "len": -1, "price": 1}]}),
+        b'{"v": 1, "zone": "z", "at": NaN, "intervals": []}',
+        b" " * 300_000,
+    ],
+)
 def test_bodies_that_are_no_series(body: bytes) -> None:
     with pytest.raises(BadSeries):
         decode(body, "application/json", "z")
@@ -161,7 +177,11 @@
             worker.answered_at, worker.lease_us = DAY, 24 * HOUR  # steps are longer than a real lease
         self.world.settle(2)
         self.settings = WindowSettings(
-            on=True, capacity_cpus=capacity, reserve_s=60.0, step_s=300.0, horizon_s=86400.0,
+            on=True,
+            capacity_cpus=capacity,
+            reserve_s=60.0,
+            step_s=300.0,
+            horizon_s=86400.0,
             classes=(("train", Deferral(**deferral)),),
         )
         self.book = book(*prices)
@@ -370,11 +390,13 @@
 def _spec() -> Any:
     from oatport import wire
     from tests.world import job
+
     return wire.submission(job())
 
 
 def _with_deadline(job: Job) -> Any:
     import msgspec
+
     return msgspec.structs.replace(job.spec, deadline_s=4 * 3600.0)
 
 
@@ -412,18 +434,21 @@
 # --- settings, command line, experiment -----------------------------------------------------------
 
 
-@pytest.mark.parametrize(("text", "why"), [
-    ("[windows]\non = yes", "capacity_cpus"),
-    ("[windows]\non = maybe", "yes or no"),
-    ("[windows]\nfeed = ftp://x\nzone = z", "http address"),
-    ("[windows]\nfeed = http://x/", "zone"),
-    ("[windows]\nstep_s = nan", "step_s"),
-    ("[windows]\nsteps_s = 3", "did you mean step_s"),
-    ("[windows]\nfresh_s = 5\ndead_s = 4", "dead_s"),
-    ("[windows class ]\nprice = 1", "names no class"),
-    ("[windows priority urgent]\nprice = 1", "no such priority"),
-    ("[windows class x]\nprice = -1", "price"),
-])
+@pytest.mark.parametrize(
+    ("text", "why"),
+    [
+        ("[windows]\non = yes", "capacity_cpus"),
+        ("[windows]\non = maybe", "yes or no"),
+        ("[windows]\nfeed = ftp://x\nzone = z", "http address"),
+        ("[windows]\nfeed = http://x/", "zone"),
+        ("[windows]\nstep_s = nan", "step_s"),
+        ("[windows]\nsteps_s = 3", "did you mean step_s"),
+        ("[windows]\nfresh_s = 5\ndead_s = 4", "dead_s"),
+        ("[windows class ]\nprice = 1", "names no class"),
+        ("[windows priority urgent]\nprice = 1", "no such priority"),
+        ("[windows class x]\nprice = -1", "price"),
+    ],
+)
 def test_bad_settings_name_the_field(text: str, why: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     path = tmp_path / "own.ini"
     path.write_text(text)
@@ -450,8 +475,9 @@
     assert result["cost"]["bound"] <= result["cost"]["windows"] + 1e-6
     assert result["cost"]["windows"] <= result["cost"]["immediate"]
     again = run(2, 60, fault)
-    assert {k: v for k, v in result.items() if not k.startswith("plan_ms")} \
-        == {k: v for k, v in again.items() if not k.startswith("plan_ms")}
+    assert {k: v for k, v in result.items() if not k.startswith("plan_ms")} == {
+        k: v for k, v in again.items() if not k.startswith("plan_ms")
+    }
 
 
 def test_the_experiments_page_and_its_one_line_errors(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -187,8 +187,22 @@
         self.now = 0
         body = job(rig="gang", legs=2, cores=2.0, voyageS=20.0, sizeGb=2.0, **changes)
         gangs = Gangs(30 * SECOND, 4 * SECOND)
-        self.workers = [Worker(lambda: self.now, f"vm-{n}", f"h{n}", "m8", "a", False, 8.0, lambda ref: body,
-                               12 * SECOND, TYPES["m8"], gangs) for n in (1, 2)]
+        self.workers = [
+            Worker(
+                lambda: self.now,
+                f"vm-{n}",
+                f"h{n}",
+                "m8",
+                "a",
+                False,
+                8.0,
+                lambda ref: body,
+                12 * SECOND,
+                TYPES["m8"],
+                gangs,
+            )
+            for n in (1, 2)
+        ]
         self.tasks = [f"{body['ref']}/{n}" for n in (0, 1)]
 
     def order(self, number: int, kind: str, **more: Any) -> None:
@@ -333,18 +347,21 @@
 # --- plans ----------------------------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize(("table", "said"), [
-    ({"faults": [{"kind": "nodes_cut", "at_s": 1}]}, "faults[0].kind: must be one of"),
-    ({"faults": [{"kind": "node_cut"}]}, "faults[0]: needs a kind and at_s"),
-    ({"faults": [{"kind": "node_cut", "at_s": float("nan")}]}, "faults[0].at_s: must be a number"),
-    ({"faults": [{"kind": "zone_cut", "at_s": 1, "node": "n0"}]}, "faults[0].node: no field of zone_cut"),
-    ({"faults": [{"kind": "node_cut", "at_s": 1, "way": "up"}]}, "faults[0].way: must be one of both, to, from"),
-    ({"faults": [{"kind": "node_crash", "at_s": 1, "for_s": 0.01}]}, "faults[0].for_s: must be a number from 0.05"),
-    ({"faults": [{"kind": "node_crash", "at_s": 1}]}, "faults[0].for_s: must be a number from 0.05"),
-    ({"nodes": 8}, "nodes: must be a number from 1 to 7"),
-    ({"machnies": 8}, "machnies: no such field"),
-    ({"faults": 3}, "faults: must be a list"),
-])
+@pytest.mark.parametrize(
+    ("table", "said"),
+    [
+        ({"faults": [{"kind": "nodes_cut", "at_s": 1}]}, "faults[0].kind: must be one of"),
+        ({"faults": [{"kind": "node_cut"}]}, "faults[0]: needs a kind and at_s"),
+        ({"faults": [{"kind": "node_cut", "at_s": float("nan")}]}, "faults[0].at_s: must be a number"),
+        ({"faults": [{"kind": "zone_cut", "at_s": 1, "node": "n0"}]}, "faults[0].node: no field of zone_cut"),
+        ({"faults": [{"kind": "node_cut", "at_s": 1, "way": "up"}]}, "faults[0].way: must be one of both, to, from"),
+        ({"faults": [{"kind": "node_crash", "at_s": 1, "for_s": 0.01}]}, "faults[0].for_s: must be a number from 0.05"),
+        ({"faults": [{"kind": "node_crash", "at_s": 1}]}, "faults[0].for_s: must be a number from 0.05"),
+        ({"nodes": 8}, "nodes: must be a number from 1 to 7"),
+        ({"machnies": 8}, "machnies: no such field"),
+        ({"faults": 3}, "faults: must be a list"),
+    ],
+)
 def test_a_bad_plan_gets_one_line_that_names_the_field(table: dict[str, Any], said: str) -> None:
     with pytest.raises(BadPlan) as found:
         parse(table)
@@ -399,16 +416,24 @@
 
 def test_a_failing_run_tells_its_seed_the_least_plan_and_the_last_messages() -> None:
     """Starts go out before they are recorded, the leader ends, and a zone that could tell what runs is not heard."""
+
     def lost(at: float) -> tuple[Fault, ...]:
-        return (Fault("rush", at - 1, 2.2, name="guest", amount=40.0),
-                Fault("node_cut", at, 1.2, what="state", mode="lost", way="to"), Fault("node_crash", at + 0.8, 0.1),
-                Fault("links_cut", at + 0.8, 4.0, source="zone:a", target="node"))
+        return (
+            Fault("rush", at - 1, 2.2, name="guest", amount=40.0),
+            Fault("node_cut", at, 1.2, what="state", mode="lost", way="to"),
+            Fault("node_crash", at + 0.8, 0.1),
+            Fault("links_cut", at + 0.8, 4.0, source="zone:a", target="node"),
+        )
 
     plan = Plan((Fault("cloud_down", 33.0, 0.5), *lost(10), *lost(26)), 34.0, 3, 20, 10.0)
     unwritten = Asked(plan=plan, guard="write-ahead")
     # Broken before the cloud is down, which has nothing to do with it then.
-    failed = next(result for seed in range(24) if (result := play(unwritten, seed)).violations
-                  and float(result.violations[0].split(" at ")[1].split(" ")[0]) < 33.0)
+    failed = next(
+        result
+        for seed in range(24)
+        if (result := play(unwritten, seed)).violations
+        and float(result.violations[0].split(" at ")[1].split(" ")[0]) < 33.0
+    )
     told = account(unwritten, failed)
     assert f"seed {failed.seed} fails:" in told
     assert "/commands" in told
--- a/tests/world.py
+++ b/tests/world.py
@@ -48,12 +48,32 @@
 )
 from oatport.times import SECOND
 
-TYPES = wire.catalog({"berthKinds": [
-    {"label": "m8", "cores": 8.0, "accelerators": 0.0, "memoryGb": 32.0, "price": 1.0, "marketPrice": 0.4,
-     "startupS": 30, "harbors": ["a", "b"]},
-    {"label": "g16", "cores": 16.0, "accelerators": 4.0, "memoryGb": 64.0, "price": 8.0, "marketPrice": 3.0,
-     "startupS": 30, "harbors": ["a", "b"]},
-]})
+TYPES = wire.catalog(
+    {
+        "berthKinds": [
+            {
+                "label": "m8",
+                "cores": 8.0,
+                "accelerators": 0.0,
+                "memoryGb": 32.0,
+                "price": 1.0,
+                "marketPrice": 0.4,
+                "startupS": 30,
+                "harbors": ["a", "b"],
+            },
+            {
+                "label": "g16",
+                "cores": 16.0,
+                "accelerators": 4.0,
+                "memoryGb": 64.0,
+                "price": 8.0,
+                "marketPrice": 3.0,
+                "startupS": 30,
+                "harbors": ["a", "b"],
+            },
+        ]
+    }
+)
 
 
 def cluster_settings(teams: list[Team] | None = None) -> ClusterSettings:
@@ -61,25 +81,47 @@
         workers=Workers(report_s=1.0, lease_s=10.0, gang_wait_s=40.0, gang_peer_s=4.0, cancel_s=35.0),
         state=StateLimits(rps=100.0, write_rps=50.0, value_kb=8.0, txn_ops=12),
         cloud=CloudLimits(rps=5.0, list_lag_s=3.0),
-        size=3, zones=["a", "b"],
+        size=3,
+        zones=["a", "b"],
         teams=teams or [Team("crew", cpus=8.0, cpus_max=32.0), Team("other", cpus=8.0, cpus_max=64.0)],
     )
 
 
 def node_settings() -> Settings:
     return Settings(
-        node_name="n0", bind="127.0.0.1:1", internal_addr="127.0.0.1:2",
-        services=Services(cloud="127.0.0.1:3", state="127.0.0.1:4"), cluster=cluster_settings(),
-        zone="a", peers=[Peer("n1", "127.0.0.1:5")],
+        node_name="n0",
+        bind="127.0.0.1:1",
+        internal_addr="127.0.0.1:2",
+        services=Services(cloud="127.0.0.1:3", state="127.0.0.1:4"),
+        cluster=cluster_settings(),
+        zone="a",
+        peers=[Peer("n1", "127.0.0.1:5")],
     )
 
 
 def job(ref: str = "j-000001", **changes: Any) -> dict[str, Any]:
     return {
-        "ref": ref, "cargo": "train", "crew": "crew", "rig": "array", "urgency": "normal", "legs": 2,
-        "cores": 4.0, "accelerators": 0.0, "memoryGb": 4.0, "hull": "img-1", "sizeGb": 1.0, "berthKinds": None,
-        "harbor": None, "samePlace": False, "spread": False, "driftwood": True, "voyageS": 30.0,
-        "mooringS": 0.0, "stowS": 0.0, "tideS": None, **changes,
+        "ref": ref,
+        "cargo": "train",
+        "crew": "crew",
+        "rig": "array",
+        "urgency": "normal",
+        "legs": 2,
+        "cores": 4.0,
+        "accelerators": 0.0,
+        "memoryGb": 4.0,
+        "hull": "img-1",
+        "sizeGb": 1.0,
+        "berthKinds": None,
+        "harbor": None,
+        "samePlace": False,
+        "spread": False,
+        "driftwood": True,
+        "voyageS": 30.0,
+        "mooringS": 0.0,
+        "stowS": 0.0,
+        "tideS": None,
+        **changes,
     }
 
 
@@ -205,11 +247,15 @@
         body = job(**{"ref": free, **changes})
         spec = wire.submission(body)
         record = job_record(spec, self.now, wire.QUEUED)
-        status, value = self.state.commit({
-            "if": [{"path": job_key(spec.ref), "entryRev": 0}],
-            "then": [{"set": job_key(spec.ref), "value": record},
-                     {"set": (waits_key if spec.needs else live_key)(spec.ref), "value": record}],
-        })
+        status, value = self.state.commit(
+            {
+                "if": [{"path": job_key(spec.ref), "entryRev": 0}],
+                "then": [
+                    {"set": job_key(spec.ref), "value": record},
+                    {"set": (waits_key if spec.needs else live_key)(spec.ref), "value": record},
+                ],
+            }
+        )
         assert status == 200
         self.jobs[spec.ref] = msgspec.to_builtins(spec)
         if spec.needs:
@@ -220,19 +266,22 @@
 
     def cancel(self, ref: str, *, tell: bool = True) -> None:
         record, version, _ = self.state.items[job_key(ref)]
-        status, value = self.state.commit({
-            "if": [{"path": job_key(ref), "entryRev": version}],
-            "then": [{"set": job_key(ref), "value": {**record, "state": wire.CANCELLED}},
-                     {"set": cancel_key(ref), "value": {}}],
-        })
+        status, value = self.state.commit(
+            {
+                "if": [{"path": job_key(ref), "entryRev": version}],
+                "then": [
+                    {"set": job_key(ref), "value": {**record, "state": wire.CANCELLED}},
+                    {"set": cancel_key(ref), "value": {}},
+                ],
+            }
+        )
         assert status == 200
         if tell:
             self.cluster.cancel_job(ref, value["ledgerRev"])
 
     def machine(self, number: int, zone: str = "a", *, spot: bool = False, kind: str = "m8") -> Worker:
         name = f"vm-{number:06d}"
-        worker = Worker(lambda: self.now, name, f"10.0.0.{number}:1", kind, zone, spot, TYPES[kind].cpus,
-                            self.jobs.get)
+        worker = Worker(lambda: self.now, name, f"10.0.0.{number}:1", kind, zone, spot, TYPES[kind].cpus, self.jobs.get)
         self.workers[name] = worker
         return worker
 
@@ -319,8 +368,12 @@
         return value["ledgerRev"], value["news"]
 
     async def commit(
-        self, conditions: dict[str, int], sets: dict[str, Any], drops: list[str] | None = None,
-        lease: int | None = None, timeout_us: int = 0,
+        self,
+        conditions: dict[str, int],
+        sets: dict[str, Any],
+        drops: list[str] | None = None,
+        lease: int | None = None,
+        timeout_us: int = 0,
     ) -> Applied | Conflict:
         body = {
             "if": [{"path": k, "entryRev": v} for k, v in conditions.items()],
