--- a/oatport/api/slots.py
+++ b/oatport/api/concurrency_limit.py
@@ -11,11 +11,11 @@
 WITHIN = 150 * MS
 
 
-class Busy(Exception):
+class OverloadedError(Exception):
     """Too many calls are under way: the caller is told to come back."""
 
 
-class Slots:
+class ConcurrencyLimit:
     def __init__(self, most: int) -> None:
         self._free = asyncio.Semaphore(most)
 
@@ -26,7 +26,7 @@
             async with asyncio.timeout(seconds(WITHIN)):
                 await self._free.acquire()
         except TimeoutError:
-            raise Busy from None
+            raise OverloadedError from None
         try:
             yield
         finally:
--- a/oatport/api/workers.py
+++ b/oatport/api/heartbeat_api.py
@@ -8,7 +8,7 @@
 from oatport.api.server import Answer, BodyReader
 
 
-class Desk(Protocol):
+class HeartbeatReceiver(Protocol):
     """What takes reports in."""
 
     node_name: str
@@ -19,7 +19,7 @@
     def leader_name(self) -> str | None: ...
 
 
-async def handle_report(desk: Desk, method: str, body: BodyReader) -> Answer:
+async def handle_report(desk: HeartbeatReceiver, method: str, body: BodyReader) -> Answer:
     if method != "POST":
         return Answer(405, {"error": "wrong method"}, {"Allow": "POST"})
     report = wire.report(await body.read())
--- a/oatport/api/users.py
+++ b/oatport/api/job_api.py
@@ -6,17 +6,17 @@
 from typing import Any, Protocol
 
 from oatport import wire
-from oatport.api.intake import CREATED, TRIES, UNSURE, Intake, Share
-from oatport.api.jobview import WITHIN, JobView, Known
+from oatport.api.concurrency_limit import ConcurrencyLimit, OverloadedError
+from oatport.api.job_status_cache import WITHIN, JobStatusCache, Known
 from oatport.api.server import Answer, BodyReader, later
-from oatport.api.slots import Busy, Slots
-from oatport.clients.http import NoAnswer, Refused
+from oatport.api.submission_batcher import CREATED, TRIES, UNSURE, Share, SubmissionBatcher
+from oatport.clients.http import NoResponseError, RequestRefusedError
 from oatport.clients.state import Applied, StateClient
-from oatport.control.chains import named
-from oatport.control.lists import slimmed
-from oatport.control.model import Kind, allowed_types, job_record
-from oatport.control.pace import Pace
-from oatport.control.records import cancel_key, job_key
+from oatport.control.limits.rate_limiter import AdaptiveRateLimiter
+from oatport.control.queueing.dependency_tracker import named
+from oatport.control.state.model import Kind, allowed_types, job_record
+from oatport.control.storage.overflow_records import slimmed
+from oatport.control.storage.write_buffer import cancel_key, job_key
 from oatport.settings import Settings
 from oatport.times import time_of_day
 
@@ -28,7 +28,7 @@
 SLOTS = 24  # calls of users' requests on the state service at a time
 
 
-class Backstage(Protocol):
+class ControllerNode(Protocol):
     """What the users' interface needs of its node."""
 
     types: dict[str, wire.MachineType]
@@ -39,17 +39,17 @@
     def tell_cancelled(self, ref: str, revision: int = 0) -> None: ...
 
 
-class Users:
-    def __init__(self, settings: Settings, state: StateClient, backstage: Backstage) -> None:
+class JobApi:
+    def __init__(self, settings: Settings, state: StateClient, backstage: ControllerNode) -> None:
         self._state = state
         self._backstage = backstage
         self._teams = {team.name: team for team in settings.cluster.teams}
         self._zones = set(settings.cluster.zones)
         limits = settings.cluster.state
-        self._slots = Slots(SLOTS)
-        self._view = JobView(state, self._slots, limits.least_rps)
-        pace = Pace(limits.write_rps, settings.cluster.size, limits.least_write_rps)
-        self._intake = Intake(state, limits.least_txn_ops, pace)
+        self._slots = ConcurrencyLimit(SLOTS)
+        self._view = JobStatusCache(state, self._slots, limits.least_rps)
+        pace = AdaptiveRateLimiter(limits.write_rps, settings.cluster.size, limits.least_write_rps)
+        self._intake = SubmissionBatcher(state, limits.least_txn_ops, pace)
         self._value_bytes = limits.least_value_bytes
         self._idle_share = Share(limits.write_rps)
         self._busy = 0
@@ -115,7 +115,7 @@
         assert job.needs is not None
         try:
             never, service = await self._view.named(job.needs)
-        except (NoAnswer, Refused, Busy):
+        except (NoResponseError, RequestRefusedError, OverloadedError):
             return later()
         if never is None and service is None:
             return None
@@ -177,7 +177,7 @@
         """The answer for a job as its record has it; {} if there is none, None if that can't be told."""
         try:
             found = await self._view.find(ref)
-        except (NoAnswer, Refused, Busy):
+        except (NoResponseError, RequestRefusedError, OverloadedError):
             return None
         return self._shape(ref, found) if found else {}
 
@@ -226,9 +226,9 @@
                         {job_key(ref): cancelled, cancel_key(ref): {"at": time_of_day()}},
                         timeout_us=timeout_us,
                     )
-            except NoAnswer:
+            except NoResponseError:
                 continue
-            except (Refused, Busy):
+            except (RequestRefusedError, OverloadedError):
                 return later()
             if isinstance(result, Applied):
                 self._view.learn(ref, cancelled, result.revision, mark)
--- a/oatport/api/jobview.py
+++ b/oatport/api/job_status_cache.py
@@ -13,11 +13,11 @@
 from typing import Any, NamedTuple
 
 from oatport import wire
-from oatport.api.slots import Busy, Slots
-from oatport.clients.http import NoAnswer, Refused
+from oatport.api.concurrency_limit import ConcurrencyLimit, OverloadedError
+from oatport.clients.http import NoResponseError, RequestRefusedError
 from oatport.clients.state import StateClient
-from oatport.control.lists import more_key, whole_lists
-from oatport.control.records import JOBS
+from oatport.control.storage.overflow_records import more_key, whole_lists
+from oatport.control.storage.write_buffer import JOBS
 from oatport.times import MS, SECOND, seconds, steady
 
 KNOWN_MOST = 20_000
@@ -43,8 +43,8 @@
     service: bool = False
 
 
-class JobView:
-    def __init__(self, state: StateClient, slots: Slots, rps: float) -> None:
+class JobStatusCache:
+    def __init__(self, state: StateClient, slots: ConcurrencyLimit, rps: float) -> None:
         self._state = state
         self._slots = slots
         self._gap = max(GAP_LEAST, round(ROUNDS * SECOND / rps))
@@ -84,7 +84,7 @@
         """
         waiting = self._wanted.get(ref, [])
         if len(self._wanted) >= KNOWN_MOST or len(waiting) >= WAITING_MOST:
-            raise Busy
+            raise OverloadedError
         future: asyncio.Future[Known | None] = asyncio.get_running_loop().create_future()
         future.add_done_callback(lambda done: done.cancelled() or done.exception())  # seen, if nobody waits
         self._wanted.setdefault(ref, waiting).append(future)
@@ -96,7 +96,7 @@
             async with asyncio.timeout(seconds(WITHIN)):
                 return await asyncio.shield(future)
         except TimeoutError:
-            raise Busy from None
+            raise OverloadedError from None
 
     async def _read_wanted(self) -> None:
         while True:
@@ -116,7 +116,7 @@
                 for ref in names:
                     for future in self._waited(ref, came[ref]):
                         future.set_exception(error)
-                if isinstance(error, NoAnswer | Refused):
+                if isinstance(error, NoResponseError | RequestRefusedError):
                     return
                 raise
             finally:
@@ -182,7 +182,7 @@
             async with self._slots.one():
                 found = await self._state.get(more_key(ref, number), timeout_us=WITHIN)
             if found is None:
-                raise NoAnswer("a part of a list is missing")
+                raise NoResponseError("a part of a list is missing")
             parts.append(found[0])
         needs = whole_lists({"job": {}}, parts)["job"].get(wire.NEEDS, ())
         known = known._replace(needs=tuple(needs), more=0)
--- a/oatport/api/peers.py
+++ b/oatport/api/peer_api.py
@@ -12,7 +12,7 @@
 PeerHandler = Callable[[Message], Awaitable[Message]]
 
 
-class Peers:
+class PeerApi:
     """Dispatches on the tag. A message of a kind or form not known gets 400 and disturbs nothing."""
 
     def __init__(self) -> None:
@@ -28,11 +28,11 @@
             return Answer(405, {"error": "wrong method"}, {"Allow": "POST"})
         message = await body.read()
         if not isinstance(message, list) or not message or not isinstance(message[0], str):
-            raise wire.BadMessage("not a tagged tuple")
+            raise wire.InvalidMessageError("not a tagged tuple")
         handler = self._handlers.get(message[0])
         if handler is None:
-            raise wire.BadMessage(f"unknown tag {message[0][:40]!r}")
+            raise wire.InvalidMessageError(f"unknown tag {message[0][:40]!r}")
         try:
             return Answer(200, await handler(message))
         except (ValueError, TypeError, KeyError, IndexError) as error:
-            raise wire.BadMessage(f"{message[0][:40]}: {type(error).__name__} {error}") from None
+            raise wire.InvalidMessageError(f"{message[0][:40]}: {type(error).__name__} {error}") from None
--- a/oatport/api/server.py
+++ b/oatport/api/server.py
@@ -32,7 +32,7 @@
 Handler = Callable[[str, str, "BodyReader"], Awaitable[Answer]]
 
 
-class BodyTooLarge(Exception):
+class BodyTooLargeError(Exception):
     pass
 
 
@@ -47,13 +47,13 @@
         """The decoded body. Raises BodyTooLarge or wire.BadMessage."""
         length = self._request.content_length
         if length is not None and length > self._limit:
-            raise BodyTooLarge
+            raise BodyTooLargeError
         content = self._request.content
         if content.is_eof():
             # All of it came along with the head, as nearly always: no timer, no wait.
             body = content.read_nowait()
             if len(body) > self._limit:
-                raise BodyTooLarge
+                raise BodyTooLargeError
             return wire.loads(body)
         chunks: list[bytes] = []
         size = 0
@@ -61,7 +61,7 @@
             async for chunk in content.iter_any():
                 size += len(chunk)
                 if size > self._limit:
-                    raise BodyTooLarge
+                    raise BodyTooLargeError
                 chunks.append(chunk)
         return wire.loads(b"".join(chunks))
 
@@ -96,9 +96,9 @@
     async def _serve(self, request: web.BaseRequest) -> web.Response:
         try:
             answer = await self._handler(request.method, request.rel_url.raw_path, BodyReader(request, self._limit))
-        except BodyTooLarge:
+        except BodyTooLargeError:
             answer = Answer(413, {"error": "body too large"}, {"Connection": "close"})
-        except wire.BadMessage as error:
+        except wire.InvalidMessageError as error:
             log.info("%s %s: %s", request.method, request.path, error)
             answer = Answer(400, {"error": str(error)})
         except (TimeoutError, ConnectionError):
--- a/oatport/api/intake.py
+++ b/oatport/api/submission_batcher.py
@@ -6,11 +6,11 @@
 from typing import Any
 
 from oatport import wire
-from oatport.clients.http import Bucket, NoAnswer, Refused
+from oatport.clients.http import Bucket, NoResponseError, RequestRefusedError
 from oatport.clients.state import Applied, StateClient
-from oatport.control.lists import lies_apart, more_key
-from oatport.control.pace import Pace
-from oatport.control.records import ACCEPT_KEYS, job_key, live_key, waits_key
+from oatport.control.limits.rate_limiter import AdaptiveRateLimiter
+from oatport.control.storage.overflow_records import lies_apart, more_key
+from oatport.control.storage.write_buffer import ACCEPT_KEYS, job_key, live_key, waits_key
 from oatport.times import MS, seconds, steady
 
 TRIES = (700 * MS, 400 * MS)  # the state service mostly takes 10 ms, at times a few hundred
@@ -21,12 +21,14 @@
 BYTES_MOST = 24 * 1024  # of records in one transaction: well below its limit
 
 CREATED, KNOWN, UNSURE = "created", "known", "unsure"
-Outcome = tuple[str, int]  # what became of it, and the revision it was created with
-Entry = tuple[dict[str, Any], asyncio.Future[Outcome], asyncio.Future[None], bool]  # record, outcome, sent, goes last
+AcceptOutcome = tuple[str, int]  # what became of it, and the revision it was created with
+Entry = tuple[
+    dict[str, Any], asyncio.Future[AcceptOutcome], asyncio.Future[None], bool
+]  # record, outcome, sent, goes last
 
 
-class Intake:
-    def __init__(self, state: StateClient, txn_ops: int, pace: Pace) -> None:
+class SubmissionBatcher:
+    def __init__(self, state: StateClient, txn_ops: int, pace: AdaptiveRateLimiter) -> None:
         self._state = state
         self._most = max(1, txn_ops // ACCEPT_KEYS)
         self._pace = pace
@@ -61,13 +63,13 @@
             self._pace.asked(steady(), 1)
             try:
                 result = await self._state.commit({job_key(ref): 0}, {more_key(ref, number): part})
-            except (NoAnswer, Refused):
+            except (NoResponseError, RequestRefusedError):
                 return False
             if not isinstance(result, Applied):
                 return True  # it is known: that will be told
         return True
 
-    async def add(self, ref: str, record: dict[str, Any], last: bool = False) -> Outcome:
+    async def add(self, ref: str, record: dict[str, Any], last: bool = False) -> AcceptOutcome:
         """Commit a job if it isn't known. KNOWN: there is a record. UNSURE: its user must come back."""
         entry = self._waiting.get(ref)
         if entry is None:
@@ -116,9 +118,9 @@
             for ref, (_, future, *_) in batch.items():
                 future.set_result(outcomes.get(ref, (UNSURE, 0)))
 
-    async def _commit(self, records: dict[str, dict[str, Any]]) -> dict[str, Outcome]:
+    async def _commit(self, records: dict[str, dict[str, Any]]) -> dict[str, AcceptOutcome]:
         """Only an unsure commit is tried again: the conflict that follows a lost answer tells that the job is there."""
-        outcomes: dict[str, Outcome] = {}
+        outcomes: dict[str, AcceptOutcome] = {}
         left = dict(records)
         for timeout_us in TRIES:
             while left:
@@ -128,9 +130,9 @@
                     sets[job_key(ref)] = sets[(waits_key if lies_apart(record) else live_key)(ref)] = record
                 try:
                     result = await self._state.commit({job_key(ref): 0 for ref in left}, sets, timeout_us=timeout_us)
-                except NoAnswer:
+                except NoResponseError:
                     break
-                except Refused as error:
+                except RequestRefusedError as error:
                     if error.status == 429:
                         self._pace.refused(steady())
                     return outcomes
--- a/oatport/cli.py
+++ b/oatport/cli.py
@@ -17,7 +17,7 @@
 from oatport.settings import SettingsError, load, load_tuning
 
 if TYPE_CHECKING:
-    from oatport.control.repeats import Repeats
+    from oatport.control.placement.retry_policy import RetryPolicies
     from oatport.windows.settings import WindowSettings
 
 LEVELS = {"error": logging.ERROR, "warning": logging.WARNING, "info": logging.INFO, "debug": logging.DEBUG}
@@ -75,8 +75,8 @@
     return load_section(tuning)
 
 
-def load_repeats(tuning: str | None) -> Repeats:
-    from oatport.control.repeats import load as load_section
+def load_repeats(tuning: str | None) -> RetryPolicies:
+    from oatport.control.placement.retry_policy import load as load_section
 
     return load_section(tuning)
 
@@ -97,13 +97,13 @@
 
 
 async def _call(node: str, method: str, path: str, body: Any = None) -> int:
-    from oatport.clients.http import HttpClient, NoAnswer, make_session
+    from oatport.clients.http import HttpClient, NoResponseError, make_session
     from oatport.times import SECOND
 
     session = make_session(64)
     try:
         status, value = await HttpClient(session, node).request(method, path, body, timeout_us=5 * SECOND)
-    except NoAnswer as error:
+    except NoResponseError as error:
         print(f"oatport: {node}: no answer: {error}", file=sys.stderr)
         return 2
     finally:
@@ -116,14 +116,14 @@
 
 
 async def _explain(node: str, ref: str) -> int:
-    from oatport.clients.http import HttpConnector, NoAnswer, make_session
+    from oatport.clients.http import HttpConnector, NoResponseError, make_session
     from oatport.clients.peer import PeerClient
     from oatport.times import SECOND
 
     session = make_session(64)
     try:
         tag, answer = await PeerClient(HttpConnector(session), node, node).ask("explain", ref, timeout_us=5 * SECOND)
-    except (NoAnswer, ValueError) as error:
+    except (NoResponseError, ValueError) as error:
         print(f"oatport: {node}: no answer: {error}", file=sys.stderr)
         return 2
     finally:
--- a/oatport/clients/cloud.py
+++ b/oatport/clients/cloud.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from oatport import wire
-from oatport.clients.http import Bucket, Connector, NotSent, Refused
+from oatport.clients.http import Bucket, Connector, RequestNotSentError, RequestRefusedError
 from oatport.times import SECOND
 
 DEADLINE = 5 * SECOND
@@ -23,7 +23,7 @@
         await self._budget.spend()
         status, value = await self._http.request("GET", wire.CATALOG, timeout_us=DEADLINE)
         if status != 200:
-            raise Refused(status, value)
+            raise RequestRefusedError(status, value)
         return wire.catalog(value)
 
     async def _turn(self) -> None:
@@ -34,7 +34,7 @@
         """
         await self._budget.spend()
         if not self._may_act():
-            raise NotSent("not entitled any more")
+            raise RequestNotSentError("not entitled any more")
 
     async def rent(self, request: str, type_name: str, zone: str, spot: bool, count: int) -> list[str]:
         """Names of the machines rented; Refused where there are none. `request` is never reused."""
@@ -42,7 +42,7 @@
         body = wire.rental(request, type_name, zone, spot, count)
         status, value = await self._http.request("POST", wire.HOSTS, body, timeout_us=DEADLINE)
         if status != 200:
-            raise Refused(status, value)
+            raise RequestRefusedError(status, value)
         return [str(name) for name in value["berths"]]
 
     async def release(self, names: list[str]) -> None:
@@ -50,7 +50,7 @@
         await self._turn()
         status, value = await self._http.request("POST", wire.RELEASE, {"berths": names}, timeout_us=DEADLINE)
         if status != 200:
-            raise Refused(status, value)
+            raise RequestRefusedError(status, value)
 
     async def list_all(self) -> list[wire.Listed]:
         rows: list[wire.Listed] = []
@@ -60,7 +60,7 @@
             query = f"page={PAGE}" + (f"&from={after}" if after else "")
             status, value = await self._http.request("GET", wire.HOSTS, query=query, timeout_us=DEADLINE)
             if status != 200:
-                raise Refused(status, value)
+                raise RequestRefusedError(status, value)
             page, more = wire.listed(value)
             rows += page
             if not more or not page:
--- a/oatport/clients/http.py
+++ b/oatport/clients/http.py
@@ -16,15 +16,15 @@
 HEADERS = {"Content-Type": wire.CBOR_TYPE}
 
 
-class NoAnswer(Exception):
+class NoResponseError(Exception):
     """No answer came: the request may have been executed, or may still be."""
 
 
-class NotSent(NoAnswer):
+class RequestNotSentError(NoResponseError):
     """No connection came about: the request can't be executed (PROTOCOL, "Delayed messages")."""
 
 
-class Refused(Exception):
+class RequestRefusedError(Exception):
     """Answered that it was not executed (429, 503)."""
 
     def __init__(self, status: int, value: Any = None) -> None:
@@ -133,12 +133,12 @@
                     raw = await response.read()
                     status = response.status
         except aiohttp.ClientConnectorError as error:
-            raise NotSent(str(error)) from None
+            raise RequestNotSentError(str(error)) from None
         except (aiohttp.ClientError, TimeoutError, OSError, ValueError) as error:
-            raise NoAnswer(f"{type(error).__name__} {error}") from None
+            raise NoResponseError(f"{type(error).__name__} {error}") from None
         if not raw:
             return status, None
         try:
             return status, wire.loads(raw)
-        except wire.BadMessage as error:
-            raise NoAnswer(f"status {status} with a body that is {error}") from None
+        except wire.InvalidMessageError as error:
+            raise NoResponseError(f"status {status} with a body that is {error}") from None
--- a/oatport/clients/peer.py
+++ b/oatport/clients/peer.py
@@ -5,13 +5,13 @@
 from typing import Any
 
 from oatport import wire
-from oatport.clients.http import Connector, NoAnswer
+from oatport.clients.http import Connector, NoResponseError
 from oatport.times import MS
 
 DEADLINE = 800 * MS
 
 
-class NotUnderstood(NoAnswer):
+class NotUnderstood(NoResponseError):
     """It answered, and not what was asked: an earlier version, for one."""
 
 
--- a/oatport/clients/state.py
+++ b/oatport/clients/state.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from oatport import wire
-from oatport.clients.http import Connector, NoAnswer, Refused
+from oatport.clients.http import Connector, NoResponseError, RequestRefusedError
 from oatport.times import MS, SECOND, steady
 
 log = logging.getLogger(__name__)
@@ -27,7 +27,7 @@
     failed: tuple[str, ...]
 
 
-class NoLease(Exception):
+class LeaseExpiredError(Exception):
     """The lease ended."""
 
 
@@ -46,16 +46,16 @@
         asked = steady()
         try:
             status, value = await self._http.request(method, path, body, query=query, timeout_us=timeout_us)
-        except NoAnswer:
+        except NoResponseError:
             self.failed_at = asked
             self.on_answer(False)
             raise
         if status == 429:
-            raise Refused(status, value)
+            raise RequestRefusedError(status, value)
         if status >= 500:
             self.failed_at = asked
             self.on_answer(False)
-            raise Refused(status, value)
+            raise RequestRefusedError(status, value)
         self.ok_at = max(self.ok_at, asked)
         self.on_answer(True)
         return status, value
@@ -66,7 +66,7 @@
         if status == 404:
             return None
         if status != 200:
-            raise Refused(status, value)
+            raise RequestRefusedError(status, value)
         return value["value"], int(value["entryRev"])
 
     async def list_all(self, prefix: str) -> tuple[list[dict[str, Any]], int]:
@@ -77,7 +77,7 @@
             query = f"under={prefix}&page=1000" + (f"&from={after}" if after else "")
             status, value = await self._call("GET", wire.STORE, query=query, timeout_us=3 * SECOND)
             if status != 200:
-                raise Refused(status, value)
+                raise RequestRefusedError(status, value)
             rows += value["rows"]
             revision = revision or int(value["ledgerRev"])
             if not value.get("hasNext") or not value["rows"]:
@@ -97,7 +97,7 @@
         query = f"under={prefix}&from={prefix}{before}&page={SOME}"
         status, value = await self._call("GET", wire.STORE, query=query)
         if status != 200:
-            raise Refused(status, value)
+            raise RequestRefusedError(status, value)
         rows = {row["path"][len(prefix) :]: (row["value"], int(row["entryRev"])) for row in value["rows"]}
         last = max(rows, default="") if value.get("hasNext") else None
         asked = [name for name in names if last is None or name <= last]
@@ -127,29 +127,29 @@
         if status == 409:
             return Conflict(tuple(value.get("failed") or ()))
         if status == 400 and isinstance(value, dict) and value.get("error") == "no such lease":
-            raise NoLease
+            raise LeaseExpiredError
         log.error("the state service refused a transaction as malformed: %s", value)
-        raise Refused(status, value)
+        raise RequestRefusedError(status, value)
 
     async def hold(self, life_us: int) -> int:
         status, value = await self._call("POST", wire.HOLDS, {"lifeMs": life_us // MS})
         if status != 200:
-            raise Refused(status, value)
+            raise RequestRefusedError(status, value)
         return int(value["permit"])
 
     async def touch(self, lease: int, timeout_us: int) -> None:
         status, value = await self._call("POST", f"{wire.HOLDS}/{lease}/touch", {}, timeout_us=timeout_us)
         if status == 404:
-            raise NoLease
+            raise LeaseExpiredError
         if status != 200:
-            raise Refused(status, value)
+            raise RequestRefusedError(status, value)
 
     async def revision(self, prefix: str, timeout_us: int = DEADLINE) -> int:
         """The revision of the whole store now."""
         query = f"under={prefix}&page=1"
         status, value = await self._call("GET", wire.STORE, query=query, timeout_us=timeout_us)
         if status != 200:
-            raise Refused(status, value)
+            raise RequestRefusedError(status, value)
         return int(value["ledgerRev"])
 
     async def changes(
@@ -161,5 +161,5 @@
         if status == 410:
             return None
         if status != 200:
-            raise Refused(status, value)
+            raise RequestRefusedError(status, value)
         return int(value["ledgerRev"]), value.get("news") or []
--- a/oatport/clients/worker.py
+++ b/oatport/clients/worker.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from oatport import wire
-from oatport.clients.http import Connector, Keep, NoAnswer
+from oatport.clients.http import Connector, Keep, NoResponseError
 from oatport.times import MS
 
 COMMANDS_DEADLINE = 2_000 * MS
@@ -18,7 +18,7 @@
     async def reach(address: str) -> bool:
         try:
             await WorkerClient(net, address, Keep.ONCE).show()
-        except NoAnswer:
+        except NoResponseError:
             return False
         return True
 
@@ -42,8 +42,8 @@
     @staticmethod
     def _report(status: int, value: object) -> wire.Report:
         if status not in (200, 409):
-            raise NoAnswer(f"status {status}")
+            raise NoResponseError(f"status {status}")
         try:
             return wire.report(value)
-        except wire.BadMessage as error:
-            raise NoAnswer(f"not a report: {error}") from None
+        except wire.InvalidMessageError as error:
+            raise NoResponseError(f"not a report: {error}") from None
--- a/oatport/control/standing.py
+++ b/oatport/control/leadership/election_priority.py
@@ -12,7 +12,7 @@
 DEFER_NEXT_NEAR = 150 * MS
 
 
-class Standing:
+class ElectionPriority:
     """Workers that lose their leader try the node after it, by name."""
 
     def __init__(self, settings: Settings) -> None:
--- a/oatport/control/mandate.py
+++ b/oatport/control/leadership/leader_lease.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(slots=True)
-class Mandate:
+class LeaderLease:
     """Entitled for as long as the lease that the leader key hangs on can't have ended.
 
     Commits, starts and stops carry the token and need none of this to be safe; what the cloud is asked to do
@@ -40,7 +40,7 @@
 
 
 @dataclass(slots=True)
-class Pulse:
+class PauseDetector:
     """Notices that the process stood still: nothing that it looks at was looked at meanwhile."""
 
     at: int
--- a/oatport/control/steward.py
+++ b/oatport/control/leadership/lease_proxy.py
@@ -17,24 +17,24 @@
 
 from dataclasses import dataclass
 
-from oatport.control.recovery import OutageClock
+from oatport.control.storage.recovery import LeaseRenewalLimit
 from oatport.settings import ClusterSettings
 from oatport.times import MS, SECOND
 
-OUT_OF_TOUCH = 1_500 * MS  # without an answer from the leader and from the state service
+ISOLATED_AFTER = 1_500 * MS  # without an answer from the leader and from the state service
 
 
 @dataclass(slots=True)
-class Steward:
+class LeaseProxy:
     """Times are steady, in microseconds; ages are by the leader's clock."""
 
-    clock: OutageClock
+    clock: LeaseRenewalLimit
     token: int = 0  # of the leader that told last
     told_at: int = 0  # when that was asked for
 
     @classmethod
-    def of(cls, settings: ClusterSettings) -> Steward:
-        return cls(OutageClock(settings, 0))
+    def of(cls, settings: ClusterSettings) -> LeaseProxy:
+        return cls(LeaseRenewalLimit(settings, 0))
 
     def told(self, token: int, asked_at: int, age: int, told_age: int = 0) -> None:
         """The leader of this token said: what was told more than `age` ago is carried out.
@@ -68,8 +68,8 @@
         """
         if not self.token or report_token != self.token or now >= self.ends():
             return False
-        return self.out_of_touch(now, state_ok_at, state_failed_at)
+        return self.is_isolated(now, state_ok_at, state_failed_at)
 
-    def out_of_touch(self, now: int, state_ok_at: int, state_failed_at: int) -> bool:
+    def is_isolated(self, now: int, state_ok_at: int, state_failed_at: int) -> bool:
         """Neither the leader nor the state service answers this node."""
-        return now - self.told_at >= OUT_OF_TOUCH and state_failed_at > state_ok_at and now - state_ok_at > SECOND
+        return now - self.told_at >= ISOLATED_AFTER and state_failed_at > state_ok_at and now - state_ok_at > SECOND
--- a/oatport/control/darkness.py
+++ b/oatport/control/leadership/zone_partition.py
@@ -2,7 +2,7 @@
 
 A machine that is cut off can be had back by nobody but the cloud: a release proves its tasks gone, so that they can
 run elsewhere. But until then they go on (PROTOCOL, "Outages and cuts"): for about as long as an outage may last if a
-node in the zone answers their workers (`control/steward.py`), for one lease if none does. So nothing is won by giving
+node in the zone answers their workers (`control/leadership/lease_proxy.py`), for one lease if none does. So nothing is won by giving
 machines up at once, and much is lost if the cut ends soon: what they run, their images, and room that is not to be had
 anywhere else meanwhile. The rules here, in order of worth:
 
@@ -21,10 +21,10 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-from oatport.control.cluster import Cluster
-from oatport.control.fleet import Fleet
-from oatport.control.model import Job, Kind, Machine, Phase, zone_cap
-from oatport.control.recovery import OutageClock
+from oatport.control.scaling.scale_in import CapacityPlanner
+from oatport.control.state.cluster_state import ClusterState
+from oatport.control.state.model import Job, Kind, Machine, Phase, zone_cap
+from oatport.control.storage.recovery import LeaseRenewalLimit
 from oatport.settings import ClusterSettings
 from oatport.times import SECOND, micros
 
@@ -40,11 +40,11 @@
     report intervals old (PROTOCOL, "Workers -> controller nodes").
     """
     lease, report = micros(settings.workers.lease_s), micros(settings.workers.report_s * 1.25)
-    answered_until = max(OutageClock(settings, since).until, since) if kept else since
+    answered_until = max(LeaseRenewalLimit(settings, since).until, since) if kept else since
     return answered_until - report + lease
 
 
-def elsewhere(cluster: Cluster, job: Job) -> int:
+def elsewhere(cluster: ClusterState, job: Job) -> int:
     """How many more replicas of a service may run in zones that are heard from, its waiting ones counted."""
     spec = job.spec
     zones = {zone for kind in cluster.suited(job) for zone in kind.zones} - cluster.dark.keys()
@@ -57,11 +57,11 @@
 
 
 @dataclass(slots=True)
-class Leaving:
+class ZoneEvacuation:
     """Which machines of dark zones to give up now; asked again and again."""
 
-    cluster: Cluster
-    fleet: Fleet
+    cluster: ClusterState
+    fleet: CapacityPlanner
     _room: dict[Job, int] = field(default_factory=dict)
 
     def now(self, now: int, kept: frozenset[str]) -> list[Machine]:
@@ -74,7 +74,7 @@
                 (
                     m
                     for m in self.cluster.machines.values()
-                    if m.zone == zone and not m.releasing and m.heard_at <= since and (m.up_at or m.was_up)
+                    if m.zone == zone and not m.releasing and m.last_heartbeat_at <= since and (m.up_at or m.was_up)
                 ),
                 key=lambda m: m.name,
             )
--- a/oatport/control/sockets.py
+++ b/oatport/control/limits/connection_budget.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Sockets:
+class ConnectionBudget:
     """Shares of a node's connections; `most` is what the deploy file gives."""
 
     most: int
--- a/oatport/control/pace.py
+++ b/oatport/control/limits/rate_limiter.py
@@ -20,7 +20,7 @@
 LONGEST_S = 9  # nobody is sent away for longer
 
 
-class Pace:
+class AdaptiveRateLimiter:
     """Times are steady, in microseconds; rates are changes a second."""
 
     def __init__(self, limit: float, nodes: int, later: float = 0.0) -> None:
--- a/oatport/control/ranking.py
+++ b/oatport/control/placement/candidate_ranking.py
@@ -10,9 +10,9 @@
 import heapq
 from collections.abc import Callable, Collection, Iterable
 
-from oatport.control.model import Machine
+from oatport.control.state.model import Machine
 
-Merit = tuple[float, ...]
+Score = tuple[float, ...]
 
 
 class Ranking:
@@ -26,14 +26,14 @@
         self,
         machines: Iterable[Machine],
         may: Callable[[Machine], bool],
-        merit: Callable[[Machine], Merit],
+        merit: Callable[[Machine], Score],
         read: int = 0,
     ) -> None:
         self._may = may
         self._merit = merit
         self._read = read  # claims of this pass that it knows of
         self._place: dict[Machine, int] = {}
-        self._heaps: dict[str, list[tuple[Merit, int, Machine]]] = {}
+        self._heaps: dict[str, list[tuple[Score, int, Machine]]] = {}
         for place, machine in enumerate(machines):
             self._place[machine] = place
             if may(machine):
@@ -61,12 +61,12 @@
         for machine in machines:
             self._place.pop(machine, None)
 
-    def best(self, zone: str, but: Collection[str] = ()) -> tuple[Merit, int, Machine] | None:
+    def best(self, zone: str, but: Collection[str] = ()) -> tuple[Score, int, Machine] | None:
         """The best machine of a zone, except those of these names."""
         heap = self._heaps.get(zone)
         if not heap:
             return None
-        aside: list[tuple[Merit, int, Machine]] = []
+        aside: list[tuple[Score, int, Machine]] = []
         found = None
         while heap:
             row = heap[0]
--- a/oatport/control/faults.py
+++ b/oatport/control/placement/failure_attribution.py
@@ -9,7 +9,7 @@
 
 import logging
 
-from oatport.control.model import Job, Kind, Machine
+from oatport.control.state.model import Job, Kind, Machine
 from oatport.times import SECOND
 
 log = logging.getLogger(__name__)
@@ -66,7 +66,7 @@
             log.info("machine %s set aside: jobs failed on it that run elsewhere", machine.name)
         machine.draining = True
     elif len(machine.faults) >= SET_ASIDE_AFTER:
-        machine.blocked_until = max(machine.blocked_until, now + ASIDE)
+        machine.cordoned_until = max(machine.cordoned_until, now + ASIDE)
 
 
 def acquit(machine: Machine | None, job: Job) -> None:
@@ -76,7 +76,7 @@
     machine.faults.discard(job.ref)
     machine.proven.discard(job.ref)
     if len(machine.faults) < SET_ASIDE_AFTER:
-        machine.blocked_until = 0
+        machine.cordoned_until = 0
 
 
 def task_done(job: Job, machine: Machine, machines: dict[str, Machine], now: int) -> None:
--- a/oatport/control/suitability.py
+++ b/oatport/control/placement/feasibility.py
@@ -5,9 +5,9 @@
 from collections.abc import Callable
 
 from oatport import wire
-from oatport.control.cluster import Cluster
-from oatport.control.model import IDLE_RANK, Job, Kind, Machine, zone_cap
-from oatport.control.router import SPOT
+from oatport.control.queueing.tier_router import SPOT
+from oatport.control.state.cluster_state import ClusterState
+from oatport.control.state.model import IDLE_RANK, Job, Kind, Machine, zone_cap
 from oatport.times import SECOND, micros
 
 BEFORE_ZONES = 6  # parts of a machine's merit that weigh more than a job's replicas in its zone
@@ -27,8 +27,8 @@
     return not spec.spread or job.zones.get(machine.zone, 0) < zone_cap(spec)
 
 
-class Suitability:
-    def __init__(self, cluster: Cluster) -> None:
+class Feasibility:
+    def __init__(self, cluster: ClusterState) -> None:
         self.cluster = cluster
         self._crowded = False  # owned room is taken up, or there is work to use what services leave
 
--- a/oatport/control/placer.py
+++ b/oatport/control/placement/placer.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
-from oatport.control.agenda import RUN_STEP
-from oatport.control.cluster import Cluster
-from oatport.control.model import IDLE_RANK, Job, Kind, Machine, zone_cap
-from oatport.control.preemption import PREEMPT_PAUSE, Preemption
-from oatport.control.ranking import Ranking
-from oatport.control.suitability import BEFORE_ZONES, machine_allowed
+from oatport.control.placement.candidate_ranking import Ranking
+from oatport.control.placement.feasibility import BEFORE_ZONES, machine_allowed
+from oatport.control.placement.preemption import PREEMPT_PAUSE, Preemption
+from oatport.control.queueing.pending_queue import RUN_STEP
+from oatport.control.state.cluster_state import ClusterState
+from oatport.control.state.model import IDLE_RANK, Job, Kind, Machine, zone_cap
 from oatport.times import SECOND
 
 CROWDED = 0.2  # owned room is taken up if no more than this share is free
@@ -19,7 +19,7 @@
 
 
 class Placer(Preemption):
-    def __init__(self, cluster: Cluster) -> None:
+    def __init__(self, cluster: ClusterState) -> None:
         super().__init__(cluster)
         self._gpus_kept = False
         self._rankings: dict[tuple[object, ...], Ranking] = {}  # of the pass under way
@@ -45,8 +45,8 @@
         if not waiting:
             return 0
         for machine in cluster.machines.values():
-            if machine.blocked_until > now:
-                self.look_by(machine.blocked_until)
+            if machine.cordoned_until > now:
+                self.look_by(machine.cordoned_until)
         # Most machines are full most of the time: no job looks at those where none that waits would fit.
         smallest = waiting.smallest() - 1e-9
         roomy = [m for m in usable if m.free_cpus >= smallest]
--- a/oatport/control/preemption.py
+++ b/oatport/control/placement/preemption.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Iterator
 
-from oatport.control.cluster import Cluster
-from oatport.control.model import IDLE_RANK, Job, Kind, Machine, Phase, Task, zone_cap
-from oatport.control.suitability import Suitability, machine_allowed
+from oatport.control.placement.feasibility import Feasibility, machine_allowed
+from oatport.control.state.cluster_state import ClusterState
+from oatport.control.state.model import IDLE_RANK, Job, Kind, Machine, Phase, Task, zone_cap
 from oatport.times import SECOND
 
 PREEMPT_PAUSE = 4 * SECOND
@@ -14,8 +14,8 @@
 IDLE_PAUSE = SECOND
 
 
-class Preemption(Suitability):
-    def __init__(self, cluster: Cluster) -> None:
+class Preemption(Feasibility):
+    def __init__(self, cluster: ClusterState) -> None:
         super().__init__(cluster)
         self.looked_at = 0  # machines looked at: what tests count instead of time
         self.look_at = 0  # when the next pass may find something that no event tells of (steady)
@@ -54,8 +54,8 @@
             return False
         if self._for_guarantee(job, now):
             return True
-        if job.hungry_since:
-            self.look_by(job.hungry_since + self.cluster.tuning.us("guarantee_patience_s") + 1)
+        if job.unplaced_since:
+            self.look_by(job.unplaced_since + self.cluster.tuning.us("guarantee_patience_s") + 1)
         return False
 
     def _make_quota(self, job: Job, now: int) -> None:
@@ -97,8 +97,8 @@
         """May it stop other teams' work of its own priority? Only after a moment: room may just come free."""
         return (
             job.guaranteed
-            and bool(job.hungry_since)
-            and now - job.hungry_since > self.cluster.tuning.us("guarantee_patience_s")
+            and bool(job.unplaced_since)
+            and now - job.unplaced_since > self.cluster.tuning.us("guarantee_patience_s")
         )
 
     def _victims(self, job: Job, machine: Machine, for_guarantee: bool) -> Iterator[Task]:
@@ -131,7 +131,7 @@
         choices: list[tuple[int, int, Machine, list[Task]]] = []
         for machine in usable:
             self.looked_at += 1
-            if sum(machine.rank_cpus[lowest:]) + machine.free_cpus + 1e-9 < spec.cpus:
+            if sum(machine.cpus_by_priority[lowest:]) + machine.free_cpus + 1e-9 < spec.cpus:
                 continue
             if (machine.spot and not on_spot) or (machine.type.gpus > 0 and no_gpus):
                 continue
--- a/oatport/control/repeats.py
+++ b/oatport/control/placement/retry_policy.py
@@ -19,20 +19,20 @@
 from pathlib import Path
 
 from oatport import wire
-from oatport.control.model import Kind, Phase, Task
+from oatport.control.state.model import Kind, Phase, Task
 from oatport.settings import SettingsError, read_ini
 
 SECTION = "repeat"
 REFUSED = frozenset((wire.WHY_NO_ROOM, wire.WHY_BUSY, wire.WHY_UNKNOWN, wire.WHY_ALONE))
 
 
-class Repeat(StrEnum):
+class RetryPolicy(StrEnum):
     ANY = "any"
     BEFORE_START = "before_start"
     NEVER = "never"
 
 
-Repeats = dict[str, Repeat]  # class -> what it allows; others allow any
+RetryPolicies = dict[str, RetryPolicy]  # class -> what it allows; others allow any
 
 
 def never_sent(task: Task) -> bool:
@@ -40,22 +40,22 @@
     return task.phase is not Phase.PLACED or bool(task.claimed_at and not task.sent_session)
 
 
-def may_repeat(repeat: Repeat, task: Task, unexecuted: bool) -> bool:
+def may_repeat(repeat: RetryPolicy, task: Task, unexecuted: bool) -> bool:
     """May a task that left its machine without being done want another? `unexecuted`: proven, see above."""
-    if repeat is Repeat.ANY or task.job.kind is Kind.SERVICE or never_sent(task):
+    if repeat is RetryPolicy.ANY or task.job.kind is Kind.SERVICE or never_sent(task):
         return True
-    return repeat is Repeat.BEFORE_START and unexecuted
+    return repeat is RetryPolicy.BEFORE_START and unexecuted
 
 
-def load(path: str | Path | None) -> Repeats:
+def load(path: str | Path | None) -> RetryPolicies:
     """The section `[repeat]` of the tuning file: class = any, before_start or never. Raises SettingsError."""
     if path is None:
         return {}
     parser = read_ini(path, keep_case=True)
-    repeats: Repeats = {}
+    repeats: RetryPolicies = {}
     for name, text in parser.items(SECTION) if parser.has_section(SECTION) else ():
         try:
-            repeats[name] = Repeat(text)
+            repeats[name] = RetryPolicy(text)
         except ValueError:
-            raise SettingsError(f"{path}: [{SECTION}] {name}: must be {', '.join(Repeat)}, got {text!r}") from None
+            raise SettingsError(f"{path}: [{SECTION}] {name}: must be {', '.join(RetryPolicy)}, got {text!r}") from None
     return repeats
--- /dev/null
+++ b/oatport/control/queueing/__init__.py
@@ -0,0 +1,1 @@
+"""The order of pending work: predicted run times, tiers, dependencies and queue wait estimates."""
--- a/oatport/control/pipelines.py
+++ b/oatport/control/queueing/dependency_graph.py
@@ -35,7 +35,7 @@
 
 
 @dataclass(slots=True)
-class Pipelines:
+class DependencyGraph:
     """`unmet`: waiting job -> jobs that it needs and that are not known to be done. A released job is not in it."""
 
     unmet: dict[str, dict[str, None]] = field(default_factory=dict)
--- a/oatport/control/chains.py
+++ b/oatport/control/queueing/dependency_tracker.py
@@ -9,11 +9,11 @@
 import logging
 from collections.abc import Callable
 
-from oatport.control.layout import Layout, cancel_key, waits_key
-from oatport.control.model import NORMAL_RANK, PRIORITIES, Job, Kind
-from oatport.control.pipelines import Known, Pipelines, Urgency, earliest
-from oatport.control.predictor import Predictor
-from oatport.control.records import Records
+from oatport.control.queueing.dependency_graph import DependencyGraph, Known, Urgency, earliest
+from oatport.control.queueing.runtime_predictor import RuntimePredictor
+from oatport.control.state.model import NORMAL_RANK, PRIORITIES, Job, Kind
+from oatport.control.storage.record_layout import RecordLayout, cancel_key, waits_key
+from oatport.control.storage.write_buffer import WriteBuffer
 from oatport.times import SECOND
 
 log = logging.getLogger(__name__)
@@ -23,12 +23,12 @@
 REMEMBERED_MOST = 10_000
 
 
-class Chains(Records):
+class DependencyTracker(WriteBuffer):
     """The base of `Work`."""
 
-    def __init__(self, predictor: Predictor, layout: Layout) -> None:
+    def __init__(self, predictor: RuntimePredictor, layout: RecordLayout) -> None:
         super().__init__(predictor, layout)
-        self.pipelines = Pipelines()
+        self.pipelines = DependencyGraph()
         self.held_up: dict[str, Job] = {}  # jobs that wait for others
         self.on_released: Callable[[Job], None] = lambda job: None
         self.told_cancelled: dict[str, int] = {}  # jobs not known here -> told after this (steady)
@@ -60,7 +60,7 @@
     def known_of(self, ref: str) -> Known:
         job = self.jobs.get(ref)
         if job is not None:
-            return Known.CANCELLED if job.cancelled and not job.lost_cause else Known.OPEN
+            return Known.CANCELLED if job.cancelled and not job.failure_reason else Known.OPEN
         if ref in self.held_up:
             return Known.OPEN
         return Known.CANCELLED if ref in self.told_cancelled else Known.UNKNOWN
@@ -178,7 +178,7 @@
 
     def why_waiting(self, ref: str) -> str:
         """What a waiting job waits for, in words; empty if it doesn't wait for others."""
-        lost = [need for need in self.pipelines.waits(ref) if need in self.jobs and self.jobs[need].lost_cause]
+        lost = [need for need in self.pipelines.waits(ref) if need in self.jobs and self.jobs[need].failure_reason]
         text = f"waits for {named(self.pipelines.waits(ref))}" if ref in self.held_up else ""
         return text + (f"; lost, so that it waits until it is cancelled: {named(lost)}" if lost else "")
 
--- a/oatport/control/agenda.py
+++ b/oatport/control/queueing/pending_queue.py
@@ -15,7 +15,7 @@
 from collections import Counter
 from collections.abc import Iterator
 
-from oatport.control.model import Job, Kind
+from oatport.control.state.model import Job, Kind
 from oatport.times import SECOND
 
 NO_DEADLINE = 600 * SECOND  # by when a job without a deadline is taken to be wanted
@@ -83,7 +83,7 @@
         self.rows: list[Row] = []
 
 
-class Agenda(set[Job]):
+class PendingQueue(set[Job]):
     """The set of waiting jobs; `walk` goes through them in order."""
 
     def __init__(self) -> None:
--- a/oatport/control/backlog.py
+++ b/oatport/control/queueing/queue_estimator.py
@@ -6,12 +6,12 @@
 from bisect import bisect_left
 from dataclasses import dataclass, field
 
-from oatport.control.agenda import NO_DEADLINE, RUN_STEP, OrderKey, order_key
-from oatport.control.cluster import Cluster
-from oatport.control.fleet import Fleet
-from oatport.control.model import IDLE_RANK, Job, Kind
-from oatport.control.records import live_key
-from oatport.control.router import OWNED, SPOT
+from oatport.control.queueing.pending_queue import NO_DEADLINE, RUN_STEP, OrderKey, order_key
+from oatport.control.queueing.tier_router import OWNED, SPOT
+from oatport.control.scaling.scale_in import CapacityPlanner
+from oatport.control.state.cluster_state import ClusterState
+from oatport.control.state.model import IDLE_RANK, Job, Kind
+from oatport.control.storage.write_buffer import live_key
 from oatport.times import MS, SECOND, micros
 
 ROUTE_EVERY = 400 * MS
@@ -40,12 +40,18 @@
         self.idle += other.idle
 
 
-def _pools_by_type(cluster: Cluster, now: int) -> dict[str, _Pool]:
+def _pools_by_type(cluster: ClusterState, now: int) -> dict[str, _Pool]:
     """The machines' CPUs less those that services hold, and the running tasks' remainder."""
     predictor = cluster.predictor
     pools: dict[str, _Pool] = {}
     for machine in cluster.machines.values():
-        if machine.draining or machine.releasing or machine.taken_at or machine.deaf or machine.zone in cluster.dark:
+        if (
+            machine.draining
+            or machine.releasing
+            or machine.reclaimed_at
+            or machine.command_unreachable
+            or machine.zone in cluster.dark
+        ):
             continue
         cpus, left, idle = machine.type.cpus - machine.steady_cpus, 0.0, 0.0
         if not machine.up_at:
@@ -76,7 +82,7 @@
     return pool
 
 
-def dues(cluster: Cluster, job: Job) -> list[int]:
+def dues(cluster: ClusterState, job: Job) -> list[int]:
     """Times of day by which its end is looked for: its deadline, multiples of it, its class's aims at the end, and
     what is left for it by jobs that need it."""
     if job.dues is None:
@@ -86,7 +92,7 @@
     return job.dues
 
 
-def _set_target(cluster: Cluster, job: Job, times: list[int], run: int, wall: int) -> None:
+def _set_target(cluster: ClusterState, job: Job, times: list[int], run: int, wall: int) -> None:
     """What is lost anyway is not worth a dearer machine: the first deadline that it could meet if it ran now.
 
     One without a deadline whose class should start by a certain time is due when it would end then.
@@ -102,7 +108,7 @@
         )
 
 
-def mark_late(cluster: Cluster, by_type: dict[str, _Pool], wall: int) -> None:
+def mark_late(cluster: ClusterState, by_type: dict[str, _Pool], wall: int) -> None:
     """Which waiting jobs meet which of their deadlines: as many as possible, by Moore and Hodgson's rule.
 
     Jobs are taken by deadline; where one would end too late, the largest taken so far is given up. Ahead
@@ -170,13 +176,13 @@
         )
 
 
-class Queues:
+class QueueEstimates:
     """The queue estimate: the predicted work ahead of each job, its own included, and the running tasks' remainder.
 
     Spread over the machines of the types that suit a job.
     """
 
-    def __init__(self, cluster: Cluster, by_type: dict[str, _Pool]) -> None:
+    def __init__(self, cluster: ClusterState, by_type: dict[str, _Pool]) -> None:
         self._cluster = cluster
         self._by_type = by_type
         self._queues: dict[tuple[str, ...], _Queue] = {}
@@ -214,7 +220,7 @@
         return queue.wait(job, ahead + work, ahead_owned + work)
 
 
-def mark_guaranteed(cluster: Cluster) -> None:
+def mark_guaranteed(cluster: ClusterState) -> None:
     """A job is within its team's guarantee if it fits into it together with all the team's earlier ones.
 
     Judged job by job: a team that merely uses less than its guarantee at the moment, with a job that is
@@ -238,12 +244,12 @@
         job.guaranteed = cpus <= use.limits.cpus + 1e-9 and (spec.gpus <= 0 or gpus <= use.limits.gpus + 1e-9)
 
 
-def order(cluster: Cluster, now: int) -> list[Job]:
-    """The waiting jobs that may be placed now, in order (`control/agenda.py`)."""
+def order(cluster: ClusterState, now: int) -> list[Job]:
+    """The waiting jobs that may be placed now, in order (`control/queueing/pending_queue.py`)."""
     return sorted((j for j in cluster.waiting if j.not_before <= now and not j.strays), key=order_key)
 
 
-def _learn(cluster: Cluster, now: int) -> None:
+def _learn(cluster: ClusterState, now: int) -> None:
     ages = [now - m.rented_at for m in cluster.machines.values() if m.spot and m.up_at]
     # Since when an earlier leader's tasks run is not known.
     running = [
@@ -256,20 +262,20 @@
     cluster.router.learn(ages, running)
 
 
-class Backlog:
+class QueueEstimator:
     """Keeps the routes of waiting work up to date, at a cost that is bounded whatever waits.
 
     All of it is routed anew at a pace that falls with what there is to look at; what came meanwhile is routed by
     itself, by its place in the queue as it stood.
     """
 
-    def __init__(self, cluster: Cluster, fleet: Fleet) -> None:
+    def __init__(self, cluster: ClusterState, fleet: CapacityPlanner) -> None:
         self._cluster = cluster
         self._fleet = fleet
         self._routed_at = -ROUTE_LATEST
         self._learnt_at = -LEARN_EVERY
         self._seen: tuple[int, int] = (-1, -1)  # what there was to look at then
-        self._queues: Queues | None = None
+        self._queues: QueueEstimates | None = None
 
     def pace(self) -> int:
         """How long until all waiting work is routed again, if something has changed meanwhile."""
@@ -296,7 +302,7 @@
         by_type = _pools_by_type(cluster, now)
         mark_late(cluster, by_type, wall)
         waiting = order(cluster, now)
-        self._queues = Queues(cluster, by_type)
+        self._queues = QueueEstimates(cluster, by_type)
         waits = [self._queues.append(job) for job in waiting]
         rentable = _Rentable(cluster, self._fleet, now)
         for job, wait in zip(waiting, waits, strict=True):
@@ -331,7 +337,7 @@
 class _Rentable:
     """Whether machines for a job are still to be had; many jobs want the same sorts."""
 
-    def __init__(self, cluster: Cluster, fleet: Fleet, now: int) -> None:
+    def __init__(self, cluster: ClusterState, fleet: CapacityPlanner, now: int) -> None:
         self._cluster, self._fleet, self._now = cluster, fleet, now
         self._known: dict[tuple[bool, str | None, tuple[str, ...] | None, tuple[float, float, float]], bool] = {}
 
@@ -344,7 +350,7 @@
         return found
 
 
-def route_waiting(cluster: Cluster, fleet: Fleet, now: int, wall: int) -> None:
+def route_waiting(cluster: ClusterState, fleet: CapacityPlanner, now: int, wall: int) -> None:
     """Set the tier of every waiting job; a changed tier is recorded with its first chunk."""
     cluster.settle_urgency()
-    Backlog(cluster, fleet).route_all(now, wall)
+    QueueEstimator(cluster, fleet).route_all(now, wall)
--- a/oatport/control/predictor.py
+++ b/oatport/control/queueing/runtime_predictor.py
@@ -37,7 +37,7 @@
     return None
 
 
-class Predictor:
+class RuntimePredictor:
     def __init__(self) -> None:
         self._ratio: dict[str, tuple[float, float]] = {}  # class -> (weight, sum of actual/estimate)
         self._mean: dict[str, tuple[float, float]] = {}  # class -> (weight, sum of run times)
--- a/oatport/control/router.py
+++ b/oatport/control/queueing/tier_router.py
@@ -4,15 +4,15 @@
 
 from dataclasses import dataclass, field
 
-from oatport.control.model import IDLE_RANK, Job
-from oatport.control.predictor import Predictor
+from oatport.control.queueing.runtime_predictor import RuntimePredictor
+from oatport.control.state.model import IDLE_RANK, Job
 
 OWNED, SPOT, ON_DEMAND = "owned", "spot", "on-demand"
 
 
 @dataclass(slots=True)
-class Router:
-    predictor: Predictor
+class TierRouter:
+    predictor: RuntimePredictor
     start_threshold: int
     slack_factor: float
     share: float = 0.9
--- /dev/null
+++ b/oatport/control/scaling/__init__.py
@@ -0,0 +1,1 @@
+"""How many machines there are: scale-out, scale-in and incoming capacity."""
--- a/oatport/control/rooms.py
+++ b/oatport/control/scaling/incoming_capacity.py
@@ -10,13 +10,13 @@
 from dataclasses import dataclass, field
 
 from oatport import wire
-from oatport.control.model import room_for
+from oatport.control.state.model import room_for
 
 Shape = tuple[float, float, float, bool, tuple[str, ...]]  # CPUs, GPUs, memory, may it use spot, types that suit
 
 
 @dataclass(slots=True)
-class Room:
+class CapacitySlot:
     type: wire.MachineType
     zone: str
     spot: bool
@@ -26,7 +26,7 @@
     place: int = 0  # among all, in the order in which they are taken up
 
     @classmethod
-    def of(cls, kind: wire.MachineType, zone: str, spot: bool) -> Room:
+    def of(cls, kind: wire.MachineType, zone: str, spot: bool) -> CapacitySlot:
         return cls(kind, zone, spot, kind.cpus, kind.gpus, kind.memory_gb)
 
     def holds(self, spec: wire.Submission) -> int:
@@ -43,32 +43,34 @@
 
 
 @dataclass(slots=True)
-class Rooms:
+class IncomingCapacity:
     """All room that is coming, in order; only ever added to and taken from."""
 
     looked_at: int = 0  # what tests count instead of time
-    _all: list[Room] = field(default_factory=list)
-    _zones: dict[str, list[Room]] = field(default_factory=dict)
+    _all: list[CapacitySlot] = field(default_factory=list)
+    _zones: dict[str, list[CapacitySlot]] = field(default_factory=dict)
     _from: dict[tuple[Shape, str], int] = field(default_factory=dict)
 
-    def add(self, room: Room) -> None:
+    def add(self, room: CapacitySlot) -> None:
         room.place = len(self._all)
         self._all.append(room)
         self._zones.setdefault(room.zone, []).append(room)
 
-    def __iter__(self) -> Iterator[Room]:
+    def __iter__(self) -> Iterator[CapacitySlot]:
         return iter(self._all)
 
     def zones(self) -> list[str]:
         return list(self._zones)
 
-    def first(self, spec: wire.Submission, spot: bool, suited: tuple[str, ...], zones: list[str]) -> Room | None:
+    def first(
+        self, spec: wire.Submission, spot: bool, suited: tuple[str, ...], zones: list[str]
+    ) -> CapacitySlot | None:
         """The first in these zones that has room for a task of such a job; None if there is none.
 
         `spot`: may it be a spot machine? `suited`: names of the types that it may be.
         """
         shape = (spec.cpus, spec.gpus, spec.memory_gb, spot, suited)
-        best: Room | None = None
+        best: CapacitySlot | None = None
         for zone in zones:
             there = self._zones.get(zone, ())
             at = self._from.get((shape, zone), 0)
--- a/oatport/control/fleet.py
+++ b/oatport/control/scaling/scale_in.py
@@ -1,13 +1,13 @@
-"""Which machines to rent (`control/rentals.py`) and to return, and which to let run empty first."""
+"""Which machines to rent (`control/scaling/scale_out.py`) and to return, and which to let run empty first."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-from oatport.control.model import IDLE_RANK, Kind, Machine, Phase, Task, room_for, zone_cap
-from oatport.control.recovery import cut_off
-from oatport.control.rentals import Rental, Rentals
-from oatport.control.router import SPOT
+from oatport.control.queueing.tier_router import SPOT
+from oatport.control.scaling.scale_out import ScaleOutPlanner, ScaleOutRequest
+from oatport.control.state.model import IDLE_RANK, Kind, Machine, Phase, Task, room_for, zone_cap
+from oatport.control.storage.recovery import cut_off
 from oatport.times import SECOND, micros
 
 RELEASE_MOST = 100
@@ -18,7 +18,7 @@
 
 
 @dataclass(slots=True)
-class Fleet(Rentals):
+class CapacityPlanner(ScaleOutPlanner):
     # --- surplus ----------------------------------------------------------------------------
 
     def mark_surplus(self, now: int) -> bool:
@@ -166,9 +166,11 @@
         cluster, tuning = self.cluster, self.cluster.tuning
         chosen: list[Machine] = []
         spare, warm = self._spare(), self._warm_cpus()
-        unheard = cut_off(sum(m.deaf for m in cluster.machines.values()), list(cluster.machines.values()))
+        unheard = cut_off(
+            sum(m.command_unreachable for m in cluster.machines.values()), list(cluster.machines.values())
+        )
         for machine in cluster.machines.values():
-            if machine.deaf and unheard and not machine.releasing:
+            if machine.command_unreachable and unheard and not machine.releasing:
                 continue  # it is rather this node that reaches none: others would be just as deaf to it
             if machine.releasing:
                 if not cluster.witnesses(machine):
@@ -184,7 +186,7 @@
             elif machine.draining or machine.emptying or (machine.slow_count >= 3 and machine.slow > 2.5):
                 pass
             elif machine.idle_since and now - self._idle_from(machine) > cluster.idle_time(machine):
-                if not machine.spot and not machine.taken_at and machine.type.gpus == 0:
+                if not machine.spot and not machine.reclaimed_at and machine.type.gpus == 0:
                     if spare - machine.type.cpus < warm:
                         continue
                     spare -= machine.type.cpus
@@ -213,4 +215,4 @@
         return self.cluster.tuning.warm_share * used
 
 
-__all__ = ["RELEASE_MOST", "Fleet", "Rental"]
+__all__ = ["RELEASE_MOST", "CapacityPlanner", "ScaleOutRequest"]
--- a/oatport/control/rentals.py
+++ b/oatport/control/scaling/scale_out.py
@@ -6,10 +6,10 @@
 from dataclasses import dataclass, field
 
 from oatport import wire
-from oatport.control.cluster import Cluster
-from oatport.control.model import IDLE_RANK, Job, Kind, Machine, fit_count, zone_cap
-from oatport.control.rooms import Room, Rooms
-from oatport.control.router import OWNED, SPOT
+from oatport.control.queueing.tier_router import OWNED, SPOT
+from oatport.control.scaling.incoming_capacity import CapacitySlot, IncomingCapacity
+from oatport.control.state.cluster_state import ClusterState
+from oatport.control.state.model import IDLE_RANK, Job, Kind, Machine, fit_count, zone_cap
 from oatport.times import MS, SECOND, micros
 
 BATCH_MOST = 50  # machines in one rental (PROTOCOL, POST /hosts)
@@ -25,7 +25,7 @@
 
 
 @dataclass(slots=True)
-class Rental:
+class ScaleOutRequest:
     type: str
     zone: str
     spot: bool
@@ -33,26 +33,26 @@
 
 
 @dataclass(slots=True)
-class Rentals:
-    cluster: Cluster
+class ScaleOutPlanner:
+    cluster: ClusterState
     refused: dict[tuple[str, str, bool], int] = field(default_factory=dict)  # until when not to ask again
     granted: dict[tuple[str, str, bool], int] = field(default_factory=dict)  # when all that was asked for was rented
-    under_way: list[Rental] = field(default_factory=list)  # asked for, not answered
+    under_way: list[ScaleOutRequest] = field(default_factory=list)  # asked for, not answered
     in_vain: dict[tuple[str, str, bool], int] = field(default_factory=dict)  # how often nothing came, in a row
-    _free_rooms: list[Room] = field(default_factory=list)
+    _free_rooms: list[CapacitySlot] = field(default_factory=list)
     _sorts: Counter[tuple[str, str, bool]] = field(default_factory=Counter)  # machines there are
     # What was found best in this pass: by what a task takes, where it may run and for how long, and how many.
     _found: dict[tuple[object, int], tuple[wire.MachineType, str] | None] = field(default_factory=dict)
     _reckoned_at: int = -RENT_LATEST
     _seen: tuple[object, ...] = ()  # what the last rentals were reckoned by
 
-    def refuse(self, rental: Rental, now: int, *, some: bool = False) -> None:
+    def refuse(self, rental: ScaleOutRequest, now: int, *, some: bool = False) -> None:
         """The cloud had none of these, or only `some` of them: it is asked again after a while."""
         sort = (rental.type, rental.zone, rental.spot)
         times = self.in_vain[sort] = 0 if some else self.in_vain.get(sort, -1) + 1
         self.refused[sort] = now + min(REFUSED_MOST, round(REFUSED_PAUSE * REFUSED_GROWS ** min(times, 20)))
 
-    def grant(self, rental: Rental, now: int) -> None:
+    def grant(self, rental: ScaleOutRequest, now: int) -> None:
         sort = (rental.type, rental.zone, rental.spot)
         self.granted[sort] = now
         self.in_vain.pop(sort, None)
@@ -93,7 +93,7 @@
         closed = sum(until > now for until in self.refused.values())
         return cluster.waiting.version, cluster.moves, len(cluster.machines), len(self.under_way), closed
 
-    def wanted(self, now: int) -> list[Rental]:
+    def wanted(self, now: int) -> list[ScaleOutRequest]:
         """Rentals that fit the waiting tasks of each tier, beyond what is coming already."""
         cluster = self.cluster
         self._reckoned_at, self._seen = now, self._sight(now)
@@ -115,28 +115,28 @@
             if zone in cluster.dark:
                 count = 1  # it finds out when the zone can be reached again
             while count > 0:
-                rentals.append(Rental(type_name, zone, spot, min(count, BATCH_MOST)))
+                rentals.append(ScaleOutRequest(type_name, zone, spot, min(count, BATCH_MOST)))
                 count -= BATCH_MOST
         return rentals
 
-    def _coming(self, now: int) -> Rooms:
+    def _coming(self, now: int) -> IncomingCapacity:
         cluster = self.cluster
-        rooms = Rooms()
+        rooms = IncomingCapacity()
         for machine in cluster.machines.values():
             if machine.zone not in cluster.dark and machine.coming(now, cluster.token):
-                rooms.add(Room.of(machine.type, machine.zone, machine.spot))
+                rooms.add(CapacitySlot.of(machine.type, machine.zone, machine.spot))
         for rental in self.under_way:
             if rental.zone in cluster.dark:
                 continue
             for _ in range(rental.count):
-                rooms.add(Room.of(cluster.types[rental.type], rental.zone, rental.spot))
+                rooms.add(CapacitySlot.of(cluster.types[rental.type], rental.zone, rental.spot))
         return rooms
 
     @staticmethod
-    def _gpu_room(machine: Machine) -> Room:
+    def _gpu_room(machine: Machine) -> CapacitySlot:
         """What a machine has for work that needs its GPUs: array tasks that need none are stopped for it."""
         fillers = [t.job.spec for t in machine.tasks if t.job.spec.gpus == 0 and t.job.kind is Kind.ARRAY]
-        return Room(
+        return CapacitySlot(
             machine.type,
             machine.zone,
             machine.spot,
@@ -151,7 +151,7 @@
         boot = min((micros(t.boot_s) for t in cluster.types.values()), default=30 * SECOND)
         cpus = given_way = 0.0
         for machine in cluster.usable_now:
-            given_way += machine.rank_cpus[IDLE_RANK]
+            given_way += machine.cpus_by_priority[IDLE_RANK]
             for task in machine.work:
                 job = task.job
                 if job.rank == IDLE_RANK:
@@ -167,7 +167,7 @@
     def _cover(
         self,
         job: Job,
-        coming: Rooms,
+        coming: IncomingCapacity,
         freeing: list[float],
         planned: dict[tuple[str, str, bool], int],
         now: int,
@@ -226,7 +226,7 @@
             if option is None:
                 return
             kind, zone = option
-            room = Room.of(kind, zone, spot)
+            room = CapacitySlot.of(kind, zone, spot)
             most = min(left, cap - zones.get(zone, 0)) if spec.spread else left
             got = room.take(spec, most)
             if got <= 0:
@@ -239,17 +239,19 @@
             sort = (kind.name, zone, spot)
             planned[sort] = planned.get(sort, 0) + 1
 
-    def _cover_gang(self, job: Job, coming: Rooms, planned: dict[tuple[str, str, bool], int], now: int) -> None:
+    def _cover_gang(
+        self, job: Job, coming: IncomingCapacity, planned: dict[tuple[str, str, bool], int], now: int
+    ) -> None:
         """Machines for a whole gang, in the zone that lacks the fewest; none where it can't be whole."""
         spec, spot = job.spec, job.tier == SPOT
         zones = sorted({zone for kind in self.cluster.allowed(job) for zone in kind.zones})
         if spec.zone is not None:
             zones = [spec.zone]
-        best: tuple[int, list[Room], list[tuple[Room, int]]] | None = None
+        best: tuple[int, list[CapacitySlot], list[tuple[CapacitySlot, int]]] | None = None
         for only_zone in zones if spec.one_zone else [spec.zone]:
             left, per_zone = job.pending, dict[str, int]()
-            used: list[tuple[Room, int]] = []
-            new: list[Room] = []
+            used: list[tuple[CapacitySlot, int]] = []
+            new: list[CapacitySlot] = []
             free = [room for room in self._free_rooms if not room.spot or self.cluster.takes_free_spot(job)]
             for room in [*free, *(room for room in coming if spot or not room.spot)]:
                 if only_zone and room.zone != only_zone:
@@ -266,7 +268,7 @@
                 option = self._option(job, left, per_zone, zone_cap(spec), only_zone, spot, now)
                 if option is None:
                     break
-                room = Room.of(*option, spot)
+                room = CapacitySlot.of(*option, spot)
                 got = min(fit_count(room.type, spec), left, zone_cap(spec) - per_zone.get(room.zone, 0))
                 if got <= 0:
                     break
--- a/oatport/control/cancellations.py
+++ b/oatport/control/state/cancellations.py
@@ -35,14 +35,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class ConfirmedCancellations:
     """One node's answer: jobs whose users it told that they are cancelled, and for how long back (us) that is all."""
 
     refs: list[str]
     whole_us: int
 
     @classmethod
-    def of(cls, message: object) -> Told:
+    def of(cls, message: object) -> ConfirmedCancellations:
         """From ["told", for how long back, [ref, ...]]. Raises ValueError for anything else: that proves nothing."""
         match message:
             case ["told", int() as whole_us, list() as refs, *_] if not isinstance(whole_us, bool) and all(
@@ -60,7 +60,7 @@
 
 
 @dataclass(slots=True)
-class Cancellations:
+class CancellationLog:
     """What this node's users were told is cancelled: each job once, and when it was first told (steady, us).
 
     A moment is enough: a leader knows what was told up to its own, and whoever leads later reads the records, in which
@@ -90,10 +90,12 @@
     def _drop_oldest(self) -> None:
         self._whole_since = self._told.pop(next(iter(self._told)))
 
-    def since(self, now: int, age: int) -> Told:
+    def since(self, now: int, age: int) -> ConfirmedCancellations:
         """All that was told within the last `age` us by the asker's clock, when it sent its question."""
         after = now - age - age // 500 - SLACK
-        return Told([ref for ref, at in self._told.items() if at > after], max(0, now - self._whole_since))
+        return ConfirmedCancellations(
+            [ref for ref, at in self._told.items() if at > after], max(0, now - self._whole_since)
+        )
 
     def quiet(self, now: int) -> int:
         """For so long (us) nothing was told that had not been told before: what leaders of before 0.8 go by."""
--- a/oatport/control/cluster.py
+++ b/oatport/control/state/cluster_state.py
@@ -10,12 +10,12 @@
 from collections.abc import Iterable
 
 from oatport import wire
-from oatport.control import faults
-from oatport.control.model import Job, Kind, Machine, Phase, Task, split_task
-from oatport.control.records import DARK_KEY, live_key
-from oatport.control.repeats import REFUSED
-from oatport.control.sightings import Sightings
-from oatport.control.tally import Tally, account
+from oatport.control.placement import failure_attribution
+from oatport.control.placement.retry_policy import REFUSED
+from oatport.control.state.model import Job, Kind, Machine, Phase, Task, split_task
+from oatport.control.state.orphaned_attempts import OrphanedAttempts
+from oatport.control.state.utilization import FleetUtilization, account
+from oatport.control.storage.write_buffer import DARK_KEY, live_key
 from oatport.times import MS, SECOND, micros
 
 log = logging.getLogger(__name__)
@@ -24,8 +24,8 @@
 DARK_LEAST = 3  # silent machines that make a zone a dark one
 
 
-class Cluster(Sightings):
-    tally = Tally()
+class ClusterState(OrphanedAttempts):
+    tally = FleetUtilization()
 
     # --- machines ---------------------------------------------------------------------------
 
@@ -90,7 +90,7 @@
         self.to_send.discard(machine)
         self.touch_machine(machine)
         if machine.spot and machine.up_at:
-            self.predictor.spot_held(now - machine.rented_at, why == "taken" or bool(machine.taken_at))
+            self.predictor.spot_held(now - machine.rented_at, why == "taken" or bool(machine.reclaimed_at))
         self.hasten(machine)
         for key in list(machine.strays):
             self._stray_left(machine, key)
@@ -98,16 +98,16 @@
             self.requeue(task, lost=True)
         self.replan = True
 
-    def stood_still(self, gap: int, now: int) -> None:
+    def on_process_pause(self, gap: int, now: int) -> None:
         """This process did not run for a while: nobody was silent or idle for it meanwhile."""
         for machine in self.machines.values():
-            for name in ("heard_at", "known_since", "idle_since", "gpus_idle_since"):
+            for name in ("last_heartbeat_at", "known_since", "idle_since", "gpus_idle_since"):
                 at = getattr(machine, name)
                 if at:
                     setattr(machine, name, min(at + gap, now))
         for job in self.waiting:
-            if job.hungry_since:
-                job.hungry_since += gap
+            if job.unplaced_since:
+                job.unplaced_since += gap
         if self._accounted_at:
             self._accounted_at += gap
 
@@ -118,7 +118,7 @@
         """
         found: set[str] = set()
         for zone in {m.zone for m in silent}:
-            last = max(m.heard_at for m in self.machines.values() if m.zone == zone)
+            last = max(m.last_heartbeat_at for m in self.machines.values() if m.zone == zone)
             heard = last > now - self.tuning.us("silent_s") // 2
             if not heard and sum(m.zone == zone for m in silent) >= DARK_LEAST:
                 found.add(zone)
@@ -164,9 +164,9 @@
             self.take_old_ends(machine, report)
             return machine  # an older message that came late: of all the rest it tells nothing
         new_session = report.session != machine.session
-        if now - machine.heard_at > self.fresh_us:
+        if now - machine.last_heartbeat_at > self.fresh_us:
             self.replan = True  # its free room counts again
-        machine.heard_at = self.now = now
+        machine.last_heartbeat_at = self.now = now
         self.wall_offset = wall - now
         if machine.zone in self.dark:
             self._heard_again(machine.zone, now)
@@ -182,26 +182,26 @@
             if machine.session:
                 # It heard no answer for a lease, while it may have been heard all the time: empty as it is then, it
                 # looks like the best place for the next tasks.
-                machine.deaf = True
+                machine.command_unreachable = True
             machine.session_since = now
             # Starts sent under an earlier session are refused from now on, and so are those of an
             # earlier token once the worker has seen ours.
-            machine.unanswered.clear()
+            machine.unacknowledged_starts.clear()
             machine.in_answer.clear()
             # Its images are kept, but a fetch that nobody waits for any more is given up.
             machine.images = {image: at for image, at in machine.images.items() if at == 1}
-        elif machine.deaf and now - machine.session_since > self.lease_us:
-            machine.deaf = False  # else its session would have ended
+        elif machine.command_unreachable and now - machine.session_since > self.lease_us:
+            machine.command_unreachable = False  # else its session would have ended
         machine.session, machine.seq, machine.token = report.session, report.seq, report.token
         if report.notice_s is None:
-            self.replan = self.replan or machine.taken_at > 0
-            machine.taken_at = 0
+            self.replan = self.replan or machine.reclaimed_at > 0
+            machine.reclaimed_at = 0
         else:
-            taken_at = now + micros(max(report.notice_s, 0.0))
-            if not machine.taken_at:
-                machine.taken_at = taken_at
+            reclaimed_at = now + micros(max(report.notice_s, 0.0))
+            if not machine.reclaimed_at:
+                machine.reclaimed_at = reclaimed_at
                 self._on_notice(machine, report.notice_s, now)
-            machine.taken_at = min(machine.taken_at, taken_at)
+            machine.reclaimed_at = min(machine.reclaimed_at, reclaimed_at)
         if machine.calm is not None and not new_session and machine.calm == report.tasks:
             return machine  # what it runs is as it was told before, and as it should be
         listed = {(row.task, row.attempt): row for row in report.tasks}
@@ -230,18 +230,21 @@
         return (
             not machine.strays
             and not machine.ended
-            and not machine.unanswered
+            and not machine.unacknowledged_starts
             and listed == len(machine.tasks)
             and all(
-                task.acked is not None and task.stopping is None and not task.job.suspect and not task.job.cancelled
+                task.start_acknowledged is not None
+                and task.stopping is None
+                and not task.job.suspect
+                and not task.job.cancelled
                 for task in machine.tasks
             )
         )
 
     def _on_listed(self, task: Task, machine: Machine, row: wire.TaskReport, report: wire.Report, now: int) -> None:
-        if task.acked is None and task.sent_session == report.session:
-            machine.deaf = False
-        task.acked = (report.session, report.seq)
+        if task.start_acknowledged is None and task.sent_session == report.session:
+            machine.command_unreachable = False
+        task.start_acknowledged = (report.session, report.seq)
         self.unacked.discard(task)
         if row.status != wire.EXITED:
             if row.status != wire.FETCHING:
@@ -261,8 +264,8 @@
             if task.status != row.status:
                 task.status = row.status
                 self.stirred[job] = None
-            if job.suspect and job.kind is Kind.SERVICE and faults.works(job, now):
-                faults.task_done(job, machine, self.machines, now)
+            if job.suspect and job.kind is Kind.SERVICE and failure_attribution.works(job, now):
+                failure_attribution.task_done(job, machine, self.machines, now)
             if task.job.cancelled and task.stopping is None:
                 self.stop(task, 0.0)
             return
@@ -276,14 +279,14 @@
             return
         wanted = task.stopping is not None
         if why == wire.WHY_ERROR:
-            if faults.job_failed(job, machine, self.machines, task.attempt, now):
+            if failure_attribution.job_failed(job, machine, self.machines, task.attempt, now):
                 self.dirty.setdefault(live_key(job.ref), None)  # for the next leader
         elif why == wire.WHY_NO_ROOM:
-            machine.blocked_until = now + 3 * SECOND
+            machine.cordoned_until = now + 3 * SECOND
         elif why == wire.WHY_UNKNOWN:
             job.not_before = now + 2 * SECOND
         elif why == wire.WHY_BUSY:
-            machine.blocked_until = now + SECOND
+            machine.cordoned_until = now + SECOND
         self.requeue(task, lost=not wanted and why in (wire.WHY_PEERS, wire.WHY_STOPPED), unexecuted=why in REFUSED)
 
     def _on_absent(self, task: Task, machine: Machine, report: wire.Report, now: int) -> None:
@@ -297,18 +300,22 @@
         if task.sent_session and report.session <= task.sent_session:
             if (
                 task.job.cancelled
-                and task.acked is None
-                and not (machine.unanswered.get(key) or key in machine.in_answer)
+                and task.start_acknowledged is None
+                and not (machine.unacknowledged_starts.get(key) or key in machine.in_answer)
             ):
                 pass  # no start of it is under way, and none goes out any more: it isn't there and won't be
-            elif task.acked is None or machine.unanswered.get(key):
+            elif task.start_acknowledged is None or machine.unacknowledged_starts.get(key):
                 self.to_send.add(machine)  # our start is on its way or was lost: repeat it
                 if task.claimed_at and now - task.claimed_at > UNHEARD:
-                    machine.deaf = True
+                    machine.command_unreachable = True
                 return
         log.info("task %s attempt %d is not on %s any more", task.name, task.attempt, machine.name)
         # In the session in which it was claimed, and never seen by this leader: no start of it was executed.
-        unexecuted = task.acked is None and report.session == task.claim_session and not machine.unanswered.get(key)
+        unexecuted = (
+            task.start_acknowledged is None
+            and report.session == task.claim_session
+            and not machine.unacknowledged_starts.get(key)
+        )
         self.requeue(task, lost=bool(task.sent_session), unexecuted=unexecuted)
 
     def _on_others(self, machine: Machine, rows: list[wire.TaskReport], now: int) -> None:
@@ -329,7 +336,7 @@
         for key in strays:
             if key not in machine.strays:
                 self._stray_came(machine, key)
-        if machine.taken_at:
+        if machine.reclaimed_at:
             self.hasten(machine)  # soon it can't tell of them any more
 
     def _on_notice(self, machine: Machine, notice_s: float, now: int) -> None:
@@ -383,7 +390,7 @@
                 if task.stopping is not None:
                     orders.append(wire.stop(task.name, task.attempt, task.stopping))
                 continue
-            if task.acked is None and not (direct and task.repeat_start_at > now):
+            if task.start_acknowledged is None and not (direct and task.repeat_start_at > now):
                 if self._may_start(task, now):
                     orders.append(wire.start(task.name, task.attempt))
                     starts.append(task)
@@ -404,7 +411,7 @@
         there, and what comes late does nothing. But not when its user was told long ago, as after an outage.
         """
         job = task.job
-        if job.cancelled and not job.lost_cause and now >= self.lease_bound(job):
+        if job.cancelled and not job.failure_reason and now >= self.lease_bound(job):
             return False
         if job.kind is not Kind.GANG:
             return True
@@ -416,19 +423,19 @@
         A start that a link holds for long is neither there to be stopped nor proven lost: the machine's lease has to
         end before `cancel_s` is over.
         """
-        return bool(machine.unanswered) and any(
+        return bool(machine.unacknowledged_starts) and any(
             task.job.cancelled
-            and not task.job.lost_cause
-            and task.acked is None
+            and not task.job.failure_reason
+            and task.start_acknowledged is None
             and task.sent_session == machine.session
-            and machine.unanswered.get((task.name, task.attempt))
+            and machine.unacknowledged_starts.get((task.name, task.attempt))
             and now >= self.lease_bound(task.job)
             for task in machine.tasks
         )
 
     def _may_forget(self, machine: Machine, name: str, attempt: int) -> bool:
         """Not while a start of it may land (it would start again), nor before its end is committed."""
-        if machine.unanswered.get((name, attempt)) or (name, attempt) in machine.in_answer:
+        if machine.unacknowledged_starts.get((name, attempt)) or (name, attempt) in machine.in_answer:
             return False
         parts = split_task(name)
         if parts is None:
@@ -458,7 +465,7 @@
             self.unacked.add(task)
             if direct:
                 key = (task.name, task.attempt)
-                machine.unanswered[key] = machine.unanswered.get(key, 0) + 1
+                machine.unacknowledged_starts[key] = machine.unacknowledged_starts.get(key, 0) + 1
                 task.repeat_start_at = now + SECOND
             else:
                 # On a slow link direct commands overtake an answer: a task was started by one, stopped and forgotten,
@@ -467,15 +474,15 @@
 
     def reached(self, machine: Machine) -> None:
         """It answered something that it was asked directly."""
-        if machine.deaf:
-            machine.deaf = False
+        if machine.command_unreachable:
+            machine.command_unreachable = False
             self.replan = True
 
     def answered(self, machine: Machine, starts: Iterable[tuple[str, int]]) -> None:
         """A direct command was answered, whether executed or refused: its starts can't land later."""
         for key in starts:
-            count = machine.unanswered.get(key, 0) - 1
+            count = machine.unacknowledged_starts.get(key, 0) - 1
             if count > 0:
-                machine.unanswered[key] = count
+                machine.unacknowledged_starts[key] = count
             else:
-                machine.unanswered.pop(key, None)
+                machine.unacknowledged_starts.pop(key, None)
--- a/oatport/control/served.py
+++ b/oatport/control/state/job_statistics.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from oatport.control.model import Job
+from oatport.control.state.model import Job
 
 SIZES_MOST = 2_000  # jobs of a class whose sizes are kept; the smaller half of more is let go
 
@@ -23,7 +23,7 @@
 
 
 @dataclass(slots=True)
-class Served:
+class JobStatistics:
     classes: dict[str, Row] = field(default_factory=dict)
     teams: dict[str, Row] = field(default_factory=dict)
     # class -> job -> what it takes, and whether a task of it ran
--- a/oatport/control/model.py
+++ b/oatport/control/state/model.py
@@ -12,7 +12,7 @@
 from oatport import wire
 from oatport.times import SECOND, micros
 
-CHUNK_TASKS = 100  # tasks in one record, where that fits (`control/layout.py`)
+CHUNK_TASKS = 100  # tasks in one record, where that fits (`control/storage/record_layout.py`)
 
 PRIORITIES = {"production": 0, "high": 1, "normal": 2, "idle": 3}
 NORMAL_RANK, IDLE_RANK = PRIORITIES["normal"], PRIORITIES["idle"]
@@ -46,7 +46,7 @@
     # Session under which this leader first sent the start; 0: not sent by this leader.
     sent_session: int = 0
     # The (session, seq) of an answer of the worker's to a start of this attempt.
-    acked: tuple[int, int] | None = None
+    start_acknowledged: tuple[int, int] | None = None
     status: str = ""  # as last reported
     claimed_at: int = 0
     running_since: int = 0
@@ -69,7 +69,7 @@
         self.phase = Phase.PENDING
         self.machine = None
         self.sent_session = 0
-        self.acked = None
+        self.start_acknowledged = None
         self.status = ""
         self.running_since = 0
         self.stopping = None
@@ -138,17 +138,17 @@
     began: bool = False  # a task of it was seen running
     pressing: bool = False  # it waits for so long that no equal goes before it any more
     once: bool = False  # its class limits repeats: rows of its records tell more
-    lost_cause: str = ""  # a task of it may not run again: it ends as lost
+    failure_reason: str = ""  # a task of it may not run again: it ends as lost
     strays: int = 0  # attempts of it seen where no record puts them: nothing of it is placed meanwhile
     due: int = 0  # time of day of the deadline that it can still meet
     late: bool = False  # it meets none any more
     target: int = 0  # the first that it could meet if it ran now; far away if there is none, 0: not judged
     guaranteed: bool = False  # it fits its team's guarantee together with the team's earlier jobs
-    hungry_since: int = 0  # steady; when it last began to wait without getting a machine
+    unplaced_since: int = 0  # steady; when it last began to wait without getting a machine
     preempt_after: int = 0  # steady; one round of preemption at a time
     run: int = 0  # its predicted run time as of the last routing
     run_step: int = 0  # the same in steps
-    place: object = None  # where it stands among the waiting (`control/agenda.py`)
+    place: object = None  # where it stands among the waiting (`control/queueing/pending_queue.py`)
     dues: list[int] | None = None  # times of day by which its end is looked for: they never change
     # Machine types that can run it, the names of those that suit it, and the catalog that they were found in.
     allowed: tuple[int, list[wire.MachineType]] | None = None
@@ -253,7 +253,7 @@
         if self.slim is not None:
             value |= self.slim
         if state == wire.LOST:
-            value["cause"] = self.lost_cause
+            value["cause"] = self.failure_reason
         return value
 
 
@@ -284,9 +284,9 @@
     session: int = 0
     seq: int = -1
     token: int = 0  # as in the newest report
-    heard_at: int = 0
+    last_heartbeat_at: int = 0
     known_since: int = 0  # steady; when this leader first knew of it
-    taken_at: int = 0  # when the cloud takes it back; 0: no notice
+    reclaimed_at: int = 0  # when the cloud takes it back; 0: no notice
     tasks: set[Task] = field(default_factory=set)
     work: set[Task] = field(default_factory=set)  # those of them that end by themselves: all but replicas
     # Live tasks in its newest report that no record puts here; of which job, and what they take, if that is known.
@@ -295,7 +295,7 @@
     ended: set[tuple[str, int]] = field(default_factory=set)
     # Attempts with sent starts whose fate is unknown, and how many: one may still land, so the
     # attempt is not forgotten (a start after a `forget` would start it again).
-    unanswered: dict[tuple[str, int], int] = field(default_factory=dict)
+    unacknowledged_starts: dict[tuple[str, int], int] = field(default_factory=dict)
     # Starts in the answer to the report that came last, and that report's session and number.
     in_answer: set[tuple[str, int]] = field(default_factory=set)
     answered_report: tuple[int, int] = (0, 0)
@@ -304,7 +304,7 @@
     free_gpus: float = 0.0
     free_memory: float = 0.0
     steady_cpus: float = 0.0  # what services take of it
-    rank_cpus: list[float] = field(default_factory=lambda: [0.0] * len(PRIORITIES))  # taken, by priority
+    cpus_by_priority: list[float] = field(default_factory=lambda: [0.0] * len(PRIORITIES))  # taken, by priority
     number: int = 0  # the digits of its name: which record holds it
     idle_since: int = 0
     gpus_idle_since: int = 0  # when the last task that needs GPUs left
@@ -325,8 +325,8 @@
     session_since: int = 0  # steady; since when this leader knows of its session
     # Its reports arrive, but it seems to hear neither answers nor commands: it gets no work until it has shown that
     # it hears.
-    deaf: bool = False
-    blocked_until: int = 0  # it refused a start for want of room: our view of it is off
+    command_unreachable: bool = False
+    cordoned_until: int = 0  # it refused a start for want of room: our view of it is off
     gone: bool = False
 
     def __post_init__(self) -> None:
@@ -390,10 +390,10 @@
             and not self.draining
             and not self.releasing
             and not self.surplus
-            and not self.deaf
-            and not self.taken_at
-            and now - self.heard_at <= fresh_us
-            and now >= self.blocked_until
+            and not self.command_unreachable
+            and not self.reclaimed_at
+            and now - self.last_heartbeat_at <= fresh_us
+            and now >= self.cordoned_until
         )
 
     @property
--- a/oatport/control/sightings.py
+++ b/oatport/control/state/orphaned_attempts.py
@@ -5,9 +5,9 @@
 import logging
 
 from oatport import wire
-from oatport.control.ends import ROWS_MOST, End
-from oatport.control.model import Job, Kind, Machine, Phase, split_task
-from oatport.control.work import Work
+from oatport.control.state.completions import ROWS_MOST, End
+from oatport.control.state.model import Job, Kind, Machine, Phase, split_task
+from oatport.control.state.task_lifecycle import TaskLifecycle
 
 log = logging.getLogger(__name__)
 
@@ -18,7 +18,7 @@
     return parts[0] if parts else name
 
 
-class Sightings(Work):
+class OrphanedAttempts(TaskLifecycle):
     # --- attempts that no record puts where they are ------------------------------------------
 
     def _stray_came(self, machine: Machine, key: tuple[str, int]) -> None:
@@ -128,7 +128,7 @@
         return (
             self.ends_unknown
             and now < until
-            and not machine.heard_at
+            and not machine.last_heartbeat_at
             and any(not task.claimed_at for task in machine.work)
         )
 
--- a/oatport/control/teams.py
+++ b/oatport/control/state/quota.py
@@ -16,12 +16,12 @@
 from dataclasses import dataclass, field
 
 from oatport import wire
-from oatport.control.model import PRIORITIES
+from oatport.control.state.model import PRIORITIES
 from oatport.settings import Team
 
 
 @dataclass(slots=True)
-class TeamUse:
+class TeamUsage:
     """What a team's tasks take; those not proven gone count (rule `quota`)."""
 
     limits: Team
@@ -42,11 +42,11 @@
         return self.cpus > self.limits.cpus + 1e-9 or self.gpus > self.limits.gpus + 1e-9
 
 
-class Teams(dict[str, TeamUse]):
+class TeamQuotas(dict[str, TeamUsage]):
     """All teams by name, and the attempts seen on machines whose team isn't known."""
 
     def __init__(self, teams: Iterable[Team]) -> None:
-        super().__init__((team.name, TeamUse(team)) for team in teams)
+        super().__init__((team.name, TeamUsage(team)) for team in teams)
         self.unknown: Counter[str] = Counter()  # ids of jobs that aren't known -> attempts of them on machines
 
     def room(self, spec: wire.Submission) -> int:
--- a/oatport/control/work.py
+++ b/oatport/control/state/task_lifecycle.py
@@ -8,26 +8,26 @@
 from typing import Any
 
 from oatport import wire
-from oatport.control import faults
-from oatport.control.agenda import Agenda
-from oatport.control.cancellations import answers_until
-from oatport.control.chains import Chains
-from oatport.control.ends import ROWS_MOST, End
-from oatport.control.layout import Layout
-from oatport.control.model import PRIORITIES, Hold, Job, Kind, Machine, Phase, Task, allowed_types
-from oatport.control.predictor import Predictor
-from oatport.control.records import DARK_KEY, cancel_key, live_key
-from oatport.control.repeats import Repeat, Repeats, may_repeat, never_sent
-from oatport.control.router import SPOT, Router
-from oatport.control.served import Served
-from oatport.control.teams import Teams
+from oatport.control.placement import failure_attribution
+from oatport.control.placement.retry_policy import RetryPolicies, RetryPolicy, may_repeat, never_sent
+from oatport.control.queueing.dependency_tracker import DependencyTracker
+from oatport.control.queueing.pending_queue import PendingQueue
+from oatport.control.queueing.runtime_predictor import RuntimePredictor
+from oatport.control.queueing.tier_router import SPOT, TierRouter
+from oatport.control.state.cancellations import answers_until
+from oatport.control.state.completions import ROWS_MOST, End
+from oatport.control.state.job_statistics import JobStatistics
+from oatport.control.state.model import PRIORITIES, Hold, Job, Kind, Machine, Phase, Task, allowed_types
+from oatport.control.state.quota import TeamQuotas
+from oatport.control.storage.record_layout import RecordLayout
+from oatport.control.storage.write_buffer import DARK_KEY, cancel_key, live_key
 from oatport.settings import ClusterSettings, Tuning
 from oatport.times import SECOND, micros
 
 log = logging.getLogger(__name__)
 
 
-class Work(Chains):
+class TaskLifecycle(DependencyTracker):
     """The part of the leader's view that is about jobs; `Cluster` adds the machines."""
 
     def __init__(
@@ -36,15 +36,17 @@
         settings: ClusterSettings,
         tuning: Tuning,
         types: dict[str, wire.MachineType],
-        predictor: Predictor,
+        predictor: RuntimePredictor,
     ) -> None:
-        super().__init__(predictor, Layout(settings.state.least_value_bytes, max(map(len, settings.zones), default=0)))
+        super().__init__(
+            predictor, RecordLayout(settings.state.least_value_bytes, max(map(len, settings.zones), default=0))
+        )
         self.token = token
         self.settings = settings
         self.tuning = tuning
         self.types = types
         self.types_seen = 0  # goes up when the catalog changes
-        self.router = Router(
+        self.router = TierRouter(
             predictor,
             tuning.us("spot_threshold_s"),
             tuning.slack_factor,
@@ -62,12 +64,12 @@
                 self.finish_aims[aim.job_class] = (*self.finish_aims.get(aim.job_class, ()), within)
             if aim.kind == "deadline":
                 self.deadline_aims[aim.job_class] = (*self.deadline_aims.get(aim.job_class, ()), aim.times)
-        self.waiting = Agenda()
-        self.served = Served()
+        self.waiting = PendingQueue()
+        self.served = JobStatistics()
         self.stirred: dict[Job, None] = {}  # jobs whose counts, as users are shown them, may have changed
         self.moves = 0  # goes up when a task comes to a machine or leaves it
         self.released: set[str] = set()  # names that a release answered: gone for good
-        self.teams = Teams(settings.teams)
+        self.teams = TeamQuotas(settings.teams)
         self.spent: defaultdict[str, float] = defaultdict(float)  # money by what machines did
         self._accounted_at = 0
         self.replica_us = 0  # time that replicas were on machines, all in all
@@ -81,7 +83,7 @@
         self.back: set[str] = set()  # zones that are heard from again: their machines are to be asked at once
         self.singles[DARK_KEY] = self.dark_value
         self.coming: list[tuple[Job, int]] = []  # held work that is let go soon, and how many tasks: it counts as ahead
-        self.repeats: Repeats = {}
+        self.repeats: RetryPolicies = {}
         self.on_measured: Callable[[Job, int], None] = lambda job, took: None  # a task's run time was seen
         self.rank_tasks = [0] * len(PRIORITIES)  # tasks on machines, by priority
         self.ends_unknown = False  # earlier leaders may have taken in ends that nobody tells of now
@@ -110,9 +112,9 @@
 
     def join(self, job: Job) -> None:
         """It may start from now on."""
-        repeat = self.repeats.get(job.spec.job_class, Repeat.ANY)
-        job.once = repeat is not Repeat.ANY and job.kind is not Kind.SERVICE
-        job.hungry_since = self.now or 1
+        repeat = self.repeats.get(job.spec.job_class, RetryPolicy.ANY)
+        job.once = repeat is not RetryPolicy.ANY and job.kind is not Kind.SERVICE
+        job.unplaced_since = self.now or 1
         self.waiting.add(job)
         self.replan = True
         self.pipelines.seen(job.ref)
@@ -152,7 +154,7 @@
 
     def _count_rank(self, task: Task, machine: Machine, sign: int) -> None:
         job, spec = task.job, task.job.spec
-        machine.rank_cpus[job.rank] += sign * spec.cpus
+        machine.cpus_by_priority[job.rank] += sign * spec.cpus
         self.rank_tasks[job.rank] += sign
         use = self.teams.get(spec.team)
         if use and job.kind is Kind.ARRAY:
@@ -171,8 +173,8 @@
             return
         if mark_version:
             self.versions[cancel_key(ref)] = mark_version
-        if job.lost_cause:  # its user was faster than the record of that
-            job.lost_cause, job.finishing, job.cancel_after = "", False, told_after
+        if job.failure_reason:  # its user was faster than the record of that
+            job.failure_reason, job.finishing, job.cancel_after = "", False, told_after
             self.to_finish.pop(job, None)
         if job.cancelled:
             self._clean_if_gone(job)
@@ -225,14 +227,14 @@
             return
         job.opened = min(max(job.opened, job.fresh) + count, job.spec.tasks)
         if job not in self.waiting:
-            job.hungry_since = self.now or 1
+            job.unplaced_since = self.now or 1
         self.waiting.add(job)
         self.replan = True
 
     def _clean_if_gone(self, job: Job) -> None:
         if not job.cancelled or job.on_machines or job.strays:
             return
-        if job.lost_cause:
+        if job.failure_reason:
             job.finishing = True
             self.to_finish[job] = None
         elif self.versions.get(cancel_key(job.ref)):  # else its keys wait for the record: the mark goes with them
@@ -318,7 +320,7 @@
         if job.kind is Kind.GANG and job.done and not job.cancelled:
             self.finish_task(task, self.now, measured=False)  # one of them is done, so it is as well
             return
-        repeat = self.repeats.get(job.spec.job_class, Repeat.ANY)
+        repeat = self.repeats.get(job.spec.job_class, RetryPolicy.ANY)
         if not job.cancelled and not may_repeat(repeat, task, unexecuted):
             self.lose(task, "a task may have begun and may not run again")
             return
@@ -336,7 +338,7 @@
             self._gang_lost_task(job)
 
     def _wait_again(self, job: Job) -> None:
-        job.hungry_since = job.hungry_since or self.now or 1
+        job.unplaced_since = job.unplaced_since or self.now or 1
         self.waiting.add(job)
 
     def lose(self, task: Task, cause: str) -> None:
@@ -353,7 +355,7 @@
             self._clean_if_gone(job)
             return
         log.info("job %s is lost: task %d: %s", job.ref, task.index, cause)
-        job.lost_cause, job.cancelled = cause, True
+        job.failure_reason, job.cancelled = cause, True
         self.waiting.discard(job)
         self._call_off(job)
 
@@ -372,7 +374,7 @@
         task.phase = Phase.CLAIMED
         task.claimed_at = now
         task.claim_session = machine.session
-        job.hungry_since = now if job.pending else 0
+        job.unplaced_since = now if job.pending else 0
         self.assign(task, machine)
         machine.images.setdefault(job.spec.image, now)
         machine.idle_since = 0
@@ -415,7 +417,7 @@
             self.on_measured(job, took)
             self.predictor.finished(job.ref, job.spec, took)
         if machine is not None:
-            faults.task_done(job, machine, self.machines, now)
+            failure_attribution.task_done(job, machine, self.machines, now)
             self.unassign(task)
         job.tasks.pop(task.index, None)
         job.done.add(task.index)
--- a/oatport/control/tally.py
+++ b/oatport/control/state/utilization.py
@@ -4,12 +4,12 @@
 
 from dataclasses import dataclass, field
 
-from oatport.control.work import Work
+from oatport.control.state.task_lifecycle import TaskLifecycle
 from oatport.times import SECOND
 
 
 @dataclass(slots=True)
-class Tally:
+class FleetUtilization:
     """Machines and waiting tasks as last counted (`Cluster.account`)."""
 
     up: int = 0
@@ -21,10 +21,10 @@
     waiting: dict[str, int] = field(default_factory=dict)  # tier -> tasks
 
 
-def account(work: Work, now: int, since: int) -> Tally:
+def account(work: TaskLifecycle, now: int, since: int) -> FleetUtilization:
     """Add up what the time since then cost, by what machines did, and count them. `since` 0: the first call."""
     hours = (now - since) / (3600 * SECOND) if since else 0.0
-    tally = Tally()
+    tally = FleetUtilization()
     for job in work.waiting:
         tally.waiting[job.tier or "?"] = tally.waiting.get(job.tier or "?", 0) + job.pending
     for machine in work.machines.values():
--- a/oatport/control/lists.py
+++ b/oatport/control/storage/overflow_records.py
@@ -9,8 +9,8 @@
 from typing import Any
 
 from oatport import wire
-from oatport.control.layout import HEAD_FRAME, MORE
-from oatport.control.model import Job
+from oatport.control.state.model import Job
+from oatport.control.storage.record_layout import HEAD_FRAME, MORE
 from oatport.sizes import json_size
 
 LONG_LISTS = (wire.NEEDS, wire.TYPES)
--- a/oatport/control/layout.py
+++ b/oatport/control/storage/record_layout.py
@@ -6,7 +6,7 @@
 that was written last is right. So a record that an earlier version wrote larger may stay as it is while parts of it
 are written anew; only before it is itself written smaller must the others be there (`Records`).
 
-Versions before 0.7 know no such parts: they are written only once all nodes read them (`control/formats.py`).
+Versions before 0.7 know no such parts: they are written only once all nodes read them (`control/storage/schema_version.py`).
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from oatport.control.model import CHUNK_TASKS, Job
+from oatport.control.state.model import CHUNK_TASKS, Job
 from oatport.sizes import json_size
 
 JOBS, LIVE, WAITS, MORE, FLEET = "jobs/", "live/", "waits/", "more/", "fleet/"
@@ -72,7 +72,7 @@
 
 
 @dataclass(slots=True)
-class Layout:
+class RecordLayout:
     """Where tasks and machines lie. `parts`: all nodes read more keys than one a chunk."""
 
     limit: int  # bytes of a value, as JSON
--- a/oatport/control/recovery.py
+++ b/oatport/control/storage/recovery.py
@@ -10,13 +10,13 @@
 import msgspec
 
 from oatport import wire
-from oatport.control.cancellations import answers_until
-from oatport.control.cluster import DARK_LEAST, Cluster
-from oatport.control.formats import FORMATS_KEY, READS, reads_of
-from oatport.control.layout import FLEET_CHUNK, group_of
-from oatport.control.lists import note_slim
-from oatport.control.model import Hold, Job, Kind, Machine, Phase, Task, digits
-from oatport.control.records import (
+from oatport.control.state.cancellations import answers_until
+from oatport.control.state.cluster_state import DARK_LEAST, ClusterState
+from oatport.control.state.model import Hold, Job, Kind, Machine, Phase, Task, digits
+from oatport.control.storage.overflow_records import note_slim
+from oatport.control.storage.record_layout import FLEET_CHUNK, group_of
+from oatport.control.storage.schema_version import FORMATS_KEY, READS, reads_of
+from oatport.control.storage.write_buffer import (
     CANCEL_MARK,
     DARK_KEY,
     FLEET,
@@ -41,7 +41,7 @@
     return spec, int(value["at"]), str(value["state"])
 
 
-class UnknownType(Exception):
+class UnknownMachineTypeError(Exception):
     """A recorded machine is of a type that no catalog tells: what is on it can't be taken in."""
 
 
@@ -62,7 +62,7 @@
     return {str(row[1]) for row in machines_recorded(rows)}
 
 
-def load(cluster: Cluster, rows: list[dict[str, Any]], now: int, wall: int) -> None:
+def load(cluster: ClusterState, rows: list[dict[str, Any]], now: int, wall: int) -> None:
     """Fill a new leader's view from the records under live/ and fleet/, and the model.
 
     What a record says is on a machine is taken as there, whatever the machine itself says later
@@ -78,7 +78,7 @@
         machine = cluster.add_machine(name, type_name, zone, spot, address, now, wall, max(0, wall - rented))
         if machine is None:
             # Left out, it would be taken for gone, and all that runs on it would be started again elsewhere.
-            raise UnknownType(f"{name} is of type {type_name}")
+            raise UnknownMachineTypeError(f"{name} is of type {type_name}")
         machine.recorded, machine.was_up = True, was_up
         # Asked at once by the new leader; one that stays silent has most likely been so before.
         machine.known_since = now - cluster.tuning.us("silent_s") * 3 // 10
@@ -166,7 +166,7 @@
         assert live_key(job.ref) in cluster.versions or waits_key(job.ref) in cluster.versions
 
 
-def _load_tasks(cluster: Cluster, job: Job, parts: list[tuple[int, int, Any]]) -> None:
+def _load_tasks(cluster: ClusterState, job: Job, parts: list[tuple[int, int, Any]]) -> None:
     """Its tasks as recorded. `parts` in the order in which they were written: of a task the last one tells."""
     rows: dict[int, Any] = {}
     for _, low, value in parts:
@@ -205,7 +205,7 @@
 
 
 @dataclass(slots=True)
-class OutageClock:
+class LeaseRenewalLimit:
     """How long a leader cut off from the state service may keep its workers' leases alive (`answers_until`)."""
 
     settings: ClusterSettings
@@ -225,18 +225,18 @@
     return [
         m
         for m in machines
-        if not m.releasing and (m.up_at or m.was_up) and now - max(m.heard_at, m.known_since) > silent_us
+        if not m.releasing and (m.up_at or m.was_up) and now - max(m.last_heartbeat_at, m.known_since) > silent_us
     ]
 
 
-def deaf(machines: list[Machine], now: int, report_us: int, began: int) -> list[Machine]:
+def command_unreachable(machines: list[Machine], now: int, report_us: int, began: int) -> list[Machine]:
     """All machines, if none of several was heard for longer than the time between two reports of any of them.
 
     With many machines that takes a moment to see: a leader cut off from workers need not wait as long as for one.
     One that has just begun asks them all at once.
     """
     up = [m for m in machines if (m.up_at or m.was_up) and not m.releasing]
-    if len(up) < DARK_LEAST or any(now - max(m.heard_at, began) <= report_us * 3 // 2 for m in up):
+    if len(up) < DARK_LEAST or any(now - max(m.last_heartbeat_at, began) <= report_us * 3 // 2 for m in up):
         return []
     return up
 
--- a/oatport/control/records.py
+++ b/oatport/control/storage/write_buffer.py
@@ -7,7 +7,9 @@
 from typing import Any
 
 from oatport import wire
-from oatport.control.layout import (
+from oatport.control.queueing.runtime_predictor import RuntimePredictor
+from oatport.control.state.model import CHUNK_TASKS, IDLE_RANK, Job, Kind, Machine, Phase, Task
+from oatport.control.storage.record_layout import (
     CANCEL_MARK,
     FLEET,
     FLEET_CHUNK,
@@ -15,7 +17,7 @@
     LIVE,
     MORE,
     WAITS,
-    Layout,
+    RecordLayout,
     cancel_key,
     chunk_key,
     first_of,
@@ -25,8 +27,6 @@
     live_key,
     waits_key,
 )
-from oatport.control.model import CHUNK_TASKS, IDLE_RANK, Job, Kind, Machine, Phase, Task
-from oatport.control.predictor import Predictor
 from oatport.sizes import json_size
 
 ACCEPT_KEYS = 2  # written to accept a job: jobs/REF and live/REF, or waits/REF
@@ -45,8 +45,8 @@
     "MODEL_KEY",
     "MORE",
     "WAITS",
-    "Batch",
-    "Records",
+    "WriteBatch",
+    "WriteBuffer",
     "cancel_key",
     "chunk_key",
     "first_of",
@@ -57,7 +57,7 @@
 
 
 @dataclass(slots=True)
-class Batch:
+class WriteBatch:
     """One transaction of the leader's, without the leader condition that its sender adds."""
 
     conditions: dict[str, int] = field(default_factory=dict)
@@ -73,10 +73,10 @@
         return len(self.sets) + len(self.drops)
 
 
-class Records:
+class WriteBuffer:
     """What is written down of the leader's view, and what is still to be: the base of `Cluster`."""
 
-    def __init__(self, predictor: Predictor, layout: Layout) -> None:
+    def __init__(self, predictor: RuntimePredictor, layout: RecordLayout) -> None:
         self.predictor = predictor
         self.layout = layout
         self.now = 0  # the time of the last event or pass
@@ -230,7 +230,7 @@
     def has_urgent(self) -> bool:
         return bool(self.urgent or self.to_finish or self.to_call_off)
 
-    def take_batch(self, max_ops: int, budget: int | None = None, ripe_us: int = 0) -> Batch:
+    def take_batch(self, max_ops: int, budget: int | None = None, ripe_us: int = 0) -> WriteBatch:
         """The next transaction, the most pressing first.
 
         `ripe_us`: for so long ends of tasks wait for others of their record, and for their job's end, which needs none
@@ -239,7 +239,7 @@
         `budget`: writes that may go out at once. What can wait goes along only within it: else claims
         would wait for the writes of ends, and a lost replica for a zone's worth of them.
         """
-        batch = Batch()
+        batch = WriteBatch()
         self._add_called_off(batch, max_ops)
         # A swarm's claims wait for the ends of others' jobs, which their users are waiting to hear of.
         self._add_urgent(batch, max_ops, IDLE_RANK - 1)
@@ -250,7 +250,7 @@
             del self.to_finish[job]
             batch.conditions[job_key(job.ref)] = job.version
             # Since when it is done: what needs it counts its times from then, also under another leader.
-            batch.sets[job_key(job.ref)] = job.record(wire.LOST if job.lost_cause else wire.DONE) | {
+            batch.sets[job_key(job.ref)] = job.record(wire.LOST if job.failure_reason else wire.DONE) | {
                 "ended": self.now + self.wall_offset
             }
             self._add_drops(batch, keys, max_ops)
@@ -285,13 +285,13 @@
         self.in_flight = {*batch.sets, *batch.drops}
         return batch
 
-    def _add_urgent(self, batch: Batch, max_ops: int, lowest: int) -> None:
+    def _add_urgent(self, batch: WriteBatch, max_ops: int, lowest: int) -> None:
         for key in sorted((k for k, rank in self.urgent.items() if rank <= lowest), key=self.urgent.__getitem__):
             if key in self.urgent and (batch.ops >= max_ops or not self._add_record(batch, key, max_ops)):
                 return
 
-    def _add_called_off(self, batch: Batch, max_ops: int) -> None:
-        """Jobs whose needed ones were cancelled. What users are told does not wait for it (`api/jobview.py`), so claims
+    def _add_called_off(self, batch: WriteBatch, max_ops: int) -> None:
+        """Jobs whose needed ones were cancelled. What users are told does not wait for it (`api/job_status_cache.py`), so claims
         get their half of a transaction meanwhile: 3,000 at once take minutes."""
         most = max_ops if not (self.urgent or self.to_finish) else max(2, max_ops // 2)
         for ref, job in list(self.to_call_off.items()):
@@ -303,7 +303,7 @@
             self._add_drops(batch, [waits_key(job.ref)], max_ops)
             batch.called_off.append(job)
 
-    def _add_drops(self, batch: Batch, keys: list[str], max_ops: int) -> None:
+    def _add_drops(self, batch: WriteBatch, keys: list[str], max_ops: int) -> None:
         for key in keys:
             if batch.ops < max_ops:
                 batch.conditions[key] = self.versions.get(key, 0)
@@ -334,7 +334,7 @@
         parts = self.layout.task_keys(job, self.layout.task_span(job, key)[1], self.wide[key])
         return [k for k in parts if not self.versions.get(k)]
 
-    def _add_record(self, batch: Batch, key: str, max_ops: int) -> bool:
+    def _add_record(self, batch: WriteBatch, key: str, max_ops: int) -> bool:
         """False: there is no room for it with what must come along; it stays to be written."""
         ahead = [k for k in self._ahead(key) if k not in batch.sets]
         swaps = sum(bool(k.startswith(LIVE) and self.versions.get(waits_key(first_of(k)[0]))) for k in (key, *ahead))
@@ -347,7 +347,7 @@
             self._put(batch, k, max_ops)
         return not split
 
-    def _put(self, batch: Batch, key: str, max_ops: int) -> None:
+    def _put(self, batch: WriteBatch, key: str, max_ops: int) -> None:
         self._ends_since.pop(key, None)
         if key.startswith(FLEET):
             value = self.fleet_value(key)
@@ -376,7 +376,7 @@
         else:
             ref, _ = first_of(key)
             job = self.jobs.get(ref)
-            if job is None or (job.cancelled and not job.lost_cause) or job.finishing:
+            if job is None or (job.cancelled and not job.failure_reason) or job.finishing:
                 return  # its keys go with the job
             low, high = self.layout.task_span(job, key)
             value = job.rows_value(low, high) if key != live_key(ref) else job.live_value(high)
@@ -395,7 +395,7 @@
                     batch.claims.append((task, task.attempt, task.machine))
         batch.conditions[key] = self.versions.get(key, 0)
 
-    def committed(self, batch: Batch, revision: int, now: int) -> None:
+    def committed(self, batch: WriteBatch, revision: int, now: int) -> None:
         """The transaction is known to be applied."""
         self.in_flight = set()
         for key in batch.drops:
@@ -423,10 +423,10 @@
             self.drop_job(job)
             self.over[job.ref] = revision
         for job in batch.finished:
-            if not job.lost_cause:
+            if not job.failure_reason:
                 self.job_done(job.ref, int(batch.sets[job_key(job.ref)]["ended"]))
 
-    def put_back(self, batch: Batch) -> None:
+    def put_back(self, batch: WriteBatch) -> None:
         """The transaction was refused or given up for good: its contents are to be written anew."""
         self.in_flight = set()
         for job in batch.finished:
--- a/oatport/lab/cli.py
+++ b/oatport/lab/cli.py
@@ -46,16 +46,16 @@
 
 def _rehearse(arguments: argparse.Namespace) -> int:
     from oatport.lab.world import rehearse as world
-    from oatport.lab.world.plan import BadPlan
+    from oatport.lab.world.plan import InvalidPlanError
 
     try:
         if arguments.story not in world.STORIES:
-            raise BadPlan(f"story: must be one of {', '.join(world.STORIES)}, not {arguments.story!r}")
+            raise InvalidPlanError(f"story: must be one of {', '.join(world.STORIES)}, not {arguments.story!r}")
         for name, least, most in (("seeds", 1, 100_000), ("nodes", 1, 7), ("machines", 1, 5000), ("jobs", 0, 256)):
             if not least <= getattr(arguments, name) <= most:
-                raise BadPlan(f"{name}: must be {least} to {most}, not {getattr(arguments, name)}")
+                raise InvalidPlanError(f"{name}: must be {least} to {most}, not {getattr(arguments, name)}")
         plan = world.read_plan(arguments.plan)
-    except BadPlan as error:
+    except InvalidPlanError as error:
         print(f"oatport: lab rehearse: {error}", file=sys.stderr)
         return 2
     world.same_hashes()
@@ -64,7 +64,7 @@
 
         try:
             builds.production()
-        except builds.NoHistory as error:
+        except builds.HistoryUnavailableError as error:
             print(f"oatport: lab rehearse: {error}", file=sys.stderr)
             return 2
     asked = world.Asked(
--- a/oatport/lab/page.py
+++ b/oatport/lab/page.py
@@ -14,7 +14,7 @@
 from matplotlib.figure import Figure
 
 from oatport.lab.night import Night
-from oatport.lab.windows import TICK, Outcome
+from oatport.lab.windows import TICK, AcceptOutcome
 from oatport.times import SECOND
 
 TEMPLATE = jinja2.Environment(autoescape=True, undefined=jinja2.StrictUndefined).from_string("""<!doctype html>
@@ -52,7 +52,7 @@
     return Markup(text[text.index("<svg") :])
 
 
-def _night(night: Night, immediate: Outcome, windows: Outcome) -> Any:
+def _night(night: Night, immediate: AcceptOutcome, windows: AcceptOutcome) -> Any:
     figure, (above, middle, below) = pyplot.subplots(3, 1, figsize=(10, 8), sharex=True, layout="constrained")
     above.step(range(len(night.prices)), night.prices, where="post", color="#b3541e")
     above.set_ylabel("price")
@@ -68,7 +68,7 @@
     return _svg(figure)
 
 
-def _slack(immediate: Outcome, windows: Outcome) -> Any:
+def _slack(immediate: AcceptOutcome, windows: AcceptOutcome) -> Any:
     figure, axes = pyplot.subplots(figsize=(10, 3), layout="constrained")
     both = [list(outcome.slack.values()) for outcome in (immediate, windows)]
     axes.hist(both, bins=40, label=["all at once", "by windows"], color=["#999999", "#1f6f8b"])
@@ -79,7 +79,7 @@
     return _svg(figure)
 
 
-def write(path: str, night: Night, immediate: Outcome, windows: Outcome, result: dict[str, Any]) -> None:
+def write(path: str, night: Night, immediate: AcceptOutcome, windows: AcceptOutcome, result: dict[str, Any]) -> None:
     """Raises OSError if the file can't be written."""
     matplotlib.rcParams["svg.hashsalt"] = "oatport"  # the same page from the same seed
     plots = [
--- a/oatport/lab/queues.py
+++ b/oatport/lab/queues.py
@@ -19,7 +19,7 @@
 
 from oatport.clients.http import HttpConnector, make_session
 from oatport.clients.state import StateClient
-from oatport.control.repeats import Repeat
+from oatport.control.placement.retry_policy import RetryPolicy
 from oatport.queues import intake
 from oatport.queues.client import Answers
 from oatport.queues.core import HttpCore
@@ -136,7 +136,7 @@
             zone="a",
             peers=[Peer(other, address) for other, address in self._inside.items() if other != name],
         )
-        node = Node(settings, Tuning(), None, {ONCE: Repeat.BEFORE_START})
+        node = Node(settings, Tuning(), None, {ONCE: RetryPolicy.BEFORE_START})
         self.nodes[name] = node, asyncio.get_running_loop().create_task(node.run())
 
     async def kill_node(self, name: str) -> None:
--- a/oatport/lab/windows.py
+++ b/oatport/lab/windows.py
@@ -12,9 +12,9 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from oatport.control.cluster import Cluster
-from oatport.control.model import Job
-from oatport.control.predictor import Predictor
+from oatport.control.queueing.runtime_predictor import RuntimePredictor
+from oatport.control.state.cluster_state import ClusterState
+from oatport.control.state.model import Job
 from oatport.lab.bound import least_cost, possible
 from oatport.lab.night import BEGINS, CLASS, CPUS, HOUR, Night, NightJob, draw
 from oatport.settings import CloudLimits, ClusterSettings, StateLimits, Team, Tuning, Workers
@@ -26,11 +26,11 @@
 
 TICK = 30 * SECOND
 ASKED_EVERY = 600 * SECOND
-__all__ = ["Outcome", "run", "run_night"]
+__all__ = ["AcceptOutcome", "run", "run_night"]
 
 
 @dataclass(slots=True)
-class Outcome:
+class AcceptOutcome:
     met: set[str] = field(default_factory=set)
     cost: float = 0.0  # CPU-hours times the true price
     load: list[float] = field(default_factory=list)  # CPUs in use, by tick
@@ -41,10 +41,10 @@
     replans: int = 0
 
 
-class Room:
+class CapacitySlot:
     """CPUs on which tasks run, those with the earliest deadline first."""
 
-    def __init__(self, night: Night, outcome: Outcome) -> None:
+    def __init__(self, night: Night, outcome: AcceptOutcome) -> None:
         self._night = night
         self._outcome = outcome
         self._free = night.capacity
@@ -96,7 +96,7 @@
         return not self._queue and not self._running
 
 
-def _cluster() -> Cluster:
+def _cluster() -> ClusterState:
     limits = ClusterSettings(
         workers=Workers(report_s=1.0, lease_s=10.0, gang_wait_s=40.0, gang_peer_s=4.0, cancel_s=35.0),
         state=StateLimits(rps=100.0, write_rps=50.0, value_kb=8.0, txn_ops=12),
@@ -119,7 +119,7 @@
             cache_gb=100.0,
         )
     }
-    return Cluster(1, limits, Tuning(), types, Predictor())
+    return ClusterState(1, limits, Tuning(), types, RuntimePredictor())
 
 
 def settings(night: Night) -> WindowSettings:
@@ -133,9 +133,9 @@
     )
 
 
-def by_windows(night: Night) -> Outcome:
-    outcome = Outcome()
-    room = Room(night, outcome)
+def by_windows(night: Night) -> AcceptOutcome:
+    outcome = AcceptOutcome()
+    room = CapacitySlot(night, outcome)
     cluster = _cluster()
     book = Book(3 * HOUR, 12 * HOUR)
     now = BEGINS
@@ -183,15 +183,15 @@
     return job.spec.tasks if job.opened < 0 else job.opened
 
 
-def _timed(outcome: Outcome, work: Callable[..., Any], *arguments: Any) -> None:
+def _timed(outcome: AcceptOutcome, work: Callable[..., Any], *arguments: Any) -> None:
     began = time.process_time()
     work(*arguments)
     outcome.plan_ms.append((time.process_time() - began) * 1000)
 
 
-def at_once(night: Night) -> Outcome:
-    outcome = Outcome()
-    room = Room(night, outcome)
+def at_once(night: Night) -> AcceptOutcome:
+    outcome = AcceptOutcome()
+    room = CapacitySlot(night, outcome)
     coming = list(night.jobs)[::-1]
     now = BEGINS
     while coming or not room.empty:
@@ -204,7 +204,7 @@
     return outcome
 
 
-def run_night(night: Night) -> tuple[Outcome, Outcome, float]:
+def run_night(night: Night) -> tuple[AcceptOutcome, AcceptOutcome, float]:
     """All at once, by windows, and the least cost for what the first of them met."""
     immediate, windows = at_once(night), by_windows(night)
     return immediate, windows, least_cost(night, {job.ref for job in night.jobs} - immediate.met)
--- a/oatport/lab/world/breaks.py
+++ b/oatport/lab/world/breaks.py
@@ -10,27 +10,27 @@
 
 from msgspec.structs import replace
 
-from oatport.api.jobview import JobView
+from oatport.api.job_status_cache import JobStatusCache
 from oatport.clients.state import StateClient
 from oatport.clients.worker import WorkerClient
-from oatport.control.cancellations import Cancellations
-from oatport.control.chains import Chains
-from oatport.control.cluster import Cluster
-from oatport.control.formats import Gate
-from oatport.control.layout import FLEET_CHUNK, Layout
-from oatport.control.mandate import Mandate
-from oatport.control.model import CHUNK_TASKS, Phase
-from oatport.control.pipelines import Pipelines
-from oatport.control.records import LEADER_KEY
-from oatport.control.recovery import OutageClock
-from oatport.control.sightings import Sightings
-from oatport.control.work import Work
-from oatport.service.chainkeeper import ChainKeeper
-from oatport.service.fleetkeeper import FleetKeeper
-from oatport.service.groupcommit import GroupCommit
-from oatport.service.lead import Lead
+from oatport.control.leadership.leader_lease import LeaderLease
+from oatport.control.queueing.dependency_graph import DependencyGraph
+from oatport.control.queueing.dependency_tracker import DependencyTracker
+from oatport.control.state.cancellations import CancellationLog
+from oatport.control.state.cluster_state import ClusterState
+from oatport.control.state.model import CHUNK_TASKS, Phase
+from oatport.control.state.orphaned_attempts import OrphanedAttempts
+from oatport.control.state.task_lifecycle import TaskLifecycle
+from oatport.control.storage.record_layout import FLEET_CHUNK, RecordLayout
+from oatport.control.storage.recovery import LeaseRenewalLimit
+from oatport.control.storage.schema_version import Gate
+from oatport.control.storage.write_buffer import LEADER_KEY
+from oatport.service.cloud_controller import CloudController
+from oatport.service.dependency_controller import DependencyController
+from oatport.service.group_commit import GroupCommit
+from oatport.service.leader import Leader
 from oatport.service.node import Node
-from oatport.service.telling import Telling
+from oatport.service.peer_notifications import PeerNotifier
 from oatport.times import SECOND, steady
 
 
@@ -55,21 +55,21 @@
             lost(self, why)
 
     return [
-        patch.object(Mandate, "holds", lambda self, now: True),
-        patch.object(OutageClock, "until", property(lambda self: steady() + 10**12)),
+        patch.object(LeaderLease, "holds", lambda self, now: True),
+        patch.object(LeaseRenewalLimit, "until", property(lambda self: steady() + 10**12)),
         patch.object(StateClient, "commit", unconditioned),
         patch.object(WorkerClient, "commands", unfenced),
         patch.object(Node, "lost_lead", keeps),
-        patch.object(Lead, "depose", lambda self, why: None),
+        patch.object(Leader, "depose", lambda self, why: None),
         patch.object(GroupCommit, "stuck", lambda self, now: False),
     ]
 
 
 def _write_ahead() -> list[Any]:
     """Starts go out before they are recorded."""
-    claim = Work.claim
+    claim = TaskLifecycle.claim
 
-    def claim_and_send(self: Work, *args: Any, **more: Any) -> Any:
+    def claim_and_send(self: TaskLifecycle, *args: Any, **more: Any) -> Any:
         task = claim(self, *args, **more)
         task.phase = Phase.PLACED
         assert task.machine is not None
@@ -77,26 +77,26 @@
         self.to_send.add(task.machine)
         return task
 
-    return [patch.object(Work, "claim", claim_and_send)]
+    return [patch.object(TaskLifecycle, "claim", claim_and_send)]
 
 
 def _forget() -> list[Any]:
     """Ended attempts are forgotten while a start of theirs may be in flight."""
-    return [patch.object(Cluster, "_may_forget", lambda self, machine, name, attempt: True)]
+    return [patch.object(ClusterState, "_may_forget", lambda self, machine, name, attempt: True)]
 
 
 def _unproven() -> list[Any]:
     """What is silent is taken to be gone, without the cloud's word for it."""
-    release = FleetKeeper.release
+    release = CloudController.release
 
-    async def judged(self: FleetKeeper, machines: Any, why: str) -> None:
+    async def judged(self: CloudController, machines: Any, why: str) -> None:
         if why not in ("silent", "cut off"):
             await release(self, machines, why)
             return
         for machine in machines:
             self.cluster.machine_gone(machine, steady(), why)
 
-    return [patch.object(FleetKeeper, "release", judged)]
+    return [patch.object(CloudController, "release", judged)]
 
 
 def _boot() -> list[Any]:
@@ -115,46 +115,46 @@
 
 def _early() -> list[Any]:
     """A job's end releases others before it is recorded."""
-    finish = Work.finish_task
+    finish = TaskLifecycle.finish_task
 
-    def ends(self: Work, task: Any, now: int, **more: Any) -> None:
+    def ends(self: TaskLifecycle, task: Any, now: int, **more: Any) -> None:
         finish(self, task, now, **more)
         if task.job.finishing:
             self.job_done(task.job.ref, now + self.wall_offset)
 
-    return [patch.object(Work, "finish_task", ends)]
+    return [patch.object(TaskLifecycle, "finish_task", ends)]
 
 
 def _orphan() -> list[Any]:
     """Only jobs that name the cancelled one are cancelled with it, not those that need these."""
-    with_needed = JobView._with_needed
+    with_needed = JobStatusCache._with_needed
 
-    def direct(self: Pipelines, ref: str) -> list[str]:
+    def direct(self: DependencyGraph, ref: str) -> list[str]:
         found = self.after(ref)
         for after in found:
             self.leave(after)
         self._after.pop(ref, None)
         return found
 
-    async def one_step(self: JobView, ref: str, known: Any, fresh: bool) -> Any:
+    async def one_step(self: JobStatusCache, ref: str, known: Any, fresh: bool) -> Any:
         needs = [self.known(need) for need in known.needs]
         if any(need is not None and need.state == "queued" for need in needs) or not needs:
             return known
         return await with_needed(self, ref, known, fresh)
 
-    def unseen(self: Chains, ref: str) -> None:
+    def unseen(self: DependencyTracker, ref: str) -> None:
         for name in self.pipelines.cancelled(ref):
             self._call_off_waiting(self.held_up.pop(name))
 
-    def forgets(self: ChainKeeper, ref: str, state: str, ended: int) -> None:
+    def forgets(self: DependencyController, ref: str, state: str, ended: int) -> None:
         if state == "done":
             self.cluster.job_done(ref, ended)
 
     return [
-        patch.object(Pipelines, "cancelled", direct),
-        patch.object(JobView, "_with_needed", one_step),
-        patch.object(Chains, "cancel_after", unseen),
-        patch.object(ChainKeeper, "_take", forgets),
+        patch.object(DependencyGraph, "cancelled", direct),
+        patch.object(JobStatusCache, "_with_needed", one_step),
+        patch.object(DependencyTracker, "cancel_after", unseen),
+        patch.object(DependencyController, "_take", forgets),
     ]
 
 
@@ -166,23 +166,23 @@
 def _size() -> list[Any]:
     """Records are as large as they get."""
     return [
-        patch.object(Layout, "part_tasks", property(lambda self: CHUNK_TASKS)),
-        patch.object(Layout, "head_tasks", lambda self, job: CHUNK_TASKS),
-        patch.object(Layout, "part_machines", property(lambda self: FLEET_CHUNK)),
+        patch.object(RecordLayout, "part_tasks", property(lambda self: CHUNK_TASKS)),
+        patch.object(RecordLayout, "head_tasks", lambda self, job: CHUNK_TASKS),
+        patch.object(RecordLayout, "part_machines", property(lambda self: FLEET_CHUNK)),
     ]
 
 
 def _copies() -> list[Any]:
     """Each report is taken for the newest, whenever it was sent."""
-    on_report = Cluster.on_report
+    on_report = ClusterState.on_report
 
-    def newest(self: Cluster, report: Any, now: int, wall: int) -> Any:
+    def newest(self: ClusterState, report: Any, now: int, wall: int) -> Any:
         machine = self.machines.get(report.machine)
         if machine is not None and (report.session, report.seq) < (machine.session, machine.seq):
             machine.session, machine.seq = 0, -1
         return on_report(self, report, now, wall)
 
-    return [patch.object(Cluster, "on_report", newest)]
+    return [patch.object(ClusterState, "on_report", newest)]
 
 
 def _conditions() -> list[Any]:
@@ -199,64 +199,67 @@
 def _ends() -> list[Any]:
     """An ended attempt is forgotten before its end is recorded."""
 
-    def at_once(self: Cluster, machine: Any, name: str, attempt: int) -> bool:
-        return not machine.unanswered.get((name, attempt)) and (name, attempt) not in machine.in_answer
+    def at_once(self: ClusterState, machine: Any, name: str, attempt: int) -> bool:
+        return not machine.unacknowledged_starts.get((name, attempt)) and (name, attempt) not in machine.in_answer
 
-    return [patch.object(Cluster, "_may_forget", at_once)]
+    return [patch.object(ClusterState, "_may_forget", at_once)]
 
 
 def _told() -> list[Any]:
     """What users are told is noted by nobody."""
-    return [patch.object(Cancellations, "tell", lambda self, ref, now: True)]
+    return [patch.object(CancellationLog, "tell", lambda self, ref, now: True)]
 
 
 def _returned() -> list[Any]:
     """Machines are returned, or given up, though they alone tell of an end."""
     return [
-        patch.object(Sightings, "witnesses", lambda self, machine: False),
-        patch.object(Sightings, "hasten", lambda self, machine: None),
+        patch.object(OrphanedAttempts, "witnesses", lambda self, machine: False),
+        patch.object(OrphanedAttempts, "hasten", lambda self, machine: None),
     ]
 
 
 def _handed_on() -> list[Any]:
     """Ends that a leader took in and did not record go with it."""
 
-    async def idle(self: Telling) -> None:
+    async def idle(self: PeerNotifier) -> None:
         await asyncio.Event().wait()
 
-    async def nothing(self: Telling, token: int) -> tuple[list[Any], bool]:
+    async def nothing(self: PeerNotifier, token: int) -> tuple[list[Any], bool]:
         return [], True
 
     return [
-        patch.object(Telling, "ends_loop", idle),
-        patch.object(Telling, "deposed", lambda self, lead: None),
-        patch.object(Telling, "ended_before", nothing),
+        patch.object(PeerNotifier, "ends_loop", idle),
+        patch.object(PeerNotifier, "deposed", lambda self, lead: None),
+        patch.object(PeerNotifier, "ended_before", nothing),
     ]
 
 
 def _whole() -> list[Any]:
     """Of a gang that is done, the tasks whose ends were not reported run again."""
-    requeue = Work.requeue
+    requeue = TaskLifecycle.requeue
 
-    def again(self: Work, task: Any, **more: Any) -> None:
+    def again(self: TaskLifecycle, task: Any, **more: Any) -> None:
         done, task.job.done = task.job.done, set()
         try:
             requeue(self, task, **more)
         finally:
             task.job.done = done
 
-    return [patch.object(Work, "complete_gang", lambda self, job: None), patch.object(Work, "requeue", again)]
+    return [
+        patch.object(TaskLifecycle, "complete_gang", lambda self, job: None),
+        patch.object(TaskLifecycle, "requeue", again),
+    ]
 
 
 def _asked() -> list[Any]:
     """Questions about jobs are answered by what was last heard of them."""
-    refresh = JobView._refresh
+    refresh = JobStatusCache._refresh
 
-    async def once(self: JobView) -> None:
+    async def once(self: JobStatusCache) -> None:
         if not self._revision or steady() - self._asked_at > SECOND:
             await refresh(self)
 
-    return [patch.object(JobView, "_refresh", once)]
+    return [patch.object(JobStatusCache, "_refresh", once)]
 
 
 def _one_key() -> list[Any]:
--- a/oatport/lab/world/builds.py
+++ b/oatport/lab/world/builds.py
@@ -19,7 +19,7 @@
 from pathlib import Path
 from typing import Any
 
-from oatport.clients.http import Keep, NoAnswer, NotSent
+from oatport.clients.http import Keep, NoResponseError, RequestNotSentError
 from oatport.lab.world.loop import Host
 from oatport.lab.world.net import Net
 
@@ -27,7 +27,7 @@
 PACKAGE = "oatport"
 
 
-class NoHistory(Exception):
+class HistoryUnavailableError(Exception):
     """The version in production can't be had here; one line that says why."""
 
 
@@ -53,7 +53,7 @@
         value = tomllib.loads((root / "deploy" / "service.toml").read_text(encoding="utf-8"))
         return str(value["production"])
     except (OSError, tomllib.TOMLDecodeError, KeyError) as error:
-        raise NoHistory(f"deploy/service.toml names no version in production: {error}") from None
+        raise HistoryUnavailableError(f"deploy/service.toml names no version in production: {error}") from None
 
 
 def lay_tree(root: Path = ROOT) -> Path:
@@ -66,7 +66,9 @@
         archive = ["git", "-C", str(root), "archive", "--format=tar", commit, PACKAGE]
         packed = subprocess.run(archive, capture_output=True, check=True).stdout
     except (OSError, subprocess.CalledProcessError):
-        raise NoHistory(f"the version in production, {commit}, is not in this repository's history") from None
+        raise HistoryUnavailableError(
+            f"the version in production, {commit}, is not in this repository's history"
+        ) from None
     part = tree.with_name(f"{commit}.{os.getpid()}")
     part.mkdir(parents=True)
     with tarfile.open(fileobj=io.BytesIO(packed)) as opened:
@@ -113,9 +115,9 @@
     async def request(self, *args: Any, **more: Any) -> Any:
         try:
             return await self._inner.request(*args, **more)
-        except NotSent as error:
+        except RequestNotSentError as error:
             raise self._build.http.NotSent(str(error)) from None
-        except NoAnswer as error:
+        except NoResponseError as error:
             raise self._build.http.NoAnswer(str(error)) from None
 
 
--- a/oatport/lab/world/loop.py
+++ b/oatport/lab/world/loop.py
@@ -18,7 +18,7 @@
 HOST: contextvars.ContextVar[Host | None] = contextvars.ContextVar("host", default=None)
 
 
-class Stuck(RuntimeError):
+class SimulationStuckError(RuntimeError):
     """Nothing is left that could ever happen."""
 
 
@@ -120,7 +120,7 @@
             while timers and timers[0]._cancelled:
                 heapq.heappop(timers)._scheduled = False  # type: ignore[attr-defined]
             if not timers and not self._stopping:  # type: ignore[attr-defined]
-                raise Stuck("nothing is left to happen")
+                raise SimulationStuckError("nothing is left to happen")
             if timers:
                 self._at = max(self._at, timers[0].when())
         while timers and timers[0].when() <= self._at:
--- a/oatport/lab/world/machine.py
+++ b/oatport/lab/world/machine.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from oatport import wire
-from oatport.clients.http import NoAnswer
+from oatport.clients.http import NoResponseError
 from oatport.lab.world.loop import Host
 from oatport.lab.world.net import Net
 from oatport.lab.world.worker import Worker
@@ -64,7 +64,7 @@
 
     def _signature(self) -> tuple[Any, ...]:
         worker = self.worker
-        return (worker.session, worker.taken_at, tuple((key, held.status) for key, held in worker.tasks.items()))
+        return (worker.session, worker.reclaimed_at, tuple((key, held.status) for key, held in worker.tasks.items()))
 
     def _serve(self, method: str, target: str, body: Any) -> tuple[int, Any]:
         if target == wire.SHOW:
@@ -110,7 +110,7 @@
             status, value = await self._net.request(
                 host, self._addresses[self._at], "POST", wire.REPORT, body, REPORT_WITHIN, ""
             )
-        except NoAnswer:
+        except NoResponseError:
             status, value = 0, None
         if status == 200:
             self.on_answered(self._names[self._at], body["legs"])
--- a/oatport/lab/world/net.py
+++ b/oatport/lab/world/net.py
@@ -20,8 +20,8 @@
 import aiohttp
 
 from oatport import wire
-from oatport.api.server import Answer, BodyTooLarge, Handler
-from oatport.clients.http import Keep, NoAnswer, NotSent
+from oatport.api.server import Answer, BodyTooLargeError, Handler
+from oatport.clients.http import Keep, NoResponseError, RequestNotSentError
 from oatport.lab.world.loop import Host, VirtualLoop
 from oatport.times import MS, SECOND
 
@@ -109,7 +109,7 @@
         for key in [k for k in self._idle if k[0] is host or self._hosts.get(k[1]) is host]:
             del self._idle[key]
         for wait, caller in self._serving.pop(host, {}).items():
-            self._travel(host, caller, lambda wait=wait: self._fail(wait, NoAnswer("reset")))  # type: ignore[misc]
+            self._travel(host, caller, lambda wait=wait: self._fail(wait, NoResponseError("reset")))  # type: ignore[misc]
 
     def unplugged(self, address: str) -> None:
         """A machine is gone: connections to it hang."""
@@ -179,10 +179,10 @@
         self, source: Host, address: str, method: str, path: str, body: Any, timeout_us: int, query: str
     ) -> tuple[int, Any]:
         if self.closed:
-            raise NotSent("the run is over")
+            raise RequestNotSentError("the run is over")
         data = None if body is None else wire.dumps(body)
         wait = Wait(self.loop.create_future())
-        timer = self.loop.later(timeout_us, source, self._fail, wait, NoAnswer("timeout"))
+        timer = self.loop.later(timeout_us, source, self._fail, wait, NoResponseError("timeout"))
         target = f"{path}?{query}" if query else path
         try:
             await self._connect(source, address, wait)
@@ -209,13 +209,13 @@
             mute = host is not None and (self._mute(source, address) or self._what(source, host, "deaf") is not None)
             if host is not None and not mute and not (self._cut(source, host) or self._cut(host, source)):
                 if self._what(source, host, "refuse") is not None or (address not in self._served and not host.dead):
-                    raise NotSent("refused")
+                    raise RequestNotSentError("refused")
                 if address in self._served:
                     await asyncio.sleep(2 * LATENCY / SECOND)
                     if not (self._cut(source, host) or self._cut(host, source)):
                         return
                 elif "node" in host.tags:
-                    raise NotSent("refused")  # its machine is up, the process is not
+                    raise RequestNotSentError("refused")  # its machine is up, the process is not
             # Nobody answers: knocked again until the caller gives up.
             await asyncio.wait([wait.future], timeout=KNOCK / SECOND)
         await wait.future
@@ -235,7 +235,7 @@
             return
         try:
             value = served[1](method, target, wire.loads(data) if data else None)
-        except wire.BadMessage:
+        except wire.InvalidMessageError:
             value = (400, None)
         if inspect.isawaitable(value):
             self._serving.setdefault(host, {})[wait] = source
@@ -323,7 +323,7 @@
 
     async def read(self) -> Any:
         if self._value is None:
-            raise wire.BadMessage("empty")
+            raise wire.InvalidMessageError("empty")
         return self._value
 
 
@@ -369,9 +369,9 @@
     async def _serve(self, method: str, path: str, body: Any) -> tuple[int, Any]:
         try:
             answer = await self._handler(method, path, _Body(body, self._limit))  # type: ignore[arg-type]
-        except BodyTooLarge:
+        except BodyTooLargeError:
             answer = Answer(413)
-        except wire.BadMessage as error:
+        except wire.InvalidMessageError as error:
             answer = Answer(400, {"error": str(error)})
         except asyncio.CancelledError:
             raise
--- a/oatport/lab/world/plan.py
+++ b/oatport/lab/world/plan.py
@@ -60,7 +60,7 @@
 LEAST_END = 0.05  # seconds: no process is back sooner
 
 
-class BadPlan(ValueError):
+class InvalidPlanError(ValueError):
     pass
 
 
@@ -118,13 +118,13 @@
     def number(self, table: dict[str, Any], key: str, low: float, high: float) -> float:
         value = table[key]
         if isinstance(value, bool) or not isinstance(value, int | float) or not low <= value <= high:
-            raise BadPlan(f"{self.where}{key}: must be a number from {low:g} to {high:g}, not {value!r}")
+            raise InvalidPlanError(f"{self.where}{key}: must be a number from {low:g} to {high:g}, not {value!r}")
         return float(value)
 
     def choice(self, table: dict[str, Any], key: str, allowed: tuple[str, ...]) -> str:
         value = table[key]
         if value not in allowed:
-            raise BadPlan(f"{self.where}{key}: must be one of {', '.join(allowed)}, not {value!r}")
+            raise InvalidPlanError(f"{self.where}{key}: must be one of {', '.join(allowed)}, not {value!r}")
         return str(value)
 
 
@@ -133,7 +133,7 @@
     try:
         table = tomllib.loads(path.read_text(encoding="utf-8"))
     except (OSError, UnicodeError, tomllib.TOMLDecodeError) as error:
-        raise BadPlan(f"{path}: {error}") from None
+        raise InvalidPlanError(f"{path}: {error}") from None
     return parse(table)
 
 
@@ -154,31 +154,31 @@
     for key, value in table.items():
         if key == "faults":
             if not isinstance(value, list):
-                raise BadPlan("faults: must be a list of tables")
+                raise InvalidPlanError("faults: must be a list of tables")
             values[key] = tuple(_fault(row, number) for number, row in enumerate(value))
         elif key == "old_nodes":
             if not isinstance(value, bool):
-                raise BadPlan(f"{key}: must be true or false, not {value!r}")
+                raise InvalidPlanError(f"{key}: must be true or false, not {value!r}")
             values[key] = value
         elif key in LIMITS:
             found = reader.number(table, key, *LIMITS[key])
             values[key] = int(found) if key in ("nodes", "machines") else found
         else:
-            raise BadPlan(f"{key}: no such field")
+            raise InvalidPlanError(f"{key}: no such field")
     return Plan(**values)
 
 
 def _fault(row: Any, number: int) -> Fault:
     reader = _Reader(f"faults[{number}].")
     if not isinstance(row, dict) or "kind" not in row or "at_s" not in row:
-        raise BadPlan(f"faults[{number}]: needs a kind and at_s")
+        raise InvalidPlanError(f"faults[{number}]: needs a kind and at_s")
     kind = reader.choice(row, "kind", tuple(KINDS))
     values: dict[str, Any] = {"kind": kind}
     for key in row:
         if key == "kind":
             continue
         if key not in ("at_s", "for_s", *KINDS[kind]):
-            raise BadPlan(f"faults[{number}].{key}: no field of {kind}")
+            raise InvalidPlanError(f"faults[{number}].{key}: no field of {kind}")
         if key in ("at_s", "for_s", "amount"):
             values[key] = reader.number(row, key, 0, 100_000)
         elif key == "count":
@@ -188,7 +188,7 @@
         elif isinstance(row[key], str) and row[key]:
             values[key] = row[key]
         else:
-            raise BadPlan(f"faults[{number}].{key}: must be a name, not {row[key]!r}")
+            raise InvalidPlanError(f"faults[{number}].{key}: must be a name, not {row[key]!r}")
     if kind == "node_crash":
         reader.number({"for_s": 0.0, **row}, "for_s", LEAST_END, 100_000)
     return Fault(**values)
--- a/oatport/lab/world/troubles.py
+++ b/oatport/lab/world/troubles.py
@@ -197,7 +197,7 @@
     def _on_machines_taken(self, fault: Fault) -> None:
         for machine in [m for m in self._some(10**6) if m.worker.spot][: fault.count]:
             if fault.amount > 0:
-                machine.worker.taken_at = machine.host.steady() + micros(fault.amount)
+                machine.worker.reclaimed_at = machine.host.steady() + micros(fault.amount)
                 machine.worker.stirred()
             self.loop.later(micros(fault.amount), None, self._taken, machine.host.name)
 
--- a/oatport/lab/world/users.py
+++ b/oatport/lab/world/users.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from oatport import wire
-from oatport.clients.http import NoAnswer, NotSent
+from oatport.clients.http import NoResponseError, RequestNotSentError
 from oatport.lab.world.loop import Host, VirtualLoop
 from oatport.lab.world.net import Net
 from oatport.times import SECOND
@@ -48,7 +48,7 @@
             await asyncio.sleep(PROBE_EVERY)
             try:
                 status, _ = await self._net.request(self._host, seen.address, "GET", wire.READY, None, PROBE_WITHIN, "")
-            except NoAnswer:
+            except NoResponseError:
                 status = 0
             self._judge(seen, status == 200)
 
@@ -83,11 +83,11 @@
             seen.given += 1
             try:
                 return await self._net.request(user, seen.address, method, path, body, timeout_us, "")
-            except NotSent:
+            except RequestNotSentError:
                 continue
             finally:
                 seen.open -= 1
-        raise NoAnswer("no healthy node")
+        raise NoResponseError("no healthy node")
 
 
 @dataclass(eq=False)
@@ -181,7 +181,7 @@
                     status, value = await self._balancer.ask_at(
                         self._host, address, method, path, self.ask.body if repeats else None, POLL_WITHIN
                     )
-                except NoAnswer:
+                except NoResponseError:
                     status, value = 0, None
                 self._told(self.ask, "submit" if repeats else "poll", status, value)
 
@@ -196,14 +196,14 @@
         """Another job, once; the status, 0 if there is no answer."""
         try:
             return (await self._balancer.ask(self._host, "POST", wire.SUBMISSIONS, body, SUBMIT_WITHIN))[0]
-        except NoAnswer:
+        except NoResponseError:
             return 0
 
     async def _once(self, what: str, method: str, path: str, body: Any, within: int) -> tuple[int, Any]:
         async with self._one:
             try:
                 status, value = await self._balancer.ask(self._host, method, path, body, within)
-            except NoAnswer:
+            except NoResponseError:
                 status, value = 0, None
             self._told(self.ask, what, status, value)
         return status, value
--- a/oatport/lab/world/worker.py
+++ b/oatport/lab/world/worker.py
@@ -104,7 +104,7 @@
         self.session = 1
         self.seq = 0
         self.token = 0
-        self.taken_at: int | None = None
+        self.reclaimed_at: int | None = None
         self.notice_s: float | None = None
         self.tasks: dict[Key, Held] = {}
         self.images: set[str] = set()
@@ -275,8 +275,8 @@
             if held.stored:
                 leg["stored"] = True
             legs.append(leg)
-        if self.taken_at is not None:
-            self.notice_s = max(0.0, (self.taken_at - self._clock()) / SECOND)
+        if self.reclaimed_at is not None:
+            self.notice_s = max(0.0, (self.reclaimed_at - self._clock()) / SECOND)
         return {
             "berth": self.name,
             "address": self.address,
--- a/oatport/lab/world/world.py
+++ b/oatport/lab/world/world.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from oatport.control.formats import FORMATS_KEY
+from oatport.control.storage.schema_version import FORMATS_KEY
 from oatport.lab.world import builds, deployment
 from oatport.lab.world.checker import Checker
 from oatport.lab.world.cloud import CloudService, Registry, boot_us
--- a/oatport/queues/core.py
+++ b/oatport/queues/core.py
@@ -8,7 +8,7 @@
 import aiohttp
 
 from oatport import wire
-from oatport.clients.http import HttpClient, NoAnswer
+from oatport.clients.http import HttpClient, NoResponseError
 from oatport.times import SECOND
 
 ACCEPTED, REFUSED, LATER = "accepted", "refused", "later"
@@ -16,17 +16,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Outcome:
+class AcceptOutcome:
     kind: str
     cause: str = ""
     after_s: float = 1.0  # LATER: when to come back
 
 
 class Core(Protocol):
-    async def submit(self, job: dict[str, Any]) -> Outcome:
+    async def submit(self, job: dict[str, Any]) -> AcceptOutcome:
         """ACCEPTED (now or before), REFUSED for good, or LATER."""
 
-    async def cancel(self, ref: str) -> Outcome:
+    async def cancel(self, ref: str) -> AcceptOutcome:
         """GONE (cancelled or over: its record tells), UNKNOWN (never accepted) or LATER."""
 
 
@@ -43,7 +43,7 @@
                 status, value = await self._nodes[self._at % len(self._nodes)].request(
                     "POST", path, body, timeout_us=5 * SECOND
                 )
-            except NoAnswer:
+            except NoResponseError:
                 self._at += 1
                 continue
             if status >= 500:
@@ -51,17 +51,17 @@
             return status, value
         return 503, None
 
-    async def submit(self, job: dict[str, Any]) -> Outcome:
+    async def submit(self, job: dict[str, Any]) -> AcceptOutcome:
         status, value = await self._ask(wire.SUBMISSIONS, job)
         if status in (200, 201):
-            return Outcome(ACCEPTED)
+            return AcceptOutcome(ACCEPTED)
         if status in (400, 422):
             cause = value.get("error") if isinstance(value, dict) else None
-            return Outcome(REFUSED, str(cause or f"status {status}")[:200])
-        return Outcome(LATER)
+            return AcceptOutcome(REFUSED, str(cause or f"status {status}")[:200])
+        return AcceptOutcome(LATER)
 
-    async def cancel(self, ref: str) -> Outcome:
+    async def cancel(self, ref: str) -> AcceptOutcome:
         status, _ = await self._ask(f"{wire.SUBMISSIONS}/{ref}/cancel", None)
         if status == 200:
-            return Outcome(GONE)
-        return Outcome(UNKNOWN if status == 404 else LATER)
+            return AcceptOutcome(GONE)
+        return AcceptOutcome(UNKNOWN if status == 404 else LATER)
--- a/oatport/queues/gateway.py
+++ b/oatport/queues/gateway.py
@@ -9,18 +9,18 @@
 from itertools import islice
 from typing import Any
 
-from oatport.clients.http import NoAnswer, Refused, jitter
-from oatport.clients.state import Applied, NoLease, StateClient
-from oatport.control.mandate import Mandate
-from oatport.control.records import JOBS
+from oatport.clients.http import NoResponseError, RequestRefusedError, jitter
+from oatport.clients.state import Applied, LeaseExpiredError, StateClient
+from oatport.control.leadership.leader_lease import LeaderLease
+from oatport.control.storage.write_buffer import JOBS
 from oatport.queues.core import Core
-from oatport.queues.intake import Intake
+from oatport.queues.intake import SubmissionBatcher
 from oatport.queues.members import parts_for
 from oatport.queues.outbox import Outbox
 from oatport.queues.rows import MEMBERS, PART_KEYS, ROWS, TOLD, Row, part_key, part_prefix
 from oatport.queues.settings import GatewaySettings
-from oatport.queues.store import Away, Store, read_row
-from oatport.service.tasks import TaskGroup
+from oatport.queues.store import Store, StoreUnavailableError, read_row
+from oatport.service.background_tasks import BackgroundTasks
 from oatport.times import MS, SECOND, micros, seconds, steady, time_of_day
 
 log = logging.getLogger(__name__)
@@ -44,11 +44,11 @@
         self.core = core
         self.store = Store(state, settings.changes_per_s, settings.requests_per_s, settings.txn_ops)
         self.outbox = Outbox(self.store, core, publish, self.entitled, time_of_day)
-        self.intake = Intake(self.store, core, self._saw)
-        self.group = TaskGroup()
+        self.intake = SubmissionBatcher(self.store, core, self._saw)
+        self.group = BackgroundTasks()
         self.boot = secrets.token_hex(6)
         self._life = micros(settings.lease_s)
-        self._mandate = Mandate(self._life, 0)
+        self._mandate = LeaderLease(self._life, 0)
         self._lease = 0
         self._ousted = False
         self._telling: set[str] = set()
@@ -90,11 +90,11 @@
                     self._mandate.proven(asked)
                 if self._lease:
                     await self._share_parts()
-            except NoLease:
+            except LeaseExpiredError:
                 log.warning("the lease ended: %d parts are others' now", len(self.outbox.parts))
                 self._lose_all()
                 continue
-            except (NoAnswer, Refused, Away) as error:
+            except (NoResponseError, RequestRefusedError, StoreUnavailableError) as error:
                 log.info("members: %s", error)
                 await asyncio.sleep(jitter(min(self._life // 10, SECOND)))
                 continue
@@ -110,7 +110,7 @@
         key = MEMBERS + self.settings.name
         found = await self.state.get(key)
         if found is not None and self._ousted:
-            raise Away(f"another process goes by the name {self.settings.name}")
+            raise StoreUnavailableError(f"another process goes by the name {self.settings.name}")
         self._ousted = False
         if found is not None and found[0].get("boot") != self.boot:
             log.info("taking the place of an earlier gateway %s", self.settings.name)
@@ -119,7 +119,7 @@
         result = await self.state.commit({key: found[1] if found else 0}, {key: {"boot": self.boot}}, lease=lease)
         if isinstance(result, Applied):
             self._lease = lease
-            self._mandate = Mandate(self._life, asked)
+            self._mandate = LeaderLease(self._life, asked)
             log.info("gateway %s joined", self.settings.name)
 
     async def _share_parts(self) -> None:
@@ -128,7 +128,7 @@
         if mine is None or mine["value"].get("boot") != self.boot:
             # Another process has this name: two must not share one place, nor take it from one another in turns.
             self._ousted = mine is not None
-            raise NoLease
+            raise LeaseExpiredError
         wanted = parts_for(self.settings.name, [row["path"][len(MEMBERS) :] for row in members])
         rows, _ = await self.state.list_all(PART_KEYS)
         held = {int(row["path"][len(PART_KEYS) :]): (row["value"], row["entryRev"]) for row in rows}
@@ -153,7 +153,7 @@
         self.outbox.own(part, result.revision, [])
         try:
             rows, _ = await self.store.rows(part_prefix(part))
-        except Away:
+        except StoreUnavailableError:
             self.outbox.disown(part)  # taken again, and read then
             raise
         open_rows = [(row, at) for row, at in rows if row.state != TOLD]
@@ -168,7 +168,7 @@
         try:
             found = await self.store.get(JOBS + ref)
             await self.outbox.look_after(ref, found[0] if found else None)
-        except Away:
+        except StoreUnavailableError:
             return  # the sweep comes round
         self._ready.set()
 
@@ -193,7 +193,7 @@
                 for key, item in {item["set"]: item for item in news if "set" in item}.items():
                     await take(key, item["value"], int(item["entryRev"]))
                 revision = max(revision, now)
-            except (NoAnswer, Refused, Away):
+            except (NoResponseError, RequestRefusedError, StoreUnavailableError):
                 await asyncio.sleep(jitter(300 * MS))
                 continue
             if self.outbox.ready:
@@ -228,7 +228,7 @@
     async def _job_changed(self, ref: str, value: Any) -> None:
         try:
             await self.outbox.job_changed(ref, value)
-        except Away:
+        except StoreUnavailableError:
             return  # the sweep comes round
         if self.outbox.ready:
             self._ready.set()
@@ -257,7 +257,7 @@
         try:
             if not await self.outbox.tell(ref):
                 await asyncio.sleep(0.2)
-        except Away:
+        except StoreUnavailableError:
             await asyncio.sleep(0.2)
         finally:
             self._telling.discard(ref)
@@ -284,5 +284,5 @@
                         if row.state == TOLD and 0 < row.told_at < time_of_day() - KEEP_TOLD:
                             key = part_prefix(part) + row.ref
                             await self.store.change(key, None, {key: version, part_key(part): token}, 100)
-                except Away:
+                except StoreUnavailableError:
                     break
--- a/oatport/queues/intake.py
+++ b/oatport/queues/intake.py
@@ -19,8 +19,8 @@
 from oatport.queues.rows import CANCELLED, EXPIRED, Row, row_key
 from oatport.queues.rows import REFUSED as ANSWER_REFUSED
 from oatport.queues.settings import QueueSettings
-from oatport.queues.store import Away, Store
-from oatport.queues.templates import BadMessage
+from oatport.queues.store import Store, StoreUnavailableError
+from oatport.queues.templates import InvalidMessageError
 from oatport.times import MS, SECOND, time_of_day
 
 log = logging.getLogger(__name__)
@@ -51,7 +51,7 @@
     answer_now: Row | None = None  # an answer for which there can be no row
 
 
-class Intake:
+class SubmissionBatcher:
     """`wrote`: told of each row that was written here, with its version."""
 
     def __init__(
@@ -89,7 +89,7 @@
                 if row.same(queue.name, identity):
                     return await self._settle(row, version, reason)
                 log.warning("job %s belongs to another message: trying another id", ref)
-        except Away:
+        except StoreUnavailableError:
             return Verdict(AGAIN, "the state service is away")
         reason = "its job id belongs to other messages"
         row = Row(ref_of(queue.name, f"?{identity}"), queue.name, identity, message.reply_to)
@@ -103,7 +103,7 @@
         try:
             job = queue.template.job(ref, message.body)
             row = Row(ref, queue.name, identity, message.reply_to, job, expires_at)
-        except BadMessage as error:
+        except InvalidMessageError as error:
             reason = str(error)
             row = row.answered(ANSWER_REFUSED, reason)
         version = await self._store.change(row_key(ref), row.value(), {row_key(ref): 0}, 400 + len(message.body))
@@ -112,7 +112,7 @@
             return row, version, reason
         found = await self._store.row(ref)
         if found is None:
-            raise Away  # pruned this moment: look again later
+            raise StoreUnavailableError  # pruned this moment: look again later
         self._wrote(*found)  # our own change may have been applied without an answer
         return found[0], found[1], reason if found[0].answer == ANSWER_REFUSED else ""
 
@@ -160,7 +160,7 @@
                     return Verdict(ACK, ref=ref)
                 found = await self._store.row(ref)
                 if found is None:
-                    raise Away
+                    raise StoreUnavailableError
                 if not found[0].same(queue.name, identity):
                     continue
                 if found[0].answer:
@@ -171,6 +171,6 @@
                 # Not accepted yet: it will be, or refused; either way the cancellation is wanted again then.
                 await self._pause(jitter(500 * MS if outcome.kind == UNKNOWN else SECOND))
                 return Verdict(AGAIN, "the job is not accepted yet", ref)
-        except Away:
+        except StoreUnavailableError:
             return Verdict(AGAIN, "the state service is away")
         return Verdict(DEAD, "its job id belongs to other messages")
--- a/oatport/queues/link.py
+++ b/oatport/queues/link.py
@@ -15,7 +15,7 @@
 from oatport.queues.intake import AGAIN, DEAD, Message, Verdict
 from oatport.queues.rows import Row
 from oatport.queues.settings import GatewaySettings, QueueSettings, broker_url
-from oatport.service.tasks import TaskGroup
+from oatport.service.background_tasks import BackgroundTasks
 from oatport.times import MS, SECOND
 
 log = logging.getLogger(__name__)
@@ -29,7 +29,7 @@
     def __init__(self, settings: GatewaySettings) -> None:
         self.settings = settings
         self.gateway: Gateway | None = None
-        self.group = TaskGroup()
+        self.group = BackgroundTasks()
         self._out: AbstractChannel | None = None
         self._connection: AbstractConnection | None = None
 
--- a/oatport/queues/store.py
+++ b/oatport/queues/store.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from oatport.clients.http import Bucket, NoAnswer, Refused, jitter
-from oatport.clients.state import Applied, NoLease, StateClient
+from oatport.clients.http import Bucket, NoResponseError, RequestRefusedError, jitter
+from oatport.clients.state import Applied, LeaseExpiredError, StateClient
 from oatport.queues.rows import ROWS, Row, row_key
 from oatport.times import MS, SECOND
 
@@ -20,7 +20,7 @@
 TRIES = 6
 
 
-class Away(Exception):
+class StoreUnavailableError(Exception):
     """The state service can't tell now: nothing is known to be changed. Come back later."""
 
 
@@ -48,7 +48,7 @@
     async def change(self, key: str, value: Any, conditions: dict[str, int], size: int = 512) -> int:
         """The revision; 0 if a condition does not hold. Raises Away."""
         if len(self._waiting) >= WAITING_MOST:
-            raise Away
+            raise StoreUnavailableError
         change = _Change(conditions, key, value, size)
         self._waiting.append(change)
         if self._runner is None or self._runner.done():
@@ -60,8 +60,8 @@
         self.asked += 1
         try:
             return await self.state.get(key)
-        except (NoAnswer, Refused):
-            raise Away from None
+        except (NoResponseError, RequestRefusedError):
+            raise StoreUnavailableError from None
 
     async def row(self, ref: str) -> tuple[Row, int] | None:
         found = await self.get(row_key(ref))
@@ -73,8 +73,8 @@
         self.asked += 1
         try:
             items, revision = await self.state.list_all(prefix)
-        except (NoAnswer, Refused):
-            raise Away from None
+        except (NoResponseError, RequestRefusedError):
+            raise StoreUnavailableError from None
         return [row for item in items if (row := read_row(item["path"], item["value"], item["entryRev"]))], revision
 
     async def _run(self) -> None:
@@ -95,7 +95,7 @@
             finally:
                 for change in batch:
                     if not change.done.done():
-                        change.done.set_exception(Away())
+                        change.done.set_exception(StoreUnavailableError())
 
     @staticmethod
     def _settle(batch: list[_Change], revision: int) -> None:
@@ -119,13 +119,13 @@
                     {c.key: c.value for c in batch if c.value is not None},
                     [c.key for c in batch if c.value is None],
                 )
-            except NoLease:
+            except LeaseExpiredError:
                 return
-            except (NoAnswer, Refused) as error:
+            except (NoResponseError, RequestRefusedError) as error:
                 # Tried again as it is: should an unsure one have been applied, its own conditions fail then, and
                 # whoever asked reads what is there.
                 tries += 1
-                if tries >= TRIES or (isinstance(error, Refused) and 400 <= error.status < 429):
+                if tries >= TRIES or (isinstance(error, RequestRefusedError) and 400 <= error.status < 429):
                     return
                 await asyncio.sleep(jitter(min(50 * MS << tries, SECOND)))
                 continue
--- a/oatport/queues/templates.py
+++ b/oatport/queues/templates.py
@@ -38,7 +38,7 @@
 SETTABLE = frozenset(NAMES) - {"ref", "job_class", "team"}
 
 
-class BadMessage(ValueError):
+class InvalidMessageError(ValueError):
     """A message that can't become a job; the text is one line, without anything of its body but field names."""
 
 
@@ -76,7 +76,9 @@
         message = _message(body)
         unknown = message.keys() - self.opens - {"data"}
         if unknown:
-            raise BadMessage(f"sets what its queue does not open: {', '.join(sorted(map(str, unknown)))[:120]}")
+            raise InvalidMessageError(
+                f"sets what its queue does not open: {', '.join(sorted(map(str, unknown)))[:120]}"
+            )
         values: dict[str, Any] = dict(DEFAULTS)
         for name, text in self.fields.items():
             template = self.compiled.get(name)
@@ -84,26 +86,26 @@
                 try:
                     text = template.render(message=message, ref=ref)
                 except Exception as error:  # whatever a template throws at strange values is the sender's doing
-                    raise BadMessage(f"{name}: {type(error).__name__}") from None
+                    raise InvalidMessageError(f"{name}: {type(error).__name__}") from None
             values[name] = _typed(name, text)
         values.update({name: message[name] for name in self.opens if name in message})
         job = {NAMES[name]: value for name, value in values.items()} | {"ref": ref}
         try:
             wire.submission(job)
-        except (wire.BadMessage, ValueError, TypeError) as error:
-            raise BadMessage(str(error).splitlines()[0][:200]) from None
+        except (wire.InvalidMessageError, ValueError, TypeError) as error:
+            raise InvalidMessageError(str(error).splitlines()[0][:200]) from None
         return job
 
 
 def _message(body: bytes) -> dict[str, Any]:
     if len(body) > BODY_MOST:
-        raise BadMessage(f"{len(body)} bytes, at most {BODY_MOST}")
+        raise InvalidMessageError(f"{len(body)} bytes, at most {BODY_MOST}")
     try:
         message = json.loads(body) if body else {}
     except (ValueError, RecursionError):
-        raise BadMessage("the body is not JSON") from None
+        raise InvalidMessageError("the body is not JSON") from None
     if not isinstance(message, dict):
-        raise BadMessage("the body is not a JSON object")
+        raise InvalidMessageError("the body is not a JSON object")
     return message
 
 
@@ -118,6 +120,6 @@
         try:
             number = float(text)
         except ValueError:
-            raise BadMessage(f"{name}: not a number") from None
+            raise InvalidMessageError(f"{name}: not a number") from None
         return int(number) if name == "tasks" and number == int(number) else number
     return text.strip()
--- a/oatport/service/tasks.py
+++ b/oatport/service/background_tasks.py
@@ -10,7 +10,7 @@
 log = logging.getLogger(__name__)
 
 
-class TaskGroup:
+class BackgroundTasks:
     """A set of background tasks that end together."""
 
     def __init__(self) -> None:
--- a/oatport/service/catalog.py
+++ b/oatport/service/catalog.py
@@ -8,9 +8,9 @@
 import msgspec
 
 from oatport import wire
-from oatport.clients.http import NoAnswer
+from oatport.clients.http import NoResponseError
 from oatport.clients.state import Applied, StateClient
-from oatport.control.records import CATALOG_KEY, LEADER_KEY
+from oatport.control.storage.write_buffer import CATALOG_KEY, LEADER_KEY
 from oatport.sizes import json_size
 
 Types = dict[str, wire.MachineType]
@@ -25,7 +25,7 @@
     for number in range(1, int(found[0].get("parts", 1))):
         part = await state.get(f"{CATALOG_KEY}/{number}")
         if part is None:
-            raise NoAnswer("a part of the catalog is missing")  # it was written before the first value
+            raise NoResponseError("a part of the catalog is missing")  # it was written before the first value
         types |= wire.catalog(part[0])
     return types, found[1]
 
--- a/oatport/service/fleetkeeper.py
+++ b/oatport/service/cloud_controller.py
@@ -7,13 +7,13 @@
 
 from oatport import wire
 from oatport.clients.cloud import CloudClient
-from oatport.clients.http import NoAnswer, Refused, jitter
-from oatport.control.fleet import Fleet, Rental
-from oatport.control.model import Kind, Machine
+from oatport.clients.http import NoResponseError, RequestRefusedError, jitter
+from oatport.control.scaling.scale_in import CapacityPlanner, ScaleOutRequest
+from oatport.control.state.model import Kind, Machine
 from oatport.service.catalog import read_types, write_types
-from oatport.service.helm import Helm
+from oatport.service.failure_detector import FailureDetector
+from oatport.service.leader_context import LeaderContext
 from oatport.service.network import Network
-from oatport.service.watching import Watcher
 from oatport.times import MS, SECOND, seconds, steady, time_of_day
 
 log = logging.getLogger(__name__)
@@ -21,19 +21,19 @@
 RENTALS_AT_ONCE = 2
 
 
-class FleetKeeper:
+class CloudController:
     """Acts for a leader; all it decides by is the leader's view of the cluster."""
 
-    def __init__(self, helm: Helm, net: Network) -> None:
+    def __init__(self, helm: LeaderContext, net: Network) -> None:
         self._helm = helm
         self.cluster = helm.cluster
-        self.fleet = Fleet(helm.cluster)
+        self.fleet = CapacityPlanner(helm.cluster)
         self.cloud = CloudClient(net, helm.settings.services.cloud, helm.settings.cluster.cloud.rps, helm.entitled)
         self.home = helm.home
         self.state = helm.state
         self.tuning = helm.tuning
         self.group = helm.group
-        self.watcher = Watcher(helm, net, self.release, self.fleet)
+        self.watcher = FailureDetector(helm, net, self.release, self.fleet)
         self._requests = 0
         self._listed_at = 0
 
@@ -59,7 +59,7 @@
         """The machine types: from the cloud, kept in the state service for when it is away."""
         try:
             types = await self.cloud.catalog()
-        except (NoAnswer, Refused, wire.BadMessage) as error:
+        except (NoResponseError, RequestRefusedError, wire.InvalidMessageError) as error:
             log.info("catalog: %s", error)
             return
         if not types.keys() <= self.cluster.types.keys():
@@ -113,7 +113,7 @@
         waiting = any(m.was_up and not m.confirmed(self._helm.token) for m in self.cluster.machines.values())
         return not waiting or now - self._helm.began > 3 * SECOND
 
-    async def rent(self, rental: Rental) -> None:
+    async def rent(self, rental: ScaleOutRequest) -> None:
         self._requests += 1
         # Token and counter: never used before, nor by another node.
         request = f"r-{self._helm.token}-{self._requests}"
@@ -123,7 +123,7 @@
             while names is None and steady() < until and not self._helm.over:
                 try:
                     names = await self.cloud.rent(request, rental.type, rental.zone, rental.spot, rental.count)
-                except Refused as error:
+                except RequestRefusedError as error:
                     reason = error.value.get("error") if isinstance(error.value, dict) else None
                     if error.status == 503 and reason == "no capacity":
                         self.fleet.refuse(rental, steady())
@@ -132,7 +132,7 @@
                     await asyncio.sleep(jitter(SECOND))
                     if error.status not in (429, 503):
                         return
-                except NoAnswer:
+                except NoResponseError:
                     await asyncio.sleep(jitter(300 * MS))  # the same name again: it rents once
             if names is None:
                 return
@@ -160,7 +160,7 @@
             machine.releasing = True
         try:
             await self.cloud.release([m.name for m in machines])
-        except (NoAnswer, Refused) as error:
+        except (NoResponseError, RequestRefusedError) as error:
             log.info("release: %s", error)
             return
         now = steady()
@@ -174,7 +174,7 @@
             asked = steady()
             try:
                 rows = await self.cloud.list_all()
-            except (NoAnswer, Refused, wire.BadMessage) as error:
+            except (NoResponseError, RequestRefusedError, wire.InvalidMessageError) as error:
                 log.info("machine list: %s", error)
                 await asyncio.sleep(jitter(SECOND))
                 continue
@@ -201,7 +201,7 @@
                 for m in cluster.machines.values()
                 if m.listed
                 and m.name not in listed
-                and now - max(m.heard_at, m.known_since) > 2 * SECOND
+                and now - max(m.last_heartbeat_at, m.known_since) > 2 * SECOND
                 and not m.releasing
             ]
             if lost:
@@ -209,7 +209,7 @@
             if failed:
                 try:
                     await self.cloud.release(failed[:100])
-                except (NoAnswer, Refused):
+                except (NoResponseError, RequestRefusedError):
                     pass
             self._listed_at = asked
             self._helm.wake()
--- a/oatport/service/chainkeeper.py
+++ b/oatport/service/dependency_controller.py
@@ -6,11 +6,11 @@
 import logging
 
 from oatport import wire
-from oatport.clients.http import NoAnswer, Refused, jitter
+from oatport.clients.http import NoResponseError, RequestRefusedError, jitter
 from oatport.clients.state import Applied
-from oatport.control import formats
-from oatport.control.records import JOBS, LEADER_KEY
-from oatport.service.helm import Helm
+from oatport.control.storage import schema_version
+from oatport.control.storage.write_buffer import JOBS, LEADER_KEY
+from oatport.service.leader_context import LeaderContext
 from oatport.times import SECOND
 
 log = logging.getLogger(__name__)
@@ -20,8 +20,8 @@
 ASK_EVERY = SECOND
 
 
-class ChainKeeper:
-    def __init__(self, helm: Helm) -> None:
+class DependencyController:
+    def __init__(self, helm: LeaderContext) -> None:
         self._helm = helm
         self.cluster = helm.cluster
         self.state = helm.state
@@ -38,7 +38,7 @@
             while unknown and not self._helm.over:
                 try:
                     found, asked = await self.state.some(JOBS, unknown)
-                except (NoAnswer, Refused):
+                except (NoResponseError, RequestRefusedError):
                     await asyncio.sleep(jitter(SECOND))
                     break
                 for ref in asked:
@@ -62,27 +62,27 @@
     async def formats_loop(self) -> None:
         """Until all nodes are known to read what this version writes, ask them. Recorded, so that it is asked once."""
         home = self._helm.home
-        gate = formats.Gate([home.node_name, *home.peers])
+        gate = schema_version.Gate([home.node_name, *home.peers])
         while not self._helm.over and not self.cluster.layout.parts:
             answers = await asyncio.gather(
                 *(peer.ask("formats") for peer in home.peers.values()), return_exceptions=True
             )
-            own = formats.answer(home.node_name, home.boot)
+            own = schema_version.answer(home.node_name, home.boot)
             if gate.heard([own, *(row for row in answers if not isinstance(row, BaseException))]):
                 try:
                     await self._open(gate)
-                except (NoAnswer, Refused):
+                except (NoResponseError, RequestRefusedError):
                     pass  # unsure: the next round finds what is recorded
             await asyncio.sleep(jitter(ASK_EVERY))
 
-    async def _open(self, gate: formats.Gate) -> None:
+    async def _open(self, gate: schema_version.Gate) -> None:
         result = await self.state.commit(
-            {LEADER_KEY: self._helm.token, formats.FORMATS_KEY: 0}, {formats.FORMATS_KEY: gate.record()}
+            {LEADER_KEY: self._helm.token, schema_version.FORMATS_KEY: 0}, {schema_version.FORMATS_KEY: gate.record()}
         )
         if not isinstance(result, Applied):
-            found = await self.state.get(formats.FORMATS_KEY)
-            if found is None or formats.reads_of(found[0]) < formats.READS:
+            found = await self.state.get(schema_version.FORMATS_KEY)
+            if found is None or schema_version.reads_of(found[0]) < schema_version.READS:
                 return
-        log.info("all nodes read formats up to %d", formats.READS)
+        log.info("all nodes read formats up to %d", schema_version.READS)
         self.cluster.open_parts()
         self._helm.wake()
--- a/oatport/service/takeover.py
+++ b/oatport/service/failover.py
@@ -6,14 +6,14 @@
 import logging
 from typing import Any
 
-from oatport.clients.http import NoAnswer, jitter
+from oatport.clients.http import NoResponseError, jitter
 from oatport.clients.state import StateClient
 from oatport.clients.worker import WorkerClient
-from oatport.control.formats import FORMATS_KEY
-from oatport.control.lists import more_key, whole_lists
-from oatport.control.model import Machine
-from oatport.control.records import DARK_KEY, FLEET, LIVE, MODEL_KEY, WAITS
-from oatport.service.helm import Helm
+from oatport.control.state.model import Machine
+from oatport.control.storage.overflow_records import more_key, whole_lists
+from oatport.control.storage.schema_version import FORMATS_KEY
+from oatport.control.storage.write_buffer import DARK_KEY, FLEET, LIVE, MODEL_KEY, WAITS
+from oatport.service.leader_context import LeaderContext
 from oatport.service.network import Network
 from oatport.times import SECOND, steady
 
@@ -49,18 +49,18 @@
     for number in range(count):
         found = await state.get(more_key(ref, number))
         if found is None:
-            raise NoAnswer(f"{more_key(ref, number)} is missing")  # it was written before its job was accepted
+            raise NoResponseError(f"{more_key(ref, number)} is missing")  # it was written before its job was accepted
         parts.append(found[0])
     return whole_lists(value, parts)
 
 
-def introduce_all(helm: Helm, net: Network) -> None:
+def introduce_all(helm: LeaderContext, net: Network) -> None:
     for machine in list(helm.cluster.machines.values()):
         if machine.address:
             helm.group.once("introduce", introduce(helm, net, machine))
 
 
-async def introduce(helm: Helm, net: Network, machine: Machine) -> None:
+async def introduce(helm: LeaderContext, net: Network, machine: Machine) -> None:
     """Let a machine know the new token, and learn what is on it, without waiting for its report."""
     client = WorkerClient(net, machine.address)
     for _ in range(INTRODUCTIONS):
@@ -72,5 +72,5 @@
             helm.heard(report, steady())
             if report.token < helm.token:
                 helm.heard(await client.commands(helm.token, report.session, []), steady())
-        except NoAnswer:
+        except NoResponseError:
             await asyncio.sleep(jitter(SECOND))
--- a/oatport/service/watching.py
+++ b/oatport/service/failure_detector.py
@@ -6,16 +6,16 @@
 import logging
 from collections.abc import Awaitable, Callable
 
-from oatport.clients.http import Keep, NoAnswer, Refused
+from oatport.clients.http import Keep, NoResponseError, RequestRefusedError
 from oatport.clients.worker import WorkerClient
-from oatport.control.darkness import Leaving
-from oatport.control.fleet import RELEASE_MOST, Fleet
-from oatport.control.model import Machine
-from oatport.control.records import LEADER_KEY
-from oatport.control.recovery import cut_off, dark_suspects, deaf, silent
-from oatport.service.helm import Helm
+from oatport.control.leadership.zone_partition import ZoneEvacuation
+from oatport.control.scaling.scale_in import RELEASE_MOST, CapacityPlanner
+from oatport.control.state.model import Machine
+from oatport.control.storage.recovery import command_unreachable, cut_off, dark_suspects, silent
+from oatport.control.storage.write_buffer import LEADER_KEY
+from oatport.service.failover import introduce
+from oatport.service.leader_context import LeaderContext
 from oatport.service.network import Network
-from oatport.service.takeover import introduce
 from oatport.times import MS, SECOND, micros, steady
 
 log = logging.getLogger(__name__)
@@ -27,15 +27,15 @@
 NODE_LOST_WITHIN = 4 * SECOND  # a node and its zone's machines are lost at about the same time
 
 
-class Watcher:
+class FailureDetector:
     """Acts for a leader; what is judged lost goes to `release`, whose answer proves it gone."""
 
     def __init__(
         self,
-        helm: Helm,
+        helm: LeaderContext,
         net: Network,
         release: Callable[[list[Machine], str], Awaitable[None]],
-        fleet: Fleet,
+        fleet: CapacityPlanner,
     ) -> None:
         self._helm = helm
         self._net = net
@@ -45,7 +45,7 @@
         self.state = helm.state
         self.tuning = helm.tuning
         self.group = helm.group
-        self._leaving = Leaving(helm.cluster, fleet)
+        self._leaving = ZoneEvacuation(helm.cluster, fleet)
         self._asked_at = 0
         self._mute_asked_at = 0
         self._confirmed_at = 0
@@ -65,13 +65,13 @@
         lit = [m for m in machines if m.zone not in cluster.dark]
         quiet = silent(lit, now, silent_us // 2)
         self.ask(quiet, now)
-        mute = [m for m in lit if m.deaf]
+        mute = [m for m in lit if m.command_unreachable]
         self.ask(mute[:DARK_PROBES], now)
         if cut_off(len(mute), lit) and now - self._mute_asked_at > silent_us:
             self._mute_asked_at = now
             self.group.once("unreached", self._unreached(mute))
         self._ask_dark([m for m in machines if m.zone in cluster.dark], now)
-        unheard = deaf(machines, now, cluster.report_us, self._helm.began)
+        unheard = command_unreachable(machines, now, cluster.report_us, self._helm.began)
         if unheard and now - self._asked_at > silent_us // 2:
             self._asked_at = now
             await self._gives_way(unheard)
@@ -130,7 +130,7 @@
             self.group.once("introduce", introduce(self._helm, self._net, machine))
 
     async def _leave_dark(self, now: int) -> None:
-        """Give up machines of zones that are cut off, where something is won by it (`control/darkness.py`)."""
+        """Give up machines of zones that are cut off, where something is won by it (`control/leadership/zone_partition.py`)."""
         leaving = self._leaving.now(now, self._kept()) if self.cluster.dark else []
         # A leader that was cut off along answers for so long, and nobody can ask it what it was told.
         answered_until = self._helm.began + micros(self._helm.settings.cluster.workers.cancel_s)
@@ -174,7 +174,7 @@
         own = asyncio.gather(*(self._probe(m) for m in machines[:OWN_PROBES] if m.address))
         helper, most_lost = await self.ask_around(machines)
         await own
-        if any(m.heard_at >= asked for m in machines):
+        if any(m.last_heartbeat_at >= asked for m in machines):
             return False, most_lost
         if helper is not None:
             log.warning("%d machines are silent to me but not to %s", len(machines), helper)
@@ -185,7 +185,7 @@
     async def _unreached(self, machines: list[Machine]) -> None:
         """Many machines are heard and don't hear: another node that reaches them should rather lead."""
         helper, _ = await self.ask_around(machines)
-        if helper is not None and cut_off(sum(m.deaf for m in machines), machines):
+        if helper is not None and cut_off(sum(m.command_unreachable for m in machines), machines):
             log.warning("%d machines don't hear me; %s reaches them", len(machines), helper)
             self.home.cut_off_from([m.address for m in machines if m.address][:OWN_PROBES])
             self.home.lost_lead(f"workers don't hear this node; {helper} reaches them")
@@ -193,7 +193,7 @@
     async def still_leading(self) -> bool:
         try:
             found = await self.state.get(LEADER_KEY)
-        except (NoAnswer, Refused):
+        except (NoResponseError, RequestRefusedError):
             return False
         if found is None or found[1] != self._helm.token:
             self._helm.depose("the leader key has another version")
@@ -214,7 +214,7 @@
         )
         agree, seen = 1, False
         for name, answer in zip(self.home.peers, answers, strict=True):
-            if isinstance(answer, NoAnswer):
+            if isinstance(answer, NoResponseError):
                 continue
             try:
                 assert not isinstance(answer, BaseException)
@@ -232,7 +232,7 @@
             report = await WorkerClient(self._net, machine.address, Keep.ONCE).show()
             self.cluster.reached(machine)
             self._helm.heard(report, steady())
-        except NoAnswer:
+        except NoResponseError:
             pass
         finally:
             machine.probing = False
--- a/oatport/service/groupcommit.py
+++ b/oatport/service/group_commit.py
@@ -7,10 +7,10 @@
 from typing import Any
 
 from oatport import wire
-from oatport.clients.http import Bucket, NoAnswer, Refused, jitter
+from oatport.clients.http import Bucket, NoResponseError, RequestRefusedError, jitter
 from oatport.clients.state import Applied
-from oatport.control.records import ACCEPT_KEYS, JOBS, LEADER_KEY, Batch, job_key
-from oatport.service.helm import Helm
+from oatport.control.storage.write_buffer import ACCEPT_KEYS, JOBS, LEADER_KEY, WriteBatch, job_key
+from oatport.service.leader_context import LeaderContext
 from oatport.times import MS, SECOND, seconds, steady
 
 log = logging.getLogger(__name__)
@@ -22,7 +22,7 @@
 
 
 class GroupCommit:
-    def __init__(self, helm: Helm) -> None:
+    def __init__(self, helm: LeaderContext) -> None:
         self._helm = helm
         self.cluster = helm.cluster
         self.state = helm.state
@@ -72,7 +72,7 @@
                 await self.commit(batch)
                 self._helm.wake()
 
-    async def commit(self, batch: Batch) -> None:
+    async def commit(self, batch: WriteBatch) -> None:
         """Commit a batch, trying the same transaction until its outcome is known.
 
         While unsure, nothing else is written: each key's version is a condition, so once the answer
@@ -84,14 +84,14 @@
         while not self._helm.over:
             try:
                 result = await self.state.commit(conditions, batch.sets, batch.drops)
-            except (NoAnswer, Refused) as error:
+            except (NoResponseError, RequestRefusedError) as error:
                 tries += 1
-                if not (isinstance(error, Refused) and error.status == 429):
+                if not (isinstance(error, RequestRefusedError) and error.status == 429):
                     log.info("commit: %s", error)
-                if isinstance(error, Refused) and error.status == 429:
+                if isinstance(error, RequestRefusedError) and error.status == 429:
                     # The first sign that the limits have fallen; until then their full rate is used.
                     self._budget.rate = min(self._budget.rate, self._later_rate)
-                if isinstance(error, Refused) and error.status < 429:
+                if isinstance(error, RequestRefusedError) and error.status < 429:
                     if not self.cluster.layout.parts and not self.cluster.too_large:
                         # The limits have fallen while a node was away, so that it isn't known whether it reads parts:
                         # what is too large waits for that, and the rest goes on.
@@ -111,7 +111,7 @@
             await self._conflict(batch, result.failed, tries)
             return
 
-    async def _conflict(self, batch: Batch, failed: tuple[str, ...], tries: int) -> None:
+    async def _conflict(self, batch: WriteBatch, failed: tuple[str, ...], tries: int) -> None:
         if LEADER_KEY in failed:
             self._helm.depose("the leader key has another version")
             return
@@ -134,7 +134,7 @@
                 self.cluster.to_finish.pop(job, None)
                 self.cluster.cancel_job(job.ref, 0, self._helm.clock.known_at)
 
-    async def _was_applied(self, batch: Batch) -> bool:
+    async def _was_applied(self, batch: WriteBatch) -> bool:
         """After an unsure try: did it get through? All that it wrote then has the revision of the commit.
 
         One key tells nothing: a job that it called off may have been cancelled by its user, in the same words, while
@@ -163,7 +163,7 @@
         while not self._helm.over:
             try:
                 return await self.state.get(key)
-            except (NoAnswer, Refused):
+            except (NoResponseError, RequestRefusedError):
                 await asyncio.sleep(jitter(200 * MS))
         return None
 
