--- a/oatport/service/lead.py
+++ b/oatport/service/leader.py
@@ -10,34 +10,34 @@
 from typing import TYPE_CHECKING, Any
 
 from oatport import wire
-from oatport.clients.http import NoAnswer, NotSent, Refused, jitter
+from oatport.clients.http import NoResponseError, RequestNotSentError, RequestRefusedError, jitter
 from oatport.clients.peer import PeerClient
 from oatport.clients.state import StateClient
 from oatport.clients.worker import WorkerClient
-from oatport.control.backlog import Backlog
-from oatport.control.cluster import Cluster
-from oatport.control.ends import End
-from oatport.control.lists import lies_apart, note_slim
-from oatport.control.mandate import Mandate, Pulse
-from oatport.control.model import Job, Machine
-from oatport.control.placer import Placer
-from oatport.control.predictor import Predictor
-from oatport.control.records import JOBS, MODEL_KEY, job_key
-from oatport.control.recovery import OutageClock, load, read_job, types_recorded
-from oatport.control.repeats import Repeats
+from oatport.control.leadership.leader_lease import LeaderLease, PauseDetector
+from oatport.control.placement.placer import Placer
+from oatport.control.placement.retry_policy import RetryPolicies
+from oatport.control.queueing.queue_estimator import QueueEstimator
+from oatport.control.queueing.runtime_predictor import RuntimePredictor
+from oatport.control.state.cluster_state import ClusterState
+from oatport.control.state.completions import End
+from oatport.control.state.model import Job, Machine
+from oatport.control.storage.overflow_records import lies_apart, note_slim
+from oatport.control.storage.recovery import LeaseRenewalLimit, load, read_job, types_recorded
+from oatport.control.storage.write_buffer import JOBS, MODEL_KEY, job_key
+from oatport.service.background_tasks import BackgroundTasks
 from oatport.service.catalog import read_types
-from oatport.service.chainkeeper import ChainKeeper
-from oatport.service.fleetkeeper import FleetKeeper
-from oatport.service.groupcommit import GroupCommit
-from oatport.service.helm import Home
+from oatport.service.cloud_controller import CloudController
+from oatport.service.dependency_controller import DependencyController
+from oatport.service.failover import introduce_all, read_records, read_whole
+from oatport.service.group_commit import GroupCommit
+from oatport.service.leader_context import LeadingNode
 from oatport.service.network import Network
-from oatport.service.takeover import introduce_all, read_records, read_whole
-from oatport.service.tasks import TaskGroup
 from oatport.settings import Settings, Tuning
 from oatport.times import MS, SECOND, seconds, steady, time_of_day
 
 if TYPE_CHECKING:
-    from oatport.service.windowkeeper import WindowKeeper
+    from oatport.service.window_controller import WindowController
     from oatport.windows.settings import WindowSettings
 
 log = logging.getLogger(__name__)
@@ -51,10 +51,10 @@
 PLAN_REST = 3  # times as long as a planning pass took, until the next
 
 
-class Lead:
+class Leader:
     def __init__(
         self,
-        home: Home,
+        home: LeadingNode,
         settings: Settings,
         tuning: Tuning,
         net: Network,
@@ -63,7 +63,7 @@
         lease: int,
         held_at: int,
         windows: WindowSettings | None = None,
-        repeats: Repeats | None = None,
+        repeats: RetryPolicies | None = None,
     ) -> None:
         self.home = home
         self.settings = settings
@@ -73,24 +73,24 @@
         self.lease = lease
         self._net = net
         limits = settings.cluster
-        self.cluster = Cluster(token, limits, tuning, dict(home.types), Predictor())
+        self.cluster = ClusterState(token, limits, tuning, dict(home.types), RuntimePredictor())
         self.cluster.repeats = repeats or {}
         self.placer = Placer(self.cluster)
         self.began = steady()
-        self.clock = OutageClock(limits, self.began)
-        self.mandate = Mandate(tuning.us("leader_lease_s"), held_at)
-        self._pulse = Pulse(self.began)
-        self.group = TaskGroup()
+        self.clock = LeaseRenewalLimit(limits, self.began)
+        self.mandate = LeaderLease(tuning.us("leader_lease_s"), held_at)
+        self._pulse = PauseDetector(self.began)
+        self.group = BackgroundTasks()
         self.loaded = False
         self.over = False
-        self.keeper = FleetKeeper(self, net)
+        self.keeper = CloudController(self, net)
         self.commits = GroupCommit(self)
-        self.chains = ChainKeeper(self)
-        self.windows: WindowKeeper | None = None
+        self.chains = DependencyController(self)
+        self.windows: WindowController | None = None
         if windows is not None and windows.on:
-            from oatport.service.windowkeeper import WindowKeeper
+            from oatport.service.window_controller import WindowController
 
-            self.windows = WindowKeeper(self, net, windows)
+            self.windows = WindowController(self, net, windows)
             self.cluster.on_released = self.windows.joined
         self._plan_wanted = asyncio.Event()
         self._send_wanted = asyncio.Event()
@@ -102,7 +102,7 @@
 
     # --- lifecycle --------------------------------------------------------------------------
 
-    async def take_over(self) -> None:
+    async def fail_over(self) -> None:
         """Load what is recorded; reports confirm it."""
         asked = steady()  # cancellations told while the records are read may not be among them
         (rows, revision), (ended, complete) = await asyncio.gather(
@@ -114,7 +114,7 @@
         self.cluster.take_ends(ended)
         self.cluster.ends_unknown = not complete
         if self.windows is not None:
-            await self.windows.take_over()
+            await self.windows.fail_over()
         self._watch_from = revision
         self.clock.known(asked)
         self.loaded = True
@@ -173,7 +173,7 @@
         gap = self._pulse.beat(now)
         if gap:
             log.warning("stood still for %.1f s", seconds(gap))
-            self.cluster.stood_still(gap, now)
+            self.cluster.on_process_pause(gap, now)
         return now
 
     def entitled(self) -> bool:
@@ -244,7 +244,7 @@
             asked = steady()
             try:
                 found = await self.state.changes(JOBS, self._watch_from, WATCH_WAIT)
-            except (NoAnswer, Refused):
+            except (NoResponseError, RequestRefusedError):
                 await asyncio.sleep(jitter(300 * MS))
                 continue
             if found is None:
@@ -257,7 +257,7 @@
                 for item in last.values():
                     if "more" in item["value"] and item["value"]["state"] not in wire.OVER:
                         item["value"] = await read_whole(self.state, item["value"])
-            except (NoAnswer, Refused):
+            except (NoResponseError, RequestRefusedError):
                 await asyncio.sleep(jitter(300 * MS))
                 continue
             # Of each job only the last: one that came and ended meanwhile is not taken up again.
@@ -290,7 +290,7 @@
     def carried_out_age(self) -> int:
         """How long ago was the moment up to which cancellations told are carried out; -1: there is none.
 
-        What other nodes keep workers' leases by if they are cut off (`control/steward.py`).
+        What other nodes keep workers' leases by if they are cut off (`control/leadership/lease_proxy.py`).
         """
         done = self.cluster.carried_out(self.clock.known_at) if self.loaded and not self.over else 0
         return steady() - done if done > 0 else -1
@@ -308,7 +308,7 @@
         if machine is None:
             return wire.report_answer(self.token, [])
         self.cluster.report_came(machine, report)
-        if machine.deaf:
+        if machine.command_unreachable:
             self.keeper.watcher.ask([machine], now)
         if self.cluster.must_lapse(machine, now):
             log.warning("machine %s is not answered: a start of a cancelled job may be on its way there", machine.name)
@@ -340,7 +340,7 @@
     # --- placing and sending ------------------------------------------------------------------
 
     async def _plan_loop(self) -> None:
-        backlog = Backlog(self.cluster, self.keeper.fleet)
+        backlog = QueueEstimator(self.cluster, self.keeper.fleet)
         while not self.over:
             try:
                 async with asyncio.timeout(0.5):
@@ -397,10 +397,10 @@
             self._commanded += 1
             try:
                 report = await WorkerClient(self._net, machine.address).commands(self.token, session, orders)
-            except NotSent:
+            except RequestNotSentError:
                 cluster.answered(machine, keys)  # no connection: it can't land later
                 return
-            except NoAnswer as error:
+            except NoResponseError as error:
                 log.debug("commands to %s: %s", machine.name, error)
                 return
             if report.token > self.token:
@@ -428,7 +428,7 @@
                 busiest = 0
                 self.cluster.account(now)
             for task in self.cluster.unacked:
-                if task.acked is None and task.machine is not None and task.repeat_start_at <= now:
+                if task.start_acknowledged is None and task.machine is not None and task.repeat_start_at <= now:
                     self.cluster.to_send.add(task.machine)
             self._read_strays()
             self.cluster.ends_to_tell()  # what is recorded by now is left out
@@ -453,7 +453,7 @@
     async def _read_stray(self, ref: str) -> None:
         try:
             found = await self.state.get(job_key(ref)) if wire.valid_ref(ref) else None
-        except (NoAnswer, Refused):
+        except (NoResponseError, RequestRefusedError):
             return  # asked again with the next tick
         finally:
             self._reading.discard(ref)
@@ -497,5 +497,5 @@
 async def _tell(peer: PeerClient, *message: Any) -> None:
     try:
         await peer.ask(*message)
-    except NoAnswer:
+    except NoResponseError:
         pass
--- a/oatport/service/helm.py
+++ b/oatport/service/leader_context.py
@@ -7,15 +7,15 @@
 from oatport import wire
 from oatport.clients.peer import PeerClient
 from oatport.clients.state import StateClient
-from oatport.control.cluster import Cluster
-from oatport.control.ends import End
-from oatport.control.model import Machine
-from oatport.control.recovery import OutageClock
-from oatport.service.tasks import TaskGroup
+from oatport.control.state.cluster_state import ClusterState
+from oatport.control.state.completions import End
+from oatport.control.state.model import Machine
+from oatport.control.storage.recovery import LeaseRenewalLimit
+from oatport.service.background_tasks import BackgroundTasks
 from oatport.settings import Settings, Tuning
 
 
-class Home(Protocol):
+class LeadingNode(Protocol):
     """The node that leads."""
 
     types: dict[str, wire.MachineType]
@@ -35,18 +35,18 @@
     def cut_off_from(self, addresses: list[str]) -> None: ...
 
 
-class Helm(Protocol):
+class LeaderContext(Protocol):
     """The leader, as its parts see it."""
 
-    home: Home
+    home: LeadingNode
     settings: Settings
     tuning: Tuning
     state: StateClient
     token: int
-    cluster: Cluster
-    group: TaskGroup
+    cluster: ClusterState
+    group: BackgroundTasks
     began: int  # when it took the lead (steady)
-    clock: OutageClock
+    clock: LeaseRenewalLimit
     over: bool
 
     def depose(self, why: str) -> None: ...
--- a/oatport/service/keeping.py
+++ b/oatport/service/lease_proxy_service.py
@@ -1,6 +1,6 @@
 """How a node that does not lead keeps workers' leases, and what nodes tell one another about that.
 
-What it goes by is in `control/steward.py`. The leader tells it, asked with every ping. A node that was started
+What it goes by is in `control/leadership/lease_proxy.py`. The leader tells it, asked with every ping. A node that was started
 again knows nothing; in a zone that is cut off it can ask the leader no more, so another node there passes on what it
 was told.
 """
@@ -10,12 +10,12 @@
 from typing import Protocol
 
 from oatport import wire
-from oatport.api.peers import Message
-from oatport.clients.http import NoAnswer
+from oatport.api.peer_api import Message
+from oatport.clients.http import NoResponseError
 from oatport.clients.peer import PeerClient
 from oatport.clients.state import StateClient
-from oatport.control.steward import Steward
-from oatport.service.lead import Lead
+from oatport.control.leadership.lease_proxy import LeaseProxy
+from oatport.service.leader import Leader
 from oatport.settings import ClusterSettings
 from oatport.times import SECOND, steady
 
@@ -25,14 +25,14 @@
 class Here(Protocol):
     """The node that it belongs to."""
 
-    lead: Lead | None
+    lead: Leader | None
     state: StateClient
 
 
-class Keeping:
+class LeaseProxyService:
     def __init__(self, here: Here, settings: ClusterSettings) -> None:
         self._here = here
-        self.steward = Steward.of(settings)
+        self.steward = LeaseProxy.of(settings)
         self._keepers: dict[str, int] = {}  # node -> when it said that it answers workers (steady)
 
     def take_report(self, report: wire.Report) -> bool:
@@ -52,7 +52,7 @@
 
     def _out_of_touch(self, now: int) -> bool:
         state = self._here.state
-        return self.steward.out_of_touch(now, state.ok_at, state.failed_at)
+        return self.steward.is_isolated(now, state.ok_at, state.failed_at)
 
     # --- what nodes tell one another --------------------------------------------------------
 
@@ -86,5 +86,5 @@
                 self.steward.told(int(token), asked, int(age), int(told_age))
                 if keeps is True:
                     self._keepers[peer.name] = asked
-        except (NoAnswer, ValueError, TypeError):
+        except (NoResponseError, ValueError, TypeError):
             pass
--- a/oatport/service/network.py
+++ b/oatport/service/network.py
@@ -11,7 +11,7 @@
 from oatport import wire
 from oatport.api.server import Handler, Server
 from oatport.clients.http import Connector, HttpClient, Keep, Requester, make_session
-from oatport.control.sockets import MOST_IDLE, Sockets
+from oatport.control.limits.connection_budget import MOST_IDLE, ConnectionBudget
 from oatport.times import MS, SECOND, seconds, steady
 
 log = logging.getLogger(__name__)
@@ -48,7 +48,7 @@
 
 class HttpNetwork:
     def __init__(self, sockets: int) -> None:
-        self._sockets = Sockets(sockets)
+        self._sockets = ConnectionBudget(sockets)
         self._sessions: dict[Keep, aiohttp.ClientSession] = {}
         self._idle_us = MOST_IDLE
         self._replaced: set[asyncio.Task[None]] = set()
--- a/oatport/service/node.py
+++ b/oatport/service/node.py
@@ -8,27 +8,27 @@
 from typing import TYPE_CHECKING, Any
 
 from oatport import wire
-from oatport.api.peers import Message, Peers
+from oatport.api.heartbeat_api import handle_report
+from oatport.api.job_api import JobApi
+from oatport.api.peer_api import Message, PeerApi
 from oatport.api.server import Answer, BodyReader
-from oatport.api.users import Users
-from oatport.api.workers import handle_report
-from oatport.clients.http import NoAnswer, Refused, jitter
+from oatport.clients.http import NoResponseError, RequestRefusedError, jitter
 from oatport.clients.peer import PeerClient
-from oatport.clients.state import Applied, NoLease, StateClient
+from oatport.clients.state import Applied, LeaseExpiredError, StateClient
 from oatport.clients.worker import count_reached
-from oatport.control import formats
-from oatport.control.ends import End
-from oatport.control.records import LEADER_KEY
-from oatport.control.recovery import UnknownType
-from oatport.control.repeats import Repeats
-from oatport.control.sockets import Sockets
-from oatport.control.standing import Standing
+from oatport.control.leadership.election_priority import ElectionPriority
+from oatport.control.limits.connection_budget import ConnectionBudget
+from oatport.control.placement.retry_policy import RetryPolicies
+from oatport.control.state.completions import End
+from oatport.control.storage import schema_version
+from oatport.control.storage.recovery import UnknownMachineTypeError
+from oatport.control.storage.write_buffer import LEADER_KEY
+from oatport.service.background_tasks import BackgroundTasks
 from oatport.service.catalog import read_types
-from oatport.service.keeping import Keeping
-from oatport.service.lead import Lead
+from oatport.service.leader import Leader
+from oatport.service.lease_proxy_service import LeaseProxyService
 from oatport.service.network import HttpNetwork, Network
-from oatport.service.tasks import TaskGroup
-from oatport.service.telling import Telling
+from oatport.service.peer_notifications import PeerNotifier
 from oatport.settings import Settings, Tuning
 from oatport.times import MS, SECOND, micros, seconds, steady
 
@@ -51,13 +51,13 @@
         settings: Settings,
         tuning: Tuning,
         windows: WindowSettings | None = None,
-        repeats: Repeats | None = None,
+        repeats: RetryPolicies | None = None,
         net: Network | None = None,
         boot: str = "",
     ) -> None:
         self.settings = settings
         self._net = net or HttpNetwork(settings.cluster.resources.sockets)
-        self._sockets = Sockets(settings.cluster.resources.sockets)
+        self._sockets = ConnectionBudget(settings.cluster.resources.sockets)
         self.windows, self.repeats = windows, repeats
         self.tuning = tuning
         self.node_name = settings.node_name
@@ -65,11 +65,11 @@
         self.types: dict[str, wire.MachineType] = {}
         self.display: dict[str, tuple[int, int]] = {}
         self.peers: dict[str, PeerClient] = {}
-        self.keeping = Keeping(self, settings.cluster)
-        self.telling = Telling(self, settings.cluster)
-        self._standing = Standing(settings)
-        self.group = TaskGroup()
-        self.lead: Lead | None = None
+        self.keeping = LeaseProxyService(self, settings.cluster)
+        self.telling = PeerNotifier(self, settings.cluster)
+        self._standing = ElectionPriority(settings)
+        self.group = BackgroundTasks()
+        self.lead: Leader | None = None
         self.started = steady()
         self._leader: str | None = None
         self._leader_token = 0
@@ -91,10 +91,10 @@
         net = self._net
         net.open()
         self.state = StateClient(net, self.settings.services.state)
-        self.users = Users(self.settings, self.state, self)
+        self.users = JobApi(self.settings, self.state, self)
         for peer in self.settings.peers:
             self.peers[peer.node_name] = PeerClient(net, peer.node_name, peer.endpoint)
-        inside = Peers()
+        inside = PeerApi()
         for tag, handler in (
             ("ping", self._on_ping),
             ("accepted", self.telling.on_hint),
@@ -225,7 +225,7 @@
                 # Asked just now: at the start of an outage for all, what was known a moment ago is wrong,
                 # and without a leader nobody would keep the workers' leases alive until it ends.
                 await self.state.get(LEADER_KEY)
-            except (NoAnswer, Refused):
+            except (NoResponseError, RequestRefusedError):
                 return ["no"]
             self._take_from = max(self._take_from, token)
             self._take_until = steady() + TAKE_WITHIN
@@ -245,7 +245,7 @@
 
     async def _on_formats(self, message: Message) -> Message:
         """What this process reads of what is stored. Earlier versions don't know the question."""
-        return formats.answer(self.node_name, self.boot)
+        return schema_version.answer(self.node_name, self.boot)
 
     async def _ping_loop(self, peer: PeerClient) -> None:
         while True:
@@ -263,17 +263,17 @@
                         await self.keeping.ask_leader(peer)
                     elif self.lead is None and not self.served():
                         await self.keeping.ask_keeper(peer)
-            except (NoAnswer, ValueError, TypeError):
+            except (NoResponseError, ValueError, TypeError):
                 self._peer_served.pop(peer.name, None)
             await asyncio.sleep(jitter(PING_EVERY))
 
-    async def _offer(self, lead: Lead, peer: PeerClient) -> None:
+    async def _offer(self, lead: Leader, peer: PeerClient) -> None:
         try:
             await self._hand_over(lead, peer, "workers could not go on from here")
-        except NoAnswer as error:
+        except NoResponseError as error:
             log.info("handover to %s: %s", peer.name, error)
 
-    async def _hand_over(self, lead: Lead, peer: PeerClient, why: str) -> None:
+    async def _hand_over(self, lead: Leader, peer: PeerClient, why: str) -> None:
         """That peer can do more."""
         lead.mandate.doubt(steady())  # it may take over though its answer is lost
         answer = await peer.ask("handover", lead.token, timeout_us=2 * SECOND)
@@ -299,10 +299,10 @@
                         self.group.once("offer", self._offer(lead, better))  # renewals do not wait for it
                 elif steady() - self.state.ok_at > SECOND:
                     await self.state.get(LEADER_KEY)
-            except NoLease:
+            except LeaseExpiredError:
                 if lead is self.lead:
                     self.lost_lead("the lease ended")
-            except (NoAnswer, Refused) as error:
+            except (NoResponseError, RequestRefusedError) as error:
                 log.debug("state service: %s", error)
                 await asyncio.sleep(jitter(250 * MS))
                 continue
@@ -323,11 +323,11 @@
         if not self.group.closed:
             self.group.once("give up", self._give_up(lead))
 
-    async def _give_up(self, lead: Lead) -> None:
+    async def _give_up(self, lead: Leader) -> None:
         """Free the leader key at once, so that nobody has to wait for the lease to end."""
         try:
             await self.state.commit({LEADER_KEY: lead.token}, {}, [LEADER_KEY])
-        except (NoAnswer, Refused, NoLease):
+        except (NoResponseError, RequestRefusedError, LeaseExpiredError):
             pass
 
     async def _leader_watch(self) -> None:
@@ -346,7 +346,7 @@
                             self._see_leader((item["value"], int(item["entryRev"])))
                         elif item.get("drop") == LEADER_KEY:
                             self._see_leader(None)
-            except (NoAnswer, Refused):
+            except (NoResponseError, RequestRefusedError):
                 await asyncio.sleep(jitter(300 * MS))
 
     def _see_leader(self, found: tuple[Any, int] | None) -> int:
@@ -376,7 +376,7 @@
                 continue
             try:
                 await self._stand()
-            except (NoAnswer, Refused, NoLease) as error:
+            except (NoResponseError, RequestRefusedError, LeaseExpiredError) as error:
                 log.debug("election: %s", error)
                 await asyncio.sleep(jitter(200 * MS))
 
@@ -439,7 +439,7 @@
             result = await self.state.commit({LEADER_KEY: version}, {LEADER_KEY: value}, lease=lease)
             if isinstance(result, Applied):
                 token = result.revision
-        except (NoAnswer, Refused):
+        except (NoResponseError, RequestRefusedError):
             # Unsure: read it back. A late one is conditioned on what it replaces.
             found = await self.state.get(LEADER_KEY)
             if found is not None and found[0].get("boot") == self.boot and found[0].get("lease") == lease:
@@ -451,13 +451,13 @@
         self._take_from = 0
         self._leader, self._leader_token = self.node_name, token
         self._next_heard = steady()
-        lead = Lead(
+        lead = Leader(
             self, self.settings, self.tuning, self._net, self.state, token, lease, held_at, self.windows, self.repeats
         )
         self.lead = lead
         try:
-            await lead.take_over()
-        except (NoAnswer, Refused, UnknownType) as error:
+            await lead.fail_over()
+        except (NoResponseError, RequestRefusedError, UnknownMachineTypeError) as error:
             if self.lead is lead:
                 self.lost_lead(f"could not load the records: {error}")
                 self._stand_back_until = steady() + SECOND
@@ -474,6 +474,6 @@
                 found = await read_types(self.state)
                 if found is not None:
                     self.types = found[0]
-            except (NoAnswer, Refused):
+            except (NoResponseError, RequestRefusedError):
                 pass
             await asyncio.sleep(jitter(20 * SECOND if self.types else micros(0.5)))
--- a/oatport/service/telling.py
+++ b/oatport/service/peer_notifications.py
@@ -2,7 +2,7 @@
 
 That a job was accepted or cancelled is told to the leader at once: only a hint that saves time, since the leader
 watches the records. While it can't, it asks each node what its users were told is cancelled
-(`control/cancellations.py`).
+(`control/state/cancellations.py`).
 """
 
 from __future__ import annotations
@@ -10,13 +10,13 @@
 import asyncio
 from typing import Any, Protocol
 
-from oatport.api.peers import Message
-from oatport.clients.http import NoAnswer, NotSent, jitter
+from oatport.api.peer_api import Message
+from oatport.clients.http import NoResponseError, RequestNotSentError, jitter
 from oatport.clients.peer import NotUnderstood, PeerClient
-from oatport.control import ends
-from oatport.control.cancellations import Cancellations, Told
-from oatport.service.lead import Lead
-from oatport.service.tasks import TaskGroup
+from oatport.control.state import completions as ends
+from oatport.control.state.cancellations import CancellationLog, ConfirmedCancellations
+from oatport.service.background_tasks import BackgroundTasks
+from oatport.service.leader import Leader
 from oatport.settings import ClusterSettings
 from oatport.times import MS, micros, seconds, steady
 
@@ -31,19 +31,19 @@
 class Here(Protocol):
     """The node that it belongs to."""
 
-    lead: Lead | None
+    lead: Leader | None
     peers: dict[str, PeerClient]
-    group: TaskGroup
+    group: BackgroundTasks
     last_leader: str  # the last one known beside this node; "": none is
 
     def leading_peer(self) -> PeerClient | None: ...
 
 
-class Telling:
+class PeerNotifier:
     def __init__(self, here: Here, settings: ClusterSettings) -> None:
         self._here = here
         self.ends = ends.Ends()
-        self.cancellations = Cancellations(steady(), 2 * micros(settings.workers.cancel_s))
+        self.cancellations = CancellationLog(steady(), 2 * micros(settings.workers.cancel_s))
 
     def accepted(self, ref: str, record: dict[str, Any], revision: int) -> None:
         self._hint("accepted", ref, record, revision)
@@ -103,7 +103,7 @@
                         self._here.group.once("ends", _ask_quietly(peer, "ends", lead.token, new))
             await asyncio.sleep(seconds(TELL_ENDS))
 
-    def deposed(self, lead: Lead) -> None:
+    def deposed(self, lead: Leader) -> None:
         """What it leaves unrecorded is told to the others, who may not be reached just now, and to whoever asks."""
         left = lead.cluster.ends_to_tell()
         self.ends.note(lead.token, left)
@@ -116,7 +116,7 @@
             try:
                 await peer.ask("ends", token, left)
                 return
-            except NoAnswer:
+            except NoResponseError:
                 await asyncio.sleep(jitter(TELL_LEFT_EVERY))
 
     async def ended_before(self, token: int) -> tuple[list[ends.End], bool]:
@@ -132,8 +132,8 @@
         lists, complete = [self.ends.before(token)], True
         for name, answer in zip(self._here.peers, answers, strict=True):
             if (
-                isinstance(answer, NoAnswer)
-                and not isinstance(answer, NotSent | NotUnderstood)
+                isinstance(answer, NoResponseError)
+                and not isinstance(answer, RequestNotSentError | NotUnderstood)
                 and (name == (self._here.last_leader or name))
             ):
                 complete = False
@@ -142,7 +142,7 @@
                     raise answer
                 if answer[0] == "ended" and answer[1] is not None:
                     lists.append(ends.parse(answer[1]))
-            except (NoAnswer, ValueError, TypeError, IndexError):
+            except (NoResponseError, ValueError, TypeError, IndexError):
                 continue  # away, of an earlier version, or strange: less is known, and nothing else follows
         known = [found for found in lists if found is not None]
         return list(dict.fromkeys(end for found in known for end in found)), complete and bool(known)
@@ -165,7 +165,7 @@
                 await self.collect(lead)
             await asyncio.sleep(jitter(ASK_EVERY))
 
-    async def collect(self, lead: Lead) -> None:
+    async def collect(self, lead: Leader) -> None:
         """Put into effect what users were told, and move the moment of knowledge on if all nodes told all."""
         asked, since = steady(), lead.clock.known_at
         answers = await asyncio.gather(
@@ -180,8 +180,8 @@
             try:
                 if isinstance(answer, BaseException):
                     raise answer
-                told = Told.of(answer)
-            except (NoAnswer, ValueError):
+                told = ConfirmedCancellations.of(answer)
+            except (NoResponseError, ValueError):
                 complete = False  # it can't be asked, is of an earlier version, or says something strange
                 continue
             refs |= dict.fromkeys(told.refs)
@@ -197,5 +197,5 @@
         try:
             await peer.ask(*message)
             return
-        except NoAnswer:
+        except NoResponseError:
             await asyncio.sleep(jitter(100 * MS))
--- a/oatport/service/windowkeeper.py
+++ b/oatport/service/window_controller.py
@@ -6,8 +6,8 @@
 import logging
 from typing import Any
 
-from oatport.control.model import Job
-from oatport.service.helm import Helm
+from oatport.control.state.model import Job
+from oatport.service.leader_context import LeaderContext
 from oatport.service.network import Network
 from oatport.times import SECOND, micros, steady, time_of_day
 from oatport.windows.client import FeedClient
@@ -21,8 +21,8 @@
 WRITTEN_EVERY = 60 * SECOND
 
 
-class WindowKeeper:
-    def __init__(self, helm: Helm, net: Network, settings: WindowSettings) -> None:
+class WindowController:
+    def __init__(self, helm: LeaderContext, net: Network, settings: WindowSettings) -> None:
         self._helm = helm
         self._session = net.session
         self.settings = settings
@@ -34,7 +34,7 @@
     def wall(self) -> int:
         return self._clock.at(time_of_day(), steady())
 
-    async def take_over(self) -> None:
+    async def fail_over(self) -> None:
         """The last good series and what was learnt; then all jobs as recorded. Raises NoAnswer or Refused."""
         found = await self._helm.state.get(KEY)
         if found is not None:
--- a/oatport/windows/client.py
+++ b/oatport/windows/client.py
@@ -12,7 +12,7 @@
 from oatport.clients.http import Bucket, jitter
 from oatport.times import SECOND, micros, seconds, time_of_day
 from oatport.windows.feed import BODY_MOST, JSON_TYPE, decode
-from oatport.windows.prices import BadSeries, Book
+from oatport.windows.prices import Book, InvalidPriceSeriesError
 
 log = logging.getLogger(__name__)
 
@@ -55,7 +55,7 @@
             body, content_type = await self._fetch()
             intervals, made_at = decode(body, content_type, self._zone)
             changed = self._book.learn(intervals, made_at, time_of_day())
-        except (BadSeries, aiohttp.ClientError, TimeoutError, OSError, ValueError) as error:
+        except (InvalidPriceSeriesError, aiohttp.ClientError, TimeoutError, OSError, ValueError) as error:
             self.failures += 1
             self._book.problem = f"{type(error).__name__}: {error}"[:200]
             log.warning("price feed: %s", self._book.problem)
@@ -74,12 +74,12 @@
                 allow_redirects=False,
             ) as response:
                 if response.status != 200:
-                    raise BadSeries(f"status {response.status}")
+                    raise InvalidPriceSeriesError(f"status {response.status}")
                 chunks: list[bytes] = []
                 size = 0
                 async for chunk in response.content.iter_any():
                     size += len(chunk)
                     if size > BODY_MOST:
-                        raise BadSeries(f"more than {BODY_MOST} bytes")
+                        raise InvalidPriceSeriesError(f"more than {BODY_MOST} bytes")
                     chunks.append(chunk)
                 return b"".join(chunks), response.content_type
--- a/oatport/windows/feed.py
+++ b/oatport/windows/feed.py
@@ -17,7 +17,7 @@
 
 from oatport import wire
 from oatport.times import SECOND
-from oatport.windows.prices import BadSeries, Interval
+from oatport.windows.prices import Interval, InvalidPriceSeriesError
 
 BODY_MOST = 256 * 1024
 JSON_TYPE = "application/json"
@@ -41,24 +41,24 @@
 def decode(body: bytes, content_type: str, zone: str) -> tuple[list[Interval], int]:
     """The intervals, unchecked but for their form, and when the series was made. Raises BadSeries."""
     if len(body) > BODY_MOST:
-        raise BadSeries(f"{len(body)} bytes, at most {BODY_MOST}")
+        raise InvalidPriceSeriesError(f"{len(body)} bytes, at most {BODY_MOST}")
     try:
         # The standard library's parser takes NaN, which is to be told apart from a broken body.
         raw: Any = json.loads(body) if content_type.startswith(JSON_TYPE) else wire.loads(body)
         series = msgspec.convert(raw, Series, strict=True)
-    except (ValueError, RecursionError, wire.BadMessage, msgspec.ValidationError) as error:
-        raise BadSeries(f"not a series: {str(error).splitlines()[0][:120]}") from None
+    except (ValueError, RecursionError, wire.InvalidMessageError, msgspec.ValidationError) as error:
+        raise InvalidPriceSeriesError(f"not a series: {str(error).splitlines()[0][:120]}") from None
     if series.v != VERSION:
-        raise BadSeries(f"version {series.v}, not {VERSION}")
+        raise InvalidPriceSeriesError(f"version {series.v}, not {VERSION}")
     if series.zone != zone:
-        raise BadSeries(f"of zone {series.zone[:40]!r}, not {zone!r}")
+        raise InvalidPriceSeriesError(f"of zone {series.zone[:40]!r}, not {zone!r}")
     for row in series.intervals:
         if not (math.isfinite(row.start) and math.isfinite(row.length) and 0 <= row.start < 1e11):
-            raise BadSeries("an interval's time is not a usable number")
+            raise InvalidPriceSeriesError("an interval's time is not a usable number")
         if not 0 < row.length < 1e9:
-            raise BadSeries("an interval's length is out of range")
+            raise InvalidPriceSeriesError("an interval's length is out of range")
     if not math.isfinite(series.at) or not 0 <= series.at < 1e11:
-        raise BadSeries("at: not a usable number")
+        raise InvalidPriceSeriesError("at: not a usable number")
     rows = [
         Interval(round(row.start * SECOND), round((row.start + row.length) * SECOND), row.price, row.co2)
         for row in series.intervals
--- a/oatport/windows/holding.py
+++ b/oatport/windows/holding.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from oatport.control.model import Hold, Job, Kind, Phase
-from oatport.control.work import Work
+from oatport.control.state.model import Hold, Job, Kind, Phase
+from oatport.control.state.task_lifecycle import TaskLifecycle
 from oatport.times import SECOND, micros, seconds
 from oatport.windows.margins import Margins
 from oatport.windows.planner import Need, Plan, Planner
@@ -67,7 +67,7 @@
 
 
 class Holder:
-    def __init__(self, cluster: Work, settings: WindowSettings, book: Book, wall: int) -> None:
+    def __init__(self, cluster: TaskLifecycle, settings: WindowSettings, book: Book, wall: int) -> None:
         self.cluster = cluster
         self.settings = settings
         self.book = book
--- a/oatport/windows/prices.py
+++ b/oatport/windows/prices.py
@@ -22,7 +22,7 @@
 OUTLIER = 5.0  # times the middle price: what lies beyond counts no more, or one lie would move the whole night
 
 
-class BadSeries(ValueError):
+class InvalidPriceSeriesError(ValueError):
     """A series that can't be used; the text is one line that says why."""
 
 
@@ -41,21 +41,21 @@
     Negative prices are legal, and so are gaps: there nothing is known.
     """
     if made_at > now + AHEAD_MOST:
-        raise BadSeries(f"made {(made_at - now) // SECOND} s in the future")
+        raise InvalidPriceSeriesError(f"made {(made_at - now) // SECOND} s in the future")
     rows = sorted(intervals, key=lambda interval: interval.start)
     if not rows:
-        raise BadSeries("no intervals")
+        raise InvalidPriceSeriesError("no intervals")
     if len(rows) > INTERVALS_MOST:
-        raise BadSeries(f"{len(rows)} intervals, at most {INTERVALS_MOST}")
+        raise InvalidPriceSeriesError(f"{len(rows)} intervals, at most {INTERVALS_MOST}")
     for row in rows:
         if not 0 < row.end - row.start <= LENGTH_MOST:
-            raise BadSeries(f"interval at {row.start // SECOND}: length out of range")
+            raise InvalidPriceSeriesError(f"interval at {row.start // SECOND}: length out of range")
         for name, value in (("price", row.price), ("co2", row.co2)):
             if value is not None and not (math.isfinite(value) and abs(value) <= PRICE_MOST):
-                raise BadSeries(f"interval at {row.start // SECOND}: {name} is not a usable number")
+                raise InvalidPriceSeriesError(f"interval at {row.start // SECOND}: {name} is not a usable number")
     for before, after in pairwise(rows):
         if after.start < before.end:
-            raise BadSeries(f"intervals at {before.start // SECOND} and {after.start // SECOND} overlap")
+            raise InvalidPriceSeriesError(f"intervals at {before.start // SECOND} and {after.start // SECOND} overlap")
     return rows
 
 
@@ -165,7 +165,7 @@
             self.read_at = min(int(value["read"]), now)
             self.version += 1
             self._rescale()
-        except (BadSeries, KeyError, TypeError, ValueError):
+        except (InvalidPriceSeriesError, KeyError, TypeError, ValueError):
             self.rows, self.read_at = [], 0
 
 
--- a/oatport/wire.py
+++ b/oatport/wire.py
@@ -32,7 +32,7 @@
 CHANGES = "/changes"
 
 
-class BadMessage(ValueError):
+class InvalidMessageError(ValueError):
     """A message that can't be read; the sender gets 400."""
 
 
@@ -47,12 +47,12 @@
         value = cbor2.CBORDecoder(stream).decode()
         # Trailing bytes mean that the body is not one value.
         if stream.read(1):
-            raise BadMessage("more than one value")
+            raise InvalidMessageError("more than one value")
         return value
-    except BadMessage:
+    except InvalidMessageError:
         raise
     except Exception as error:  # whatever a decoder throws at strange bytes is the sender's doing
-        raise BadMessage(f"not CBOR: {type(error).__name__}") from None
+        raise InvalidMessageError(f"not CBOR: {type(error).__name__}") from None
 
 
 NEEDS, TYPES, KIND, SERVICE = "waitsOn", "berthKinds", "rig", "standing"  # as records have them too
@@ -100,15 +100,15 @@
 def submission(value: Any) -> Submission:
     """A submission from a decoded body, all fields checked."""
     if not isinstance(value, dict):
-        raise BadMessage("not a map")
+        raise InvalidMessageError("not a map")
     try:
         job = msgspec.convert(value, Submission, strict=True)
     except msgspec.ValidationError as error:
-        raise BadMessage(str(error)) from None
+        raise InvalidMessageError(str(error)) from None
     if not valid_ref(job.ref):
-        raise BadMessage("ref: not a job id")
+        raise InvalidMessageError("ref: not a job id")
     if not 1 <= job.tasks <= 100_000:
-        raise BadMessage("legs: must be 1 to 100000")
+        raise InvalidMessageError("legs: must be 1 to 100000")
     for name, number, low in (
         ("cores", job.cpus, True),
         ("accelerators", job.gpus, False),
@@ -120,18 +120,18 @@
         ("tideS", job.deadline_s or 0.0, False),
     ):
         if not math.isfinite(number) or number < 0 or number > 1e9 or (low and number == 0):
-            raise BadMessage(f"{name}: out of range")
+            raise InvalidMessageError(f"{name}: out of range")
     if not job.image or any(len(text) > 200 for text in (job.image, job.job_class, job.team, job.zone or "")):
-        raise BadMessage("a text is empty or too long")
+        raise InvalidMessageError("a text is empty or too long")
     if job.types is not None and (len(job.types) > 64 or any(len(name) > 64 for name in job.types)):
-        raise BadMessage("berthKinds: too long")
+        raise InvalidMessageError("berthKinds: too long")
     if job.needs is None:
         return job
     for ref in job.needs:
         if not valid_ref(ref):
-            raise BadMessage(f"{NEEDS}: not a job id")
+            raise InvalidMessageError(f"{NEEDS}: not a job id")
         if ref == job.ref:
-            raise BadMessage(f"{NEEDS}: a job can't wait for itself")
+            raise InvalidMessageError(f"{NEEDS}: a job can't wait for itself")
     return msgspec.structs.replace(job, needs=list(dict.fromkeys(job.needs)) or None)
 
 
@@ -164,7 +164,7 @@
     try:
         return msgspec.convert(value, Report, strict=True)
     except msgspec.ValidationError as error:
-        raise BadMessage(str(error)) from None
+        raise InvalidMessageError(str(error)) from None
 
 
 EXITED = "ended"
@@ -237,7 +237,7 @@
     try:
         types = msgspec.convert(value["berthKinds"], list[MachineType], strict=False)
     except (msgspec.ValidationError, KeyError, TypeError) as error:
-        raise BadMessage(f"catalog: {error}") from None
+        raise InvalidMessageError(f"catalog: {error}") from None
     return {t.name: t for t in types}
 
 
@@ -260,7 +260,7 @@
     try:
         return msgspec.convert(value["berths"], list[Listed], strict=False), bool(value.get("hasNext"))
     except (msgspec.ValidationError, KeyError, TypeError, AttributeError) as error:
-        raise BadMessage(f"machine list: {error}") from None
+        raise InvalidMessageError(f"machine list: {error}") from None
 
 
 def rental(request: str, type_name: str, zone: str, spot: bool, count: int) -> dict[str, Any]:
--- a/standins/serve.py
+++ b/standins/serve.py
@@ -16,7 +16,7 @@
 from aiohttp import web
 
 from oatport import wire
-from oatport.clients.http import HttpClient, NoAnswer, make_session
+from oatport.clients.http import HttpClient, NoResponseError, make_session
 from oatport.lab.world.cloud import Registry
 from oatport.lab.world.state import KeyStore
 from oatport.lab.world.worker import Worker
@@ -178,7 +178,7 @@
                 status, value = await HttpClient(self._session, self.nodes[at]).request(
                     "POST", wire.REPORT, worker.report(), timeout_us=4_000_000
                 )
-            except NoAnswer:
+            except NoResponseError:
                 status, value = 0, None
             if status == 200:
                 worker.answer(sent, session, value)
--- a/standins/smoke.py
+++ b/standins/smoke.py
@@ -19,7 +19,7 @@
 from typing import Any
 
 from oatport import wire
-from oatport.clients.http import HttpClient, NoAnswer, make_session
+from oatport.clients.http import HttpClient, NoResponseError, make_session
 from standins.serve import StandIns
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -117,7 +117,7 @@
             if await probe():
                 print(f"smoke: {what}")
                 return
-        except NoAnswer:
+        except NoResponseError:
             pass
         await asyncio.sleep(0.2)
     raise SystemExit(f"smoke: FAILED, did not happen in {limit_s:.0f} s: {what}")
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -15,7 +15,7 @@
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
     try:
         known_red.mark(known_red.read(ROOT), items, whole=config.args == config.getini("testpaths"))
-    except known_red.BadList as error:
+    except known_red.InvalidListError as error:
         raise pytest.UsageError(str(error)) from None
 
 
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -15,7 +15,7 @@
 MOST = 3
 
 
-class BadList(ValueError):
+class InvalidListError(ValueError):
     """One line that says what is wrong with the list."""
 
 
@@ -35,12 +35,12 @@
     for number, line in enumerate(text.splitlines(), 1):
         parts = [part.strip() for part in line.split("|")]
         if len(parts) != 3 or not all(parts) or "::" not in parts[0]:
-            raise BadList(f"{NAME}:{number}: must be 'FILE::TEST | cause | issue', not {line!r}")
+            raise InvalidListError(f"{NAME}:{number}: must be 'FILE::TEST | cause | issue', not {line!r}")
         if any(red.test == parts[0] for red in found):
-            raise BadList(f"{NAME}:{number}: {parts[0]} is listed twice")
+            raise InvalidListError(f"{NAME}:{number}: {parts[0]} is listed twice")
         found.append(Red(*parts))
     if len(found) > MOST:
-        raise BadList(f"{NAME}: {len(found)} tests, {MOST} at most")
+        raise InvalidListError(f"{NAME}: {len(found)} tests, {MOST} at most")
     return found
 
 
@@ -55,6 +55,6 @@
     for red in reds:
         covered = [item for item in items if red.covers(item.nodeid)]
         if whole and not covered:
-            raise BadList(f"{NAME}: there is no test {red.test}")
+            raise InvalidListError(f"{NAME}: there is no test {red.test}")
         for item in covered:
             item.add_marker(pytest.mark.xfail(reason=f"{red.cause} ({red.issue})", strict=True))
--- a/tests/scale.py
+++ b/tests/scale.py
@@ -19,7 +19,7 @@
 from typing import Any
 
 from oatport import wire
-from oatport.control.backlog import Backlog, route_waiting
+from oatport.control.queueing.queue_estimator import QueueEstimator, route_waiting
 from oatport.settings import Team
 from oatport.times import SECOND
 from tests.world import World
@@ -119,7 +119,7 @@
         for row in (key, value)
     ]
     found.takeover_bytes = len(wire.dumps(rows))
-    found.takeover = calls(world.take_over)
+    found.takeover = calls(world.fail_over)
     return found
 
 
@@ -166,13 +166,13 @@
     before = tracemalloc.get_traced_memory()[0]
     for number in range(tasks // 12):
         submit(legs=12, voyageS=50.0 + number % 7, tideS=120.0 + 10 * (number % 50), cargo="van")
-    backlog, cluster = Backlog(world.cluster, world.fleet), world.cluster
+    backlog, cluster = QueueEstimator(world.cluster, world.fleet), world.cluster
     world.plan()
     found.held = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
 
     def look() -> None:
-        """As the leader's loops do (`service/lead.py`, `service/fleetkeeper.py`)."""
+        """As the leader's loops do (`service/leader.py`, `service/cloud_controller.py`)."""
         backlog.step(world.now, world.now)
         if world.placer.due(world.now):
             world.placer.plan(world.now)
@@ -189,7 +189,7 @@
         for step in range(100):
             world.now += SECOND // 10
             for machine in cluster.machines.values():
-                machine.heard_at = world.now
+                machine.last_heartbeat_at = world.now
             if step % 10 == 5:
                 each_second()
             looked = calls(look)
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -7,11 +7,18 @@
 import pytest
 
 from oatport import wire
-from oatport.api.users import Users
-from oatport.clients.http import NoAnswer
-from oatport.control.cancellations import ANSWERED_WITHIN, MARGIN, SLACK, Cancellations, Told, answers_until
-from oatport.control.model import Machine
-from oatport.control.records import cancel_key, job_key
+from oatport.api.job_api import JobApi
+from oatport.clients.http import NoResponseError
+from oatport.control.state.cancellations import (
+    ANSWERED_WITHIN,
+    MARGIN,
+    SLACK,
+    CancellationLog,
+    ConfirmedCancellations,
+    answers_until,
+)
+from oatport.control.state.model import Machine
+from oatport.control.storage.write_buffer import cancel_key, job_key
 from oatport.lab.world.breaks import broken
 from oatport.lab.world.meetings import gap
 from oatport.lab.world.plan import Fault, Plan
@@ -20,11 +27,11 @@
 from oatport.lab.world.world import Result
 from oatport.lab.world.world import World as WholeWorld
 from oatport.service.node import Node
-from oatport.service.telling import STALE
+from oatport.service.peer_notifications import STALE
 from oatport.settings import Tuning
 from oatport.times import SECOND, steady, with_drift
 from tests.test_service import Body, FakePeer, leader
-from tests.test_users import Desk
+from tests.test_users import HeartbeatReceiver
 from tests.world import FakeStateClient, World, cluster_settings, job, node_settings
 
 
@@ -36,8 +43,8 @@
 # --- the list ----------------------------------------------------------------------------------
 
 
-def told(began: int = 0, kept_s: int = 70, most: int = 100) -> Cancellations:
-    return Cancellations(began, kept_s * SECOND, most)
+def told(began: int = 0, kept_s: int = 70, most: int = 100) -> CancellationLog:
+    return CancellationLog(began, kept_s * SECOND, most)
 
 
 def test_each_job_is_told_of_once_and_from_when_it_was_first_told() -> None:
@@ -81,9 +88,13 @@
     since, asked = 100 * SECOND, 120 * SECOND
     whole = 21 * SECOND
     answered = since + with_drift(whole)
-    assert Told([], whole).covers(since, asked, answered)
-    assert not Told([], whole - SECOND // 100).covers(since, asked, answered)  # a fast clock could make up for it
-    assert not Told([], 10 * whole).covers(since, asked, asked + ANSWERED_WITHIN + 1)  # how long was it on its way?
+    assert ConfirmedCancellations([], whole).covers(since, asked, answered)
+    assert not ConfirmedCancellations([], whole - SECOND // 100).covers(
+        since, asked, answered
+    )  # a fast clock could make up for it
+    assert not ConfirmedCancellations([], 10 * whole).covers(
+        since, asked, asked + ANSWERED_WITHIN + 1
+    )  # how long was it on its way?
 
 
 @pytest.mark.parametrize(
@@ -103,7 +114,7 @@
 )
 def test_a_strange_answer_proves_nothing(answer: object) -> None:
     with pytest.raises(ValueError):
-        Told.of(answer)
+        ConfirmedCancellations.of(answer)
 
 
 def test_a_lease_renewed_at_the_bound_ends_before_a_cancellation_told_after_the_moment_must_be_carried_out() -> None:
@@ -120,8 +131,8 @@
     """A node's users, asked as over HTTP; each answer is noted with what the desk had been told before it left."""
 
     def __init__(self, state: KeyStore) -> None:
-        self.client, self.desk = FakeStateClient(state), Desk()
-        self.users = Users(node_settings(), self.client, self.desk)  # type: ignore[arg-type]
+        self.client, self.desk = FakeStateClient(state), HeartbeatReceiver()
+        self.users = JobApi(node_settings(), self.client, self.desk)  # type: ignore[arg-type]
 
     async def ask(self, method: str, path: str, body: Any = None) -> tuple[str, bool]:
         """The status answered, and whether it was noted by then that the job is cancelled."""
@@ -281,7 +292,7 @@
     class Older(FakePeer):
         async def ask(self, *message: Any, timeout_us: int = 0) -> list[Any]:
             if message[0] == "told":
-                raise NoAnswer("status 400")
+                raise NoResponseError("status 400")
             return ["pong", "n1", None, 0, False, WHOLE]
 
     node.peers = {"n1": Older(None)}  # type: ignore[dict-item]
@@ -337,7 +348,7 @@
     world.refused.add(worker.name)
     world.step(0.1)
     machine = world.cluster.machines[worker.name]
-    assert machine.unanswered == {(f"{ref}/0", 1): 1}
+    assert machine.unacknowledged_starts == {(f"{ref}/0", 1): 1}
     return ref, machine
 
 
@@ -372,7 +383,7 @@
     worker = world.machine(1)
     ref, machine = unsure(world, worker)
     world.cluster.answered(machine, [(f"{ref}/0", 1)])  # no connection came about
-    assert not machine.unanswered
+    assert not machine.unacknowledged_starts
     world.cancel(ref)
     world.cluster.commands(machine, world.now, direct=False)
     world.refused.clear()
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -9,11 +9,11 @@
 
 from oatport import wire
 from oatport.cli import main
-from oatport.control.backlog import order as order_of
-from oatport.control.fleet import Rental
-from oatport.control.predictor import Predictor
-from oatport.control.recovery import OutageClock, cut_off, dark_suspects, silent
-from oatport.control.router import ON_DEMAND, OWNED, SPOT, Router
+from oatport.control.queueing.queue_estimator import order as order_of
+from oatport.control.queueing.runtime_predictor import RuntimePredictor
+from oatport.control.queueing.tier_router import ON_DEMAND, OWNED, SPOT, TierRouter
+from oatport.control.scaling.scale_in import ScaleOutRequest
+from oatport.control.storage.recovery import LeaseRenewalLimit, cut_off, dark_suspects, silent
 from oatport.settings import Objective, SettingsError, Team, load, load_tuning
 from oatport.times import SECOND, micros
 from standins import smoke
@@ -21,31 +21,31 @@
 
 
 def test_the_estimate_seeds_and_finished_tasks_take_over() -> None:
-    predictor = Predictor()
+    predictor = RuntimePredictor()
     spec = wire.submission(job(voyageS=100.0))
     assert predictor.run_time("j-1", spec) == 100 * SECOND
     for _ in range(100):
         predictor.finished("j-2", spec, 30 * SECOND)
     assert 30 * SECOND <= predictor.run_time("j-1", spec) < 40 * SECOND
-    other = Predictor()
+    other = RuntimePredictor()
     other.load(predictor.record())
     assert abs(other.run_time("j-1", spec) - predictor.run_time("j-1", spec)) < SECOND
 
 
 def test_the_half_life_counts_survivors() -> None:
-    predictor = Predictor()
+    predictor = RuntimePredictor()
     for _ in range(4):
         predictor.spot_held(100 * SECOND, True)
     assert predictor.half_life([]) == 100 * SECOND
     assert predictor.half_life([500 * SECOND] * 20) is None
-    few = Predictor()
+    few = RuntimePredictor()
     few.spot_held(SECOND, True)
     assert few.half_life([]) is None  # one early take-back says nothing
 
 
 def test_short_tasks_end_first_and_do_not_lower_the_threshold() -> None:
     """50 s into a day the threshold was 17 s: 240 tasks waited for owned room beside free spot machines."""
-    predictor = Predictor()
+    predictor = RuntimePredictor()
     spec = wire.submission(job())
     for took in range(1, 18):
         predictor.finished("j-1", spec, took * SECOND)
@@ -62,7 +62,7 @@
     world.machine(1)
     ref = world.submit(legs=1, voyageS=30.0)
     world.settle(25)
-    world.take_over()
+    world.fail_over()
     world.settle(10)
     assert world.record(ref) == wire.DONE
     spec = wire.submission(job())
@@ -71,7 +71,7 @@
 
 def test_the_tiers_of_the_design() -> None:
     world = World()
-    router = Router(Predictor(), 60 * SECOND, 2.0)
+    router = TierRouter(RuntimePredictor(), 60 * SECOND, 2.0)
     world.submit(voyageS=30.0, tideS=500.0)
     short = world.cluster.jobs["j-000001"]
     wall = world.now
@@ -135,7 +135,7 @@
     world.submit(legs=20, cores=8.0)
     world.plan()
     assert {rental.zone for rental in world.fleet.wanted(world.now)} == {"b"}
-    world.fleet.refuse(Rental("m8", "b", True, 1), world.now + 20 * SECOND)
+    world.fleet.refuse(ScaleOutRequest("m8", "b", True, 1), world.now + 20 * SECOND)
     assert world.fleet.wanted(world.now) == []
     world.now += 25 * SECOND
     (probe,) = world.fleet.wanted(world.now)
@@ -166,7 +166,7 @@
     world.settings = msgspec.structs.replace(
         world.settings, objectives=[Objective("wait", job_class="train", within_s=35.0)]
     )
-    world.take_over()
+    world.fail_over()
     world.machine(1, "a", kind="g16")
     world.settle(2)
     first = world.submit(ref="j-000007", legs=1, **GANG)
@@ -183,7 +183,7 @@
     world.settings = msgspec.structs.replace(
         world.settings, objectives=[Objective("wait", job_class="train", within_s=35.0)]
     )
-    world.take_over()
+    world.fail_over()
     world.machine(1, "a", kind="g16", spot=True)
     world.settle(2)
     long = {**GANG, "voyageS": 900.0}
@@ -236,7 +236,7 @@
     world = World()
     one = world.cluster.jobs[world.submit(legs=1, voyageS=40.0, tideS=100.0)]
     many = world.cluster.jobs[world.submit(ref="j-000002", legs=9, voyageS=40.0, tideS=100.0)]
-    router = Router(Predictor(), 60 * SECOND, 2.0, tail_factor=1.5)
+    router = TierRouter(RuntimePredictor(), 60 * SECOND, 2.0, tail_factor=1.5)
     assert router.route(one, world.now, None, False, True, 50 * SECOND) == SPOT
     assert router.route(many, world.now, None, False, True, 50 * SECOND) == ON_DEMAND
     assert router.route(many, world.now, None, False, True, 30 * SECOND) == SPOT
@@ -248,7 +248,7 @@
     world.settings = msgspec.structs.replace(
         world.settings, objectives=[Objective("deadline", job_class="train", times=t) for t in (1.0, 3.0)]
     )
-    world.take_over()
+    world.fail_over()
     for number in range(1, 5):
         world.machine(number)
     world.settle(2)
@@ -271,7 +271,7 @@
     world.settings = msgspec.structs.replace(
         world.settings, objectives=[Objective("finished", job_class="train", within_s=300.0)]
     )
-    world.take_over()
+    world.fail_over()
     world.machine(1)
     world.settle(2)
     late = world.submit(legs=1, voyageS=50.0, tideS=20.0)
@@ -293,7 +293,7 @@
     near = world.submit(ref="j-000002", legs=2, voyageS=50.0, tideS=80.0)
     for zone in "ab":
         for kind in ("m8", "g16"):
-            world.fleet.refuse(Rental(kind, zone, True, 1), world.now)
+            world.fleet.refuse(ScaleOutRequest(kind, zone, True, 1), world.now)
     world.plan()
     jobs = world.cluster.jobs
     assert (jobs[lost].tier, jobs[near].tier) == (SPOT, ON_DEMAND)
@@ -339,12 +339,12 @@
     for number, zone in ((1, "a"), (2, "a"), (3, "b")):
         world.machine(number, zone)
     world.settle(2)
-    world.cluster.machines["vm-000002"].blocked_until = world.now + 20 * SECOND
+    world.cluster.machines["vm-000002"].cordoned_until = world.now + 20 * SECOND
     service = {"rig": "standing", "urgency": "production", "cores": 1.0, "spread": True}
     moving = world.submit(legs=4, **service)
     world.settle(3)
-    world.cluster.machines["vm-000001"].blocked_until = world.now + 20 * SECOND
-    world.cluster.machines["vm-000002"].blocked_until = 0
+    world.cluster.machines["vm-000001"].cordoned_until = world.now + 20 * SECOND
+    world.cluster.machines["vm-000002"].cordoned_until = 0
     world.submit(ref="j-000002", legs=6, **service)
     world.settle(60)
     assert sorted(names[0] for names in world.live(moving).values())[:2] == ["vm-000001"] * 2
@@ -359,7 +359,7 @@
     world.submit(legs=1, rig="standing", urgency="production", cores=4.0, hull="img-1")
     world.machine(2)
     world.settle(2)
-    world.cluster.machines["vm-000001"].blocked_until = world.now + 5 * SECOND
+    world.cluster.machines["vm-000001"].cordoned_until = world.now + 5 * SECOND
     moving = world.submit(ref="j-000002", legs=1, rig="standing", urgency="production", cores=2.0, hull="img-2")
     world.settle(60)
     assert world.live(moving) == {f"{moving}/0": ["vm-000002"]}
@@ -467,7 +467,7 @@
     world = World()
     world.submit(voyageS=30.0, tideS=100.0)
     waiting = world.cluster.jobs["j-000001"]
-    router = Router(Predictor(), 60 * SECOND, 2.0)
+    router = TierRouter(RuntimePredictor(), 60 * SECOND, 2.0)
     assert router.route(waiting, world.now, None, False, True, 40 * SECOND) == SPOT
     assert router.route(waiting, world.now, None, False, True, 90 * SECOND) == ON_DEMAND
 
@@ -478,7 +478,7 @@
     world.settings = msgspec.structs.replace(
         world.settings, objectives=[Objective("wait", job_class="train", within_s=1.0)]
     )
-    world.take_over()
+    world.fail_over()
     warm = world.machine(1)
     first = world.submit(rig="standing", urgency="production", legs=1, sizeGb=4.0)
     world.submit(ref="j-000002", legs=1, hull="img-2")
@@ -567,7 +567,7 @@
 
 def test_in_an_outage_leases_are_kept_only_as_long_as_cancellations_allow() -> None:
     settings = cluster_settings()
-    clock = OutageClock(settings, 100 * SECOND)
+    clock = LeaseRenewalLimit(settings, 100 * SECOND)
     # A cancellation told right after that moment must be over cancel_s later, lease included.
     latest = clock.until + micros(settings.workers.lease_s) * 1.001
     assert latest < 100 * SECOND + micros(settings.workers.cancel_s)
@@ -660,6 +660,6 @@
         "served (started/accepted, done): class serve 1/2, 0; class train 1/1, 1; team crew 1/1, 1; team other 1/2, 0; "
         "largest serve 0/1 train 1/1"
     )
-    world.take_over()
+    world.fail_over()
     world.settle(2)
     assert world.cluster.served.teams["other"].started == 1
--- a/tests/test_dark.py
+++ b/tests/test_dark.py
@@ -7,19 +7,19 @@
 import pytest
 
 from oatport import wire
-from oatport.control.darkness import KEEP_BOUND, REPLICAS_AT_ONCE, Leaving, lives_until
-from oatport.control.fleet import Rental
-from oatport.control.model import Machine
-from oatport.control.records import DARK_KEY
-from oatport.control.steward import OUT_OF_TOUCH, Steward
+from oatport.control.leadership.lease_proxy import ISOLATED_AFTER, LeaseProxy
+from oatport.control.leadership.zone_partition import KEEP_BOUND, REPLICAS_AT_ONCE, ZoneEvacuation, lives_until
+from oatport.control.scaling.scale_in import ScaleOutRequest
+from oatport.control.state.model import Machine
+from oatport.control.storage.write_buffer import DARK_KEY
 from oatport.lab.world.state import KeyStore
 from oatport.lab.world.worker import Worker
-from oatport.service.lead import Lead
+from oatport.service.failure_detector import FailureDetector
+from oatport.service.leader import Leader
 from oatport.service.node import Node
-from oatport.service.watching import Watcher
 from oatport.settings import Team, Tuning
 from oatport.times import SECOND, steady
-from tests.test_service import FakePeer, Home, leader
+from tests.test_service import FakePeer, LeadingNode, leader
 from tests.world import FakeStateClient, World, cluster_settings, node_settings
 
 
@@ -31,8 +31,8 @@
 SETTINGS = cluster_settings()  # lease 10 s, cancellation 35 s, reports every second
 
 
-def steward(told_at: int = 100 * SECOND, age: int = 0) -> Steward:
-    kept = Steward.of(SETTINGS)
+def steward(told_at: int = 100 * SECOND, age: int = 0) -> LeaseProxy:
+    kept = LeaseProxy.of(SETTINGS)
     kept.told(7, told_at, age)
     return kept
 
@@ -43,11 +43,11 @@
     # A job cancelled just after the leader last told must be gone 35 s later, 10 s of which are the lease.
     assert 115 * SECOND < kept.ends() <= 125 * SECOND
     assert not kept.answers(7, kept.ends(), 100 * SECOND, 102 * SECOND)
-    assert not kept.answers(7, 100 * SECOND + OUT_OF_TOUCH - 1, 99 * SECOND, 100 * SECOND)  # the leader just spoke
+    assert not kept.answers(7, 100 * SECOND + ISOLATED_AFTER - 1, 99 * SECOND, 100 * SECOND)  # the leader just spoke
     assert not kept.answers(7, lost, 102 * SECOND, 101 * SECOND)  # the state service answers: there may be another one
     assert not kept.answers(8, lost, 100 * SECOND, 102 * SECOND)  # that worker knows a later leader
     assert not kept.answers(6, lost, 100 * SECOND, 102 * SECOND)  # the leader never reached that worker
-    assert not Steward.of(SETTINGS).answers(0, lost, 0, lost)  # it was never told anything
+    assert not LeaseProxy.of(SETTINGS).answers(0, lost, 0, lost)  # it was never told anything
 
 
 def test_what_is_not_carried_out_yet_shortens_what_a_steward_may_do() -> None:
@@ -124,7 +124,7 @@
 
 
 def test_what_is_passed_on_in_a_circle_only_gets_less() -> None:
-    nodes = [steward(), Steward.of(SETTINGS)]
+    nodes = [steward(), LeaseProxy.of(SETTINGS)]
     ends = nodes[0].ends()
     for now in range(101, 112):
         giver, taker = nodes[now % 2 == 0], nodes[now % 2]
@@ -150,7 +150,7 @@
 
 def leaving(world: World, kept: bool) -> list[str]:
     zones = frozenset({"b"}) if kept else frozenset[str]()
-    return [m.name for m in Leaving(world.cluster, world.fleet).now(world.now, zones)]
+    return [m.name for m in ZoneEvacuation(world.cluster, world.fleet).now(world.now, zones)]
 
 
 def test_replicas_that_may_run_nowhere_else_keep_their_machines() -> None:
@@ -217,9 +217,9 @@
     there = cut(world, "b")
     world.now += 20 * SECOND  # what they ran is done by now, and will be done at once where it is started again
     assert leaving(world, True) == []  # but who knows whether there are other machines?
-    world.fleet.grant(Rental("m8", "b", False, 1), world.now)
+    world.fleet.grant(ScaleOutRequest("m8", "b", False, 1), world.now)
     assert leaving(world, True) == []
-    world.fleet.grant(Rental("m8", "a", False, 1), world.now)
+    world.fleet.grant(ScaleOutRequest("m8", "a", False, 1), world.now)
     assert leaving(world, True) == [m.name for m in there]
 
 
@@ -232,7 +232,7 @@
     cut(world, "b")
     since = world.cluster.dark["b"]
     world.now += 5 * SECOND
-    world.take_over()
+    world.fail_over()
     assert abs(world.cluster.dark["b"] - since) < SECOND // 10
     world.submit(rig="standing", legs=2, driftwood=False)
     world.settle()
@@ -252,7 +252,7 @@
     cut(world, "b")
     world.cluster.note_kept(["b"])
     world.commit()
-    world.take_over()
+    world.fail_over()
     assert world.cluster.kept == {"b"}
     world.refused.clear()
     world.settle()
@@ -284,7 +284,7 @@
     assert machine.images == {"img-1": 1}
 
 
-def watched(state: KeyStore, count: int, silent_for: int) -> tuple[Watcher, Lead, Home, list[str]]:
+def watched(state: KeyStore, count: int, silent_for: int) -> tuple[FailureDetector, Leader, LeadingNode, list[str]]:
     """A leader with so many machines, of which zone b's half is silent; and what it releases."""
     lead, _, home = leader(state)
     released: list[str] = []
@@ -299,8 +299,8 @@
         machine = lead.cluster.add_machine(f"vm-{number:06d}", "m8", "a" if lit else "b", False, "", now, 0)
         assert machine is not None
         machine.up_at = machine.probed_at = 1
-        machine.heard_at = machine.known_since = now if lit else now - silent_for
-    return Watcher(lead, None, release, lead.keeper.fleet), lead, home, released  # type: ignore[arg-type]
+        machine.last_heartbeat_at = machine.known_since = now if lit else now - silent_for
+    return FailureDetector(lead, None, release, lead.keeper.fleet), lead, home, released  # type: ignore[arg-type]
 
 
 async def test_machines_that_are_heard_last_after_a_cut_are_not_taken_for_lost(state: KeyStore) -> None:
@@ -310,7 +310,7 @@
     await watcher.step()  # half of them: it is rather this node that is cut off
     machines = list(lead.cluster.machines.values())
     for machine in machines[6:9]:
-        machine.heard_at = steady()
+        machine.last_heartbeat_at = steady()
     await watcher.step()
     assert released == []
     watcher._doubted_at -= 6 * SECOND  # silent_s later they have all been asked
@@ -327,7 +327,7 @@
     lead.cluster.dark["b"] -= 60 * SECOND  # dead by any reckoning: now they go
     for machine in lead.cluster.machines.values():
         if machine.zone == "b":
-            machine.heard_at -= 60 * SECOND
+            machine.last_heartbeat_at -= 60 * SECOND
     watcher._confirmed_at = 0
     home.peers = {"n1": FakePeer(None), "n2": FakePeer(None)}
     await watcher.step()
--- a/tests/test_evening.py
+++ b/tests/test_evening.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from oatport import wire
-from oatport.control.agenda import order_key
-from oatport.control.backlog import route_waiting
+from oatport.control.queueing.pending_queue import order_key
+from oatport.control.queueing.queue_estimator import route_waiting
 from oatport.lab.world.plan import Fault, Plan
 from oatport.lab.world.rehearse import Asked, play
 from oatport.lab.world.state import KeyStore
@@ -17,21 +17,21 @@
 def test_a_machine_that_does_not_hear_gets_no_work_until_it_has_shown_that_it_does() -> None:
     """Its session ends, it reports itself empty, and looked like the best place for what it had just lost."""
     world = World()
-    deaf, other = world.machine(1), world.machine(2)
+    command_unreachable, other = world.machine(1), world.machine(2)
     world.settle(2)
     first = world.submit(legs=2, cores=6.0, voyageS=500.0)
     world.settle(2)
-    world.mute.add(deaf.name)
+    world.mute.add(command_unreachable.name)
     for _ in range(14):
         world.step(1.0)
-    assert deaf.session == 2 and not deaf.tasks
-    lost = world.cluster.machines[deaf.name]
-    assert lost.deaf and not lost.tasks
+    assert command_unreachable.session == 2 and not command_unreachable.tasks
+    lost = world.cluster.machines[command_unreachable.name]
+    assert lost.command_unreachable and not lost.tasks
     assert len(world.live(first)) == 1  # the other waits for room, and not there
     assert other.name in next(iter(world.live(first).values()))
     world.mute.clear()
     world.settle(2)
-    assert not lost.deaf and len(world.live(first)) == 2
+    assert not lost.command_unreachable and len(world.live(first)) == 2
 
 
 def test_a_start_that_reports_never_list_means_that_the_machine_does_not_hear() -> None:
@@ -42,7 +42,7 @@
     world.submit(legs=1)
     for _ in range(9):
         world.step(1.0)
-    assert world.cluster.machines["vm-000001"].deaf
+    assert world.cluster.machines["vm-000001"].command_unreachable
 
 
 def test_a_leader_that_reaches_none_does_not_return_the_fleet() -> None:
@@ -54,7 +54,7 @@
     for _ in range(60):
         world.step(1.0)
         assert world.fleet.to_release(world.now) == []
-    assert all(m.deaf for m in world.cluster.machines.values())
+    assert all(m.command_unreachable for m in world.cluster.machines.values())
 
 
 async def test_no_start_in_the_answer_to_a_late_copy_counts_as_sent() -> None:
@@ -74,10 +74,10 @@
     task = lead.cluster.claim(waiting, machine, steady())
     batch = lead.cluster.take_batch(12)
     lead.cluster.committed(batch, 9, steady())
-    before = (machine.session, machine.seq, machine.heard_at)
+    before = (machine.session, machine.seq, machine.last_heartbeat_at)
     answer = lead.take_report(old)
     assert answer == {"helm": lead.token, "orders": []}
-    assert not task.sent_session and (machine.session, machine.seq, machine.heard_at) == before
+    assert not task.sent_session and (machine.session, machine.seq, machine.last_heartbeat_at) == before
     answer = lead.take_report(wire.report(worker.report()))
     assert answer is not None and [order["orderKind"] for order in answer["orders"]] == ["start"]
 
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from oatport.control.model import Machine
-from oatport.control.router import OWNED
+from oatport.control.queueing.tier_router import OWNED
+from oatport.control.state.model import Machine
 from oatport.lab.world.worker import Worker
 from tests.world import World
 
@@ -37,7 +37,7 @@
         world.step(1.0)
     assert all(world.cluster.jobs[ref].suspect for ref in refs)
     assert not any(m.draining for m in machines(world))
-    assert all(m.blocked_until <= world.now for m in machines(world))
+    assert all(m.cordoned_until <= world.now for m in machines(world))
     good = world.submit(ref="j-000003", legs=6)
     world.settle()
     assert len(world.live(good)) == 6
@@ -115,7 +115,7 @@
     fail_all(world, ref)
     world.step(1.0)
     world.commit()
-    world.take_over()
+    world.fail_over()
     assert world.cluster.jobs[ref].suspect
     world.settle()
     assert len(world.live(ref)) <= 1
--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -8,15 +8,15 @@
 import pytest
 
 from oatport import wire
-from oatport.control.formats import FORMATS_KEY, READS, Gate, answer
-from oatport.control.layout import Layout
-from oatport.control.lists import lies_apart, slimmed, whole_lists
-from oatport.control.model import Job, Phase, job_record
-from oatport.control.predictor import Predictor
-from oatport.control.records import FLEET, LIVE, Batch, live_key, waits_key
+from oatport.control.queueing.runtime_predictor import RuntimePredictor
+from oatport.control.state.model import Job, Phase, job_record
+from oatport.control.storage.overflow_records import lies_apart, slimmed, whole_lists
+from oatport.control.storage.record_layout import RecordLayout
+from oatport.control.storage.schema_version import FORMATS_KEY, READS, Gate, answer
+from oatport.control.storage.write_buffer import FLEET, LIVE, WriteBatch, live_key, waits_key
 from oatport.lab.world.state import KeyStore
 from oatport.service.catalog import read_types, type_values, write_types
-from oatport.service.lead import Lead
+from oatport.service.leader import Leader
 from oatport.settings import NextLimits, StateLimits, Team
 from oatport.sizes import json_size
 from oatport.times import SECOND
@@ -31,7 +31,7 @@
     world = World(NO_LIMITS, SMALL)
     if opened:
         world.state.commit({"if": [], "then": [{"set": FORMATS_KEY, "value": {"reads": READS}}]})
-        world.take_over()
+        world.fail_over()
     for number in range(1, machines + 1):
         world.machine(number, zone="ab"[number % 2])
     world.settle(3)
@@ -64,7 +64,7 @@
     assert len(parts) == 5 and len([key for key in world.state.items if key.startswith(FLEET)]) == 10
     assert max(json_size(value) for value, _, _ in world.state.items.values()) <= 2048
     before = placed(world, ref)
-    world.take_over()
+    world.fail_over()
     assert placed(world, ref) == before and len(world.cluster.machines) == 130
     world.settle(60)
     assert world.record(ref) == wire.DONE
@@ -86,7 +86,7 @@
     assert len(world.live(ref)) == 250
     now = placed(world, ref)
     assert now != before
-    world.take_over()
+    world.fail_over()
     assert placed(world, ref) == now and len(world.cluster.machines) == 126
     world.settle(120)
     assert world.record(ref) == wire.DONE
@@ -124,7 +124,7 @@
             for ref in refs
             if ref in world.cluster.jobs
         }
-        world.take_over()
+        world.fail_over()
         for ref, rows in before.items():
             after = placed(world, ref)
             # A machine that is gone may still be recorded; nothing that is placed may be missing.
@@ -135,7 +135,7 @@
 
 
 def test_a_job_whose_head_has_no_room_for_tasks() -> None:
-    layout = Layout(2048, 1, parts=True)
+    layout = RecordLayout(2048, 1, parts=True)
     large = Job("j-1", wire.submission(job("j-1", legs=300, berthKinds=[f"kind-{i:020d}" for i in range(60)])), 1, 0)
     assert layout.head_tasks(large) == 0
     keys = list(layout.task_keys(large, 0, 300))
@@ -146,7 +146,7 @@
 
 
 def test_limits_that_hold_all_leave_records_as_they_were() -> None:
-    layout = Layout(8192, 10, parts=True)
+    layout = RecordLayout(8192, 10, parts=True)
     small = Job("j-1", wire.submission(job("j-1", legs=300)), 1, 0)
     assert list(layout.task_keys(small, 0, 300)) == ["live/j-1", "live/j-1/0001", "live/j-1/0002"]
     assert list(layout.fleet_keys("fleet/000003")) == ["fleet/000003"]
@@ -161,7 +161,7 @@
 
 
 def test_the_predictor_is_recorded_in_parts_that_can_be_read_alone() -> None:
-    known = Predictor()
+    known = RuntimePredictor()
     for number in range(60):
         spec = wire.submission(job(cargo=f"class-{number:02d}", voyageS=10.0))
         for _ in range(3):
@@ -170,7 +170,7 @@
     parts = known.parts(2048)
     assert len(parts) > 1 and max(map(json_size, parts)) <= 2048
     assert len(known.parts(32 * 1024)) == 1
-    learnt = Predictor()
+    learnt = RuntimePredictor()
     for part in parts:
         learnt.load(part)
     spec = wire.submission(job(cargo="class-39", voyageS=10.0))
@@ -233,7 +233,7 @@
     assert not gate.heard([answer("n0", "a"), answer("n1", "c")]) or second[-1][2] == "c"
 
 
-async def rounds(lead: Lead, times: int) -> None:
+async def rounds(lead: Leader, times: int) -> None:
     gate = Gate([lead.home.node_name, *lead.home.peers])
     for _ in range(times):
         rows = [await peer.ask("formats") for peer in lead.home.peers.values()]
@@ -313,7 +313,7 @@
         task = job_.tasks[index]
         world.cluster.requeue(task, lost=True)
     world.plan()
-    batch = Batch()
+    batch = WriteBatch()
     while world.cluster.has_urgent():
         batch = world.cluster.take_batch(4)
         held = {key for key in batch.sets if key.startswith(LIVE)}
--- a/tests/test_guests.py
+++ b/tests/test_guests.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from oatport.control.router import SPOT
+from oatport.control.queueing.tier_router import SPOT
 from oatport.settings import Team
 from oatport.times import SECOND
 from tests.world import World
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from tests.known_red import BadList, Red, parse
+from tests.known_red import InvalidListError, Red, parse
 
 HERE = Path(__file__).parent
 LINE = "tests/test_a.py::test_{} | the world is round | issue 7"
@@ -34,7 +34,7 @@
     ],
 )
 def test_a_bad_list_is_refused_in_one_line(text: str, said: str) -> None:
-    with pytest.raises(BadList, match=said) as caught:
+    with pytest.raises(InvalidListError, match=said) as caught:
         parse(text)
     assert "\n" not in str(caught.value)
 
--- a/tests/test_limits_properties.py
+++ b/tests/test_limits_properties.py
@@ -10,8 +10,8 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
 from oatport import wire
-from oatport.control.ends import End
-from oatport.control.records import Batch
+from oatport.control.state.completions import End
+from oatport.control.storage.write_buffer import WriteBatch
 from oatport.lab.world.worker import Worker
 from oatport.settings import Team
 from oatport.times import SECOND
@@ -30,7 +30,7 @@
         self.reports: list[wire.Report] = []  # sent, of which copies may arrive
         self.commands: list[tuple[str, dict[str, Any]]] = []  # under way
         self.late: list[dict[str, Any]] = []  # transactions that got no answer
-        self.unsure: Batch | None = None
+        self.unsure: WriteBatch | None = None
         self.ends: list[End] = []  # as told to the other nodes
         self.known: set[str] = set()  # tasks whose end a leader took in, and told or wrote
         self.broken: list[str] = []
@@ -148,12 +148,12 @@
             cluster.committed(batch, value["ledgerRev"], self.world.now)
         elif self._was_applied(batch):
             cluster.committed(batch, self.world.state.revision, self.world.now)
-            self.take_over()  # which revision its keys have is for the next leader to read
+            self.fail_over()  # which revision its keys have is for the next leader to read
         else:
             cluster.put_back(batch)
-            self.take_over()
+            self.fail_over()
 
-    def _was_applied(self, batch: Batch) -> bool:
+    def _was_applied(self, batch: WriteBatch) -> bool:
         items = self.world.state.items
         rows = [items.get(key) for key in batch.sets]
         return (
@@ -194,11 +194,11 @@
             self.world.workers[name].commands(body)
 
     @rule(heard=st.booleans())
-    def take_over(self, heard: bool = True) -> None:
+    def fail_over(self, heard: bool = True) -> None:
         """The next leader; what the one before told the others is known, or that nothing is."""
         self.unsure = None
         ends = self.world.cluster.ends_to_tell()
-        self.world.take_over()
+        self.world.fail_over()
         self.world.cluster.now = self.world.now
         if heard:
             self.world.cluster.take_ends(ends)
@@ -211,12 +211,12 @@
         """What was decided and not written goes with the leader; whatever it sent arrives."""
         self.plan()
         self.send(True)
-        self.take_over(False)
+        self.fail_over(False)
 
     @rule(number=PLACES, pick=st.integers(0, 12))
     def change_of_leader_and_a_copy(self, number: int, pick: int) -> None:
         """The first that the next leader hears of a machine is old."""
-        self.take_over(True)
+        self.fail_over(True)
         mine = [report for report in self.reports if report.machine == f"vm-{number:06d}"]
         if mine:
             self.world.cluster.on_report(mine[-1 - pick % len(mine)], self.world.now, self.world.now)
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from oatport.api.users import Users
+from oatport.api.job_api import JobApi
 from oatport.lab.world.limits import limits
 from oatport.lab.world.meetings import MEETINGS, meetings
 from oatport.lab.world.plan import Fault, Plan
@@ -52,7 +52,7 @@
     plan = Plan((Fault("odd_requests", 6.0, 20.0),), 30.0, 3, 20, 20.0)
     right = play(Asked(plan=plan), 1)
     assert right.violations == [] and right.counts["odd_requests"] > 20
-    with patch.object(Users, "never_runs", lambda self, job: None):
+    with patch.object(JobApi, "never_runs", lambda self, job: None):
         wrong = play(Asked(plan=plan), 1)
     assert any(row.startswith("accepted_wrongly") for row in wrong.violations)
 
--- a/tests/test_needs.py
+++ b/tests/test_needs.py
@@ -9,11 +9,11 @@
 import pytest
 
 from oatport import wire
-from oatport.api.users import Users
-from oatport.control.records import cancel_key, job_key, live_key, waits_key
+from oatport.api.job_api import JobApi
+from oatport.control.storage.write_buffer import cancel_key, job_key, live_key, waits_key
 from oatport.lab.world.state import KeyStore
 from oatport.settings import NextLimits, SettingsError, StateLimits, check
-from tests.test_users import Desk, job, node
+from tests.test_users import HeartbeatReceiver, job, node
 from tests.world import FakeStateClient, node_settings
 from tests.world import job as body_of
 
@@ -50,7 +50,7 @@
     ],
 )
 def test_lists_that_are_none(named: Any) -> None:
-    with pytest.raises(wire.BadMessage, match="waitsOn"):
+    with pytest.raises(wire.InvalidMessageError, match="waitsOn"):
         wire.submission(body_of("j-000009", waitsOn=named))
 
 
@@ -172,7 +172,7 @@
     settings = node_settings()
     settings = msgspec.structs.replace(settings, cluster=msgspec.structs.replace(settings.cluster, state=limits))
     client: Any = FakeStateClient(small)
-    users = Users(settings, client, Desk())
+    users = JobApi(settings, client, HeartbeatReceiver())
     named = [f"j-{number:06d}" for number in range(1, 701)]
     for ref in named:
         record = {"state": "queued", "at": 0, "job": {**wire_of(job(ref)), "ref": ref}}
@@ -180,7 +180,7 @@
     client.faults = [""] * 20  # reads; then the accept is lost for good
     assert (await users.submit(job("j-005000", waitsOn=named))).status == 201
     assert (await users.show("j-005000")).value["waitsOn"][:2] == named[:2]
-    other = Users(settings, client, Desk())
+    other = JobApi(settings, client, HeartbeatReceiver())
     assert (await other.cancel("j-000700")).value["status"] == "aborted"
     assert (await other.show("j-005000")).value["status"] == "aborted"
 
--- a/tests/test_pace.py
+++ b/tests/test_pace.py
@@ -7,12 +7,12 @@
 
 import pytest
 
-from oatport.api import intake as intake_module
-from oatport.api.intake import CREATED, Intake
-from oatport.clients.http import Refused
+from oatport.api import submission_batcher as intake_module
+from oatport.api.submission_batcher import CREATED, SubmissionBatcher
+from oatport.clients.http import RequestRefusedError
 from oatport.clients.state import Applied
-from oatport.control.pace import LONGEST_S, Pace
-from oatport.control.records import ACCEPT_KEYS
+from oatport.control.limits.rate_limiter import LONGEST_S, AdaptiveRateLimiter
+from oatport.control.storage.write_buffer import ACCEPT_KEYS
 from oatport.times import MS, SECOND
 
 
@@ -37,7 +37,7 @@
 
     `others`: changes a second that something else, such as a leader's claims, takes of the same limit.
     """
-    paces = [Pace(limit.a_second, nodes) for _ in range(up)]
+    paces = [AdaptiveRateLimiter(limit.a_second, nodes) for _ in range(up)]
     waiting = [(0, number) for number in range(jobs)]
     accepted: list[int] = []
     now, taken = 0, 0.0
@@ -82,7 +82,7 @@
     """On a day with a swarm of guests refusals had every node at a tenth: 0.716 of all others' jobs were in time."""
     limit = Limit(60.0)
     assert crowd(3, 3, 200, limit, others=35.0)[-1] < 20 * SECOND  # 25 a second are left: 16 s at best
-    pace = Pace(60.0, 3)
+    pace = AdaptiveRateLimiter(60.0, 3)
     part = pace.rate
     for second in range(1, 4):
         pace.wanting(second * SECOND)
@@ -93,7 +93,7 @@
 
 
 def test_those_sent_away_come_back_one_after_the_other_and_never_late() -> None:
-    pace = Pace(60.0, 3)
+    pace = AdaptiveRateLimiter(60.0, 3)
     told = [pace.book(0, ACCEPT_KEYS) for _ in range(400)]
     assert told[0] == 1 and max(told) <= LONGEST_S
     assert max(told.count(second) for second in set(told)) <= 70
@@ -110,10 +110,10 @@
         async def commit(self, conditions: dict[str, int], sets: dict[str, Any], *, timeout_us: int) -> Applied:
             asked.append(len(sets))
             if len(asked) == 1:
-                raise Refused(429)
+                raise RequestRefusedError(429)
             return Applied(7)
 
-    intake = Intake(State(), 12, Pace(60.0, 3))  # type: ignore[arg-type]
+    intake = SubmissionBatcher(State(), 12, AdaptiveRateLimiter(60.0, 3))  # type: ignore[arg-type]
     assert not intake.full()
     assert (await intake.add("j-000001", {"job": {}}))[0] != CREATED
     assert intake.short()  # not the state service's fault: its user is told when there is room
@@ -135,8 +135,8 @@
             sent.append([key.removeprefix("jobs/") for key in conditions])
             return Applied(7)
 
-    pace = Pace(60.0, 3)
-    intake = Intake(State(), 12, pace)  # type: ignore[arg-type]
+    pace = AdaptiveRateLimiter(60.0, 3)
+    intake = SubmissionBatcher(State(), 12, pace)  # type: ignore[arg-type]
     pace.asked(now[0], 16)  # of 18
     idle = [asyncio.create_task(intake.add(f"j-00000{n}", {"job": {}}, last=True)) for n in range(1, 6)]
     await asyncio.sleep(0)
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -10,9 +10,9 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from oatport import wire
-from oatport.control.model import Job
-from oatport.control.pipelines import Known, Pipelines, Urgency
-from oatport.control.records import cancel_key, live_key, waits_key
+from oatport.control.queueing.dependency_graph import DependencyGraph, Known, Urgency
+from oatport.control.state.model import Job
+from oatport.control.storage.write_buffer import cancel_key, live_key, waits_key
 from oatport.settings import Team
 from oatport.times import SECOND
 from tests.world import World
@@ -131,7 +131,7 @@
     released = world.cluster.jobs[last].from_at
     assert world.now - 2 * SECOND <= released <= world.now
     world.settle(2)
-    world.take_over()
+    world.fail_over()
     assert world.cluster.jobs[last].from_at == released  # recorded with its claim
     assert for_gpus in world.cluster.held_up  # needed jobs that ended are not among live work: their records are read
     world.look_up()
@@ -183,7 +183,7 @@
     middle = world.submit(legs=2, voyageS=3.0, waitsOn=[first])
     last = world.submit(legs=1, voyageS=3.0, waitsOn=[middle, first])
     for _ in range(60):
-        world.take_over()
+        world.fail_over()
         for worker in world.workers.values():
             world.report(worker)
         world.step(0.5)
@@ -198,7 +198,7 @@
     first = world.submit(legs=1, voyageS=4.0)
     refs = [world.submit(legs=1, voyageS=1.0, cores=0.5, waitsOn=[first]) for _ in range(200)]
     world.settle(2)
-    world.take_over()
+    world.fail_over()
     assert len(world.cluster.held_up) == 200
     world.settle(60)
     assert {world.record(ref) for ref in refs} == {wire.DONE}
@@ -212,7 +212,7 @@
     while live_key(last) not in keys(world):
         world.step(1.0)
     world.state.commit({"if": [], "then": [{"set": waits_key(last), "value": world.state.items[live_key(last)][0]}]})
-    world.take_over()
+    world.fail_over()
     assert last in world.cluster.jobs and last not in world.cluster.held_up
     world.settle(20)
     assert world.record(last) == wire.DONE and waits_key(last) not in keys(world)
@@ -243,7 +243,7 @@
     batch = world.cluster.take_batch(2)
     assert [job.ref for job in batch.called_off] == [refs[1]]
     assert world.state.commit(world.transaction(batch))[0] == 200
-    world.take_over()
+    world.fail_over()
     world.settle()
     assert {world.record(ref) for ref in refs} == {wire.CANCELLED}
 
@@ -351,13 +351,13 @@
     )
     world.settle(12)
     assert world.cluster.rank_tasks == [0, 0, 0, 0]
-    assert all(abs(sum(m.rank_cpus)) < 1e-9 for m in world.cluster.machines.values())
+    assert all(abs(sum(m.cpus_by_priority)) < 1e-9 for m in world.cluster.machines.values())
 
 
 def test_what_gives_up_its_urgency_is_reckoned_once() -> None:
     """A job that thousands need: each that goes does not make all the others be looked at again."""
     asked = 0
-    pipelines = Pipelines()
+    pipelines = DependencyGraph()
     for number in range(3000):
         pipelines.add(f"j-{number + 2}", ["j-1"], lambda ref: Known.OPEN)
     pipelines.stale.clear()
@@ -382,7 +382,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.pipelines = Pipelines()
+        self.pipelines = DependencyGraph()
         self.needs: dict[str, list[str]] = {}
         self.state: dict[str, str] = {}  # waits, runs, done, cancelled
 
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -17,23 +17,23 @@
 
 from oatport import wire
 from oatport.cli import main
-from oatport.clients.http import Refused
-from oatport.clients.state import NoLease
-from oatport.control.mandate import Mandate
+from oatport.clients.http import RequestRefusedError
+from oatport.clients.state import LeaseExpiredError
+from oatport.control.leadership.leader_lease import LeaderLease
 from oatport.lab.queues import Senders, audit
 from oatport.lab.world.state import KeyStore
 from oatport.queues.client import Answers, Sender
-from oatport.queues.core import ACCEPTED, GONE, LATER, REFUSED, UNKNOWN, Outcome
+from oatport.queues.core import ACCEPTED, GONE, LATER, REFUSED, UNKNOWN, AcceptOutcome
 from oatport.queues.gateway import Gateway
 from oatport.queues.identity import PARTS, answer_id, identity_of, part_of, ref_of
-from oatport.queues.intake import ACK, AGAIN, DEAD, Intake, Message
+from oatport.queues.intake import ACK, AGAIN, DEAD, Message, SubmissionBatcher
 from oatport.queues.link import REASON, Link
 from oatport.queues.members import parts_for
 from oatport.queues.outbox import ORPHAN_AFTER, Outbox
 from oatport.queues.rows import TAKEN, TOLD, Row, answer_from, part_key, row_key
 from oatport.queues.settings import GatewaySettings, QueueSettings, load
 from oatport.queues.store import Store
-from oatport.queues.templates import BadMessage, Template
+from oatport.queues.templates import InvalidMessageError, Template
 from oatport.settings import SettingsError
 from oatport.times import SECOND, steady
 from standins.broker import Broker
@@ -55,9 +55,9 @@
 
     async def touch(self, lease: int, timeout_us: int) -> None:
         if self._fault():
-            raise Refused(503)
+            raise RequestRefusedError(503)
         if self.state.touch(lease)[0] == 404:
-            raise NoLease
+            raise LeaseExpiredError
 
     async def commit(
         self,
@@ -87,30 +87,30 @@
 
     def __init__(self, state: KeyStore) -> None:
         self.state = state
-        self.outcomes: list[Outcome] = []
+        self.outcomes: list[AcceptOutcome] = []
         self.submitted: list[str] = []
         self.end = wire.DONE
 
-    async def submit(self, job: dict[str, Any]) -> Outcome:
+    async def submit(self, job: dict[str, Any]) -> AcceptOutcome:
         if self.outcomes:
             return self.outcomes.pop(0)
         self.submitted.append(job["ref"])
         key = f"jobs/{job['ref']}"
         if key not in self.state.items:
             self.state.commit({"if": [], "then": [{"set": key, "value": {"state": self.end, "at": 1, "job": job}}]})
-        return Outcome(ACCEPTED)
+        return AcceptOutcome(ACCEPTED)
 
-    async def cancel(self, ref: str) -> Outcome:
+    async def cancel(self, ref: str) -> AcceptOutcome:
         key = f"jobs/{ref}"
         if key not in self.state.items:
-            return Outcome(UNKNOWN)
+            return AcceptOutcome(UNKNOWN)
         record = self.state.items[key][0]
         if record["state"] == "queued":
             self.state.commit({"if": [], "then": [{"set": key, "value": {**record, "state": wire.CANCELLED}}]})
-        return Outcome(GONE)
+        return AcceptOutcome(GONE)
 
 
-class Desk:
+class HeartbeatReceiver:
     """A gateway's parts without a broker."""
 
     def __init__(self) -> None:
@@ -123,7 +123,7 @@
         self.confirms = True
         self.entitled = True
         self.outbox = Outbox(self.store, self.core, self._publish, lambda: self.entitled, lambda: self.now)
-        self.intake = Intake(self.store, self.core, self.outbox.saw, lambda: self.now, self._pause)
+        self.intake = SubmissionBatcher(self.store, self.core, self.outbox.saw, lambda: self.now, self._pause)
         self.own_all()
 
     def own_all(self) -> None:
@@ -196,7 +196,7 @@
     ],
 )
 def test_messages_that_can_become_no_job(body: bytes, why: str) -> None:
-    with pytest.raises(BadMessage, match=why):
+    with pytest.raises(InvalidMessageError, match=why):
         MOVES.template.job("j-1", body)
 
 
@@ -205,10 +205,10 @@
     template = Template.make(fields, frozenset({"tasks"}))
     job = template.job("j-1", b'{"tasks": 3, "data": {"size": "big"}}')
     assert (job["hull"], job["legs"], job["voyageS"]) == ("img-big", 3, 6.0)
-    with pytest.raises(BadMessage, match="image"):
+    with pytest.raises(InvalidMessageError, match="image"):
         template.job("j-1", b'{"tasks": 3}')
     sly = Template.make({**FIELDS, "image": "{{ message.__class__.__mro__ }}"}, frozenset())
-    with pytest.raises(BadMessage, match="image"):
+    with pytest.raises(InvalidMessageError, match="image"):
         sly.job("j-1", b"{}")
     for fields, opens in (
         (FIELDS | {"nope": "1"}, set()),
@@ -224,7 +224,7 @@
 
 
 async def test_a_message_becomes_a_job_and_gets_its_one_answer() -> None:
-    desk = Desk()
+    desk = HeartbeatReceiver()
     verdict = await desk.take({"tasks": 3})
     assert verdict.action == ACK
     assert desk.row().state == TAKEN
@@ -239,11 +239,11 @@
 
 
 async def test_nothing_is_acknowledged_before_the_job_is_accepted() -> None:
-    desk = Desk()
-    desk.core.outcomes = [Outcome(LATER)] * 3
+    desk = HeartbeatReceiver()
+    desk.core.outcomes = [AcceptOutcome(LATER)] * 3
     assert (await desk.take()).action == ACK
     assert len(desk.core.submitted) == 1
-    desk.core.outcomes = [Outcome(LATER)] * 1000
+    desk.core.outcomes = [AcceptOutcome(LATER)] * 1000
     assert (await desk.take(message_id="m-2")).action == AGAIN  # back to the broker: nothing is buffered here
     desk.client.faults = ["refuse"] * 6
     assert (await desk.take(message_id="m-3")).action == AGAIN
@@ -251,7 +251,7 @@
 
 @pytest.mark.parametrize("fault", ["lose", "late"])
 async def test_an_unsure_change_is_settled_by_reading(fault: str) -> None:
-    desk = Desk()
+    desk = HeartbeatReceiver()
     desk.client.faults = [fault]
     assert (await desk.take()).action == ACK
     desk.client.deliver_late()
@@ -261,7 +261,7 @@
 
 
 async def test_a_crash_between_row_and_job_is_made_good_by_the_parts_owner() -> None:
-    desk = Desk()
+    desk = HeartbeatReceiver()
     ref = ref_of("moves", "m-1")
     row = Row(ref, "moves", "m-1", "replies", MOVES.template.job(ref, b"{}"))
     await desk.store.change(row_key(ref), row.value(), {row_key(ref): 0})
@@ -275,7 +275,7 @@
 
 
 async def test_a_crash_between_publishing_and_marking_repeats_the_identical_answer() -> None:
-    desk = Desk()
+    desk = HeartbeatReceiver()
     await desk.take()
     desk.confirms = False
     await desk.settle()
@@ -288,9 +288,9 @@
 
 
 async def test_a_refused_job_is_answered_and_buried_once() -> None:
-    desk = Desk()
+    desk = HeartbeatReceiver()
     assert (await desk.take({"nope": 1})).action == DEAD
-    desk.core.outcomes = [Outcome(REFUSED, "unknown team")]
+    desk.core.outcomes = [AcceptOutcome(REFUSED, "unknown team")]
     verdict = await desk.take(message_id="m-2")
     assert (verdict.action, verdict.reason) == (DEAD, "unknown team")
     await desk.settle()
@@ -298,7 +298,7 @@
 
 
 async def test_without_an_identity_a_message_is_refused_under_an_id_of_its_own() -> None:
-    desk = Desk()
+    desk = HeartbeatReceiver()
     verdict = await desk.take(message_id=None)
     assert verdict.action == DEAD
     assert verdict.answer_now is not None and verdict.answer_now.answer == "refused"
@@ -308,7 +308,7 @@
 
 
 async def test_a_collision_of_job_ids_is_seen_and_another_id_taken() -> None:
-    desk = Desk()
+    desk = HeartbeatReceiver()
     ref = ref_of("moves", "m-1")
     foreign = Row(ref, "other", "x", "", {"ref": ref})
     await desk.store.change(row_key(ref), foreign.value(), {row_key(ref): 0})
@@ -318,7 +318,7 @@
 
 
 async def test_a_cancellation_before_and_after_its_message() -> None:
-    desk = Desk()
+    desk = HeartbeatReceiver()
     await desk.take(message_id=None, kind="cancel", correlation_id="m-early")
     assert (await desk.take(message_id="m-early")).action == ACK
     assert desk.core.submitted == []
@@ -331,8 +331,8 @@
 
 
 async def test_expiry_before_the_job_is_accepted_and_while_it_waits() -> None:
-    desk = Desk()
-    desk.core.outcomes = [Outcome(LATER)] * 10
+    desk = HeartbeatReceiver()
+    desk.core.outcomes = [AcceptOutcome(LATER)] * 10
     await desk.take(expires_s=2.0)
     desk.core.outcomes = []
     desk.core.end = "queued"
@@ -356,7 +356,7 @@
 
 
 async def test_a_frozen_gateway_that_wakes_publishes_nothing() -> None:
-    desk = Desk()
+    desk = HeartbeatReceiver()
     await desk.take()
     for ref in list(desk.outbox.rows):
         await desk.outbox.job_changed(ref, desk.state.items[f"jobs/{ref}"][0])
@@ -364,14 +364,14 @@
     assert desk.outbox.ready
     await desk.settle()
     assert desk.published == []
-    assert Mandate(10 * SECOND, 0).holds(steady()) is (steady() < 9 * SECOND)
+    assert LeaderLease(10 * SECOND, 0).holds(steady()) is (steady() < 9 * SECOND)
 
 
 async def test_what_an_earlier_owner_writes_is_refused_and_the_next_one_answers_once() -> None:
-    desk = Desk()
+    desk = HeartbeatReceiver()
     await desk.take()
     ref = ref_of("moves", "m-1")
-    heir = Desk()
+    heir = HeartbeatReceiver()
     heir.state = heir.client.state = desk.state
     heir.core = desk.core
     heir.outbox.parts.clear()
@@ -676,7 +676,7 @@
     headers: dict[str, Any],
 ) -> None:
     async def story() -> None:
-        desk = Desk()
+        desk = HeartbeatReceiver()
         message = Message(body, identity, headers, "replies", correlation, kind, expires)
         verdict = await desk.intake.take(MOVES, message)
         assert verdict.action in (ACK, DEAD)
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from oatport import wire
-from oatport.control.records import live_key
+from oatport.control.storage.write_buffer import live_key
 from oatport.settings import Team
 from oatport.times import SECOND
 from tests.world import World
@@ -26,7 +26,7 @@
             ],
         }
     )
-    world.take_over()
+    world.fail_over()
     world.cluster.jobs[ref].version = head["rev"]  # the head had the revision of jobs/REF then
     assert world.cluster.jobs[ref].on_machines == 2
     world.settle()
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -9,19 +9,19 @@
 import pytest
 
 from oatport import wire
-from oatport.api.users import Users
-from oatport.control.recovery import read_job
-from oatport.control.repeats import Repeat, load
+from oatport.api.job_api import JobApi
+from oatport.control.placement.retry_policy import RetryPolicy, load
+from oatport.control.storage.recovery import read_job
 from oatport.lab.world.worker import Held, Worker
 from oatport.settings import SettingsError
 from oatport.times import SECOND
 from tests.test_service import leader
 from tests.world import FakeStateClient, World, node_settings
 
-MODES = (Repeat.ANY, Repeat.BEFORE_START, Repeat.NEVER)
+MODES = (RetryPolicy.ANY, RetryPolicy.BEFORE_START, RetryPolicy.NEVER)
 
 
-def world_with(repeat: Repeat, **changes: Any) -> tuple[World, str, Worker]:
+def world_with(repeat: RetryPolicy, **changes: Any) -> tuple[World, str, Worker]:
     """A job of one task; its claim is committed, nothing was sent yet."""
     world = World()
     world.repeats["train"] = repeat
@@ -34,7 +34,7 @@
     return world, ref, worker
 
 
-def running(repeat: Repeat, **changes: Any) -> tuple[World, str, Worker]:
+def running(repeat: RetryPolicy, **changes: Any) -> tuple[World, str, Worker]:
     world, ref, worker = world_with(repeat, **changes)
     world.send()
     world.step(1.0)
@@ -92,12 +92,12 @@
 @pytest.mark.parametrize("ends", [taken_back, silent_and_released, lease_ended, failed])
 @pytest.mark.parametrize("repeat", MODES)
 def test_what_may_have_begun_runs_again_only_if_its_class_allows(
-    repeat: Repeat, ends: Callable[[World, Worker], None]
+    repeat: RetryPolicy, ends: Callable[[World, Worker], None]
 ) -> None:
     world, ref, worker = running(repeat)
     ends(world, worker)
     state, starts = state_after(world, ref)
-    if repeat is Repeat.ANY:
+    if repeat is RetryPolicy.ANY:
         assert starts == 2
     else:
         assert (state, starts) == (wire.LOST, 1)
@@ -106,28 +106,28 @@
 
 @pytest.mark.parametrize("why", ["full", "in_use", "unknown"])
 @pytest.mark.parametrize("repeat", MODES)
-def test_a_refused_start_never_began(repeat: Repeat, why: str) -> None:
+def test_a_refused_start_never_began(repeat: RetryPolicy, why: str) -> None:
     world, ref, worker = world_with(repeat)
     task = next(iter(world.cluster.jobs[ref].tasks.values()))
     worker.tasks[(task.name, task.attempt)] = Held("ended", why)
     world.send()
     world.step(0.5)
     state, starts = state_after(world, ref)
-    assert (state, starts) == ((wire.LOST, 0) if repeat is Repeat.NEVER else ("queued", 1))
+    assert (state, starts) == ((wire.LOST, 0) if repeat is RetryPolicy.NEVER else ("queued", 1))
 
 
 @pytest.mark.parametrize("repeat", MODES)
-def test_an_unanswered_start_may_have_begun(repeat: Repeat) -> None:
+def test_an_unanswered_start_may_have_begun(repeat: RetryPolicy) -> None:
     world, ref, worker = world_with(repeat)
     world.refused.add(worker.name)
     world.send()  # lost on its way, or not: who knows
     release(world, worker)
     state, starts = state_after(world, ref)
-    assert (state, starts) == (("queued", 1) if repeat is Repeat.ANY else (wire.LOST, 0))
+    assert (state, starts) == (("queued", 1) if repeat is RetryPolicy.ANY else (wire.LOST, 0))
 
 
 @pytest.mark.parametrize("repeat", MODES)
-def test_a_claim_that_was_never_sent_is_no_attempt(repeat: Repeat) -> None:
+def test_a_claim_that_was_never_sent_is_no_attempt(repeat: RetryPolicy) -> None:
     world, ref, worker = world_with(repeat)
     release(world, worker)
     state, starts = state_after(world, ref)
@@ -135,39 +135,39 @@
 
 
 @pytest.mark.parametrize("repeat", MODES)
-def test_a_node_killed_between_commit_and_send(repeat: Repeat) -> None:
+def test_a_node_killed_between_commit_and_send(repeat: RetryPolicy) -> None:
     """In the session of the claim, the worker does not list it: so it never began."""
     world, ref, _ = world_with(repeat)
-    world.take_over()
+    world.fail_over()
     state, starts = state_after(world, ref)
-    assert (state, starts) == ((wire.LOST, 0) if repeat is Repeat.NEVER else ("queued", 1))
+    assert (state, starts) == ((wire.LOST, 0) if repeat is RetryPolicy.NEVER else ("queued", 1))
 
 
 @pytest.mark.parametrize("repeat", MODES)
-def test_a_node_killed_between_commit_and_send_and_the_lease_ended_too(repeat: Repeat) -> None:
+def test_a_node_killed_between_commit_and_send_and_the_lease_ended_too(repeat: RetryPolicy) -> None:
     world, ref, worker = world_with(repeat)
     world.now += 12 * SECOND
     worker.advance()
-    world.take_over()
+    world.fail_over()
     state, starts = state_after(world, ref)
-    assert (state, starts) == (("queued", 1) if repeat is Repeat.ANY else (wire.LOST, 0))
+    assert (state, starts) == (("queued", 1) if repeat is RetryPolicy.ANY else (wire.LOST, 0))
 
 
 def test_the_decision_outlives_a_takeover_at_any_moment() -> None:
     """A row of a task that may not run again once looked like one that waits for its next attempt."""
     for committed in (False, True):
         GONE.clear()
-        world, ref, worker = running(Repeat.BEFORE_START, legs=2)
+        world, ref, worker = running(RetryPolicy.BEFORE_START, legs=2)
         GONE.append(worker)
         world.machine(2)
         world.released(worker.name)
-        assert world.cluster.jobs[ref].lost_cause
+        assert world.cluster.jobs[ref].failure_reason
         if committed:
             batch = world.cluster.take_batch(12)
             status, value = world.state.commit(world.transaction(batch))
             assert status == 200
             world.cluster.committed(batch, value["ledgerRev"], world.now)
-        world.take_over()
+        world.fail_over()
         if not committed:  # the new leader finds the machine silent, and releases it once more
             world.cluster.machine_gone(world.cluster.machines[worker.name], world.now, "silent")
         state, starts = state_after(world, ref)
@@ -175,7 +175,7 @@
 
 
 def test_the_rest_of_a_lost_job_is_stopped_before_that_is_told() -> None:
-    world, ref, worker = running(Repeat.BEFORE_START, legs=4)
+    world, ref, worker = running(RetryPolicy.BEFORE_START, legs=4)
     other = world.machine(2)
     world.settle(2)
     assert [key for key in other.starts if key[0].startswith(ref)]
@@ -189,7 +189,7 @@
 
 
 def test_limited_work_is_not_stopped_for_others_nor_for_a_notice() -> None:
-    world, ref, worker = running(Repeat.BEFORE_START, legs=2)
+    world, ref, worker = running(RetryPolicy.BEFORE_START, legs=2)
     worker.notice_s = 10.0
     world.step(1.0)
     world.submit(ref="j-000009", rig="standing", urgency="production", driftwood=False, legs=2)
@@ -199,7 +199,7 @@
 
 
 def test_a_gang_that_never_became_whole_has_not_begun() -> None:
-    world, ref, worker = world_with(Repeat.BEFORE_START, rig="gang")
+    world, ref, worker = world_with(RetryPolicy.BEFORE_START, rig="gang")
     task = next(iter(world.cluster.jobs[ref].tasks.values()))
     worker.tasks[(task.name, task.attempt)] = Held("ended", wire.WHY_ALONE)
     world.send()
@@ -207,7 +207,7 @@
 
 
 async def test_users_are_told_nothing_that_the_protocol_forbids() -> None:
-    world, ref, worker = running(Repeat.NEVER)
+    world, ref, worker = running(RetryPolicy.NEVER)
     release(world, worker)
     state_after(world, ref)
     client = FakeStateClient(world.state)
@@ -222,7 +222,7 @@
         def tell_accepted(self, *_: Any) -> None: ...
         def tell_cancelled(self, *_: Any) -> None: ...
 
-    users = Users(node_settings(), client, Back())  # type: ignore[arg-type]
+    users = JobApi(node_settings(), client, Back())  # type: ignore[arg-type]
     assert (await users.show(ref)).value["status"] == "queued"
     assert (await users.submit(wire.submission(world.jobs[ref]))).status in (200, 422)
     answer = await users.cancel(ref)
@@ -231,7 +231,7 @@
 
 
 async def test_a_leader_that_watches_does_not_take_a_lost_job_up_again() -> None:
-    world, ref, worker = running(Repeat.NEVER)
+    world, ref, worker = running(RetryPolicy.NEVER)
     release(world, worker)
     state_after(world, ref)
     lead, client, _ = leader(world.state)
@@ -257,7 +257,7 @@
 def test_settings_of_repeats_name_the_class(tmp_path: Path) -> None:
     path = tmp_path / "own.ini"
     path.write_text("[repeat]\nMoves = before_start\nreplays = never\n")
-    assert load(path) == {"Moves": Repeat.BEFORE_START, "replays": Repeat.NEVER}
+    assert load(path) == {"Moves": RetryPolicy.BEFORE_START, "replays": RetryPolicy.NEVER}
     path.write_text("[repeat]\nmoves = once\n")
     with pytest.raises(SettingsError, match="moves: must be any, before_start, never"):
         load(path)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -3,10 +3,10 @@
 from __future__ import annotations
 
 from oatport import wire
-from oatport.control.model import Phase
-from oatport.control.placer import machine_allowed
-from oatport.control.records import LEADER_KEY, chunk_key, live_key
-from oatport.control.recovery import silent
+from oatport.control.placement.placer import machine_allowed
+from oatport.control.state.model import Phase
+from oatport.control.storage.recovery import silent
+from oatport.control.storage.write_buffer import LEADER_KEY, chunk_key, live_key
 from oatport.settings import Team
 from oatport.times import SECOND
 from tests.world import World
@@ -224,7 +224,7 @@
     world.submit()
     world.plan()
     late = world.transaction(world.cluster.take_batch(12))
-    world.take_over()
+    world.fail_over()
     status, value = world.state.commit(late)
     assert status == 409
     assert LEADER_KEY in value["failed"]
@@ -260,7 +260,7 @@
     ref = world.submit(legs=4)
     world.settle()
     world.refused.add(silent.name)
-    world.take_over()
+    world.fail_over()
     world.settle()
     more = world.submit(ref="j-000002", legs=1, voyageS=1.0)
     world.settle(40)
@@ -279,13 +279,13 @@
     world.plan()
     world.commit()  # the old leader dies here; its start is under way
     late = wire.commands_body(world.cluster.token, worker.session, [wire.start(f"{ref}/0", 1)])
-    world.take_over()
+    world.fail_over()
     world.cluster.on_report(wire.report(worker.report()), world.now, world.now)
     assert world.cluster.jobs[ref].tasks[0].phase is Phase.PLACED
     worker.commands(late)  # lands before the new token does
     world.settle()
     assert worker.starts == [(f"{ref}/0", 1)]  # taken over, not started again
-    assert world.cluster.jobs[ref].tasks[0].acked
+    assert world.cluster.jobs[ref].tasks[0].start_acknowledged
 
 
 def test_takeover_finds_a_start_that_never_went_out() -> None:
@@ -296,7 +296,7 @@
     world.plan()
     world.commit()
     late = wire.commands_body(world.cluster.token, worker.session, [wire.start(f"{ref}/0", 1)])
-    world.take_over()
+    world.fail_over()
     world.settle()
     assert worker.starts == [(f"{ref}/0", 2)]
     assert worker.commands(late)[0] == 409
@@ -308,7 +308,7 @@
     ref = world.submit(rig="standing")
     world.settle()
     world.cancel(ref, tell=False)
-    world.take_over()
+    world.fail_over()
     world.settle()
     assert world.live(ref) == {}
     assert world.record(ref) == wire.CANCELLED
@@ -320,7 +320,7 @@
     worker, other = world.machine(1), world.machine(2)
     world.submit(legs=1)
     world.settle()
-    world.take_over()
+    world.fail_over()
     world.report(other)
     gone = world.cluster.machines[worker.name]
     machines = list(world.cluster.machines.values())
@@ -445,7 +445,7 @@
     ref = world.submit(legs=2)
     world.settle(3)
     assert len(world.live(ref)) == 1
-    assert world.cluster.machines[worker.name].blocked_until > 0
+    assert world.cluster.machines[worker.name].cordoned_until > 0
     world.machine(2)
     world.settle()
     assert len(world.live(ref)) == 2
@@ -495,7 +495,7 @@
         world.cluster.committed(batch, value["ledgerRev"], world.now)
     assert world.record(ref) == wire.DONE
     assert world.state.list(live_key(ref))[1]["rows"]
-    world.take_over()
+    world.fail_over()
     world.commit()
     assert world.cluster.jobs == {}
     assert world.state.list(live_key(ref))[1]["rows"] == []
--- a/tests/test_rush.py
+++ b/tests/test_rush.py
@@ -8,12 +8,12 @@
 import pytest
 
 from oatport import wire
-from oatport.control import agenda
-from oatport.control.agenda import Agenda, order_key
-from oatport.control.backlog import ROUTE_EVERY, ROUTE_MOST, Backlog
-from oatport.control.model import Job, Machine
-from oatport.control.rentals import PLANNED_MOST, REFUSED_MOST, REFUSED_PAUSE, Rental
-from oatport.control.rooms import Room, Rooms
+from oatport.control.queueing import pending_queue
+from oatport.control.queueing.pending_queue import PendingQueue, order_key
+from oatport.control.queueing.queue_estimator import ROUTE_EVERY, ROUTE_MOST, QueueEstimator
+from oatport.control.scaling.incoming_capacity import CapacitySlot, IncomingCapacity
+from oatport.control.scaling.scale_out import PLANNED_MOST, REFUSED_MOST, REFUSED_PAUSE, ScaleOutRequest
+from oatport.control.state.model import Job, Machine
 from oatport.settings import Team
 from oatport.times import SECOND
 from tests.scale import calls, rush
@@ -66,14 +66,14 @@
 def test_lines_place_what_a_look_at_every_job_would_place(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
     """Leaving a line early saves looks and changes no placement: the same day with all jobs looked at one by one."""
     by_lines = day(seed)
-    monkeypatch.setattr(agenda, "plain", lambda job: False)
+    monkeypatch.setattr(pending_queue, "plain", lambda job: False)
     assert day(seed) == by_lines
     assert len(by_lines) > 50
 
 
 def test_the_agenda_walks_in_order_while_jobs_come_and_go() -> None:
     rng = random.Random(7)
-    found = Agenda()
+    found = PendingQueue()
     jobs = [
         waiting(n, tideS=float(rng.randrange(60, 600)), urgency=rng.choice(["normal", "high", "idle"]))
         for n in range(1, 200)
@@ -109,7 +109,7 @@
         world.settle()
         for number in range(tasks // 20):
             world.submit(ref=f"j-{500000 + number:06d}", legs=20, voyageS=100.0)
-        backlog = Backlog(world.cluster, world.fleet)
+        backlog = QueueEstimator(world.cluster, world.fleet)
         backlog.step(world.now, world.now)
         world.placer.plan(world.now)
         world.now += SECOND // 10
@@ -149,11 +149,11 @@
     world.machine(1)
     world.step()
     ref = world.submit(legs=1)
-    world.cluster.machines["vm-000001"].blocked_until = world.now + 3 * SECOND
+    world.cluster.machines["vm-000001"].cordoned_until = world.now + 3 * SECOND
     world.plan()
     assert not world.placer.due(world.now + SECOND)
     assert world.placer.due(world.now + 3 * SECOND)
-    world.cluster.machines["vm-000001"].blocked_until = 0
+    world.cluster.machines["vm-000001"].cordoned_until = 0
     world.cluster.jobs[ref].not_before = world.now + SECOND // 2
     world.plan()
     assert not world.placer.due(world.now + SECOND // 4)
@@ -183,7 +183,7 @@
     world.step()
     for number in range(20):
         world.submit(legs=8, voyageS=60.0, tideS=3000.0 + number)
-    backlog = Backlog(world.cluster, world.fleet)
+    backlog = QueueEstimator(world.cluster, world.fleet)
     backlog.step(world.now, world.now)
     routed = {one.ref: one.tier for one in world.cluster.waiting}
     pressing = world.cluster.jobs[world.submit(legs=1, voyageS=10.0, tideS=60.0)]
@@ -196,7 +196,7 @@
 
 def test_routing_slows_down_with_what_there_is_to_route() -> None:
     world = World([Team("crew")])
-    backlog = Backlog(world.cluster, world.fleet)
+    backlog = QueueEstimator(world.cluster, world.fleet)
     assert backlog.pace() == ROUTE_EVERY
     for number in range(800):
         world.cluster.waiting.add(waiting(number + 1))
@@ -208,12 +208,12 @@
 
 def test_coming_room_is_found_in_order_and_looked_at_once_a_shape() -> None:
     rng = random.Random(3)
-    rooms, plain = Rooms(), []
+    rooms, plain = IncomingCapacity(), []
     for number in range(200):
         kind = TYPES[rng.choice(["m8", "g16"])]
         zone, on_spot = "ab"[number % 2], rng.random() < 0.5
-        rooms.add(Room.of(kind, zone, on_spot))
-        plain.append(Room.of(kind, zone, on_spot))
+        rooms.add(CapacitySlot.of(kind, zone, on_spot))
+        plain.append(CapacitySlot.of(kind, zone, on_spot))
     wants = [(spec(cores=rng.choice([1.0, 4.0, 12.0])), rng.random() < 0.5) for _ in range(300)]
     for want, on_spot in wants:
         found = rooms.first(want, on_spot, ("m8", "g16"), ["a", "b"])
@@ -237,7 +237,7 @@
 
 def test_what_is_refused_again_and_again_is_asked_for_less_often() -> None:
     world = World()
-    rental = Rental("m8", "a", True, 5)
+    rental = ScaleOutRequest("m8", "a", True, 5)
     pauses = []
     for _ in range(6):
         world.fleet.refuse(rental, world.now)
@@ -273,7 +273,7 @@
     report = wire.report(world.workers[machine.name].report())
     world.now += SECOND
     assert calls(lambda: world.cluster.on_report(report, world.now, world.now)) < 10
-    assert machine.heard_at == world.now
+    assert machine.last_heartbeat_at == world.now
 
 
 def test_a_task_that_is_missing_from_a_calm_machine_is_seen() -> None:
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -10,17 +10,17 @@
 from msgspec.structs import replace
 
 from oatport import wire
-from oatport.api.peers import Peers
-from oatport.api.workers import handle_report
-from oatport.clients.http import NoAnswer
-from oatport.control.ends import End
-from oatport.control.fleet import Rental
-from oatport.control.records import CATALOG_KEY, LEADER_KEY, Batch
-from oatport.control.recovery import UnknownType, load, types_recorded
+from oatport.api.heartbeat_api import handle_report
+from oatport.api.peer_api import PeerApi
+from oatport.clients.http import NoResponseError
+from oatport.control.scaling.scale_in import ScaleOutRequest
+from oatport.control.state.completions import End
+from oatport.control.storage.recovery import UnknownMachineTypeError, load, types_recorded
+from oatport.control.storage.write_buffer import CATALOG_KEY, LEADER_KEY, WriteBatch
 from oatport.lab.world.state import KeyStore
-from oatport.service.lead import Lead
+from oatport.service.background_tasks import BackgroundTasks
+from oatport.service.leader import Leader
 from oatport.service.node import Node
-from oatport.service.tasks import TaskGroup
 from oatport.settings import Tuning
 from oatport.times import SECOND, steady, time_of_day
 from tests.world import TYPES, FakeStateClient, Unplugged, node_settings
@@ -40,11 +40,11 @@
 
     async def ask(self, *message: Any, timeout_us: int = 0) -> list[Any]:
         if self.answer is None:
-            raise NoAnswer("cut")
+            raise NoResponseError("cut")
         return self.answer
 
 
-class Home:
+class LeadingNode:
     def __init__(self) -> None:
         self.types = dict(TYPES)
         self.peers: dict[str, Any] = {}
@@ -65,10 +65,10 @@
         pass
 
 
-def leader(state: KeyStore) -> tuple[Lead, FakeStateClient, Home]:
+def leader(state: KeyStore) -> tuple[Leader, FakeStateClient, LeadingNode]:
     token = state.commit({"if": [], "then": [{"set": LEADER_KEY, "value": {"node": "n0"}}]})[1]["ledgerRev"]
-    client, home = FakeStateClient(state), Home()
-    lead = Lead(home, node_settings(), Tuning(), Unplugged(), client, token, 1, steady())  # type: ignore[arg-type]
+    client, home = FakeStateClient(state), LeadingNode()
+    lead = Leader(home, node_settings(), Tuning(), Unplugged(), client, token, 1, steady())  # type: ignore[arg-type]
     lead.loaded = True
     return lead, client, home
 
@@ -94,7 +94,7 @@
 async def test_a_lost_answer_to_a_leaders_commit_is_resolved(state: KeyStore) -> None:
     lead, client, home = leader(state)
     client.faults = ["lose"]
-    batch = Batch(conditions={"live/j-1/0000": 0}, sets={"live/j-1/0000": {"t": [[1]]}})
+    batch = WriteBatch(conditions={"live/j-1/0000": 0}, sets={"live/j-1/0000": {"t": [[1]]}})
     await lead.commits.commit(batch)
     assert home.lost == []
     assert lead.cluster.versions["live/j-1/0000"] == state.revision
@@ -103,7 +103,7 @@
 async def test_a_late_leader_commit_cannot_be_applied_twice(state: KeyStore) -> None:
     lead, client, home = leader(state)
     client.faults = ["late"]
-    await lead.commits.commit(Batch(conditions={"fleet/000000": 0}, sets={"fleet/000000": {"m": []}}))
+    await lead.commits.commit(WriteBatch(conditions={"fleet/000000": 0}, sets={"fleet/000000": {"m": []}}))
     assert home.lost == []
     assert client.deliver_late() == [409]
 
@@ -111,7 +111,7 @@
 async def test_a_deposed_leader_stops(state: KeyStore) -> None:
     lead, _, home = leader(state)
     state.commit({"if": [], "then": [{"set": LEADER_KEY, "value": {"node": "n1"}}]})
-    await lead.commits.commit(Batch(conditions={"fleet/000000": 0}, sets={"fleet/000000": {"m": []}}))
+    await lead.commits.commit(WriteBatch(conditions={"fleet/000000": 0}, sets={"fleet/000000": {"m": []}}))
     assert home.lost
     assert not lead.answering()
 
@@ -174,12 +174,12 @@
     answer = await handle_report(node, "POST", Body(report))  # type: ignore[arg-type]
     assert (answer.status, answer.value) == (421, {"harbormaster": "n1"})
     for bad in ({}, [], {**report, "legs": [{"leg": 3}]}, {**report, "watch": "x"}):
-        with pytest.raises(wire.BadMessage):
+        with pytest.raises(wire.InvalidMessageError):
             await handle_report(node, "POST", Body(bad))  # type: ignore[arg-type]
 
 
 async def test_strange_peer_messages_are_400() -> None:
-    peers = Peers()
+    peers = PeerApi()
 
     async def ping(message: list[Any]) -> list[Any]:
         _, one = message
@@ -188,12 +188,12 @@
     peers.on("ping", ping)
     assert (await peers.handle("POST", "/peer", Body(["ping", 1]))).value == ["pong", 1]  # type: ignore[arg-type]
     for bad in ([], {}, ["unheard"], ["ping"], [1], "x"):
-        with pytest.raises(wire.BadMessage):
+        with pytest.raises(wire.InvalidMessageError):
             await peers.handle("POST", "/peer", Body(bad))  # type: ignore[arg-type]
 
 
 async def test_a_failing_background_task_is_seen_and_started_again(caplog: pytest.LogCaptureFixture) -> None:
-    group, runs = TaskGroup(), []
+    group, runs = BackgroundTasks(), []
 
     async def loop() -> None:
         runs.append(1)
@@ -211,7 +211,7 @@
 
 async def test_what_is_closed_before_its_first_step_leaves_nothing_behind() -> None:
     """A deposed leader dropped coroutines that never ran; the warning is an error here."""
-    group, ran = TaskGroup(), []
+    group, ran = BackgroundTasks(), []
 
     async def work() -> None:
         ran.append(1)
@@ -231,12 +231,12 @@
         async def rent(self, request: str, *rest: Any) -> list[str]:
             asked.append(request)
             if len(asked) == 1:
-                raise NoAnswer("lost")
+                raise NoResponseError("lost")
             return [f"vm-{len(asked):06d}"]
 
     lead.keeper.cloud = Cloud()  # type: ignore[assignment]
     for _ in range(2):
-        rental = Rental("m8", "a", True, 1)
+        rental = ScaleOutRequest("m8", "a", True, 1)
         lead.keeper.fleet.under_way.append(rental)
         await lead.keeper.rent(rental)
     assert asked == [f"r-{lead.token}-1", f"r-{lead.token}-1", f"r-{lead.token}-2"]
@@ -264,7 +264,7 @@
     lead, _, home = leader(state)
     lead.cluster.types.clear()
     home.types = {}
-    with pytest.raises(UnknownType, match="vm-000001 is of type m8"):
+    with pytest.raises(UnknownMachineTypeError, match="vm-000001 is of type m8"):
         load(lead.cluster, rows, steady(), time_of_day())
     await lead._know_types(types_recorded(rows))
     load(lead.cluster, rows, steady(), time_of_day())
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -8,8 +8,8 @@
 
 from oatport import wire
 from oatport.api.server import Answer, BodyReader, Server
-from oatport.clients.http import HttpClient, Keep, NoAnswer, make_session
-from oatport.control.sockets import LEAST_IDLE, MOST_IDLE, Sockets
+from oatport.clients.http import HttpClient, Keep, NoResponseError, make_session
+from oatport.control.limits.connection_budget import LEAST_IDLE, MOST_IDLE, ConnectionBudget
 from oatport.lab.world.state import KeyStore
 from oatport.service.network import HttpNetwork
 from oatport.service.node import Node
@@ -22,7 +22,7 @@
 @pytest.mark.parametrize(("sockets", "machines"), [(2044, 929), (1515, 836), (1208, 929), (1087, 836), (600, 28)])
 def test_a_leader_keeps_room_for_all_workers_and_for_users_at_any_size(sockets: int, machines: int) -> None:
     """1,873 of 2,044 were held at 929 machines: one for the reports of each, and one kept for 30 s after a command."""
-    plan = Sockets(sockets)
+    plan = ConnectionBudget(sockets)
     for a_second in (0.0, 3.0, 30.0, 300.0):
         kept = plan.idle_us(machines, a_second) / SECOND * a_second
         assert kept <= max(sockets * 0.72 - machines, 32, a_second) + 1  # what is commanded within a second is kept
@@ -35,12 +35,12 @@
     node = Node(node_settings(), Tuning())
     asked: list[str] = []
 
-    class Users:
+    class JobApi:
         async def handle(self, method: str, path: str, body: Any) -> Answer:
             asked.append(path)
             return Answer(200)
 
-    node.users = Users()  # type: ignore[assignment]
+    node.users = JobApi()  # type: ignore[assignment]
     node.state = FakeStateClient(KeyStore(lambda: 0))  # type: ignore[assignment]
     most = node.settings.cluster.resources.sockets
     held = 0
@@ -94,6 +94,6 @@
         await net.close()
         await server.close()
     session = make_session(16)
-    with pytest.raises(NoAnswer):
+    with pytest.raises(NoResponseError):
         await HttpClient(session, address).request("GET", "/", timeout_us=SECOND)
     await session.close()
--- a/tests/test_still.py
+++ b/tests/test_still.py
@@ -11,12 +11,12 @@
 from oatport import wire
 from oatport.clients import http
 from oatport.clients.cloud import CloudClient
-from oatport.clients.http import NoAnswer, NotSent
-from oatport.control.fleet import Rental
-from oatport.control.mandate import DOUBT, Mandate, Pulse
-from oatport.control.recovery import cut_off, deaf, silent
+from oatport.clients.http import NoResponseError, RequestNotSentError
+from oatport.control.leadership.leader_lease import DOUBT, LeaderLease, PauseDetector
+from oatport.control.scaling.scale_in import ScaleOutRequest
+from oatport.control.storage.recovery import command_unreachable, cut_off, silent
 from oatport.lab.world.state import KeyStore
-from oatport.service import lead as lead_module
+from oatport.service import leader as lead_module
 from oatport.service.node import Node
 from oatport.settings import Peer, Tuning
 from oatport.times import MS, SECOND
@@ -53,7 +53,7 @@
 
 
 def test_a_mandate_counts_from_when_the_proof_was_asked_for() -> None:
-    mandate = Mandate(3 * SECOND, asked_at=0)
+    mandate = LeaderLease(3 * SECOND, asked_at=0)
     assert mandate.holds(2_700 * MS)
     assert not mandate.holds(2_800 * MS)  # clocks drift, and a request takes a moment to go out
     mandate.proven(2 * SECOND)
@@ -66,7 +66,7 @@
 
 
 def test_a_gap_is_noticed_once() -> None:
-    pulse = Pulse(0)
+    pulse = PauseDetector(0)
     assert [pulse.beat(at * SECOND) for at in (1, 2, 9, 10)] == [0, 0, 7 * SECOND, 0]
 
 
@@ -81,9 +81,9 @@
     await cloud.release(["vm-000001"])
     assert http_client.paths == [wire.RELEASE]
     clock.at += 7 * SECOND  # stands still, between the decision and the request
-    with pytest.raises(NotSent):
+    with pytest.raises(RequestNotSentError):
         await cloud.release(["vm-000002"])
-    with pytest.raises(NotSent):
+    with pytest.raises(RequestNotSentError):
         await cloud.rent("r-1-1", "m8", "a", True, 1)
     assert lead.stalled(clock.at)
     machine = lead.cluster.add_machine("vm-000003", "m8", "a", False, "h:1", clock.at, 0)
@@ -105,10 +105,10 @@
             asked.append(request)
             clock.at += 9 * SECOND
             lead.over = True  # another leader was found meanwhile
-            raise NoAnswer("timers fire before what waits in the sockets is read")
+            raise NoResponseError("timers fire before what waits in the sockets is read")
 
     lead.keeper.cloud = Cloud()  # type: ignore[assignment]
-    rental = Rental("m8", "a", True, 1)
+    rental = ScaleOutRequest("m8", "a", True, 1)
     lead.keeper.fleet.under_way.append(rental)
     await lead.keeper.rent(rental)
     assert asked == [f"r-{lead.token}-1"]
@@ -139,9 +139,9 @@
     assert world.fleet.to_release(world.now)
     for machine in machines:
         machine.releasing = False
-    machines[0].heard_at = world.now  # its answer was read first
-    world.cluster.stood_still(gap, world.now)
-    assert machines[0].heard_at == world.now
+    machines[0].last_heartbeat_at = world.now  # its answer was read first
+    world.cluster.on_process_pause(gap, world.now)
+    assert machines[0].last_heartbeat_at == world.now
     assert silent(machines, world.now, 5 * SECOND) == []
     assert world.fleet.to_release(world.now) == []
     # What really passes meanwhile is not moved: a spot notice, a boot.
@@ -156,11 +156,13 @@
     world.settle(3)
     machines = list(world.cluster.machines.values())
     report_us = SECOND
-    assert deaf(machines, world.now + 1_400 * MS, report_us, 0) == []
-    assert len(deaf(machines, world.now + 1_600 * MS, report_us, 0)) == 6
-    assert deaf(machines, world.now + 1_600 * MS, report_us, world.now + SECOND) == []  # it has just begun
-    machines[0].heard_at = world.now + 1_000 * MS
-    assert deaf(machines, world.now + 1_600 * MS, report_us, 0) == []
+    assert command_unreachable(machines, world.now + 1_400 * MS, report_us, 0) == []
+    assert len(command_unreachable(machines, world.now + 1_600 * MS, report_us, 0)) == 6
+    assert (
+        command_unreachable(machines, world.now + 1_600 * MS, report_us, world.now + SECOND) == []
+    )  # it has just begun
+    machines[0].last_heartbeat_at = world.now + 1_000 * MS
+    assert command_unreachable(machines, world.now + 1_600 * MS, report_us, 0) == []
     now = world.now + 4 * SECOND
     quiet = silent(machines, now, 5 * SECOND // 2)
     assert silent(machines, now, 5 * SECOND) == [] and cut_off(len(quiet), machines)
@@ -174,7 +176,7 @@
     peer = FakePeer(None)
     peer.name = "n1"  # type: ignore[attr-defined]
     assert lead.entitled()
-    with pytest.raises(NoAnswer):
+    with pytest.raises(NoResponseError):
         await node._hand_over(lead, peer, "")  # type: ignore[arg-type]
     assert not lead.entitled()
     peer.answer = ["no"]
@@ -258,5 +260,5 @@
     monkeypatch.setattr(lead_module, "read_records", slow)
     for group in (lead.group, lead.keeper.group):
         monkeypatch.setattr(group, "keep", lambda *_: None)  # none of its loops is what is looked at
-    await lead.take_over()
+    await lead.fail_over()
     assert lead.clock.known_at == began
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from oatport.control.formats import FORMATS_KEY
-from oatport.lab.world.builds import NoHistory, lay_tree, production, production_commit
+from oatport.control.storage.schema_version import FORMATS_KEY
+from oatport.lab.world.builds import HistoryUnavailableError, lay_tree, production, production_commit
 from oatport.lab.world.drawing import upgrade
 from oatport.lab.world.plan import Fault, Plan
 from oatport.lab.world.rehearse import Asked, play
@@ -32,11 +32,11 @@
 
 
 def test_without_history_there_is_one_line_and_no_run(tmp_path: Path) -> None:
-    with pytest.raises(NoHistory, match="names no version"):
+    with pytest.raises(HistoryUnavailableError, match="names no version"):
         production_commit(tmp_path)
     (tmp_path / "deploy").mkdir()
     (tmp_path / "deploy" / "service.toml").write_text('production = "0123"\n')
-    with pytest.raises(NoHistory, match="not in this repository's history"):
+    with pytest.raises(HistoryUnavailableError, match="not in this repository's history"):
         lay_tree(tmp_path)
 
 
--- a/tests/test_users.py
+++ b/tests/test_users.py
@@ -8,14 +8,14 @@
 import pytest
 
 from oatport import wire
-from oatport.api.users import Users
-from oatport.control.records import job_key
+from oatport.api.job_api import JobApi
+from oatport.control.storage.write_buffer import job_key
 from oatport.lab.world.state import KeyStore
 from tests.world import TYPES, FakeStateClient, node_settings
 from tests.world import job as body_of
 
 
-class Desk:
+class HeartbeatReceiver:
     def __init__(self) -> None:
         self.types = dict(TYPES)
         self.display: dict[str, tuple[int, int]] = {}
@@ -40,9 +40,9 @@
     return KeyStore(lambda: 0)
 
 
-def node(state: KeyStore) -> tuple[Users, FakeStateClient, Desk]:
-    client, desk = FakeStateClient(state), Desk()
-    return Users(node_settings(), client, desk), client, desk  # type: ignore[arg-type]
+def node(state: KeyStore) -> tuple[JobApi, FakeStateClient, HeartbeatReceiver]:
+    client, desk = FakeStateClient(state), HeartbeatReceiver()
+    return JobApi(node_settings(), client, desk), client, desk  # type: ignore[arg-type]
 
 
 async def test_accepted_once_for_ever(state: KeyStore) -> None:
@@ -182,7 +182,7 @@
     ],
 )
 def test_malformed_submissions(change: dict[str, Any]) -> None:
-    with pytest.raises(wire.BadMessage):
+    with pytest.raises(wire.InvalidMessageError):
         wire.submission(body_of(**{"ref": "j-1", **change}))
 
 
@@ -190,10 +190,10 @@
     body = body_of()
     del body["cores"]
     for value in (body, [], None, 3, "x"):
-        with pytest.raises(wire.BadMessage):
+        with pytest.raises(wire.InvalidMessageError):
             wire.submission(value)
     for raw in (b"", b"\xff", b"\xa1", b"\x01\x01"):
-        with pytest.raises(wire.BadMessage):
+        with pytest.raises(wire.InvalidMessageError):
             wire.loads(raw)
     assert wire.submission({**body_of(), "unheardOf": 1}).tasks == 2
 
@@ -306,7 +306,7 @@
     assert await ask("POST", "/submissions/strange/cancel") == 404
     assert await ask("DELETE", "/submissions/j-000001") == 405
     assert await ask("GET", "/elsewhere") == 404
-    with pytest.raises(wire.BadMessage):  # 400
+    with pytest.raises(wire.InvalidMessageError):  # 400
         await ask("POST", "/submissions", {**body_of(), "cores": -1.0})
     assert await ask("POST", "/submissions", body_of()) == 503
     assert await ask("GET", "/submissions/j-000001") == 503
--- a/tests/test_whereabouts.py
+++ b/tests/test_whereabouts.py
@@ -8,14 +8,14 @@
 import pytest
 
 from oatport import wire
-from oatport.clients.http import NoAnswer, NotSent
+from oatport.clients.http import NoResponseError, RequestNotSentError
 from oatport.clients.peer import NotUnderstood
-from oatport.control.ends import LEADS_MOST, ROWS_MOST, Ends, parse
-from oatport.control.model import Phase
-from oatport.control.records import Batch, job_key, live_key, waits_key
+from oatport.control.state.completions import LEADS_MOST, ROWS_MOST, Ends, parse
+from oatport.control.state.model import Phase
+from oatport.control.storage.write_buffer import WriteBatch, job_key, live_key, waits_key
 from oatport.lab.world.state import KeyStore
 from oatport.lab.world.worker import Worker
-from oatport.service.lead import LOOKED_UP_MOST
+from oatport.service.leader import LOOKED_UP_MOST
 from oatport.service.node import Node
 from oatport.settings import Team, Tuning
 from oatport.times import SECOND, steady
@@ -143,7 +143,7 @@
     world.settle(2)
     ref = world.submit(legs=2, cores=8.0, voyageS=20.0)
     world.settle(3)
-    workers[0].taken_at = world.now + 40 * SECOND
+    workers[0].reclaimed_at = world.now + 40 * SECOND
     world.report(workers[0])
     world.commit()
     _until_done(world, workers[0])
@@ -157,7 +157,7 @@
     ends = world.cluster.ends_to_tell()
     assert [end[:2] for end in ends] == [(ref, 0)]
     world.refused.add(worker.name)  # it is not heard any more
-    world.take_over()
+    world.fail_over()
     assert world.cluster.jobs[ref].tasks[0].phase is Phase.PLACED  # as recorded
     world.cluster.take_ends(ends)
     assert world.cluster.jobs[ref].done == {0}
@@ -173,7 +173,7 @@
     ref, worker = _done_unwritten(world)
     ends = world.cluster.ends_to_tell()
     world.refused.add(worker.name)
-    world.take_over()
+    world.fail_over()
     world.released(worker.name)
     task = world.cluster.jobs[ref].tasks[0]
     assert task.phase is Phase.PENDING and world.cluster.jobs[ref].pending == 1
@@ -201,7 +201,7 @@
     world = World()
     _, worker = _done_unwritten(world)
     world.refused |= set(world.workers)
-    cluster = world.take_over()
+    cluster = world.fail_over()
     machine, until = cluster.machines[worker.name], world.now + cluster.lease_us
     assert not cluster.may_still_tell(machine, world.now, until)
     cluster.ends_unknown = True
@@ -268,7 +268,7 @@
             "strange": ["ended", [["x"]]],
             "other": ["seen", 1, True],
             "short": ["ended"],
-            "down": NotSent("refused"),
+            "down": RequestNotSentError("refused"),
         }.items()
     }
     assert await node.telling.ended_before(9) == ([], False)
@@ -277,7 +277,7 @@
     assert await node.telling.on_ends(["ends", 4, [["j-000002", 0, 1]]]) == ["ok"]
     found, complete = await node.telling.ended_before(9)
     assert set(found) == {("j-000001", 2, 1), ("j-000002", 0, 1)} and complete
-    node.peers["cut"] = Peer(NoAnswer("timeout"))  # type: ignore[assignment]
+    node.peers["cut"] = Peer(NoResponseError("timeout"))  # type: ignore[assignment]
     assert not (await node.telling.ended_before(9))[1]  # it may have led, and know more
     node._learn_leader("n3", 8)
     assert (await node.telling.ended_before(9))[1]
@@ -338,7 +338,7 @@
     world.commit()
     assert world.record(ref) == wire.QUEUED
     world.refused.add(workers[1].name)
-    world.take_over()
+    world.fail_over()
     assert world.cluster.jobs[ref].on_machines == 1  # where it is recorded, until that is disproved
     world.released(workers[1].name)
     world.machine(3)
@@ -488,7 +488,7 @@
         },
     )[1]["ledgerRev"]
     cancelled = {**record, "state": wire.CANCELLED}
-    batch = Batch(
+    batch = WriteBatch(
         conditions={job_key(waiting): version, job_key(claimed): version, live_key(claimed): version},
         sets={job_key(waiting): cancelled, live_key(claimed): {"t": [[1, "vm-000001"]]}},
     )
@@ -505,7 +505,7 @@
     sets: dict[str, Any] = {"fleet/000000": {"m": []}, "fleet/000001": {"m": []}}
     for key, value in sets.items():
         state.commit({"if": [], "then": [{"set": key, "value": value}]})
-    assert not await lead.commits._was_applied(Batch(conditions=dict.fromkeys(sets, 0), sets=sets))
+    assert not await lead.commits._was_applied(WriteBatch(conditions=dict.fromkeys(sets, 0), sets=sets))
 
 
 async def test_a_job_that_is_over_is_not_taken_up_from_an_older_change(state: KeyStore) -> None:
@@ -514,7 +514,7 @@
     record = {"state": "queued", "at": 0, "job": job("j-000001")}
     lead._told("accepted", "j-000001", record, 50)
     found = lead.cluster.jobs["j-000001"]
-    batch = Batch(cleaned=[found])
+    batch = WriteBatch(cleaned=[found])
     lead.cluster.committed(batch, 60, steady())
     assert not lead.cluster.jobs
     lead._told("accepted", "j-000001", record, 50)
--- a/tests/test_windows.py
+++ b/tests/test_windows.py
@@ -10,18 +10,18 @@
 
 from oatport.cli import main
 from oatport.clients.http import make_session
-from oatport.control.backlog import Queues, _pools_by_type
-from oatport.control.model import Job
+from oatport.control.queueing.queue_estimator import QueueEstimates, _pools_by_type
+from oatport.control.state.model import Job
 from oatport.lab.windows import run
 from oatport.lab.world.state import KeyStore
-from oatport.service.windowkeeper import KEY, WindowKeeper
+from oatport.service.window_controller import KEY, WindowController
 from oatport.settings import SettingsError, Team, load_tuning
 from oatport.times import SECOND, time_of_day
 from oatport.windows.client import FeedClient
 from oatport.windows.feed import decode, encode
 from oatport.windows.holding import MOVES_MOST, DayClock, Holder
 from oatport.windows.margins import Margins
-from oatport.windows.prices import BadSeries, Book, Interval
+from oatport.windows.prices import Book, Interval, InvalidPriceSeriesError
 from oatport.windows.settings import Deferral, WindowSettings, load
 from standins.feed import FeedServer
 from tests.test_service import leader
@@ -60,7 +60,7 @@
 )
 def test_a_series_that_cannot_be_used_changes_nothing(rows: list[Interval], made_at: int, why: str) -> None:
     known = book(5.0, 6.0)
-    with pytest.raises(BadSeries, match=why):
+    with pytest.raises(InvalidPriceSeriesError, match=why):
         known.learn(rows, made_at, DAY)
     assert [row.price for row in known.rows] == [5.0, 6.0]
 
@@ -130,7 +130,7 @@
     ],
 )
 def test_bodies_that_are_no_series(body: bytes) -> None:
-    with pytest.raises(BadSeries):
+    with pytest.raises(InvalidPriceSeriesError):
         decode(body, "application/json", "z")
 
 
@@ -200,8 +200,8 @@
             self.holder.tick(self.world.now)
             self.world.commit()
 
-    def take_over(self) -> None:
-        self.world.take_over()
+    def fail_over(self) -> None:
+        self.world.fail_over()
         self.holder = Holder(self.world.cluster, self.settings, self.book, self.world.now)
         for job in list(self.world.cluster.jobs.values()):
             self.holder.joined(job, self.world.now)
@@ -255,7 +255,7 @@
     night.world.commit()
     plan = dict(night.holder.planner.plans[job.ref].starts)
     night.book = book(1.0, 90.0, 90.0, 90.0)  # it would plan otherwise itself
-    night.take_over()
+    night.fail_over()
     again = night.world.cluster.jobs[job.ref]
     assert again.held == 2
     assert again not in night.world.cluster.waiting
@@ -268,7 +268,7 @@
     night.world.commit()
     night.world.now += HOUR + SECOND
     assert night.holder.tick(night.world.now) == 4  # let go, nothing written about that
-    night.take_over()
+    night.fail_over()
     assert night.world.cluster.jobs[job.ref].held in (0, 4)
     night.go(1800, 30)
     started = [key for worker in night.world.workers.values() for key in worker.starts]
@@ -284,7 +284,7 @@
     assert sum(count for _, count in job.hold.plan) == 6
     night.go(3600 + 400, 50)
     assert 0 < job.opened < 6
-    night.take_over()
+    night.fail_over()
     again = night.world.cluster.jobs[job.ref]
     assert again.hold is not None
     assert max(again.opened, again.fresh) + sum(count for _, count in again.hold.plan) == 6
@@ -352,7 +352,7 @@
     def wait() -> int:
         pools = _pools_by_type(world.cluster, world.now)
         other.run = world.cluster.predictor.run_time(other.ref, other.spec)
-        return Queues(world.cluster, pools).append(other)[0]
+        return QueueEstimates(world.cluster, pools).append(other)[0]
 
     before = wait()
     world.now += HOUR - 60 * SECOND
@@ -404,18 +404,18 @@
     state = KeyStore(lambda: 0)
     lead, client, _ = leader(state)
     settings = WindowSettings(on=True, capacity_cpus=8.0, classes=(("train", Deferral()),))
-    keeper = WindowKeeper(lead, Unplugged(), settings)  # type: ignore[arg-type]
+    keeper = WindowController(lead, Unplugged(), settings)  # type: ignore[arg-type]
     now = keeper.wall()
     keeper.book.learn(hours(10.0, 20.0, start=now), now, now)
     keeper.holder.margins.load({"train": [1.0] * 30})
-    await keeper.take_over()
+    await keeper.fail_over()
     keeper.step()
     assert KEY in lead.cluster.dirty
     await lead.commits.commit(lead.cluster.take_batch(12))
     later, _, _ = leader(state)
     later.state = client  # type: ignore[assignment]
-    heir = WindowKeeper(later, Unplugged(), settings)  # type: ignore[arg-type]
-    await heir.take_over()
+    heir = WindowController(later, Unplugged(), settings)  # type: ignore[arg-type]
+    await heir.fail_over()
     assert [row.price for row in heir.book.rows] == [10.0, 20.0]
     assert heir.holder.margins.factor("train") < Margins().factor("train")
 
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -11,9 +11,9 @@
 import pytest
 
 from oatport import wire
-from oatport.clients.http import NoAnswer, NotSent
-from oatport.control.model import Job
-from oatport.control.work import Work
+from oatport.clients.http import NoResponseError, RequestNotSentError
+from oatport.control.state.model import Job
+from oatport.control.state.task_lifecycle import TaskLifecycle
 from oatport.lab import GUARDS as NAMES
 from oatport.lab.world.breaks import GUARDS
 from oatport.lab.world.checker import Checker
@@ -21,7 +21,7 @@
 from oatport.lab.world.drawing import draw
 from oatport.lab.world.loop import Host, VirtualLoop
 from oatport.lab.world.net import LATE_MOST, Net, Rule
-from oatport.lab.world.plan import ALL, BadPlan, Fault, Plan, parse, read
+from oatport.lab.world.plan import ALL, Fault, InvalidPlanError, Plan, parse, read
 from oatport.lab.world.rehearse import Asked, account, play, rehearse
 from oatport.lab.world.state import KeyStore
 from oatport.lab.world.users import Ask
@@ -69,7 +69,7 @@
         cut = Rule("a", "b", "hold")
         pair.net.add(cut)
         for body in ("on the connection", "would need another"):
-            with pytest.raises(NoAnswer):
+            with pytest.raises(NoResponseError):
                 await pair.ask(body)
         assert len(pair.heard) == 1
         pair.net.remove(cut)
@@ -85,7 +85,7 @@
     async def story() -> None:
         await pair.ask("first")
         pair.net.add(Rule("b", "a", "hold"))
-        with pytest.raises(NoAnswer):
+        with pytest.raises(NoResponseError):
             await pair.ask("executed")
 
     pair.run(story())
@@ -99,11 +99,11 @@
         await pair.ask("first")
         cut = Rule("a", "b", "lost")
         pair.net.add(cut)
-        with pytest.raises(NoAnswer):
+        with pytest.raises(NoResponseError):
             await pair.ask("lost")
         pair.net.remove(cut)
         pair.net.add(Rule("a", "b", "refuse"))
-        with pytest.raises(NotSent):
+        with pytest.raises(RequestNotSentError):
             await pair.ask("refused")
 
     pair.run(story())
@@ -123,7 +123,7 @@
         pair.loop.create_task(clock(), context=pair.b.context)
         await asyncio.sleep(2.5)
         pair.b.freeze()
-        with pytest.raises(NoAnswer):
+        with pytest.raises(NoResponseError):
             await pair.ask("waits")
         await asyncio.sleep(4)
         pair.b.thaw()
@@ -147,10 +147,10 @@
         pair.net.listen("b:1", pair.b, slow)
         pair.loop.later(SECOND, None, lambda: (pair.b.end(), pair.net.ended(pair.b)))
         began = pair.loop.time()
-        with pytest.raises(NoAnswer, match="reset"):
+        with pytest.raises(NoResponseError, match="reset"):
             await pair.ask("under way", 30 * SECOND)
         assert pair.loop.time() - began < 1.1
-        with pytest.raises(NotSent):
+        with pytest.raises(RequestNotSentError):
             await pair.ask("after")
 
     pair.run(story())
@@ -363,7 +363,7 @@
     ],
 )
 def test_a_bad_plan_gets_one_line_that_names_the_field(table: dict[str, Any], said: str) -> None:
-    with pytest.raises(BadPlan) as found:
+    with pytest.raises(InvalidPlanError) as found:
         parse(table)
     assert str(found.value).startswith(said)
     assert "\n" not in str(found.value)
@@ -373,7 +373,7 @@
     drawn = draw(5)
     (tmp_path / "plan.toml").write_text(drawn.toml())
     assert read(tmp_path / "plan.toml") == drawn
-    with pytest.raises(BadPlan, match=r"missing\.toml"):
+    with pytest.raises(InvalidPlanError, match=r"missing\.toml"):
         read(tmp_path / "missing.toml")
 
 
@@ -454,14 +454,14 @@
     plan = Plan((rush, Fault("node_crash", 20.0, 0.1, node=ALL)), 60.0, 3, 24, 20.0)
     served = play(Asked(plan=plan), 2)
     assert (served.violations, served.errors, served.starved) == ([], [], [])
-    add = Work.add_job
+    add = TaskLifecycle.add_job
 
-    def passes_over(self: Work, ref: str, spec: wire.Submission, version: int, at: int) -> Job:
+    def passes_over(self: TaskLifecycle, ref: str, spec: wire.Submission, version: int, at: int) -> Job:
         job = add(self, ref, spec, version, at)
         if spec.job_class == "batch":
             self.waiting.discard(job)
         return job
 
-    monkeypatch.setattr(Work, "add_job", passes_over)
+    monkeypatch.setattr(TaskLifecycle, "add_job", passes_over)
     starved = play(Asked(plan=Plan((), 60.0, 3, 24, 20.0)), 6).starved
     assert [row.split(":")[0] for row in starved] == ["batch", "south"]
--- a/tests/world.py
+++ b/tests/world.py
@@ -9,30 +9,30 @@
 from msgspec.structs import replace
 
 from oatport import wire
-from oatport.clients.http import NoAnswer, NotSent, Refused
+from oatport.clients.http import NoResponseError, RequestNotSentError, RequestRefusedError
 from oatport.clients.state import Applied, Conflict
-from oatport.control.backlog import route_waiting
-from oatport.control.cluster import Cluster
-from oatport.control.fleet import Fleet
-from oatport.control.formats import FORMATS_KEY
-from oatport.control.model import Job, job_record
-from oatport.control.placer import Placer
-from oatport.control.predictor import Predictor
-from oatport.control.records import (
+from oatport.control.placement.placer import Placer
+from oatport.control.placement.retry_policy import RetryPolicies
+from oatport.control.queueing.queue_estimator import route_waiting
+from oatport.control.queueing.runtime_predictor import RuntimePredictor
+from oatport.control.scaling.scale_in import CapacityPlanner
+from oatport.control.state.cluster_state import ClusterState
+from oatport.control.state.model import Job, job_record
+from oatport.control.storage.recovery import load
+from oatport.control.storage.schema_version import FORMATS_KEY
+from oatport.control.storage.write_buffer import (
     CATALOG_KEY,
     DARK_KEY,
     FLEET,
     LEADER_KEY,
     LIVE,
     WAITS,
-    Batch,
+    WriteBatch,
     cancel_key,
     job_key,
     live_key,
     waits_key,
 )
-from oatport.control.recovery import load
-from oatport.control.repeats import Repeats
 from oatport.lab.world.state import KeyStore
 from oatport.lab.world.worker import Worker
 from oatport.settings import (
@@ -137,28 +137,28 @@
         self.jobs: dict[str, dict[str, Any]] = {}
         self.refused: set[str] = set()
         self.mute: set[str] = set()  # machines whose reports arrive, and that hear nothing
-        self.repeats: Repeats = {}
-        self.take_over()
+        self.repeats: RetryPolicies = {}
+        self.fail_over()
 
     # --- the leader ---------------------------------------------------------------------------
 
-    def take_over(self) -> Cluster:
+    def fail_over(self) -> ClusterState:
         """A new leader with a higher token loads the records."""
         version = self.state.items[LEADER_KEY][1] if LEADER_KEY in self.state.items else 0
         status, value = self.state.commit(
             {"if": [{"path": LEADER_KEY, "entryRev": version}], "then": [{"set": LEADER_KEY, "value": {"node": "n"}}]}
         )
         assert status == 200
-        self.cluster = Cluster(value["ledgerRev"], self.settings, Tuning(), dict(TYPES), Predictor())
+        self.cluster = ClusterState(value["ledgerRev"], self.settings, Tuning(), dict(TYPES), RuntimePredictor())
         self.cluster.repeats = self.repeats
         prefixes = (DARK_KEY, FORMATS_KEY, FLEET, LIVE, WAITS)
         rows = [row for prefix in prefixes for row in self.state.list(prefix)[1]["rows"]]
         load(self.cluster, rows, self.now, self.now)
         self.placer = Placer(self.cluster)
-        self.fleet = Fleet(self.cluster)
+        self.fleet = CapacityPlanner(self.cluster)
         return self.cluster
 
-    def transaction(self, batch: Batch) -> dict[str, Any]:
+    def transaction(self, batch: WriteBatch) -> dict[str, Any]:
         conditions = {LEADER_KEY: self.cluster.token, **batch.conditions}
         return {
             "if": [{"path": k, "entryRev": v} for k, v in conditions.items()],
@@ -316,7 +316,7 @@
         pass
 
     async def request(self, *args: Any, **more: Any) -> tuple[int, Any]:
-        raise NotSent("unplugged")
+        raise RequestNotSentError("unplugged")
 
 
 class FakeStateClient:
@@ -337,16 +337,16 @@
         self.reads += 1
         fault = self._fault()
         if fault == "refuse":
-            raise Refused(503)
+            raise RequestRefusedError(503)
         if fault:
-            raise NoAnswer(fault)
+            raise NoResponseError(fault)
         status, value = self.state.get(key)
         return (value["value"], value["entryRev"]) if status == 200 else None
 
     async def some(self, prefix: str, names: list[str]) -> tuple[dict[str, tuple[Any, int]], list[str]]:
         self.reads += 1
         if self._fault():
-            raise NoAnswer("some")
+            raise NoResponseError("some")
         page = names[:100]
         there = {name: self.state.get(prefix + name) for name in page}
         return {n: (v["value"], v["entryRev"]) for n, (status, v) in there.items() if status == 200}, page
@@ -361,9 +361,9 @@
         self.reads += 1
         fault = self._fault()
         if fault == "refuse":
-            raise Refused(503)
+            raise RequestRefusedError(503)
         if fault:
-            raise NoAnswer(fault)
+            raise NoResponseError(fault)
         value = self.state.changes(prefix, revision)[1]
         return value["ledgerRev"], value["news"]
 
@@ -381,15 +381,15 @@
         }
         fault = self._fault()
         if fault == "refuse":
-            raise Refused(503)
+            raise RequestRefusedError(503)
         if fault == "late":
             self.held.append(body)
-            raise NoAnswer(fault)
+            raise NoResponseError(fault)
         status, value = self.state.commit(body)
         if fault == "lose":
-            raise NoAnswer(fault)
+            raise NoResponseError(fault)
         if status == 400:
-            raise Refused(status, value)
+            raise RequestRefusedError(status, value)
         return Applied(value["ledgerRev"]) if status == 200 else Conflict(tuple(value["failed"]))
 
     def deliver_late(self) -> list[int]:
