--- a/oatport/api/heartbeat_api.py
+++ b/oatport/api/heartbeat_api.py
@@ -13,7 +13,7 @@
 
     node_name: str
 
-    def take_report(self, report: wire.Report) -> dict[str, Any] | None:
+    def answer_heartbeat(self, report: wire.Report) -> dict[str, Any] | None:
         """The answer, or None if this node is not entitled to give one."""
 
     def leader_name(self) -> str | None: ...
@@ -23,7 +23,7 @@
     if method != "POST":
         return Answer(405, {"error": "wrong method"}, {"Allow": "POST"})
     report = wire.report(await body.read())
-    answer = desk.take_report(report)
+    answer = desk.answer_heartbeat(report)
     if answer is not None:
         return Answer(200, answer)
     leader = desk.leader_name()
--- a/oatport/api/job_api.py
+++ b/oatport/api/job_api.py
@@ -14,7 +14,8 @@
 from oatport.clients.state import Applied, StateClient
 from oatport.control.limits.rate_limiter import AdaptiveRateLimiter
 from oatport.control.queueing.dependency_tracker import named
-from oatport.control.state.model import Kind, allowed_types, job_record
+from oatport.control.state.capacity import feasible_machine_types
+from oatport.control.state.job import JobKind, job_record
 from oatport.control.storage.overflow_records import slimmed
 from oatport.control.storage.write_buffer import cancel_key, job_key
 from oatport.settings import Settings
@@ -32,7 +33,7 @@
     """What the users' interface needs of its node."""
 
     types: dict[str, wire.MachineType]
-    display: dict[str, tuple[int, int]]
+    job_progress: dict[str, tuple[int, int]]
 
     def ready(self) -> bool: ...
     def tell_accepted(self, ref: str, record: dict[str, Any], revision: int) -> None: ...
@@ -140,9 +141,9 @@
             return "unknown team"
         if job.zone is not None and self._zones and job.zone not in self._zones:
             return "unknown zone"
-        if not allowed_types(job, self._backstage.types):
+        if not feasible_machine_types(job, self._backstage.types):
             return "a task fits no allowed machine type"
-        at_once = 1 if Kind(job.kind) is Kind.ARRAY else job.tasks
+        at_once = 1 if JobKind(job.kind) is JobKind.ARRAY else job.tasks
         for need, most in ((job.cpus * at_once, team.cpus_max), (job.gpus * at_once, team.gpus_max)):
             if most > 0 and need > most + 1e-9:
                 return "the job needs more than its team's limit"
@@ -185,7 +186,7 @@
         state, total = known.state, known.tasks
         if state in wire.FINAL:
             return {"ref": ref, "status": state, "done": total if state == wire.DONE else 0, "running": 0}
-        done, running = self._backstage.display.get(ref, (0, 0))
+        done, running = self._backstage.job_progress.get(ref, (0, 0))
         value: dict[str, Any] = {
             "ref": ref,
             "status": wire.RUNNING_JOB if running else wire.QUEUED,
--- a/oatport/clients/peer.py
+++ b/oatport/clients/peer.py
@@ -11,7 +11,7 @@
 DEADLINE = 800 * MS
 
 
-class NotUnderstood(NoResponseError):
+class UnexpectedReplyError(NoResponseError):
     """It answered, and not what was asked: an earlier version, for one."""
 
 
@@ -24,5 +24,5 @@
         """Send ("tag", ...) and return the answer, another such tuple."""
         status, value = await self._http.request("POST", wire.PEER, list(message), timeout_us=timeout_us)
         if status != 200 or not isinstance(value, list) or not value:
-            raise NotUnderstood(f"status {status}")
+            raise UnexpectedReplyError(f"status {status}")
         return value
--- a/oatport/control/leadership/zone_partition.py
+++ b/oatport/control/leadership/zone_partition.py
@@ -2,9 +2,9 @@
 
 A machine that is cut off can be had back by nobody but the cloud: a release proves its tasks gone, so that they can
 run elsewhere. But until then they go on (PROTOCOL, "Outages and cuts"): for about as long as an outage may last if a
-node in the zone answers their workers (`control/leadership/lease_proxy.py`), for one lease if none does. So nothing is won by giving
-machines up at once, and much is lost if the cut ends soon: what they run, their images, and room that is not to be had
-anywhere else meanwhile. The rules here, in order of worth:
+node in the zone answers their workers (`control/leadership/lease_proxy.py`), for one lease if none does. So nothing
+is won by giving machines up at once, and much is lost if the cut ends soon: what they run, their images, and room that
+is not to be had anywhere else meanwhile. The rules here, in order of worth:
 
 1. A replica that may run in another zone leaves before its lease can end, a few at a time, so that each is missed
    only for a start and a fetch, and a leader that ends meanwhile leaves few of them nowhere.
@@ -22,8 +22,11 @@
 from dataclasses import dataclass, field
 
 from oatport.control.scaling.scale_in import CapacityPlanner
+from oatport.control.state.capacity import zone_cap
 from oatport.control.state.cluster_state import ClusterState
-from oatport.control.state.model import Job, Kind, Machine, Phase, zone_cap
+from oatport.control.state.job import Job, JobKind
+from oatport.control.state.machine import Machine
+from oatport.control.state.task import TaskPhase
 from oatport.control.storage.recovery import LeaseRenewalLimit
 from oatport.settings import ClusterSettings
 from oatport.times import SECOND, micros
@@ -47,13 +50,13 @@
 def elsewhere(cluster: ClusterState, job: Job) -> int:
     """How many more replicas of a service may run in zones that are heard from, its waiting ones counted."""
     spec = job.spec
-    zones = {zone for kind in cluster.suited(job) for zone in kind.zones} - cluster.dark.keys()
+    zones = {zone for kind in cluster.preferred_types(job) for zone in kind.zones} - cluster.partitioned_zones.keys()
     if spec.zone is not None:
         zones &= {spec.zone}
-    if spec.one_zone and job.zones:
-        zones &= job.zones.keys()
+    if spec.one_zone and job.tasks_by_zone:
+        zones &= job.tasks_by_zone.keys()
     cap = zone_cap(spec)
-    return max(0, sum(cap - job.zones.get(zone, 0) for zone in zones) - job.pending)
+    return max(0, sum(cap - job.tasks_by_zone.get(zone, 0) for zone in zones) - job.pending)
 
 
 @dataclass(slots=True)
@@ -68,13 +71,16 @@
         """`kept`: zones in which a node answers the workers."""
         chosen: list[Machine] = []
         self._room.clear()
-        for zone, since in self.cluster.dark.items():
+        for zone, since in self.cluster.partitioned_zones.items():
             alive = lives_until(self.cluster.settings, since, zone in kept)
             there = sorted(
                 (
                     m
                     for m in self.cluster.machines.values()
-                    if m.zone == zone and not m.releasing and m.last_heartbeat_at <= since and (m.up_at or m.was_up)
+                    if m.zone == zone
+                    and not m.releasing
+                    and m.last_heartbeat_at <= since
+                    and (m.ready_at or m.was_ready)
                 ),
                 key=lambda m: m.name,
             )
@@ -95,9 +101,9 @@
     def _missed(self) -> int:
         """Replicas that lost their machine and wait for another one outside the dark zones."""
         return sum(
-            min(len(job.again), elsewhere(self.cluster, job) + job.pending)
-            for job in self.cluster.waiting
-            if job.kind is Kind.SERVICE and not job.suspect
+            min(len(job.retry_queue), elsewhere(self.cluster, job) + job.pending)
+            for job in self.cluster.pending
+            if job.kind is JobKind.SERVICE and not job.suspected_faulty
         )
 
     def _movers(self, machines: list[Machine]) -> list[tuple[Machine, int]]:
@@ -108,7 +114,7 @@
             bound = 0
             for task in machine.tasks:
                 job = task.job
-                if job.kind is not Kind.SERVICE or task.phase is not Phase.PLACED or job.cancelled:
+                if job.kind is not JobKind.SERVICE or task.phase is not TaskPhase.BOUND or job.cancelled:
                     continue
                 if job not in self._room:
                     self._room[job] = elsewhere(self.cluster, job)
@@ -125,7 +131,7 @@
 
     def _given_up(self, machine: Machine, now: int, since: int, alive: int) -> bool:
         """It holds no replica that could be elsewhere: is the rest of what it runs worth keeping it?"""
-        if any(task.job.kind is Kind.SERVICE and not task.job.cancelled for task in machine.tasks):
+        if any(task.job.kind is JobKind.SERVICE and not task.job.cancelled for task in machine.tasks):
             return now - since > KEEP_BOUND
         if now > alive + micros(machine.type.boot_s):
             return True
@@ -135,6 +141,6 @@
         """When its tasks are done, as predicted; those of an earlier leader ran before it was last heard."""
         predictor = self.cluster.predictor
         return max(
-            ((t.running_since or since) + predictor.run_time(t.job.ref, t.job.spec) for t in machine.tasks),
+            ((t.running_since or since) + predictor.run_time(t.job.job_id, t.job.spec) for t in machine.tasks),
             default=since,
         )
--- a/oatport/control/placement/__init__.py
+++ b/oatport/control/placement/__init__.py
@@ -1,1 +1,2 @@
-"""Which machine a task gets: feasibility filters, scores, gang scheduling, preemption, retries and failure attribution."""
+"""Which machine a task gets: feasibility filters, scores, gang scheduling, preemption, retries and
+failure attribution."""
--- a/oatport/control/placement/candidate_ranking.py
+++ b/oatport/control/placement/candidate_ranking.py
@@ -10,7 +10,7 @@
 import heapq
 from collections.abc import Callable, Collection, Iterable
 
-from oatport.control.state.model import Machine
+from oatport.control.state.machine import Machine
 
 Score = tuple[float, ...]
 
--- a/oatport/control/placement/failure_attribution.py
+++ b/oatport/control/placement/failure_attribution.py
@@ -9,7 +9,8 @@
 
 import logging
 
-from oatport.control.state.model import Job, Kind, Machine
+from oatport.control.state.job import Job, JobKind
+from oatport.control.state.machine import Machine
 from oatport.times import SECOND
 
 log = logging.getLogger(__name__)
@@ -23,35 +24,37 @@
 
 def works(job: Job, now: int) -> bool:
     """A task of it was done, or a replica of it stays up."""
-    if job.kind is not Kind.SERVICE:
-        return bool(job.done)
+    if job.kind is not JobKind.SERVICE:
+        return bool(job.completed)
     return any(task.running_since and now - task.running_since > SETTLED for task in job.tasks.values())
 
 
 def job_failed(job: Job, machine: Machine, machines: dict[str, Machine], attempt: int, now: int) -> bool:
     """A task ended with an error; True if the job has become a suspect by it."""
-    if not job.suspect or now >= job.not_before:  # what was under way when it was judged makes it no worse
+    if not job.suspected_faulty or now >= job.retry_at:  # what was under way when it was judged makes it no worse
         job.errors += 1
     if attempt > 1 and machine.name in job.error_machines:
-        job.not_before = now + _pause(attempt)  # there is no other machine for it
+        job.retry_at = now + _pause(attempt)  # there is no other machine for it
     job.error_machines.add(machine.name)
     became = False
     working = works(job, now)
-    if not job.suspect and not working and len(job.error_machines) >= SUSPECT_AFTER:
-        log.info("job %s fails wherever it runs: a task at a time from now on", job.ref)
-        job.suspect = became = True
+    if not job.suspected_faulty and not working and len(job.error_machines) >= SUSPECT_AFTER:
+        log.info("job %s fails wherever it runs: a task at a time from now on", job.job_id)
+        job.suspected_faulty = became = True
         for task in job.tasks.values():
             if task.machine is not None:
-                task.machine.calm = None  # whether a replica of it settles is seen in reports that tell nothing new
+                task.machine.settled_heartbeat = (
+                    None  # whether a replica of it settles is seen in reports that tell nothing new
+                )
         job.errors = 1
         for name in job.error_machines:
             acquit(machines.get(name), job)
-    if job.suspect:
-        job.not_before = max(job.not_before, now + _pause(job.errors))
+    if job.suspected_faulty:
+        job.retry_at = max(job.retry_at, now + _pause(job.errors))
         return became
-    machine.faults.add(job.ref)
+    machine.failed_jobs.add(job.job_id)
     if working:
-        machine.proven.add(job.ref)  # it runs elsewhere
+        machine.confirmed_failed_jobs.add(job.job_id)  # it runs elsewhere
     judge(machine, now)
     return became
 
@@ -61,11 +64,11 @@
 
 
 def judge(machine: Machine, now: int) -> None:
-    if len(machine.proven) >= SET_ASIDE_AFTER:
+    if len(machine.confirmed_failed_jobs) >= SET_ASIDE_AFTER:
         if not machine.draining:
             log.info("machine %s set aside: jobs failed on it that run elsewhere", machine.name)
         machine.draining = True
-    elif len(machine.faults) >= SET_ASIDE_AFTER:
+    elif len(machine.failed_jobs) >= SET_ASIDE_AFTER:
         machine.cordoned_until = max(machine.cordoned_until, now + ASIDE)
 
 
@@ -73,23 +76,23 @@
     """The job's failure says nothing against the machine."""
     if machine is None:
         return
-    machine.faults.discard(job.ref)
-    machine.proven.discard(job.ref)
-    if len(machine.faults) < SET_ASIDE_AFTER:
+    machine.failed_jobs.discard(job.job_id)
+    machine.confirmed_failed_jobs.discard(job.job_id)
+    if len(machine.failed_jobs) < SET_ASIDE_AFTER:
         machine.cordoned_until = 0
 
 
 def task_done(job: Job, machine: Machine, machines: dict[str, Machine], now: int) -> None:
     """A task was done: the job can succeed and the machine works."""
-    machine.faults.clear()
-    machine.proven.clear()
+    machine.failed_jobs.clear()
+    machine.confirmed_failed_jobs.clear()
     for name in job.error_machines - {machine.name}:
         other = machines.get(name)
-        if other is not None and (job.suspect or job.ref in other.faults):
-            other.faults.add(job.ref)
-            other.proven.add(job.ref)
+        if other is not None and (job.suspected_faulty or job.job_id in other.failed_jobs):
+            other.failed_jobs.add(job.job_id)
+            other.confirmed_failed_jobs.add(job.job_id)
             judge(other, now)
     job.errors = 0
-    if job.suspect:
-        job.suspect = False
-        job.not_before = 0
+    if job.suspected_faulty:
+        job.suspected_faulty = False
+        job.retry_at = 0
--- a/oatport/control/placement/feasibility.py
+++ b/oatport/control/placement/feasibility.py
@@ -6,8 +6,10 @@
 
 from oatport import wire
 from oatport.control.queueing.tier_router import SPOT
+from oatport.control.state.capacity import zone_cap
 from oatport.control.state.cluster_state import ClusterState
-from oatport.control.state.model import IDLE_RANK, Job, Kind, Machine, zone_cap
+from oatport.control.state.job import IDLE_RANK, Job, JobKind
+from oatport.control.state.machine import Machine
 from oatport.times import SECOND, micros
 
 BEFORE_ZONES = 6  # parts of a machine's merit that weigh more than a job's replicas in its zone
@@ -22,9 +24,9 @@
         return False
     if spec.zone is not None and machine.zone != spec.zone:
         return False
-    if spec.one_zone and job.zones and machine.zone not in job.zones:
+    if spec.one_zone and job.tasks_by_zone and machine.zone not in job.tasks_by_zone:
         return False
-    return not spec.spread or job.zones.get(machine.zone, 0) < zone_cap(spec)
+    return not spec.spread or job.tasks_by_zone.get(machine.zone, 0) < zone_cap(spec)
 
 
 class Feasibility:
@@ -38,19 +40,19 @@
         # Replicas stay for long, and arrays follow one another: either way the machines would be kept from
         # those who need the GPUs, or kept at their price for work that any machine can do.
         no_gpus = self._elsewhere(job)
-        on_spot = spec.spot and cluster.takes_free_spot(job)
+        on_spot = spec.spot and cluster.may_use_free_spot(job)
         # Idle work fills owned room beside replicas; an owned machine of its own would be kept for it, at two to
         # three times the price of the spot room that it may use.
-        beside = job.rank == IDLE_RANK and spec.spot and not spec.gpus and job.tier == SPOT
+        beside = job.priority_rank == IDLE_RANK and spec.spot and not spec.gpus and job.tier == SPOT
 
         def may(machine: Machine) -> bool:
             return (
-                machine.fits(spec)
+                machine.has_capacity_for(spec)
                 and (on_spot or not machine.spot)
                 and (spec.types is None or machine.type.name in spec.types)
                 and (spec.zone is None or machine.zone == spec.zone)
-                and not (no_gpus and machine.type.gpus > 0 and not cluster.fills(job, machine, cluster.now))
-                and not (beside and not machine.spot and machine.steady_cpus <= 0)
+                and not (no_gpus and machine.type.gpus > 0 and not cluster.may_backfill(job, machine, cluster.now))
+                and not (beside and not machine.spot and machine.service_cpus <= 0)
             )
 
         return may
@@ -64,10 +66,10 @@
     def _merit(self, job: Job, machine: Machine, within: int | None) -> tuple[float, ...]:
         """Free owned room first; the smaller the better. For services, the job's other replicas come between."""
         spec = job.spec
-        service = job.kind is Kind.SERVICE
+        service = job.kind is JobKind.SERVICE
         return (
             machine.spot,
-            machine.slow > 1.6 and machine.slow_count > 1,
+            machine.slowdown > 1.6 and machine.slowdown_samples > 1,
             machine.type.gpus if spec.gpus == 0 else 0,
             service and within is not None and self._fetch(spec, machine) > within,
             # A machine full of replicas can't take over a lost mate of theirs, which would need no fetch there:
@@ -75,20 +77,20 @@
             service
             and self._crowded
             and spec.tasks >= self.cluster.tuning.mate_room_tasks
-            and machine.type.cpus - machine.steady_cpus < 2 * spec.cpus - 1e-9,
+            and machine.type.cpus - machine.service_cpus < 2 * spec.cpus - 1e-9,
             spec.image not in machine.images,
             # Otherwise replicas together, and the rest away from them: machines without replicas can be
             # returned, and those with them, where the images are, have room for more.
-            -machine.steady_cpus if service else machine.steady_cpus,
+            -machine.service_cpus if service else machine.service_cpus,
             machine.free_cpus,  # the fullest first
         )
 
     def _start_within(self, job: Job) -> int | None:
         """How soon the next task should run; a lost replica is missed at once."""
         index = job.next_pending()
-        if job.kind is Kind.SERVICE and index is not None and index in job.tasks and job.tasks[index].attempt > 0:
+        if job.kind is JobKind.SERVICE and index is not None and index in job.tasks and job.tasks[index].attempt > 0:
             return SECOND
-        return self.cluster.start_aims.get(job.spec.job_class)
+        return self.cluster.start_objectives.get(job.spec.job_class)
 
     @staticmethod
     def _fetch(spec: wire.Submission, machine: Machine) -> int:
@@ -99,4 +101,4 @@
 
     def _elsewhere(self, job: Job) -> bool:
         """It needs no GPUs, and could run on a type without any."""
-        return job.spec.gpus == 0 and any(kind.gpus == 0 for kind in self.cluster.suited(job))
+        return job.spec.gpus == 0 and any(kind.gpus == 0 for kind in self.cluster.preferred_types(job))
--- a/oatport/control/placement/placer.py
+++ b/oatport/control/placement/placer.py
@@ -6,8 +6,10 @@
 from oatport.control.placement.feasibility import BEFORE_ZONES, machine_allowed
 from oatport.control.placement.preemption import PREEMPT_PAUSE, Preemption
 from oatport.control.queueing.pending_queue import RUN_STEP
+from oatport.control.state.capacity import zone_cap
 from oatport.control.state.cluster_state import ClusterState
-from oatport.control.state.model import IDLE_RANK, Job, Kind, Machine, zone_cap
+from oatport.control.state.job import IDLE_RANK, Job, JobKind
+from oatport.control.state.machine import Machine
 from oatport.times import SECOND
 
 CROWDED = 0.2  # owned room is taken up if no more than this share is free
@@ -32,16 +34,16 @@
         A full house with thousands of tasks waiting was searched again and again for room that could not be there.
         What makes room or changes the queue sets `replan`; what only time brings is in `look_at`.
         """
-        return self.cluster.replan or (bool(self.cluster.waiting) and now >= self.look_at)
+        return self.cluster.planning_needed or (bool(self.cluster.pending) and now >= self.look_at)
 
     def plan(self, now: int) -> int:
         """Claim machines for as many waiting tasks as possible; the number claimed."""
         cluster = self.cluster
-        cluster.replan = False
+        cluster.planning_needed = False
         cluster.now = now
         self.look_at = now + LOOK_AGAIN
         usable = cluster.find_usable(now)
-        waiting = cluster.waiting
+        waiting = cluster.pending
         if not waiting:
             return 0
         for machine in cluster.machines.values():
@@ -60,45 +62,45 @@
         # What found no room in this pass, by all else that decides about room: nothing as large will either.
         full: dict[tuple[object, ...], list[tuple[float, float, float]]] = {}
         for line, job in waiting.walk():
-            if job.not_before > now:
-                self.look_by(job.not_before)
+            if job.retry_at > now:
+                self.look_by(job.retry_at)
                 continue
-            if job.strays:
+            if job.orphaned_attempt_count:
                 continue
             spec = job.spec
-            use = cluster.teams.get(spec.team)
-            limit = min(job.pending, cluster.teams.room(spec))
-            if use is not None and limit < (job.pending if job.kind is Kind.GANG else 1):
+            use = cluster.quotas.get(spec.team)
+            limit = min(job.pending, cluster.quotas.room(spec))
+            if use is not None and limit < (job.pending if job.kind is JobKind.GANG else 1):
                 self._make_quota(job, now)
                 # The rest of a line is of the same team, and wants as much.
-                line.over = line.plain and not any(use.rank_arrays[job.rank + 1 :])
-            if job.rank == IDLE_RANK and len(cluster.urgent) > CLAIMS_AHEAD:
+                line.over = line.plain and not any(use.rank_arrays[job.priority_rank + 1 :])
+            if job.priority_rank == IDLE_RANK and len(cluster.urgent_keys) > CLAIMS_AHEAD:
                 self.look_by(now + CLAIMS_PAUSE)
                 line.over = line.plain
                 continue  # room claimed but not written down can't be given to anybody else
-            if job.suspect and job.kind is not Kind.GANG:
+            if job.suspected_faulty and job.kind is not JobKind.GANG:
                 limit = min(limit, 1 - job.on_machines)  # one is enough to see whether it fails again
             if limit <= 0:
                 continue
-            if spec.spread and all(job.zones.get(zone, 0) >= zone_cap(spec) for zone in zones):
+            if spec.spread and all(job.tasks_by_zone.get(zone, 0) >= zone_cap(spec) for zone in zones):
                 continue  # while a zone is cut off, those that belong there look for nothing elsewhere
-            if job.kind is Kind.GANG:
+            if job.kind is JobKind.GANG:
                 got = self._place_gang(job, roomy, now)
-                if not got and not job.on_machines and not job.suspect:
+                if not got and not job.on_machines and not job.suspected_faulty:
                     self.preempt(job, usable, now)
                     held = self._gang_waits_for(job, roomy, now)
                     if held:
                         usable, roomy = self._without(held, usable, roomy)
                 # What machines with GPUs have left beside a gang is room for those that found none before.
-                cluster.replan = cluster.replan or bool(got)
+                cluster.planning_needed = cluster.planning_needed or bool(got)
             else:
                 sort = (
                     spec.spot,
                     job.tier,
                     spec.zone,
                     tuple(spec.types) if spec.types else None,
-                    job.rank,
-                    self._gpus_kept and job.run_step,
+                    job.priority_rank,
+                    self._gpus_kept and job.runtime_bucket,
                 )
                 free_to_go = not (spec.spread or spec.one_zone)
                 if free_to_go and any(
@@ -133,7 +135,7 @@
 
     def _work_beside(self, usable: list[Machine]) -> bool:
         """There is work beside services to use the room that they leave: none is kept, and paid, for nothing."""
-        if any(job.kind is not Kind.SERVICE for job in self.cluster.waiting):
+        if any(job.kind is not JobKind.SERVICE for job in self.cluster.pending):
             return True
         owned = [m for m in usable if not m.spot and m.type.gpus == 0]
         return sum(m.free_cpus for m in owned) < CROWDED * sum(m.type.cpus for m in owned)
@@ -147,9 +149,9 @@
             machine = self._best(job, roomy)
             if machine is None:
                 break
-            if job.kind is Kind.SERVICE and self._make_warm_room(job, machine, usable, now):
+            if job.kind is JobKind.SERVICE and self._make_warm_room(job, machine, usable, now):
                 return got, machine
-            self.cluster.claim(job, machine, now)
+            self.cluster.begin_binding(job, machine, now)
             self._claimed.append(machine)
             got += 1
         return got, None
@@ -162,14 +164,14 @@
         cap = zone_cap(spec)
         best: tuple[tuple[float, ...], int, Machine] | None = None
         for zone in ranking.zones:
-            there = job.zones.get(zone, 0)
-            if (spec.spread and there >= cap) or (spec.one_zone and job.zones and not there):
+            there = job.tasks_by_zone.get(zone, 0)
+            if (spec.spread and there >= cap) or (spec.one_zone and job.tasks_by_zone and not there):
                 continue
             found = ranking.best(zone, errors)
             if found is None:
                 continue
             merit, place, machine = found
-            if job.kind is Kind.SERVICE:  # replicas apart, where nothing that weighs more speaks against it
+            if job.kind is JobKind.SERVICE:  # replicas apart, where nothing that weighs more speaks against it
                 merit = (*merit[:BEFORE_ZONES], there, *merit[BEFORE_ZONES:])
             if best is None or (merit, place) < best[:2]:
                 best = merit, place, machine
@@ -178,11 +180,11 @@
     def _ranking(self, job: Job, roomy: list[Machine], within: int | None) -> Ranking:
         """The machines that may take a task of the job now, shared by all jobs that look for the same."""
         spec, cluster = job.spec, self.cluster
-        mates = job.kind is Kind.SERVICE and spec.tasks >= cluster.tuning.mate_room_tasks
-        fills_for = cluster.predictor.run_time(job.ref, spec) // RUN_STEP if self._gpus_kept else 0
+        mates = job.kind is JobKind.SERVICE and spec.tasks >= cluster.tuning.mate_room_tasks
+        fills_for = cluster.predictor.run_time(job.job_id, spec) // RUN_STEP if self._gpus_kept else 0
         key = (
             job.kind,
-            job.rank,
+            job.priority_rank,
             job.tier,
             spec.spot,
             spec.zone,
@@ -194,7 +196,7 @@
             spec.image_gb,
             within,
             mates,
-            cluster.takes_free_spot(job),
+            cluster.may_use_free_spot(job),
             fills_for,
         )
         ranking = self._rankings.get(key)
@@ -226,10 +228,10 @@
     def _place_gang(self, job: Job, usable: list[Machine], now: int) -> int:
         """All tasks or none, in one commit; only when nothing of an earlier attempt is left anywhere."""
         spec = job.spec
-        if job.on_machines or job.pending + len(job.done) < spec.tasks:
+        if job.on_machines or job.pending + len(job.completed) < spec.tasks:
             return 0
         need = job.pending
-        if self.cluster.teams.room(spec) < need:
+        if self.cluster.quotas.room(spec) < need:
             return 0
         zones = {m.zone for m in usable} if spec.one_zone else {None}
         best: list[Machine] | None = None
@@ -238,14 +240,14 @@
             chosen = self._gang_room(job, [m for m in usable if zone in (None, m.zone)], need)
             if chosen is None:
                 continue
-            cost = sum((spec.image not in m.images) * 10 + (m.slow > 1.6) * 20 + m.spot for m in chosen) / need
+            cost = sum((spec.image not in m.images) * 10 + (m.slowdown > 1.6) * 20 + m.spot for m in chosen) / need
             if best is None or cost < best_cost:
                 best, best_cost = chosen, cost
         if best is None:
             return 0
         job.gang_attempt = max([job.gang_attempt, *(t.attempt for t in job.tasks.values())]) + 1
         for machine in best:
-            self.cluster.claim(job, machine, now, attempt=job.gang_attempt)
+            self.cluster.begin_binding(job, machine, now, attempt=job.gang_attempt)
         self._claimed += best
         return need
 
@@ -263,9 +265,9 @@
         most = 0
         for zone in sorted({m.zone for m in roomy}) if spec.one_zone else [None]:
             free = [m for m in self._fitting(job, roomy) if zone in (None, m.zone)]
-            coming = [m for m in booting if zone in (None, m.zone) and m.holds(spec) and machine_allowed(job, m)]
-            there = sum(m.room(spec) for m in free)
-            if there > most and there + sum(m.room(spec) for m in coming) >= job.pending:
+            coming = [m for m in booting if zone in (None, m.zone) and m.could_hold(spec) and machine_allowed(job, m)]
+            there = sum(m.free_slots(spec) for m in free)
+            if there > most and there + sum(m.free_slots(spec) for m in coming) >= job.pending:
                 best, most = set(free), there
         if not best:
             return set()
@@ -274,10 +276,10 @@
         for machine in sorted(best, key=lambda m: (m.spot, m.name)):
             if need > 0:
                 held.add(machine)
-                need -= machine.room(spec)
+                need -= machine.free_slots(spec)
         for machine in booting:  # spoken for: no later gang counts on them
-            if need > 0 and machine.holds(spec) and (not spec.one_zone or machine.zone in {m.zone for m in held}):
-                need -= machine.room(spec)
+            if need > 0 and machine.could_hold(spec) and (not spec.one_zone or machine.zone in {m.zone for m in held}):
+                need -= machine.free_slots(spec)
                 booting.remove(machine)
                 break
         return held
@@ -286,13 +288,18 @@
         spec = job.spec
         chosen: list[Machine] = []
         per_zone: dict[str, int] = {}
-        on_spot = self.cluster.takes_free_spot(job)
+        on_spot = self.cluster.may_use_free_spot(job)
         ordered = sorted(
-            (m for m in machines if m.fits(spec) and machine_allowed(job, m) and (on_spot or not m.spot)),
-            key=lambda m: (m.slow > 1.6 and m.slow_count > 1, spec.image not in m.images, m.spot, m.free_cpus),
+            (m for m in machines if m.has_capacity_for(spec) and machine_allowed(job, m) and (on_spot or not m.spot)),
+            key=lambda m: (
+                m.slowdown > 1.6 and m.slowdown_samples > 1,
+                spec.image not in m.images,
+                m.spot,
+                m.free_cpus,
+            ),
         )
         for machine in ordered:
-            count = min(machine.room(spec), need - len(chosen))
+            count = min(machine.free_slots(spec), need - len(chosen))
             if spec.spread:
                 count = min(count, zone_cap(spec) - per_zone.get(machine.zone, 0))
             if count > 0:
--- a/oatport/control/placement/retry_policy.py
+++ b/oatport/control/placement/retry_policy.py
@@ -19,7 +19,8 @@
 from pathlib import Path
 
 from oatport import wire
-from oatport.control.state.model import Kind, Phase, Task
+from oatport.control.state.job import JobKind
+from oatport.control.state.task import Task, TaskPhase
 from oatport.settings import SettingsError, read_ini
 
 SECTION = "repeat"
@@ -37,12 +38,12 @@
 
 def never_sent(task: Task) -> bool:
     """No start of this attempt went out: it was not committed, or this leader has not sent it."""
-    return task.phase is not Phase.PLACED or bool(task.claimed_at and not task.sent_session)
+    return task.phase is not TaskPhase.BOUND or bool(task.binding_at and not task.start_epoch)
 
 
 def may_repeat(repeat: RetryPolicy, task: Task, unexecuted: bool) -> bool:
     """May a task that left its machine without being done want another? `unexecuted`: proven, see above."""
-    if repeat is RetryPolicy.ANY or task.job.kind is Kind.SERVICE or never_sent(task):
+    if repeat is RetryPolicy.ANY or task.job.kind is JobKind.SERVICE or never_sent(task):
         return True
     return repeat is RetryPolicy.BEFORE_START and unexecuted
 
--- a/oatport/control/queueing/dependency_tracker.py
+++ b/oatport/control/queueing/dependency_tracker.py
@@ -11,7 +11,7 @@
 
 from oatport.control.queueing.dependency_graph import DependencyGraph, Known, Urgency, earliest
 from oatport.control.queueing.runtime_predictor import RuntimePredictor
-from oatport.control.state.model import NORMAL_RANK, PRIORITIES, Job, Kind
+from oatport.control.state.job import NORMAL_RANK, PRIORITIES, Job, JobKind
 from oatport.control.storage.record_layout import RecordLayout, cancel_key, waits_key
 from oatport.control.storage.write_buffer import WriteBuffer
 from oatport.times import SECOND
@@ -28,27 +28,27 @@
 
     def __init__(self, predictor: RuntimePredictor, layout: RecordLayout) -> None:
         super().__init__(predictor, layout)
-        self.pipelines = DependencyGraph()
-        self.held_up: dict[str, Job] = {}  # jobs that wait for others
+        self.dependency_graph = DependencyGraph()
+        self.blocked_jobs: dict[str, Job] = {}  # jobs that wait for others
         self.on_released: Callable[[Job], None] = lambda job: None
-        self.told_cancelled: dict[str, int] = {}  # jobs not known here -> told after this (steady)
-        self.carried: dict[str, Urgency] = {}  # what is asked of waiting jobs by those that need them
+        self.confirmed_cancellations: dict[str, int] = {}  # jobs not known here -> told after this (steady)
+        self.inherited_urgency: dict[str, Urgency] = {}  # what is asked of waiting jobs by those that need them
 
     # --- what `Work` has ----------------------------------------------------------------------
 
-    def join(self, job: Job) -> None:
+    def admit(self, job: Job) -> None:
         """It may start from now on."""
         raise NotImplementedError
 
-    def counted(self, job: Job) -> None:
+    def on_accepted(self, job: Job) -> None:
         """It was accepted."""
         raise NotImplementedError
 
-    def fetch_us(self, job: Job) -> int:
+    def image_fetch_us(self, job: Job) -> int:
         """How long its image takes to get to a machine."""
         raise NotImplementedError
 
-    def own_dues(self, job: Job) -> list[int]:
+    def own_deadlines(self, job: Job) -> list[int]:
         """Times of day by which its users look for its end."""
         raise NotImplementedError
 
@@ -57,129 +57,131 @@
 
     # --- waiting and release ------------------------------------------------------------------
 
-    def known_of(self, ref: str) -> Known:
+    def dependency_state(self, ref: str) -> Known:
         job = self.jobs.get(ref)
         if job is not None:
             return Known.CANCELLED if job.cancelled and not job.failure_reason else Known.OPEN
-        if ref in self.held_up:
+        if ref in self.blocked_jobs:
             return Known.OPEN
-        return Known.CANCELLED if ref in self.told_cancelled else Known.UNKNOWN
+        return Known.CANCELLED if ref in self.confirmed_cancellations else Known.UNKNOWN
 
-    def add_waiting(self, job: Job) -> None:
+    def add_blocked(self, job: Job) -> None:
         """An accepted job that names others, no task of which was ever claimed."""
-        if job.ref in self.jobs or job.ref in self.held_up or job.ref in self.to_call_off:
+        if job.job_id in self.jobs or job.job_id in self.blocked_jobs or job.job_id in self.jobs_to_cancel:
             return
-        self.versions[waits_key(job.ref)] = job.version
-        self.pipelines.seen(job.ref)
-        self.counted(job)
-        state = self.pipelines.add(job.ref, job.needs, self.known_of)
-        if job.ref in self.told_cancelled:
-            self.held_up[job.ref] = job
-            self.cancel_waiting(job.ref, 0)
+        self.versions[waits_key(job.job_id)] = job.version
+        self.dependency_graph.seen(job.job_id)
+        self.on_accepted(job)
+        state = self.dependency_graph.add(job.job_id, job.dependencies, self.dependency_state)
+        if job.job_id in self.confirmed_cancellations:
+            self.blocked_jobs[job.job_id] = job
+            self.cancel_blocked(job.job_id, 0)
         elif state is Known.OPEN:
-            self.held_up[job.ref] = job
-            log.info("job %s waits for %s", job.ref, named(self.pipelines.waits(job.ref)))
+            self.blocked_jobs[job.job_id] = job
+            log.info("job %s waits for %s", job.job_id, named(self.dependency_graph.waits(job.job_id)))
         elif state is Known.CANCELLED:
-            self._call_off_waiting(job)
+            self._cancel_blocked(job)
         else:
             self._release(job)
 
     def _release(self, job: Job) -> None:
-        log.info("job %s is released", job.ref)
-        self.carried.pop(job.ref, None)
-        self.jobs[job.ref] = job
-        self.join(job)
+        log.info("job %s is released", job.job_id)
+        self.inherited_urgency.pop(job.job_id, None)
+        self.jobs[job.job_id] = job
+        self.admit(job)
         self.on_released(job)
 
-    def job_done(self, ref: str, at: int) -> None:
+    def on_completion_recorded(self, ref: str, at: int) -> None:
         """That it is done is recorded, since then (time of day)."""
-        after, released = self.pipelines.done(ref)
+        after, released = self.dependency_graph.done(ref)
         for name in after:
-            job = self.held_up[name]
-            job.from_at = max(job.from_at, at)
+            job = self.blocked_jobs[name]
+            job.eligible_at = max(job.eligible_at, at)
         for name in released:
-            self._release(self.held_up.pop(name))
+            self._release(self.blocked_jobs.pop(name))
 
     # --- cancellation -------------------------------------------------------------------------
 
-    def cancel_after(self, ref: str) -> None:
+    def cancel_dependents(self, ref: str) -> None:
         """It was cancelled, and with it all that need it."""
-        for name in self.pipelines.cancelled(ref):
-            job = self.held_up.pop(name)
+        for name in self.dependency_graph.cancelled(ref):
+            job = self.blocked_jobs.pop(name)
             log.info("job %s is cancelled with %s", name, ref)
-            self._call_off_waiting(job)
+            self._cancel_blocked(job)
 
-    def _call_off_waiting(self, job: Job) -> None:
+    def _cancel_blocked(self, job: Job) -> None:
         job.cancelled = True
-        self.carried.pop(job.ref, None)
-        self.to_call_off[job.ref] = job
+        self.inherited_urgency.pop(job.job_id, None)
+        self.jobs_to_cancel[job.job_id] = job
 
-    def cancel_waiting(self, ref: str, mark_version: int) -> None:
+    def cancel_blocked(self, ref: str, mark_version: int) -> None:
         """Its own user cancelled it: that is recorded already, and what is left of it goes.
 
         Without the version of its mark (0) that is only told, and may as well follow from a needed job: it is recorded
         like a job whose needed one was cancelled, on the condition that it isn't recorded yet.
         """
-        job = self.held_up.pop(ref, None) or self.to_call_off.pop(ref, None)
+        job = self.blocked_jobs.pop(ref, None) or self.jobs_to_cancel.pop(ref, None)
         if job is None:
             return
         if not mark_version:
-            self.pipelines.leave(ref)
-            self._call_off_waiting(job)
+            self.dependency_graph.leave(ref)
+            self._cancel_blocked(job)
             return
         job.cancelled = True
-        self.carried.pop(ref, None)
+        self.inherited_urgency.pop(ref, None)
         self.versions[cancel_key(ref)] = mark_version
-        self.to_clean[job] = None
+        self.jobs_to_delete[job] = None
 
     def remember_cancelled(self, ref: str, told_after: int) -> None:
         """Its user was told so, and nothing is known of it here: accepted while the records could not be read, or over.
 
         Should it be heard of, nothing of it starts. Bounded: what is forgotten fails by the condition of its claim.
         """
-        self.told_cancelled.setdefault(ref, told_after)  # told again it was told no later
-        if len(self.told_cancelled) > REMEMBERED_MOST:
-            del self.told_cancelled[next(iter(self.told_cancelled))]
+        self.confirmed_cancellations.setdefault(ref, told_after)  # told again it was told no later
+        if len(self.confirmed_cancellations) > REMEMBERED_MOST:
+            del self.confirmed_cancellations[next(iter(self.confirmed_cancellations))]
 
     # --- urgency ------------------------------------------------------------------------------
 
     def _urgency(self, ref: str) -> tuple[Urgency, int]:
         """A waiting job's urgency, and the time that it takes: what `Pipelines.wanted` asks."""
-        job = self.held_up[ref]
-        asked = self.carried.get(ref)
-        dues = tuple(self.own_dues(job))
+        job = self.blocked_jobs[ref]
+        asked = self.inherited_urgency.get(ref)
+        dues = tuple(self.own_deadlines(job))
         rank = stage_rank(job)
         if asked is not None:
             rank = min(rank, asked.rank)
             dues = earliest(dues, asked.dues)
-        return Urgency(rank, dues), self.predictor.run_time(ref, job.spec) + self.fetch_us(job) + STEP
+        return Urgency(rank, dues), self.predictor.run_time(ref, job.spec) + self.image_fetch_us(job) + STEP
 
-    def settle_urgency(self) -> None:
+    def propagate_urgency(self) -> None:
         """Carry deadlines and priorities back, where jobs came or went. Each job once, however many need it."""
-        stale = self.pipelines.stale
+        stale = self.dependency_graph.stale
         while stale:
             ref = next(iter(stale))
             del stale[ref]
-            job = self.held_up.get(ref) or self.jobs.get(ref)
+            job = self.blocked_jobs.get(ref) or self.jobs.get(ref)
             if job is None:
                 continue
-            asked = self.pipelines.wanted(ref, self._urgency)
-            if ref in self.held_up:
-                if asked != self.carried.get(ref):
+            asked = self.dependency_graph.wanted(ref, self._urgency)
+            if ref in self.blocked_jobs:
+                if asked != self.inherited_urgency.get(ref):
                     if asked is None:
-                        del self.carried[ref]
+                        del self.inherited_urgency[ref]
                     else:
-                        self.carried[ref] = asked
-                    stale.update(dict.fromkeys(self.pipelines.waits(ref)))
+                        self.inherited_urgency[ref] = asked
+                    stale.update(dict.fromkeys(self.dependency_graph.waits(ref)))
                 continue
             own = stage_rank(job)
-            rank = own if asked is None or job.kind is Kind.SERVICE else min(own, asked.rank)
+            rank = own if asked is None or job.kind is JobKind.SERVICE else min(own, asked.rank)
             self.set_urgency(job, rank, list(asked.dues) if asked is not None else [])
 
-    def why_waiting(self, ref: str) -> str:
+    def explain_blocked(self, ref: str) -> str:
         """What a waiting job waits for, in words; empty if it doesn't wait for others."""
-        lost = [need for need in self.pipelines.waits(ref) if need in self.jobs and self.jobs[need].failure_reason]
-        text = f"waits for {named(self.pipelines.waits(ref))}" if ref in self.held_up else ""
+        lost = [
+            need for need in self.dependency_graph.waits(ref) if need in self.jobs and self.jobs[need].failure_reason
+        ]
+        text = f"waits for {named(self.dependency_graph.waits(ref))}" if ref in self.blocked_jobs else ""
         return text + (f"; lost, so that it waits until it is cancelled: {named(lost)}" if lost else "")
 
 
@@ -190,7 +192,7 @@
     stage of the lowest priority then waited 100 to 200 s behind everything else.
     """
     own = PRIORITIES[job.spec.priority]
-    return min(own, NORMAL_RANK) if job.needs else own
+    return min(own, NORMAL_RANK) if job.dependencies else own
 
 
 def named(refs: list[str]) -> str:
--- a/oatport/control/queueing/pending_queue.py
+++ b/oatport/control/queueing/pending_queue.py
@@ -15,7 +15,7 @@
 from collections import Counter
 from collections.abc import Iterator
 
-from oatport.control.state.model import Job, Kind
+from oatport.control.state.job import Job, JobKind
 from oatport.times import SECOND
 
 NO_DEADLINE = 600 * SECOND  # by when a job without a deadline is taken to be wanted
@@ -27,32 +27,41 @@
 def order_key(job: Job) -> OrderKey:
     """By priority, then who waits too long, then a team's guarantee, then by how soon the deadline presses; last what
     meets none any more."""
-    due = job.due or job.deadline or job.from_at + NO_DEADLINE
-    return job.rank, job.suspect, not job.pressing, 0 if job.guaranteed else 1, job.late, due, job.from_at, job.ref
+    due = job.deadline_at or job.deadline or job.eligible_at + NO_DEADLINE
+    return (
+        job.priority_rank,
+        job.suspected_faulty,
+        not job.starving,
+        0 if job.within_guarantee else 1,
+        job.deadline_missed,
+        due,
+        job.eligible_at,
+        job.job_id,
+    )
 
 
 def plain(job: Job) -> bool:
     """Any machine with room does, whatever the job's other tasks are on."""
     spec = job.spec
-    return job.kind is Kind.ARRAY and not (spec.spread or spec.one_zone or job.suspect)
+    return job.kind is JobKind.ARRAY and not (spec.spread or spec.one_zone or job.suspected_faulty)
 
 
 def shape(job: Job) -> tuple[object, ...]:
     """Plain jobs of one shape find room on the same machines, and are of one team."""
     spec = job.spec
     return (
-        job.rank,
-        job.pressing,
+        job.priority_rank,
+        job.starving,
         job.tier,
         spec.spot,
         spec.zone,
         tuple(spec.types) if spec.types else None,
         spec.team,
-        job.guaranteed,
+        job.within_guarantee,
         spec.cpus,
         spec.gpus,
         spec.memory_gb,
-        job.run_step,
+        job.runtime_bucket,
     )
 
 
@@ -69,7 +78,7 @@
 
     @property
     def stands(self) -> bool:
-        return self.job.place is self
+        return self.job.queue_entry is self
 
 
 class Line:
@@ -111,7 +120,7 @@
         super().discard(job)
         self.version += 1
         self.unrouted.pop(job, None)
-        job.place = None
+        job.queue_entry = None
         self.cpus[job.spec.cpus] -= 1
         if not self.cpus[job.spec.cpus]:
             del self.cpus[job.spec.cpus]
@@ -145,7 +154,7 @@
         line = self._lines.get(key)
         if line is None:
             line = self._lines[key] = Line(key is not None)
-        row = job.place = Row(job)
+        row = job.queue_entry = Row(job)
         return line, row
 
     def _settle(self) -> None:
--- a/oatport/control/queueing/queue_estimator.py
+++ b/oatport/control/queueing/queue_estimator.py
@@ -10,7 +10,7 @@
 from oatport.control.queueing.tier_router import OWNED, SPOT
 from oatport.control.scaling.scale_in import CapacityPlanner
 from oatport.control.state.cluster_state import ClusterState
-from oatport.control.state.model import IDLE_RANK, Job, Kind
+from oatport.control.state.job import IDLE_RANK, Job, JobKind
 from oatport.control.storage.write_buffer import live_key
 from oatport.times import MS, SECOND, micros
 
@@ -50,21 +50,21 @@
             or machine.releasing
             or machine.reclaimed_at
             or machine.command_unreachable
-            or machine.zone in cluster.dark
+            or machine.zone in cluster.partitioned_zones
         ):
             continue
-        cpus, left, idle = machine.type.cpus - machine.steady_cpus, 0.0, 0.0
-        if not machine.up_at:
+        cpus, left, idle = machine.type.cpus - machine.service_cpus, 0.0, 0.0
+        if not machine.ready_at:
             # One that boots is room from then on: without it, a wave of work would rent on-demand what
             # the spot machines rented a moment ago are about to do.
             boot = machine.rented_at + round(micros(machine.type.boot_s) * 1.2) - now
             if boot < -micros(machine.type.boot_s):
                 continue  # long overdue
             left = max(boot, 0) * cpus
-        for task in machine.work:
+        for task in machine.finite_tasks:
             ran = now - task.running_since if task.running_since else 0
-            work = max(predictor.run_time(task.job.ref, task.job.spec) - ran, 0) * task.job.spec.cpus
-            if task.job.rank == IDLE_RANK:
+            work = max(predictor.run_time(task.job.job_id, task.job.spec) - ran, 0) * task.job.spec.cpus
+            if task.job.priority_rank == IDLE_RANK:
                 idle += work
             else:
                 left += work
@@ -85,11 +85,11 @@
 def dues(cluster: ClusterState, job: Job) -> list[int]:
     """Times of day by which its end is looked for: its deadline, multiples of it, its class's aims at the end, and
     what is left for it by jobs that need it."""
-    if job.dues is None:
-        times = cluster.own_dues(job)
-        times += [job.from_at + within for within in cluster.finish_aims.get(job.spec.job_class, ())]
-        job.dues = sorted(times + job.carried)
-    return job.dues
+    if job.deadlines is None:
+        times = cluster.own_deadlines(job)
+        times += [job.eligible_at + within for within in cluster.completion_objectives.get(job.spec.job_class, ())]
+        job.deadlines = sorted(times + job.inherited_deadlines)
+    return job.deadlines
 
 
 def _set_target(cluster: ClusterState, job: Job, times: list[int], run: int, wall: int) -> None:
@@ -97,11 +97,11 @@
 
     One without a deadline whose class should start by a certain time is due when it would end then.
     """
-    start = cluster.start_aims.get(job.spec.job_class)
-    usual = job.from_at + (NO_DEADLINE if start is None else min(start + run, NO_DEADLINE))
-    job.due, job.late = times[0] if times else usual, job.suspect
-    if times and not job.suspect:
-        job.target = (
+    start = cluster.start_objectives.get(job.spec.job_class)
+    usual = job.eligible_at + (NO_DEADLINE if start is None else min(start + run, NO_DEADLINE))
+    job.deadline_at, job.deadline_missed = times[0] if times else usual, job.suspected_faulty
+    if times and not job.suspected_faulty:
+        job.attainable_deadline = (
             times[0]
             if times[0] >= wall + run
             else next((due for due in times if due >= wall + run), wall + NO_DEADLINE)
@@ -117,21 +117,21 @@
     """
     queues: dict[tuple[int, tuple[str, ...]], list[tuple[Job, list[int]]]] = {}
     bound = cluster.tuning.us("begin_within_s") // 2
-    for job in cluster.waiting:
+    for job in cluster.pending:
         times = dues(cluster, job)
         # The rule above passes the largest over for as long as a rush lasts: at half of the bound that ends.
-        job.pressing = not (job.began or job.on_machines or job.suspect) and wall - job.from_at > bound
-        job.run = cluster.predictor.run_time(job.ref, job.spec)
-        _set_target(cluster, job, times, job.run, wall)
-        if times and not job.suspect:
-            queues.setdefault((job.rank, cluster.suited_names(job)), []).append((job, times))
+        job.starving = not (job.started or job.on_machines or job.suspected_faulty) and wall - job.eligible_at > bound
+        job.predicted_runtime = cluster.predictor.run_time(job.job_id, job.spec)
+        _set_target(cluster, job, times, job.predicted_runtime, wall)
+        if times and not job.suspected_faulty:
+            queues.setdefault((job.priority_rank, cluster.preferred_type_names(job)), []).append((job, times))
     for (_, suited), jobs in queues.items():
         pool = _pool(by_type, suited)
         left = jobs if pool.total > 0 else []
         while left:
             left = [(job, times[1:]) for job, times in _take_by_deadline(pool, left, wall)]
             for job, times in left:
-                job.late = not times
+                job.deadline_missed = not times
             left = [(job, times) for job, times in left if times]
 
 
@@ -139,15 +139,15 @@
     """Take jobs into the pool's work by the first of their deadlines; those that can't meet it."""
     missed: list[tuple[Job, list[int]]] = []
     taken: list[tuple[float, str, Job, list[int]]] = []
-    for job, times in sorted(jobs, key=lambda item: (item[1][0], item[0].ref)):
-        job.due, run = times[0], job.run
-        if wall + run > job.due:
+    for job, times in sorted(jobs, key=lambda item: (item[1][0], item[0].job_id)):
+        job.deadline_at, run = times[0], job.predicted_runtime
+        if wall + run > job.deadline_at:
             missed.append((job, times))
             continue
         work = run * job.spec.cpus * job.pending
         pool.left_total += work
-        heapq.heappush(taken, (-work, job.ref, job, times))
-        if wall + pool.left_total / pool.total + run > job.due:
+        heapq.heappush(taken, (-work, job.job_id, job, times))
+        if wall + pool.left_total / pool.total + run > job.deadline_at:
             minus, _, largest, its_times = heapq.heappop(taken)
             pool.left_total += minus
             missed.append((largest, its_times))
@@ -167,9 +167,9 @@
         """The predicted time until its last task starts: over all machines, and over owned; None: none is owned."""
         pool = self.pool
         # A gang's tasks run all at once: owned room too small for that is none.
-        least = job.spec.cpus * job.pending if job.kind is Kind.GANG else 1.0
+        least = job.spec.cpus * job.pending if job.kind is JobKind.GANG else 1.0
         return (
-            round((total + (pool.idle if job.rank == IDLE_RANK else 0.0)) / pool.total)
+            round((total + (pool.idle if job.priority_rank == IDLE_RANK else 0.0)) / pool.total)
             if pool.total > 0
             else 600 * SECOND,
             round(owned / pool.owned) if pool.owned >= least else None,
@@ -186,18 +186,21 @@
         self._cluster = cluster
         self._by_type = by_type
         self._queues: dict[tuple[str, ...], _Queue] = {}
-        for job, tasks in cluster.coming:  # held work that is let go before long: else its release meets a full house
-            self._of(job).pool.left_total += cluster.predictor.run_time(job.ref, job.spec) * job.spec.cpus * tasks
+        for (
+            job,
+            tasks,
+        ) in cluster.upcoming_starts:  # held work that is let go before long: else its release meets a full house
+            self._of(job).pool.left_total += cluster.predictor.run_time(job.job_id, job.spec) * job.spec.cpus * tasks
 
     def _of(self, job: Job) -> _Queue:
-        suited = self._cluster.suited_names(job)
+        suited = self._cluster.preferred_type_names(job)
         queue = self._queues.get(suited)
         if queue is None:
             queue = self._queues[suited] = _Queue(_pool(self._by_type, suited))
         return queue
 
     def _work(self, job: Job) -> float:
-        return job.run * job.spec.cpus * (1 if job.suspect else job.pending)
+        return job.predicted_runtime * job.spec.cpus * (1 if job.suspected_faulty else job.pending)
 
     def append(self, job: Job) -> tuple[int, int | None]:
         """The wait of the next job in order."""
@@ -228,36 +231,36 @@
     counted"), and twelve teams would do so in turns.
     """
     taken: dict[str, tuple[float, float]] = {}
-    teams = {name: use for name, use in cluster.teams.items() if use.limits.cpus > 0}
+    teams = {name: use for name, use in cluster.quotas.items() if use.limits.cpus > 0}
     if not teams:
         return  # and none ever was
     with_one = [job for job in cluster.jobs.values() if job.spec.team in teams]
-    for job in sorted(with_one, key=lambda j: (j.from_at, j.ref)):
+    for job in sorted(with_one, key=lambda j: (j.eligible_at, j.job_id)):
         use = teams[job.spec.team]
-        if job.cancelled or job.finishing:
-            job.guaranteed = False
+        if job.cancelled or job.completing:
+            job.within_guarantee = False
             continue
-        spec, left = job.spec, job.spec.tasks - len(job.done)
+        spec, left = job.spec, job.spec.tasks - len(job.completed)
         cpus, gpus = taken.get(spec.team, (0.0, 0.0))
         cpus, gpus = cpus + spec.cpus * left, gpus + spec.gpus * left
         taken[spec.team] = (cpus, gpus)
-        job.guaranteed = cpus <= use.limits.cpus + 1e-9 and (spec.gpus <= 0 or gpus <= use.limits.gpus + 1e-9)
+        job.within_guarantee = cpus <= use.limits.cpus + 1e-9 and (spec.gpus <= 0 or gpus <= use.limits.gpus + 1e-9)
 
 
 def order(cluster: ClusterState, now: int) -> list[Job]:
     """The waiting jobs that may be placed now, in order (`control/queueing/pending_queue.py`)."""
-    return sorted((j for j in cluster.waiting if j.not_before <= now and not j.strays), key=order_key)
+    return sorted((j for j in cluster.pending if j.retry_at <= now and not j.orphaned_attempt_count), key=order_key)
 
 
 def _learn(cluster: ClusterState, now: int) -> None:
-    ages = [now - m.rented_at for m in cluster.machines.values() if m.spot and m.up_at]
+    ages = [now - m.rented_at for m in cluster.machines.values() if m.spot and m.ready_at]
     # Since when an earlier leader's tasks run is not known.
     running = [
         now - t.running_since
         for m in cluster.machines.values()
-        if m.zone not in cluster.dark
-        for t in m.work
-        if t.running_since and t.claimed_at and not t.job.suspect and t.job.rank < IDLE_RANK
+        if m.zone not in cluster.partitioned_zones
+        for t in m.finite_tasks
+        if t.running_since and t.binding_at and not t.job.suspected_faulty and t.job.priority_rank < IDLE_RANK
     ]
     cluster.router.learn(ages, running)
 
@@ -279,18 +282,18 @@
 
     def pace(self) -> int:
         """How long until all waiting work is routed again, if something has changed meanwhile."""
-        size = A_JOB * len(self._cluster.waiting) + sum(self._cluster.rank_tasks)
+        size = A_JOB * len(self._cluster.pending) + sum(self._cluster.tasks_by_priority)
         return min(ROUTE_MOST, max(ROUTE_EVERY, size * SECOND // LOOKED_AT))
 
     def step(self, now: int, wall: int) -> None:
         cluster = self._cluster
-        cluster.settle_urgency()
-        seen = (cluster.waiting.version, cluster.moves)
+        cluster.propagate_urgency()
+        seen = (cluster.pending.version, cluster.binding_changes)
         since = now - self._routed_at
         if since >= ROUTE_LATEST or (since >= self.pace() and seen != self._seen) or self._queues is None:
             self.route_all(now, wall)
             self._routed_at, self._seen = now, seen
-        elif cluster.waiting.unrouted:
+        elif cluster.pending.unrouted:
             self._route_new(now, wall)
 
     def route_all(self, now: int, wall: int) -> None:
@@ -307,31 +310,31 @@
         rentable = _Rentable(cluster, self._fleet, now)
         for job, wait in zip(waiting, waits, strict=True):
             self._route(job, wait, rentable, wall)
-        cluster.waiting.unrouted.clear()
-        cluster.waiting.rerank()
+        cluster.pending.unrouted.clear()
+        cluster.pending.rerank()
 
     def _route_new(self, now: int, wall: int) -> None:
         cluster = self._cluster
         assert self._queues is not None
         mark_guaranteed(cluster)
         rentable = _Rentable(cluster, self._fleet, now)
-        for job in list(cluster.waiting.unrouted):
-            job.run = cluster.predictor.run_time(job.ref, job.spec)
-            _set_target(cluster, job, dues(cluster, job), job.run, wall)
+        for job in list(cluster.pending.unrouted):
+            job.predicted_runtime = cluster.predictor.run_time(job.job_id, job.spec)
+            _set_target(cluster, job, dues(cluster, job), job.predicted_runtime, wall)
             self._route(job, self._queues.among(job), rentable, wall)
-            cluster.waiting.moved(job)
-        cluster.waiting.unrouted.clear()
+            cluster.pending.moved(job)
+        cluster.pending.unrouted.clear()
 
     def _route(self, job: Job, wait: tuple[int, int | None], rentable: _Rentable, wall: int) -> None:
         cluster = self._cluster
         over_all, over_owned = wait
-        job.run_step = job.run // RUN_STEP
+        job.runtime_bucket = job.predicted_runtime // RUN_STEP
         tier = cluster.router.route(job, wall, over_owned, rentable(job, True), rentable(job, False), over_all)
         if tier != job.tier:
             job.tier = tier
-            cluster.replan = True
-            if tier == OWNED or job.lost:
-                cluster.dirty.setdefault(live_key(job.ref), None)
+            cluster.planning_needed = True
+            if tier == OWNED or job.loss_count:
+                cluster.dirty_keys.setdefault(live_key(job.job_id), None)
 
 
 class _Rentable:
@@ -352,5 +355,5 @@
 
 def route_waiting(cluster: ClusterState, fleet: CapacityPlanner, now: int, wall: int) -> None:
     """Set the tier of every waiting job; a changed tier is recorded with its first chunk."""
-    cluster.settle_urgency()
+    cluster.propagate_urgency()
     QueueEstimator(cluster, fleet).route_all(now, wall)
--- a/oatport/control/queueing/tier_router.py
+++ b/oatport/control/queueing/tier_router.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from oatport.control.queueing.runtime_predictor import RuntimePredictor
-from oatport.control.state.model import IDLE_RANK, Job
+from oatport.control.state.job import IDLE_RANK, Job
 
 OWNED, SPOT, ON_DEMAND = "owned", "spot", "on-demand"
 
@@ -52,7 +52,7 @@
             return SPOT
         if tier == SPOT and not spot_open and on_demand_open:
             risks = self._risks(job, wall, spot_wait)
-            if risks or (risks is None and job.rank != IDLE_RANK):
+            if risks or (risks is None and job.priority_rank != IDLE_RANK):
                 return ON_DEMAND
         return tier
 
@@ -63,8 +63,8 @@
         once waited for minutes while nothing was rented for them.
         """
         start = self.start_aims.get(job.spec.job_class)
-        deadline = job.target or job.deadline
-        if start is not None and wall + wait > job.from_at + start:
+        deadline = job.attainable_deadline or job.deadline
+        if start is not None and wall + wait > job.eligible_at + start:
             return True
         if deadline is None:
             return None if start is None else False
@@ -72,19 +72,19 @@
 
     def _last_run(self, job: Job) -> int:
         """How long the last of its tasks may run: a job of many ends with its slowest."""
-        predicted = self.predictor.run_time(job.ref, job.spec)
+        predicted = self.predictor.run_time(job.job_id, job.spec)
         return round(predicted * self.tail_factor) if job.pending > 1 else predicted
 
     def _ordinary(self, job: Job, wall: int, queue_wait: int | None) -> str:
         """DESIGN's ordinary path."""
-        predicted = self.predictor.run_time(job.ref, job.spec)
-        deadline = job.target or job.deadline
+        predicted = self.predictor.run_time(job.job_id, job.spec)
+        deadline = job.attainable_deadline or job.deadline
         if predicted < self.threshold:
             # After a take-back: spot again only if the deadline leaves twice the predicted time.
-            if job.lost and deadline is not None and deadline - wall < self.slack_factor * predicted:
+            if job.loss_count and deadline is not None and deadline - wall < self.slack_factor * predicted:
                 return ON_DEMAND
             return SPOT
-        if job.rank == IDLE_RANK and not self._risks(job, wall, predicted):
+        if job.priority_rank == IDLE_RANK and not self._risks(job, wall, predicted):
             # Guests' long arrays waited for owned room for the whole day: nobody is late if they start again.
             return SPOT
         if queue_wait is None or self._risks(job, wall, queue_wait):
--- a/oatport/control/scaling/incoming_capacity.py
+++ b/oatport/control/scaling/incoming_capacity.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 
 from oatport import wire
-from oatport.control.state.model import room_for
+from oatport.control.state.capacity import task_slots
 
 Shape = tuple[float, float, float, bool, tuple[str, ...]]  # CPUs, GPUs, memory, may it use spot, types that suit
 
@@ -31,7 +31,7 @@
 
     def holds(self, spec: wire.Submission) -> int:
         """How many tasks of a job it has room for."""
-        return room_for(spec, self.cpus, self.gpus, self.memory)
+        return task_slots(spec, self.cpus, self.gpus, self.memory)
 
     def take(self, spec: wire.Submission, most: int) -> int:
         """Give room to up to `most` tasks; how many got it."""
--- a/oatport/control/scaling/scale_in.py
+++ b/oatport/control/scaling/scale_in.py
@@ -6,7 +6,10 @@
 
 from oatport.control.queueing.tier_router import SPOT
 from oatport.control.scaling.scale_out import ScaleOutPlanner, ScaleOutRequest
-from oatport.control.state.model import IDLE_RANK, Kind, Machine, Phase, Task, room_for, zone_cap
+from oatport.control.state.capacity import task_slots, zone_cap
+from oatport.control.state.job import IDLE_RANK, JobKind
+from oatport.control.state.machine import Machine
+from oatport.control.state.task import Task, TaskPhase
 from oatport.control.storage.recovery import cut_off
 from oatport.times import SECOND, micros
 
@@ -29,49 +32,49 @@
         surplus are needed again: what waits may have room on them.
         """
         cluster = self.cluster
-        before = [m for m in cluster.machines.values() if m.surplus]
-        spot_room = sum(m.free_cpus for m in cluster.usable_now if m.spot and m.type.gpus == 0)
+        before = [m for m in cluster.machines.values() if m.cordoned_for_scale_in]
+        spot_room = sum(m.free_cpus for m in cluster.usable_machines if m.spot and m.type.gpus == 0)
         steady_need = self._warm_cpus()
-        for job in cluster.waiting:
-            if job.spec.gpus > 0 or job.suspect:
+        for job in cluster.pending:
+            if job.spec.gpus > 0 or job.suspected_faulty:
                 continue  # it has machines of its own sort, or rather no use for any
-            cpus = min(job.pending, cluster.teams.room(job.spec), 50) * job.spec.cpus
+            cpus = min(job.pending, cluster.quotas.room(job.spec), 50) * job.spec.cpus
             if not job.spec.spot or job.tier != SPOT:
                 steady_need += cpus
-            elif job.rank != IDLE_RANK:
+            elif job.priority_rank != IDLE_RANK:
                 spot_room -= cpus  # what waits would have it first
         owned = [
             m
             for m in cluster.machines.values()
             if not m.spot
-            and m.up_at
+            and m.ready_at
             and not m.draining
             and not m.releasing
             and m.type.gpus == 0
-            and m.zone not in cluster.dark
+            and m.zone not in cluster.partitioned_zones
         ]
         room = 0.0
         loose: list[tuple[float, float, Machine]] = []
         for machine in owned:
             fixed = sum(t.job.spec.cpus for t in machine.tasks if not t.job.spec.spot or t.job.tier != SPOT)
             if fixed:
-                if not machine.emptying:
+                if not machine.draining_replicas:
                     room += machine.type.cpus - fixed
-                    machine.surplus = False
+                    machine.cordoned_for_scale_in = False
             else:
-                used = sum(t.job.spec.cpus for t in machine.tasks if t.job.rank != IDLE_RANK)
+                used = sum(t.job.spec.cpus for t in machine.tasks if t.job.priority_rank != IDLE_RANK)
                 loose.append((machine.price / machine.type.cpus, -used, machine))
         loose.sort(key=lambda item: item[:2])
         for _, minus_used, machine in loose:
             if room < steady_need:
                 room += machine.type.cpus
-                machine.surplus = False
-            elif spot_room >= max(-minus_used, 0.0) and (machine.tasks or machine.surplus):
+                machine.cordoned_for_scale_in = False
+            elif spot_room >= max(-minus_used, 0.0) and (machine.tasks or machine.cordoned_for_scale_in):
                 spot_room += minus_used
-                machine.surplus = True
+                machine.cordoned_for_scale_in = True
             else:
-                machine.surplus = False
-        return any(not machine.surplus and not machine.gone for machine in before)
+                machine.cordoned_for_scale_in = False
+        return any(not machine.cordoned_for_scale_in and not machine.removed for machine in before)
 
     # --- moving replicas together ---------------------------------------------------------------
 
@@ -83,12 +86,12 @@
         is missed by fetching stays a small share of the time that replicas were there.
         """
         cluster = self.cluster
-        owned = [m for m in cluster.usable_now if not m.spot and not m.gone]
-        if any(not job.suspect and (not job.spec.spot or job.tier != SPOT) for job in cluster.waiting):
+        owned = [m for m in cluster.usable_machines if not m.spot and not m.removed]
+        if any(not job.suspected_faulty and (not job.spec.spot or job.tier != SPOT) for job in cluster.pending):
             for machine in cluster.machines.values():
-                machine.emptying = False
+                machine.draining_replicas = False
             return []
-        emptying = [m for m in cluster.machines.values() if m.emptying and m.tasks and not m.releasing]
+        emptying = [m for m in cluster.machines.values() if m.draining_replicas and m.tasks and not m.releasing]
         chosen = emptying[0] if emptying else None
         if chosen is None:
             room = self._spare() - self._warm_cpus()
@@ -96,7 +99,7 @@
                 m for m in owned if m.tasks and m.type.cpus <= room and all(self._settled(t, now) for t in m.tasks)
             ]
             # The one that saves most for each replica that has to move.
-            movable.sort(key=lambda m: (m.steady_cpus / m.price, m.name))
+            movable.sort(key=lambda m: (m.service_cpus / m.price, m.name))
             for machine in movable[:MOVES_TRIED]:
                 missed = self._missed_by_moving(machine, owned)
                 if missed is not None and cluster.moved_us + missed <= cluster.replica_us * cluster.tuning.move_share:
@@ -105,16 +108,16 @@
                     break
         if chosen is None:
             return []
-        chosen.emptying = chosen.surplus = True
-        return [t for t in chosen.tasks if t.phase is Phase.PLACED and t.stopping is None][:MOVES_AT_ONCE]
+        chosen.draining_replicas = chosen.cordoned_for_scale_in = True
+        return [t for t in chosen.tasks if t.phase is TaskPhase.BOUND and t.stop_grace_s is None][:MOVES_AT_ONCE]
 
     @staticmethod
     def _settled(task: Task, now: int) -> bool:
         """A replica that has run for a while: one that is stopped early counts as never started (PROTOCOL)."""
         return (
-            task.job.kind is Kind.SERVICE
-            and task.phase is Phase.PLACED
-            and task.stopping is None
+            task.job.kind is JobKind.SERVICE
+            and task.phase is TaskPhase.BOUND
+            and task.stop_grace_s is None
             and task.running_since > 0
             and now - task.running_since > SETTLED
         )
@@ -122,7 +125,7 @@
     @staticmethod
     def _missed_by_moving(machine: Machine, owned: list[Machine]) -> int | None:
         """How long its replicas would be gone, all in all, while images are fetched; None if not all have room."""
-        free = {m.name: (m.free_cpus, m.free_gpus, m.free_memory) for m in owned}
+        free = {m.name: (m.free_cpus, m.free_gpus, m.free_memory_gb) for m in owned}
         moved: dict[tuple[str, str], int] = {}
         missed = 0
         for task in machine.tasks:
@@ -130,12 +133,12 @@
             best: tuple[int, Machine] | None = None
             for other in owned:
                 # Within its zone a move changes nothing about the spread.
-                there = job.zones.get(other.zone, 0) + moved.get((job.ref, other.zone), 0)
+                there = job.tasks_by_zone.get(other.zone, 0) + moved.get((job.job_id, other.zone), 0)
                 if (
                     other is machine
-                    or other.surplus
-                    or other.steady_cpus <= 0
-                    or room_for(spec, *free[other.name]) <= 0
+                    or other.cordoned_for_scale_in
+                    or other.service_cpus <= 0
+                    or task_slots(spec, *free[other.name]) <= 0
                     or (spec.spread and other.zone != machine.zone and there >= zone_cap(spec))
                     or (spec.zone is not None and other.zone != spec.zone)
                     or (spec.one_zone and other.zone != machine.zone)
@@ -155,7 +158,7 @@
             cpus, gpus, memory = free[best[1].name]
             free[best[1].name] = (cpus - spec.cpus, gpus - spec.gpus, memory - spec.memory_gb)
             if best[1].zone != machine.zone:
-                key = (job.ref, best[1].zone)
+                key = (job.job_id, best[1].zone)
                 moved[key] = moved.get(key, 0) + 1
         return missed
 
@@ -173,17 +176,23 @@
             if machine.command_unreachable and unheard and not machine.releasing:
                 continue  # it is rather this node that reaches none: others would be just as deaf to it
             if machine.releasing:
-                if not cluster.witnesses(machine):
+                if not cluster.holds_unwritten_completions(machine):
                     chosen.append(machine)  # asked before without an answer
                 continue
-            if machine.tasks or machine.strays:
+            if machine.tasks or machine.orphaned_attempts:
                 continue
-            if not machine.up_at:
+            if not machine.ready_at:
                 # In a zone that is cut off it may be up and unheard: charged all the same.
-                patience = micros(machine.type.boot_s * (2 if machine.zone in cluster.dark else tuning.boot_patience))
-                if now - machine.rented_at < patience or (machine.was_up and not machine.listed):
+                patience = micros(
+                    machine.type.boot_s * (2 if machine.zone in cluster.partitioned_zones else tuning.boot_patience)
+                )
+                if now - machine.rented_at < patience or (machine.was_ready and not machine.listed_by_cloud):
                     continue
-            elif machine.draining or machine.emptying or (machine.slow_count >= 3 and machine.slow > 2.5):
+            elif (
+                machine.draining
+                or machine.draining_replicas
+                or (machine.slowdown_samples >= 3 and machine.slowdown > 2.5)
+            ):
                 pass
             elif machine.idle_since and now - self._idle_from(machine) > cluster.idle_time(machine):
                 if not machine.spot and not machine.reclaimed_at and machine.type.gpus == 0:
@@ -194,7 +203,7 @@
                 continue
             # Asked only now: it has the ends that it finds written at once, and if it did so for all machines, none
             # would wait for others of their record any more.
-            if cluster.witnesses(machine):
+            if cluster.holds_unwritten_completions(machine):
                 continue
             machine.releasing = True
             chosen.append(machine)
@@ -207,11 +216,11 @@
 
     def _spare(self) -> float:
         """Free owned room that services can use."""
-        return sum(m.free_cpus for m in self.cluster.usable_now if not m.spot and m.type.gpus == 0)
+        return sum(m.free_cpus for m in self.cluster.usable_machines if not m.spot and m.type.gpus == 0)
 
     def _warm_cpus(self) -> float:
         """Owned room kept for services to come, so that they start at once."""
-        used = sum(j.spec.cpus * j.on_machines for j in self.cluster.jobs.values() if j.kind is Kind.SERVICE)
+        used = sum(j.spec.cpus * j.on_machines for j in self.cluster.jobs.values() if j.kind is JobKind.SERVICE)
         return self.cluster.tuning.warm_share * used
 
 
--- a/oatport/control/scaling/scale_out.py
+++ b/oatport/control/scaling/scale_out.py
@@ -8,8 +8,10 @@
 from oatport import wire
 from oatport.control.queueing.tier_router import OWNED, SPOT
 from oatport.control.scaling.incoming_capacity import CapacitySlot, IncomingCapacity
+from oatport.control.state.capacity import task_slots_when_empty, zone_cap
 from oatport.control.state.cluster_state import ClusterState
-from oatport.control.state.model import IDLE_RANK, Job, Kind, Machine, fit_count, zone_cap
+from oatport.control.state.job import IDLE_RANK, Job, JobKind
+from oatport.control.state.machine import Machine
 from oatport.times import MS, SECOND, micros
 
 BATCH_MOST = 50  # machines in one rental (PROTOCOL, POST /hosts)
@@ -62,7 +64,7 @@
         return any(
             now - self.granted.get((machine.type.name, zone, machine.spot), -GRANTED_FOR) < GRANTED_FOR
             for zone in machine.type.zones
-            if zone not in self.cluster.dark
+            if zone not in self.cluster.partitioned_zones
         )
 
     def _asked(self, type_name: str, zone: str, spot: bool) -> bool:
@@ -72,7 +74,7 @@
         """Some machine for this job is still to be had of this kind, as far as is known."""
         return any(
             self.refused.get((kind.name, zone, spot), 0) <= now
-            for kind in self.cluster.allowed(job)
+            for kind in self.cluster.feasible_types(job)
             for zone in kind.zones
             if job.spec.zone in (None, zone)
         )
@@ -81,7 +83,7 @@
 
     def pace(self) -> int:
         """How long until rentals are reckoned again, if something has changed meanwhile."""
-        return min(RENT_LATEST // 2, max(RENT_EVERY, RENT_EVERY * len(self.cluster.waiting) // RENT_AT_ONCE))
+        return min(RENT_LATEST // 2, max(RENT_EVERY, RENT_EVERY * len(self.cluster.pending) // RENT_AT_ONCE))
 
     def due(self, now: int) -> bool:
         """Is it time to reckon rentals?"""
@@ -91,7 +93,7 @@
     def _sight(self, now: int) -> tuple[object, ...]:
         cluster = self.cluster
         closed = sum(until > now for until in self.refused.values())
-        return cluster.waiting.version, cluster.moves, len(cluster.machines), len(self.under_way), closed
+        return cluster.pending.version, cluster.binding_changes, len(cluster.machines), len(self.under_way), closed
 
     def wanted(self, now: int) -> list[ScaleOutRequest]:
         """Rentals that fit the waiting tasks of each tier, beyond what is coming already."""
@@ -102,17 +104,19 @@
         self._sorts = Counter((m.type.name, m.zone, m.spot) for m in cluster.machines.values())
         self._found.clear()
         # Machines with GPUs are kept for those who need them, so a gang that waits may own a part of its room.
-        self._free_rooms = [self._gpu_room(m) for m in cluster.usable_now if m.free_gpus > 0 and not m.gone]
+        self._free_rooms = [self._gpu_room(m) for m in cluster.usable_machines if m.free_gpus > 0 and not m.removed]
         planned: dict[tuple[str, str, bool], int] = {}
-        for job in sorted(cluster.waiting, key=lambda j: (j.rank, not j.pressing, j.deadline or j.from_at)):
+        for job in sorted(
+            cluster.pending, key=lambda j: (j.priority_rank, not j.starving, j.deadline or j.eligible_at)
+        ):
             if sum(planned.values()) >= PLANNED_MOST:
                 break
-            if job.tier == OWNED or job.not_before > now or not job.tier or job.suspect:
+            if job.tier == OWNED or job.retry_at > now or not job.tier or job.suspected_faulty:
                 continue
             self._cover(job, coming, freeing, planned, now)
         rentals = []
         for (type_name, zone, spot), count in planned.items():
-            if zone in cluster.dark:
+            if zone in cluster.partitioned_zones:
                 count = 1  # it finds out when the zone can be reached again
             while count > 0:
                 rentals.append(ScaleOutRequest(type_name, zone, spot, min(count, BATCH_MOST)))
@@ -123,10 +127,10 @@
         cluster = self.cluster
         rooms = IncomingCapacity()
         for machine in cluster.machines.values():
-            if machine.zone not in cluster.dark and machine.coming(now, cluster.token):
+            if machine.zone not in cluster.partitioned_zones and machine.coming(now, cluster.token):
                 rooms.add(CapacitySlot.of(machine.type, machine.zone, machine.spot))
         for rental in self.under_way:
-            if rental.zone in cluster.dark:
+            if rental.zone in cluster.partitioned_zones:
                 continue
             for _ in range(rental.count):
                 rooms.add(CapacitySlot.of(cluster.types[rental.type], rental.zone, rental.spot))
@@ -135,14 +139,14 @@
     @staticmethod
     def _gpu_room(machine: Machine) -> CapacitySlot:
         """What a machine has for work that needs its GPUs: array tasks that need none are stopped for it."""
-        fillers = [t.job.spec for t in machine.tasks if t.job.spec.gpus == 0 and t.job.kind is Kind.ARRAY]
+        fillers = [t.job.spec for t in machine.tasks if t.job.spec.gpus == 0 and t.job.kind is JobKind.ARRAY]
         return CapacitySlot(
             machine.type,
             machine.zone,
             machine.spot,
             machine.free_cpus + sum(s.cpus for s in fillers),
             machine.free_gpus,
-            machine.free_memory + sum(s.memory_gb for s in fillers),
+            machine.free_memory_gb + sum(s.memory_gb for s in fillers),
         )
 
     def _freeing(self, now: int) -> list[float]:
@@ -150,16 +154,16 @@
         cluster = self.cluster
         boot = min((micros(t.boot_s) for t in cluster.types.values()), default=30 * SECOND)
         cpus = given_way = 0.0
-        for machine in cluster.usable_now:
+        for machine in cluster.usable_machines:
             given_way += machine.cpus_by_priority[IDLE_RANK]
-            for task in machine.work:
+            for task in machine.finite_tasks:
                 job = task.job
-                if job.rank == IDLE_RANK:
+                if job.priority_rank == IDLE_RANK:
                     given_way -= job.spec.cpus if job.spec.gpus else 0.0
                     continue
                 if not task.running_since or job.spec.gpus:
                     continue
-                left = cluster.predictor.run_time(job.ref, job.spec) - (now - task.running_since)
+                left = cluster.predictor.run_time(job.job_id, job.spec) - (now - task.running_since)
                 if left < boot:
                     cpus += job.spec.cpus
         return [cpus, given_way]
@@ -173,26 +177,26 @@
         now: int,
     ) -> None:
         cluster, spec = self.cluster, job.spec
-        left = min(job.pending, cluster.teams.room(spec))
-        if job.kind is Kind.GANG:
+        left = min(job.pending, cluster.quotas.room(spec))
+        if job.kind is JobKind.GANG:
             if left == job.pending and not job.on_machines:
                 self._cover_gang(job, coming, planned, now)
             return
         spot = job.tier == SPOT
-        if job.kind is Kind.ARRAY and not spec.gpus:
+        if job.kind is JobKind.ARRAY and not spec.gpus:
             absorbed = min(left, int(freeing[0] // spec.cpus))
             freeing[0] -= absorbed * spec.cpus
             left -= absorbed
-            if job.rank < IDLE_RANK and spot:
+            if job.priority_rank < IDLE_RANK and spot:
                 absorbed = min(left, int(freeing[1] // spec.cpus))
                 freeing[1] -= absorbed * spec.cpus
                 left -= absorbed
         if left <= 0:
             return
-        zones = dict(job.zones)
+        zones = dict(job.tasks_by_zone)
         cap = zone_cap(spec)
         only_zone = next(iter(zones)) if spec.one_zone and zones else spec.zone
-        suited = cluster.suited_names(job)
+        suited = cluster.preferred_type_names(job)
         while left > 0:
             open_zones = [only_zone] if only_zone else coming.zones()
             if spec.spread:
@@ -205,7 +209,7 @@
             zones[room.zone] = zones.get(room.zone, 0) + got
             if spec.one_zone:
                 only_zone = room.zone
-        most_held = max((fit_count(kind, spec) for kind in cluster.allowed(job)), default=0)
+        most_held = max((task_slots_when_empty(kind, spec) for kind in cluster.feasible_types(job)), default=0)
         sought = (
             spec.cpus,
             spec.gpus,
@@ -214,9 +218,9 @@
             tuple(spec.types) if spec.types else None,
             spot,
             job.kind,
-            job.run_step,
+            job.runtime_bucket,
         )
-        bound = spec.spread or spec.one_zone or job.kind is Kind.SERVICE
+        bound = spec.spread or spec.one_zone or job.kind is JobKind.SERVICE
         while left > 0:
             # Many jobs look for the same: neither refusals nor what there is of each sort change within a pass.
             key = (sought, min(left, most_held))
@@ -244,7 +248,7 @@
     ) -> None:
         """Machines for a whole gang, in the zone that lacks the fewest; none where it can't be whole."""
         spec, spot = job.spec, job.tier == SPOT
-        zones = sorted({zone for kind in self.cluster.allowed(job) for zone in kind.zones})
+        zones = sorted({zone for kind in self.cluster.feasible_types(job) for zone in kind.zones})
         if spec.zone is not None:
             zones = [spec.zone]
         best: tuple[int, list[CapacitySlot], list[tuple[CapacitySlot, int]]] | None = None
@@ -252,7 +256,7 @@
             left, per_zone = job.pending, dict[str, int]()
             used: list[tuple[CapacitySlot, int]] = []
             new: list[CapacitySlot] = []
-            free = [room for room in self._free_rooms if not room.spot or self.cluster.takes_free_spot(job)]
+            free = [room for room in self._free_rooms if not room.spot or self.cluster.may_use_free_spot(job)]
             for room in [*free, *(room for room in coming if spot or not room.spot)]:
                 if only_zone and room.zone != only_zone:
                     continue
@@ -269,7 +273,7 @@
                 if option is None:
                     break
                 room = CapacitySlot.of(*option, spot)
-                got = min(fit_count(room.type, spec), left, zone_cap(spec) - per_zone.get(room.zone, 0))
+                got = min(task_slots_when_empty(room.type, spec), left, zone_cap(spec) - per_zone.get(room.zone, 0))
                 if got <= 0:
                     break
                 new.append(room)
@@ -290,7 +294,7 @@
 
     def _closed(self, zone: str, now: int) -> bool:
         """A zone that nothing is heard from: after a while one machine at a time is rented there, to find out."""
-        since = self.cluster.dark.get(zone)
+        since = self.cluster.partitioned_zones.get(zone)
         if since is None:
             return False
         return (
@@ -304,14 +308,14 @@
     ) -> tuple[wire.MachineType, str] | None:
         """The type and zone whose room costs least for this many tasks, boot time included."""
         spec = job.spec
-        predicted = max(self.cluster.predictor.run_time(job.ref, spec), 10 * SECOND)
+        predicted = max(self.cluster.predictor.run_time(job.job_id, spec), 10 * SECOND)
         best: tuple[wire.MachineType, str] | None = None
         best_key: tuple[float, float] | None = None
         costs: dict[str, float] = {}
-        for kind in self.cluster.allowed(job):
-            count = min(fit_count(kind, spec), left)
+        for kind in self.cluster.feasible_types(job):
+            count = min(task_slots_when_empty(kind, spec), left)
             # What the machine could hold counts for a part: later work fills the rest.
-            useful = count + 0.7 * (fit_count(kind, spec) - count)
+            useful = count + 0.7 * (task_slots_when_empty(kind, spec) - count)
             price = kind.spot_price if spot else kind.price
             cost = costs[kind.name] = price * (predicted + micros(kind.boot_s)) / predicted / useful
             for zone in kind.zones:
@@ -323,7 +327,7 @@
                     continue
                 # A wave confined to one zone should not take all machines of a sort.
                 sort = (kind.name, zone, spot)
-                key = (cost, zones.get(zone, 0) if job.kind is Kind.SERVICE else self._sorts[sort])
+                key = (cost, zones.get(zone, 0) if job.kind is JobKind.SERVICE else self._sorts[sort])
                 if best_key is None or key < best_key:
                     best, best_key = (kind, zone), key
         if best is not None and costs[best[0].name] > DEAR * min(costs.values()):
--- a/oatport/control/state/cluster_state.py
+++ b/oatport/control/state/cluster_state.py
@@ -12,8 +12,11 @@
 from oatport import wire
 from oatport.control.placement import failure_attribution
 from oatport.control.placement.retry_policy import REFUSED
-from oatport.control.state.model import Job, Kind, Machine, Phase, Task, split_task
+from oatport.control.state.identifiers import split_task
+from oatport.control.state.job import Job, JobKind
+from oatport.control.state.machine import Machine
 from oatport.control.state.orphaned_attempts import OrphanedAttempts
+from oatport.control.state.task import Task, TaskPhase
 from oatport.control.state.utilization import FleetUtilization, account
 from oatport.control.storage.write_buffer import DARK_KEY, live_key
 from oatport.times import MS, SECOND, micros
@@ -25,7 +28,7 @@
 
 
 class ClusterState(OrphanedAttempts):
-    tally = FleetUtilization()
+    utilization = FleetUtilization()
 
     # --- machines ---------------------------------------------------------------------------
 
@@ -42,23 +45,25 @@
 
     def find_usable(self, now: int) -> list[Machine]:
         """The machines that tasks may be placed on now."""
-        self.usable_now = [
-            m for m in self.machines.values() if m.usable(self.token, now, self.fresh_us) and m.zone not in self.dark
+        self.usable_machines = [
+            m
+            for m in self.machines.values()
+            if m.usable(self.token, now, self.heartbeat_fresh_us) and m.zone not in self.partitioned_zones
         ]
-        return self.usable_now
+        return self.usable_machines
 
-    def fills(self, job: Job, machine: Machine, now: int) -> bool:
+    def may_backfill(self, job: Job, machine: Machine, now: int) -> bool:
         """May an array task without need of GPUs use a machine that has them?
 
         Beside work that needs them, or while the machine is kept for such work anyway and the task will
         be done by the time that it goes back: so it is never kept for the array, and whoever needs the
         GPUs stops it.
         """
-        if job.kind is not Kind.ARRAY:
+        if job.kind is not JobKind.ARRAY:
             return False
         if machine.free_gpus < machine.type.gpus - 1e-9:
             return True
-        return now + self.predictor.run_time(job.ref, job.spec) < machine.gpus_idle_since + self.idle_time(machine)
+        return now + self.predictor.run_time(job.job_id, job.spec) < machine.gpus_idle_since + self.idle_time(machine)
 
     def add_machine(
         self, name: str, type_name: str, zone: str, spot: bool, address: str, now: int, wall: int, age: int = 0
@@ -67,36 +72,36 @@
         machine = self.machines.get(name)
         if machine is None:
             kind = self.types.get(type_name)
-            if kind is None or name in self.released:
+            if kind is None or name in self.released_machines:
                 return None
             machine = Machine(name, kind, zone, spot, address, rented_at=now - age)
-            machine.rented_wall = wall - age
+            machine.rented_at_wall = wall - age
             machine.idle_since = machine.known_since = now
             self.machines[name] = machine
-            self.touch_machine(machine)
+            self.mark_machine_dirty(machine)
         if address and machine.address != address:
             machine.address = address
-            self.touch_machine(machine)
+            self.mark_machine_dirty(machine)
         return machine
 
-    def machine_gone(self, machine: Machine, now: int, why: str) -> None:
+    def on_machine_removed(self, machine: Machine, now: int, why: str) -> None:
         """Proven gone: a release was answered, or the list says `failed`."""
-        if machine.gone:
+        if machine.removed:
             return
-        machine.gone = True
+        machine.removed = True
         log.info("machine %s gone: %s, %d tasks", machine.name, why, len(machine.tasks))
-        self.released.add(machine.name)
+        self.released_machines.add(machine.name)
         self.machines.pop(machine.name, None)
-        self.to_send.discard(machine)
-        self.touch_machine(machine)
-        if machine.spot and machine.up_at:
+        self.machines_to_command.discard(machine)
+        self.mark_machine_dirty(machine)
+        if machine.spot and machine.ready_at:
             self.predictor.spot_held(now - machine.rented_at, why == "taken" or bool(machine.reclaimed_at))
-        self.hasten(machine)
-        for key in list(machine.strays):
-            self._stray_left(machine, key)
+        self.expedite_completions(machine)
+        for key in list(machine.orphaned_attempts):
+            self._remove_orphan(machine, key)
         for task in list(machine.tasks):
             self.requeue(task, lost=True)
-        self.replan = True
+        self.planning_needed = True
 
     def on_process_pause(self, gap: int, now: int) -> None:
         """This process did not run for a while: nobody was silent or idle for it meanwhile."""
@@ -105,13 +110,13 @@
                 at = getattr(machine, name)
                 if at:
                     setattr(machine, name, min(at + gap, now))
-        for job in self.waiting:
+        for job in self.pending:
             if job.unplaced_since:
                 job.unplaced_since += gap
         if self._accounted_at:
             self._accounted_at += gap
 
-    def note_dark(self, silent: list[Machine], now: int) -> set[str]:
+    def mark_partitioned(self, silent: list[Machine], now: int) -> set[str]:
         """Silent machines that most nodes can't reach either: zones of theirs that nothing is heard from.
 
         Nothing is rented or placed there; what is rented would be charged and not come up before the cut ends.
@@ -122,151 +127,151 @@
             heard = last > now - self.tuning.us("silent_s") // 2
             if not heard and sum(m.zone == zone for m in silent) >= DARK_LEAST:
                 found.add(zone)
-                if zone not in self.dark:
+                if zone not in self.partitioned_zones:
                     log.warning("zone %s is taken to be cut off", zone)
                     # Not heard of since this leader began: then it was cut off before.
-                    self.dark[zone] = last or min(m.known_since for m in silent if m.zone == zone)
-                    self.dirty[DARK_KEY] = None
-                    self.replan = True
+                    self.partitioned_zones[zone] = last or min(m.known_since for m in silent if m.zone == zone)
+                    self.dirty_keys[DARK_KEY] = None
+                    self.planning_needed = True
         return found
 
-    def note_kept(self, zones: Iterable[str]) -> None:
+    def mark_lease_proxied(self, zones: Iterable[str]) -> None:
         """Nodes that fell silent with these dark zones answer the workers there.
 
         Recorded: a leader that was started again never heard those nodes, took the zone's tasks for dead after one
         lease and gave up the machines of all replicas at once.
         """
-        new = set(zones) - self.kept
+        new = set(zones) - self.lease_proxied_zones
         if new:
-            self.kept |= new
-            self.dirty[DARK_KEY] = None
+            self.lease_proxied_zones |= new
+            self.dirty_keys[DARK_KEY] = None
 
-    def _heard_again(self, zone: str, now: int) -> None:
+    def _on_zone_recovered(self, zone: str, now: int) -> None:
         """A zone is back: its machines were silent for its sake, and have a moment to be heard of."""
         log.info("zone %s is heard from again", zone)
-        del self.dark[zone]
-        self.kept.discard(zone)
-        self.back.add(zone)
-        self.dirty[DARK_KEY] = None
+        del self.partitioned_zones[zone]
+        self.lease_proxied_zones.discard(zone)
+        self.recovered_zones.add(zone)
+        self.dirty_keys[DARK_KEY] = None
         for machine in self.machines.values():
             if machine.zone == zone:
                 machine.known_since = now
 
     # --- reports ----------------------------------------------------------------------------
 
-    def on_report(self, report: wire.Report, now: int, wall: int) -> Machine | None:
+    def on_heartbeat(self, report: wire.Report, now: int, wall: int) -> Machine | None:
         """Take in a worker's report, an answer of /commands or of /show; None: not a usable machine."""
         machine = self.add_machine(report.machine, report.type, report.zone, report.spot, report.address, now, wall)
         if machine is None:
             return None
-        if (report.session, report.seq) <= (machine.session, machine.seq):
+        if (report.session, report.seq) <= (machine.agent_epoch, machine.heartbeat_seq):
             self.now = now
-            self.take_old_ends(machine, report)
+            self.apply_late_completions(machine, report)
             return machine  # an older message that came late: of all the rest it tells nothing
-        new_session = report.session != machine.session
-        if now - machine.last_heartbeat_at > self.fresh_us:
-            self.replan = True  # its free room counts again
+        new_session = report.session != machine.agent_epoch
+        if now - machine.last_heartbeat_at > self.heartbeat_fresh_us:
+            self.planning_needed = True  # its free room counts again
         machine.last_heartbeat_at = self.now = now
         self.wall_offset = wall - now
-        if machine.zone in self.dark:
-            self._heard_again(machine.zone, now)
-        if not machine.up_at:
-            machine.up_at = machine.gpus_idle_since = now
+        if machine.zone in self.partitioned_zones:
+            self._on_zone_recovered(machine.zone, now)
+        if not machine.ready_at:
+            machine.ready_at = machine.gpus_idle_since = now
             if not machine.tasks:
                 machine.idle_since = now
-            self.touch_machine(machine, urgent=not machine.recorded)  # nothing is placed on it before
-            self.replan = True
-        if machine.token != report.token or new_session:
-            self.replan = True
+            self.mark_machine_dirty(machine, urgent=not machine.persisted)  # nothing is placed on it before
+            self.planning_needed = True
+        if machine.fencing_token != report.token or new_session:
+            self.planning_needed = True
         if new_session:
-            if machine.session:
+            if machine.agent_epoch:
                 # It heard no answer for a lease, while it may have been heard all the time: empty as it is then, it
                 # looks like the best place for the next tasks.
                 machine.command_unreachable = True
-            machine.session_since = now
+            machine.agent_epoch_since = now
             # Starts sent under an earlier session are refused from now on, and so are those of an
             # earlier token once the worker has seen ours.
             machine.unacknowledged_starts.clear()
-            machine.in_answer.clear()
+            machine.starts_in_response.clear()
             # Its images are kept, but a fetch that nobody waits for any more is given up.
             machine.images = {image: at for image, at in machine.images.items() if at == 1}
-        elif machine.command_unreachable and now - machine.session_since > self.lease_us:
+        elif machine.command_unreachable and now - machine.agent_epoch_since > self.lease_us:
             machine.command_unreachable = False  # else its session would have ended
-        machine.session, machine.seq, machine.token = report.session, report.seq, report.token
+        machine.agent_epoch, machine.heartbeat_seq, machine.fencing_token = report.session, report.seq, report.token
         if report.notice_s is None:
-            self.replan = self.replan or machine.reclaimed_at > 0
+            self.planning_needed = self.planning_needed or machine.reclaimed_at > 0
             machine.reclaimed_at = 0
         else:
             reclaimed_at = now + micros(max(report.notice_s, 0.0))
             if not machine.reclaimed_at:
                 machine.reclaimed_at = reclaimed_at
-                self._on_notice(machine, report.notice_s, now)
+                self._on_reclamation_notice(machine, report.notice_s, now)
             machine.reclaimed_at = min(machine.reclaimed_at, reclaimed_at)
-        if machine.calm is not None and not new_session and machine.calm == report.tasks:
+        if machine.settled_heartbeat is not None and not new_session and machine.settled_heartbeat == report.tasks:
             return machine  # what it runs is as it was told before, and as it should be
         listed = {(row.task, row.attempt): row for row in report.tasks}
         for task in list(machine.tasks):
-            if task.phase is not Phase.PLACED:
+            if task.phase is not TaskPhase.BOUND:
                 continue
             row = listed.get((task.name, task.attempt))
             if row is None:
                 self._on_absent(task, machine, report, now)
                 continue
             self._on_listed(task, machine, row, report, now)
-        self._on_others(machine, report.tasks, now)
-        if machine.tasks or machine.strays:
+        self._on_unbound_attempts(machine, report.tasks, now)
+        if machine.tasks or machine.orphaned_attempts:
             machine.idle_since = 0
         elif not machine.idle_since:
             machine.idle_since = now
-        machine.calm = report.tasks if self._is_calm(machine, len(report.tasks)) else None
+        machine.settled_heartbeat = report.tasks if self._is_settled(machine, len(report.tasks)) else None
         return machine
 
     @staticmethod
-    def _is_calm(machine: Machine, listed: int) -> bool:
+    def _is_settled(machine: Machine, listed: int) -> bool:
         """The same report once more would change nothing: all that should be there is, and nothing else.
 
         `Work` and `sent` take this back with whatever they change about the machine.
         """
         return (
-            not machine.strays
-            and not machine.ended
+            not machine.orphaned_attempts
+            and not machine.terminated_attempts
             and not machine.unacknowledged_starts
             and listed == len(machine.tasks)
             and all(
                 task.start_acknowledged is not None
-                and task.stopping is None
-                and not task.job.suspect
+                and task.stop_grace_s is None
+                and not task.job.suspected_faulty
                 and not task.job.cancelled
                 for task in machine.tasks
             )
         )
 
     def _on_listed(self, task: Task, machine: Machine, row: wire.TaskReport, report: wire.Report, now: int) -> None:
-        if task.start_acknowledged is None and task.sent_session == report.session:
+        if task.start_acknowledged is None and task.start_epoch == report.session:
             machine.command_unreachable = False
         task.start_acknowledged = (report.session, report.seq)
-        self.unacked.discard(task)
+        self.unacknowledged_tasks.discard(task)
         if row.status != wire.EXITED:
             if row.status != wire.FETCHING:
                 machine.images[task.job.spec.image] = 1  # it has it
             if row.status == wire.RUNNING and not task.running_since:
                 task.running_since = now
-                self.served.began(task.job)
-                if task.claimed_at:
+                self.job_statistics.began(task.job)
+                if task.binding_at:
                     log.debug(
                         "task %s %s runs on %s %d ms after its claim",
                         task.name,
                         task.job.kind,
                         machine.name,
-                        (now - task.claimed_at) // MS,
+                        (now - task.binding_at) // MS,
                     )
             job = task.job
             if task.status != row.status:
                 task.status = row.status
-                self.stirred[job] = None
-            if job.suspect and job.kind is Kind.SERVICE and failure_attribution.works(job, now):
+                self.jobs_with_changed_counts[job] = None
+            if job.suspected_faulty and job.kind is JobKind.SERVICE and failure_attribution.works(job, now):
                 failure_attribution.task_done(job, machine, self.machines, now)
-            if task.job.cancelled and task.stopping is None:
+            if task.job.cancelled and task.stop_grace_s is None:
                 self.stop(task, 0.0)
             return
         self._on_exit(task, machine, row, now)
@@ -274,17 +279,17 @@
     def _on_exit(self, task: Task, machine: Machine, row: wire.TaskReport, now: int) -> None:
         job, why = task.job, row.why
         log.debug("task %s attempt %d on %s ended: %s", task.name, task.attempt, machine.name, why)
-        if why == wire.WHY_DONE and job.kind is not Kind.SERVICE:
-            self.finish_task(task, now)
+        if why == wire.WHY_DONE and job.kind is not JobKind.SERVICE:
+            self.complete_task(task, now)
             return
-        wanted = task.stopping is not None
+        wanted = task.stop_grace_s is not None
         if why == wire.WHY_ERROR:
             if failure_attribution.job_failed(job, machine, self.machines, task.attempt, now):
-                self.dirty.setdefault(live_key(job.ref), None)  # for the next leader
+                self.dirty_keys.setdefault(live_key(job.job_id), None)  # for the next leader
         elif why == wire.WHY_NO_ROOM:
             machine.cordoned_until = now + 3 * SECOND
         elif why == wire.WHY_UNKNOWN:
-            job.not_before = now + 2 * SECOND
+            job.retry_at = now + 2 * SECOND
         elif why == wire.WHY_BUSY:
             machine.cordoned_until = now + SECOND
         self.requeue(task, lost=not wanted and why in (wire.WHY_PEERS, wire.WHY_STOPPED), unexecuted=why in REFUSED)
@@ -294,35 +299,35 @@
         if report.token != self.token:
             return  # a start of an earlier leader may still land
         key = (task.name, task.attempt)
-        if task.claimed_at and not task.sent_session:
-            self.to_send.add(machine)  # placed by this leader, its first start is just due
+        if task.binding_at and not task.start_epoch:
+            self.machines_to_command.add(machine)  # placed by this leader, its first start is just due
             return
-        if task.sent_session and report.session <= task.sent_session:
+        if task.start_epoch and report.session <= task.start_epoch:
             if (
                 task.job.cancelled
                 and task.start_acknowledged is None
-                and not (machine.unacknowledged_starts.get(key) or key in machine.in_answer)
+                and not (machine.unacknowledged_starts.get(key) or key in machine.starts_in_response)
             ):
                 pass  # no start of it is under way, and none goes out any more: it isn't there and won't be
             elif task.start_acknowledged is None or machine.unacknowledged_starts.get(key):
-                self.to_send.add(machine)  # our start is on its way or was lost: repeat it
-                if task.claimed_at and now - task.claimed_at > UNHEARD:
+                self.machines_to_command.add(machine)  # our start is on its way or was lost: repeat it
+                if task.binding_at and now - task.binding_at > UNHEARD:
                     machine.command_unreachable = True
                 return
         log.info("task %s attempt %d is not on %s any more", task.name, task.attempt, machine.name)
         # In the session in which it was claimed, and never seen by this leader: no start of it was executed.
         unexecuted = (
             task.start_acknowledged is None
-            and report.session == task.claim_session
+            and report.session == task.binding_epoch
             and not machine.unacknowledged_starts.get(key)
         )
-        self.requeue(task, lost=bool(task.sent_session), unexecuted=unexecuted)
+        self.requeue(task, lost=bool(task.start_epoch), unexecuted=unexecuted)
 
-    def _on_others(self, machine: Machine, rows: list[wire.TaskReport], now: int) -> None:
+    def _on_unbound_attempts(self, machine: Machine, rows: list[wire.TaskReport], now: int) -> None:
         """Tasks in the report that no record puts there."""
         ended: set[tuple[str, int]] = set()
         strays: dict[tuple[str, int], None] = {}
-        here = {(t.name, t.attempt) for t in machine.tasks if t.phase is not Phase.PENDING}
+        here = {(t.name, t.attempt) for t in machine.tasks if t.phase is not TaskPhase.PENDING}
         for row in rows:
             key = (row.task, row.attempt)
             if row.status == wire.EXITED:
@@ -330,76 +335,76 @@
                 continue
             if key not in here:
                 strays[key] = None
-        machine.ended = ended
-        for key in [key for key in machine.strays if key not in strays]:
-            self._stray_left(machine, key)
+        machine.terminated_attempts = ended
+        for key in [key for key in machine.orphaned_attempts if key not in strays]:
+            self._remove_orphan(machine, key)
         for key in strays:
-            if key not in machine.strays:
-                self._stray_came(machine, key)
+            if key not in machine.orphaned_attempts:
+                self._add_orphan(machine, key)
         if machine.reclaimed_at:
-            self.hasten(machine)  # soon it can't tell of them any more
+            self.expedite_completions(machine)  # soon it can't tell of them any more
 
-    def _on_notice(self, machine: Machine, notice_s: float, now: int) -> None:
+    def _on_reclamation_notice(self, machine: Machine, notice_s: float, now: int) -> None:
         """The cloud takes it back soon: what can't finish in time leaves now, saving if it can.
 
         What may not run again stays: it may just be done before.
         """
         log.info("machine %s will be taken back in %.0f s", machine.name, notice_s)
-        self.replan = True
+        self.planning_needed = True
         left = micros(notice_s)
         for task in list(machine.tasks):
             self.drain_task(task, left, now)
 
     def drain_task(self, task: Task, left: int, now: int) -> None:
         job, spec = task.job, task.job.spec
-        if task.phase is not Phase.PLACED or job.once:
+        if task.phase is not TaskPhase.BOUND or job.at_most_once:
             return
-        if job.kind is not Kind.SERVICE:
+        if job.kind is not JobKind.SERVICE:
             ran = now - task.running_since if task.running_since else 0
-            remaining = max(self.predictor.run_time(job.ref, spec) - ran, 0)
+            remaining = max(self.predictor.run_time(job.job_id, spec) - ran, 0)
             if task.running_since and remaining < left * 3 // 4:
                 return  # it will be done before
         grace = spec.grace_s
         if micros(grace) > left:
             grace = 0.0
-        if job.kind is Kind.GANG:
+        if job.kind is JobKind.GANG:
             for mate in list(job.tasks.values()):
-                if mate.phase is Phase.PLACED:
+                if mate.phase is TaskPhase.BOUND:
                     self.stop(mate, grace)
         else:
             self.stop(task, grace)
 
     def account(self, now: int) -> None:
         """Count machines and money, for the status line."""
-        self.tally = account(self, now, self._accounted_at)
+        self.utilization = account(self, now, self._accounted_at)
         self._accounted_at = now
 
     # --- commands ---------------------------------------------------------------------------
 
-    def commands(self, machine: Machine, now: int, *, direct: bool) -> tuple[list[wire.Command], list[Task]]:
+    def commands_for(self, machine: Machine, now: int, *, direct: bool) -> tuple[list[wire.Command], list[Task]]:
         """What to tell a machine now, and the tasks whose start is among it."""
         orders: list[wire.Command] = []
         starts: list[Task] = []
-        confirmed = machine.token == self.token
+        confirmed = machine.fencing_token == self.token
         for task in machine.tasks:
-            if task.phase is not Phase.PLACED:
+            if task.phase is not TaskPhase.BOUND:
                 continue
-            never_sent = not task.sent_session
-            if never_sent and (not confirmed or task.claimed_at == 0):
+            never_sent = not task.start_epoch
+            if never_sent and (not confirmed or task.binding_at == 0):
                 # Of an earlier leader's: its first report under our token tells whether it is there.
-                if task.stopping is not None:
-                    orders.append(wire.stop(task.name, task.attempt, task.stopping))
+                if task.stop_grace_s is not None:
+                    orders.append(wire.stop(task.name, task.attempt, task.stop_grace_s))
                 continue
-            if task.start_acknowledged is None and not (direct and task.repeat_start_at > now):
-                if self._may_start(task, now):
-                    orders.append(wire.start(task.name, task.attempt))
-                    starts.append(task)
-            if task.stopping is not None:
-                orders.append(wire.stop(task.name, task.attempt, task.stopping))
-        for name, attempt in machine.strays:
+            waits_for_retry = direct and task.start_retry_at > now
+            if task.start_acknowledged is None and not waits_for_retry and self._may_start(task, now):
+                orders.append(wire.start(task.name, task.attempt))
+                starts.append(task)
+            if task.stop_grace_s is not None:
+                orders.append(wire.stop(task.name, task.attempt, task.stop_grace_s))
+        for name, attempt in machine.orphaned_attempts:
             orders.append(wire.stop(name, attempt, 0.0))
         if confirmed:
-            for name, attempt in machine.ended:
+            for name, attempt in machine.terminated_attempts:
                 if self._may_forget(machine, name, attempt):
                     orders.append(wire.forget(name, attempt))
         return orders, starts
@@ -411,13 +416,13 @@
         there, and what comes late does nothing. But not when its user was told long ago, as after an outage.
         """
         job = task.job
-        if job.cancelled and not job.failure_reason and now >= self.lease_bound(job):
+        if job.cancelled and not job.failure_reason and now >= self.lease_renewal_bound(job):
             return False
-        if job.kind is not Kind.GANG:
+        if job.kind is not JobKind.GANG:
             return True
-        return all(mate.phase is not Phase.CLAIMED for mate in job.tasks.values())
+        return all(mate.phase is not TaskPhase.BINDING for mate in job.tasks.values())
 
-    def must_lapse(self, machine: Machine, now: int) -> bool:
+    def must_let_lease_expire(self, machine: Machine, now: int) -> bool:
         """May a start of a cancelled job still land there, so late that only another session is proof against it?
 
         A start that a link holds for long is neither there to be stopped nor proven lost: the machine's lease has to
@@ -427,15 +432,15 @@
             task.job.cancelled
             and not task.job.failure_reason
             and task.start_acknowledged is None
-            and task.sent_session == machine.session
+            and task.start_epoch == machine.agent_epoch
             and machine.unacknowledged_starts.get((task.name, task.attempt))
-            and now >= self.lease_bound(task.job)
+            and now >= self.lease_renewal_bound(task.job)
             for task in machine.tasks
         )
 
     def _may_forget(self, machine: Machine, name: str, attempt: int) -> bool:
         """Not while a start of it may land (it would start again), nor before its end is committed."""
-        if machine.unacknowledged_starts.get((name, attempt)) or (name, attempt) in machine.in_answer:
+        if machine.unacknowledged_starts.get((name, attempt)) or (name, attempt) in machine.starts_in_response:
             return False
         parts = split_task(name)
         if parts is None:
@@ -443,42 +448,42 @@
         job = self.jobs.get(parts[0])
         if job is None:
             return True
-        if job.finishing:
+        if job.completing:
             return False
         task = job.tasks.get(parts[1])
         if task is not None and task.machine is machine and task.attempt == attempt:
             return False
-        return not self.unwritten(job, parts[1])
+        return not self.is_unwritten(job, parts[1])
 
-    def report_came(self, machine: Machine, report: wire.Report) -> None:
+    def on_heartbeat_delivered(self, machine: Machine, report: wire.Report) -> None:
         """A report that is about to be answered. A worker has one in flight at a time: what the answer to an earlier
         one told it has been executed by now, or is dropped (PROTOCOL, "Workers -> controller nodes")."""
         number = (report.session, report.seq)
-        if number > machine.answered_report:  # not one that a cut held
-            machine.answered_report = number
-            machine.in_answer.clear()
+        if number > machine.answered_heartbeat:  # not one that a cut held
+            machine.answered_heartbeat = number
+            machine.starts_in_response.clear()
 
-    def sent(self, machine: Machine, starts: Iterable[Task], now: int, *, direct: bool) -> None:
+    def on_commands_sent(self, machine: Machine, starts: Iterable[Task], now: int, *, direct: bool) -> None:
         """Starts are about to go out under the machine's present session."""
         for task in starts:
-            task.sent_session = machine.session
-            self.unacked.add(task)
+            task.start_epoch = machine.agent_epoch
+            self.unacknowledged_tasks.add(task)
             if direct:
                 key = (task.name, task.attempt)
                 machine.unacknowledged_starts[key] = machine.unacknowledged_starts.get(key, 0) + 1
-                task.repeat_start_at = now + SECOND
+                task.start_retry_at = now + SECOND
             else:
                 # On a slow link direct commands overtake an answer: a task was started by one, stopped and forgotten,
                 # and then started again by the answer, while it ran elsewhere.
-                machine.in_answer.add((task.name, task.attempt))
+                machine.starts_in_response.add((task.name, task.attempt))
 
-    def reached(self, machine: Machine) -> None:
+    def on_contact(self, machine: Machine) -> None:
         """It answered something that it was asked directly."""
         if machine.command_unreachable:
             machine.command_unreachable = False
-            self.replan = True
+            self.planning_needed = True
 
-    def answered(self, machine: Machine, starts: Iterable[tuple[str, int]]) -> None:
+    def on_commands_answered(self, machine: Machine, starts: Iterable[tuple[str, int]]) -> None:
         """A direct command was answered, whether executed or refused: its starts can't land later."""
         for key in starts:
             count = machine.unacknowledged_starts.get(key, 0) - 1
--- a/oatport/control/state/completions.py
+++ b/oatport/control/state/completions.py
@@ -9,17 +9,17 @@
 from collections import deque
 from typing import Any
 
-End = tuple[str, int, int]  # job, task and the attempt that is done
+Completion = tuple[str, int, int]  # job, task and the attempt that is done
 
 ROWS_MOST = 2_000  # told at a time
 LEADS_MOST = 4  # of so many leads ends are kept, the newest
 
 
-def parse(rows: Any) -> list[End]:
+def parse(rows: Any) -> list[Completion]:
     """Raises ValueError or TypeError where they are not ends."""
     if not isinstance(rows, list) or len(rows) > ROWS_MOST:
         raise ValueError("not a list of ends")
-    found: list[End] = []
+    found: list[Completion] = []
     for ref, index, attempt in rows:
         if not isinstance(ref, str) or type(index) is not int or type(attempt) is not int:
             raise ValueError("not an end")
@@ -27,16 +27,18 @@
     return found
 
 
-class Ends:
+class CompletionLog:
     def __init__(self) -> None:
-        self._of: dict[int, deque[End]] = {}  # token -> what that leader took in last; some of it is recorded by now
+        self._of: dict[
+            int, deque[Completion]
+        ] = {}  # token -> what that leader took in last; some of it is recorded by now
 
-    def note(self, token: int, ends: list[End]) -> None:
+    def note(self, token: int, ends: list[Completion]) -> None:
         self._of.setdefault(token, deque(maxlen=ROWS_MOST)).extend(ends)
         while len(self._of) > LEADS_MOST:
             del self._of[min(self._of)]
 
-    def before(self, token: int) -> list[End] | None:
+    def before(self, token: int) -> list[Completion] | None:
         """What earlier leaders may not have recorded, of the newest first; None: nothing is known of any."""
         tokens = sorted((told for told in self._of if told < token), reverse=True)
         if not tokens:
--- /dev/null
+++ b/oatport/control/state/job.py
@@ -0,0 +1,216 @@
+"""A job as the leader sees it: what it asks for, which of its tasks were touched, and what was found out about it."""
+
+from __future__ import annotations
+
+from collections import deque
+from dataclasses import dataclass, field
+from enum import StrEnum
+from typing import Any
+
+import msgspec
+
+from oatport import wire
+from oatport.control.state.identifiers import number_in_name
+from oatport.control.state.task import Task
+from oatport.times import micros
+
+PRIORITIES = {"production": 0, "high": 1, "normal": 2, "idle": 3}
+NORMAL_RANK, IDLE_RANK = PRIORITIES["normal"], PRIORITIES["idle"]
+
+
+class JobKind(StrEnum):
+    ARRAY = "array"
+    GANG = "gang"
+    SERVICE = "standing"
+
+
+@dataclass(slots=True)
+class DeferredStart:
+    """Why some of a job's tasks may not start yet; recorded with the job, so that the next leader goes on from it."""
+
+    plan: list[tuple[int, int]]  # from when (time of day) how many more may start
+    reason: str
+    write_count: int = 0  # times that it was written: bounded
+    paused_until: int = 0  # time of day; running tasks were stopped for a cheaper hour
+    pause_count: int = 0
+
+    def value(self, opened: int) -> dict[str, Any]:
+        return {
+            "open": opened,
+            "plan": [list(row) for row in self.plan],
+            "why": self.reason,
+            "n": self.write_count,
+            "paused": self.paused_until,
+            "pauses": self.pause_count,
+        }
+
+    @classmethod
+    def of(cls, value: Any) -> DeferredStart:
+        return cls(
+            [(int(at), int(count)) for at, count in value["plan"]],
+            str(value["why"]),
+            int(value["n"]),
+            int(value.get("paused", 0)),
+            int(value.get("pauses", 0)),
+        )
+
+
+@dataclass(slots=True, eq=False)
+class Job:
+    job_id: str
+    spec: wire.Submission
+    version: int  # of jobs/REF, the condition of every start commit
+    submitted_at: int  # time of day, since it must mean the same on the next leader
+    kind: JobKind = field(init=False)
+    priority_rank: int = field(init=False)
+    cancelled: bool = False
+    cancelled_after: int = 0  # steady; its cancellation was told after this. 0: not known
+    tasks: dict[int, Task] = field(default_factory=dict)
+    next_untouched: int = 0  # tasks from here on were never touched
+    start_limit: int = -1  # tasks from here on are held back (-1: none is)
+    deferral: DeferredStart | None = None
+    retry_queue: deque[int] = field(default_factory=deque)  # touched and pending
+    completed: set[int] = field(default_factory=set)
+    on_machines: int = 0  # claimed or placed
+    gang_attempt: int = 0
+    loss_count: int = 0  # take-backs and losses suffered: the retry count
+    tier: str = ""  # what the router decided last
+    retry_at: int = 0  # backing off after errors (steady)
+    errors: int = 0  # since a task of it was last done
+    error_machines: set[str] = field(default_factory=set)
+    suspected_faulty: bool = False  # it failed on several machines and was done on none: rather its mistake than theirs
+    tasks_by_zone: dict[str, int] = field(default_factory=dict)  # tasks on machines, by zone
+    completing: bool = False  # its end is being committed
+    started: bool = False  # a task of it was seen running
+    starving: bool = False  # it waits for so long that no equal goes before it any more
+    at_most_once: bool = False  # its class limits repeats: rows of its records tell more
+    failure_reason: str = ""  # a task of it may not run again: it ends as lost
+    orphaned_attempt_count: int = 0  # attempts of it seen where no record puts them: nothing of it is placed meanwhile
+    deadline_at: int = 0  # time of day of the deadline that it can still meet
+    deadline_missed: bool = False  # it meets none any more
+    attainable_deadline: int = 0  # the first that it could meet if it ran now; far away if there is none, 0: not judged
+    within_guarantee: bool = False  # it fits its team's guarantee together with the team's earlier jobs
+    unplaced_since: int = 0  # steady; when it last began to wait without getting a machine
+    preempt_after: int = 0  # steady; one round of preemption at a time
+    predicted_runtime: int = 0  # its predicted run time as of the last routing
+    runtime_bucket: int = 0  # the same in steps
+    queue_entry: object = None  # where it stands among the waiting (`control/queueing/pending_queue.py`)
+    deadlines: list[int] | None = None  # times of day by which its end is looked for: they never change
+    # Machine types that can run it, the names of those that suit it, and the catalog that they were found in.
+    feasible_types: tuple[int, list[wire.MachineType]] | None = None
+    preferred_types: tuple[int, list[wire.MachineType], tuple[str, ...]] | None = None
+
+    number: int = 0  # the digits of its id
+    # Times other than its deadline count from here (time of day): its submission, or when the last job that it needs
+    # was done.
+    eligible_at: int = 0
+    inherited_deadlines: list[int] = field(default_factory=list)  # times of day by which jobs that need it want it done
+    tasks_in_first_record: int = -1  # that lie with the job in one record; -1: not reckoned yet
+    dependencies: tuple[str, ...] = ()
+    in_statistics: bool = False  # among those served
+    compact_spec: dict[str, Any] | None = (
+        None  # its description as recorded, if lists of it lie in records of their own
+    )
+
+    def __post_init__(self) -> None:
+        self.kind = JobKind(self.spec.kind)
+        self.priority_rank = PRIORITIES[self.spec.priority]
+        self.number = number_in_name(self.job_id)
+        self.eligible_at = self.submitted_at
+        self.dependencies = tuple(self.spec.needs or ())
+
+    def __hash__(self) -> int:
+        return self.number
+
+    @property
+    def pending(self) -> int:
+        """Tasks that want a machine now; those held for later don't."""
+        if self.start_limit < 0:
+            return self.spec.tasks - self.next_untouched + len(self.retry_queue)
+        return max(self.start_limit - self.next_untouched, 0) + len(self.retry_queue)
+
+    @property
+    def deferred(self) -> int:
+        """Tasks that may not start yet."""
+        return 0 if self.start_limit < 0 else self.spec.tasks - max(self.start_limit, self.next_untouched)
+
+    @property
+    def deadline(self) -> int | None:
+        """Time of day by which it should be complete: its own deadline, else what jobs that need it leave it."""
+        if self.spec.deadline_s is None:
+            return self.inherited_deadlines[0] if self.inherited_deadlines else None
+        return self.submitted_at + micros(self.spec.deadline_s)
+
+    def next_pending(self) -> int | None:
+        if self.retry_queue:
+            return self.retry_queue[0]
+        return (
+            self.next_untouched
+            if self.next_untouched < (self.spec.tasks if self.start_limit < 0 else self.start_limit)
+            else None
+        )
+
+    def take_pending(self) -> Task:
+        """Remove the first pending task from the queue; the caller claims it."""
+        if self.retry_queue:
+            return self.tasks[self.retry_queue.popleft()]
+        task = Task(self, self.next_untouched)
+        self.tasks[self.next_untouched] = task
+        self.next_untouched += 1
+        return task
+
+    def rows_value(self, low: int, high: int) -> dict[str, Any]:
+        """The record of the tasks from `low` up to `high`: -1 done, 0 untouched, [attempt] pending, [attempt, machine].
+
+        Where the class limits repeats also [attempt, machine, session], and [attempt, None, 1]: spent.
+        """
+        rows: list[Any] = []
+        for index in range(low, min(high, self.spec.tasks)):
+            if index in self.completed:
+                rows.append(-1)
+                continue
+            task = self.tasks.get(index)
+            if task is None:
+                rows.append(0)
+            elif task.machine is None:
+                rows.append([task.attempt, None, 1] if task.retry_exhausted else [task.attempt])
+            elif self.at_most_once:
+                rows.append([task.attempt, task.machine.name, task.binding_epoch])
+            else:
+                rows.append([task.attempt, task.machine.name])
+        while rows and rows[-1] == 0:
+            rows.pop()
+        return {"t": rows}
+
+    def live_value(self, tasks: int) -> dict[str, Any]:
+        """The value of live/REF once a task of it was touched: the job with its first tasks."""
+        value = {
+            **self.record(wire.QUEUED),
+            "rev": self.version,
+            **self.rows_value(0, tasks),
+            "tier": self.tier,
+            "lost": self.loss_count,
+        }
+        if self.eligible_at != self.submitted_at:
+            value["from"] = self.eligible_at
+        if self.suspected_faulty:
+            value["errors"] = self.errors
+        if self.deferral is not None:
+            value["hold"] = self.deferral.value(self.start_limit)
+        return value
+
+    def record(self, state: str) -> dict[str, Any]:
+        """The value of jobs/REF."""
+        value = job_record(self.spec, self.submitted_at, state)
+        if self.compact_spec is not None:
+            value |= self.compact_spec
+        if state == wire.LOST:
+            value["cause"] = self.failure_reason
+        return value
+
+
+def job_record(spec: wire.Submission, submitted_at: int, state: str) -> dict[str, Any]:
+    value = msgspec.to_builtins(spec)
+    if spec.needs is None:
+        del value[wire.NEEDS]
+    return {"state": state, "at": submitted_at, "job": value}
--- a/oatport/control/state/job_statistics.py
+++ b/oatport/control/state/job_statistics.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from oatport.control.state.model import Job
+from oatport.control.state.job import Job
 
 SIZES_MOST = 2_000  # jobs of a class whose sizes are kept; the smaller half of more is let go
 
@@ -37,19 +37,19 @@
         for row in self._rows(job):
             row.accepted += 1
         sizes = self._sizes.setdefault(job.spec.job_class, {})
-        sizes[job.ref] = (job.spec.cpus * job.spec.tasks, job.began)
+        sizes[job.job_id] = (job.spec.cpus * job.spec.tasks, job.started)
         if len(sizes) > SIZES_MOST:
             kept = sorted(sizes.items(), key=lambda item: item[1], reverse=True)[: SIZES_MOST // 2]
             self._sizes[job.spec.job_class] = dict(kept)
 
     def _mark(self, job: Job, began: bool) -> None:
         sizes = self._sizes.get(job.spec.job_class, {})
-        if job.ref not in sizes:
+        if job.job_id not in sizes:
             return
         if job.cancelled:
-            del sizes[job.ref]
+            del sizes[job.job_id]
         else:
-            sizes[job.ref] = (sizes[job.ref][0], began)
+            sizes[job.job_id] = (sizes[job.job_id][0], began)
 
     def largest(self) -> dict[str, tuple[int, int]]:
         """Of each class's largest tenth by what a job takes, one at least: how many began, and how many there are."""
@@ -62,8 +62,8 @@
         return found
 
     def began(self, job: Job) -> None:
-        if not job.began:
-            job.began = True
+        if not job.started:
+            job.started = True
             self._mark(job, True)
             for row in self._rows(job):
                 row.started += 1
@@ -74,11 +74,11 @@
         for row in self._rows(job):
             if job.cancelled:
                 row.accepted -= 1
-                row.started -= job.began
+                row.started -= job.started
             else:
                 row.done += 1
-                row.started += not job.began  # too short to be seen running
-        job.began = True
+                row.started += not job.started  # too short to be seen running
+        job.started = True
 
     def line(self) -> str:
         """Started of accepted, and done, of each."""
--- a/oatport/control/state/orphaned_attempts.py
+++ b/oatport/control/state/orphaned_attempts.py
@@ -5,8 +5,11 @@
 import logging
 
 from oatport import wire
-from oatport.control.state.completions import ROWS_MOST, End
-from oatport.control.state.model import Job, Kind, Machine, Phase, split_task
+from oatport.control.state.completions import ROWS_MOST, Completion
+from oatport.control.state.identifiers import split_task
+from oatport.control.state.job import Job, JobKind
+from oatport.control.state.machine import Machine
+from oatport.control.state.task import TaskPhase
 from oatport.control.state.task_lifecycle import TaskLifecycle
 
 log = logging.getLogger(__name__)
@@ -21,72 +24,78 @@
 class OrphanedAttempts(TaskLifecycle):
     # --- attempts that no record puts where they are ------------------------------------------
 
-    def _stray_came(self, machine: Machine, key: tuple[str, int]) -> None:
+    def _add_orphan(self, machine: Machine, key: tuple[str, int]) -> None:
         """It counts for its team and its job's zones as any task does, until a report or a release proves it gone."""
         log.info("stray task %s attempt %d on %s", *key, machine.name)
         ref = _ref_of(key[0])
         job = self.jobs.get(ref)
-        machine.strays[key] = (job, job.spec if job is not None else None)
+        machine.orphaned_attempts[key] = (job, job.spec if job is not None else None)
         if job is not None:
-            job.strays += 1
-            self.occupy(job, job.spec, machine, 1)
+            job.orphaned_attempt_count += 1
+            self.count_usage(job, job.spec, machine, 1)
         else:
-            self.teams.unknown[ref] += 1
-        self.to_send.add(machine)
+            self.quotas.unknown[ref] += 1
+        self.machines_to_command.add(machine)
 
-    def _stray_left(self, machine: Machine, key: tuple[str, int]) -> None:
-        job, spec = machine.strays.pop(key)
+    def _remove_orphan(self, machine: Machine, key: tuple[str, int]) -> None:
+        job, spec = machine.orphaned_attempts.pop(key)
         ref = _ref_of(key[0])
         if spec is not None:
-            self.occupy(job, spec, machine, -1)
-        elif ref in self.teams.unknown:  # else nobody submitted it
-            self.teams.lost_sight(ref)
-        self.replan = True
+            self.count_usage(job, spec, machine, -1)
+        elif ref in self.quotas.unknown:  # else nobody submitted it
+            self.quotas.lost_sight(ref)
+        self.planning_needed = True
         if job is not None and self.jobs.get(ref) is job:  # else its end is recorded
-            job.strays = max(0, job.strays - 1)
-            self._clean_if_gone(job)
+            job.orphaned_attempt_count = max(0, job.orphaned_attempt_count - 1)
+            self._delete_if_gone(job)
 
-    def settle_strays(self, ref: str, spec: wire.Submission | None) -> None:
+    def resolve_orphaned_attempts(self, ref: str, spec: wire.Submission | None) -> None:
         job = self.jobs.get(ref)
         for machine in self.machines.values():
-            for key, (_, known) in list(machine.strays.items()):
+            for key, (_, known) in list(machine.orphaned_attempts.items()):
                 if known is not None or _ref_of(key[0]) != ref:
                     continue
-                machine.strays[key] = (job, spec)
+                machine.orphaned_attempts[key] = (job, spec)
                 if spec is not None:
-                    self.occupy(job, spec, machine, 1)
+                    self.count_usage(job, spec, machine, 1)
                 if job is not None:
-                    job.strays += 1
-        self.teams.unknown.pop(ref, None)
-        self.replan = True
+                    job.orphaned_attempt_count += 1
+        self.quotas.unknown.pop(ref, None)
+        self.planning_needed = True
 
     # --- ends that no record says yet -----------------------------------------------------------
 
-    def _only_told_here(self, machine: Machine) -> list[tuple[Job, int]]:
+    def _completions_known_only_from(self, machine: Machine) -> list[tuple[Job, int]]:
         """Tasks that are done, which no record says yet: this machine alone would tell the next leader so."""
         found: list[tuple[Job, int]] = []
-        for name, _ in machine.ended:
+        for name, _ in machine.terminated_attempts:
             parts = split_task(name)
             job = self.jobs.get(parts[0]) if parts else None
-            if job is None or parts is None or job.cancelled or parts[1] not in job.done:
+            if job is None or parts is None or job.cancelled or parts[1] not in job.completed:
                 continue
-            if job.finishing or self.unwritten(job, parts[1]):
+            if job.completing or self.is_unwritten(job, parts[1]):
                 found.append((job, parts[1]))
         return found
 
-    def ends_to_tell(self) -> list[End]:
+    def completions_to_replicate(self) -> list[Completion]:
         """Ends that are in no record yet."""
-        for job, index in list(self.unwritten_ends):
-            if self.jobs.get(job.ref) is not job or job.cancelled or not (job.finishing or self.unwritten(job, index)):
-                del self.unwritten_ends[job, index]
-        return [(job.ref, index, attempt) for (job, index), attempt in self.unwritten_ends.items()][:ROWS_MOST]
-
-    def take_new_ends(self) -> list[End]:
+        for job, index in list(self.unwritten_completions):
+            if (
+                self.jobs.get(job.job_id) is not job
+                or job.cancelled
+                or not (job.completing or self.is_unwritten(job, index))
+            ):
+                del self.unwritten_completions[job, index]
+        return [(job.job_id, index, attempt) for (job, index), attempt in self.unwritten_completions.items()][
+            :ROWS_MOST
+        ]
+
+    def take_new_completions(self) -> list[Completion]:
         """Those that came since this was last asked."""
-        new, self.new_ends = self.new_ends, []
+        new, self.new_completions = self.new_completions, []
         return new
 
-    def take_ends(self, ends: list[End]) -> None:
+    def apply_completions(self, ends: list[Completion]) -> None:
         """What earlier leaders took in and may not have recorded.
 
         The attempt was reported as ended, so it is on no machine; one that began since is left to its own report.
@@ -94,18 +103,18 @@
         for ref, index, attempt in ends:
             job = self.jobs.get(ref)
             task = job.tasks.get(index) if job is not None else None
-            if job is None or task is None or job.kind is Kind.SERVICE or job.cancelled or task.spent:
+            if job is None or task is None or job.kind is JobKind.SERVICE or job.cancelled or task.retry_exhausted:
                 continue
-            if task.phase is Phase.PLACED and (task.attempt != attempt or task.claimed_at):
+            if task.phase is TaskPhase.BOUND and (task.attempt != attempt or task.binding_at):
                 continue
             log.info("task %s was done under an earlier leader", task.name)
-            if task.index in job.again:
-                job.again.remove(task.index)
-            self.finish_task(task, self.now, measured=False)
+            if task.index in job.retry_queue:
+                job.retry_queue.remove(task.index)
+            self.complete_task(task, self.now, measured=False)
             if not job.pending:
-                self.waiting.discard(job)
+                self.pending.discard(job)
 
-    def take_old_ends(self, machine: Machine, report: wire.Report) -> None:
+    def apply_late_completions(self, machine: Machine, report: wire.Report) -> None:
         """That an attempt was done is true in a message of any age.
 
         The sessions of a machine that was back within a blink began anew: what it told after an old copy had come was
@@ -115,10 +124,10 @@
             (row.task, row.attempt) for row in report.tasks if row.status == wire.EXITED and row.why == wire.WHY_DONE
         }
         for task in [task for task in machine.tasks if (task.name, task.attempt) in done] if done else ():
-            if task.phase is Phase.PLACED and task.job.kind is not Kind.SERVICE:
-                self.finish_task(task, self.now, measured=False)
+            if task.phase is TaskPhase.BOUND and task.job.kind is not JobKind.SERVICE:
+                self.complete_task(task, self.now, measured=False)
 
-    def may_still_tell(self, machine: Machine, now: int, until: int) -> bool:
+    def may_report_unknown_completions(self, machine: Machine, now: int, until: int) -> bool:
         """A silent machine that may come back and tell of ends that nobody else knows any more.
 
         All nodes ended in an outage, and with them what had been reported and not recorded; or the last leader was cut
@@ -126,30 +135,30 @@
         the leases have ended that an earlier leader gave, and with them what the machine could tell.
         """
         return (
-            self.ends_unknown
+            self.completions_unknown
             and now < until
             and not machine.last_heartbeat_at
-            and any(not task.claimed_at for task in machine.work)
+            and any(not task.binding_at for task in machine.finite_tasks)
         )
 
-    def witnesses(self, machine: Machine) -> bool:
+    def holds_unwritten_completions(self, machine: Machine) -> bool:
         """It must not be returned or given up yet: it holds ends that are written nowhere else.
 
         Machines that were drained, or silent for 5 s, were once returned between the report of an end and its record.
         When that record was late and the leader ended, the next one found the task on a machine that was gone, and ran
         it again.
         """
-        found = self._only_told_here(machine)
-        self._hasten(found)
+        found = self._completions_known_only_from(machine)
+        self._expedite(found)
         return bool(found)
 
-    def hasten(self, machine: Machine) -> None:
+    def expedite_completions(self, machine: Machine) -> None:
         """What only this machine tells is written at once: it will soon tell nothing any more."""
-        self._hasten(self._only_told_here(machine))
+        self._expedite(self._completions_known_only_from(machine))
 
-    def _hasten(self, ends: list[tuple[Job, int]]) -> None:
+    def _expedite(self, ends: list[tuple[Job, int]]) -> None:
         for job, index in ends:
-            for key in self.keys_of(job, index):
-                if key in self.dirty:
-                    del self.dirty[key]
-                    self.urgent[key] = 0
+            for key in self.task_record_keys(job, index):
+                if key in self.dirty_keys:
+                    del self.dirty_keys[key]
+                    self.urgent_keys[key] = 0
--- a/oatport/control/state/quota.py
+++ b/oatport/control/state/quota.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass, field
 
 from oatport import wire
-from oatport.control.state.model import PRIORITIES
+from oatport.control.state.job import PRIORITIES
 from oatport.settings import Team
 
 
--- /dev/null
+++ b/oatport/control/state/task.py
@@ -0,0 +1,61 @@
+"""A task of a job and its binding to a machine, as the leader sees it."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from enum import IntEnum
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from oatport.control.state.job import Job
+    from oatport.control.state.machine import Machine
+
+
+class TaskPhase(IntEnum):
+    PENDING = 0  # on no machine, wants one
+    BINDING = 1  # a machine is chosen, the commit is not known to be applied: no start was sent
+    BOUND = 2  # committed: on its machine until proven gone
+
+
+@dataclass(slots=True, eq=False)
+class Task:
+    """A task that was touched and is not done. Untouched and done ones are just numbers in their job."""
+
+    job: Job
+    index: int
+    phase: TaskPhase = TaskPhase.PENDING
+    attempt: int = 0
+    machine: Machine | None = None
+    # Session under which this leader first sent the start; 0: not sent by this leader.
+    start_epoch: int = 0
+    # The (session, seq) of an answer of the worker's to a start of this attempt.
+    start_acknowledged: tuple[int, int] | None = None
+    status: str = ""  # as last reported
+    binding_at: int = 0
+    running_since: int = 0
+    # Set when the task is to leave its machine: grace in seconds, and when the first stop was sent.
+    stop_grace_s: float | None = None
+    stop_sent_at: int = 0
+    start_retry_at: int = 0
+    binding_epoch: int = 0  # the worker's session when it was claimed (recorded for classes that limit repeats)
+    retry_exhausted: bool = False  # it may not run again
+
+    def __hash__(self) -> int:
+        """The same in every run, so that sets of them are gone through in the same order."""
+        return self.job.number * 131_071 + self.index
+
+    @property
+    def name(self) -> str:
+        return f"{self.job.job_id}/{self.index}"
+
+    def to_pending(self) -> None:
+        self.phase = TaskPhase.PENDING
+        self.machine = None
+        self.start_epoch = 0
+        self.start_acknowledged = None
+        self.status = ""
+        self.running_since = 0
+        self.stop_grace_s = None
+        self.stop_sent_at = 0
+        self.start_retry_at = 0
+        self.binding_epoch = 0
--- a/oatport/control/state/utilization.py
+++ b/oatport/control/state/utilization.py
@@ -25,13 +25,13 @@
     """Add up what the time since then cost, by what machines did, and count them. `since` 0: the first call."""
     hours = (now - since) / (3600 * SECOND) if since else 0.0
     tally = FleetUtilization()
-    for job in work.waiting:
+    for job in work.pending:
         tally.waiting[job.tier or "?"] = tally.waiting.get(job.tier or "?", 0) + job.pending
     for machine in work.machines.values():
         kind, money = machine.type, machine.price * hours
-        if not machine.up_at:
+        if not machine.ready_at:
             tally.down += 1
-            work.spent["boot"] += money
+            work.cost_by_use["boot"] += money
             continue
         tally.up += 1
         tally.cpus += kind.cpus
@@ -48,8 +48,8 @@
                 running += share
             else:
                 fetching += share
-        work.spent["run"] += money * min(running, 1.0)
-        work.spent["fetch"] += money * fetching
+        work.cost_by_use["run"] += money * min(running, 1.0)
+        work.cost_by_use["fetch"] += money * fetching
         idle = "idle gpu" if kind.gpus else "idle spot" if machine.spot else "idle owned"
-        work.spent[idle] += money * max(1.0 - running - fetching, 0.0)
+        work.cost_by_use[idle] += money * max(1.0 - running - fetching, 0.0)
     return tally
--- a/oatport/control/storage/overflow_records.py
+++ b/oatport/control/storage/overflow_records.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from oatport import wire
-from oatport.control.state.model import Job
+from oatport.control.state.job import Job
 from oatport.control.storage.record_layout import HEAD_FRAME, MORE
 from oatport.sizes import json_size
 
@@ -62,4 +62,4 @@
     """Lists of its description lie in records of their own: it is recorded without them again."""
     if "more" in value:
         names = value["more"][1]
-        job.slim = {"job": {k: v for k, v in value["job"].items() if k not in names}, "more": value["more"]}
+        job.compact_spec = {"job": {k: v for k, v in value["job"].items() if k not in names}, "more": value["more"]}
--- a/oatport/control/storage/record_layout.py
+++ b/oatport/control/storage/record_layout.py
@@ -4,9 +4,10 @@
 first tasks and further keys the others, each named by the first that it holds: `live/REF/0001` and `live/REF/0001.40`.
 Machines likewise: `fleet/000002` and `fleet/000002.18`. Where two records tell of the same task or machine, the one
 that was written last is right. So a record that an earlier version wrote larger may stay as it is while parts of it
-are written anew; only before it is itself written smaller must the others be there (`Records`).
+are written anew; only before it is itself written smaller must the others be there (`WriteBuffer`).
 
-Versions before 0.7 know no such parts: they are written only once all nodes read them (`control/storage/schema_version.py`).
+Versions before 0.7 know no such parts: they are written only once all nodes read them
+(`control/storage/schema_version.py`).
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from oatport.control.state.model import CHUNK_TASKS, Job
+from oatport.control.state.job import Job
 from oatport.sizes import json_size
 
 JOBS, LIVE, WAITS, MORE, FLEET = "jobs/", "live/", "waits/", "more/", "fleet/"
@@ -25,6 +26,8 @@
 TASK_ROW = 28  # [attempt, machine, session]
 MACHINE_ROW = 110  # beside the longest name of a zone
 
+CHUNK_TASKS = 100  # tasks in one record, where that fits
+
 
 def fitting(limit: int, frame: int, row: int, most: int) -> int:
     """How many rows a value holds; 1 at least."""
@@ -91,25 +94,25 @@
         """How many of a job's tasks lie with it in one record."""
         if not self.parts:
             return CHUNK_TASKS
-        if job.head_tasks < 0:
+        if job.tasks_in_first_record < 0:
             taken = HEAD_FRAME + json_size(job.record("")["job"])
-            job.head_tasks = min(CHUNK_TASKS, max(0, (self.limit - taken) // TASK_ROW))
-        return job.head_tasks
+            job.tasks_in_first_record = min(CHUNK_TASKS, max(0, (self.limit - taken) // TASK_ROW))
+        return job.tasks_in_first_record
 
     def task_key(self, job: Job, index: int) -> str:
         """The record that a task lies in."""
         chunk, offset = divmod(index, CHUNK_TASKS)
         size, head = self.part_tasks, 0 if chunk else self.head_tasks(job)
         if offset < head:
-            return live_key(job.ref)
+            return live_key(job.job_id)
         low = head + (offset - head) // size * size
-        return f"{LIVE}{job.ref}/{chunk:04d}.{low:02d}" if low or not chunk else chunk_key(job.ref, chunk)
+        return f"{LIVE}{job.job_id}/{chunk:04d}.{low:02d}" if low or not chunk else chunk_key(job.job_id, chunk)
 
     def task_span(self, job: Job, key: str) -> tuple[int, int]:
         """The tasks of a record: from, up to."""
         _, low = first_of(key)
         chunk = low // CHUNK_TASKS
-        size = self.head_tasks(job) if key == live_key(job.ref) else self.part_tasks
+        size = self.head_tasks(job) if key == live_key(job.job_id) else self.part_tasks
         return low, min(low + size, (chunk + 1) * CHUNK_TASKS)
 
     def task_keys(self, job: Job, low: int, high: int) -> Iterator[str]:
--- a/oatport/control/storage/recovery.py
+++ b/oatport/control/storage/recovery.py
@@ -12,7 +12,10 @@
 from oatport import wire
 from oatport.control.state.cancellations import answers_until
 from oatport.control.state.cluster_state import DARK_LEAST, ClusterState
-from oatport.control.state.model import Hold, Job, Kind, Machine, Phase, Task, digits
+from oatport.control.state.identifiers import number_in_name
+from oatport.control.state.job import DeferredStart, Job, JobKind
+from oatport.control.state.machine import Machine
+from oatport.control.state.task import Task, TaskPhase
 from oatport.control.storage.overflow_records import note_slim
 from oatport.control.storage.record_layout import FLEET_CHUNK, group_of
 from oatport.control.storage.schema_version import FORMATS_KEY, READS, reads_of
@@ -53,7 +56,7 @@
         span = range(low, low + int(found["value"].get("n", FLEET_CHUNK)))
         for number in [n for n in known if n in span]:
             del known[number]
-        known |= {digits(row[0]): row for row in found["value"]["m"]}
+        known |= {number_in_name(row[0]): row for row in found["value"]["m"]}
     return [known[number] for number in sorted(known)]
 
 
@@ -79,7 +82,7 @@
         if machine is None:
             # Left out, it would be taken for gone, and all that runs on it would be started again elsewhere.
             raise UnknownMachineTypeError(f"{name} is of type {type_name}")
-        machine.recorded, machine.was_up = True, was_up
+        machine.persisted, machine.was_ready = True, was_up
         # Asked at once by the new leader; one that stays silent has most likely been so before.
         machine.known_since = now - cluster.tuning.us("silent_s") * 3 // 10
     for row in rows:
@@ -89,8 +92,12 @@
             cluster.predictor.load(value)
         elif key == DARK_KEY:
             # What an earlier leader found out holds until one of the zone's machines is heard.
-            cluster.dark = {str(zone): now - max(0, wall - int(since)) for zone, since in value["zones"].items()}
-            cluster.kept = {str(zone) for zone in value.get("kept", ())} & cluster.dark.keys()
+            cluster.partitioned_zones = {
+                str(zone): now - max(0, wall - int(since)) for zone, since in value["zones"].items()
+            }
+            cluster.lease_proxied_zones = {
+                str(zone) for zone in value.get("kept", ())
+            } & cluster.partitioned_zones.keys()
         elif key.startswith(WAITS):
             waits[key[len(WAITS) :]] = value, version
         elif key.startswith(LIVE):
@@ -99,7 +106,7 @@
                 spec, at, _ = read_job(value)
                 # As accepted, it has the revision of jobs/REF; from the first claim on it tells that one.
                 job = cluster.add_job(ref, spec, int(value.get("rev", version)), at)
-                job.from_at = int(value.get("from", at))
+                job.eligible_at = int(value.get("from", at))
                 note_slim(job, value)
                 cluster.versions[key] = version
                 if "t" in value:
@@ -108,31 +115,35 @@
                 cancelled[ref] = version
             elif part == OLD_HEAD:
                 apart[ref] = value
-                cluster.orphans.append(key)
+                cluster.orphaned_keys.append(key)
             else:
                 chunks.setdefault(ref, []).append((version, first_of(key)[1], value))
-    cluster.dirty.clear()  # what was just read is not to be written back
+    cluster.dirty_keys.clear()  # what was just read is not to be written back
     for ref, value in apart.items():
         if ref in cluster.jobs and not any(low == 0 for _, low, _ in chunks.get(ref, ())):
             chunks.setdefault(ref, []).append((0, 0, value))
-            cluster.dirty[live_key(ref)] = None  # written before the old key is dropped
+            cluster.dirty_keys[live_key(ref)] = None  # written before the old key is dropped
     for ref, parts in chunks.items():
         found = cluster.jobs.get(ref)
         if found is None:
             # Its head went with its end, which the keys outlived: a large job dropped in parts.
-            cluster.orphans += [
+            cluster.orphaned_keys += [
                 key for key in cluster.versions if key.startswith(f"{LIVE}{ref}/") and key != cancel_key(ref)
             ]
             continue
         job = found
         parts.sort(key=lambda part: part[:2])
         _load_tasks(cluster, job, parts)
-        job.again = deque(sorted(i for i, t in job.tasks.items() if t.phase is Phase.PENDING and not t.spent))
+        job.retry_queue = deque(
+            sorted(i for i, t in job.tasks.items() if t.phase is TaskPhase.PENDING and not t.retry_exhausted)
+        )
     for row in rows:
-        cluster.note_width(row["path"], row["value"])
+        cluster.note_record_width(row["path"], row["value"])
     for ref, (value, version) in waits.items():
         if ref in cluster.jobs:
-            cluster.orphans.append(waits_key(ref))  # it was claimed: dropped after that, where one transaction is small
+            cluster.orphaned_keys.append(
+                waits_key(ref)
+            )  # it was claimed: dropped after that, where one transaction is small
             continue
         spec, at, _ = read_job(value)
         job = Job(ref, spec, version, at)
@@ -140,30 +151,30 @@
         if ref in cancelled:
             cluster.versions[waits_key(ref)] = version
             job.cancelled = True
-            cluster.to_clean[job] = None
+            cluster.jobs_to_delete[job] = None
         else:
-            cluster.add_waiting(job)
+            cluster.add_blocked(job)
     for ref, version in cancelled.items():
         if ref in cluster.jobs:
             cluster.cancel_job(ref, version)
         else:
-            cluster.cancel_after(ref)
+            cluster.cancel_dependents(ref)
             if ref not in waits:
-                cluster.orphans.append(cancel_key(ref))
+                cluster.orphaned_keys.append(cancel_key(ref))
     for job in cluster.jobs.values():
-        if job.done:
-            cluster.served.began(job)
-        spent = next((task for task in job.tasks.values() if task.spent), None) if job.once else None
+        if job.completed:
+            cluster.job_statistics.began(job)
+        spent = next((task for task in job.tasks.values() if task.retry_exhausted), None) if job.at_most_once else None
         if spent is not None and not job.cancelled:
-            cluster.lose(spent, "a task was lost with its machine or with an earlier leader, and may not run again")
-        if job.kind is Kind.GANG and job.done and not job.cancelled:
+            cluster.fail_job(spent, "a task was lost with its machine or with an earlier leader, and may not run again")
+        if job.kind is JobKind.GANG and job.completed and not job.cancelled:
             cluster.complete_gang(job)
         if not job.pending:
-            cluster.waiting.discard(job)
-        if len(job.done) >= job.spec.tasks and not job.cancelled:
-            job.finishing = True
-            cluster.to_finish[job] = None
-        assert live_key(job.ref) in cluster.versions or waits_key(job.ref) in cluster.versions
+            cluster.pending.discard(job)
+        if len(job.completed) >= job.spec.tasks and not job.cancelled:
+            job.completing = True
+            cluster.jobs_to_complete[job] = None
+        assert live_key(job.job_id) in cluster.versions or waits_key(job.job_id) in cluster.versions
 
 
 def _load_tasks(cluster: ClusterState, job: Job, parts: list[tuple[int, int, Any]]) -> None:
@@ -173,34 +184,34 @@
         rows |= {low + offset: row for offset, row in enumerate(value["t"])}
         if "tier" not in value:
             continue
-        job.tier, job.lost = str(value.get("tier", "")), int(value.get("lost", 0))
+        job.tier, job.loss_count = str(value.get("tier", "")), int(value.get("lost", 0))
         job.errors = int(value.get("errors", 0))
-        job.suspect = job.errors > 0
+        job.suspected_faulty = job.errors > 0
         if "hold" in value:
-            job.hold, job.opened = Hold.of(value["hold"]), int(value["hold"]["open"])
+            job.deferral, job.start_limit = DeferredStart.of(value["hold"]), int(value["hold"]["open"])
     # Tasks between the known ones were never touched but are below the mark now.
-    job.fresh = max(rows, default=-1) + 1
-    for index in range(job.fresh):
+    job.next_untouched = max(rows, default=-1) + 1
+    for index in range(job.next_untouched):
         task, row = Task(job, index), rows.get(index, 0)
         job.tasks[index] = task
         if row == -1:
             del job.tasks[index]
-            job.done.add(index)
+            job.completed.add(index)
         elif row:
             task.attempt = int(row[0])
             job.gang_attempt = max(job.gang_attempt, task.attempt)
             if len(row) > 2:
-                task.claim_session, task.spent = int(row[2]), row[1] is None
+                task.binding_epoch, task.retry_exhausted = int(row[2]), row[1] is None
             if len(row) > 1 and row[1] is not None:
                 machine = cluster.machines.get(row[1])
                 if machine is None:
                     # The fleet record is written no later than the first claim on a machine and kept
                     # until the machine is proven gone: so the task's machine is.
-                    task.spent = job.once  # and may have begun there
-                    cluster.touch(task)
+                    task.retry_exhausted = job.at_most_once  # and may have begun there
+                    cluster.mark_dirty(task)
                     continue
-                task.phase = Phase.PLACED
-                cluster.assign(task, machine)
+                task.phase = TaskPhase.BOUND
+                cluster.bind(task, machine)
                 machine.images.setdefault(job.spec.image, 1)  # it was sent there a while ago
 
 
@@ -225,7 +236,7 @@
     return [
         m
         for m in machines
-        if not m.releasing and (m.up_at or m.was_up) and now - max(m.last_heartbeat_at, m.known_since) > silent_us
+        if not m.releasing and (m.ready_at or m.was_ready) and now - max(m.last_heartbeat_at, m.known_since) > silent_us
     ]
 
 
@@ -235,7 +246,7 @@
     With many machines that takes a moment to see: a leader cut off from workers need not wait as long as for one.
     One that has just begun asks them all at once.
     """
-    up = [m for m in machines if (m.up_at or m.was_up) and not m.releasing]
+    up = [m for m in machines if (m.ready_at or m.was_ready) and not m.releasing]
     if len(up) < DARK_LEAST or any(now - max(m.last_heartbeat_at, began) <= report_us * 3 // 2 for m in up):
         return []
     return up
@@ -249,7 +260,7 @@
     """
     zones: dict[str, list[Machine]] = {}
     for machine in machines:
-        if not machine.releasing and (machine.up_at or machine.was_up):
+        if not machine.releasing and (machine.ready_at or machine.was_ready):
             zones.setdefault(machine.zone, []).append(machine)
     quiet = {zone: silent(there, now, silent_us // 2) for zone, there in zones.items()}
     dark = [zone for zone, there in zones.items() if len(quiet[zone]) == len(there) >= DARK_LEAST]
@@ -261,5 +272,5 @@
 
 def cut_off(silent_count: int, machines: list[Machine]) -> bool:
     """Many silent at once: it is rather I who am cut off."""
-    up = sum(1 for m in machines if m.up_at or m.was_up)
+    up = sum(1 for m in machines if m.ready_at or m.was_ready)
     return silent_count >= 3 and silent_count * 3 >= up
--- a/oatport/control/storage/schema_version.py
+++ b/oatport/control/storage/schema_version.py
@@ -11,7 +11,9 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-READS = 2  # 1: before 0.7; 2: parts of chunks and groups (`control/storage/record_layout.py`), lists of a job in records of their own
+# 1: before 0.7; 2: parts of chunks and groups (`control/storage/record_layout.py`),
+# lists of a job in records of their own
+READS = 2
 FORMATS_KEY = "formats"
 
 
--- a/oatport/control/storage/write_buffer.py
+++ b/oatport/control/storage/write_buffer.py
@@ -8,9 +8,12 @@
 
 from oatport import wire
 from oatport.control.queueing.runtime_predictor import RuntimePredictor
-from oatport.control.state.model import CHUNK_TASKS, IDLE_RANK, Job, Kind, Machine, Phase, Task
+from oatport.control.state.job import IDLE_RANK, Job, JobKind
+from oatport.control.state.machine import Machine
+from oatport.control.state.task import Task, TaskPhase
 from oatport.control.storage.record_layout import (
     CANCEL_MARK,
+    CHUNK_TASKS,
     FLEET,
     FLEET_CHUNK,
     JOBS,
@@ -62,15 +65,15 @@
 
     conditions: dict[str, int] = field(default_factory=dict)
     sets: dict[str, Any] = field(default_factory=dict)
-    drops: list[str] = field(default_factory=list)
-    claims: list[tuple[Task, int, Machine]] = field(default_factory=list)  # with attempt and machine as written
-    finished: list[Job] = field(default_factory=list)
-    cleaned: list[Job] = field(default_factory=list)
-    called_off: list[Job] = field(default_factory=list)  # a job that they need was cancelled
+    deletes: list[str] = field(default_factory=list)
+    bindings: list[tuple[Task, int, Machine]] = field(default_factory=list)  # with attempt and machine as written
+    completed_jobs: list[Job] = field(default_factory=list)
+    deleted_jobs: list[Job] = field(default_factory=list)
+    cancelled_jobs: list[Job] = field(default_factory=list)  # a job that they need was cancelled
 
     @property
-    def ops(self) -> int:
-        return len(self.sets) + len(self.drops)
+    def operation_count(self) -> int:
+        return len(self.sets) + len(self.deletes)
 
 
 class WriteBuffer:
@@ -82,65 +85,71 @@
         self.now = 0  # the time of the last event or pass
         self.wall_offset = 0  # the time of day less the steady clock, at the last report
         # Keys whose record tells of more tasks or machines than it would be written with now, and up to which task.
-        self.wide: dict[str, int] = {}
-        self.too_large = False  # the limits have fallen and not all nodes read parts yet: what is larger is not written
+        self.oversized_records: dict[str, int] = {}
+        self.value_limit_lowered = (
+            False  # the limits have fallen and not all nodes read parts yet: what is larger is not written
+        )
         self._held_back: dict[str, None] = {}
         # Records that there is one of each, and what is to be written there.
-        self.singles: dict[str, Callable[[], dict[str, Any]]] = {MODEL_KEY: predictor.record}
+        self.singleton_records: dict[str, Callable[[], dict[str, Any]]] = {MODEL_KEY: predictor.record}
         self.jobs: dict[str, Job] = {}
         self.machines: dict[str, Machine] = {}
-        self.to_send: set[Machine] = set()  # machines with commands that should not wait for a report
-        self.unacked: set[Task] = set()  # placed by this leader, and not known to have reached their machines
-        self.replan = True
+        self.machines_to_command: set[Machine] = set()  # machines with commands that should not wait for a report
+        self.unacknowledged_tasks: set[Task] = (
+            set()
+        )  # placed by this leader, and not known to have reached their machines
+        self.planning_needed = True
         self.versions: dict[str, int] = {}  # of the leader's own keys, as known
-        self.urgent: dict[str, int] = {}  # keys to write now: claims, with the rank of their job
-        self.dirty: dict[str, None] = {}  # keys to write soon: ends
-        self._ends_since: dict[str, int] = {}  # of task records among them: when the first end came (steady)
-        self.in_flight: set[str] = set()
-        self.to_finish: dict[Job, None] = {}
-        self.to_clean: dict[Job, None] = {}
-        self.to_call_off: dict[str, Job] = {}
-        self.orphans: list[str] = []  # left keys without a job
-        self.over: dict[str, int] = {}  # jobs that were dropped -> the revision at which their end was recorded
-
-    def drop_job(self, job: Job) -> None:
+        self.urgent_keys: dict[str, int] = {}  # keys to write now: claims, with the rank of their job
+        self.dirty_keys: dict[str, None] = {}  # keys to write soon: ends
+        self._completions_since: dict[str, int] = {}  # of task records among them: when the first end came (steady)
+        self.in_flight_keys: set[str] = set()
+        self.jobs_to_complete: dict[Job, None] = {}
+        self.jobs_to_delete: dict[Job, None] = {}
+        self.jobs_to_cancel: dict[str, Job] = {}
+        self.orphaned_keys: list[str] = []  # left keys without a job
+        self.terminal_revisions: dict[
+            str, int
+        ] = {}  # jobs that were dropped -> the revision at which their end was recorded
+
+    def remove_job(self, job: Job) -> None:
         """Its end, or the removal of what was left of it, is committed."""
         raise NotImplementedError
 
-    def job_done(self, ref: str, at: int) -> None:
+    def on_completion_recorded(self, ref: str, at: int) -> None:
         """That it is done is recorded, since then (time of day)."""
         raise NotImplementedError
 
-    def touch(self, task: Task, *, urgent: bool = False) -> None:
+    def mark_dirty(self, task: Task, *, urgent: bool = False) -> None:
         key = self.layout.task_key(task.job, task.index)
         if urgent:
-            self.dirty.pop(key, None)
-            self.urgent[key] = task.job.rank
-        elif key not in self.urgent:
-            self.dirty[key] = None
-            self._ends_since.setdefault(key, self.now)
+            self.dirty_keys.pop(key, None)
+            self.urgent_keys[key] = task.job.priority_rank
+        elif key not in self.urgent_keys:
+            self.dirty_keys[key] = None
+            self._completions_since.setdefault(key, self.now)
 
-    def keys_of(self, job: Job, index: int) -> set[str]:
+    def task_record_keys(self, job: Job, index: int) -> set[str]:
         """Under which a task lies, or lay before all nodes read parts."""
-        return {self.layout.task_key(job, index), chunk_key(job.ref, index // CHUNK_TASKS)}
+        return {self.layout.task_key(job, index), chunk_key(job.job_id, index // CHUNK_TASKS)}
 
-    def unwritten(self, job: Job, index: int) -> bool:
+    def is_unwritten(self, job: Job, index: int) -> bool:
         """What became of a task is in no record yet, as far as is known."""
         return any(
             key in waits
-            for key in self.keys_of(job, index)
-            for waits in (self.dirty, self.urgent, self.in_flight, self._held_back)
+            for key in self.task_record_keys(job, index)
+            for waits in (self.dirty_keys, self.urgent_keys, self.in_flight_keys, self._held_back)
         )
 
-    def touch_machine(self, machine: Machine, *, urgent: bool = False) -> None:
+    def mark_machine_dirty(self, machine: Machine, *, urgent: bool = False) -> None:
         key = self.layout.fleet_key(machine.number)
         if urgent:
-            self.urgent[key] = 0
+            self.urgent_keys[key] = 0
         else:
-            self.dirty[key] = None
+            self.dirty_keys[key] = None
         main = group_key(machine.number // FLEET_CHUNK)
-        if main in self.wide:
-            self.dirty[main] = None  # else a machine that is gone would stay in it
+        if main in self.oversized_records:
+            self.dirty_keys[main] = None  # else a machine that is gone would stay in it
 
     def fleet_value(self, key: str) -> dict[str, Any]:
         low, high = self.layout.fleet_span(key)
@@ -152,8 +161,8 @@
                     machine.zone,
                     machine.spot,
                     machine.address,
-                    machine.rented_wall,
-                    bool(machine.up_at or machine.was_up),
+                    machine.rented_at_wall,
+                    bool(machine.ready_at or machine.was_ready),
                 ]
                 for machine in self.machines.values()
                 if low <= machine.number < high
@@ -165,14 +174,14 @@
 
     def _job_keys(self, job: Job) -> list[str]:
         """All keys that job may have, that of a waiting one first, else the head."""
-        heads = [waits_key(job.ref), live_key(job.ref), cancel_key(job.ref)]
-        chunks = (job.fresh + CHUNK_TASKS - 1) // CHUNK_TASKS if job.fresh else 0
-        keys = dict.fromkeys([*heads, *(chunk_key(job.ref, c) for c in range(1, chunks))])
+        heads = [waits_key(job.job_id), live_key(job.job_id), cancel_key(job.job_id)]
+        chunks = (job.next_untouched + CHUNK_TASKS - 1) // CHUNK_TASKS if job.next_untouched else 0
+        keys = dict.fromkeys([*heads, *(chunk_key(job.job_id, c) for c in range(1, chunks))])
         if self.layout.parts:
-            keys |= dict.fromkeys(self.layout.task_keys(job, 0, job.fresh))
+            keys |= dict.fromkeys(self.layout.task_keys(job, 0, job.next_untouched))
         return list(keys)
 
-    def note_width(self, key: str, value: Any) -> None:
+    def note_record_width(self, key: str, value: Any) -> None:
         """A record as it lies there now: does it tell of more than it would be written with?"""
         if key.startswith(FLEET):
             low, high = self.layout.fleet_span(key)
@@ -186,33 +195,35 @@
         else:
             return
         if is_wide:
-            self.wide[key] = upto
+            self.oversized_records[key] = upto
         else:
-            self.wide.pop(key, None)
+            self.oversized_records.pop(key, None)
 
-    def open_parts(self) -> None:
+    def enable_record_parts(self) -> None:
         """All nodes read parts of chunks and groups: from now on they are written."""
         if self.layout.parts:
             return
-        old = {**dict.fromkeys(self._held_back), **self.dirty, **self.urgent}
+        old = {**dict.fromkeys(self._held_back), **self.dirty_keys, **self.urgent_keys}
         self._held_back.clear()
-        self.too_large = False
+        self.value_limit_lowered = False
         self.layout.parts = True
         for job in self.jobs.values():
-            for low in range(0, job.fresh, CHUNK_TASKS):
-                key, upto = chunk_key(job.ref, low // CHUNK_TASKS), min(low + CHUNK_TASKS, job.fresh)
+            for low in range(0, job.next_untouched, CHUNK_TASKS):
+                key, upto = chunk_key(job.job_id, low // CHUNK_TASKS), min(low + CHUNK_TASKS, job.next_untouched)
                 if self.versions.get(key) and upto > self.layout.task_span(job, key)[1]:
-                    self.wide[key] = upto
+                    self.oversized_records[key] = upto
         if self.layout.part_machines < FLEET_CHUNK:
-            self.wide |= {key: group_of(key)[1] + FLEET_CHUNK for key in self.versions if key.startswith(FLEET)}
+            self.oversized_records |= {
+                key: group_of(key)[1] + FLEET_CHUNK for key in self.versions if key.startswith(FLEET)
+            }
         for key, rank in old.items():
             for part in self._parts_of(key):
                 if rank is None:
-                    if part not in self.urgent:
-                        self.dirty[part] = None
+                    if part not in self.urgent_keys:
+                        self.dirty_keys[part] = None
                 else:
-                    self.dirty.pop(part, None)
-                    self.urgent[part] = rank
+                    self.dirty_keys.pop(part, None)
+                    self.urgent_keys[part] = rank
 
     def _parts_of(self, key: str, rows: int = CHUNK_TASKS) -> list[str]:
         """Where that lies now which was to be written, or was written, under this key."""
@@ -222,13 +233,20 @@
             return [key]
         ref, low = first_of(key)
         job = self.jobs.get(ref)
-        return [] if job is None else [key, *self.layout.task_keys(job, low, min(low + rows, job.fresh))]
+        return [] if job is None else [key, *self.layout.task_keys(job, low, min(low + rows, job.next_untouched))]
 
     def has_writes(self) -> bool:
-        return bool(self.urgent or self.dirty or self.to_finish or self.to_clean or self.to_call_off or self.orphans)
+        return bool(
+            self.urgent_keys
+            or self.dirty_keys
+            or self.jobs_to_complete
+            or self.jobs_to_delete
+            or self.jobs_to_cancel
+            or self.orphaned_keys
+        )
 
-    def has_urgent(self) -> bool:
-        return bool(self.urgent or self.to_finish or self.to_call_off)
+    def has_urgent_writes(self) -> bool:
+        return bool(self.urgent_keys or self.jobs_to_complete or self.jobs_to_cancel)
 
     def take_batch(self, max_ops: int, budget: int | None = None, ripe_us: int = 0) -> WriteBatch:
         """The next transaction, the most pressing first.
@@ -240,84 +258,88 @@
         would wait for the writes of ends, and a lost replica for a zone's worth of them.
         """
         batch = WriteBatch()
-        self._add_called_off(batch, max_ops)
+        self._add_cancelled_jobs(batch, max_ops)
         # A swarm's claims wait for the ends of others' jobs, which their users are waiting to hear of.
         self._add_urgent(batch, max_ops, IDLE_RANK - 1)
-        for job in list(self.to_finish):
+        for job in list(self.jobs_to_complete):
             keys = [k for k in self._job_keys(job) if self.versions.get(k)]
-            if batch.ops and batch.ops + 1 + len(keys) > max_ops:
+            if batch.operation_count and batch.operation_count + 1 + len(keys) > max_ops:
                 break
-            del self.to_finish[job]
-            batch.conditions[job_key(job.ref)] = job.version
+            del self.jobs_to_complete[job]
+            batch.conditions[job_key(job.job_id)] = job.version
             # Since when it is done: what needs it counts its times from then, also under another leader.
-            batch.sets[job_key(job.ref)] = job.record(wire.LOST if job.failure_reason else wire.DONE) | {
+            batch.sets[job_key(job.job_id)] = job.record(wire.LOST if job.failure_reason else wire.DONE) | {
                 "ended": self.now + self.wall_offset
             }
-            self._add_drops(batch, keys, max_ops)
-            batch.finished.append(job)
+            self._add_deletes(batch, keys, max_ops)
+            batch.completed_jobs.append(job)
         self._add_urgent(batch, max_ops, IDLE_RANK)
         most = max_ops
         if budget is not None:
-            left_urgent = len(self.urgent) + len(self.to_finish)
-            max_ops = min(max_ops, max(batch.ops, budget - left_urgent))
-        for job in list(self.to_clean):
+            left_urgent = len(self.urgent_keys) + len(self.jobs_to_complete)
+            max_ops = min(max_ops, max(batch.operation_count, budget - left_urgent))
+        for job in list(self.jobs_to_delete):
             keys = [k for k in self._job_keys(job) if self.versions.get(k)]
             # Whole, or at least with all of a transaction: the mark must not go before the job that it cancels.
-            if batch.ops + len(keys) > max_ops and not (batch.ops == 0 and max_ops == most):
+            if batch.operation_count + len(keys) > max_ops and not (batch.operation_count == 0 and max_ops == most):
                 break
             if job.cancelled and job.on_machines:
-                del self.to_clean[job]
+                del self.jobs_to_delete[job]
                 continue
-            if any(k in self.in_flight for k in keys):
+            if any(k in self.in_flight_keys for k in keys):
                 continue
-            del self.to_clean[job]
-            self._add_drops(batch, keys, max_ops)
-            batch.cleaned.append(job)
-        for key in list(self.dirty):
-            if batch.ops >= max_ops:
+            del self.jobs_to_delete[job]
+            self._add_deletes(batch, keys, max_ops)
+            batch.deleted_jobs.append(job)
+        for key in list(self.dirty_keys):
+            if batch.operation_count >= max_ops:
                 break
-            if ripe_us and self.now - self._ends_since.get(key, -ripe_us) < ripe_us:
+            if ripe_us and self.now - self._completions_since.get(key, -ripe_us) < ripe_us:
                 continue
-            if key in self.dirty and not self._add_record(batch, key, max_ops):
+            if key in self.dirty_keys and not self._add_record(batch, key, max_ops):
                 break
-        while self.orphans and batch.ops < max_ops:
-            self._add_drops(batch, [self.orphans.pop()], max_ops)
-        self.in_flight = {*batch.sets, *batch.drops}
+        while self.orphaned_keys and batch.operation_count < max_ops:
+            self._add_deletes(batch, [self.orphaned_keys.pop()], max_ops)
+        self.in_flight_keys = {*batch.sets, *batch.deletes}
         return batch
 
     def _add_urgent(self, batch: WriteBatch, max_ops: int, lowest: int) -> None:
-        for key in sorted((k for k, rank in self.urgent.items() if rank <= lowest), key=self.urgent.__getitem__):
-            if key in self.urgent and (batch.ops >= max_ops or not self._add_record(batch, key, max_ops)):
+        for key in sorted(
+            (k for k, rank in self.urgent_keys.items() if rank <= lowest), key=self.urgent_keys.__getitem__
+        ):
+            if key in self.urgent_keys and (
+                batch.operation_count >= max_ops or not self._add_record(batch, key, max_ops)
+            ):
                 return
 
-    def _add_called_off(self, batch: WriteBatch, max_ops: int) -> None:
-        """Jobs whose needed ones were cancelled. What users are told does not wait for it (`api/job_status_cache.py`), so claims
-        get their half of a transaction meanwhile: 3,000 at once take minutes."""
-        most = max_ops if not (self.urgent or self.to_finish) else max(2, max_ops // 2)
-        for ref, job in list(self.to_call_off.items()):
-            if batch.ops and batch.ops + 2 > most:
+    def _add_cancelled_jobs(self, batch: WriteBatch, max_ops: int) -> None:
+        """Jobs whose needed ones were cancelled. What users are told does not wait for it
+        (`api/job_status_cache.py`), so claims get their half of a transaction meanwhile: 3,000 at once take minutes."""
+        most = max_ops if not (self.urgent_keys or self.jobs_to_complete) else max(2, max_ops // 2)
+        for ref, job in list(self.jobs_to_cancel.items()):
+            if batch.operation_count and batch.operation_count + 2 > most:
                 return
-            del self.to_call_off[ref]
-            batch.conditions[job_key(job.ref)] = job.version
-            batch.sets[job_key(job.ref)] = job.record(wire.CANCELLED)
-            self._add_drops(batch, [waits_key(job.ref)], max_ops)
-            batch.called_off.append(job)
+            del self.jobs_to_cancel[ref]
+            batch.conditions[job_key(job.job_id)] = job.version
+            batch.sets[job_key(job.job_id)] = job.record(wire.CANCELLED)
+            self._add_deletes(batch, [waits_key(job.job_id)], max_ops)
+            batch.cancelled_jobs.append(job)
 
-    def _add_drops(self, batch: WriteBatch, keys: list[str], max_ops: int) -> None:
+    def _add_deletes(self, batch: WriteBatch, keys: list[str], max_ops: int) -> None:
         for key in keys:
-            if batch.ops < max_ops:
+            if batch.operation_count < max_ops:
                 batch.conditions[key] = self.versions.get(key, 0)
-                batch.drops.append(key)
+                batch.deletes.append(key)
             else:
-                self.orphans.append(key)
-            self.urgent.pop(key, None)
-            self.dirty.pop(key, None)
-            self._ends_since.pop(key, None)
+                self.orphaned_keys.append(key)
+            self.urgent_keys.pop(key, None)
+            self.dirty_keys.pop(key, None)
+            self._completions_since.pop(key, None)
 
-    def _ahead(self, key: str) -> list[str]:
+    def _prerequisite_keys(self, key: str) -> list[str]:
         """Records that must be there before this one, or come with it."""
         if key.startswith(FLEET):
-            if key not in self.wide:
+            if key not in self.oversized_records:
                 return []
             there = {self.layout.fleet_key(machine.number) for machine in self.machines.values()}
             return [k for k in self.layout.fleet_keys(key) if k != key and k in there and not self.versions.get(k)]
@@ -329,35 +351,35 @@
             return []
         if key != head and not self.versions.get(head):
             return [head]  # a job that waited for others: its head says that it waits no more
-        if key not in self.wide:
+        if key not in self.oversized_records:
             return []
-        parts = self.layout.task_keys(job, self.layout.task_span(job, key)[1], self.wide[key])
+        parts = self.layout.task_keys(job, self.layout.task_span(job, key)[1], self.oversized_records[key])
         return [k for k in parts if not self.versions.get(k)]
 
     def _add_record(self, batch: WriteBatch, key: str, max_ops: int) -> bool:
         """False: there is no room for it with what must come along; it stays to be written."""
-        ahead = [k for k in self._ahead(key) if k not in batch.sets]
+        ahead = [k for k in self._prerequisite_keys(key) if k not in batch.sets]
         swaps = sum(bool(k.startswith(LIVE) and self.versions.get(waits_key(first_of(k)[0]))) for k in (key, *ahead))
-        if batch.ops and batch.ops + 1 + len(ahead) + min(swaps, 1) > max_ops:
+        if batch.operation_count and batch.operation_count + 1 + len(ahead) + min(swaps, 1) > max_ops:
             return False
         split = len(ahead) + 1 > max_ops  # more than a transaction holds: first what must be there before
         for k in ahead[:max_ops] if split else (*ahead, key):
-            self.urgent.pop(k, None)
-            self.dirty.pop(k, None)
+            self.urgent_keys.pop(k, None)
+            self.dirty_keys.pop(k, None)
             self._put(batch, k, max_ops)
         return not split
 
     def _put(self, batch: WriteBatch, key: str, max_ops: int) -> None:
-        self._ends_since.pop(key, None)
+        self._completions_since.pop(key, None)
         if key.startswith(FLEET):
             value = self.fleet_value(key)
-            if self.too_large and json_size(value) > self.layout.limit:
+            if self.value_limit_lowered and json_size(value) > self.layout.limit:
                 self._held_back[key] = None
                 return
             if value["m"]:
                 batch.sets[key] = value
             elif self.versions.get(key):
-                batch.drops.append(key)
+                batch.deletes.append(key)
             else:
                 return
         elif key.startswith(MODEL_KEY):
@@ -366,21 +388,21 @@
             if number < len(parts):
                 batch.sets[key] = parts[number]
             elif self.versions.get(key):
-                batch.drops.append(key)
+                batch.deletes.append(key)
             else:
                 return
             if not number:
-                self.dirty |= {f"{MODEL_KEY}/{i}": None for i in range(1, len(parts))}
-        elif key in self.singles:
-            batch.sets[key] = self.singles[key]()
+                self.dirty_keys |= {f"{MODEL_KEY}/{i}": None for i in range(1, len(parts))}
+        elif key in self.singleton_records:
+            batch.sets[key] = self.singleton_records[key]()
         else:
             ref, _ = first_of(key)
             job = self.jobs.get(ref)
-            if job is None or (job.cancelled and not job.failure_reason) or job.finishing:
+            if job is None or (job.cancelled and not job.failure_reason) or job.completing:
                 return  # its keys go with the job
             low, high = self.layout.task_span(job, key)
             value = job.rows_value(low, high) if key != live_key(ref) else job.live_value(high)
-            if self.too_large and json_size(value) > self.layout.limit:
+            if self.value_limit_lowered and json_size(value) > self.layout.limit:
                 self._held_back[key] = None
                 return
             batch.sets[key] = value
@@ -388,65 +410,69 @@
             waits = waits_key(ref)
             if key == live_key(ref) and self.versions.get(waits):
                 # From now on an earlier version may know of the job: it waits for nobody.
-                self._add_drops(batch, [waits], max_ops)
-            for index in range(low, min(high, job.fresh)):  # not all tasks of a huge array
+                self._add_deletes(batch, [waits], max_ops)
+            for index in range(low, min(high, job.next_untouched)):  # not all tasks of a huge array
                 task = job.tasks.get(index)
-                if task is not None and task.phase is Phase.CLAIMED and task.machine:
-                    batch.claims.append((task, task.attempt, task.machine))
+                if task is not None and task.phase is TaskPhase.BINDING and task.machine:
+                    batch.bindings.append((task, task.attempt, task.machine))
         batch.conditions[key] = self.versions.get(key, 0)
 
     def committed(self, batch: WriteBatch, revision: int, now: int) -> None:
         """The transaction is known to be applied."""
-        self.in_flight = set()
-        for key in batch.drops:
+        self.in_flight_keys = set()
+        for key in batch.deletes:
             self.versions.pop(key, None)
         for key, value in batch.sets.items():
             if key.startswith(JOBS):
                 continue
             self.versions[key] = revision
-            self.note_width(key, value)
+            self.note_record_width(key, value)
             if key.startswith(FLEET):
                 for row in value["m"]:
                     machine = self.machines.get(row[0])
-                    if machine is not None and not machine.recorded:
-                        machine.recorded = True
-                        self.replan = True
-        for task, attempt, machine in batch.claims:
+                    if machine is not None and not machine.persisted:
+                        machine.persisted = True
+                        self.planning_needed = True
+        for task, attempt, machine in batch.bindings:
             # A claim withdrawn and made anew meanwhile is not the one that was written.
-            if task.phase is Phase.CLAIMED and task.attempt == attempt and task.machine is machine:
-                task.phase = Phase.PLACED
-                self.unacked.add(task)
-                self.to_send.add(machine)
-                if task.job.kind is Kind.GANG:
-                    self.to_send.update(t.machine for t in task.job.tasks.values() if t.machine)
-        for job in (*batch.finished, *batch.cleaned, *batch.called_off):
-            self.drop_job(job)
-            self.over[job.ref] = revision
-        for job in batch.finished:
+            if task.phase is TaskPhase.BINDING and task.attempt == attempt and task.machine is machine:
+                task.phase = TaskPhase.BOUND
+                self.unacknowledged_tasks.add(task)
+                self.machines_to_command.add(machine)
+                if task.job.kind is JobKind.GANG:
+                    self.machines_to_command.update(t.machine for t in task.job.tasks.values() if t.machine)
+        for job in (*batch.completed_jobs, *batch.deleted_jobs, *batch.cancelled_jobs):
+            self.remove_job(job)
+            self.terminal_revisions[job.job_id] = revision
+        for job in batch.completed_jobs:
             if not job.failure_reason:
-                self.job_done(job.ref, int(batch.sets[job_key(job.ref)]["ended"]))
+                self.on_completion_recorded(job.job_id, int(batch.sets[job_key(job.job_id)]["ended"]))
 
-    def put_back(self, batch: WriteBatch) -> None:
+    def restore_batch(self, batch: WriteBatch) -> None:
         """The transaction was refused or given up for good: its contents are to be written anew."""
-        self.in_flight = set()
-        for job in batch.finished:
-            self.to_finish[job] = None
-        for job in batch.cleaned:
-            self.to_clean[job] = None
-        for job in batch.called_off:
-            self.to_call_off[job.ref] = job
-        finished_keys = {k for job in (*batch.finished, *batch.cleaned, *batch.called_off) for k in self._job_keys(job)}
-        claimed = {self.layout.task_key(t.job, t.index): t.job.rank for t, _, _ in batch.claims}
+        self.in_flight_keys = set()
+        for job in batch.completed_jobs:
+            self.jobs_to_complete[job] = None
+        for job in batch.deleted_jobs:
+            self.jobs_to_delete[job] = None
+        for job in batch.cancelled_jobs:
+            self.jobs_to_cancel[job.job_id] = job
+        finished_keys = {
+            k
+            for job in (*batch.completed_jobs, *batch.deleted_jobs, *batch.cancelled_jobs)
+            for k in self._job_keys(job)
+        }
+        claimed = {self.layout.task_key(t.job, t.index): t.job.priority_rank for t, _, _ in batch.bindings}
         written = [(key, len(value.get("t", ()))) for key, value in batch.sets.items() if not key.startswith(JOBS)]
         parts = [part for name, rows in written for part in self._parts_of(name, rows)]
         for key in dict.fromkeys([*claimed, *parts]):
             if key in claimed:
-                self.dirty.pop(key, None)
-                self.urgent[key] = claimed[key]
-            elif key not in self.urgent:
-                self.dirty[key] = None
-        for key in batch.drops:
+                self.dirty_keys.pop(key, None)
+                self.urgent_keys[key] = claimed[key]
+            elif key not in self.urgent_keys:
+                self.dirty_keys[key] = None
+        for key in batch.deletes:
             if key.startswith((FLEET, MODEL_KEY)):
-                self.dirty[key] = None
+                self.dirty_keys[key] = None
             elif key not in finished_keys and not (key.startswith(WAITS) and key[len(WAITS) :] in self.jobs):
-                self.orphans.append(key)  # waits/REF goes with the next try of the first claim
+                self.orphaned_keys.append(key)  # waits/REF goes with the next try of the first claim
--- a/oatport/lab/queues.py
+++ b/oatport/lab/queues.py
@@ -143,8 +143,8 @@
         """As a process that is killed: it gives nothing up."""
         node, task = self.nodes.pop(name)
         node.group.close()
-        if node.lead is not None:
-            node.lead.close()
+        if node.leader is not None:
+            node.leader.close()
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
 
