--- a/oatport/lab/world/builds.py
+++ b/oatport/lab/world/builds.py
@@ -22,6 +22,7 @@
 from oatport.clients.http import Keep, NoResponseError, RequestNotSentError
 from oatport.lab.world.loop import Host
 from oatport.lab.world.net import Net
+from oatport.service.node import Node
 
 ROOT = Path(__file__).resolve().parents[3]
 PACKAGE = "oatport"
@@ -48,6 +49,24 @@
         )
 
 
+@dataclass(frozen=True)
+class LeaderView:
+    """What the simulation observes of a leading node, whichever version it runs."""
+
+    token: int
+    loaded: bool
+    stopped: bool
+
+
+def leader_of(node: Any) -> LeaderView | None:
+    """The node's leader; the version in production has other names for it."""
+    if isinstance(node, Node):
+        leader = node.leader
+        return None if leader is None else LeaderView(leader.token, leader.loaded, leader.stopped)
+    leader = node.lead
+    return None if leader is None else LeaderView(leader.token, leader.loaded, leader.over)
+
+
 def production_commit(root: Path = ROOT) -> str:
     try:
         value = tomllib.loads((root / "deploy" / "service.toml").read_text(encoding="utf-8"))
--- a/oatport/queues/outbox.py
+++ b/oatport/queues/outbox.py
@@ -1,8 +1,8 @@
 """One final answer for each message: recorded, published with a confirm, marked. For the parts that this gateway owns.
 
 Recording is conditioned on the part's token, so an answer is recorded once; publishing can't be fenced, so it goes out
-only while the gateway's lease can't have ended (`control/leadership/leader_lease.py`). A crash between repeats the identical answer
-under the same message id, which `oatport.queues.client` drops.
+only while the gateway's lease can't have ended (`control/leadership/leader_lease.py`). A crash between
+repeats the identical answer under the same message id, which `oatport.queues.client` drops.
 """
 
 from __future__ import annotations
--- a/oatport/queues/templates.py
+++ b/oatport/queues/templates.py
@@ -116,7 +116,7 @@
     default = DEFAULTS.get(name, "")
     if isinstance(default, bool):
         return text.strip().lower() in ("yes", "true", "1", "on")
-    if isinstance(default, int) or isinstance(default, float) or name == "deadline_s":
+    if isinstance(default, (int, float)) or name == "deadline_s":
         try:
             number = float(text)
         except ValueError:
--- a/oatport/service/cloud_controller.py
+++ b/oatport/service/cloud_controller.py
@@ -3,13 +3,15 @@
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import logging
 
 from oatport import wire
 from oatport.clients.cloud import CloudClient
 from oatport.clients.http import NoResponseError, RequestRefusedError, jitter
 from oatport.control.scaling.scale_in import CapacityPlanner, ScaleOutRequest
-from oatport.control.state.model import Kind, Machine
+from oatport.control.state.job import JobKind
+from oatport.control.state.machine import Machine
 from oatport.service.catalog import read_types, write_types
 from oatport.service.failure_detector import FailureDetector
 from oatport.service.leader_context import LeaderContext
@@ -28,11 +30,11 @@
         self._helm = helm
         self.cluster = helm.cluster
         self.fleet = CapacityPlanner(helm.cluster)
-        self.cloud = CloudClient(net, helm.settings.services.cloud, helm.settings.cluster.cloud.rps, helm.entitled)
-        self.home = helm.home
+        self.cloud = CloudClient(net, helm.settings.services.cloud, helm.settings.cluster.cloud.rps, helm.holds_lease)
+        self.home = helm.node
         self.state = helm.state
         self.tuning = helm.tuning
-        self.group = helm.group
+        self.group = helm.background
         self.watcher = FailureDetector(helm, net, self.release, self.fleet)
         self._requests = 0
         self._listed_at = 0
@@ -44,7 +46,7 @@
 
     def status(self, now: int) -> str:
         """One line that says how things stand; all of it was counted on other occasions."""
-        fleet = self.cluster.tally
+        fleet = self.cluster.utilization
         return (
             f"machines {fleet.up} up ({fleet.up_spot} spot), {fleet.down} not up; "
             f"cpus {fleet.cpus:.0f} of which free {fleet.free_owned:.0f} owned {fleet.free_spot:.0f} spot; "
@@ -52,7 +54,7 @@
             f"threshold {seconds(self.cluster.router.threshold):.0f} s; "
             f"rentals under way {len(self.fleet.under_way)}, "
             f"refused {sum(1 for until in self.fleet.refused.values() if until > now)}; spent "
-            + " ".join(f"{what} {money:.2f}" for what, money in sorted(self.cluster.spent.items()))
+            + " ".join(f"{what} {money:.2f}" for what, money in sorted(self.cluster.cost_by_use.items()))
         )
 
     async def catalog(self) -> None:
@@ -69,26 +71,26 @@
             self.home.types = types
             layout = self.cluster.layout
             await write_types(self.state, self._helm.token, version, {**recorded, **types}, layout.limit, layout.parts)
-        self.cluster.learn_types(types)
+        self.cluster.update_catalog(types)
 
     async def rent_loop(self) -> None:
         catalog_at = moved_at = 0
         reopened = False
-        while not self._helm.over:
+        while not self._helm.stopped:
             await asyncio.sleep(0.3)
             now = self._helm.now()
             if now - catalog_at > (30 * SECOND if self.cluster.types else SECOND):
                 catalog_at = now
                 self.group.once("catalog", self.catalog())
-            if self._settled(now) and not self._helm.stalled(now):
+            if self._settled(now) and not self._helm.decisions_paused(now):
                 self.cluster.find_usable(now)
                 due = self.fleet.due(now)
                 if due:
                     # What waits is placed on reopened machines first: more than what they take was once rented.
                     reopened = self.fleet.mark_surplus(now) and not reopened
-                    self.cluster.replan = self.cluster.replan or reopened
+                    self.cluster.planning_needed = self.cluster.planning_needed or reopened
                 if now - moved_at > SECOND:
-                    replicas = sum(j.on_machines for j in self.cluster.jobs.values() if j.kind is Kind.SERVICE)
+                    replicas = sum(j.on_machines for j in self.cluster.jobs.values() if j.kind is JobKind.SERVICE)
                     self.cluster.replica_us += replicas * (now - moved_at) if moved_at else 0
                     moved_at = now
                     for task in self.fleet.to_move(now):
@@ -101,17 +103,17 @@
                     self.fleet.under_way.append(rental)
                     self.group.once("rent", self.rent(rental))
             gone = self.fleet.to_release(now)
-            if gone and self._settled(now) and self._helm.entitled():
+            if gone and self._settled(now) and self._helm.holds_lease():
                 await self.release(gone, "returned")
 
     def _settled(self, now: int) -> bool:
         """The view is complete enough to rent and return by: machines confirmed, the list seen."""
-        if now - self._helm.began > 6 * SECOND:
+        if now - self._helm.led_since > 6 * SECOND:
             return True
         if not self._listed_at:
             return False
-        waiting = any(m.was_up and not m.confirmed(self._helm.token) for m in self.cluster.machines.values())
-        return not waiting or now - self._helm.began > 3 * SECOND
+        waiting = any(m.was_ready and not m.confirmed(self._helm.token) for m in self.cluster.machines.values())
+        return not waiting or now - self._helm.led_since > 3 * SECOND
 
     async def rent(self, rental: ScaleOutRequest) -> None:
         self._requests += 1
@@ -120,7 +122,7 @@
         try:
             until = steady() + 20 * SECOND
             names: list[str] | None = None
-            while names is None and steady() < until and not self._helm.over:
+            while names is None and steady() < until and not self._helm.stopped:
                 try:
                     names = await self.cloud.rent(request, rental.type, rental.zone, rental.spot, rental.count)
                 except RequestRefusedError as error:
@@ -152,7 +154,7 @@
 
         Not those that alone tell of an end: they are asked for again once that is recorded.
         """
-        machines = [m for m in machines if not self.cluster.witnesses(m)]
+        machines = [m for m in machines if not self.cluster.holds_unwritten_completions(m)]
         if not machines:
             self._helm.wake()
             return
@@ -165,12 +167,12 @@
             return
         now = steady()
         for machine in machines:
-            self.cluster.machine_gone(machine, now, why)
+            self.cluster.on_machine_removed(machine, now, why)
         self._helm.wake()
 
     async def list_loop(self) -> None:
         pause = max(2.0, 4.0 / self._helm.settings.cluster.cloud.rps)
-        while not self._helm.over:
+        while not self._helm.stopped:
             asked = steady()
             try:
                 rows = await self.cloud.list_all()
@@ -186,20 +188,20 @@
                 if row.status == wire.FAILED:
                     machine = cluster.machines.get(row.machine)
                     if machine is not None:
-                        cluster.machine_gone(machine, now, "failed")
+                        cluster.on_machine_removed(machine, now, "failed")
                     failed.append(row.machine)
                     continue
                 machine = cluster.add_machine(
                     row.machine, row.type, row.zone, row.spot, row.address, now, wall, round(row.age_s * SECOND)
                 )
                 if machine is not None:
-                    machine.listed = True
+                    machine.listed_by_cloud = True
             # Once listed, a machine stays listed until it is gone; the list may be old, though, so
             # only a machine that was listed and is silent is taken off, by a release that proves it.
             lost = [
                 m
                 for m in cluster.machines.values()
-                if m.listed
+                if m.listed_by_cloud
                 and m.name not in listed
                 and now - max(m.last_heartbeat_at, m.known_since) > 2 * SECOND
                 and not m.releasing
@@ -207,10 +209,8 @@
             if lost:
                 await self.release(lost, "taken")
             if failed:
-                try:
+                with contextlib.suppress(NoResponseError, RequestRefusedError):
                     await self.cloud.release(failed[:100])
-                except (NoResponseError, RequestRefusedError):
-                    pass
             self._listed_at = asked
             self._helm.wake()
             await asyncio.sleep(jitter(round(pause * SECOND)))
--- a/oatport/service/dependency_controller.py
+++ b/oatport/service/dependency_controller.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import logging
 
 from oatport import wire
@@ -27,15 +28,15 @@
         self.state = helm.state
 
     def start(self) -> None:
-        self._helm.group.keep("needed jobs", self.needs_loop)
-        self._helm.group.keep("formats", self.formats_loop)
+        self._helm.background.keep("needed jobs", self.needs_loop)
+        self._helm.background.keep("formats", self.formats_loop)
 
     async def needs_loop(self) -> None:
         """Read how needed jobs stand of which no record is known: some together, one request at a time."""
-        while not self._helm.over:
+        while not self._helm.stopped:
             await asyncio.sleep(LOOK_S)
-            unknown = sorted(self.cluster.pipelines.unknown)
-            while unknown and not self._helm.over:
+            unknown = sorted(self.cluster.dependency_graph.unknown)
+            while unknown and not self._helm.stopped:
                 try:
                     found, asked = await self.state.some(JOBS, unknown)
                 except (NoResponseError, RequestRefusedError):
@@ -47,32 +48,31 @@
                 unknown = unknown[len(asked) :]
                 self._helm.wake()
                 await asyncio.sleep(LOOK_S / 4)
-            if self.cluster.pipelines.unknown:
+            if self.cluster.dependency_graph.unknown:
                 await asyncio.sleep(AGAIN_S)  # accepted a moment ago: the watch brings it
 
     def _take(self, ref: str, state: str, ended: int) -> None:
         """Its record says so: an end holds for good, anything else may have changed since."""
         if state == wire.DONE:
-            self.cluster.job_done(ref, ended)
+            self.cluster.on_completion_recorded(ref, ended)
         elif state == wire.CANCELLED:
-            self.cluster.cancel_after(ref)
+            self.cluster.cancel_dependents(ref)
         elif state == wire.LOST or ref in self.cluster.jobs:
-            self.cluster.pipelines.seen(ref)
+            self.cluster.dependency_graph.seen(ref)
 
     async def formats_loop(self) -> None:
         """Until all nodes are known to read what this version writes, ask them. Recorded, so that it is asked once."""
-        home = self._helm.home
+        home = self._helm.node
         gate = schema_version.Gate([home.node_name, *home.peers])
-        while not self._helm.over and not self.cluster.layout.parts:
+        while not self._helm.stopped and not self.cluster.layout.parts:
             answers = await asyncio.gather(
                 *(peer.ask("formats") for peer in home.peers.values()), return_exceptions=True
             )
-            own = schema_version.answer(home.node_name, home.boot)
+            own = schema_version.answer(home.node_name, home.boot_id)
             if gate.heard([own, *(row for row in answers if not isinstance(row, BaseException))]):
-                try:
+                # Outcome unknown: the next round finds what is recorded.
+                with contextlib.suppress(NoResponseError, RequestRefusedError):
                     await self._open(gate)
-                except (NoResponseError, RequestRefusedError):
-                    pass  # unsure: the next round finds what is recorded
             await asyncio.sleep(jitter(ASK_EVERY))
 
     async def _open(self, gate: schema_version.Gate) -> None:
@@ -84,5 +84,5 @@
             if found is None or schema_version.reads_of(found[0]) < schema_version.READS:
                 return
         log.info("all nodes read formats up to %d", schema_version.READS)
-        self.cluster.open_parts()
+        self.cluster.enable_record_parts()
         self._helm.wake()
--- a/oatport/service/failover.py
+++ b/oatport/service/failover.py
@@ -9,7 +9,7 @@
 from oatport.clients.http import NoResponseError, jitter
 from oatport.clients.state import StateClient
 from oatport.clients.worker import WorkerClient
-from oatport.control.state.model import Machine
+from oatport.control.state.machine import Machine
 from oatport.control.storage.overflow_records import more_key, whole_lists
 from oatport.control.storage.schema_version import FORMATS_KEY
 from oatport.control.storage.write_buffer import DARK_KEY, FLEET, LIVE, MODEL_KEY, WAITS
@@ -57,20 +57,20 @@
 def introduce_all(helm: LeaderContext, net: Network) -> None:
     for machine in list(helm.cluster.machines.values()):
         if machine.address:
-            helm.group.once("introduce", introduce(helm, net, machine))
+            helm.background.once("introduce", introduce(helm, net, machine))
 
 
 async def introduce(helm: LeaderContext, net: Network, machine: Machine) -> None:
     """Let a machine know the new token, and learn what is on it, without waiting for its report."""
     client = WorkerClient(net, machine.address)
     for _ in range(INTRODUCTIONS):
-        if helm.over or machine.gone or machine.confirmed(helm.token):
+        if helm.stopped or machine.removed or machine.confirmed(helm.token):
             return
         try:
             report = await client.show()
-            helm.cluster.reached(machine)
-            helm.heard(report, steady())
+            helm.cluster.on_contact(machine)
+            helm.receive_heartbeat(report, steady())
             if report.token < helm.token:
-                helm.heard(await client.commands(helm.token, report.session, []), steady())
+                helm.receive_heartbeat(await client.commands(helm.token, report.session, []), steady())
         except NoResponseError:
             await asyncio.sleep(jitter(SECOND))
--- a/oatport/service/failure_detector.py
+++ b/oatport/service/failure_detector.py
@@ -10,7 +10,7 @@
 from oatport.clients.worker import WorkerClient
 from oatport.control.leadership.zone_partition import ZoneEvacuation
 from oatport.control.scaling.scale_in import RELEASE_MOST, CapacityPlanner
-from oatport.control.state.model import Machine
+from oatport.control.state.machine import Machine
 from oatport.control.storage.recovery import command_unreachable, cut_off, dark_suspects, silent
 from oatport.control.storage.write_buffer import LEADER_KEY
 from oatport.service.failover import introduce
@@ -41,10 +41,10 @@
         self._net = net
         self._release = release
         self.cluster = helm.cluster
-        self.home = helm.home
+        self.home = helm.node
         self.state = helm.state
         self.tuning = helm.tuning
-        self.group = helm.group
+        self.group = helm.background
         self._leaving = ZoneEvacuation(helm.cluster, fleet)
         self._asked_at = 0
         self._mute_asked_at = 0
@@ -53,8 +53,8 @@
 
     async def loop(self) -> None:
         """Machines not heard of: ask them, ask the other nodes, and release the lost ones."""
-        while not self._helm.over:
-            await asyncio.sleep(DARK_STEP if self.cluster.dark else STEP)
+        while not self._helm.stopped:
+            await asyncio.sleep(DARK_STEP if self.cluster.partitioned_zones else STEP)
             await self.step()
 
     async def step(self) -> None:
@@ -62,7 +62,7 @@
         silent_us = self.tuning.us("silent_s")
         machines = list(cluster.machines.values())
         self._ask_zones_back(machines)
-        lit = [m for m in machines if m.zone not in cluster.dark]
+        lit = [m for m in machines if m.zone not in cluster.partitioned_zones]
         quiet = silent(lit, now, silent_us // 2)
         self.ask(quiet, now)
         mute = [m for m in lit if m.command_unreachable]
@@ -70,16 +70,18 @@
         if cut_off(len(mute), lit) and now - self._mute_asked_at > silent_us:
             self._mute_asked_at = now
             self.group.once("unreached", self._unreached(mute))
-        self._ask_dark([m for m in machines if m.zone in cluster.dark], now)
-        unheard = command_unreachable(machines, now, cluster.report_us, self._helm.began)
+        self._ask_dark([m for m in machines if m.zone in cluster.partitioned_zones], now)
+        unheard = command_unreachable(machines, now, cluster.heartbeat_us, self._helm.led_since)
         if unheard and now - self._asked_at > silent_us // 2:
             self._asked_at = now
             await self._gives_way(unheard)
             return
-        dark = [m for m in dark_suspects(machines, now, silent_us) if m.zone not in cluster.dark]
-        leases_over = self._helm.began + cluster.lease_us
-        lost = dark or [m for m in silent(quiet, now, silent_us) if not cluster.may_still_tell(m, now, leases_over)]
-        if not lost or now - self._helm.began < silent_us * (3 if dark else 7) // 10:
+        dark = [m for m in dark_suspects(machines, now, silent_us) if m.zone not in cluster.partitioned_zones]
+        leases_over = self._helm.led_since + cluster.lease_us
+        lost = dark or [
+            m for m in silent(quiet, now, silent_us) if not cluster.may_report_unknown_completions(m, now, leases_over)
+        ]
+        if not lost or now - self._helm.led_since < silent_us * (3 if dark else 7) // 10:
             await self._leave_dark(now)
             return
         # Judged by all that are quiet: one by one they pass the mark, and those that came first were once
@@ -97,9 +99,9 @@
         if not await self._may_judge():
             return
         still = silent(lost, self._helm.now(), silent_us // 2 if dark else silent_us)
-        lost = [m for m in still if m.probed_at > 0 and not m.gone]
+        lost = [m for m in still if m.probed_at > 0 and not m.removed]
         # A zone that is cut off as a whole is left bit by bit; others that fell silent are gone.
-        left = cluster.note_dark(lost, steady())
+        left = cluster.mark_partitioned(lost, steady())
         self._confirmed_at = steady()
         lost = [m for m in lost if m.zone not in left][:RELEASE_MOST]
         if lost:
@@ -124,18 +126,21 @@
 
         Their own reports would come over seconds: each may just have begun to wait for a node in vain.
         """
-        back, self.cluster.back = self.cluster.back, set()
-        there = [m for m in machines if m.zone in back and m.address and not m.gone]
-        for machine in sorted(there, key=lambda m: -m.steady_cpus):
+        back, self.cluster.recovered_zones = self.cluster.recovered_zones, set()
+        there = [m for m in machines if m.zone in back and m.address and not m.removed]
+        for machine in sorted(there, key=lambda m: -m.service_cpus):
             self.group.once("introduce", introduce(self._helm, self._net, machine))
 
     async def _leave_dark(self, now: int) -> None:
-        """Give up machines of zones that are cut off, where something is won by it (`control/leadership/zone_partition.py`)."""
-        leaving = self._leaving.now(now, self._kept()) if self.cluster.dark else []
+        """Give up machines of zones that are cut off, where something is won by it.
+
+        See `control/leadership/zone_partition.py`.
+        """
+        leaving = self._leaving.now(now, self._kept()) if self.cluster.partitioned_zones else []
         # A leader that was cut off along answers for so long, and nobody can ask it what it was told.
-        answered_until = self._helm.began + micros(self._helm.settings.cluster.workers.cancel_s)
-        leaving = [m for m in leaving if not self.cluster.may_still_tell(m, now, answered_until)]
-        if not leaving or self._helm.stalled(now):
+        answered_until = self._helm.led_since + micros(self._helm.settings.cluster.workers.cancel_s)
+        leaving = [m for m in leaving if not self.cluster.may_report_unknown_completions(m, now, answered_until)]
+        if not leaving or self._helm.decisions_paused(now):
             return
         if now - self._confirmed_at > CONFIRMED:
             given_up, most_lost = await self._gives_way(leaving)
@@ -144,20 +149,20 @@
             self._confirmed_at = steady()
         if not await self._may_judge():
             return
-        leaving = [m for m in leaving if m.zone in self.cluster.dark and not m.gone][:RELEASE_MOST]
+        leaving = [m for m in leaving if m.zone in self.cluster.partitioned_zones and not m.removed][:RELEASE_MOST]
         if leaving:
             log.info("cut off, releasing: %s", " ".join(m.name for m in leaving))
             await self._release(leaving, "cut off")
 
     def _kept(self) -> frozenset[str]:
         """Dark zones with a node that was cut off along with them: it answers their workers."""
-        heard = self.home.nodes_heard()
-        self.cluster.note_kept(
+        heard = self.home.peer_contact_times()
+        self.cluster.mark_lease_proxied(
             zone
-            for zone, since in self.cluster.dark.items()
+            for zone, since in self.cluster.partitioned_zones.items()
             if any(abs(at - since) < NODE_LOST_WITHIN for at in heard.get(zone, ()))
         )
-        return frozenset(self.cluster.kept)
+        return frozenset(self.cluster.lease_proxied_zones)
 
     async def _may_judge(self) -> bool:
         """A node without contact judges nobody.
@@ -165,7 +170,7 @@
         Its request to release might be held by the cut and executed minutes later, when all those machines
         are at work for another leader.
         """
-        return self._helm.entitled() and await self.still_leading()
+        return self._helm.holds_lease() and await self.still_leading()
 
     async def _gives_way(self, machines: list[Machine]) -> tuple[bool, bool]:
         """Give up the lead if another node reaches these machines; and whether most nodes reach none of them."""
@@ -178,8 +183,8 @@
             return False, most_lost
         if helper is not None:
             log.warning("%d machines are silent to me but not to %s", len(machines), helper)
-            self.home.cut_off_from([m.address for m in machines if m.address][:OWN_PROBES])
-            self.home.lost_lead(f"cut off from workers; {helper} sees them")
+            self.home.mark_workers_unreachable([m.address for m in machines if m.address][:OWN_PROBES])
+            self.home.step_down(f"cut off from workers; {helper} sees them")
         return helper is not None, most_lost
 
     async def _unreached(self, machines: list[Machine]) -> None:
@@ -187,8 +192,8 @@
         helper, _ = await self.ask_around(machines)
         if helper is not None and cut_off(sum(m.command_unreachable for m in machines), machines):
             log.warning("%d machines don't hear me; %s reaches them", len(machines), helper)
-            self.home.cut_off_from([m.address for m in machines if m.address][:OWN_PROBES])
-            self.home.lost_lead(f"workers don't hear this node; {helper} reaches them")
+            self.home.mark_workers_unreachable([m.address for m in machines if m.address][:OWN_PROBES])
+            self.home.step_down(f"workers don't hear this node; {helper} reaches them")
 
     async def still_leading(self) -> bool:
         try:
@@ -196,7 +201,7 @@
         except (NoResponseError, RequestRefusedError):
             return False
         if found is None or found[1] != self._helm.token:
-            self._helm.depose("the leader key has another version")
+            self._helm.step_down("the leader key has another version")
             return False
         return True
 
@@ -230,8 +235,8 @@
     async def _probe(self, machine: Machine) -> None:
         try:
             report = await WorkerClient(self._net, machine.address, Keep.ONCE).show()
-            self.cluster.reached(machine)
-            self._helm.heard(report, steady())
+            self.cluster.on_contact(machine)
+            self._helm.receive_heartbeat(report, steady())
         except NoResponseError:
             pass
         finally:
--- a/oatport/service/group_commit.py
+++ b/oatport/service/group_commit.py
@@ -47,12 +47,12 @@
 
     async def loop(self) -> None:
         bulk_at = steady()
-        while not self._helm.over:
+        while not self._helm.stopped:
             await self.wanted.wait()
             self.wanted.clear()
-            while self.cluster.has_writes() and not self._helm.over:
-                if not self.cluster.has_urgent():
-                    await asyncio.sleep(seconds(END_DELAY) if not self.cluster.has_urgent() else 0)
+            while self.cluster.has_writes() and not self._helm.stopped:
+                if not self.cluster.has_urgent_writes():
+                    await asyncio.sleep(seconds(END_DELAY) if not self.cluster.has_urgent_writes() else 0)
                 # What can wait leaves half a second's worth to claims, and to users' requests.
                 now = steady()
                 budget = int(self._budget.available() - self._budget.rate / 2)
@@ -60,15 +60,15 @@
                     budget = self._txn_ops
                 ripe = END_RIPE if now - bulk_at <= BULK_WAIT else 0
                 batch = self.cluster.take_batch(self._txn_ops, max(budget, 0), ripe)
-                if not self.cluster.dirty or batch.ops > 1:
+                if not self.cluster.dirty_keys or batch.operation_count > 1:
                     bulk_at = now
-                if not batch.ops:
-                    for job in batch.cleaned + batch.finished + batch.called_off:
-                        self.cluster.drop_job(job)
-                    self.cluster.in_flight = set()
+                if not batch.operation_count:
+                    for job in batch.deleted_jobs + batch.completed_jobs + batch.cancelled_jobs:
+                        self.cluster.remove_job(job)
+                    self.cluster.in_flight_keys = set()
                     await asyncio.sleep(0.04)
                     continue
-                await self._budget.spend(batch.ops)
+                await self._budget.spend(batch.operation_count)
                 await self.commit(batch)
                 self._helm.wake()
 
@@ -81,9 +81,9 @@
         conditions = {LEADER_KEY: self._helm.token, **batch.conditions}
         tries = 0
         self._trying_since = steady()
-        while not self._helm.over:
+        while not self._helm.stopped:
             try:
-                result = await self.state.commit(conditions, batch.sets, batch.drops)
+                result = await self.state.commit(conditions, batch.sets, batch.deletes)
             except (NoResponseError, RequestRefusedError) as error:
                 tries += 1
                 if not (isinstance(error, RequestRefusedError) and error.status == 429):
@@ -92,15 +92,15 @@
                     # The first sign that the limits have fallen; until then their full rate is used.
                     self._budget.rate = min(self._budget.rate, self._later_rate)
                 if isinstance(error, RequestRefusedError) and error.status < 429:
-                    if not self.cluster.layout.parts and not self.cluster.too_large:
+                    if not self.cluster.layout.parts and not self.cluster.value_limit_lowered:
                         # The limits have fallen while a node was away, so that it isn't known whether it reads parts:
                         # what is too large waits for that, and the rest goes on.
                         log.error("a transaction was refused: records that may be too large are not written for now")
                         self._trying_since = 0
-                        self.cluster.too_large = True
-                        self.cluster.put_back(batch)
+                        self.cluster.value_limit_lowered = True
+                        self.cluster.restore_batch(batch)
                         return
-                    self._helm.depose("the state service calls a transaction malformed")
+                    self._helm.step_down("the state service calls a transaction malformed")
                     return
                 await asyncio.sleep(jitter(min(60 * MS * tries, 400 * MS)))
                 continue
@@ -113,7 +113,7 @@
 
     async def _conflict(self, batch: WriteBatch, failed: tuple[str, ...], tries: int) -> None:
         if LEADER_KEY in failed:
-            self._helm.depose("the leader key has another version")
+            self._helm.step_down("the leader key has another version")
             return
         if tries and await self._was_applied(batch):
             return
@@ -121,18 +121,18 @@
         if others or not failed:
             # Somebody else wrote what only the leader writes: what we believe is not what is recorded.
             log.error("records differ from what was expected: %s", others)
-            self._helm.depose("records differ from what was expected")
+            self._helm.step_down("records differ from what was expected")
             return
         cancelled = {key: await self._reread(key[len(JOBS) :]) for key in failed}
-        self.cluster.put_back(batch)
+        self.cluster.restore_batch(batch)
         for key, version in cancelled.items():
             if version:
-                self.cluster.cancel_waiting(key[len(JOBS) :], version)  # its user was faster than its needed job's
+                self.cluster.cancel_blocked(key[len(JOBS) :], version)  # its user was faster than its needed job's
             job = self.cluster.jobs.get(key[len(JOBS) :])
             if job is not None and job.cancelled:
-                job.finishing = False
-                self.cluster.to_finish.pop(job, None)
-                self.cluster.cancel_job(job.ref, 0, self._helm.clock.known_at)
+                job.completing = False
+                self.cluster.jobs_to_complete.pop(job, None)
+                self.cluster.cancel_job(job.job_id, 0, self._helm.lease_renewal_limit.known_at)
 
     async def _was_applied(self, batch: WriteBatch) -> bool:
         """After an unsure try: did it get through? All that it wrote then has the revision of the commit.
@@ -142,11 +142,11 @@
         `jobs/REF` alone is ever written by others, and only where the commit did not come first.
         """
         revisions: set[int] = set()
-        for key in (*batch.sets, *batch.drops):
+        for key in (*batch.sets, *batch.deletes):
             found = await self._sure(key)
-            if self._helm.over:
+            if self._helm.stopped:
                 return False
-            if key in batch.drops:
+            if key in batch.deletes:
                 if found is not None:
                     return False
             elif found is None or found[1] <= batch.conditions.get(key, 0) or not _same(found[0], batch.sets[key]):
@@ -160,7 +160,7 @@
 
     async def _sure(self, key: str) -> tuple[Any, int] | None:
         """What is recorded under a key, however often it has to be asked for."""
-        while not self._helm.over:
+        while not self._helm.stopped:
             try:
                 return await self.state.get(key)
             except (NoResponseError, RequestRefusedError):
@@ -173,13 +173,13 @@
         job = self.cluster.jobs.get(ref)
         state = None if found is None else found[0].get("state")
         if found is not None and state == wire.CANCELLED:
-            self.cluster.cancel_job(ref, found[1], self._helm.clock.known_at)
+            self.cluster.cancel_job(ref, found[1], self._helm.lease_renewal_limit.known_at)
             return found[1]
         if found is not None and state in wire.OVER and job is not None:
-            self.cluster.drop_job(job)
-            self.cluster.over[ref] = found[1]
+            self.cluster.remove_job(job)
+            self.cluster.terminal_revisions[ref] = found[1]
             if state == wire.DONE:
-                self.cluster.job_done(ref, int(found[0].get("ended", 0)))
+                self.cluster.on_completion_recorded(ref, int(found[0].get("ended", 0)))
         return 0
 
 
--- a/oatport/service/leader.py
+++ b/oatport/service/leader.py
@@ -6,6 +6,7 @@
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import logging
 from typing import TYPE_CHECKING, Any
 
@@ -20,8 +21,9 @@
 from oatport.control.queueing.queue_estimator import QueueEstimator
 from oatport.control.queueing.runtime_predictor import RuntimePredictor
 from oatport.control.state.cluster_state import ClusterState
-from oatport.control.state.completions import End
-from oatport.control.state.model import Job, Machine
+from oatport.control.state.completions import Completion
+from oatport.control.state.job import Job
+from oatport.control.state.machine import Machine
 from oatport.control.storage.overflow_records import lies_apart, note_slim
 from oatport.control.storage.recovery import LeaseRenewalLimit, load, read_job, types_recorded
 from oatport.control.storage.write_buffer import JOBS, MODEL_KEY, job_key
@@ -65,7 +67,7 @@
         windows: WindowSettings | None = None,
         repeats: RetryPolicies | None = None,
     ) -> None:
-        self.home = home
+        self.node = home
         self.settings = settings
         self.tuning = tuning
         self.state = state
@@ -74,29 +76,29 @@
         self._net = net
         limits = settings.cluster
         self.cluster = ClusterState(token, limits, tuning, dict(home.types), RuntimePredictor())
-        self.cluster.repeats = repeats or {}
+        self.cluster.retry_policies = repeats or {}
         self.placer = Placer(self.cluster)
-        self.began = steady()
-        self.clock = LeaseRenewalLimit(limits, self.began)
-        self.mandate = LeaderLease(tuning.us("leader_lease_s"), held_at)
-        self._pulse = PauseDetector(self.began)
-        self.group = BackgroundTasks()
+        self.led_since = steady()
+        self.lease_renewal_limit = LeaseRenewalLimit(limits, self.led_since)
+        self.leader_lease = LeaderLease(tuning.us("leader_lease_s"), held_at)
+        self._pause_detector = PauseDetector(self.led_since)
+        self.background = BackgroundTasks()
         self.loaded = False
-        self.over = False
-        self.keeper = CloudController(self, net)
+        self.stopped = False
+        self.cloud_controller = CloudController(self, net)
         self.commits = GroupCommit(self)
-        self.chains = DependencyController(self)
-        self.windows: WindowController | None = None
+        self.dependency_controller = DependencyController(self)
+        self.window_controller: WindowController | None = None
         if windows is not None and windows.on:
             from oatport.service.window_controller import WindowController
 
-            self.windows = WindowController(self, net, windows)
-            self.cluster.on_released = self.windows.joined
+            self.window_controller = WindowController(self, net, windows)
+            self.cluster.on_released = self.window_controller.joined
         self._plan_wanted = asyncio.Event()
         self._send_wanted = asyncio.Event()
         self._sending: set[Machine] = set()
         self._commanded = 0  # requests to workers since the last tick
-        self._early: list[tuple[str, str, Any, int]] = []  # told before the records were loaded
+        self._early_hints: list[tuple[str, str, Any, int]] = []  # told before the records were loaded
         self._watch_from = 0
         self._reading: set[str] = set()  # ids of jobs that are looked up
 
@@ -106,21 +108,21 @@
         """Load what is recorded; reports confirm it."""
         asked = steady()  # cancellations told while the records are read may not be among them
         (rows, revision), (ended, complete) = await asyncio.gather(
-            read_records(self.state), self.home.ended_before(self.token)
+            read_records(self.state), self.node.completions_before(self.token)
         )
         await self._know_types(types_recorded(rows))
         load(self.cluster, rows, steady(), time_of_day())
         self.cluster.now = steady()
-        self.cluster.take_ends(ended)
-        self.cluster.ends_unknown = not complete
-        if self.windows is not None:
-            await self.windows.fail_over()
+        self.cluster.apply_completions(ended)
+        self.cluster.completions_unknown = not complete
+        if self.window_controller is not None:
+            await self.window_controller.fail_over()
         self._watch_from = revision
-        self.clock.known(asked)
+        self.lease_renewal_limit.known(asked)
         self.loaded = True
-        for kind, ref, value, rev in self._early:
-            self._told(kind, ref, value, rev)
-        self._early.clear()
+        for kind, ref, value, rev in self._early_hints:
+            self._apply_job_hint(kind, ref, value, rev)
+        self._early_hints.clear()
         log.info(
             "leading with token %d: %d jobs, %d machines recorded",
             self.token,
@@ -135,11 +137,11 @@
             ("display", self._display_loop),
             ("tick", self._tick_loop),
         ):
-            self.group.keep(name, loop)
-        self.keeper.start()
-        self.chains.start()
-        if self.windows is not None:
-            self.windows.start()
+            self.background.keep(name, loop)
+        self.cloud_controller.start()
+        self.dependency_controller.start()
+        if self.window_controller is not None:
+            self.window_controller.start()
         self._net.expect(len(self.cluster.machines), len(self.cluster.machines))  # at first each is told something
         introduce_all(self, self._net)
         self.wake()
@@ -154,39 +156,39 @@
         if not types or not needed <= types.keys():
             found = await read_types(self.state)
             if found is not None:
-                self.cluster.learn_types({**types, **found[0]})
+                self.cluster.update_catalog({**types, **found[0]})
         if not types or not needed <= types.keys():
-            await self.keeper.catalog()
+            await self.cloud_controller.catalog()
 
     def close(self) -> None:
-        self.over = True
-        self.group.close()
+        self.stopped = True
+        self.background.close()
 
-    def depose(self, why: str) -> None:
-        if not self.over:
-            self.over = True
-            self.home.lost_lead(why)
+    def step_down(self, why: str) -> None:
+        if not self.stopped:
+            self.stopped = True
+            self.node.step_down(why)
 
     def now(self) -> int:
         """The steady clock. A time in which this process stood still is not counted as lived."""
         now = steady()
-        gap = self._pulse.beat(now)
+        gap = self._pause_detector.beat(now)
         if gap:
             log.warning("stood still for %.1f s", seconds(gap))
             self.cluster.on_process_pause(gap, now)
         return now
 
-    def entitled(self) -> bool:
+    def holds_lease(self) -> bool:
         """Nobody else can be leading: asked at the moment of acting."""
-        return not self.over and self.mandate.holds(steady())
+        return not self.stopped and self.leader_lease.holds(steady())
 
     def explain(self, ref: str) -> dict[str, Any]:
         """Why a job waits or is held, for operators."""
-        waits = self.cluster.why_waiting(ref)
+        waits = self.cluster.explain_blocked(ref)
         if waits:
-            return {"job": ref, "held": False, "why": waits, "waitsOn": self.cluster.pipelines.waits(ref)[:100]}
-        if self.windows is not None:
-            return self.windows.explain(ref)
+            return {"job": ref, "held": False, "why": waits, "waitsOn": self.cluster.dependency_graph.waits(ref)[:100]}
+        if self.window_controller is not None:
+            return self.window_controller.explain(ref)
         job = self.cluster.jobs.get(ref)
         if job is None:
             return {"job": ref, "held": False, "why": "no unfinished job of this id"}
@@ -194,53 +196,53 @@
 
     def wake(self) -> None:
         cluster = self.cluster
-        if cluster.replan:
+        if cluster.planning_needed:
             self._plan_wanted.set()
         if cluster.has_writes():
             self.commits.wanted.set()
-        if cluster.to_send:
+        if cluster.machines_to_command:
             self._send_wanted.set()
 
     # --- jobs told by nodes or seen in the watch -----------------------------------------------
 
-    def told(self, kind: str, ref: str, value: Any, revision: int) -> None:
+    def on_job_hint(self, kind: str, ref: str, value: Any, revision: int) -> None:
         if not self.loaded:
-            if len(self._early) < 10_000:
-                self._early.append((kind, ref, value, revision))
+            if len(self._early_hints) < 10_000:
+                self._early_hints.append((kind, ref, value, revision))
             return
-        self._told(kind, ref, value, revision)
+        self._apply_job_hint(kind, ref, value, revision)
 
-    def _told(self, kind: str, ref: str, value: Any, revision: int) -> None:
+    def _apply_job_hint(self, kind: str, ref: str, value: Any, revision: int) -> None:
         if kind == "cancelled":
-            self.cluster.cancel_told(ref, revision, self.clock.known_at)
-        elif not self._has(ref) and revision > self._watch_from and "more" not in value:
+            self.cluster.cancel_confirmed(ref, revision, self.lease_renewal_limit.known_at)
+        elif not self._knows_job(ref) and revision > self._watch_from and "more" not in value:
             # An older one was seen by the load or by the watch, and may be over already.
-            self._join(ref, value, revision)
+            self._admit(ref, value, revision)
         self.wake()
 
-    def _has(self, ref: str) -> bool:
+    def _knows_job(self, ref: str) -> bool:
         """It is at work, or its end is recorded, which the watch has not told yet.
 
         Taken up again from an older change, a job that is over cost the lead: its claims fail on keys that are gone.
         """
-        return ref in self.cluster.jobs or ref in self.cluster.held_up or ref in self.cluster.over
+        return ref in self.cluster.jobs or ref in self.cluster.blocked_jobs or ref in self.cluster.terminal_revisions
 
-    def _join(self, ref: str, value: Any, revision: int) -> None:
+    def _admit(self, ref: str, value: Any, revision: int) -> None:
         spec, at, _ = read_job(value)
         if lies_apart(value):
             job = Job(ref, spec, revision, at)
             note_slim(job, value)
-            self.cluster.add_waiting(job)
+            self.cluster.add_blocked(job)
             self.commits.joined()
             return
         job = self.cluster.add_job(ref, spec, revision, at)
-        if self.windows is not None:
-            self.windows.joined(job)
+        if self.window_controller is not None:
+            self.window_controller.joined(job)
         self.commits.joined()
 
     async def _watch_loop(self) -> None:
         """Accepted and cancelled jobs, and the moment up to which all cancellations are known."""
-        while not self.over:
+        while not self.stopped:
             asked = steady()
             try:
                 found = await self.state.changes(JOBS, self._watch_from, WATCH_WAIT)
@@ -249,7 +251,7 @@
                 continue
             if found is None:
                 log.warning("the watch fell too far behind")
-                self.depose("the watch on jobs fell behind")
+                self.step_down("the watch on jobs fell behind")
                 return
             revision, news = found
             last = {item["set"]: item for item in news if "set" in item}
@@ -264,84 +266,88 @@
             for key, item in last.items():
                 ref, state = key[len(JOBS) :], str(item["value"]["state"])
                 if state == wire.CANCELLED:
-                    self.cluster.cancel_job(ref, int(item["entryRev"]), self.clock.known_at)
+                    self.cluster.cancel_job(ref, int(item["entryRev"]), self.lease_renewal_limit.known_at)
                 elif state == wire.DONE:
-                    self.cluster.job_done(ref, int(item["value"].get("ended", 0)))
-                elif state not in wire.OVER and not self._has(ref):
-                    self._join(ref, item["value"], int(item["entryRev"]))
+                    self.cluster.on_completion_recorded(ref, int(item["value"].get("ended", 0)))
+                elif state not in wire.OVER and not self._knows_job(ref):
+                    self._admit(ref, item["value"], int(item["entryRev"]))
             self._watch_from = max(self._watch_from, revision)
-            for ref in [ref for ref, at in self.cluster.over.items() if at <= self._watch_from]:
-                del self.cluster.over[ref]
-            self.clock.known(asked)
+            for ref in [ref for ref, at in self.cluster.terminal_revisions.items() if at <= self._watch_from]:
+                del self.cluster.terminal_revisions[ref]
+            self.lease_renewal_limit.known(asked)
             self.wake()
 
-    def take_ends(self, ends: list[End]) -> None:
+    def apply_completions(self, ends: list[Completion]) -> None:
         """An earlier leader tells what it did not record."""
         if self.loaded:
-            self.cluster.take_ends(ends)
+            self.cluster.apply_completions(ends)
             self.wake()
 
     # --- reports ----------------------------------------------------------------------------
 
-    def answering(self) -> bool:
+    def may_answer_heartbeats(self) -> bool:
         """Entitled to keep workers' leases alive."""
-        return self.loaded and not self.over and steady() < self.clock.until
+        return self.loaded and not self.stopped and steady() < self.lease_renewal_limit.until
 
-    def carried_out_age(self) -> int:
+    def cancellation_watermark_age(self) -> int:
         """How long ago was the moment up to which cancellations told are carried out; -1: there is none.
 
         What other nodes keep workers' leases by if they are cut off (`control/leadership/lease_proxy.py`).
         """
-        done = self.cluster.carried_out(self.clock.known_at) if self.loaded and not self.over else 0
+        done = (
+            self.cluster.cancellation_watermark(self.lease_renewal_limit.known_at)
+            if self.loaded and not self.stopped
+            else 0
+        )
         return steady() - done if done > 0 else -1
 
-    def take_report(self, report: wire.Report) -> dict[str, Any] | None:
-        if not self.answering():
+    def answer_heartbeat(self, report: wire.Report) -> dict[str, Any] | None:
+        if not self.may_answer_heartbeats():
             return None
         if report.token > self.token:
-            self.depose(f"a worker has seen token {report.token}")
+            self.step_down(f"a worker has seen token {report.token}")
             return None
         now = self.now()
         known = self.cluster.machines.get(report.machine)
-        late = known is not None and (report.session, report.seq) <= (known.session, known.seq)
-        machine = self.heard(report, now)
+        late = known is not None and (report.session, report.seq) <= (known.agent_epoch, known.heartbeat_seq)
+        machine = self.receive_heartbeat(report, now)
         if machine is None:
             return wire.report_answer(self.token, [])
-        self.cluster.report_came(machine, report)
+        self.cluster.on_heartbeat_delivered(machine, report)
         if machine.command_unreachable:
-            self.keeper.watcher.ask([machine], now)
-        if self.cluster.must_lapse(machine, now):
+            self.cloud_controller.watcher.ask([machine], now)
+        if self.cluster.must_let_lease_expire(machine, now):
             log.warning("machine %s is not answered: a start of a cancelled job may be on its way there", machine.name)
             return None
-        orders, starts = self.cluster.commands(machine, now, direct=False)
+        orders, starts = self.cluster.commands_for(machine, now, direct=False)
         # A late copy of a report, or one that a command's answer overtook: where the answer goes isn't known, so that
         # no start in it counts as sent.
-        if late or not self.entitled() or machine.releasing:
+        if late or not self.holds_lease() or machine.releasing:
             # Tasks live on, but nothing starts while the state service can't be reached, or after standing still. What
             # is to be returned is still told to stop: without the cloud's answer it may go on for long, and with
             # every answer lives the lease of a task whose job's user was told that it is cancelled.
             orders = [order for order in orders if order["orderKind"] != "start"]
             starts = []
-        self.cluster.sent(machine, starts, now, direct=False)
+        self.cluster.on_commands_sent(machine, starts, now, direct=False)
         if machine not in self._sending:
-            self.cluster.to_send.discard(machine)
+            self.cluster.machines_to_command.discard(machine)
         return wire.report_answer(self.token, orders)
 
-    def heard(self, report: wire.Report, now: int) -> Machine | None:
-        machine = self.cluster.on_report(report, now, time_of_day())
-        if self.cluster.teams.unknown:
-            self._read_strays()
+    def receive_heartbeat(self, report: wire.Report, now: int) -> Machine | None:
+        machine = self.cluster.on_heartbeat(report, now, time_of_day())
+        if self.cluster.quotas.unknown:
+            self._read_orphaned_jobs()
         self.wake()
         return machine
 
-    def state_down(self, now: int) -> bool:
+    def state_service_down(self, now: int) -> bool:
         return now - self.state.ok_at > 2 * SECOND and self.state.failed_at > self.state.ok_at
 
     # --- placing and sending ------------------------------------------------------------------
 
     async def _plan_loop(self) -> None:
-        backlog = QueueEstimator(self.cluster, self.keeper.fleet)
-        while not self.over:
+        backlog = QueueEstimator(self.cluster, self.cloud_controller.fleet)
+        while not self.stopped:
             try:
                 async with asyncio.timeout(0.5):
                     await self._plan_wanted.wait()
@@ -349,7 +355,7 @@
                 pass
             self._plan_wanted.clear()
             now, wall = self.now(), time_of_day()
-            if self.stalled(now):
+            if self.decisions_paused(now):
                 # What is claimed while the state service is away would only pile up, and what is
                 # preempted for it would be lost.
                 await asyncio.sleep(0.1)
@@ -362,63 +368,65 @@
             took = steady() - now
             await asyncio.sleep(seconds(max(PLAN_GAP, PLAN_REST * took)))
 
-    def stalled(self, now: int) -> bool:
-        return self.commits.stuck(now) or not self.entitled()
+    def decisions_paused(self, now: int) -> bool:
+        return self.commits.stuck(now) or not self.holds_lease()
 
     async def _send_loop(self) -> None:
-        while not self.over:
+        while not self.stopped:
             await self._send_wanted.wait()
             self._send_wanted.clear()
             now = self.now()
-            for machine in list(self.cluster.to_send):
+            for machine in list(self.cluster.machines_to_command):
                 if len(self._sending) >= SENDING_MOST:
                     break  # the others keep their place; once half a second passed until they were thought of again
                 if machine in self._sending or machine.releasing:
                     continue
-                self.cluster.to_send.discard(machine)
-                if not machine.address or not machine.session:
+                self.cluster.machines_to_command.discard(machine)
+                if not machine.address or not machine.agent_epoch:
                     continue
-                if self.cluster.commands(machine, now, direct=True)[0]:  # mostly what it is to be told is on its way
+                if self.cluster.commands_for(machine, now, direct=True)[
+                    0
+                ]:  # mostly what it is to be told is on its way
                     self._sending.add(machine)
-                    self.group.once("send", self._send(machine))
+                    self.background.once("send", self._send(machine))
 
     async def _send(self, machine: Machine) -> None:
         cluster = self.cluster
         try:
             now = self.now()
-            if not self.entitled() or machine.gone:
+            if not self.holds_lease() or machine.removed:
                 return  # reports' answers still carry the stops
-            orders, starts = cluster.commands(machine, now, direct=True)
+            orders, starts = cluster.commands_for(machine, now, direct=True)
             if not orders:
                 return
-            cluster.sent(machine, starts, now, direct=True)
+            cluster.on_commands_sent(machine, starts, now, direct=True)
             keys = [(task.name, task.attempt) for task in starts]
-            session = machine.session
+            session = machine.agent_epoch
             self._commanded += 1
             try:
                 report = await WorkerClient(self._net, machine.address).commands(self.token, session, orders)
             except RequestNotSentError:
-                cluster.answered(machine, keys)  # no connection: it can't land later
+                cluster.on_commands_answered(machine, keys)  # no connection: it can't land later
                 return
             except NoResponseError as error:
                 log.debug("commands to %s: %s", machine.name, error)
                 return
             if report.token > self.token:
-                self.depose(f"a worker has seen token {report.token}")
+                self.step_down(f"a worker has seen token {report.token}")
                 return
-            cluster.answered(machine, keys)
-            cluster.reached(machine)
-            self.heard(report, steady())
+            cluster.on_commands_answered(machine, keys)
+            cluster.on_contact(machine)
+            self.receive_heartbeat(report, steady())
         finally:
             self._sending.discard(machine)
-            if machine in cluster.to_send or len(self._sending) == SENDING_MOST - 1:
+            if machine in cluster.machines_to_command or len(self._sending) == SENDING_MOST - 1:
                 self._send_wanted.set()
 
     async def _tick_loop(self) -> None:
         """Repeat what went unanswered, and learn."""
         recorded_at = told_at = accounted_at = steady()
         busiest = 0
-        while not self.over:
+        while not self.stopped:
             await asyncio.sleep(TICK_S)
             now = self.now()
             busiest, self._commanded = max(busiest, self._commanded), 0
@@ -427,38 +435,38 @@
                 self._net.expect(len(self.cluster.machines), busiest / TICK_S)
                 busiest = 0
                 self.cluster.account(now)
-            for task in self.cluster.unacked:
-                if task.start_acknowledged is None and task.machine is not None and task.repeat_start_at <= now:
-                    self.cluster.to_send.add(task.machine)
-            self._read_strays()
-            self.cluster.ends_to_tell()  # what is recorded by now is left out
+            for task in self.cluster.unacknowledged_tasks:
+                if task.start_acknowledged is None and task.machine is not None and task.start_retry_at <= now:
+                    self.cluster.machines_to_command.add(task.machine)
+            self._read_orphaned_jobs()
+            self.cluster.completions_to_replicate()  # what is recorded by now is left out
             if now - recorded_at > 15 * SECOND and self.cluster.predictor.changed:
                 self.cluster.predictor.changed = False
-                self.cluster.dirty[MODEL_KEY] = None
+                self.cluster.dirty_keys[MODEL_KEY] = None
                 recorded_at = now
             self.wake()
             if now - told_at > 10 * SECOND:
                 told_at = now
-                log.info("%s", self.keeper.status(now))
-                log.info("%s", self.cluster.served.line())
+                log.info("%s", self.cloud_controller.status(now))
+                log.info("%s", self.cluster.job_statistics.line())
 
-    def _read_strays(self) -> None:
+    def _read_orphaned_jobs(self) -> None:
         """Of which teams are tasks that machines tell of, and no record? Until that is known none has room."""
-        for ref in [ref for ref in self.cluster.teams.unknown if ref not in self._reading]:
+        for ref in [ref for ref in self.cluster.quotas.unknown if ref not in self._reading]:
             if len(self._reading) >= LOOKED_UP_MOST:
                 return  # old copies may tell of hundreds that are long over; renewals and users go first
             self._reading.add(ref)
-            self.group.once("stray", self._read_stray(ref))
+            self.background.once("stray", self._read_orphaned_job(ref))
 
-    async def _read_stray(self, ref: str) -> None:
+    async def _read_orphaned_job(self, ref: str) -> None:
         try:
             found = await self.state.get(job_key(ref)) if wire.valid_ref(ref) else None
         except (NoResponseError, RequestRefusedError):
             return  # asked again with the next tick
         finally:
             self._reading.discard(ref)
-        self.cluster.settle_strays(ref, None if found is None else read_job(found[0])[0])
-        self._read_strays()
+        self.cluster.resolve_orphaned_attempts(ref, None if found is None else read_job(found[0])[0])
+        self._read_orphaned_jobs()
         self.wake()
 
     # --- display ----------------------------------------------------------------------------
@@ -466,36 +474,34 @@
     async def _display_loop(self) -> None:
         """Tell all nodes the counts that users are shown."""
         rounds = 0
-        counts = self.home.display
+        counts = self.node.job_progress
         counts.clear()
-        while not self.over:
+        while not self.stopped:
             await asyncio.sleep(1.0)
             rounds += 1
             jobs = self.cluster.jobs
             everything = rounds % 10 == 0  # a node that was started meanwhile knows none
-            stirred = list(self.cluster.stirred)
-            self.cluster.stirred.clear()
+            stirred = list(self.cluster.jobs_with_changed_counts)
+            self.cluster.jobs_with_changed_counts.clear()
             changed: dict[str, list[int]] = {}
             for job in jobs.values() if everything else stirred:
                 count = self._count(job)
-                if job.ref in jobs and (everything or counts.get(job.ref) != count):
-                    counts[job.ref] = count
-                    changed[job.ref] = list(count)
+                if job.job_id in jobs and (everything or counts.get(job.job_id) != count):
+                    counts[job.job_id] = count
+                    changed[job.job_id] = list(count)
             ended = [ref for ref in counts if ref not in jobs]
             for ref in ended:
                 del counts[ref]
             if changed or ended:
-                for peer in self.home.peers.values():
-                    self.group.once("display", _tell(peer, "display", changed, ended))
+                for peer in self.node.peers.values():
+                    self.background.once("display", _tell(peer, "display", changed, ended))
 
     @staticmethod
     def _count(job: Job) -> tuple[int, int]:
         running = sum(1 for t in job.tasks.values() if t.status in (wire.RUNNING, wire.SAVING))
-        return len(job.done), running
+        return len(job.completed), running
 
 
 async def _tell(peer: PeerClient, *message: Any) -> None:
-    try:
+    with contextlib.suppress(NoResponseError):
         await peer.ask(*message)
-    except NoResponseError:
-        pass
--- a/oatport/service/leader_context.py
+++ b/oatport/service/leader_context.py
@@ -8,8 +8,8 @@
 from oatport.clients.peer import PeerClient
 from oatport.clients.state import StateClient
 from oatport.control.state.cluster_state import ClusterState
-from oatport.control.state.completions import End
-from oatport.control.state.model import Machine
+from oatport.control.state.completions import Completion
+from oatport.control.state.machine import Machine
 from oatport.control.storage.recovery import LeaseRenewalLimit
 from oatport.service.background_tasks import BackgroundTasks
 from oatport.settings import Settings, Tuning
@@ -20,45 +20,45 @@
 
     types: dict[str, wire.MachineType]
     peers: dict[str, PeerClient]
-    display: dict[str, tuple[int, int]]
+    job_progress: dict[str, tuple[int, int]]
     node_name: str
-    boot: str  # tells its process from earlier ones of the same name
+    boot_id: str  # tells its process from earlier ones of the same name
 
-    def lost_lead(self, why: str) -> None: ...
+    def step_down(self, why: str) -> None: ...
 
-    async def ended_before(self, token: int) -> tuple[list[End], bool]:
+    async def completions_before(self, token: int) -> tuple[list[Completion], bool]:
         """What earlier leaders took in and may not have recorded; and whether that may be all."""
 
-    def nodes_heard(self) -> dict[str, list[int]]:
+    def peer_contact_times(self) -> dict[str, list[int]]:
         """When the other nodes last answered (steady), by zone."""
 
-    def cut_off_from(self, addresses: list[str]) -> None: ...
+    def mark_workers_unreachable(self, addresses: list[str]) -> None: ...
 
 
 class LeaderContext(Protocol):
     """The leader, as its parts see it."""
 
-    home: LeadingNode
+    node: LeadingNode
     settings: Settings
     tuning: Tuning
     state: StateClient
     token: int
     cluster: ClusterState
-    group: BackgroundTasks
-    began: int  # when it took the lead (steady)
-    clock: LeaseRenewalLimit
-    over: bool
+    background: BackgroundTasks
+    led_since: int  # when it took the lead (steady)
+    lease_renewal_limit: LeaseRenewalLimit
+    stopped: bool
 
-    def depose(self, why: str) -> None: ...
+    def step_down(self, why: str) -> None: ...
 
     def now(self) -> int:
         """The steady clock. A time in which this process stood still is not counted as lived."""
 
-    def entitled(self) -> bool:
+    def holds_lease(self) -> bool:
         """Nobody else can be leading: asked at the moment of acting."""
 
-    def stalled(self, now: int) -> bool:
+    def decisions_paused(self, now: int) -> bool:
         """Nothing new is to be decided: the state service is away, or it may not lead any more."""
 
     def wake(self) -> None: ...
-    def heard(self, report: wire.Report, now: int) -> Machine | None: ...
+    def receive_heartbeat(self, report: wire.Report, now: int) -> Machine | None: ...
--- a/oatport/service/lease_proxy_service.py
+++ b/oatport/service/lease_proxy_service.py
@@ -1,8 +1,8 @@
 """How a node that does not lead keeps workers' leases, and what nodes tell one another about that.
 
-What it goes by is in `control/leadership/lease_proxy.py`. The leader tells it, asked with every ping. A node that was started
-again knows nothing; in a zone that is cut off it can ask the leader no more, so another node there passes on what it
-was told.
+What it goes by is in `control/leadership/lease_proxy.py`. The leader tells it, asked with every ping. A
+node that was started again knows nothing; in a zone that is cut off it can ask the leader no more, so another node
+there passes on what it was told.
 """
 
 from __future__ import annotations
@@ -22,15 +22,15 @@
 NAMED_FOR = 2 * SECOND  # a keeper that answered so recently is named to workers
 
 
-class Here(Protocol):
+class ProxyNode(Protocol):
     """The node that it belongs to."""
 
-    lead: Leader | None
+    leader: Leader | None
     state: StateClient
 
 
 class LeaseProxyService:
-    def __init__(self, here: Here, settings: ClusterSettings) -> None:
+    def __init__(self, here: ProxyNode, settings: ClusterSettings) -> None:
         self._here = here
         self.steward = LeaseProxy.of(settings)
         self._keepers: dict[str, int] = {}  # node -> when it said that it answers workers (steady)
@@ -58,14 +58,14 @@
 
     async def on_carried_out(self, message: Message) -> Message:
         """Up to when are cancellations carried out? Only the leader knows."""
-        lead = self._here.lead
-        return ["carried out", lead.token, lead.carried_out_age()] if lead is not None else ["no"]
+        lead = self._here.leader
+        return ["carried out", lead.token, lead.cancellation_watermark_age()] if lead is not None else ["no"]
 
     async def on_kept(self, message: Message) -> Message:
         """What this node keeps leases by, for one that was started again."""
         now = steady()
         told = self.steward.pass_on(now)
-        if self._here.lead is not None or told is None:
+        if self._here.leader is not None or told is None:
             return ["no"]
         return ["kept", *told, self._out_of_touch(now) and now < self.steward.ends()]
 
--- a/oatport/service/node.py
+++ b/oatport/service/node.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import logging
 import secrets
 from typing import TYPE_CHECKING, Any
@@ -19,7 +20,7 @@
 from oatport.control.leadership.election_priority import ElectionPriority
 from oatport.control.limits.connection_budget import ConnectionBudget
 from oatport.control.placement.retry_policy import RetryPolicies
-from oatport.control.state.completions import End
+from oatport.control.state.completions import Completion
 from oatport.control.storage import schema_version
 from oatport.control.storage.recovery import UnknownMachineTypeError
 from oatport.control.storage.write_buffer import LEADER_KEY
@@ -61,29 +62,31 @@
         self.windows, self.repeats = windows, repeats
         self.tuning = tuning
         self.node_name = settings.node_name
-        self.boot = boot or secrets.token_hex(6)  # tells this process from an earlier one of the same name
+        self.boot_id = boot or secrets.token_hex(6)  # tells this process from an earlier one of the same name
         self.types: dict[str, wire.MachineType] = {}
-        self.display: dict[str, tuple[int, int]] = {}
+        self.job_progress: dict[str, tuple[int, int]] = {}
         self.peers: dict[str, PeerClient] = {}
-        self.keeping = LeaseProxyService(self, settings.cluster)
-        self.telling = PeerNotifier(self, settings.cluster)
-        self._standing = ElectionPriority(settings)
+        self.lease_proxy = LeaseProxyService(self, settings.cluster)
+        self.peer_notifier = PeerNotifier(self, settings.cluster)
+        self._election_priority = ElectionPriority(settings)
         self.group = BackgroundTasks()
-        self.lead: Leader | None = None
+        self.leader: Leader | None = None
         self.started = steady()
-        self._leader: str | None = None
+        self._leader_name: str | None = None
         self._leader_token = 0
         self.last_leader = ""
         self._lease_us = tuning.us("leader_lease_s")
-        self._stand_back_until = 0
-        self._take_from = 0  # token of a leader that handed over to this node
-        self._take_until = 0
+        self._backoff_until = 0
+        self._handover_token = 0  # token of a leader that handed over to this node
+        self._handover_until = 0
         self._election = asyncio.Event()
-        self._peer_served: dict[str, tuple[bool, int]] = {}  # peer -> (served, as of)
-        self._heard_at: dict[str, int] = {}  # peer -> when it last answered
+        self._peer_state_service_answers: dict[str, tuple[bool, int]] = {}  # peer -> (served, as of)
+        self._peer_contact_at: dict[str, int] = {}  # peer -> when it last answered
         self._ever_served = False
-        self._next_heard = self.started  # when the node after this one last answered
-        self._unreached: list[str] = []  # workers that it could not reach as the leader, while another node did
+        self._successor_answered_at = self.started  # when the node after this one last answered
+        self._unreachable_workers: list[
+            str
+        ] = []  # workers that it could not reach as the leader, while another node did
 
     # --- lifecycle --------------------------------------------------------------------------
 
@@ -97,18 +100,18 @@
         inside = PeerApi()
         for tag, handler in (
             ("ping", self._on_ping),
-            ("accepted", self.telling.on_hint),
-            ("cancelled", self.telling.on_hint),
+            ("accepted", self.peer_notifier.on_hint),
+            ("cancelled", self.peer_notifier.on_hint),
             ("display", self._on_display),
             ("probe", self._on_probe),
             ("handover", self._on_handover),
-            ("carried out", self.keeping.on_carried_out),
-            ("kept", self.keeping.on_kept),
+            ("carried out", self.lease_proxy.on_carried_out),
+            ("kept", self.lease_proxy.on_kept),
             ("explain", self._on_explain),
             ("formats", self._on_formats),
-            ("told", self.telling.on_told),
-            ("ends", self.telling.on_ends),
-            ("ended", self.telling.on_ended),
+            ("told", self.peer_notifier.on_told),
+            ("ends", self.peer_notifier.on_ends),
+            ("ended", self.peer_notifier.on_ended),
         ):
             inside.on(tag, handler)
         servers = [
@@ -122,14 +125,14 @@
         self.group.keep("leader watch", self._leader_watch)
         self.group.keep("catalog", self._catalog_loop)
         self.group.keep("contact", self._contact_loop)
-        self.group.keep("told", self.telling.loop)
-        self.group.keep("ends", self.telling.ends_loop)
+        self.group.keep("told", self.peer_notifier.loop)
+        self.group.keep("ends", self.peer_notifier.ends_loop)
         for name, client in self.peers.items():
             self.group.keep(f"ping {name}", lambda client=client: self._ping_loop(client))  # type: ignore[misc]
         try:
             await asyncio.Event().wait()
         finally:
-            self.lost_lead("shutting down")
+            self.step_down("shutting down")
             self.group.close()
             for server in servers:
                 await server.close()
@@ -148,19 +151,19 @@
 
     # --- reports ----------------------------------------------------------------------------
 
-    def take_report(self, report: wire.Report) -> dict[str, Any] | None:
-        if self.lead is not None:
-            return self.lead.take_report(report)
-        if not self.keeping.take_report(report):
+    def answer_heartbeat(self, report: wire.Report) -> dict[str, Any] | None:
+        if self.leader is not None:
+            return self.leader.answer_heartbeat(report)
+        if not self.lease_proxy.take_report(report):
             return None
         return wire.report_answer(report.token, [])  # it lives on; nothing starts, stops or is forgotten
 
     def leader_name(self) -> str | None:
-        return self.keeping.named(self._leader)
+        return self.lease_proxy.named(self._leader_name)
 
     # --- users ------------------------------------------------------------------------------
 
-    def served(self) -> bool:
+    def state_service_answers(self) -> bool:
         """The state service answers this node."""
         return self.state.ok_at > 0 and (
             steady() - self.state.ok_at < SERVED_FRESH or self.state.failed_at <= self.state.ok_at
@@ -168,67 +171,71 @@
 
     def ready(self) -> bool:
         """Not ready only if another node is better placed: in an outage for all, staying costs least."""
-        if self.served():
+        if self.state_service_answers():
             self._ever_served = True
             return True
         if not self._ever_served:
             return False
         now = steady()
-        return not any(served and now - at < 3 * SECOND for served, at in self._peer_served.values())
+        return not any(served and now - at < 3 * SECOND for served, at in self._peer_state_service_answers.values())
 
-    async def ended_before(self, token: int) -> tuple[list[End], bool]:
-        return await self.telling.ended_before(token)
+    async def completions_before(self, token: int) -> tuple[list[Completion], bool]:
+        return await self.peer_notifier.completions_before(token)
 
     def tell_accepted(self, ref: str, record: dict[str, Any], revision: int) -> None:
-        self.telling.accepted(ref, record, revision)
+        self.peer_notifier.accepted(ref, record, revision)
 
     def tell_cancelled(self, ref: str, revision: int = 0) -> None:
-        self.telling.cancelled(ref, revision)
+        self.peer_notifier.cancelled(ref, revision)
 
     # --- peers ------------------------------------------------------------------------------
 
     async def _on_ping(self, message: Message) -> Message:
         _, name, leader, token, served = message
         self._learn_leader(str(leader) if leader else None, int(token))
-        self._peer_served[str(name)] = (bool(served), steady())
+        self._peer_state_service_answers[str(name)] = (bool(served), steady())
         return self._pong()
 
     def _pong(self) -> Message:
-        quiet = self.telling.cancellations.quiet(steady())
-        return ["pong", self.node_name, self._leader, self._leader_token, self.served(), quiet]
+        quiet = self.peer_notifier.cancellations.quiet(steady())
+        return ["pong", self.node_name, self._leader_name, self._leader_token, self.state_service_answers(), quiet]
 
     def leading_peer(self) -> PeerClient | None:
-        return self.peers.get(self._leader or "")
+        return self.peers.get(self._leader_name or "")
 
     def _learn_leader(self, name: str | None, token: int) -> None:
         if token > self._leader_token:
-            self._leader, self._leader_token = name, token
+            self._leader_name, self._leader_token = name, token
             self.last_leader = self.last_leader if name in (None, self.node_name) else str(name)
-            if self.lead is not None and token > self.lead.token:
-                self.lost_lead(f"{name} leads with token {token}")
+            if self.leader is not None and token > self.leader.token:
+                self.step_down(f"{name} leads with token {token}")
 
     async def _on_display(self, message: Message) -> Message:
         for ref, (done, running) in message[1].items():
-            self.display[str(ref)] = (int(done), int(running))
+            self.job_progress[str(ref)] = (int(done), int(running))
         for ref in message[2]:
-            self.display.pop(ref, None)
+            self.job_progress.pop(ref, None)
         return ["ok"]
 
     async def _on_probe(self, message: Message) -> Message:
         """Which of these workers can this node reach? And does the state service answer it?"""
-        return ["seen", await self._reaches([str(address) for address in message[1][:50]]), self.served()]
+        return [
+            "seen",
+            await self._reaches([str(address) for address in message[1][:50]]),
+            self.state_service_answers(),
+        ]
 
     async def _on_handover(self, message: Message) -> Message:
         token = int(message[1])
-        if steady() > self._stand_back_until and not self._unreached:
+        if steady() > self._backoff_until and not self._unreachable_workers:
             try:
                 # Asked just now: at the start of an outage for all, what was known a moment ago is wrong,
                 # and without a leader nobody would keep the workers' leases alive until it ends.
                 await self.state.get(LEADER_KEY)
             except (NoResponseError, RequestRefusedError):
                 return ["no"]
-            self._take_from = max(self._take_from, token)
-            self._take_until = steady() + TAKE_WITHIN
+            self._handover_token = max(self._handover_token, token)
+            self._handover_until = steady() + TAKE_WITHIN
             self._election.set()
             return ["ok"]
         return ["no"]
@@ -236,8 +243,8 @@
     async def _on_explain(self, message: Message) -> Message:
         """Why a job is held; asked by operators on the internal address, answered by the leader."""
         ref = str(message[1])
-        if self.lead is not None:
-            return ["explained", self.lead.explain(ref)]
+        if self.leader is not None:
+            return ["explained", self.leader.explain(ref)]
         peer = self.leading_peer()
         if peer is None or len(message) > 2:  # it is sent on once
             return ["no", "no leader is known: ask again in a few seconds"]
@@ -245,26 +252,28 @@
 
     async def _on_formats(self, message: Message) -> Message:
         """What this process reads of what is stored. Earlier versions don't know the question."""
-        return schema_version.answer(self.node_name, self.boot)
+        return schema_version.answer(self.node_name, self.boot_id)
 
     async def _ping_loop(self, peer: PeerClient) -> None:
         while True:
-            lead = self.lead
+            lead = self.leader
             try:
-                answer = await peer.ask("ping", self.node_name, self._leader, self._leader_token, self.served())
+                answer = await peer.ask(
+                    "ping", self.node_name, self._leader_name, self._leader_token, self.state_service_answers()
+                )
                 tag, name, leader, token, served, _ = answer
-                self._heard_at[peer.name] = steady()
+                self._peer_contact_at[peer.name] = steady()
                 if tag == "pong":
                     self._learn_leader(str(leader) if leader else None, int(token))
-                    self._peer_served[str(name)] = (bool(served), steady())
-                    if lead is self.lead and lead is not None and served and lead.state_down(steady()):
+                    self._peer_state_service_answers[str(name)] = (bool(served), steady())
+                    if lead is self.leader and lead is not None and served and lead.state_service_down(steady()):
                         await self._hand_over(lead, peer, "the state service answers it")
-                    if self.lead is None and peer.name == self._leader:
-                        await self.keeping.ask_leader(peer)
-                    elif self.lead is None and not self.served():
-                        await self.keeping.ask_keeper(peer)
+                    if self.leader is None and peer.name == self._leader_name:
+                        await self.lease_proxy.ask_leader(peer)
+                    elif self.leader is None and not self.state_service_answers():
+                        await self.lease_proxy.ask_keeper(peer)
             except (NoResponseError, ValueError, TypeError):
-                self._peer_served.pop(peer.name, None)
+                self._peer_state_service_answers.pop(peer.name, None)
             await asyncio.sleep(jitter(PING_EVERY))
 
     async def _offer(self, lead: Leader, peer: PeerClient) -> None:
@@ -275,33 +284,33 @@
 
     async def _hand_over(self, lead: Leader, peer: PeerClient, why: str) -> None:
         """That peer can do more."""
-        lead.mandate.doubt(steady())  # it may take over though its answer is lost
+        lead.leader_lease.doubt(steady())  # it may take over though its answer is lost
         answer = await peer.ask("handover", lead.token, timeout_us=2 * SECOND)
         if answer[0] != "ok":
-            lead.mandate.doubt_until = 0
-        elif lead is self.lead:
-            self.lost_lead(f"handed over to {peer.name}: {why}")
+            lead.leader_lease.doubt_until = 0
+        elif lead is self.leader:
+            self.step_down(f"handed over to {peer.name}: {why}")
 
     # --- contact with the state service ---------------------------------------------------------
 
     async def _contact_loop(self) -> None:
         """Know whether the state service answers; as the leader, renew the lease first of all."""
         while True:
-            lead = self.lead
+            lead = self.leader
             try:
                 if lead is not None:
                     asked = steady()
                     await self.state.touch(lead.lease, min(self._lease_us // 2, SECOND))
-                    lead.mandate.proven(asked)
+                    lead.leader_lease.proven(asked)
                     better = self._better_placed()
-                    if better is not None and lead is self.lead and lead.loaded:
-                        self._next_heard = steady()  # not again at once, if it does not want to
+                    if better is not None and lead is self.leader and lead.loaded:
+                        self._successor_answered_at = steady()  # not again at once, if it does not want to
                         self.group.once("offer", self._offer(lead, better))  # renewals do not wait for it
                 elif steady() - self.state.ok_at > SECOND:
                     await self.state.get(LEADER_KEY)
             except LeaseExpiredError:
-                if lead is self.lead:
-                    self.lost_lead("the lease ended")
+                if lead is self.leader:
+                    self.step_down("the lease ended")
             except (NoResponseError, RequestRefusedError) as error:
                 log.debug("state service: %s", error)
                 await asyncio.sleep(jitter(250 * MS))
@@ -310,25 +319,23 @@
 
     # --- leadership -------------------------------------------------------------------------
 
-    def lost_lead(self, why: str) -> None:
-        lead, self.lead = self.lead, None
+    def step_down(self, why: str) -> None:
+        lead, self.leader = self.leader, None
         if lead is None:
             return
         log.warning("no longer leading: %s", why)
-        self.telling.deposed(lead)
+        self.peer_notifier.deposed(lead)
         lead.close()
-        self._stand_back_until = steady() + STAND_BACK
-        if self._leader == self.node_name:
-            self._leader = None
+        self._backoff_until = steady() + STAND_BACK
+        if self._leader_name == self.node_name:
+            self._leader_name = None
         if not self.group.closed:
-            self.group.once("give up", self._give_up(lead))
+            self.group.once("give up", self._release_leader_key(lead))
 
-    async def _give_up(self, lead: Leader) -> None:
+    async def _release_leader_key(self, lead: Leader) -> None:
         """Free the leader key at once, so that nobody has to wait for the lease to end."""
-        try:
+        with contextlib.suppress(NoResponseError, RequestRefusedError, LeaseExpiredError):
             await self.state.commit({LEADER_KEY: lead.token}, {}, [LEADER_KEY])
-        except (NoResponseError, RequestRefusedError, LeaseExpiredError):
-            pass
 
     async def _leader_watch(self) -> None:
         """Follow the leader key."""
@@ -351,16 +358,16 @@
 
     def _see_leader(self, found: tuple[Any, int] | None) -> int:
         if found is None:
-            if self.lead is None:
-                self._leader = None
+            if self.leader is None:
+                self._leader_name = None
                 self._election.set()
             return 0
         value, version = found
         self._learn_leader(value.get("node"), version)
-        if value.get("node") == self.node_name and value.get("boot") != self.boot and self.lead is None:
+        if value.get("node") == self.node_name and value.get("boot") != self.boot_id and self.leader is None:
             # Left by an earlier process of this node's: no use waiting for its lease to end.
-            self._take_from = version
-            self._take_until = steady() + TAKE_WITHIN
+            self._handover_token = version
+            self._handover_until = steady() + TAKE_WITHIN
             self._election.set()
         return version
 
@@ -372,68 +379,69 @@
             except TimeoutError:
                 pass
             self._election.clear()
-            if self.lead is not None or steady() < self._stand_back_until:
+            if self.leader is not None or steady() < self._backoff_until:
                 continue
             try:
-                await self._stand()
+                await self._run_for_leader()
             except (NoResponseError, RequestRefusedError, LeaseExpiredError) as error:
                 log.debug("election: %s", error)
                 await asyncio.sleep(jitter(200 * MS))
 
-    async def _deference(self) -> int:
+    async def _election_backoff(self) -> int:
         """How long to let the others go first, where they can do more as the leader."""
-        if self._unreached:
-            if not await self._reaches(self._unreached):
+        if self._unreachable_workers:
+            if not await self._reaches(self._unreachable_workers):
                 return DEFER_CUT_OFF
-            self._unreached = []
-        return self._standing.deference(self._peer_served)
+            self._unreachable_workers = []
+        return self._election_priority.deference(self._peer_state_service_answers)
 
     def _better_placed(self) -> PeerClient | None:
         """A node that should rather lead: the next one after it answers, while that after this node is down."""
         now = steady()
-        if self._standing.next_answers(self.node_name, self._peer_served):
-            self._next_heard = now
-        if now - self._next_heard < NEXT_DOWN_FOR:
+        if self._election_priority.next_answers(self.node_name, self._peer_state_service_answers):
+            self._successor_answered_at = now
+        if now - self._successor_answered_at < NEXT_DOWN_FOR:
             return None
         return next(
             (
                 peer
                 for name, peer in self.peers.items()
-                if self._peer_served.get(name, (False, 0))[0] and self._standing.next_answers(name, self._peer_served)
+                if self._peer_state_service_answers.get(name, (False, 0))[0]
+                and self._election_priority.next_answers(name, self._peer_state_service_answers)
             ),
             None,
         )
 
-    def nodes_heard(self) -> dict[str, list[int]]:
+    def peer_contact_times(self) -> dict[str, list[int]]:
         heard: dict[str, list[int]] = {}
         for peer in self.settings.peers:
-            if peer.node_name in self._heard_at:
-                heard.setdefault(peer.zone, []).append(self._heard_at[peer.node_name])
+            if peer.node_name in self._peer_contact_at:
+                heard.setdefault(peer.zone, []).append(self._peer_contact_at[peer.node_name])
         return heard
 
-    def cut_off_from(self, addresses: list[str]) -> None:
+    def mark_workers_unreachable(self, addresses: list[str]) -> None:
         """These workers are reached by another node, but not by this one."""
-        self._unreached = addresses
+        self._unreachable_workers = addresses
 
     async def _reaches(self, addresses: list[str]) -> int:
         """How many of these workers this node can reach."""
         return await count_reached(self._net, addresses)
 
-    async def _stand(self) -> None:
+    async def _run_for_leader(self) -> None:
         """Become the leader if there is none, or if the one there is handed over."""
         found = await self.state.get(LEADER_KEY)
         version = 0
         if found is None:
-            await asyncio.sleep(seconds(await self._deference()))
+            await asyncio.sleep(seconds(await self._election_backoff()))
             found = await self.state.get(LEADER_KEY)
         if found is not None:
             self._learn_leader(found[0].get("node"), found[1])
-            if found[1] != self._take_from or steady() > self._take_until:
+            if found[1] != self._handover_token or steady() > self._handover_until:
                 return
             version = found[1]
         held_at = steady()
         lease = await self.state.hold(self._lease_us)
-        value = {"node": self.node_name, "boot": self.boot, "lease": lease}
+        value = {"node": self.node_name, "boot": self.boot_id, "lease": lease}
         token = 0
         try:
             result = await self.state.commit({LEADER_KEY: version}, {LEADER_KEY: value}, lease=lease)
@@ -442,28 +450,28 @@
         except (NoResponseError, RequestRefusedError):
             # Unsure: read it back. A late one is conditioned on what it replaces.
             found = await self.state.get(LEADER_KEY)
-            if found is not None and found[0].get("boot") == self.boot and found[0].get("lease") == lease:
+            if found is not None and found[0].get("boot") == self.boot_id and found[0].get("lease") == lease:
                 token = found[1]
         if token:
-            await self._lead_as(token, lease, held_at)
+            await self._become_leader(token, lease, held_at)
 
-    async def _lead_as(self, token: int, lease: int, held_at: int) -> None:
-        self._take_from = 0
-        self._leader, self._leader_token = self.node_name, token
-        self._next_heard = steady()
+    async def _become_leader(self, token: int, lease: int, held_at: int) -> None:
+        self._handover_token = 0
+        self._leader_name, self._leader_token = self.node_name, token
+        self._successor_answered_at = steady()
         lead = Leader(
             self, self.settings, self.tuning, self._net, self.state, token, lease, held_at, self.windows, self.repeats
         )
-        self.lead = lead
+        self.leader = lead
         try:
             await lead.fail_over()
         except (NoResponseError, RequestRefusedError, UnknownMachineTypeError) as error:
-            if self.lead is lead:
-                self.lost_lead(f"could not load the records: {error}")
-                self._stand_back_until = steady() + SECOND
+            if self.leader is lead:
+                self.step_down(f"could not load the records: {error}")
+                self._backoff_until = steady() + SECOND
         except Exception:
-            if self.lead is lead:
-                self.lost_lead("could not take over")
+            if self.leader is lead:
+                self.step_down("could not take over")
             raise
 
     # --- catalog ----------------------------------------------------------------------------
--- a/oatport/service/peer_notifications.py
+++ b/oatport/service/peer_notifications.py
@@ -12,7 +12,7 @@
 
 from oatport.api.peer_api import Message
 from oatport.clients.http import NoResponseError, RequestNotSentError, jitter
-from oatport.clients.peer import NotUnderstood, PeerClient
+from oatport.clients.peer import PeerClient, UnexpectedReplyError
 from oatport.control.state import completions as ends
 from oatport.control.state.cancellations import CancellationLog, ConfirmedCancellations
 from oatport.service.background_tasks import BackgroundTasks
@@ -28,10 +28,10 @@
 STALE = 2_500 * MS  # the watch on jobs tells every second, if it tells
 
 
-class Here(Protocol):
+class NotifyingNode(Protocol):
     """The node that it belongs to."""
 
-    lead: Leader | None
+    leader: Leader | None
     peers: dict[str, PeerClient]
     group: BackgroundTasks
     last_leader: str  # the last one known beside this node; "": none is
@@ -40,9 +40,9 @@
 
 
 class PeerNotifier:
-    def __init__(self, here: Here, settings: ClusterSettings) -> None:
+    def __init__(self, here: NotifyingNode, settings: ClusterSettings) -> None:
         self._here = here
-        self.ends = ends.Ends()
+        self.ends = ends.CompletionLog()
         self.cancellations = CancellationLog(steady(), 2 * micros(settings.workers.cancel_s))
 
     def accepted(self, ref: str, record: dict[str, Any], revision: int) -> None:
@@ -53,20 +53,20 @@
 
         `revision`: of this node's own commit, which marked the job's live record as well; 0: it knows in another way.
         """
-        if self.cancellations.tell(ref, steady()) and (revision or self._here.lead is not None):
+        if self.cancellations.tell(ref, steady()) and (revision or self._here.leader is not None):
             self._hint("cancelled", ref, None, revision)
 
     def _hint(self, tag: str, ref: str, value: Any, revision: int) -> None:
-        lead, peer = self._here.lead, self._here.leading_peer()
+        lead, peer = self._here.leader, self._here.leading_peer()
         if lead is not None:
-            lead.told(tag, ref, value, revision)
+            lead.on_job_hint(tag, ref, value, revision)
         elif peer is not None:
             self._here.group.once("tell", _ask_quietly(peer, tag, ref, value, revision))
 
     async def on_hint(self, message: Message) -> Message:
         tag, ref, value, revision = message
-        if self._here.lead is not None:
-            self._here.lead.told(str(tag), str(ref), value, int(revision))
+        if self._here.leader is not None:
+            self._here.leader.on_job_hint(str(tag), str(ref), value, int(revision))
         return ["ok"]
 
     # --- ends that are not recorded yet --------------------------------------------------------
@@ -78,9 +78,9 @@
             raise ValueError("not a token")
         told = ends.parse(rows)
         self.ends.note(token, told)
-        lead = self._here.lead
+        lead = self._here.leader
         if lead is not None and token < lead.token:
-            lead.take_ends(told)
+            lead.apply_completions(told)
         return ["ok"]
 
     async def on_ended(self, message: Message) -> Message:
@@ -94,9 +94,9 @@
         """As the leader: tell the others at once of ends that are not recorded, and first of all that it leads."""
         told = 0
         while True:
-            lead = self._here.lead
+            lead = self._here.leader
             if lead is not None and lead.loaded:
-                new = lead.cluster.take_new_ends()
+                new = lead.cluster.take_new_completions()
                 if new or lead.token != told:
                     told = lead.token
                     for peer in self._here.peers.values():
@@ -105,13 +105,13 @@
 
     def deposed(self, lead: Leader) -> None:
         """What it leaves unrecorded is told to the others, who may not be reached just now, and to whoever asks."""
-        left = lead.cluster.ends_to_tell()
+        left = lead.cluster.completions_to_replicate()
         self.ends.note(lead.token, left)
         if left:
             for peer in self._here.peers.values():
                 self._here.group.once("ends", self._tell_left(peer, lead.token, left))
 
-    async def _tell_left(self, peer: PeerClient, token: int, left: list[ends.End]) -> None:
+    async def _tell_left(self, peer: PeerClient, token: int, left: list[ends.Completion]) -> None:
         for _ in range(TELL_LEFT_TRIES):
             try:
                 await peer.ask("ends", token, left)
@@ -119,7 +119,7 @@
             except NoResponseError:
                 await asyncio.sleep(jitter(TELL_LEFT_EVERY))
 
-    async def ended_before(self, token: int) -> tuple[list[ends.End], bool]:
+    async def completions_before(self, token: int) -> tuple[list[ends.Completion], bool]:
         """What earlier leaders took in and did not record, as far as any node knows; and whether that may be all.
 
         Not if no node knows anything, or the last leader may know more and can't be asked, since it is cut off or
@@ -133,7 +133,7 @@
         for name, answer in zip(self._here.peers, answers, strict=True):
             if (
                 isinstance(answer, NoResponseError)
-                and not isinstance(answer, RequestNotSentError | NotUnderstood)
+                and not isinstance(answer, RequestNotSentError | UnexpectedReplyError)
                 and (name == (self._here.last_leader or name))
             ):
                 complete = False
@@ -160,19 +160,19 @@
     async def loop(self) -> None:
         """As the leader: while the records can't be read, go by what all nodes told."""
         while True:
-            lead = self._here.lead
-            if lead is not None and lead.loaded and steady() - lead.clock.known_at > STALE:
+            lead = self._here.leader
+            if lead is not None and lead.loaded and steady() - lead.lease_renewal_limit.known_at > STALE:
                 await self.collect(lead)
             await asyncio.sleep(jitter(ASK_EVERY))
 
     async def collect(self, lead: Leader) -> None:
         """Put into effect what users were told, and move the moment of knowledge on if all nodes told all."""
-        asked, since = steady(), lead.clock.known_at
+        asked, since = steady(), lead.lease_renewal_limit.known_at
         answers = await asyncio.gather(
             *(peer.ask("told", asked - since) for peer in self._here.peers.values()), return_exceptions=True
         )
         answered = steady()
-        if lead is not self._here.lead:
+        if lead is not self._here.leader:
             return
         complete = True
         refs: dict[str, None] = {}
@@ -187,9 +187,9 @@
             refs |= dict.fromkeys(told.refs)
             complete = complete and told.covers(since, asked, answered)
         for ref in refs:
-            lead.told("cancelled", ref, None, 0)
+            lead.on_job_hint("cancelled", ref, None, 0)
         if complete:
-            lead.clock.known(asked)
+            lead.lease_renewal_limit.known(asked)
 
 
 async def _ask_quietly(peer: PeerClient, *message: Any) -> None:
--- a/oatport/service/window_controller.py
+++ b/oatport/service/window_controller.py
@@ -6,7 +6,7 @@
 import logging
 from typing import Any
 
-from oatport.control.state.model import Job
+from oatport.control.state.job import Job
 from oatport.service.leader_context import LeaderContext
 from oatport.service.network import Network
 from oatport.times import SECOND, micros, steady, time_of_day
@@ -42,16 +42,16 @@
             if isinstance(found[0], dict):
                 self.book.load(found[0].get("book"), self.wall())
                 self.holder.set_up(found[0])
-        self._helm.cluster.singles[KEY] = self.record
+        self._helm.cluster.singleton_records[KEY] = self.record
         now = self.wall()
-        for job in sorted(self._helm.cluster.jobs.values(), key=lambda job: (job.submitted_at, job.ref)):
+        for job in sorted(self._helm.cluster.jobs.values(), key=lambda job: (job.submitted_at, job.job_id)):
             self.holder.joined(job, now)
 
     def record(self) -> dict[str, Any]:
         return {"book": self.book.record(self.wall()), **self.holder.record()}
 
     def start(self) -> None:
-        self._helm.group.keep("windows", self._loop)
+        self._helm.background.keep("windows", self._loop)
         if self.settings.feed:
             client = FeedClient(
                 self._session,
@@ -62,13 +62,13 @@
                 self.settings.timeout_s,
                 self._helm.wake,
             )
-            self._helm.group.keep("price feed", client.loop)
+            self._helm.background.keep("price feed", client.loop)
 
     def joined(self, job: Job) -> None:
         self.holder.joined(job, self.wall())
 
     async def _loop(self) -> None:
-        while not self._helm.over:
+        while not self._helm.stopped:
             await asyncio.sleep(1.0)
             self.step()
 
@@ -80,7 +80,7 @@
         now = steady()
         if self.book.version != self._written[0] or now - self._written[1] > WRITTEN_EVERY:
             if self.book.read_at or self.holder.margins:
-                self._helm.cluster.dirty[KEY] = None
+                self._helm.cluster.dirty_keys[KEY] = None
             self._written = self.book.version, now
         self._helm.wake()
 
--- a/oatport/windows/holding.py
+++ b/oatport/windows/holding.py
@@ -10,7 +10,8 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from oatport.control.state.model import Hold, Job, Kind, Phase
+from oatport.control.state.job import DeferredStart, Job, JobKind
+from oatport.control.state.task import TaskPhase
 from oatport.control.state.task_lifecycle import TaskLifecycle
 from oatport.times import SECOND, micros, seconds
 from oatport.windows.margins import Margins
@@ -82,7 +83,7 @@
         self._rekeyed: dict[str, None] = {}
         self.anew = 0  # plans made anew: for the status, and for tests
         self.late = 0  # jobs let go after their latest safe start
-        cluster.on_measured = self.measured
+        cluster.on_runtime_measured = self.measured
         self._price(wall)
 
     # --- jobs that come and go ---------------------------------------------------------------------
@@ -90,24 +91,24 @@
     def joined(self, job: Job, wall: int) -> None:
         """A job is new to this leader: hold it if that is worth something, or as was recorded."""
         deferral = self._deferral(job)
-        if deferral is None or job.cancelled or job.finishing:
-            if job.opened >= 0:  # recorded under other settings
+        if deferral is None or job.cancelled or job.completing:
+            if job.start_limit >= 0:  # recorded under other settings
                 self._open_all(job)
             return
-        if job.hold is not None:
+        if job.deferral is not None:
             self._restore(job, deferral, wall)
-        elif job.fresh == 0 and job.opened < 0:
+        elif job.next_untouched == 0 and job.start_limit < 0:
             self._plan(job, deferral, wall)
 
     def _deferral(self, job: Job) -> Deferral | None:
-        if job.kind is Kind.SERVICE or job.spec.deadline_s is None:
+        if job.kind is JobKind.SERVICE or job.spec.deadline_s is None:
             return None
         return self.settings.deferral(job.spec.job_class, job.spec.priority)
 
     def _need(self, job: Job, deferral: Deferral, tasks: int) -> Need:
         spec = job.spec
-        run = self.cluster.predictor.run_time(job.ref, spec)
-        whole = job.kind is Kind.GANG
+        run = self.cluster.predictor.run_time(job.job_id, spec)
+        whole = job.kind is JobKind.GANG
         cpus = spec.cpus * (spec.tasks if whole else 1)
         # So many of its tasks run at a time, in so many rounds.
         rounds = -(-tasks * spec.cpus // self.settings.capacity_cpus)
@@ -116,7 +117,7 @@
         longest = round(run * self.margins.factor(spec.job_class) * max(rounds, 1))
         latest = deadline - longest - self._reserve(job)
         return Need(
-            job.ref,
+            job.job_id,
             cpus,
             1 if whole else tasks,
             max(run, SECOND),
@@ -127,7 +128,7 @@
 
     def _reserve(self, job: Job) -> int:
         """Time for what the plan knows nothing of: a machine to boot, once more if it never comes up, an image."""
-        kinds = self.cluster.suited(job)
+        kinds = self.cluster.preferred_types(job)
         boot = max((micros(kind.boot_s) for kind in kinds), default=0)
         fetch = max((micros(job.spec.image_gb / max(kind.fetch_gb_per_s, 0.01)) for kind in kinds), default=0)
         return micros(self.settings.reserve_s) + 2 * boot + 2 * fetch
@@ -143,7 +144,7 @@
         self.arrivals.came(wall, need.run * need.cpus * need.tasks)
         plan = self.planner.add(need)
         if self._starts_now(plan):
-            self.planner.remove(job.ref)
+            self.planner.remove(job.job_id)
             return
         self._write(job, plan, 0)
 
@@ -152,28 +153,28 @@
 
     def _keep_plan(self, job: Job, plan: Plan) -> None:
         """The plan that goes with the job's next record; what is recorded now holds for whoever takes over before."""
-        if job.hold is not None:
-            job.hold.plan = self._rows(job, plan)
+        if job.deferral is not None:
+            job.deferral.plan = self._rows(job, plan)
 
     def _rows(self, job: Job, plan: Plan) -> list[tuple[int, int]]:
         return [(slot * self.planner.step, self._tasks(job, count)) for slot, count in sorted(plan.starts.items())]
 
     def _write(self, job: Job, plan: Plan, opened: int) -> None:
-        before = job.hold or Hold([], "")
-        hold = Hold(self._rows(job, plan), plan.why, before.changes, 0, before.pauses)
-        self.cluster.hold(job, opened, hold)
+        before = job.deferral or DeferredStart([], "")
+        hold = DeferredStart(self._rows(job, plan), plan.why, before.write_count, 0, before.pause_count)
+        self.cluster.defer(job, opened, hold)
 
     @staticmethod
     def _tasks(job: Job, count: int) -> int:
-        return job.spec.tasks if job.kind is Kind.GANG else count
+        return job.spec.tasks if job.kind is JobKind.GANG else count
 
     def _restore(self, job: Job, deferral: Deferral, wall: int) -> None:
         """As an earlier leader recorded it."""
-        hold = job.hold
+        hold = job.deferral
         assert hold is not None
         if hold.paused_until > wall:
-            job.not_before = self.cluster.now + hold.paused_until - wall
-        left = job.held
+            job.retry_at = self.cluster.now + hold.paused_until - wall
+        left = job.deferred
         if left <= 0 or not hold.plan:
             self._open_all(job)
             return
@@ -181,23 +182,23 @@
         starts: dict[int, int] = {}
         for at, count in hold.plan:
             slot = at // self.planner.step
-            starts[slot] = starts.get(slot, 0) + (1 if job.kind is Kind.GANG else count)
-        self.planner.restore(need, starts, hold.why)
+            starts[slot] = starts.get(slot, 0) + (1 if job.kind is JobKind.GANG else count)
+        self.planner.restore(need, starts, hold.reason)
         if not job.pending:
-            self.cluster.waiting.discard(job)
+            self.cluster.pending.discard(job)
 
     def _open_all(self, job: Job) -> None:
-        self.planner.remove(job.ref)
-        if job.opened >= 0:
-            self.cluster.let_go(job, job.spec.tasks)
-        if job.hold is not None:
-            job.hold.plan = []
+        self.planner.remove(job.job_id)
+        if job.start_limit >= 0:
+            self.cluster.release_deferred(job, job.spec.tasks)
+        if job.deferral is not None:
+            job.deferral.plan = []
 
     def measured(self, job: Job, took: int) -> None:
         """A task of some job was done after so long."""
-        predicted = self._predicted.get(job.ref)
+        predicted = self._predicted.get(job.job_id)
         if predicted is None:
-            predicted = self._predicted[job.ref] = self.cluster.predictor.run_time(job.ref, job.spec)
+            predicted = self._predicted[job.job_id] = self.cluster.predictor.run_time(job.job_id, job.spec)
         if self.margins.finished(job.spec.job_class, took, predicted):
             self._rekey(job.spec.job_class)
 
@@ -216,7 +217,7 @@
             job = self.cluster.jobs.get(ref)
             deferral = self._deferral(job) if job is not None else None
             if job is not None and deferral is not None and ref in self.planner.plans:
-                self.planner.bound(ref, self._need(job, deferral, max(job.held, 1)))
+                self.planner.bound(ref, self._need(job, deferral, max(job.deferred, 1)))
 
     # --- the time goes on ------------------------------------------------------------------------
 
@@ -239,11 +240,11 @@
             self.late += ref in overdue
             self._predicted.setdefault(ref, self.cluster.predictor.run_time(ref, job.spec))
             tasks = self._tasks(job, count)
-            if job.hold is not None:
-                job.hold.plan = [row for row in job.hold.plan if row[0] > wall]
-            self.cluster.let_go(job, tasks)
+            if job.deferral is not None:
+                job.deferral.plan = [row for row in job.deferral.plan if row[0] > wall]
+            self.cluster.release_deferred(job, tasks)
             if ref not in planner.plans:
-                self.cluster.let_go(job, job.spec.tasks)  # whatever rounding left
+                self.cluster.release_deferred(job, job.spec.tasks)  # whatever rounding left
             let_go += tasks
         if len(self._predicted) > 2 * len(self.cluster.jobs) + FORGET_OVER:
             self._predicted = {ref: run for ref, run in self._predicted.items() if ref in self.cluster.jobs}
@@ -252,7 +253,7 @@
         for ref in planner.improve(IMPROVED_AT_ONCE, frozen):
             self.anew += 1
             job = self.cluster.jobs[ref]
-            self._write(job, planner.plans[ref], max(job.opened, job.fresh))
+            self._write(job, planner.plans[ref], max(job.start_limit, job.next_untouched))
         self._coming(wall)
         if planner.now // planner.step != self._checked_slot:
             self._checked_slot = planner.now // planner.step
@@ -261,7 +262,7 @@
 
     def _over(self, ref: str) -> bool:
         job = self.cluster.jobs.get(ref)
-        return job is None or job.cancelled or job.finishing
+        return job is None or job.cancelled or job.completing
 
     def _price(self, wall: int) -> None:
         """The prices of the hours to come, when the book or its age has changed."""
@@ -277,7 +278,7 @@
 
     def _coming(self, wall: int) -> None:
         """What is let go within a moment counts in the queue estimate already."""
-        self.cluster.coming = [
+        self.cluster.upcoming_starts = [
             (job, self._tasks(job, count))
             for ref, count in self.planner.soon(wall + micros(self.settings.ahead_s))
             if (job := self.cluster.jobs.get(ref)) is not None
@@ -287,11 +288,13 @@
         """Stop running work that saves, where the settings allow it and much cheaper hours come in time."""
         for job in list(self.cluster.jobs.values()):
             deferral = self._deferral(job)
-            if deferral is None or not deferral.pause or job.spec.checkpoint_s <= 0 or job.cancelled or job.finishing:
+            if deferral is None or not deferral.pause or job.spec.checkpoint_s <= 0 or job.cancelled or job.completing:
                 continue
-            running = [t for t in job.tasks.values() if t.phase is Phase.PLACED and t.running_since and not t.stopping]
-            hold = job.hold or Hold([], "")
-            if not running or job.held or hold.pauses >= PAUSES_MOST:
+            running = [
+                t for t in job.tasks.values() if t.phase is TaskPhase.BOUND and t.running_since and not t.stop_grace_s
+            ]
+            hold = job.deferral or DeferredStart([], "")
+            if not running or job.deferred or hold.pause_count >= PAUSES_MOST:
                 continue
             need = self._need(job, deferral, len(running))
             save = micros(job.spec.save_s) + 10 * SECOND
@@ -301,8 +304,10 @@
             until = min(plan.starts) * self.planner.step
             for task in running:
                 self.cluster.stop(task, job.spec.grace_s)
-            job.not_before = self.cluster.now + until - wall
-            self.cluster.hold(job, -1, Hold([], "paused for a cheaper hour", hold.changes, until, hold.pauses + 1))
+            job.retry_at = self.cluster.now + until - wall
+            self.cluster.defer(
+                job, -1, DeferredStart([], "paused for a cheaper hour", hold.write_count, until, hold.pause_count + 1)
+            )
 
     # --- questions -------------------------------------------------------------------------------
 
@@ -313,15 +318,15 @@
             return {"job": ref, "held": False, "why": "no unfinished job of this id"}
         plan = self.planner.plans.get(ref)
         if plan is None:
-            paused = job.hold is not None and job.hold.paused_until > wall
-            why = job.hold.why if paused and job.hold else "not held: it is routed as ever"
+            paused = job.deferral is not None and job.deferral.paused_until > wall
+            why = job.deferral.reason if paused and job.deferral else "not held: it is routed as ever"
             return {"job": ref, "held": paused, "why": why, "pending": job.pending}
         age = self.book.age(wall)
         return {
             "job": ref,
             "held": True,
             "why": plan.why,
-            "tasks_held": job.held,
+            "tasks_held": job.deferred,
             "windows": [
                 {"from": slot * self.planner.step / SECOND, "tasks": self._tasks(job, count)}
                 for slot, count in sorted(plan.starts.items())
