--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -11,7 +11,7 @@
 
 from oatport import wire
 from oatport.control.queueing.dependency_graph import DependencyGraph, Known, Urgency
-from oatport.control.state.model import Job
+from oatport.control.state.job import Job
 from oatport.control.storage.write_buffer import cancel_key, live_key, waits_key
 from oatport.settings import Team
 from oatport.times import SECOND
@@ -46,7 +46,7 @@
     left = world.submit(legs=2, voyageS=3.0, waitsOn=[first, first], crew="other")
     right = world.submit(legs=1, voyageS=9.0, waitsOn=[first])
     last = world.submit(legs=1, voyageS=3.0, waitsOn=[left, right])
-    assert world.cluster.why_waiting(last) == f"waits for {left}, {right}"
+    assert world.cluster.explain_blocked(last) == f"waits for {left}, {right}"
     for _ in range(40):
         world.step(1.0)
         for ref in (left, right):
@@ -64,20 +64,23 @@
     world.now += 6 * SECOND
     for worker in world.workers.values():
         world.report(worker)
-    assert world.cluster.jobs[first].finishing  # its end is about to be committed
+    assert world.cluster.jobs[first].completing  # its end is about to be committed
     world.plan()
-    assert last in world.cluster.held_up and not world.cluster.held_up[last].tasks
+    assert last in world.cluster.blocked_jobs
+    assert not world.cluster.blocked_jobs[last].tasks
     batch = world.cluster.take_batch(12)
     world.cancel(first, tell=False)  # at another node, a moment before that commit
     status, answer = world.state.commit(world.transaction(batch))
-    assert status == 409 and answer["failed"] == [f"jobs/{first}"]
-    world.cluster.put_back(batch)
+    assert status == 409
+    assert answer["failed"] == [f"jobs/{first}"]
+    world.cluster.restore_batch(batch)
     job = world.cluster.jobs[first]
-    job.finishing = False
-    world.cluster.to_finish.pop(job, None)
+    job.completing = False
+    world.cluster.jobs_to_complete.pop(job, None)
     world.cluster.cancel_job(first, 0)
     world.settle()
-    assert world.record(last) == wire.CANCELLED and not world.live(last)
+    assert world.record(last) == wire.CANCELLED
+    assert not world.live(last)
 
 
 def test_what_waits_counts_for_nothing() -> None:
@@ -86,11 +89,11 @@
     first = world.submit(legs=1, voyageS=500.0)
     world.settle()
     looked = world.placer.looked_at
-    before = len(world.cluster.waiting), world.cluster.waiting.version
+    before = len(world.cluster.pending), world.cluster.pending.version
     for _ in range(300):
         world.submit(legs=8, waitsOn=[first], cores=4.0)
     world.settle()
-    assert (len(world.cluster.waiting), world.cluster.waiting.version) == before
+    assert (len(world.cluster.pending), world.cluster.pending.version) == before
     assert world.placer.looked_at == looked
     assert set(world.cluster.jobs) == {first}
     assert not world.cluster.has_writes()
@@ -126,16 +129,18 @@
     first = world.submit(legs=1, voyageS=5.0)
     last = world.submit(legs=1, voyageS=5.0, waitsOn=[first])
     for_gpus = world.submit(legs=1, accelerators=1.0, waitsOn=[first])  # there is no room for it
-    while last in world.cluster.held_up:
+    while last in world.cluster.blocked_jobs:
         world.step(1.0)
-    released = world.cluster.jobs[last].from_at
+    released = world.cluster.jobs[last].eligible_at
     assert world.now - 2 * SECOND <= released <= world.now
     world.settle(2)
     world.fail_over()
-    assert world.cluster.jobs[last].from_at == released  # recorded with its claim
-    assert for_gpus in world.cluster.held_up  # needed jobs that ended are not among live work: their records are read
+    assert world.cluster.jobs[last].eligible_at == released  # recorded with its claim
+    assert (
+        for_gpus in world.cluster.blocked_jobs
+    )  # needed jobs that ended are not among live work: their records are read
     world.look_up()
-    assert world.cluster.jobs[for_gpus].from_at == released
+    assert world.cluster.jobs[for_gpus].eligible_at == released
 
 
 def test_a_gang_and_a_job_that_is_named_long_after_its_end() -> None:
@@ -153,13 +158,15 @@
     first, last = chain(world, 2)
     world.settle()
     task = world.cluster.jobs[first].tasks[0]
-    world.cluster.lose(task, "it may have begun")
-    assert "lost" in world.cluster.why_waiting(last)
+    world.cluster.fail_job(task, "it may have begun")
+    assert "lost" in world.cluster.explain_blocked(last)
     world.settle()
-    assert world.record(first) == wire.LOST and last in world.cluster.held_up
+    assert world.record(first) == wire.LOST
+    assert last in world.cluster.blocked_jobs
     world.cancel(last)
     world.settle()
-    assert world.record(last) == wire.CANCELLED and waits_key(last) not in keys(world)
+    assert world.record(last) == wire.CANCELLED
+    assert waits_key(last) not in keys(world)
 
 
 def test_a_needed_job_that_failed_and_ran_again_releases_the_others() -> None:
@@ -169,7 +176,8 @@
     worker = next(w for w in world.workers.values() if w.starts)
     worker._end(*next(iter(worker.tasks.items())), "error")
     world.settle(3)
-    assert last in world.cluster.held_up and world.record(first) == wire.QUEUED
+    assert last in world.cluster.blocked_jobs
+    assert world.record(first) == wire.QUEUED
     world.settle(30)
     assert world.record(last) == wire.DONE
 
@@ -199,7 +207,7 @@
     refs = [world.submit(legs=1, voyageS=1.0, cores=0.5, waitsOn=[first]) for _ in range(200)]
     world.settle(2)
     world.fail_over()
-    assert len(world.cluster.held_up) == 200
+    assert len(world.cluster.blocked_jobs) == 200
     world.settle(60)
     assert {world.record(ref) for ref in refs} == {wire.DONE}
 
@@ -213,9 +221,11 @@
         world.step(1.0)
     world.state.commit({"if": [], "then": [{"set": waits_key(last), "value": world.state.items[live_key(last)][0]}]})
     world.fail_over()
-    assert last in world.cluster.jobs and last not in world.cluster.held_up
+    assert last in world.cluster.jobs
+    assert last not in world.cluster.blocked_jobs
     world.settle(20)
-    assert world.record(last) == wire.DONE and waits_key(last) not in keys(world)
+    assert world.record(last) == wire.DONE
+    assert waits_key(last) not in keys(world)
 
 
 # --- cancellation -----------------------------------------------------------------------------------
@@ -241,7 +251,7 @@
     world.settle()
     world.cancel(refs[0])
     batch = world.cluster.take_batch(2)
-    assert [job.ref for job in batch.called_off] == [refs[1]]
+    assert [job.job_id for job in batch.cancelled_jobs] == [refs[1]]
     assert world.state.commit(world.transaction(batch))[0] == 200
     world.fail_over()
     world.settle()
@@ -256,11 +266,12 @@
     world.cancel(last, tell=False)
     batch = world.cluster.take_batch(12)
     assert world.state.commit(world.transaction(batch))[0] == 409
-    world.cluster.put_back(batch)
-    world.cluster.cancel_waiting(last, world.state.items[f"jobs/{last}"][1])
+    world.cluster.restore_batch(batch)
+    world.cluster.cancel_blocked(last, world.state.items[f"jobs/{last}"][1])
     world.settle()
     assert world.record(last) == wire.CANCELLED
-    assert cancel_key(last) not in keys(world) and waits_key(last) not in keys(world)
+    assert cancel_key(last) not in keys(world)
+    assert waits_key(last) not in keys(world)
 
 
 def test_a_job_that_names_a_cancelled_one_is_cancelled() -> None:
@@ -282,11 +293,11 @@
     world.settle()
     world.cancel(first)
     after = world.submit(legs=1, waitsOn=[first])
-    job = world.cluster.to_call_off[after]
-    counted = world.cluster.served.classes["train"].accepted
-    world.cluster.add_waiting(Job(after, job.spec, job.version, world.now))
-    assert list(world.cluster.to_call_off.values()) == [job]
-    assert world.cluster.served.classes["train"].accepted == counted
+    job = world.cluster.jobs_to_cancel[after]
+    counted = world.cluster.job_statistics.classes["train"].accepted
+    world.cluster.add_blocked(Job(after, job.spec, job.version, world.now))
+    assert list(world.cluster.jobs_to_cancel.values()) == [job]
+    assert world.cluster.job_statistics.classes["train"].accepted == counted
 
 
 def test_three_thousand_at_once_leave_claims_their_half() -> None:
@@ -297,11 +308,13 @@
     world.settle()
     world.cancel(first)
     world.report(next(w for w in world.workers.values() if w.starts))
-    assert len(world.cluster.to_call_off) == 3000 and not world.cluster.held_up
+    assert len(world.cluster.jobs_to_cancel) == 3000
+    assert not world.cluster.blocked_jobs
     world.submit(ref="j-900000", legs=1)
     world.plan()
     batch = world.cluster.take_batch(12)
-    assert live_key("j-900000") in batch.sets and len(batch.called_off) == 3
+    assert live_key("j-900000") in batch.sets
+    assert len(batch.cancelled_jobs) == 3
 
 
 # --- urgency ----------------------------------------------------------------------------------------
@@ -312,31 +325,36 @@
     first = world.submit(legs=1, voyageS=20.0, urgency="idle")
     middle = world.submit(legs=1, voyageS=30.0, urgency="normal", waitsOn=[first])
     world.plan()
-    assert world.cluster.jobs[first].rank == 2 and not world.cluster.jobs[first].carried
+    assert world.cluster.jobs[first].priority_rank == 2
+    assert not world.cluster.jobs[first].inherited_deadlines
     last = world.submit(legs=1, voyageS=10.0, urgency="high", tideS=200.0, waitsOn=[middle])
     world.plan()
     job = world.cluster.jobs[first]
-    assert job.rank == 1
-    assert world.now + 140 * SECOND < job.carried[0] < world.now + 160 * SECOND  # less both runs, fetches and steps
-    assert job.due == job.carried[0]
+    assert job.priority_rank == 1
+    assert (
+        world.now + 140 * SECOND < job.inherited_deadlines[0] < world.now + 160 * SECOND
+    )  # less both runs, fetches and steps
+    assert job.deadline_at == job.inherited_deadlines[0]
     world.cancel(last)
     world.plan()
-    assert job.rank == 2 and not job.carried
+    assert job.priority_rank == 2
+    assert not job.inherited_deadlines
     world.cancel(middle)
     world.plan()
-    assert job.rank == 3
+    assert job.priority_rank == 3
 
 
 def test_a_stage_whose_last_is_yet_to_come_is_no_idle_work() -> None:
     """Some users submit the last only when the others are over: until then a stage waited behind everything else."""
     world = world_of(0)
     first = world.submit(legs=1, voyageS=1.0, urgency="idle")
-    world.cluster.job_done(first, world.now)
+    world.cluster.on_completion_recorded(first, world.now)
     stage = world.submit(legs=1, urgency="idle", waitsOn=[first])
     alone = world.submit(legs=1, urgency="idle")
-    world.cluster.job_done(first, world.now)
+    world.cluster.on_completion_recorded(first, world.now)
     world.plan()
-    assert world.cluster.jobs[stage].rank == 2 and world.cluster.jobs[alone].rank == 3
+    assert world.cluster.jobs[stage].priority_rank == 2
+    assert world.cluster.jobs[alone].priority_rank == 3
 
 
 def test_a_priority_that_changes_leaves_no_trace_in_what_is_taken() -> None:
@@ -346,11 +364,11 @@
     world.submit(legs=1, voyageS=1.0, urgency="high", waitsOn=[first])
     world.settle(12)
     assert world.record(first) == wire.DONE
-    assert world.cluster.rank_tasks == [0, 0, 0, 0] or sum(world.cluster.rank_tasks) == len(
+    assert world.cluster.tasks_by_priority == [0, 0, 0, 0] or sum(world.cluster.tasks_by_priority) == len(
         [t for job in world.cluster.jobs.values() for t in job.tasks.values() if t.machine]
     )
     world.settle(12)
-    assert world.cluster.rank_tasks == [0, 0, 0, 0]
+    assert world.cluster.tasks_by_priority == [0, 0, 0, 0]
     assert all(abs(sum(m.cpus_by_priority)) < 1e-9 for m in world.cluster.machines.values())
 
 
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -216,7 +216,7 @@
         (FIELDS, {"team"}),
         (FIELDS | {"image": "{{"}, set()),
     ):
-        with pytest.raises(ValueError):
+        with pytest.raises(ValueError):  # noqa: PT011
             Template.make(fields, frozenset(opens))
 
 
@@ -301,7 +301,8 @@
     desk = HeartbeatReceiver()
     verdict = await desk.take(message_id=None)
     assert verdict.action == DEAD
-    assert verdict.answer_now is not None and verdict.answer_now.answer == "refused"
+    assert verdict.answer_now is not None
+    assert verdict.answer_now.answer == "refused"
     again = await desk.take(message_id=None)
     assert again.answer_now.answer_id == verdict.answer_now.answer_id
     assert not [key for key in desk.state.items if key.startswith("q/")]
@@ -347,7 +348,8 @@
 @pytest.mark.parametrize(("state", "answer"), [("done", "done"), ("aborted", "cancelled"), ("lost", "lost")])
 def test_what_a_jobs_end_means_for_its_sender(state: str, answer: str) -> None:
     found = answer_from({"state": state, "cause": "x"}, Row("j-1", "q", "m"), 0)
-    assert found is not None and found[0] == answer
+    assert found is not None
+    assert found[0] == answer
     for odd in (None, [], {}, {"state": "queued"}):
         assert answer_from(odd, Row("j-1", "q", "m"), 0) is None
 
@@ -508,10 +510,12 @@
     async with Sender(site.url, "moves") as sender:
         assert (await sender.call({"tasks": 2}, timeout_s=5))["answer"] == "done"
         refused = await sender.call({"team": "x"}, timeout_s=5)
-        assert refused["answer"] == "refused" and "team" in refused["cause"]
+        assert refused["answer"] == "refused"
+        assert "team" in refused["cause"]
     await until(lambda: len(site.broker.queues["bad-moves"].messages) == 1)
     buried = site.broker.queues["bad-moves"].messages[0]
-    assert buried.properties.headers is not None and REASON in buried.properties.headers
+    assert buried.properties.headers is not None
+    assert REASON in buried.properties.headers
 
 
 @pytest.mark.parametrize("point", ["publish", "confirm", "deliver", "ack", "acked"])
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -30,7 +30,8 @@
     world.cluster.jobs[ref].version = head["rev"]  # the head had the revision of jobs/REF then
     assert world.cluster.jobs[ref].on_machines == 2
     world.settle()
-    assert len(world.live(ref)) == 2 and len(world.workers["vm-000001"].starts) == 2
+    assert len(world.live(ref)) == 2
+    assert len(world.workers["vm-000001"].starts) == 2
     assert [row["path"] for row in world.state.list(live_key(ref))[1]["rows"]] == [live_key(ref)]
     world.settle(31)
     assert world.record(ref) == wire.DONE
@@ -65,7 +66,7 @@
     world.plan()
     batch = world.cluster.take_batch(4)
     assert next(iter(batch.sets)) == live_key("j-000002")
-    assert [job.ref for job in batch.finished] == [ended]
+    assert [job.job_id for job in batch.completed_jobs] == [ended]
 
 
 def test_a_cancelled_jobs_mark_goes_with_the_job() -> None:
@@ -77,14 +78,15 @@
     world.cancel(ref)
     world.report(world.workers["vm-000001"])
     world.report(world.workers["vm-000001"])
-    assert world.cluster.to_clean
+    assert world.cluster.jobs_to_delete
     for budget in (0, 1):
         batch = world.cluster.take_batch(12, budget=budget)
-        assert not any(key.startswith(live_key(ref)) for key in batch.drops) and not batch.cleaned
-        world.cluster.put_back(batch)
-    assert not world.cluster.orphans
+        assert not any(key.startswith(live_key(ref)) for key in batch.deletes)
+        assert not batch.deleted_jobs
+        world.cluster.restore_batch(batch)
+    assert not world.cluster.orphaned_keys
     batch = world.cluster.take_batch(12, budget=12)
-    assert {live_key(ref), live_key(ref) + "/x"} <= set(batch.drops)
+    assert {live_key(ref), live_key(ref) + "/x"} <= set(batch.deletes)
 
 
 def test_ends_of_one_record_are_written_together_and_none_if_the_job_ends() -> None:
@@ -101,10 +103,10 @@
     for task in tasks[:8]:
         world.now += SECOND // 5
         world.cluster.now = world.now
-        world.cluster.finish_task(task, world.now)
+        world.cluster.complete_task(task, world.now)
         batch = world.cluster.take_batch(12, 12, ripe)
         written += len(batch.sets)
-        if batch.ops:
+        if batch.operation_count:
             world.cluster.committed(batch, world.state.commit(world.transaction(batch))[1]["ledgerRev"], world.now)
     assert written <= 1
     assert not world.cluster._may_forget(next(iter(world.cluster.machines.values())), f"{ref}/{tasks[7].index}", 1)
@@ -112,8 +114,9 @@
     world.cluster.now = world.now
     batch = world.cluster.take_batch(12, 12, ripe)
     assert list(batch.sets) == [live_key(ref)]
-    world.cluster.put_back(batch)
+    world.cluster.restore_batch(batch)
     for task in tasks[8:]:
-        world.cluster.finish_task(task, world.now)
+        world.cluster.complete_task(task, world.now)
     batch = world.cluster.take_batch(12, 12, ripe)
-    assert [job.ref for job in batch.finished] == [ref] and set(batch.sets) == {f"jobs/{ref}"}
+    assert [job.job_id for job in batch.completed_jobs] == [ref]
+    assert set(batch.sets) == {f"jobs/{ref}"}
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -25,7 +25,7 @@
     """A job of one task; its claim is committed, nothing was sent yet."""
     world = World()
     world.repeats["train"] = repeat
-    world.cluster.repeats = world.repeats
+    world.cluster.retry_policies = world.repeats
     worker = world.machine(1)
     world.settle(2)
     ref = world.submit(**{"legs": 1, "voyageS": 100.0, **changes})
@@ -169,7 +169,7 @@
             world.cluster.committed(batch, value["ledgerRev"], world.now)
         world.fail_over()
         if not committed:  # the new leader finds the machine silent, and releases it once more
-            world.cluster.machine_gone(world.cluster.machines[worker.name], world.now, "silent")
+            world.cluster.on_machine_removed(world.cluster.machines[worker.name], world.now, "silent")
         state, starts = state_after(world, ref)
         assert (state, starts) == (wire.LOST, 2)
 
@@ -214,7 +214,7 @@
 
     class Back:
         types = world.cluster.types
-        display: dict[str, tuple[int, int]] = {}  # noqa: RUF012
+        job_progress: dict[str, tuple[int, int]] = {}  # noqa: RUF012
 
         def ready(self) -> bool:
             return True
@@ -236,7 +236,7 @@
     state_after(world, ref)
     lead, client, _ = leader(world.state)
     lead._watch_from = 0
-    lead.over = False
+    lead.stopped = False
     client.changes = _once(lead, client)  # type: ignore[method-assign]
     await lead._watch_loop()
     assert ref not in lead.cluster.jobs
@@ -248,7 +248,7 @@
     changes = client.changes
 
     async def ask(*arguments: Any) -> Any:
-        lead.over = True
+        lead.stopped = True
         return await changes(*arguments)
 
     return ask
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -4,7 +4,7 @@
 
 from oatport import wire
 from oatport.control.placement.placer import machine_allowed
-from oatport.control.state.model import Phase
+from oatport.control.state.task import TaskPhase
 from oatport.control.storage.recovery import silent
 from oatport.control.storage.write_buffer import LEADER_KEY, chunk_key, live_key
 from oatport.settings import Team
@@ -65,7 +65,7 @@
     status, value = world.state.commit(world.transaction(batch))
     assert status == 409
     assert value["failed"] == [f"jobs/{ref}"]
-    world.cluster.put_back(batch)
+    world.cluster.restore_batch(batch)
     world.cluster.cancel_job(ref, 0)
     world.settle()
     assert worker.starts == []
@@ -136,8 +136,8 @@
     ref = world.submit(legs=1)
     world.settle()
     task = world.cluster.jobs[ref].tasks[0]
-    world.cluster.on_report(old, world.now, world.now)
-    assert task.phase is Phase.PLACED
+    world.cluster.on_heartbeat(old, world.now, world.now)
+    assert task.phase is TaskPhase.BOUND
     assert task.attempt == 1
 
 
@@ -175,27 +175,27 @@
     world.commit()
     cluster, key = world.cluster, (f"{ref}/0", 1)
     report = wire.report(worker.report())
-    machine = cluster.on_report(report, world.now, world.now)
+    machine = cluster.on_heartbeat(report, world.now, world.now)
     assert machine is not None
-    cluster.report_came(machine, report)
-    late, starts = cluster.commands(machine, world.now, direct=False)
-    cluster.sent(machine, starts, world.now, direct=False)  # on its way
-    cluster.to_send.add(machine)
+    cluster.on_heartbeat_delivered(machine, report)
+    late, starts = cluster.commands_for(machine, world.now, direct=False)
+    cluster.on_commands_sent(machine, starts, world.now, direct=False)  # on its way
+    cluster.machines_to_command.add(machine)
     world.send()
     cluster.stop(cluster.jobs[ref].tasks[0], 0.0)
     world.send()
     world.commit()
     assert worker.tasks[key].status == "ended"
     assert cluster.jobs[ref].on_machines == 0  # it may run elsewhere
-    cluster.to_send.add(machine)
+    cluster.machines_to_command.add(machine)
     world.send()
-    cluster.report_came(machine, report)  # held by a cut, that report comes once more
-    cluster.to_send.add(machine)
+    cluster.on_heartbeat_delivered(machine, report)  # held by a cut, that report comes once more
+    cluster.machines_to_command.add(machine)
     world.send()
     worker.commands({"helm": cluster.token, "watch": 1, "orders": late})
     assert worker.starts == [key]
     world.report(worker)  # it reports again, so it has had that answer, or dropped it
-    cluster.to_send.add(machine)
+    cluster.machines_to_command.add(machine)
     world.send()
     assert key not in worker.tasks
 
@@ -243,12 +243,12 @@
     second = world.machine(2)
     world.report(second)
     world.report(second)
-    world.cluster.machines[second.name].recorded = True
+    world.cluster.machines[second.name].persisted = True
     world.plan()
     task = world.cluster.jobs[ref].tasks[0]
     assert task.machine is world.cluster.machines[second.name]
     world.cluster.committed(batch, value["ledgerRev"], world.now)
-    assert task.phase is Phase.CLAIMED
+    assert task.phase is TaskPhase.BINDING
     world.send()
     assert second.starts == []
 
@@ -267,7 +267,7 @@
     assert len([s for s in other.starts if s[0].startswith(ref)]) == 2
     assert world.record(more) == wire.DONE
     assert world.record(ref) == wire.QUEUED
-    assert world.cluster.teams["crew"].cpus == 8.0  # they count for the team's limit
+    assert world.cluster.quotas["crew"].cpus == 8.0  # they count for the team's limit
 
 
 def test_takeover_judges_absence_only_under_its_own_token() -> None:
@@ -280,8 +280,8 @@
     world.commit()  # the old leader dies here; its start is under way
     late = wire.commands_body(world.cluster.token, worker.session, [wire.start(f"{ref}/0", 1)])
     world.fail_over()
-    world.cluster.on_report(wire.report(worker.report()), world.now, world.now)
-    assert world.cluster.jobs[ref].tasks[0].phase is Phase.PLACED
+    world.cluster.on_heartbeat(wire.report(worker.report()), world.now, world.now)
+    assert world.cluster.jobs[ref].tasks[0].phase is TaskPhase.BOUND
     worker.commands(late)  # lands before the new token does
     world.settle()
     assert worker.starts == [(f"{ref}/0", 1)]  # taken over, not started again
@@ -516,4 +516,4 @@
     world.submit(ref="j-000003", legs=2)  # work of the same priority does not
     world.settle()
     assert len(world.live(array)) == 2
-    assert world.cluster.teams["crew"].cpus <= 16.0
+    assert world.cluster.quotas["crew"].cpus <= 16.0
--- a/tests/test_rush.py
+++ b/tests/test_rush.py
@@ -13,7 +13,8 @@
 from oatport.control.queueing.queue_estimator import ROUTE_EVERY, ROUTE_MOST, QueueEstimator
 from oatport.control.scaling.incoming_capacity import CapacitySlot, IncomingCapacity
 from oatport.control.scaling.scale_out import PLANNED_MOST, REFUSED_MOST, REFUSED_PAUSE, ScaleOutRequest
-from oatport.control.state.model import Job, Machine
+from oatport.control.state.job import Job
+from oatport.control.state.machine import Machine
 from oatport.settings import Team
 from oatport.times import SECOND
 from tests.scale import calls, rush
@@ -85,7 +86,7 @@
         found.add(one)
     for one in jobs[:40]:
         found.discard(one)
-    jobs[60].due = 1  # most pressing now
+    jobs[60].deadline_at = 1  # most pressing now
     found.moved(jobs[60])
     assert [one for _, one in found.walk()] == sorted(jobs[40:], key=order_key)
     walked = []
@@ -154,7 +155,7 @@
     assert not world.placer.due(world.now + SECOND)
     assert world.placer.due(world.now + 3 * SECOND)
     world.cluster.machines["vm-000001"].cordoned_until = 0
-    world.cluster.jobs[ref].not_before = world.now + SECOND // 2
+    world.cluster.jobs[ref].retry_at = world.now + SECOND // 2
     world.plan()
     assert not world.placer.due(world.now + SECOND // 4)
     assert world.placer.due(world.now + SECOND // 2)
@@ -171,7 +172,7 @@
     for _ in range(50):
         world.submit(legs=4)
     world.plan()
-    assert all(not waits.preempt_after for waits in world.cluster.waiting)
+    assert all(not waits.preempt_after for waits in world.cluster.pending)
     service = world.submit(rig="standing", legs=1, urgency="production")
     world.settle()
     assert len(world.live(service)) == 1  # which it would make room for
@@ -185,13 +186,13 @@
         world.submit(legs=8, voyageS=60.0, tideS=3000.0 + number)
     backlog = QueueEstimator(world.cluster, world.fleet)
     backlog.step(world.now, world.now)
-    routed = {one.ref: one.tier for one in world.cluster.waiting}
+    routed = {one.job_id: one.tier for one in world.cluster.pending}
     pressing = world.cluster.jobs[world.submit(legs=1, voyageS=10.0, tideS=60.0)]
     counted = calls(lambda: backlog.step(world.now, world.now))
     assert pressing.tier
     assert counted < 150  # the others were not looked at
-    assert {one.ref: one.tier for one in world.cluster.waiting if one is not pressing} == routed
-    assert next(one for _, one in world.cluster.waiting.walk()) is pressing
+    assert {one.job_id: one.tier for one in world.cluster.pending if one is not pressing} == routed
+    assert next(one for _, one in world.cluster.pending.walk()) is pressing
 
 
 def test_routing_slows_down_with_what_there_is_to_route() -> None:
@@ -199,10 +200,10 @@
     backlog = QueueEstimator(world.cluster, world.fleet)
     assert backlog.pace() == ROUTE_EVERY
     for number in range(800):
-        world.cluster.waiting.add(waiting(number + 1))
+        world.cluster.pending.add(waiting(number + 1))
     assert ROUTE_EVERY < backlog.pace() < ROUTE_MOST
     for number in range(800, 5000):
-        world.cluster.waiting.add(waiting(number + 1))
+        world.cluster.pending.add(waiting(number + 1))
     assert backlog.pace() == ROUTE_MOST
 
 
@@ -264,7 +265,7 @@
     world.settle()
     (place,) = world.live(ref)[f"{ref}/0"]
     machine = world.cluster.machines[place]
-    assert machine.calm
+    assert machine.settled_heartbeat
     return world, machine, ref
 
 
@@ -272,7 +273,7 @@
     world, machine, _ = calm_world()
     report = wire.report(world.workers[machine.name].report())
     world.now += SECOND
-    assert calls(lambda: world.cluster.on_report(report, world.now, world.now)) < 10
+    assert calls(lambda: world.cluster.on_heartbeat(report, world.now, world.now)) < 10
     assert machine.last_heartbeat_at == world.now
 
 
@@ -288,11 +289,11 @@
     world, machine, _ = calm_world(cores=4.0)
     other = world.submit(legs=1, cores=1.0, berthKinds=["g16"], sizeGb=0.0)
     world.workers[machine.name].commands(
-        wire.commands_body(world.cluster.token, machine.session, [wire.start(f"{other}/0", 7)])
+        wire.commands_body(world.cluster.token, machine.agent_epoch, [wire.start(f"{other}/0", 7)])
     )
     report = wire.report(world.workers[machine.name].report())
-    world.cluster.on_report(report, world.now, world.now)
-    assert (f"{other}/0", 7) in machine.strays
+    world.cluster.on_heartbeat(report, world.now, world.now)
+    assert (f"{other}/0", 7) in machine.orphaned_attempts
 
 
 def test_a_cancelled_task_on_a_calm_machine_is_stopped() -> None:
@@ -319,8 +320,8 @@
     ref = world.submit(legs=1)
     world.plan()
     world.commit()
-    world.cluster.to_send.clear()
+    world.cluster.machines_to_command.clear()
     task = world.cluster.jobs[ref].tasks[0]
-    assert task in world.cluster.unacked
+    assert task in world.cluster.unacknowledged_tasks
     world.step()
-    assert task not in world.cluster.unacked
+    assert task not in world.cluster.unacknowledged_tasks
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -14,7 +14,7 @@
 from oatport.api.peer_api import PeerApi
 from oatport.clients.http import NoResponseError
 from oatport.control.scaling.scale_in import ScaleOutRequest
-from oatport.control.state.completions import End
+from oatport.control.state.completions import Completion
 from oatport.control.storage.recovery import UnknownMachineTypeError, load, types_recorded
 from oatport.control.storage.write_buffer import CATALOG_KEY, LEADER_KEY, WriteBatch
 from oatport.lab.world.state import KeyStore
@@ -44,30 +44,30 @@
         return self.answer
 
 
-class LeadingNode:
+class FakeLeadingNode:
     def __init__(self) -> None:
         self.types = dict(TYPES)
         self.peers: dict[str, Any] = {}
-        self.display: dict[str, tuple[int, int]] = {}
-        self.node_name, self.boot = "n0", "boot"
+        self.job_progress: dict[str, tuple[int, int]] = {}
+        self.node_name, self.boot_id = "n0", "boot"
         self.lost: list[str] = []
 
-    def lost_lead(self, why: str) -> None:
+    def step_down(self, why: str) -> None:
         self.lost.append(why)
 
-    async def ended_before(self, token: int) -> tuple[list[End], bool]:
+    async def completions_before(self, token: int) -> tuple[list[Completion], bool]:
         return [], True
 
-    def nodes_heard(self) -> dict[str, list[int]]:
+    def peer_contact_times(self) -> dict[str, list[int]]:
         return {}
 
-    def cut_off_from(self, addresses: list[str]) -> None:
+    def mark_workers_unreachable(self, addresses: list[str]) -> None:
         pass
 
 
-def leader(state: KeyStore) -> tuple[Leader, FakeStateClient, LeadingNode]:
+def leader(state: KeyStore) -> tuple[Leader, FakeStateClient, FakeLeadingNode]:
     token = state.commit({"if": [], "then": [{"set": LEADER_KEY, "value": {"node": "n0"}}]})[1]["ledgerRev"]
-    client, home = FakeStateClient(state), LeadingNode()
+    client, home = FakeStateClient(state), FakeLeadingNode()
     lead = Leader(home, node_settings(), Tuning(), Unplugged(), client, token, 1, steady())  # type: ignore[arg-type]
     lead.loaded = True
     return lead, client, home
@@ -87,7 +87,7 @@
     assert await node._on_handover(["handover", 5]) == ["no"]
     assert await node._on_handover(["handover", 5]) == ["ok"]
     # A leader gave up to a node that had been cut off from the workers a moment ago.
-    node.cut_off_from(["h:1"])
+    node.mark_workers_unreachable(["h:1"])
     assert await node._on_handover(["handover", 6]) == ["no"]
 
 
@@ -113,22 +113,25 @@
     state.commit({"if": [], "then": [{"set": LEADER_KEY, "value": {"node": "n1"}}]})
     await lead.commits.commit(WriteBatch(conditions={"fleet/000000": 0}, sets={"fleet/000000": {"m": []}}))
     assert home.lost
-    assert not lead.answering()
+    assert not lead.may_answer_heartbeats()
 
 
 async def test_nobody_is_judged_without_contact(state: KeyStore) -> None:
     """A cut may hold a release and deliver it minutes later, onto another leader's machines."""
     lead, client, home = leader(state)
     client.faults = ["refuse", "lose"]
-    assert not await lead.keeper.watcher.still_leading()
-    assert not await lead.keeper.watcher.still_leading()
-    assert await lead.keeper.watcher.still_leading()
+    assert not await lead.cloud_controller.watcher.still_leading()
+    assert not await lead.cloud_controller.watcher.still_leading()
+    assert await lead.cloud_controller.watcher.still_leading()
     home.peers = {"n1": FakePeer(None)}
-    assert await lead.keeper.watcher.ask_around([]) == (None, False)  # a peer that doesn't answer proves nothing
+    assert await lead.cloud_controller.watcher.ask_around([]) == (
+        None,
+        False,
+    )  # a peer that doesn't answer proves nothing
     home.peers = {"n1": FakePeer(["seen", 3, True])}
-    assert await lead.keeper.watcher.ask_around([]) == (None, False)
+    assert await lead.cloud_controller.watcher.ask_around([]) == (None, False)
     home.peers = {"n1": FakePeer(["seen", 0, True])}
-    assert await lead.keeper.watcher.ask_around([]) == (None, True)
+    assert await lead.cloud_controller.watcher.ask_around([]) == (None, True)
 
 
 async def test_a_node_in_a_dark_zone_does_not_hold_the_verdict_back(state: KeyStore) -> None:
@@ -136,30 +139,31 @@
     lead, _, home = leader(state)
     blind, silent, sees = FakePeer(["seen", 0, True]), FakePeer(None), FakePeer(["seen", 1, True])
     home.peers = {"n1": blind, "n2": silent}
-    assert await lead.keeper.watcher.ask_around([]) == (None, True)  # two of three nodes
+    assert await lead.cloud_controller.watcher.ask_around([]) == (None, True)  # two of three nodes
     home.peers = {"n1": silent, "n2": silent}
-    assert await lead.keeper.watcher.ask_around([]) == (None, False)  # it is rather I who am cut off
+    assert await lead.cloud_controller.watcher.ask_around([]) == (None, False)  # it is rather I who am cut off
     home.peers = {"n1": blind, "n2": sees}
-    assert await lead.keeper.watcher.ask_around([]) == (None, False)
+    assert await lead.cloud_controller.watcher.ask_around([]) == (None, False)
 
 
 async def test_in_an_outage_tasks_live_but_nothing_starts(state: KeyStore) -> None:
     lead, client, _ = leader(state)
     now = steady()
     client.ok_at, client.failed_at = now - 5 * SECOND, now
-    lead.clock.known_at = now - 5 * SECOND
+    lead.lease_renewal_limit.known_at = now - 5 * SECOND
     report = wire.Report("vm-000001", "h:1", "m8", "a", False, 1, 1, lead.token, [])
-    answer = lead.take_report(report)
-    assert answer is not None and answer["helm"] == lead.token
+    answer = lead.answer_heartbeat(report)
+    assert answer is not None
+    assert answer["helm"] == lead.token
     assert all(order["orderKind"] != "start" for order in answer["orders"])
-    lead.clock.known_at = now - 30 * SECOND  # a cancellation may have been told since
-    assert lead.take_report(report) is None
+    lead.lease_renewal_limit.known_at = now - 30 * SECOND  # a cancellation may have been told since
+    assert lead.answer_heartbeat(report) is None
 
 
 async def test_reports_go_to_the_leader_and_bad_ones_hurt_nobody(state: KeyStore) -> None:
     node = Node(node_settings(), Tuning())
     node.state = FakeStateClient(state)  # type: ignore[assignment]
-    node._leader = "n1"
+    node._leader_name = "n1"
     report = {
         "berth": "vm-1",
         "address": "h:1",
@@ -234,11 +238,11 @@
                 raise NoResponseError("lost")
             return [f"vm-{len(asked):06d}"]
 
-    lead.keeper.cloud = Cloud()  # type: ignore[assignment]
+    lead.cloud_controller.cloud = Cloud()  # type: ignore[assignment]
     for _ in range(2):
         rental = ScaleOutRequest("m8", "a", True, 1)
-        lead.keeper.fleet.under_way.append(rental)
-        await lead.keeper.rent(rental)
+        lead.cloud_controller.fleet.under_way.append(rental)
+        await lead.cloud_controller.rent(rental)
     assert asked == [f"r-{lead.token}-1", f"r-{lead.token}-1", f"r-{lead.token}-2"]
     assert sorted(lead.cluster.machines) == ["vm-000002", "vm-000003"]
 
@@ -246,12 +250,12 @@
 async def test_a_machine_that_is_to_be_returned_is_told_to_stop_what_it_runs(state: KeyStore) -> None:
     """Its release may stay unanswered for as long as the cloud is away; its leases lived on, and no stop went out."""
     lead, _, _ = leader(state)
-    lead.clock.known_at = lead.mandate.asked_at = steady()
+    lead.lease_renewal_limit.known_at = lead.leader_lease.asked_at = steady()
     rows = [wire.TaskReport("j-000001/0", 1, wire.RUNNING)]  # of a job that is cancelled and over, say
     report = wire.Report("vm-000001", "h:1", "m8", "a", False, 1, 1, lead.token, rows)
-    assert lead.take_report(report) is not None
+    assert lead.answer_heartbeat(report) is not None
     lead.cluster.machines["vm-000001"].releasing = True
-    answer = lead.take_report(wire.Report("vm-000001", "h:1", "m8", "a", False, 1, 2, lead.token, rows))
+    answer = lead.answer_heartbeat(wire.Report("vm-000001", "h:1", "m8", "a", False, 1, 2, lead.token, rows))
     assert answer is not None
     assert [(order["orderKind"], order["leg"]) for order in answer["orders"]] == [("stop", "j-000001/0")]
 
@@ -274,6 +278,6 @@
     async def cloud_tells() -> dict[str, wire.MachineType]:
         return {"new": replace(TYPES["m8"], name="new")}
 
-    lead.keeper.cloud.catalog = cloud_tells  # type: ignore[method-assign]
-    await lead.keeper.catalog()
+    lead.cloud_controller.cloud.catalog = cloud_tells  # type: ignore[method-assign]
+    await lead.cloud_controller.catalog()
     assert wire.catalog(state.get(CATALOG_KEY)[1]["value"]).keys() == {"m8", "g16", "new"}
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -28,7 +28,9 @@
         assert kept <= max(sockets * 0.72 - machines, 32, a_second) + 1  # what is commanded within a second is kept
     assert plan.idle_us(machines, 0.0) == MOST_IDLE
     assert plan.idle_us(machines, 3000.0) == LEAST_IDLE
-    assert plan.full(sockets) and plan.closes(sockets - plan.calls) and not plan.closes(machines)
+    assert plan.full(sockets)
+    assert plan.closes(sockets - plan.calls)
+    assert not plan.closes(machines)
 
 
 async def test_a_node_at_its_bound_takes_reports_and_refuses_users_at_once() -> None:
--- a/tests/test_still.py
+++ b/tests/test_still.py
@@ -73,11 +73,11 @@
 async def test_a_leader_that_wakes_starts_rents_and_returns_nothing(state: KeyStore, clock: Clock) -> None:
     """Those machines may be at work for another leader: the cloud knows no tokens."""
     lead, _, home = leader(state)
-    lead.mandate.asked_at = clock.at
+    lead.leader_lease.asked_at = clock.at
     http_client = Asked()
-    cloud = CloudClient(Unplugged(), "h:1", 5.0, lead.entitled)  # type: ignore[arg-type]
+    cloud = CloudClient(Unplugged(), "h:1", 5.0, lead.holds_lease)  # type: ignore[arg-type]
     cloud._http = http_client  # type: ignore[assignment]
-    lead.keeper.cloud = cloud
+    lead.cloud_controller.cloud = cloud
     await cloud.release(["vm-000001"])
     assert http_client.paths == [wire.RELEASE]
     clock.at += 7 * SECOND  # stands still, between the decision and the request
@@ -85,46 +85,47 @@
         await cloud.release(["vm-000002"])
     with pytest.raises(RequestNotSentError):
         await cloud.rent("r-1-1", "m8", "a", True, 1)
-    assert lead.stalled(clock.at)
+    assert lead.decisions_paused(clock.at)
     machine = lead.cluster.add_machine("vm-000003", "m8", "a", False, "h:1", clock.at, 0)
     assert machine is not None
-    await lead.keeper.release([machine], "returned")
+    await lead.cloud_controller.release([machine], "returned")
     await lead._send(machine)
     assert http_client.paths == [wire.RELEASE]
-    assert not machine.gone  # it is there until proven gone
+    assert not machine.removed  # it is there until proven gone
     assert home.lost == []  # whether it still leads is for the state service to say
 
 
 async def test_a_rental_under_way_in_a_freeze_is_not_repeated_unentitled(state: KeyStore, clock: Clock) -> None:
     lead, _, _ = leader(state)
-    lead.mandate.asked_at = clock.at
+    lead.leader_lease.asked_at = clock.at
     asked: list[str] = []
 
     class Cloud:
         async def rent(self, request: str, *_: Any) -> list[str]:
             asked.append(request)
             clock.at += 9 * SECOND
-            lead.over = True  # another leader was found meanwhile
+            lead.stopped = True  # another leader was found meanwhile
             raise NoResponseError("timers fire before what waits in the sockets is read")
 
-    lead.keeper.cloud = Cloud()  # type: ignore[assignment]
+    lead.cloud_controller.cloud = Cloud()  # type: ignore[assignment]
     rental = ScaleOutRequest("m8", "a", True, 1)
-    lead.keeper.fleet.under_way.append(rental)
-    await lead.keeper.rent(rental)
+    lead.cloud_controller.fleet.under_way.append(rental)
+    await lead.cloud_controller.rent(rental)
     assert asked == [f"r-{lead.token}-1"]
-    assert lead.keeper.fleet.under_way == []
+    assert lead.cloud_controller.fleet.under_way == []
 
 
 async def test_tasks_outlive_a_short_freeze_but_none_starts_before_proof(state: KeyStore, clock: Clock) -> None:
     lead, _, _ = leader(state)
-    lead.mandate.asked_at = lead.clock.known_at = clock.at
+    lead.leader_lease.asked_at = lead.lease_renewal_limit.known_at = clock.at
     report = wire.Report("vm-000001", "h:1", "m8", "a", False, 1, 1, lead.token, [])
-    assert lead.take_report(report) is not None
+    assert lead.answer_heartbeat(report) is not None
     clock.at += 7 * SECOND
-    answer = lead.take_report(wire.Report("vm-000001", "h:1", "m8", "a", False, 1, 2, lead.token, []))
-    assert answer is not None and answer["helm"] == lead.token  # a worker that knows a higher token drops it
+    answer = lead.answer_heartbeat(wire.Report("vm-000001", "h:1", "m8", "a", False, 1, 2, lead.token, []))
+    assert answer is not None
+    assert answer["helm"] == lead.token
     clock.at += 25 * SECOND  # a cancellation may have been told meanwhile, which this node never heard of
-    assert lead.take_report(wire.Report("vm-000001", "h:1", "m8", "a", False, 1, 3, lead.token, [])) is None
+    assert lead.answer_heartbeat(wire.Report("vm-000001", "h:1", "m8", "a", False, 1, 3, lead.token, [])) is None
 
 
 def test_a_freeze_makes_no_machine_silent_or_idle() -> None:
@@ -165,23 +166,24 @@
     assert command_unreachable(machines, world.now + 1_600 * MS, report_us, 0) == []
     now = world.now + 4 * SECOND
     quiet = silent(machines, now, 5 * SECOND // 2)
-    assert silent(machines, now, 5 * SECOND) == [] and cut_off(len(quiet), machines)
+    assert silent(machines, now, 5 * SECOND) == []
+    assert cut_off(len(quiet), machines)
 
 
 async def test_a_handover_whose_answer_is_lost_leaves_the_leader_in_doubt(state: KeyStore) -> None:
     """The other node may replace the key while this one's lease is renewed."""
     lead, _, _ = leader(state)
     node = Node(node_settings(), Tuning())
-    node.lead = lead
+    node.leader = lead
     peer = FakePeer(None)
     peer.name = "n1"  # type: ignore[attr-defined]
-    assert lead.entitled()
+    assert lead.holds_lease()
     with pytest.raises(NoResponseError):
         await node._hand_over(lead, peer, "")  # type: ignore[arg-type]
-    assert not lead.entitled()
+    assert not lead.holds_lease()
     peer.answer = ["no"]
     await node._hand_over(lead, peer, "")  # type: ignore[arg-type]
-    assert lead.entitled()
+    assert lead.holds_lease()
 
 
 async def test_a_handover_agreed_to_before_a_freeze_is_off_after_it(state: KeyStore) -> None:
@@ -190,9 +192,9 @@
     node.state = client  # type: ignore[assignment]
     state.commit({"if": [], "then": [{"set": "leader", "value": {"node": "n1", "boot": "x", "lease": 1}}]})
     assert await node._on_handover(["handover", state.revision]) == ["ok"]
-    node._take_until -= 10 * SECOND  # it stood still before it came to that
-    await node._stand()
-    assert node.lead is None
+    node._handover_until -= 10 * SECOND  # it stood still before it came to that
+    await node._run_for_leader()
+    assert node.leader is None
     assert state.get("leader")[1]["value"]["node"] == "n1"
     await asyncio.sleep(0)
 
@@ -210,20 +212,20 @@
 
     node._reaches = reaches  # type: ignore[method-assign]
     node.peers = {"n1": FakePeer(None), "n2": FakePeer(None)}  # type: ignore[dict-item]
-    node._peer_served = {"n2": (True, 0)}
-    alone = await node._deference()  # n1 comes after n0, and does not answer
+    node._peer_state_service_answers = {"n2": (True, 0)}
+    alone = await node._election_backoff()  # n1 comes after n0, and does not answer
     assert node._better_placed() is None  # maybe just for a moment
-    node._next_heard -= 5 * SECOND
+    node._successor_answered_at -= 5 * SECOND
     assert node._better_placed() is node.peers["n2"]  # after which n0 comes
-    node._peer_served = {"n1": (True, 0)}
-    assert await node._deference() == 0 < alone
+    node._peer_state_service_answers = {"n1": (True, 0)}
+    assert await node._election_backoff() == 0 < alone
     assert node._better_placed() is None
-    node.cut_off_from(["h:1"])
-    assert await node._deference() > alone
+    node.mark_workers_unreachable(["h:1"])
+    assert await node._election_backoff() > alone
     reached.append("h:1")
-    assert await node._deference() == 0
+    assert await node._election_backoff() == 0
     reached.clear()
-    assert await node._deference() == 0  # the cut is over, that is not asked again
+    assert await node._election_backoff() == 0  # the cut is over, that is not asked again
 
 
 async def test_the_lead_is_left_to_a_node_after_which_workers_try_another_zone() -> None:
@@ -238,12 +240,12 @@
         )
         found = Node(settings, Tuning())
         found.peers = {peer.node_name: FakePeer(None) for peer in settings.peers}  # type: ignore[misc]
-        found._peer_served = dict.fromkeys(found.peers, (True, 0))
+        found._peer_state_service_answers = dict.fromkeys(found.peers, (True, 0))
         return found
 
-    two = [await node(name, n0="a", n1="b", n2="a")._deference() for name in ("n0", "n1", "n2")]
+    two = [await node(name, n0="a", n1="b", n2="a")._election_backoff() for name in ("n0", "n1", "n2")]
     assert two[0] == two[1] == 0 < two[2]
-    assert [await node(name, n0="a", n1="a", n2="a")._deference() for name in ("n0", "n1", "n2")] == [0, 0, 0]
+    assert [await node(name, n0="a", n1="a", n2="a")._election_backoff() for name in ("n0", "n1", "n2")] == [0, 0, 0]
 
 
 async def test_a_leader_knows_no_cancellation_told_while_it_read_the_records(
@@ -258,7 +260,7 @@
         return [], 0
 
     monkeypatch.setattr(lead_module, "read_records", slow)
-    for group in (lead.group, lead.keeper.group):
+    for group in (lead.background, lead.cloud_controller.group):
         monkeypatch.setattr(group, "keep", lambda *_: None)  # none of its loops is what is looked at
     await lead.fail_over()
-    assert lead.clock.known_at == began
+    assert lead.lease_renewal_limit.known_at == began
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -8,7 +8,7 @@
 import pytest
 
 from oatport.control.storage.schema_version import FORMATS_KEY
-from oatport.lab.world.builds import HistoryUnavailableError, lay_tree, production, production_commit
+from oatport.lab.world.builds import HistoryUnavailableError, lay_tree, leader_of, production, production_commit
 from oatport.lab.world.drawing import upgrade
 from oatport.lab.world.plan import Fault, Plan
 from oatport.lab.world.rehearse import Asked, play
@@ -26,7 +26,8 @@
 
 def test_it_is_another_version_of_the_same_names() -> None:
     old = production()
-    assert old.node.Node is not Node and old.node.Node.__module__ == Node.__module__
+    assert old.node.Node is not Node
+    assert old.node.Node.__module__ == Node.__module__
     assert production_commit() in old.node.__file__
     assert not hasattr(old.node.Node, "_on_formats")
 
@@ -63,13 +64,14 @@
     look = world._look_for_leader
 
     def watch() -> None:
-        led.update(name for name, node in world.nodes.items() if node.lead is not None)
+        led.update(name for name, node in world.nodes.items() if leader_of(node) is not None)
         look()
 
     world._look_for_leader = watch  # type: ignore[method-assign]
     found = quiet(world)
     assert (found.violations, found.errors) == ([], [])
-    assert led & {"n0", "n2"} and FORMATS_KEY not in world.store.items
+    assert led & {"n0", "n2"}
+    assert FORMATS_KEY not in world.store.items
     assert any(key.startswith("jobs/j-7") for key in world.store.items)
 
 
--- a/tests/test_users.py
+++ b/tests/test_users.py
@@ -15,10 +15,10 @@
 from tests.world import job as body_of
 
 
-class HeartbeatReceiver:
+class FakeControllerNode:
     def __init__(self) -> None:
         self.types = dict(TYPES)
-        self.display: dict[str, tuple[int, int]] = {}
+        self.job_progress: dict[str, tuple[int, int]] = {}
         self.told: list[str] = []
 
     def ready(self) -> bool:
@@ -40,8 +40,8 @@
     return KeyStore(lambda: 0)
 
 
-def node(state: KeyStore) -> tuple[JobApi, FakeStateClient, HeartbeatReceiver]:
-    client, desk = FakeStateClient(state), HeartbeatReceiver()
+def node(state: KeyStore) -> tuple[JobApi, FakeStateClient, FakeControllerNode]:
+    client, desk = FakeStateClient(state), FakeControllerNode()
     return JobApi(node_settings(), client, desk), client, desk  # type: ignore[arg-type]
 
 
@@ -93,7 +93,8 @@
     users, client, _ = node(state)
     client.faults = ["late"] * 9
     answer = await users.submit(job())
-    assert answer.status == 503 and answer.headers["Retry-After"]
+    assert answer.status == 503
+    assert answer.headers["Retry-After"]
     assert len(client.held) == 2
     client.faults = []
     client.deliver_late()  # whichever arrives, the user who comes back learns that the job is there
@@ -284,7 +285,8 @@
     users, _, _ = node(state)
     idle = await asyncio.gather(*(users.submit(job(f"j-{n:06d}", urgency="idle")) for n in range(60)))
     told = [a for a in idle if a.status == 503]
-    assert told and all(int(a.headers["Retry-After"]) >= 1 for a in told)
+    assert told
+    assert all(int(a.headers["Retry-After"]) >= 1 for a in told)
     assert (await users.submit(job("j-000100", urgency="production"))).status == 201
 
 
--- a/tests/test_whereabouts.py
+++ b/tests/test_whereabouts.py
@@ -9,9 +9,9 @@
 
 from oatport import wire
 from oatport.clients.http import NoResponseError, RequestNotSentError
-from oatport.clients.peer import NotUnderstood
-from oatport.control.state.completions import LEADS_MOST, ROWS_MOST, Ends, parse
-from oatport.control.state.model import Phase
+from oatport.clients.peer import UnexpectedReplyError
+from oatport.control.state.completions import LEADS_MOST, ROWS_MOST, CompletionLog, parse
+from oatport.control.state.task import TaskPhase
 from oatport.control.storage.write_buffer import WriteBatch, job_key, live_key, waits_key
 from oatport.lab.world.state import KeyStore
 from oatport.lab.world.worker import Worker
@@ -51,7 +51,7 @@
     world.settle(3)
     first = next(w for w in workers if f"{ref}/0" in {task for task, _ in w.tasks})
     _until_done(world, first)
-    assert world.cluster.jobs[ref].done == {0}
+    assert world.cluster.jobs[ref].completed == {0}
     return ref, first
 
 
@@ -62,7 +62,7 @@
     machine = world.cluster.machines[worker.name]
     machine.draining = True
     assert world.fleet.to_release(world.now) == []
-    assert live_key(ref) in world.cluster.urgent  # and it is written at once
+    assert live_key(ref) in world.cluster.urgent_keys  # and it is written at once
     world.commit()
     assert world.fleet.to_release(world.now) == [machine]
 
@@ -75,7 +75,8 @@
     world.submit(legs=1, cores=8.0, voyageS=500.0)
     world.settle(3)
     machine = world.cluster.machines[worker.name]
-    assert machine.tasks and world.fleet.to_release(world.now) == []
+    assert machine.tasks
+    assert world.fleet.to_release(world.now) == []
     machine.releasing = True
     assert world.fleet.to_release(world.now) == [machine]
 
@@ -85,7 +86,8 @@
     world = World()
     ref, worker = _done_unwritten(world)
     assert world.fleet.to_release(world.now) == []
-    assert live_key(ref) in world.cluster.dirty and live_key(ref) not in world.cluster.urgent
+    assert live_key(ref) in world.cluster.dirty_keys
+    assert live_key(ref) not in world.cluster.urgent_keys
     assert not world.cluster.machines[worker.name].releasing
 
 
@@ -96,7 +98,7 @@
     batch = world.cluster.take_batch(world.ops)
     assert live_key(ref) in batch.sets
     assert world.fleet.to_release(world.now) == []
-    world.cluster.put_back(batch)
+    world.cluster.restore_batch(batch)
     assert world.fleet.to_release(world.now) == []
     world.commit()
     assert len(world.fleet.to_release(world.now)) == 1
@@ -106,15 +108,15 @@
     """Records that are too large are not written for a while: such an end counted as written, and was forgotten."""
     world = World()
     ref, worker = _done_unwritten(world)
-    world.cluster.too_large = True
+    world.cluster.value_limit_lowered = True
     world.cluster.layout.limit = 10
     batch = world.cluster.take_batch(world.ops)
     assert live_key(ref) not in batch.sets
-    world.cluster.in_flight = set()
+    world.cluster.in_flight_keys = set()
     machine = world.cluster.machines[worker.name]
-    orders, _ = world.cluster.commands(machine, world.now, direct=True)
+    orders, _ = world.cluster.commands_for(machine, world.now, direct=True)
     assert not [order for order in orders if order["orderKind"] == "forget"]
-    assert world.cluster.witnesses(machine)
+    assert world.cluster.holds_unwritten_completions(machine)
 
 
 async def test_nothing_that_alone_tells_of_an_end_is_given_up(state: KeyStore) -> None:
@@ -125,16 +127,19 @@
     async def release(names: list[str]) -> None:
         asked.append(names)
 
-    lead.keeper.cloud.release = release  # type: ignore[method-assign]
+    lead.cloud_controller.cloud.release = release  # type: ignore[method-assign]
     world = World()
     _, worker = _done_unwritten(world)
-    lead.cluster = lead.keeper.cluster = world.cluster
+    lead.cluster = lead.cloud_controller.cluster = world.cluster
     machine = world.cluster.machines[worker.name]
-    await lead.keeper.release([machine], "silent")
-    assert asked == [] and not machine.releasing and worker.name in world.cluster.machines
+    await lead.cloud_controller.release([machine], "silent")
+    assert asked == []
+    assert not machine.releasing
+    assert worker.name in world.cluster.machines
     world.commit()
-    await lead.keeper.release([machine], "silent")
-    assert asked == [[worker.name]] and worker.name not in world.cluster.machines
+    await lead.cloud_controller.release([machine], "silent")
+    assert asked == [[worker.name]]
+    assert worker.name not in world.cluster.machines
 
 
 def test_what_a_machine_with_a_notice_tells_is_written_at_once() -> None:
@@ -147,20 +152,20 @@
     world.report(workers[0])
     world.commit()
     _until_done(world, workers[0])
-    assert live_key(ref) in world.cluster.urgent
+    assert live_key(ref) in world.cluster.urgent_keys
 
 
 def test_the_next_leader_goes_by_ends_that_it_is_told() -> None:
     """The machine hung after its report and was given up: the task is not started again."""
     world = World()
     ref, worker = _done_unwritten(world)
-    ends = world.cluster.ends_to_tell()
+    ends = world.cluster.completions_to_replicate()
     assert [end[:2] for end in ends] == [(ref, 0)]
     world.refused.add(worker.name)  # it is not heard any more
     world.fail_over()
-    assert world.cluster.jobs[ref].tasks[0].phase is Phase.PLACED  # as recorded
-    world.cluster.take_ends(ends)
-    assert world.cluster.jobs[ref].done == {0}
+    assert world.cluster.jobs[ref].tasks[0].phase is TaskPhase.BOUND  # as recorded
+    world.cluster.apply_completions(ends)
+    assert world.cluster.jobs[ref].completed == {0}
     world.released(worker.name)
     for _ in range(25):
         world.step(1.0)
@@ -171,30 +176,34 @@
 def test_told_ends_are_taken_for_pending_tasks_too_and_not_for_newer_attempts() -> None:
     world = World()
     ref, worker = _done_unwritten(world)
-    ends = world.cluster.ends_to_tell()
+    ends = world.cluster.completions_to_replicate()
     world.refused.add(worker.name)
     world.fail_over()
     world.released(worker.name)
     task = world.cluster.jobs[ref].tasks[0]
-    assert task.phase is Phase.PENDING and world.cluster.jobs[ref].pending == 1
-    world.cluster.take_ends(ends)
-    assert world.cluster.jobs[ref].done == {0} and not world.cluster.jobs[ref].pending
-    world.cluster.take_ends(ends)  # told again
+    assert task.phase is TaskPhase.PENDING
+    assert world.cluster.jobs[ref].pending == 1
+    world.cluster.apply_completions(ends)
+    assert world.cluster.jobs[ref].completed == {0}
+    assert not world.cluster.jobs[ref].pending
+    world.cluster.apply_completions(ends)  # told again
     other = world.submit(legs=1, cores=1.0, voyageS=50.0)
     world.settle(3)
     placed = world.cluster.jobs[other].tasks[0]
-    assert placed.phase is Phase.PLACED
-    world.cluster.take_ends([(other, 0, placed.attempt), (other, 0, 7), (other, 5, 1), ("j-999999", 0, 1)])
-    assert placed.phase is Phase.PLACED and not world.cluster.jobs[other].done  # only its own report ends it
+    assert placed.phase is TaskPhase.BOUND
+    world.cluster.apply_completions([(other, 0, placed.attempt), (other, 0, 7), (other, 5, 1), ("j-999999", 0, 1)])
+    assert placed.phase is TaskPhase.BOUND
+    assert not world.cluster.jobs[other].completed
 
 
 def test_ends_are_told_until_they_are_recorded() -> None:
     world = World()
     ref, _ = _done_unwritten(world)
-    assert world.cluster.ends_to_tell()
+    assert world.cluster.completions_to_replicate()
     world.commit()
-    assert world.cluster.ends_to_tell() == [] and not world.cluster.unwritten_ends
-    assert world.cluster.jobs[ref].done == {0}
+    assert world.cluster.completions_to_replicate() == []
+    assert not world.cluster.unwritten_completions
+    assert world.cluster.jobs[ref].completed == {0}
 
 
 def test_where_nobody_knows_of_ends_a_machine_never_heard_of_has_its_lease() -> None:
@@ -203,28 +212,30 @@
     world.refused |= set(world.workers)
     cluster = world.fail_over()
     machine, until = cluster.machines[worker.name], world.now + cluster.lease_us
-    assert not cluster.may_still_tell(machine, world.now, until)
-    cluster.ends_unknown = True
-    assert cluster.may_still_tell(machine, world.now, until)
-    assert not cluster.may_still_tell(machine, until, until)
+    assert not cluster.may_report_unknown_completions(machine, world.now, until)
+    cluster.completions_unknown = True
+    assert cluster.may_report_unknown_completions(machine, world.now, until)
+    assert not cluster.may_report_unknown_completions(machine, until, until)
     world.refused.clear()
     world.report(worker)
-    assert not cluster.may_still_tell(machine, world.now, until)  # it has told
+    assert not cluster.may_report_unknown_completions(machine, world.now, until)  # it has told
 
 
 def test_a_node_keeps_what_the_newest_leaders_told() -> None:
-    ends = Ends()
+    ends = CompletionLog()
     assert ends.before(100) is None
     for token in range(1, LEADS_MOST + 3):
         ends.note(token, [(f"j-{token:06d}", 0, 1)])
-    assert ends.before(3) is None and ends.before(4) == [("j-000003", 0, 1)]
+    assert ends.before(3) is None
+    assert ends.before(4) == [("j-000003", 0, 1)]
     assert len(ends.before(100) or []) == LEADS_MOST
     ends.note(LEADS_MOST + 2, [("j-000099", 0, 1)])
     assert (ends.before(100) or [])[:2] == [("j-000099", 0, 1), (f"j-{LEADS_MOST + 2:06d}", 0, 1)]  # the newest first
     for number in range(2 * ROWS_MOST):
         ends.note(99, [("j-000001", number, 1)])
     found = ends.before(100) or []
-    assert len(found) == ROWS_MOST and found[0] == ("j-000001", 2 * ROWS_MOST - 1, 1)
+    assert len(found) == ROWS_MOST
+    assert found[0] == ("j-000001", 2 * ROWS_MOST - 1, 1)
 
 
 @pytest.mark.parametrize(
@@ -264,32 +275,34 @@
     node.peers = {
         name: Peer(answer)
         for name, answer in {  # type: ignore[assignment, misc]
-            "old": NotUnderstood("status 400"),
+            "old": UnexpectedReplyError("status 400"),
             "strange": ["ended", [["x"]]],
             "other": ["seen", 1, True],
             "short": ["ended"],
             "down": RequestNotSentError("refused"),
         }.items()
     }
-    assert await node.telling.ended_before(9) == ([], False)
+    assert await node.peer_notifier.completions_before(9) == ([], False)
     node.peers["n3"] = Peer(["ended", [["j-000001", 2, 1]]])  # type: ignore[assignment]
-    assert await node.telling.ended_before(9) == ([("j-000001", 2, 1)], True)
-    assert await node.telling.on_ends(["ends", 4, [["j-000002", 0, 1]]]) == ["ok"]
-    found, complete = await node.telling.ended_before(9)
-    assert set(found) == {("j-000001", 2, 1), ("j-000002", 0, 1)} and complete
+    assert await node.peer_notifier.completions_before(9) == ([("j-000001", 2, 1)], True)
+    assert await node.peer_notifier.on_ends(["ends", 4, [["j-000002", 0, 1]]]) == ["ok"]
+    found, complete = await node.peer_notifier.completions_before(9)
+    assert set(found) == {("j-000001", 2, 1), ("j-000002", 0, 1)}
+    assert complete
     node.peers["cut"] = Peer(NoResponseError("timeout"))  # type: ignore[assignment]
-    assert not (await node.telling.ended_before(9))[1]  # it may have led, and know more
+    assert not (await node.peer_notifier.completions_before(9))[1]  # it may have led, and know more
     node._learn_leader("n3", 8)
-    assert (await node.telling.ended_before(9))[1]
+    assert (await node.peer_notifier.completions_before(9))[1]
     node._learn_leader("cut", 9)
     node._learn_leader("n0", 10)  # this node itself
-    found, complete = await node.telling.ended_before(11)
-    assert not complete and len(found) == 2  # what the others know counts all the same
-    assert await node.telling.on_ended(["ended", 4]) == ["ended", None]
-    assert await node.telling.on_ended(["ended", 5]) == ["ended", [("j-000002", 0, 1)]]
+    found, complete = await node.peer_notifier.completions_before(11)
+    assert not complete
+    assert len(found) == 2
+    assert await node.peer_notifier.on_ended(["ended", 4]) == ["ended", None]
+    assert await node.peer_notifier.on_ended(["ended", 5]) == ["ended", [("j-000002", 0, 1)]]
     for message in (["ends", "4", []], ["ends", 4, [[]]], ["ended", None]):
         with pytest.raises((ValueError, TypeError)):
-            await (node.telling.on_ends if message[0] == "ends" else node.telling.on_ended)(message)
+            await (node.peer_notifier.on_ends if message[0] == "ends" else node.peer_notifier.on_ended)(message)
 
 
 async def test_a_deposed_leader_tells_what_it_could_not_record(state: KeyStore) -> None:
@@ -300,10 +313,10 @@
     node = Node(node_settings(), Tuning())
     reached = Peer(["ok"])
     node.peers = {"n1": reached}  # type: ignore[dict-item]
-    node.telling.deposed(lead)
+    node.peer_notifier.deposed(lead)
     await asyncio.sleep(0.01)
     assert reached.asked == [("ends", lead.token, [(ref, 0, 1)])]
-    assert node.telling.ends.before(lead.token + 1) == [(ref, 0, 1)]
+    assert node.peer_notifier.ends.before(lead.token + 1) == [(ref, 0, 1)]
     node.group.close()
 
 
@@ -320,12 +333,13 @@
     assert len(world.live(ref)) == 2
     _until_done(world, workers[0])
     told = next(iter(workers[0].starts))[0]
-    assert len(world.cluster.jobs[ref].done) == 1
+    assert len(world.cluster.jobs[ref].completed) == 1
     world.released(workers[1].name)
     world.machine(3)
     world.settle(6)
     assert world.record(ref) == wire.DONE
-    assert not world.workers["vm-000003"].starts and told.startswith(ref)
+    assert not world.workers["vm-000003"].starts
+    assert told.startswith(ref)
 
 
 def test_a_leader_that_reads_of_a_done_task_of_a_gang_starts_none_of_the_others() -> None:
@@ -343,7 +357,8 @@
     world.released(workers[1].name)
     world.machine(3)
     world.settle(6)
-    assert world.record(ref) == wire.DONE and not world.workers["vm-000003"].starts
+    assert world.record(ref) == wire.DONE
+    assert not world.workers["vm-000003"].starts
 
 
 # --- teams ----------------------------------------------------------------------------------------------
@@ -357,7 +372,7 @@
             "orders": [{"orderKind": "start", "leg": f"{ref}/{index}", "sailing": attempt}],
         }
     )
-    world.cluster.on_report(wire.report(worker.report()), world.now, world.now)
+    world.cluster.on_heartbeat(wire.report(worker.report()), world.now, world.now)
 
 
 def test_attempts_that_no_record_knows_count_for_their_team_and_zone() -> None:
@@ -366,17 +381,20 @@
     worker, other = world.machine(1), world.machine(2)
     world.settle(2)
     ref = world.submit(legs=2, cores=4.0, voyageS=500.0)
-    world.cluster.jobs[ref].not_before = world.now + 100 * SECOND  # not placed yet
+    world.cluster.jobs[ref].retry_at = world.now + 100 * SECOND  # not placed yet
     _start_behind_its_back(world, worker, ref)
-    use = world.cluster.teams["crew"]
-    assert use.cpus == 4.0 and world.cluster.jobs[ref].zones == {"a": 1}
+    use = world.cluster.quotas["crew"]
+    assert use.cpus == 4.0
+    assert world.cluster.jobs[ref].tasks_by_zone == {"a": 1}
     second = world.submit(legs=2, cores=4.0, voyageS=500.0)
     world.plan()
     assert world.cluster.jobs[second].on_machines == 1  # of two: the limit is eight CPUs
     assert use.cpus == 8.0
     world.settle(2)  # it was told to stop
-    assert world.cluster.jobs[ref].strays == 0 and world.cluster.jobs[second].on_machines == 2
-    assert use.cpus == 8.0 and other.name in world.cluster.machines
+    assert world.cluster.jobs[ref].orphaned_attempt_count == 0
+    assert world.cluster.jobs[second].on_machines == 2
+    assert use.cpus == 8.0
+    assert other.name in world.cluster.machines
 
 
 def test_while_a_task_of_an_unknown_job_runs_no_team_has_room() -> None:
@@ -387,12 +405,13 @@
     _start_behind_its_back(world, worker, "j-000777")
     ref = world.submit(legs=1, cores=1.0)
     world.plan()
-    assert world.cluster.teams.unknown == {"j-000777": 1} and not world.cluster.jobs[ref].on_machines
-    world.cluster.settle_strays("j-000777", None)  # nobody ever submitted it
+    assert world.cluster.quotas.unknown == {"j-000777": 1}
+    assert not world.cluster.jobs[ref].on_machines
+    world.cluster.resolve_orphaned_attempts("j-000777", None)  # nobody ever submitted it
     world.plan()
     assert world.cluster.jobs[ref].on_machines == 1
     world.settle(2)
-    assert not world.cluster.machines[worker.name].strays
+    assert not world.cluster.machines[worker.name].orphaned_attempts
 
 
 def test_an_attempt_of_a_job_that_comes_to_be_known_counts_from_then() -> None:
@@ -403,10 +422,12 @@
     world.jobs["j-000777"] = job("j-000777", cores=6.0)
     _start_behind_its_back(world, worker, "j-000777")
     world.cluster.add_job("j-000777", spec, 1, world.now)
-    assert not world.cluster.teams.unknown and world.cluster.teams["crew"].cpus == 6.0
-    assert world.cluster.jobs["j-000777"].strays == 1
+    assert not world.cluster.quotas.unknown
+    assert world.cluster.quotas["crew"].cpus == 6.0
+    assert world.cluster.jobs["j-000777"].orphaned_attempt_count == 1
     world.released(worker.name)
-    assert world.cluster.teams["crew"].cpus == 0.0 and world.cluster.jobs["j-000777"].strays == 0
+    assert world.cluster.quotas["crew"].cpus == 0.0
+    assert world.cluster.jobs["j-000777"].orphaned_attempt_count == 0
 
 
 async def test_the_team_of_an_unknown_attempt_is_read(state: KeyStore) -> None:
@@ -420,12 +441,13 @@
     state.commit({"if": [], "then": [{"set": job_key("j-000777"), "value": record}]})
     _start_behind_its_back(world, worker, "j-000777")
     client.faults = ["refuse"]
-    await lead._read_stray("j-000777")
-    assert world.cluster.teams.unknown  # it is still not known
-    await lead._read_stray("j-000777")
-    assert not world.cluster.teams.unknown and world.cluster.teams["crew"].cpus == 6.0
+    await lead._read_orphaned_job("j-000777")
+    assert world.cluster.quotas.unknown  # it is still not known
+    await lead._read_orphaned_job("j-000777")
+    assert not world.cluster.quotas.unknown
+    assert world.cluster.quotas["crew"].cpus == 6.0
     world.released(worker.name)
-    assert world.cluster.teams["crew"].cpus == 0.0
+    assert world.cluster.quotas["crew"].cpus == 0.0
 
 
 async def test_unknown_jobs_are_looked_up_a_few_at_a_time(state: KeyStore) -> None:
@@ -439,10 +461,12 @@
         ref = f"j-{700 + number:06d}"
         world.jobs[ref] = job(ref, cores=0.1, memoryGb=0.1)
         _start_behind_its_back(world, worker, ref)
-    lead._read_strays()
+    lead._read_orphaned_jobs()
     assert len(lead._reading) == LOOKED_UP_MOST
     await asyncio.sleep(0.05)
-    assert not world.cluster.teams.unknown and client.reads == 20 and not lead._reading
+    assert not world.cluster.quotas.unknown
+    assert client.reads == 20
+    assert not lead._reading
 
 
 def test_an_attempt_that_refuses_another_keeps_its_task_from_other_machines() -> None:
@@ -458,12 +482,13 @@
     world.commit()
     world.send()
     other = world.machine(2)
-    world.cluster.on_report(wire.report(other.report()), world.now, world.now)
-    assert world.cluster.jobs[ref].strays == 1
+    world.cluster.on_heartbeat(wire.report(other.report()), world.now, world.now)
+    assert world.cluster.jobs[ref].orphaned_attempt_count == 1
     world.plan()
     assert not world.cluster.jobs[ref].on_machines
     world.settle(3)
-    assert len(world.live(ref)) == 1 and len(world.live(ref)[f"{ref}/0"]) == 1
+    assert len(world.live(ref)) == 1
+    assert len(world.live(ref)[f"{ref}/0"]) == 1
 
 
 # --- unsure commits, and what is told late -------------------------------------------------------------
@@ -512,10 +537,10 @@
     """Its claims failed on keys that were gone, which cost the lead."""
     lead, _, _ = leader(state)
     record = {"state": "queued", "at": 0, "job": job("j-000001")}
-    lead._told("accepted", "j-000001", record, 50)
+    lead._apply_job_hint("accepted", "j-000001", record, 50)
     found = lead.cluster.jobs["j-000001"]
-    batch = WriteBatch(cleaned=[found])
+    batch = WriteBatch(deleted_jobs=[found])
     lead.cluster.committed(batch, 60, steady())
     assert not lead.cluster.jobs
-    lead._told("accepted", "j-000001", record, 50)
+    lead._apply_job_hint("accepted", "j-000001", record, 50)
     assert not lead.cluster.jobs
--- a/tests/test_windows.py
+++ b/tests/test_windows.py
@@ -11,7 +11,7 @@
 from oatport.cli import main
 from oatport.clients.http import make_session
 from oatport.control.queueing.queue_estimator import QueueEstimates, _pools_by_type
-from oatport.control.state.model import Job
+from oatport.control.state.job import Job
 from oatport.lab.windows import run
 from oatport.lab.world.state import KeyStore
 from oatport.service.window_controller import KEY, WindowController
@@ -211,55 +211,57 @@
     night = Night(50.0, 50.0, 10.0, 50.0, 50.0)
     job = night.submit()
     night.go(600, 30)
-    assert not night.world.live(job.ref)
-    assert night.world.cluster.waiting == set()  # held, not waiting: nothing is rented or stopped for it
-    said = night.holder.explain(job.ref, night.world.now)
-    assert said["held"] and said["saves"] > 0.5 and 0 < said["until_s"] <= 2 * 3600
+    assert not night.world.live(job.job_id)
+    assert night.world.cluster.pending == set()  # held, not waiting: nothing is rented or stopped for it
+    said = night.holder.explain(job.job_id, night.world.now)
+    assert said["held"]
+    assert said["saves"] > 0.5
+    assert 0 < said["until_s"] <= 2 * 3600
     night.go(2 * 3600, 30)
-    assert night.world.live(job.ref) or night.world.record(job.ref) == "done"
+    assert night.world.live(job.job_id) or night.world.record(job.job_id) == "done"
     night.go(900, 30)
-    assert night.world.record(job.ref) == "done"
+    assert night.world.record(job.job_id) == "done"
 
 
 def test_a_deadline_inside_a_dear_window_is_kept() -> None:
     night = Night(20.0, 500.0, 500.0, 1.0)
     job = night.submit(tideS=2 * 3600.0)
     night.go(2 * 3600, 30)
-    assert night.world.record(job.ref) == "done"
+    assert night.world.record(job.job_id) == "done"
 
 
 def test_what_takes_three_times_as_long_as_estimated_still_ends_in_time() -> None:
     night = Night(50.0, 50.0, 10.0, 10.0)
     job = night.submit(tideS=3 * 3600.0)
-    night.world.jobs[job.ref]["voyageS"] = 900.0
+    night.world.jobs[job.job_id]["voyageS"] = 900.0
     night.go(3 * 3600, 30)
-    assert night.world.record(job.ref) == "done"
+    assert night.world.record(job.job_id) == "done"
 
 
 @pytest.mark.parametrize("tide", [30.0, 300.0, 700.0])
 def test_a_job_without_slack_starts_at_once(tide: float) -> None:
     night = Night(50.0, 1.0)
-    assert night.submit(tideS=tide).opened < 0
+    assert night.submit(tideS=tide).start_limit < 0
 
 
 def test_services_and_jobs_without_a_deadline_are_never_held() -> None:
     night = Night(50.0, 1.0, 1.0)
-    assert night.submit(tideS=None).opened < 0
-    assert night.submit(ref="j-000002", rig="standing", driftwood=False).opened < 0
-    assert night.submit(ref="j-000003", cargo="other").opened < 0
+    assert night.submit(tideS=None).start_limit < 0
+    assert night.submit(ref="j-000002", rig="standing", driftwood=False).start_limit < 0
+    assert night.submit(ref="j-000003", cargo="other").start_limit < 0
 
 
 def test_a_new_leader_holds_and_lets_go_as_the_last_one_would_have() -> None:
     night = Night(50.0, 50.0, 10.0, 50.0)
     job = night.submit()
     night.world.commit()
-    plan = dict(night.holder.planner.plans[job.ref].starts)
+    plan = dict(night.holder.planner.plans[job.job_id].starts)
     night.book = book(1.0, 90.0, 90.0, 90.0)  # it would plan otherwise itself
     night.fail_over()
-    again = night.world.cluster.jobs[job.ref]
-    assert again.held == 2
-    assert again not in night.world.cluster.waiting
-    assert night.holder.planner.plans[job.ref].starts == plan
+    again = night.world.cluster.jobs[job.job_id]
+    assert again.deferred == 2
+    assert again not in night.world.cluster.pending
+    assert night.holder.planner.plans[job.job_id].starts == plan
 
 
 def test_a_leader_killed_between_release_and_placement_releases_nothing_twice() -> None:
@@ -269,32 +271,32 @@
     night.world.now += HOUR + SECOND
     assert night.holder.tick(night.world.now) == 4  # let go, nothing written about that
     night.fail_over()
-    assert night.world.cluster.jobs[job.ref].held in (0, 4)
+    assert night.world.cluster.jobs[job.job_id].deferred in (0, 4)
     night.go(1800, 30)
     started = [key for worker in night.world.workers.values() for key in worker.starts]
-    assert sorted(started) == sorted({(f"{job.ref}/{n}", 1) for n in range(4)})
-    assert night.world.record(job.ref) == "done"
+    assert sorted(started) == sorted({(f"{job.job_id}/{n}", 1) for n in range(4)})
+    assert night.world.record(job.job_id) == "done"
 
 
 def test_a_plan_let_go_in_part_is_recorded_with_what_is_left_of_it() -> None:
     night = Night(50.0, 10.0, 50.0, 12.0, 50.0)
     job = night.submit(legs=6, tideS=5 * 3600.0)
     night.world.commit()
-    assert job.hold is not None
-    assert sum(count for _, count in job.hold.plan) == 6
+    assert job.deferral is not None
+    assert sum(count for _, count in job.deferral.plan) == 6
     night.go(3600 + 400, 50)
-    assert 0 < job.opened < 6
+    assert 0 < job.start_limit < 6
     night.fail_over()
-    again = night.world.cluster.jobs[job.ref]
-    assert again.hold is not None
-    assert max(again.opened, again.fresh) + sum(count for _, count in again.hold.plan) == 6
+    again = night.world.cluster.jobs[job.job_id]
+    assert again.deferral is not None
+    assert max(again.start_limit, again.next_untouched) + sum(count for _, count in again.deferral.plan) == 6
 
 
 def test_a_cancelled_held_job_goes_at_once() -> None:
     night = Night(50.0, 50.0, 10.0)
     job = night.submit()
     night.world.commit()
-    night.world.cancel(job.ref)
+    night.world.cancel(job.job_id)
     night.holder.tick(night.world.now)
     night.world.commit()
     assert not [key for key in night.world.state.items if key.startswith("live/")]
@@ -305,21 +307,21 @@
     """Holding back needs the state service for nothing: the job is let go, and starts once commits go through."""
     night = Night(50.0, 50.0, 10.0)
     job = night.submit(tideS=3600.0)
-    latest = night.holder.planner.plans[job.ref].need.latest if job.held else night.world.now
+    latest = night.holder.planner.plans[job.job_id].need.latest if job.deferred else night.world.now
     night.world.now = latest + SECOND
     night.holder.tick(night.world.now)  # nothing is committed
-    assert job.held == 0
-    assert job in night.world.cluster.waiting
+    assert job.deferred == 0
+    assert job in night.world.cluster.pending
 
 
 def test_a_feed_that_goes_silent_makes_nobody_late() -> None:
     night = Night(50.0, 45.0, 10.0, 9.0, 50.0, 50.0, 50.0, 50.0, 50.0, 50.0, 50.0, 50.0)
     night.book.fresh_us, night.book.dead_us = 1800 * SECOND, HOUR
     jobs = [night.submit(ref=f"j-{n:06d}", legs=1) for n in range(6)]
-    assert all(job.held for job in jobs)
+    assert all(job.deferred for job in jobs)
     night.go(1.5 * HOUR / SECOND, 60)  # dead before the cheap hours come: no reason to wait for them is left
     night.go(1200, 60)
-    assert {night.world.record(job.ref) for job in jobs} == {"done"}
+    assert {night.world.record(job.job_id) for job in jobs} == {"done"}
 
 
 def test_the_clock_of_the_day_jumps() -> None:
@@ -351,13 +353,13 @@
 
     def wait() -> int:
         pools = _pools_by_type(world.cluster, world.now)
-        other.run = world.cluster.predictor.run_time(other.ref, other.spec)
+        other.predicted_runtime = world.cluster.predictor.run_time(other.job_id, other.spec)
         return QueueEstimates(world.cluster, pools).append(other)[0]
 
     before = wait()
     world.now += HOUR - 60 * SECOND
     night.holder.tick(world.now)
-    assert [(held.ref, count) for held, count in world.cluster.coming] == [(job.ref, 2)]
+    assert [(held.job_id, count) for held, count in world.cluster.upcoming_starts] == [(job.job_id, 2)]
     assert wait() > before + 100 * SECOND
 
 
@@ -368,8 +370,8 @@
         prices = [50.0 - (n == 2 + number % 4) * 30 for n in range(8)]
         night.book.learn(hours(*prices), night.world.now, night.world.now)
         night.holder.tick(night.world.now)
-    assert job.hold is not None
-    assert 1 < job.hold.changes <= MOVES_MOST + 1
+    assert job.deferral is not None
+    assert 1 < job.deferral.write_count <= MOVES_MOST + 1
 
 
 def test_running_work_is_paused_only_if_it_saves_and_is_allowed_to() -> None:
@@ -381,10 +383,11 @@
         job.spec = _with_deadline(job)
         night.holder._pause(night.world.now)
         task = job.tasks[0]
-        assert (task.stopping is not None) is stopped
+        assert (task.stop_grace_s is not None) is stopped
         if stopped:
-            assert job.not_before > night.world.now + 1800 * SECOND
-            assert job.hold is not None and job.hold.paused_until > night.world.now
+            assert job.retry_at > night.world.now + 1800 * SECOND
+            assert job.deferral is not None
+            assert job.deferral.paused_until > night.world.now
 
 
 def _spec() -> Any:
@@ -410,7 +413,7 @@
     keeper.holder.margins.load({"train": [1.0] * 30})
     await keeper.fail_over()
     keeper.step()
-    assert KEY in lead.cluster.dirty
+    assert KEY in lead.cluster.dirty_keys
     await lead.commits.commit(lead.cluster.take_batch(12))
     later, _, _ = leader(state)
     later.state = client  # type: ignore[assignment]
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -12,7 +12,7 @@
 
 from oatport import wire
 from oatport.clients.http import NoResponseError, RequestNotSentError
-from oatport.control.state.model import Job
+from oatport.control.state.job import Job
 from oatport.control.state.task_lifecycle import TaskLifecycle
 from oatport.lab import GUARDS as NAMES
 from oatport.lab.world.breaks import GUARDS
@@ -459,7 +459,7 @@
     def passes_over(self: TaskLifecycle, ref: str, spec: wire.Submission, version: int, at: int) -> Job:
         job = add(self, ref, spec, version, at)
         if spec.job_class == "batch":
-            self.waiting.discard(job)
+            self.pending.discard(job)
         return job
 
     monkeypatch.setattr(TaskLifecycle, "add_job", passes_over)
--- a/tests/world.py
+++ b/tests/world.py
@@ -17,7 +17,7 @@
 from oatport.control.queueing.runtime_predictor import RuntimePredictor
 from oatport.control.scaling.scale_in import CapacityPlanner
 from oatport.control.state.cluster_state import ClusterState
-from oatport.control.state.model import Job, job_record
+from oatport.control.state.job import Job, job_record
 from oatport.control.storage.recovery import load
 from oatport.control.storage.schema_version import FORMATS_KEY
 from oatport.control.storage.write_buffer import (
@@ -150,7 +150,7 @@
         )
         assert status == 200
         self.cluster = ClusterState(value["ledgerRev"], self.settings, Tuning(), dict(TYPES), RuntimePredictor())
-        self.cluster.repeats = self.repeats
+        self.cluster.retry_policies = self.repeats
         prefixes = (DARK_KEY, FORMATS_KEY, FLEET, LIVE, WAITS)
         rows = [row for prefix in prefixes for row in self.state.list(prefix)[1]["rows"]]
         load(self.cluster, rows, self.now, self.now)
@@ -162,7 +162,7 @@
         conditions = {LEADER_KEY: self.cluster.token, **batch.conditions}
         return {
             "if": [{"path": k, "entryRev": v} for k, v in conditions.items()],
-            "then": [{"set": k, "value": v} for k, v in batch.sets.items()] + [{"drop": k} for k in batch.drops],
+            "then": [{"set": k, "value": v} for k, v in batch.sets.items()] + [{"drop": k} for k in batch.deletes],
         }
 
     def commit(self) -> None:
@@ -170,10 +170,10 @@
             if not self.cluster.has_writes():
                 return
             batch = self.cluster.take_batch(self.ops)
-            if not batch.ops:
-                for done in (*batch.finished, *batch.cleaned, *batch.called_off):
-                    self.cluster.drop_job(done)
-                self.cluster.in_flight = set()
+            if not batch.operation_count:
+                for done in (*batch.completed_jobs, *batch.deleted_jobs, *batch.cancelled_jobs):
+                    self.cluster.remove_job(done)
+                self.cluster.in_flight_keys = set()
                 continue
             status, value = self.state.commit(self.transaction(batch))
             assert status == 200, value
@@ -186,30 +186,30 @@
 
     def send(self) -> None:
         """Direct commands; a refused machine's are lost without an answer."""
-        for machine in list(self.cluster.to_send):
-            self.cluster.to_send.discard(machine)
-            orders, starts = self.cluster.commands(machine, self.now, direct=True)
+        for machine in list(self.cluster.machines_to_command):
+            self.cluster.machines_to_command.discard(machine)
+            orders, starts = self.cluster.commands_for(machine, self.now, direct=True)
             if not orders:
                 continue
-            self.cluster.sent(machine, starts, self.now, direct=True)
+            self.cluster.on_commands_sent(machine, starts, self.now, direct=True)
             if machine.name in self.refused | self.mute or machine.name not in self.workers:
                 continue
-            body = wire.commands_body(self.cluster.token, machine.session, orders)
+            body = wire.commands_body(self.cluster.token, machine.agent_epoch, orders)
             _, report = self.workers[machine.name].commands(body)
-            self.cluster.answered(machine, [(t.name, t.attempt) for t in starts])
-            self.cluster.on_report(wire.report(report), self.now, self.now)
+            self.cluster.on_commands_answered(machine, [(t.name, t.attempt) for t in starts])
+            self.cluster.on_heartbeat(wire.report(report), self.now, self.now)
 
     def report(self, worker: Worker) -> None:
         sent, session = self.now, worker.session
         report = wire.report(worker.report())
-        machine = self.cluster.on_report(report, self.now, self.now)
+        machine = self.cluster.on_heartbeat(report, self.now, self.now)
         orders: list[wire.Command] = []
         if machine is not None and worker.name not in self.mute:
-            self.cluster.reached(machine)  # asked at once, if it is doubted that it hears
+            self.cluster.on_contact(machine)  # asked at once, if it is doubted that it hears
         if machine is not None and not machine.releasing:
-            self.cluster.report_came(machine, report)
-            orders, starts = self.cluster.commands(machine, self.now, direct=False)
-            self.cluster.sent(machine, starts, self.now, direct=False)
+            self.cluster.on_heartbeat_delivered(machine, report)
+            orders, starts = self.cluster.commands_for(machine, self.now, direct=False)
+            self.cluster.on_commands_sent(machine, starts, self.now, direct=False)
         if worker.name not in self.mute:
             worker.answer(sent, session, wire.report_answer(self.cluster.token, orders))
 
@@ -227,13 +227,13 @@
 
     def look_up(self) -> None:
         """The leader reads how needed jobs stand of which it has no record."""
-        for ref in list(self.cluster.pipelines.unknown):
+        for ref in list(self.cluster.dependency_graph.unknown):
             found = self.state.items.get(job_key(ref))
             record = found[0] if found else {}
             if record.get("state") == wire.DONE:
-                self.cluster.job_done(ref, int(record.get("ended", 0)))
+                self.cluster.on_completion_recorded(ref, int(record.get("ended", 0)))
             elif record.get("state") == wire.CANCELLED:
-                self.cluster.cancel_after(ref)
+                self.cluster.cancel_dependents(ref)
 
     def settle(self, rounds: int = 4) -> None:
         for _ in range(rounds):
@@ -259,7 +259,7 @@
         assert status == 200
         self.jobs[spec.ref] = msgspec.to_builtins(spec)
         if spec.needs:
-            self.cluster.add_waiting(Job(spec.ref, spec, value["ledgerRev"], self.now))
+            self.cluster.add_blocked(Job(spec.ref, spec, value["ledgerRev"], self.now))
             return spec.ref
         self.cluster.add_job(spec.ref, spec, value["ledgerRev"], self.now)
         return spec.ref
@@ -288,7 +288,7 @@
     def released(self, name: str) -> None:
         """The cloud answered a release."""
         self.workers.pop(name, None)
-        self.cluster.machine_gone(self.cluster.machines[name], self.now, "returned")
+        self.cluster.on_machine_removed(self.cluster.machines[name], self.now, "returned")
 
     def live(self, ref: str) -> dict[str, list[str]]:
         """Where a job's tasks are: task -> machines that have it unfinished."""
