--- a/oatport/api/concurrency_limit.py
+++ b/oatport/api/concurrency_limit.py
@@ -6,12 +6,13 @@
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
 
+from oatport.errors import OatportError
 from oatport.times import MS, seconds
 
 WITHIN = 150 * MS
 
 
-class OverloadedError(Exception):
+class OverloadedError(OatportError):
     """Too many calls are under way: the caller is told to come back."""
 
 
--- a/oatport/api/server.py
+++ b/oatport/api/server.py
@@ -11,6 +11,7 @@
 from aiohttp import web
 
 from oatport import wire
+from oatport.errors import OatportError
 
 log = logging.getLogger(__name__)
 
@@ -32,7 +33,7 @@
 Handler = Callable[[str, str, "BodyReader"], Awaitable[Answer]]
 
 
-class BodyTooLargeError(Exception):
+class BodyTooLargeError(OatportError):
     pass
 
 
--- a/oatport/clients/http.py
+++ b/oatport/clients/http.py
@@ -11,12 +11,13 @@
 from yarl import URL
 
 from oatport import wire
+from oatport.errors import OatportError
 from oatport.times import SECOND, seconds, steady
 
 HEADERS = {"Content-Type": wire.CBOR_TYPE}
 
 
-class NoResponseError(Exception):
+class NoResponseError(OatportError):
     """No answer came: the request may have been executed, or may still be."""
 
 
@@ -24,7 +25,7 @@
     """No connection came about: the request can't be executed (PROTOCOL, "Delayed messages")."""
 
 
-class RequestRefusedError(Exception):
+class RequestRefusedError(OatportError):
     """Answered that it was not executed (429, 503)."""
 
     def __init__(self, status: int, value: Any = None) -> None:
--- a/oatport/clients/state.py
+++ b/oatport/clients/state.py
@@ -9,6 +9,7 @@
 
 from oatport import wire
 from oatport.clients.http import Connector, NoResponseError, RequestRefusedError
+from oatport.errors import OatportError
 from oatport.times import MS, SECOND, steady
 
 log = logging.getLogger(__name__)
@@ -27,8 +28,8 @@
     failed: tuple[str, ...]
 
 
-class LeaseExpiredError(Exception):
-    """The lease ended."""
+class LeaseExpiredError(OatportError):
+    """The lease ended: the state service has dropped it, and the keys written under it."""
 
 
 class StateClient:
--- a/oatport/queues/store.py
+++ b/oatport/queues/store.py
@@ -9,6 +9,7 @@
 
 from oatport.clients.http import Bucket, NoResponseError, RequestRefusedError, jitter
 from oatport.clients.state import Applied, LeaseExpiredError, StateClient
+from oatport.errors import OatportError
 from oatport.queues.rows import ROWS, Row, row_key
 from oatport.times import MS, SECOND
 
@@ -20,7 +21,7 @@
 TRIES = 6
 
 
-class StoreUnavailableError(Exception):
+class StoreUnavailableError(OatportError):
     """The state service can't tell now: nothing is known to be changed. Come back later."""
 
 
--- a/oatport/queues/templates.py
+++ b/oatport/queues/templates.py
@@ -12,6 +12,7 @@
 import msgspec
 
 from oatport import wire
+from oatport.errors import OatportError
 
 BODY_MOST = 32 * 1024
 # Fields of a submission as INI keys, by the field's own terms.
@@ -38,7 +39,7 @@
 SETTABLE = frozenset(NAMES) - {"ref", "job_class", "team"}
 
 
-class InvalidMessageError(ValueError):
+class InvalidMessageError(OatportError, ValueError):
     """A message that can't become a job; the text is one line, without anything of its body but field names."""
 
 
--- a/oatport/settings.py
+++ b/oatport/settings.py
@@ -13,10 +13,11 @@
 
 import msgspec
 
+from oatport.errors import OatportError
 from oatport.times import micros
 
 
-class SettingsError(Exception):
+class SettingsError(OatportError):
     """A settings file can't be used; the text is one line that names the field."""
 
 
--- a/oatport/windows/prices.py
+++ b/oatport/windows/prices.py
@@ -13,6 +13,7 @@
 from itertools import pairwise
 from typing import Any
 
+from oatport.errors import OatportError
 from oatport.times import SECOND
 
 INTERVALS_MOST = 2_000
@@ -22,7 +23,7 @@
 OUTLIER = 5.0  # times the middle price: what lies beyond counts no more, or one lie would move the whole night
 
 
-class InvalidPriceSeriesError(ValueError):
+class InvalidPriceSeriesError(OatportError, ValueError):
     """A series that can't be used; the text is one line that says why."""
 
 
--- a/oatport/wire.py
+++ b/oatport/wire.py
@@ -12,6 +12,8 @@
 import cbor2
 import msgspec
 
+from oatport.errors import OatportError
+
 BODY_LIMIT = 64 * 1024
 CBOR_TYPE = "application/cbor"
 
@@ -32,7 +34,7 @@
 CHANGES = "/changes"
 
 
-class InvalidMessageError(ValueError):
+class InvalidMessageError(OatportError, ValueError):
     """A message that can't be read; the sender gets 400."""
 
 
