--- a/oatport/api/job_api.py
+++ b/oatport/api/job_api.py
@@ -56,19 +56,19 @@
         self._busy = 0
 
     async def handle(self, method: str, path: str, body: BodyReader) -> Answer:
-        if path == wire.READY:
+        if path == wire.READY_PATH:
             if method not in ("GET", "HEAD"):
                 return Answer(405, None, {"Allow": "GET"})
             return Answer(200, {"ready": True}) if self._backstage.ready() else later()
         parts = path.strip("/").split("/")
-        if "/" + parts[0] != wire.SUBMISSIONS or len(parts) > 3 or (len(parts) == 3 and parts[2] != "cancel"):
+        if "/" + parts[0] != wire.SUBMISSIONS_PATH or len(parts) > 3 or (len(parts) == 3 and parts[2] != "cancel"):
             return Answer(404, {"error": "no such path"})
         allowed = "GET" if len(parts) == 2 else "POST"
         if method != allowed:
             return Answer(405, {"error": "wrong method"}, {"Allow": allowed})
         # What can be told without the state service is told under full load too.
-        job = wire.submission(await body.read()) if len(parts) == 1 else None
-        if job is None and not wire.valid_ref(parts[1]):
+        job = wire.decode_submission(await body.read()) if len(parts) == 1 else None
+        if job is None and not wire.is_job_id(parts[1]):
             return Answer(404, {"error": "no such job"})
         if self._busy >= BUSY_LIMIT:
             return later(2)
@@ -89,7 +89,7 @@
         A leader that can't read the records counts on it: what another node had learnt, and told in the middle of an
         outage, was in no list, and the tasks ran on.
         """
-        if isinstance(answer.value, dict) and answer.value.get("status") == wire.CANCELLED:
+        if isinstance(answer.value, dict) and answer.value.get("status") == wire.JobStatus.CANCELLED:
             self._backstage.tell_cancelled(str(answer.value["ref"]))
         return answer
 
@@ -101,11 +101,11 @@
         problem = self.never_runs(job)
         if problem:
             # A known job is never refused, whatever the types have become meanwhile (rule `forgotten`).
-            known = await self._read(job.ref)
+            known = await self._read(job.job_id)
             if known is None:
                 return later()
             return Answer(200, known) if known else Answer(422, {"error": problem})
-        if job.needs and not self._view.known(job.ref):
+        if job.dependencies and not self._view.known(job.job_id):
             refused = await self._check_needs(job)
             if refused is not None:
                 return refused
@@ -113,15 +113,15 @@
 
     async def _check_needs(self, job: wire.Submission) -> Answer | None:
         """The answer to a submission that names jobs it can't wait for; None if it can wait for all of them."""
-        assert job.needs is not None
+        assert job.dependencies is not None
         try:
-            never, service = await self._view.named(job.needs)
+            never, service = await self._view.named(job.dependencies)
         except (NoResponseError, RequestRefusedError, OverloadedError):
             return later()
         if never is None and service is None:
             return None
         # A known job is never refused.
-        known = await self._read(job.ref)
+        known = await self._read(job.job_id)
         if known is None:
             return later()
         if known:
@@ -129,9 +129,9 @@
         return Answer(
             422,
             {
-                "error": f"{wire.NEEDS}: {never} was never accepted"
+                "error": f"{wire.DEPENDENCIES_FIELD}: {never} was never accepted"
                 if never is not None
-                else f"{wire.NEEDS}: {service} is a service, which is never done"
+                else f"{wire.DEPENDENCIES_FIELD}: {service} is a service, which is never done"
             },
         )
 
@@ -143,7 +143,7 @@
             return "unknown zone"
         if not feasible_machine_types(job, self._backstage.types):
             return "a task fits no allowed machine type"
-        at_once = 1 if JobKind(job.kind) is JobKind.ARRAY else job.tasks
+        at_once = 1 if JobKind(job.kind) is JobKind.ARRAY else job.task_count
         for need, most in ((job.cpus * at_once, team.cpus_max), (job.gpus * at_once, team.gpus_max)):
             if most > 0 and need > most + 1e-9:
                 return "the job needs more than its team's limit"
@@ -152,24 +152,24 @@
     async def _accept(self, job: wire.Submission) -> Answer:
         """Commit the job, or say at once when to come back."""
         if self._intake.full():
-            known = await self._read(job.ref) if self._view.known(job.ref) else None
+            known = await self._read(job.job_id) if self._view.known(job.job_id) else None
             return Answer(200, known) if known else later(self._intake.comes_back())
         # What names others is part of a pipeline that somebody waits for, whatever its own priority.
-        idle = job.priority == IDLE and not job.needs and not self._view.known(job.ref)
+        idle = job.priority == IDLE and not job.dependencies and not self._view.known(job.job_id)
         if idle and not (self._intake.spare() and self._idle_share.take()):
             return later(IDLE_LATER_S)  # the others' submissions and the leader's claims go first
-        record, parts = slimmed(job_record(job, time_of_day(), wire.QUEUED), self._value_bytes)
-        if parts and not await self._intake.ahead(job.ref, parts):
+        record, parts = slimmed(job_record(job, time_of_day(), wire.JobStatus.QUEUED), self._value_bytes)
+        if parts and not await self._intake.ahead(job.job_id, parts):
             return later()
         mark = self._view.mark()
-        outcome, revision = await self._intake.add(job.ref, record, idle)
+        outcome, revision = await self._intake.add(job.job_id, record, idle)
         if outcome == CREATED:
-            self._view.created(job.ref, record, revision, mark)
-            self._backstage.tell_accepted(job.ref, record, revision)
-            if job.needs:
-                log.info("job %s waits for %s", job.ref, named(job.needs))
-            return Answer(201, {"ref": job.ref, "status": wire.QUEUED})
-        known = None if outcome == UNSURE else await self._read(job.ref)
+            self._view.created(job.job_id, record, revision, mark)
+            self._backstage.tell_accepted(job.job_id, record, revision)
+            if job.dependencies:
+                log.info("job %s waits for %s", job.job_id, named(job.dependencies))
+            return Answer(201, {"ref": job.job_id, "status": wire.JobStatus.QUEUED})
+        known = None if outcome == UNSURE else await self._read(job.job_id)
         return Answer(200, known) if known else later(self._intake.comes_back() if self._intake.short() else 1)
 
     # --- show -------------------------------------------------------------------------------
@@ -184,17 +184,22 @@
 
     def _shape(self, ref: str, known: Known) -> dict[str, Any]:
         state, total = known.state, known.tasks
-        if state in wire.FINAL:
-            return {"ref": ref, "status": state, "done": total if state == wire.DONE else 0, "running": 0}
+        if state in wire.PUBLIC_TERMINAL_STATUSES:
+            return {
+                "ref": ref,
+                "status": state,
+                "done": total if state == wire.JobStatus.COMPLETED else 0,
+                "running": 0,
+            }
         done, running = self._backstage.job_progress.get(ref, (0, 0))
         value: dict[str, Any] = {
             "ref": ref,
-            "status": wire.RUNNING_JOB if running else wire.QUEUED,
+            "status": wire.JobStatus.RUNNING if running else wire.JobStatus.QUEUED,
             "done": min(done, total),
             "running": running,
         }
         if known.needs and not (done or running):
-            value[wire.NEEDS] = list(known.needs[:NEEDS_SHOWN])  # those that it still waits for
+            value[wire.DEPENDENCIES_FIELD] = list(known.needs[:NEEDS_SHOWN])  # those that it still waits for
         return value
 
     async def show(self, ref: str) -> Answer:
@@ -209,7 +214,7 @@
         # The second round settles an unsure commit by reading it back, or one that lost a race to another change.
         for timeout_us in TRIES:
             known = self._view.known(ref)
-            if known and known[0] in wire.FINAL:
+            if known and known[0] in wire.PUBLIC_TERMINAL_STATUSES:
                 return Answer(200, {"ref": ref, "status": known[0]})
             mark = self._view.mark()
             try:
@@ -218,10 +223,10 @@
                     if found is None:
                         return Answer(404, {"error": "no such job"})
                     record, version = found
-                    if self._view.learn(ref, record, version, mark)[0] in wire.FINAL:
+                    if self._view.learn(ref, record, version, mark)[0] in wire.PUBLIC_TERMINAL_STATUSES:
                         continue
                     # The mark tells a later leader of it among the live work.
-                    cancelled = {**record, "state": wire.CANCELLED}
+                    cancelled = {**record, "state": wire.JobStatus.CANCELLED}
                     result = await self._state.commit(
                         {job_key(ref): version, cancel_key(ref): 0},
                         {job_key(ref): cancelled, cancel_key(ref): {"at": time_of_day()}},
@@ -234,6 +239,10 @@
             if isinstance(result, Applied):
                 self._view.learn(ref, cancelled, result.revision, mark)
                 self._backstage.tell_cancelled(ref, result.revision)
-                return Answer(200, {"ref": ref, "status": wire.CANCELLED})
+                return Answer(200, {"ref": ref, "status": wire.JobStatus.CANCELLED})
         known = self._view.known(ref)
-        return Answer(200, {"ref": ref, "status": known[0]}) if known and known[0] in wire.FINAL else later()
+        return (
+            Answer(200, {"ref": ref, "status": known[0]})
+            if known and known[0] in wire.PUBLIC_TERMINAL_STATUSES
+            else later()
+        )
--- a/oatport/api/job_status_cache.py
+++ b/oatport/api/job_status_cache.py
@@ -62,7 +62,7 @@
     async def find(self, ref: str) -> Known | None:
         """A job's state now; None if it has never been accepted. Raises NoAnswer, Refused or Busy."""
         known = self._known.get(ref)
-        fresh = not self._revision or (known is not None and known.state not in wire.FINAL)
+        fresh = not self._revision or (known is not None and known.state not in wire.PUBLIC_TERMINAL_STATUSES)
         if fresh:
             await self._refresh()
             known = self._known.get(ref)
@@ -71,7 +71,7 @@
             if known is None:
                 return None
             fresh = False
-        if known.state in wire.FINAL or not (known.needs or known.more):
+        if known.state in wire.PUBLIC_TERMINAL_STATUSES or not (known.needs or known.more):
             return known
         return await self._with_needed(ref, known, fresh)
 
@@ -153,16 +153,21 @@
             await self._learn_all([need for need in row.needs if need not in seen], found, mark)
             for need in row.needs:
                 other = found.get(need)
-                if other is not None and other.state == wire.CANCELLED:
+                if other is not None and other.state == wire.JobStatus.CANCELLED:
                     return self._cut(ref, known)
-                if other is not None and need not in seen and other.state != wire.DONE and (other.needs or other.more):
+                if (
+                    other is not None
+                    and need not in seen
+                    and other.state != wire.JobStatus.COMPLETED
+                    and (other.needs or other.more)
+                ):
                     left.append(need)
                 seen.add(need)
-            self._settle(here, [n for n in row.needs if n not in found or found[n].state != wire.DONE])
+            self._settle(here, [n for n in row.needs if n not in found or found[n].state != wire.JobStatus.COMPLETED])
         return self._known.get(ref, known)
 
     def _cut(self, ref: str, known: Known) -> Known:
-        cut = known._replace(state=wire.CANCELLED, needs=(), more=0)
+        cut = known._replace(state=wire.JobStatus.CANCELLED, needs=(), more=0)
         if ref in self._known:
             self._known[ref] = cut
         return cut
@@ -170,7 +175,12 @@
     def _settle(self, ref: str, left: list[str]) -> None:
         """Of the jobs that it names only these are not done: the others need not be looked at again."""
         known = self._known.get(ref)
-        if known is not None and known.state not in wire.FINAL and not known.more and len(left) < len(known.needs):
+        if (
+            known is not None
+            and known.state not in wire.PUBLIC_TERMINAL_STATUSES
+            and not known.more
+            and len(left) < len(known.needs)
+        ):
             self._known[ref] = known._replace(needs=tuple(left))
 
     async def _list_read(self, ref: str, known: Known) -> Known:
@@ -184,7 +194,7 @@
             if found is None:
                 raise NoResponseError("a part of a list is missing")
             parts.append(found[0])
-        needs = whole_lists({"job": {}}, parts)["job"].get(wire.NEEDS, ())
+        needs = whole_lists({"job": {}}, parts)["job"].get(wire.DEPENDENCIES_FIELD, ())
         known = known._replace(needs=tuple(needs), more=0)
         if ref in self._known:
             self._known[ref] = known
@@ -233,7 +243,7 @@
 
     def _forget(self, revision: int) -> None:
         """Follow the changes from here on; what is not final may have changed before."""
-        for ref in [ref for ref, known in self._known.items() if known.state not in wire.FINAL]:
+        for ref in [ref for ref, known in self._known.items() if known.state not in wire.PUBLIC_TERMINAL_STATUSES]:
             del self._known[ref]
         self._forgets += 1
         self._revision = revision
@@ -251,14 +261,18 @@
         known = self._known.get(ref)
         if known is not None and (
             known.version > version
-            or (known.version == version and (known.state in wire.FINAL or len(known.needs) > 0))
+            or (known.version == version and (known.state in wire.PUBLIC_TERMINAL_STATUSES or len(known.needs) > 0))
         ):
             return known  # what was found out about the jobs that it names holds
         job = record["job"]
         state = str(record["state"])
-        needs = () if state in wire.FINAL else tuple(map(str, job.get(wire.NEEDS) or ()))
-        more = int(record["more"][0]) if "more" in record and state not in wire.FINAL else 0
-        known = Known(state, int(job["legs"]), version, needs, more, job.get(wire.KIND) == wire.SERVICE)
+        needs = (
+            () if state in wire.PUBLIC_TERMINAL_STATUSES else tuple(map(str, job.get(wire.DEPENDENCIES_FIELD) or ()))
+        )
+        more = int(record["more"][0]) if "more" in record and state not in wire.PUBLIC_TERMINAL_STATUSES else 0
+        known = Known(
+            state, int(job[wire.TASK_COUNT_FIELD]), version, needs, more, job.get(wire.KIND_FIELD) == wire.SERVICE_KIND
+        )
         if mark == self._forgets:
             self._known[ref] = known
             if len(self._known) > KNOWN_MOST:
--- a/oatport/api/peer_api.py
+++ b/oatport/api/peer_api.py
@@ -22,7 +22,7 @@
         self._handlers[tag] = handler
 
     async def handle(self, method: str, path: str, body: BodyReader) -> Answer:
-        if path != wire.PEER:
+        if path != wire.PEER_PATH:
             return Answer(404, {"error": "no such path"})
         if method != "POST":
             return Answer(405, {"error": "wrong method"}, {"Allow": "POST"})
--- a/oatport/api/server.py
+++ b/oatport/api/server.py
@@ -55,7 +55,7 @@
             body = content.read_nowait()
             if len(body) > self._limit:
                 raise BodyTooLargeError
-            return wire.loads(body)
+            return wire.decode(body)
         chunks: list[bytes] = []
         size = 0
         async with asyncio.timeout(BODY_DEADLINE_S):
@@ -64,13 +64,13 @@
                 if size > self._limit:
                     raise BodyTooLargeError
                 chunks.append(chunk)
-        return wire.loads(b"".join(chunks))
+        return wire.decode(b"".join(chunks))
 
 
 class Server:
     """One listening address."""
 
-    def __init__(self, address: str, handler: Handler, *, body_limit: int = wire.BODY_LIMIT) -> None:
+    def __init__(self, address: str, handler: Handler, *, body_limit: int = wire.MAX_BODY_BYTES) -> None:
         host, _, port = address.rpartition(":")
         self._host, self._port = host, int(port)
         self._handler = handler
@@ -110,8 +110,10 @@
             # Guards against one strange request ending more than itself.
             log.exception("%s %s failed", request.method, request.path)
             answer = Answer(500, {"error": "internal error"}, {"Retry-After": "1"})
-        body = b"" if answer.value is None else wire.dumps(answer.value)
-        response = web.Response(status=answer.status, body=body, headers=answer.headers, content_type=wire.CBOR_TYPE)
+        body = b"" if answer.value is None else wire.encode(answer.value)
+        response = web.Response(
+            status=answer.status, body=body, headers=answer.headers, content_type=wire.CBOR_CONTENT_TYPE
+        )
         if answer.headers.get("Connection") == "close":
             response.force_close()
         return response
--- a/oatport/api/submission_batcher.py
+++ b/oatport/api/submission_batcher.py
@@ -103,7 +103,7 @@
             size = 0
             most = min(self._most, max(1, self._pace.room(steady()) // ACCEPT_KEYS))
             for ref in sorted(self._waiting, key=lambda ref: self._waiting[ref][3]):
-                size += len(wire.dumps(self._waiting[ref][0])) * ACCEPT_KEYS
+                size += len(wire.encode(self._waiting[ref][0])) * ACCEPT_KEYS
                 if batch and (len(batch) >= most or size > BYTES_MOST):
                     break
                 batch[ref] = self._waiting.pop(ref)
--- a/oatport/clients/cloud.py
+++ b/oatport/clients/cloud.py
@@ -21,10 +21,10 @@
 
     async def catalog(self) -> dict[str, wire.MachineType]:
         await self._budget.spend()
-        status, value = await self._http.request("GET", wire.CATALOG, timeout_us=DEADLINE)
+        status, value = await self._http.request("GET", wire.CATALOG_PATH, timeout_us=DEADLINE)
         if status != 200:
             raise RequestRefusedError(status, value)
-        return wire.catalog(value)
+        return wire.decode_catalog(value)
 
     async def _turn(self) -> None:
         """Wait for the budget; what changes something goes out only if its sender may still act then.
@@ -39,30 +39,32 @@
     async def rent(self, request: str, type_name: str, zone: str, spot: bool, count: int) -> list[str]:
         """Names of the machines rented; Refused where there are none. `request` is never reused."""
         await self._turn()
-        body = wire.rental(request, type_name, zone, spot, count)
-        status, value = await self._http.request("POST", wire.HOSTS, body, timeout_us=DEADLINE)
+        body = wire.rental_request(request, type_name, zone, spot, count)
+        status, value = await self._http.request("POST", wire.MACHINES_PATH, body, timeout_us=DEADLINE)
         if status != 200:
             raise RequestRefusedError(status, value)
-        return [str(name) for name in value["berths"]]
+        return wire.rented_machines(value)
 
     async def release(self, names: list[str]) -> None:
         """Once this returns, the machines and all on them are gone."""
         await self._turn()
-        status, value = await self._http.request("POST", wire.RELEASE, {"berths": names}, timeout_us=DEADLINE)
+        status, value = await self._http.request(
+            "POST", wire.RELEASE_PATH, wire.release_request(names), timeout_us=DEADLINE
+        )
         if status != 200:
             raise RequestRefusedError(status, value)
 
-    async def list_all(self) -> list[wire.Listed]:
-        rows: list[wire.Listed] = []
+    async def list_all(self) -> list[wire.ListedMachine]:
+        rows: list[wire.ListedMachine] = []
         after = ""
         while True:
             await self._budget.spend()
             query = f"page={PAGE}" + (f"&from={after}" if after else "")
-            status, value = await self._http.request("GET", wire.HOSTS, query=query, timeout_us=DEADLINE)
+            status, value = await self._http.request("GET", wire.MACHINES_PATH, query=query, timeout_us=DEADLINE)
             if status != 200:
                 raise RequestRefusedError(status, value)
-            page, more = wire.listed(value)
-            rows += page
-            if not more or not page:
+            page = wire.decode_machine_page(value)
+            rows += page.machines
+            if not page.has_next or not page.machines:
                 return rows
-            after = page[-1].machine
+            after = page.machines[-1].machine_name
--- a/oatport/clients/http.py
+++ b/oatport/clients/http.py
@@ -14,7 +14,7 @@
 from oatport.errors import OatportError
 from oatport.times import SECOND, seconds, steady
 
-HEADERS = {"Content-Type": wire.CBOR_TYPE}
+HEADERS = {"Content-Type": wire.CBOR_CONTENT_TYPE}
 
 
 class NoResponseError(OatportError):
@@ -125,7 +125,7 @@
         """Status and decoded body."""
         # Built encoded, since slashes in keys go over the wire as they are.
         url = URL(f"{self._base}{path}{'?' + query if query else ''}", encoded=True)
-        data = None if body is None else wire.dumps(body)
+        data = None if body is None else wire.encode(body)
         try:
             async with asyncio.timeout(seconds(timeout_us)):
                 async with self._session.request(
@@ -140,6 +140,6 @@
         if not raw:
             return status, None
         try:
-            return status, wire.loads(raw)
+            return status, wire.decode(raw)
         except wire.InvalidMessageError as error:
             raise NoResponseError(f"status {status} with a body that is {error}") from None
--- a/oatport/clients/peer.py
+++ b/oatport/clients/peer.py
@@ -22,7 +22,7 @@
 
     async def ask(self, *message: Any, timeout_us: int = DEADLINE) -> list[Any]:
         """Send ("tag", ...) and return the answer, another such tuple."""
-        status, value = await self._http.request("POST", wire.PEER, list(message), timeout_us=timeout_us)
+        status, value = await self._http.request("POST", wire.PEER_PATH, list(message), timeout_us=timeout_us)
         if status != 200 or not isinstance(value, list) or not value:
             raise UnexpectedReplyError(f"status {status}")
         return value
--- a/oatport/clients/state.py
+++ b/oatport/clients/state.py
@@ -63,7 +63,7 @@
 
     async def get(self, key: str, timeout_us: int = DEADLINE) -> tuple[Any, int] | None:
         """Value and version of a key, or None."""
-        status, value = await self._call("GET", f"{wire.STORE}/{key}", timeout_us=timeout_us)
+        status, value = await self._call("GET", f"{wire.STORE_PATH}/{key}", timeout_us=timeout_us)
         if status == 404:
             return None
         if status != 200:
@@ -76,7 +76,7 @@
         after, revision = "", 0
         while True:
             query = f"under={prefix}&page=1000" + (f"&from={after}" if after else "")
-            status, value = await self._call("GET", wire.STORE, query=query, timeout_us=3 * SECOND)
+            status, value = await self._call("GET", wire.STORE_PATH, query=query, timeout_us=3 * SECOND)
             if status != 200:
                 raise RequestRefusedError(status, value)
             rows += value["rows"]
@@ -96,7 +96,7 @@
             return ({first: found} if found else {}), [first]
         before = first[:-1] + chr(ord(first[-1]) - 1) + "~"  # comes before the first, and after what is before it
         query = f"under={prefix}&from={prefix}{before}&page={SOME}"
-        status, value = await self._call("GET", wire.STORE, query=query)
+        status, value = await self._call("GET", wire.STORE_PATH, query=query)
         if status != 200:
             raise RequestRefusedError(status, value)
         rows = {row["path"][len(prefix) :]: (row["value"], int(row["entryRev"])) for row in value["rows"]}
@@ -122,7 +122,7 @@
             ops.append(op)
         ops += [{"drop": key} for key in drops or ()]
         body = {"if": [{"path": k, "entryRev": v} for k, v in conditions.items()], "then": ops}
-        status, value = await self._call("POST", wire.COMMIT, body, timeout_us=timeout_us)
+        status, value = await self._call("POST", wire.COMMIT_PATH, body, timeout_us=timeout_us)
         if status == 200:
             return Applied(int(value["ledgerRev"]))
         if status == 409:
@@ -133,13 +133,13 @@
         raise RequestRefusedError(status, value)
 
     async def hold(self, life_us: int) -> int:
-        status, value = await self._call("POST", wire.HOLDS, {"lifeMs": life_us // MS})
+        status, value = await self._call("POST", wire.LEASES_PATH, {"lifeMs": life_us // MS})
         if status != 200:
             raise RequestRefusedError(status, value)
         return int(value["permit"])
 
     async def touch(self, lease: int, timeout_us: int) -> None:
-        status, value = await self._call("POST", f"{wire.HOLDS}/{lease}/touch", {}, timeout_us=timeout_us)
+        status, value = await self._call("POST", f"{wire.LEASES_PATH}/{lease}/touch", {}, timeout_us=timeout_us)
         if status == 404:
             raise LeaseExpiredError
         if status != 200:
@@ -148,7 +148,7 @@
     async def revision(self, prefix: str, timeout_us: int = DEADLINE) -> int:
         """The revision of the whole store now."""
         query = f"under={prefix}&page=1"
-        status, value = await self._call("GET", wire.STORE, query=query, timeout_us=timeout_us)
+        status, value = await self._call("GET", wire.STORE_PATH, query=query, timeout_us=timeout_us)
         if status != 200:
             raise RequestRefusedError(status, value)
         return int(value["ledgerRev"])
@@ -158,7 +158,7 @@
     ) -> tuple[int, list[dict[str, Any]]] | None:
         """Changes under a prefix after a revision; None: too old, read the keys again."""
         query = f"under={prefix}&from={revision}&waitMs={wait_us // MS}"
-        status, value = await self._call("GET", wire.CHANGES, query=query, timeout_us=wait_us + timeout_us)
+        status, value = await self._call("GET", wire.WATCH_PATH, query=query, timeout_us=wait_us + timeout_us)
         if status == 410:
             return None
         if status != 200:
--- a/oatport/clients/worker.py
+++ b/oatport/clients/worker.py
@@ -29,21 +29,21 @@
     def __init__(self, net: Connector, address: str, keep: Keep = Keep.WORKER) -> None:
         self._http = net.client(address, keep)
 
-    async def commands(self, token: int, session: int, orders: list[wire.Command]) -> wire.Report:
+    async def commands(self, token: int, session: int, orders: list[wire.Command]) -> wire.Heartbeat:
         """The worker's report after the commands, or after refusing them (409): either way it has answered."""
-        body = wire.commands_body(token, session, orders)
-        status, value = await self._http.request("POST", wire.COMMANDS, body, timeout_us=COMMANDS_DEADLINE)
+        body = wire.command_request(token, session, orders)
+        status, value = await self._http.request("POST", wire.COMMANDS_PATH, body, timeout_us=COMMANDS_DEADLINE)
         return self._report(status, value)
 
-    async def show(self) -> wire.Report:
-        status, value = await self._http.request("GET", wire.SHOW, timeout_us=SHOW_DEADLINE)
+    async def show(self) -> wire.Heartbeat:
+        status, value = await self._http.request("GET", wire.WORKER_STATUS_PATH, timeout_us=SHOW_DEADLINE)
         return self._report(status, value)
 
     @staticmethod
-    def _report(status: int, value: object) -> wire.Report:
+    def _report(status: int, value: object) -> wire.Heartbeat:
         if status not in (200, 409):
             raise NoResponseError(f"status {status}")
         try:
-            return wire.report(value)
+            return wire.decode_heartbeat(value)
         except wire.InvalidMessageError as error:
             raise NoResponseError(f"not a report: {error}") from None
--- a/oatport/control/leadership/zone_partition.py
+++ b/oatport/control/leadership/zone_partition.py
@@ -53,7 +53,7 @@
     zones = {zone for kind in cluster.preferred_types(job) for zone in kind.zones} - cluster.partitioned_zones.keys()
     if spec.zone is not None:
         zones &= {spec.zone}
-    if spec.one_zone and job.tasks_by_zone:
+    if spec.single_zone and job.tasks_by_zone:
         zones &= job.tasks_by_zone.keys()
     cap = zone_cap(spec)
     return max(0, sum(cap - job.tasks_by_zone.get(zone, 0) for zone in zones) - job.pending)
@@ -133,7 +133,7 @@
         """It holds no replica that could be elsewhere: is the rest of what it runs worth keeping it?"""
         if any(task.job.kind is JobKind.SERVICE and not task.job.cancelled for task in machine.tasks):
             return now - since > KEEP_BOUND
-        if now > alive + micros(machine.type.boot_s):
+        if now > alive + micros(machine.type.boot_time_s):
             return True
         return self.fleet.to_be_had(machine, now) and now >= min(self._done_by(machine, since), alive)
 
--- a/oatport/control/placement/feasibility.py
+++ b/oatport/control/placement/feasibility.py
@@ -20,11 +20,11 @@
     spec = job.spec
     if machine.spot and not spec.spot:
         return False
-    if spec.types is not None and machine.type.name not in spec.types:
+    if spec.machine_types is not None and machine.type.name not in spec.machine_types:
         return False
     if spec.zone is not None and machine.zone != spec.zone:
         return False
-    if spec.one_zone and job.tasks_by_zone and machine.zone not in job.tasks_by_zone:
+    if spec.single_zone and job.tasks_by_zone and machine.zone not in job.tasks_by_zone:
         return False
     return not spec.spread or job.tasks_by_zone.get(machine.zone, 0) < zone_cap(spec)
 
@@ -49,7 +49,7 @@
             return (
                 machine.has_capacity_for(spec)
                 and (on_spot or not machine.spot)
-                and (spec.types is None or machine.type.name in spec.types)
+                and (spec.machine_types is None or machine.type.name in spec.machine_types)
                 and (spec.zone is None or machine.zone == spec.zone)
                 and not (no_gpus and machine.type.gpus > 0 and not cluster.may_backfill(job, machine, cluster.now))
                 and not (beside and not machine.spot and machine.service_cpus <= 0)
@@ -76,7 +76,7 @@
             # room for one more is left to work that can be stopped for it, where there is such work.
             service
             and self._crowded
-            and spec.tasks >= self.cluster.tuning.mate_room_tasks
+            and spec.task_count >= self.cluster.tuning.mate_room_tasks
             and machine.type.cpus - machine.service_cpus < 2 * spec.cpus - 1e-9,
             spec.image not in machine.images,
             # Otherwise replicas together, and the rest away from them: machines without replicas can be
@@ -97,7 +97,7 @@
         """How long until a machine has the image."""
         if spec.image in machine.images:
             return 0
-        return micros(spec.image_gb / max(machine.type.fetch_gb_per_s, 0.01))
+        return micros(spec.image_size_gb / max(machine.type.image_fetch_gb_per_s, 0.01))
 
     def _elsewhere(self, job: Job) -> bool:
         """It needs no GPUs, and could run on a type without any."""
--- a/oatport/control/placement/placer.py
+++ b/oatport/control/placement/placer.py
@@ -98,11 +98,11 @@
                     spec.spot,
                     job.tier,
                     spec.zone,
-                    tuple(spec.types) if spec.types else None,
+                    tuple(spec.machine_types) if spec.machine_types else None,
                     job.priority_rank,
                     self._gpus_kept and job.runtime_bucket,
                 )
-                free_to_go = not (spec.spread or spec.one_zone)
+                free_to_go = not (spec.spread or spec.single_zone)
                 if free_to_go and any(
                     spec.cpus >= cpus and spec.gpus >= gpus and spec.memory_gb >= memory_gb
                     for cpus, gpus, memory_gb in full.get(sort, ())
@@ -165,7 +165,7 @@
         best: tuple[tuple[float, ...], int, Machine] | None = None
         for zone in ranking.zones:
             there = job.tasks_by_zone.get(zone, 0)
-            if (spec.spread and there >= cap) or (spec.one_zone and job.tasks_by_zone and not there):
+            if (spec.spread and there >= cap) or (spec.single_zone and job.tasks_by_zone and not there):
                 continue
             found = ranking.best(zone, errors)
             if found is None:
@@ -180,7 +180,7 @@
     def _ranking(self, job: Job, roomy: list[Machine], within: int | None) -> Ranking:
         """The machines that may take a task of the job now, shared by all jobs that look for the same."""
         spec, cluster = job.spec, self.cluster
-        mates = job.kind is JobKind.SERVICE and spec.tasks >= cluster.tuning.mate_room_tasks
+        mates = job.kind is JobKind.SERVICE and spec.task_count >= cluster.tuning.mate_room_tasks
         fills_for = cluster.predictor.run_time(job.job_id, spec) // RUN_STEP if self._gpus_kept else 0
         key = (
             job.kind,
@@ -188,12 +188,12 @@
             job.tier,
             spec.spot,
             spec.zone,
-            tuple(spec.types) if spec.types else None,
+            tuple(spec.machine_types) if spec.machine_types else None,
             spec.cpus,
             spec.gpus,
             spec.memory_gb,
             spec.image,
-            spec.image_gb,
+            spec.image_size_gb,
             within,
             mates,
             cluster.may_use_free_spot(job),
@@ -228,12 +228,12 @@
     def _place_gang(self, job: Job, usable: list[Machine], now: int) -> int:
         """All tasks or none, in one commit; only when nothing of an earlier attempt is left anywhere."""
         spec = job.spec
-        if job.on_machines or job.pending + len(job.completed) < spec.tasks:
+        if job.on_machines or job.pending + len(job.completed) < spec.task_count:
             return 0
         need = job.pending
         if self.cluster.quotas.room(spec) < need:
             return 0
-        zones = {m.zone for m in usable} if spec.one_zone else {None}
+        zones = {m.zone for m in usable} if spec.single_zone else {None}
         best: list[Machine] | None = None
         best_cost = 0.0
         for zone in sorted(zones, key=str):
@@ -263,7 +263,7 @@
         booting = self._booting
         best: set[Machine] = set()
         most = 0
-        for zone in sorted({m.zone for m in roomy}) if spec.one_zone else [None]:
+        for zone in sorted({m.zone for m in roomy}) if spec.single_zone else [None]:
             free = [m for m in self._fitting(job, roomy) if zone in (None, m.zone)]
             coming = [m for m in booting if zone in (None, m.zone) and m.could_hold(spec) and machine_allowed(job, m)]
             there = sum(m.free_slots(spec) for m in free)
@@ -278,7 +278,11 @@
                 held.add(machine)
                 need -= machine.free_slots(spec)
         for machine in booting:  # spoken for: no later gang counts on them
-            if need > 0 and machine.could_hold(spec) and (not spec.one_zone or machine.zone in {m.zone for m in held}):
+            if (
+                need > 0
+                and machine.could_hold(spec)
+                and (not spec.single_zone or machine.zone in {m.zone for m in held})
+            ):
                 need -= machine.free_slots(spec)
                 booting.remove(machine)
                 break
--- a/oatport/control/placement/preemption.py
+++ b/oatport/control/placement/preemption.py
@@ -47,7 +47,7 @@
             mates = victim.job.tasks.values() if victim.job.kind is JobKind.GANG else (victim,)
             for mate in list(mates):
                 if mate.phase is TaskPhase.BOUND:
-                    self.cluster.stop(mate, victim.job.spec.grace_s)
+                    self.cluster.stop(mate, victim.job.spec.stop_grace_s)
 
     def _may_stop(self, job: Job, now: int) -> bool:
         """Is there anybody at all whom it may stop? If only later, that is when to look again."""
@@ -97,7 +97,7 @@
             other = task.job.spec
             if task.stop_grace_s is None and ((cpus > 1e-9 and other.cpus > 0) or (gpus > 1e-9 and other.gpus > 0)):
                 cpus, gpus = cpus - other.cpus, gpus - other.gpus
-                self.cluster.stop(task, other.grace_s)
+                self.cluster.stop(task, other.stop_grace_s)
 
     def _for_guarantee(self, job: Job, now: int) -> bool:
         """May it stop other teams' work of its own priority? Only after a moment: room may just come free."""
@@ -176,7 +176,7 @@
     def _whole_gang(self, job: Job, usable: list[Machine], choices: list[tuple[Machine, list[Task]]]) -> list[Task]:
         """Victims that let a whole gang start; none if only a part of it would find room."""
         spec = job.spec
-        for zone in sorted({machine.zone for machine, _ in choices}) if spec.one_zone else [None]:
+        for zone in sorted({machine.zone for machine, _ in choices}) if spec.single_zone else [None]:
             there = [m for m in usable if zone in (None, m.zone)]
             need = job.pending - sum(m.free_slots(spec) for m in self._fitting(job, there))
             victims: list[Task] = []
--- a/oatport/control/placement/retry_policy.py
+++ b/oatport/control/placement/retry_policy.py
@@ -24,7 +24,14 @@
 from oatport.settings import SettingsError, read_ini
 
 SECTION = "repeat"
-REFUSED = frozenset((wire.WHY_NO_ROOM, wire.WHY_BUSY, wire.WHY_UNKNOWN, wire.WHY_ALONE))
+REFUSED = frozenset(
+    (
+        wire.ExitReason.INSUFFICIENT_CAPACITY,
+        wire.ExitReason.OTHER_ATTEMPT_PRESENT,
+        wire.ExitReason.UNKNOWN_TASK,
+        wire.ExitReason.GANG_INCOMPLETE,
+    )
+)
 
 
 class RetryPolicy(StrEnum):
--- a/oatport/control/queueing/pending_queue.py
+++ b/oatport/control/queueing/pending_queue.py
@@ -43,7 +43,7 @@
 def plain(job: Job) -> bool:
     """Any machine with room does, whatever the job's other tasks are on."""
     spec = job.spec
-    return job.kind is JobKind.ARRAY and not (spec.spread or spec.one_zone or job.suspected_faulty)
+    return job.kind is JobKind.ARRAY and not (spec.spread or spec.single_zone or job.suspected_faulty)
 
 
 def shape(job: Job) -> tuple[object, ...]:
@@ -55,7 +55,7 @@
         job.tier,
         spec.spot,
         spec.zone,
-        tuple(spec.types) if spec.types else None,
+        tuple(spec.machine_types) if spec.machine_types else None,
         spec.team,
         job.within_guarantee,
         spec.cpus,
--- a/oatport/control/queueing/queue_estimator.py
+++ b/oatport/control/queueing/queue_estimator.py
@@ -57,8 +57,8 @@
         if not machine.ready_at:
             # One that boots is room from then on: without it, a wave of work would rent on-demand what
             # the spot machines rented a moment ago are about to do.
-            boot = machine.rented_at + round(micros(machine.type.boot_s) * 1.2) - now
-            if boot < -micros(machine.type.boot_s):
+            boot = machine.rented_at + round(micros(machine.type.boot_time_s) * 1.2) - now
+            if boot < -micros(machine.type.boot_time_s):
                 continue  # long overdue
             left = max(boot, 0) * cpus
         for task in machine.finite_tasks:
@@ -240,7 +240,7 @@
         if job.cancelled or job.completing:
             job.within_guarantee = False
             continue
-        spec, left = job.spec, job.spec.tasks - len(job.completed)
+        spec, left = job.spec, job.spec.task_count - len(job.completed)
         cpus, gpus = taken.get(spec.team, (0.0, 0.0))
         cpus, gpus = cpus + spec.cpus * left, gpus + spec.gpus * left
         taken[spec.team] = (cpus, gpus)
@@ -346,7 +346,12 @@
 
     def __call__(self, job: Job, spot: bool) -> bool:
         spec = job.spec
-        sort = (spot, spec.zone, tuple(spec.types) if spec.types else None, (spec.cpus, spec.gpus, spec.memory_gb))
+        sort = (
+            spot,
+            spec.zone,
+            tuple(spec.machine_types) if spec.machine_types else None,
+            (spec.cpus, spec.gpus, spec.memory_gb),
+        )
         found = self._known.get(sort)
         if found is None:
             found = self._known[sort] = self._fleet.open(job, spot, self._now)
--- a/oatport/control/queueing/runtime_predictor.py
+++ b/oatport/control/queueing/runtime_predictor.py
@@ -62,7 +62,7 @@
         if weight >= MEMORY:
             weight, sum_took = weight * 0.9, sum_took * 0.9
         self._mean[spec.job_class] = (weight + 1, sum_took + took)
-        estimate = micros(spec.estimate_s)
+        estimate = micros(spec.estimated_runtime_s)
         if estimate <= 0:
             return
         weight, total_ratio = self._ratio.get(spec.job_class, (0.0, 0.0))
@@ -84,7 +84,7 @@
 
     def _reckon(self, ref: str, spec: wire.Submission) -> int:
         weight, total = self._ratio.get(spec.job_class, (0.0, 0.0))
-        guess = micros(spec.estimate_s) * (total + SEED_WEIGHT) / (weight + SEED_WEIGHT)
+        guess = micros(spec.estimated_runtime_s) * (total + SEED_WEIGHT) / (weight + SEED_WEIGHT)
         tasks, sum_took = self._mean.get(spec.job_class, (0.0, 0.0))
         if tasks >= SEED_WEIGHT and guess > 0:
             # Estimates are often off by as much as a class's jobs differ: half of the belief, on the
--- a/oatport/control/scaling/scale_in.py
+++ b/oatport/control/scaling/scale_in.py
@@ -141,13 +141,13 @@
                     or task_slots(spec, *free[other.name]) <= 0
                     or (spec.spread and other.zone != machine.zone and there >= zone_cap(spec))
                     or (spec.zone is not None and other.zone != spec.zone)
-                    or (spec.one_zone and other.zone != machine.zone)
-                    or (spec.types is not None and other.type.name not in spec.types)
+                    or (spec.single_zone and other.zone != machine.zone)
+                    or (spec.machine_types is not None and other.type.name not in spec.machine_types)
                 ):
                     continue
                 fetch = 0
                 if spec.image not in other.images:
-                    fetch = micros(spec.image_gb / max(other.type.fetch_gb_per_s, 0.01))
+                    fetch = micros(spec.image_size_gb / max(other.type.image_fetch_gb_per_s, 0.01))
                 if best is None or fetch < best[0]:
                     best = (fetch, other)
                 if not fetch:
@@ -184,7 +184,8 @@
             if not machine.ready_at:
                 # In a zone that is cut off it may be up and unheard: charged all the same.
                 patience = micros(
-                    machine.type.boot_s * (2 if machine.zone in cluster.partitioned_zones else tuning.boot_patience)
+                    machine.type.boot_time_s
+                    * (2 if machine.zone in cluster.partitioned_zones else tuning.boot_patience)
                 )
                 if now - machine.rented_at < patience or (machine.was_ready and not machine.listed_by_cloud):
                     continue
--- a/oatport/control/scaling/scale_out.py
+++ b/oatport/control/scaling/scale_out.py
@@ -152,7 +152,7 @@
     def _freeing(self, now: int) -> list[float]:
         """CPUs that running tasks will free before a rented machine could be up, and those that idle work gives up."""
         cluster = self.cluster
-        boot = min((micros(t.boot_s) for t in cluster.types.values()), default=30 * SECOND)
+        boot = min((micros(t.boot_time_s) for t in cluster.types.values()), default=30 * SECOND)
         cpus = given_way = 0.0
         for machine in cluster.usable_machines:
             given_way += machine.cpus_by_priority[IDLE_RANK]
@@ -195,7 +195,7 @@
             return
         zones = dict(job.tasks_by_zone)
         cap = zone_cap(spec)
-        only_zone = next(iter(zones)) if spec.one_zone and zones else spec.zone
+        only_zone = next(iter(zones)) if spec.single_zone and zones else spec.zone
         suited = cluster.preferred_type_names(job)
         while left > 0:
             open_zones = [only_zone] if only_zone else coming.zones()
@@ -207,7 +207,7 @@
             got = room.take(spec, min(left, cap - zones.get(room.zone, 0)) if spec.spread else left)
             left -= got
             zones[room.zone] = zones.get(room.zone, 0) + got
-            if spec.one_zone:
+            if spec.single_zone:
                 only_zone = room.zone
         most_held = max((task_slots_when_empty(kind, spec) for kind in cluster.feasible_types(job)), default=0)
         sought = (
@@ -215,12 +215,12 @@
             spec.gpus,
             spec.memory_gb,
             spec.zone,
-            tuple(spec.types) if spec.types else None,
+            tuple(spec.machine_types) if spec.machine_types else None,
             spot,
             job.kind,
             job.runtime_bucket,
         )
-        bound = spec.spread or spec.one_zone or job.kind is JobKind.SERVICE
+        bound = spec.spread or spec.single_zone or job.kind is JobKind.SERVICE
         while left > 0:
             # Many jobs look for the same: neither refusals nor what there is of each sort change within a pass.
             key = (sought, min(left, most_held))
@@ -237,7 +237,7 @@
                 return
             left -= got
             zones[zone] = zones.get(zone, 0) + got
-            if spec.one_zone:
+            if spec.single_zone:
                 only_zone = zone
             coming.add(room)
             sort = (kind.name, zone, spot)
@@ -252,7 +252,7 @@
         if spec.zone is not None:
             zones = [spec.zone]
         best: tuple[int, list[CapacitySlot], list[tuple[CapacitySlot, int]]] | None = None
-        for only_zone in zones if spec.one_zone else [spec.zone]:
+        for only_zone in zones if spec.single_zone else [spec.zone]:
             left, per_zone = job.pending, dict[str, int]()
             used: list[tuple[CapacitySlot, int]] = []
             new: list[CapacitySlot] = []
@@ -260,7 +260,7 @@
             for room in [*free, *(room for room in coming if spot or not room.spot)]:
                 if only_zone and room.zone != only_zone:
                     continue
-                if spec.types is not None and room.type.name not in spec.types:
+                if spec.machine_types is not None and room.type.name not in spec.machine_types:
                     continue
                 most = min(left, zone_cap(spec) - per_zone.get(room.zone, 0))
                 got = min(room.holds(spec), most)
@@ -317,7 +317,7 @@
             # What the machine could hold counts for a part: later work fills the rest.
             useful = count + 0.7 * (task_slots_when_empty(kind, spec) - count)
             price = kind.spot_price if spot else kind.price
-            cost = costs[kind.name] = price * (predicted + micros(kind.boot_s)) / predicted / useful
+            cost = costs[kind.name] = price * (predicted + micros(kind.boot_time_s)) / predicted / useful
             for zone in kind.zones:
                 if (only_zone and zone != only_zone) or self._closed(zone, now):
                     continue
--- a/oatport/control/state/capacity.py
+++ b/oatport/control/state/capacity.py
@@ -22,14 +22,14 @@
 
 def zone_cap(spec: wire.Submission) -> int:
     """How many of a job's tasks may be in one zone."""
-    return (spec.tasks + 1) // 2 if spec.spread else spec.tasks
+    return (spec.task_count + 1) // 2 if spec.spread else spec.task_count
 
 
 def feasible_machine_types(spec: wire.Submission, types: dict[str, wire.MachineType]) -> list[wire.MachineType]:
     return [
         kind
         for kind in types.values()
-        if (spec.types is None or kind.name in spec.types)
+        if (spec.machine_types is None or kind.name in spec.machine_types)
         and (spec.zone is None or spec.zone in kind.zones)
         and task_slots_when_empty(kind, spec) > 0
     ]
--- a/oatport/control/state/cluster_state.py
+++ b/oatport/control/state/cluster_state.py
@@ -159,16 +159,18 @@
 
     # --- reports ----------------------------------------------------------------------------
 
-    def on_heartbeat(self, report: wire.Report, now: int, wall: int) -> Machine | None:
+    def on_heartbeat(self, report: wire.Heartbeat, now: int, wall: int) -> Machine | None:
         """Take in a worker's report, an answer of /commands or of /show; None: not a usable machine."""
-        machine = self.add_machine(report.machine, report.type, report.zone, report.spot, report.address, now, wall)
+        machine = self.add_machine(
+            report.machine_name, report.machine_type, report.zone, report.spot, report.address, now, wall
+        )
         if machine is None:
             return None
-        if (report.session, report.seq) <= (machine.agent_epoch, machine.heartbeat_seq):
+        if (report.agent_epoch, report.heartbeat_seq) <= (machine.agent_epoch, machine.heartbeat_seq):
             self.now = now
             self.apply_late_completions(machine, report)
             return machine  # an older message that came late: of all the rest it tells nothing
-        new_session = report.session != machine.agent_epoch
+        new_session = report.agent_epoch != machine.agent_epoch
         if now - machine.last_heartbeat_at > self.heartbeat_fresh_us:
             self.planning_needed = True  # its free room counts again
         machine.last_heartbeat_at = self.now = now
@@ -181,7 +183,7 @@
                 machine.idle_since = now
             self.mark_machine_dirty(machine, urgent=not machine.persisted)  # nothing is placed on it before
             self.planning_needed = True
-        if machine.fencing_token != report.token or new_session:
+        if machine.fencing_token != report.fencing_token or new_session:
             self.planning_needed = True
         if new_session:
             if machine.agent_epoch:
@@ -197,19 +199,23 @@
             machine.images = {image: at for image, at in machine.images.items() if at == 1}
         elif machine.command_unreachable and now - machine.agent_epoch_since > self.lease_us:
             machine.command_unreachable = False  # else its session would have ended
-        machine.agent_epoch, machine.heartbeat_seq, machine.fencing_token = report.session, report.seq, report.token
-        if report.notice_s is None:
+        machine.agent_epoch, machine.heartbeat_seq, machine.fencing_token = (
+            report.agent_epoch,
+            report.heartbeat_seq,
+            report.fencing_token,
+        )
+        if report.reclamation_notice_s is None:
             self.planning_needed = self.planning_needed or machine.reclaimed_at > 0
             machine.reclaimed_at = 0
         else:
-            reclaimed_at = now + micros(max(report.notice_s, 0.0))
+            reclaimed_at = now + micros(max(report.reclamation_notice_s, 0.0))
             if not machine.reclaimed_at:
                 machine.reclaimed_at = reclaimed_at
-                self._on_reclamation_notice(machine, report.notice_s, now)
+                self._on_reclamation_notice(machine, report.reclamation_notice_s, now)
             machine.reclaimed_at = min(machine.reclaimed_at, reclaimed_at)
         if machine.settled_heartbeat is not None and not new_session and machine.settled_heartbeat == report.tasks:
             return machine  # what it runs is as it was told before, and as it should be
-        listed = {(row.task, row.attempt): row for row in report.tasks}
+        listed = {(row.task_name, row.attempt): row for row in report.tasks}
         for task in list(machine.tasks):
             if task.phase is not TaskPhase.BOUND:
                 continue
@@ -246,15 +252,15 @@
             )
         )
 
-    def _on_listed(self, task: Task, machine: Machine, row: wire.TaskReport, report: wire.Report, now: int) -> None:
-        if task.start_acknowledged is None and task.start_epoch == report.session:
+    def _on_listed(self, task: Task, machine: Machine, row: wire.TaskReport, report: wire.Heartbeat, now: int) -> None:
+        if task.start_acknowledged is None and task.start_epoch == report.agent_epoch:
             machine.command_unreachable = False
-        task.start_acknowledged = (report.session, report.seq)
+        task.start_acknowledged = (report.agent_epoch, report.heartbeat_seq)
         self.unacknowledged_tasks.discard(task)
-        if row.status != wire.EXITED:
-            if row.status != wire.FETCHING:
+        if row.status != wire.TaskStatus.EXITED:
+            if row.status != wire.TaskStatus.FETCHING_IMAGE:
                 machine.images[task.job.spec.image] = 1  # it has it
-            if row.status == wire.RUNNING and not task.running_since:
+            if row.status == wire.TaskStatus.RUNNING and not task.running_since:
                 task.running_since = now
                 self.job_statistics.began(task.job)
                 if task.binding_at:
@@ -277,32 +283,36 @@
         self._on_exit(task, machine, row, now)
 
     def _on_exit(self, task: Task, machine: Machine, row: wire.TaskReport, now: int) -> None:
-        job, why = task.job, row.why
+        job, why = task.job, row.exit_reason
         log.debug("task %s attempt %d on %s ended: %s", task.name, task.attempt, machine.name, why)
-        if why == wire.WHY_DONE and job.kind is not JobKind.SERVICE:
+        if why == wire.ExitReason.COMPLETED and job.kind is not JobKind.SERVICE:
             self.complete_task(task, now)
             return
         wanted = task.stop_grace_s is not None
-        if why == wire.WHY_ERROR:
+        if why == wire.ExitReason.ERROR:
             if failure_attribution.job_failed(job, machine, self.machines, task.attempt, now):
                 self.dirty_keys.setdefault(live_key(job.job_id), None)  # for the next leader
-        elif why == wire.WHY_NO_ROOM:
+        elif why == wire.ExitReason.INSUFFICIENT_CAPACITY:
             machine.cordoned_until = now + 3 * SECOND
-        elif why == wire.WHY_UNKNOWN:
+        elif why == wire.ExitReason.UNKNOWN_TASK:
             job.retry_at = now + 2 * SECOND
-        elif why == wire.WHY_BUSY:
+        elif why == wire.ExitReason.OTHER_ATTEMPT_PRESENT:
             machine.cordoned_until = now + SECOND
-        self.requeue(task, lost=not wanted and why in (wire.WHY_PEERS, wire.WHY_STOPPED), unexecuted=why in REFUSED)
+        self.requeue(
+            task,
+            lost=not wanted and why in (wire.ExitReason.GANG_MEMBER_LOST, wire.ExitReason.STOPPED),
+            unexecuted=why in REFUSED,
+        )
 
-    def _on_absent(self, task: Task, machine: Machine, report: wire.Report, now: int) -> None:
+    def _on_absent(self, task: Task, machine: Machine, report: wire.Heartbeat, now: int) -> None:
         """A placed task that the newest report does not list: gone only if nothing can still bring it."""
-        if report.token != self.token:
+        if report.fencing_token != self.token:
             return  # a start of an earlier leader may still land
         key = (task.name, task.attempt)
         if task.binding_at and not task.start_epoch:
             self.machines_to_command.add(machine)  # placed by this leader, its first start is just due
             return
-        if task.start_epoch and report.session <= task.start_epoch:
+        if task.start_epoch and report.agent_epoch <= task.start_epoch:
             if (
                 task.job.cancelled
                 and task.start_acknowledged is None
@@ -318,7 +328,7 @@
         # In the session in which it was claimed, and never seen by this leader: no start of it was executed.
         unexecuted = (
             task.start_acknowledged is None
-            and report.session == task.binding_epoch
+            and report.agent_epoch == task.binding_epoch
             and not machine.unacknowledged_starts.get(key)
         )
         self.requeue(task, lost=bool(task.start_epoch), unexecuted=unexecuted)
@@ -329,8 +339,8 @@
         strays: dict[tuple[str, int], None] = {}
         here = {(t.name, t.attempt) for t in machine.tasks if t.phase is not TaskPhase.PENDING}
         for row in rows:
-            key = (row.task, row.attempt)
-            if row.status == wire.EXITED:
+            key = (row.task_name, row.attempt)
+            if row.status == wire.TaskStatus.EXITED:
                 ended.add(key)
                 continue
             if key not in here:
@@ -364,7 +374,7 @@
             remaining = max(self.predictor.run_time(job.job_id, spec) - ran, 0)
             if task.running_since and remaining < left * 3 // 4:
                 return  # it will be done before
-        grace = spec.grace_s
+        grace = spec.stop_grace_s
         if micros(grace) > left:
             grace = 0.0
         if job.kind is JobKind.GANG:
@@ -393,20 +403,20 @@
             if never_sent and (not confirmed or task.binding_at == 0):
                 # Of an earlier leader's: its first report under our token tells whether it is there.
                 if task.stop_grace_s is not None:
-                    orders.append(wire.stop(task.name, task.attempt, task.stop_grace_s))
+                    orders.append(wire.StopCommand(task.name, task.attempt, task.stop_grace_s))
                 continue
             waits_for_retry = direct and task.start_retry_at > now
             if task.start_acknowledged is None and not waits_for_retry and self._may_start(task, now):
-                orders.append(wire.start(task.name, task.attempt))
+                orders.append(wire.StartCommand(task.name, task.attempt))
                 starts.append(task)
             if task.stop_grace_s is not None:
-                orders.append(wire.stop(task.name, task.attempt, task.stop_grace_s))
+                orders.append(wire.StopCommand(task.name, task.attempt, task.stop_grace_s))
         for name, attempt in machine.orphaned_attempts:
-            orders.append(wire.stop(name, attempt, 0.0))
+            orders.append(wire.StopCommand(name, attempt, 0.0))
         if confirmed:
             for name, attempt in machine.terminated_attempts:
                 if self._may_forget(machine, name, attempt):
-                    orders.append(wire.forget(name, attempt))
+                    orders.append(wire.ForgetCommand(name, attempt))
         return orders, starts
 
     def _may_start(self, task: Task, now: int) -> bool:
@@ -455,10 +465,10 @@
             return False
         return not self.is_unwritten(job, parts[1])
 
-    def on_heartbeat_delivered(self, machine: Machine, report: wire.Report) -> None:
+    def on_heartbeat_delivered(self, machine: Machine, report: wire.Heartbeat) -> None:
         """A report that is about to be answered. A worker has one in flight at a time: what the answer to an earlier
         one told it has been executed by now, or is dropped (PROTOCOL, "Workers -> controller nodes")."""
-        number = (report.session, report.seq)
+        number = (report.agent_epoch, report.heartbeat_seq)
         if number > machine.answered_heartbeat:  # not one that a cut held
             machine.answered_heartbeat = number
             machine.starts_in_response.clear()
--- a/oatport/control/state/job.py
+++ b/oatport/control/state/job.py
@@ -117,7 +117,7 @@
         self.priority_rank = PRIORITIES[self.spec.priority]
         self.number = number_in_name(self.job_id)
         self.eligible_at = self.submitted_at
-        self.dependencies = tuple(self.spec.needs or ())
+        self.dependencies = tuple(self.spec.dependencies or ())
 
     def __hash__(self) -> int:
         return self.number
@@ -126,13 +126,13 @@
     def pending(self) -> int:
         """Tasks that want a machine now; those held for later don't."""
         if self.start_limit < 0:
-            return self.spec.tasks - self.next_untouched + len(self.retry_queue)
+            return self.spec.task_count - self.next_untouched + len(self.retry_queue)
         return max(self.start_limit - self.next_untouched, 0) + len(self.retry_queue)
 
     @property
     def deferred(self) -> int:
         """Tasks that may not start yet."""
-        return 0 if self.start_limit < 0 else self.spec.tasks - max(self.start_limit, self.next_untouched)
+        return 0 if self.start_limit < 0 else self.spec.task_count - max(self.start_limit, self.next_untouched)
 
     @property
     def deadline(self) -> int | None:
@@ -146,7 +146,7 @@
             return self.retry_queue[0]
         return (
             self.next_untouched
-            if self.next_untouched < (self.spec.tasks if self.start_limit < 0 else self.start_limit)
+            if self.next_untouched < (self.spec.task_count if self.start_limit < 0 else self.start_limit)
             else None
         )
 
@@ -165,7 +165,7 @@
         Where the class limits repeats also [attempt, machine, session], and [attempt, None, 1]: spent.
         """
         rows: list[Any] = []
-        for index in range(low, min(high, self.spec.tasks)):
+        for index in range(low, min(high, self.spec.task_count)):
             if index in self.completed:
                 rows.append(-1)
                 continue
@@ -185,7 +185,7 @@
     def live_value(self, tasks: int) -> dict[str, Any]:
         """The value of live/REF once a task of it was touched: the job with its first tasks."""
         value = {
-            **self.record(wire.QUEUED),
+            **self.record(wire.JobStatus.QUEUED),
             "rev": self.version,
             **self.rows_value(0, tasks),
             "tier": self.tier,
@@ -204,13 +204,13 @@
         value = job_record(self.spec, self.submitted_at, state)
         if self.compact_spec is not None:
             value |= self.compact_spec
-        if state == wire.LOST:
+        if state == wire.JobStatus.FAILED:
             value["cause"] = self.failure_reason
         return value
 
 
 def job_record(spec: wire.Submission, submitted_at: int, state: str) -> dict[str, Any]:
     value = msgspec.to_builtins(spec)
-    if spec.needs is None:
-        del value[wire.NEEDS]
+    if spec.dependencies is None:
+        del value[wire.DEPENDENCIES_FIELD]
     return {"state": state, "at": submitted_at, "job": value}
--- a/oatport/control/state/job_statistics.py
+++ b/oatport/control/state/job_statistics.py
@@ -37,7 +37,7 @@
         for row in self._rows(job):
             row.accepted += 1
         sizes = self._sizes.setdefault(job.spec.job_class, {})
-        sizes[job.job_id] = (job.spec.cpus * job.spec.tasks, job.started)
+        sizes[job.job_id] = (job.spec.cpus * job.spec.task_count, job.started)
         if len(sizes) > SIZES_MOST:
             kept = sorted(sizes.items(), key=lambda item: item[1], reverse=True)[: SIZES_MOST // 2]
             self._sizes[job.spec.job_class] = dict(kept)
--- a/oatport/control/state/machine.py
+++ b/oatport/control/state/machine.py
@@ -114,7 +114,7 @@
             return False
         if self.ready_at:
             return self.fencing_token != token and not self.tasks  # up, and about to hear of us
-        return not self.was_ready and now - self.rented_at < 2 * micros(self.type.boot_s) + 5 * SECOND
+        return not self.was_ready and now - self.rented_at < 2 * micros(self.type.boot_time_s) + 5 * SECOND
 
     def reserve(self, cpus: float, gpus: float, memory: float) -> None:
         self.free_cpus -= cpus
--- a/oatport/control/state/orphaned_attempts.py
+++ b/oatport/control/state/orphaned_attempts.py
@@ -114,14 +114,16 @@
             if not job.pending:
                 self.pending.discard(job)
 
-    def apply_late_completions(self, machine: Machine, report: wire.Report) -> None:
+    def apply_late_completions(self, machine: Machine, report: wire.Heartbeat) -> None:
         """That an attempt was done is true in a message of any age.
 
         The sessions of a machine that was back within a blink began anew: what it told after an old copy had come was
         taken for older, and answered all the same.
         """
         done = {
-            (row.task, row.attempt) for row in report.tasks if row.status == wire.EXITED and row.why == wire.WHY_DONE
+            (row.task_name, row.attempt)
+            for row in report.tasks
+            if row.status == wire.TaskStatus.EXITED and row.exit_reason == wire.ExitReason.COMPLETED
         }
         for task in [task for task in machine.tasks if (task.name, task.attempt) in done] if done else ():
             if task.phase is TaskPhase.BOUND and task.job.kind is not JobKind.SERVICE:
--- a/oatport/control/state/quota.py
+++ b/oatport/control/state/quota.py
@@ -31,7 +31,7 @@
 
     def room(self, spec: wire.Submission) -> int:
         """How many more tasks of a job the team's limit allows."""
-        count = spec.tasks
+        count = spec.task_count
         if self.limits.cpus_max > 0:
             count = min(count, int((self.limits.cpus_max - self.cpus + 1e-9) // spec.cpus))
         if self.limits.gpus_max > 0 and spec.gpus > 0:
--- a/oatport/control/state/task_lifecycle.py
+++ b/oatport/control/state/task_lifecycle.py
@@ -151,8 +151,8 @@
 
     def image_fetch_us(self, job: Job) -> int:
         """How long its image takes to get to a machine of the types that suit it."""
-        rates = [kind.fetch_gb_per_s for kind in self.preferred_types(job) if kind.fetch_gb_per_s > 0]
-        return micros(job.spec.image_gb / min(rates)) if rates else 0
+        rates = [kind.image_fetch_gb_per_s for kind in self.preferred_types(job) if kind.image_fetch_gb_per_s > 0]
+        return micros(job.spec.image_size_gb / min(rates)) if rates else 0
 
     def set_urgency(self, job: Job, rank: int, dues: list[int]) -> None:
         """What jobs that need it ask of it. Its tasks on machines count with its priority."""
@@ -246,7 +246,7 @@
         """So many more tasks of a held job may start. Not written by itself: the plan that is recorded says so."""
         if job.start_limit < 0 or job.cancelled or job.completing:
             return
-        job.start_limit = min(max(job.start_limit, job.next_untouched) + count, job.spec.tasks)
+        job.start_limit = min(max(job.start_limit, job.next_untouched) + count, job.spec.task_count)
         if job not in self.pending:
             job.unplaced_since = self.now or 1
         self.pending.add(job)
@@ -386,7 +386,11 @@
         Running tasks exit with `mates_gone` by themselves and a stopped one would do no harm.
         """
         for task in list(job.tasks.values()):
-            if task.phase is TaskPhase.BOUND and task.status in ("", wire.FETCHING, wire.WAITING):
+            if task.phase is TaskPhase.BOUND and task.status in (
+                "",
+                wire.TaskStatus.FETCHING_IMAGE,
+                wire.TaskStatus.WAITING_FOR_GANG,
+            ):
                 self.stop(task, 0.0)
 
     def begin_binding(self, job: Job, machine: Machine, now: int, attempt: int | None = None) -> Task:
@@ -455,7 +459,7 @@
             self.complete_gang(job)
         if job.cancelled:
             self._delete_if_gone(job)
-        elif len(job.completed) >= job.spec.tasks and not job.completing:
+        elif len(job.completed) >= job.spec.task_count and not job.completing:
             job.completing = True
             self.pending.discard(job)
             self.jobs_to_complete[job] = None
@@ -481,8 +485,8 @@
             self._note_completion(task)
             self.mark_dirty(task)
         job.retry_queue.clear()
-        job.completed.update(range(job.next_untouched, job.spec.tasks))
-        job.next_untouched = job.spec.tasks
+        job.completed.update(range(job.next_untouched, job.spec.task_count))
+        job.next_untouched = job.spec.task_count
         self.pending.discard(job)
 
     @staticmethod
@@ -529,4 +533,6 @@
         if job.tier in (SPOT, ""):
             return True
         spec = job.spec
-        return spec.spot and spec.checkpoint_s > 0 and spec.gpus > 0 and spec.job_class in self.start_objectives
+        return (
+            spec.spot and spec.checkpoint_interval_s > 0 and spec.gpus > 0 and spec.job_class in self.start_objectives
+        )
--- a/oatport/control/storage/overflow_records.py
+++ b/oatport/control/storage/overflow_records.py
@@ -13,7 +13,7 @@
 from oatport.control.storage.record_layout import HEAD_FRAME, MORE
 from oatport.sizes import json_size
 
-LONG_LISTS = (wire.NEEDS, wire.TYPES)
+LONG_LISTS = (wire.DEPENDENCIES_FIELD, wire.MACHINE_TYPES_FIELD)
 
 
 def lies_apart(record: Any) -> bool:
@@ -21,7 +21,7 @@
 
     It names others, or an earlier version, which knows no `more`, would read it without its lists.
     """
-    return wire.NEEDS in record["job"] or "more" in record
+    return wire.DEPENDENCIES_FIELD in record["job"] or "more" in record
 
 
 def more_key(ref: str, number: int) -> str:
--- a/oatport/control/storage/recovery.py
+++ b/oatport/control/storage/recovery.py
@@ -171,7 +171,7 @@
             cluster.complete_gang(job)
         if not job.pending:
             cluster.pending.discard(job)
-        if len(job.completed) >= job.spec.tasks and not job.cancelled:
+        if len(job.completed) >= job.spec.task_count and not job.cancelled:
             job.completing = True
             cluster.jobs_to_complete[job] = None
         assert live_key(job.job_id) in cluster.versions or waits_key(job.job_id) in cluster.versions
--- a/oatport/control/storage/write_buffer.py
+++ b/oatport/control/storage/write_buffer.py
@@ -268,9 +268,9 @@
             del self.jobs_to_complete[job]
             batch.conditions[job_key(job.job_id)] = job.version
             # Since when it is done: what needs it counts its times from then, also under another leader.
-            batch.sets[job_key(job.job_id)] = job.record(wire.LOST if job.failure_reason else wire.DONE) | {
-                "ended": self.now + self.wall_offset
-            }
+            batch.sets[job_key(job.job_id)] = job.record(
+                wire.JobStatus.FAILED if job.failure_reason else wire.JobStatus.COMPLETED
+            ) | {"ended": self.now + self.wall_offset}
             self._add_deletes(batch, keys, max_ops)
             batch.completed_jobs.append(job)
         self._add_urgent(batch, max_ops, IDLE_RANK)
@@ -321,7 +321,7 @@
                 return
             del self.jobs_to_cancel[ref]
             batch.conditions[job_key(job.job_id)] = job.version
-            batch.sets[job_key(job.job_id)] = job.record(wire.CANCELLED)
+            batch.sets[job_key(job.job_id)] = job.record(wire.JobStatus.CANCELLED)
             self._add_deletes(batch, [waits_key(job.job_id)], max_ops)
             batch.cancelled_jobs.append(job)
 
--- a/oatport/lab/night.py
+++ b/oatport/lab/night.py
@@ -119,23 +119,23 @@
     runs = np.clip(rng.normal(mean_s, 0.1 * mean_s, tasks), 0.7 * mean_s, 1.4 * mean_s)
     estimate = mean_s * float(np.exp(rng.normal(0, 0.3)))
     spec = wire.Submission(
-        ref=f"j-{number:06d}",
+        job_id=f"j-{number:06d}",
         job_class=CLASS,
         team="crew",
         kind="array",
         priority="normal",
-        tasks=tasks,
+        task_count=tasks,
         cpus=CPUS,
         gpus=0.0,
         memory_gb=4.0,
         image=f"img-{number % 5}",
-        image_gb=1.0,
-        one_zone=False,
+        image_size_gb=1.0,
+        single_zone=False,
         spread=False,
         spot=True,
-        estimate_s=round(estimate, 1),
-        checkpoint_s=0.0,
-        save_s=0.0,
+        estimated_runtime_s=round(estimate, 1),
+        checkpoint_interval_s=0.0,
+        checkpoint_duration_s=0.0,
         deadline_s=(due - at) / SECOND,
     )
-    return NightJob(spec.ref, at, spec, tuple(round(float(run) * SECOND) for run in runs))
+    return NightJob(spec.job_id, at, spec, tuple(round(float(run) * SECOND) for run in runs))
--- a/oatport/lab/windows.py
+++ b/oatport/lab/windows.py
@@ -113,10 +113,10 @@
             memory_gb=256.0,
             price=1.0,
             spot_price=0.4,
-            boot_s=30.0,
+            boot_time_s=30.0,
             zones=["z"],
-            fetch_gb_per_s=1.0,
-            cache_gb=100.0,
+            image_fetch_gb_per_s=1.0,
+            image_cache_gb=100.0,
         )
     }
     return ClusterState(1, limits, Tuning(), types, RuntimePredictor())
@@ -162,7 +162,7 @@
             cluster.on_runtime_measured(held, took)
             cluster.predictor.finished(ref, held.spec, took)
             held.completed.add(len(held.completed))
-            if len(held.completed) == held.spec.tasks:
+            if len(held.completed) == held.spec.task_count:
                 cluster.remove_job(held)
         for ref, count in opened.items():
             if ref in cluster.jobs:
@@ -180,7 +180,7 @@
 
 def _may(job: Job) -> int:
     """How many of its tasks may have started."""
-    return job.spec.tasks if job.start_limit < 0 else job.start_limit
+    return job.spec.task_count if job.start_limit < 0 else job.start_limit
 
 
 def _timed(outcome: AcceptOutcome, work: Callable[..., Any], *arguments: Any) -> None:
--- a/oatport/lab/world/breaks.py
+++ b/oatport/lab/world/breaks.py
@@ -45,9 +45,9 @@
 
     async def unfenced(self: WorkerClient, token: int, session: int, orders: Any) -> Any:
         report = await commands(self, token, session, orders)
-        if report.token > token:
-            report = await commands(self, report.token, report.session, orders)
-            return replace(report, token=token)
+        if report.fencing_token > token:
+            report = await commands(self, report.fencing_token, report.agent_epoch, orders)
+            return replace(report, fencing_token=token)
         return report
 
     def keeps(self: Node, why: str) -> None:
@@ -177,8 +177,11 @@
     on_report = ClusterState.on_heartbeat
 
     def newest(self: ClusterState, report: Any, now: int, wall: int) -> Any:
-        machine = self.machines.get(report.machine)
-        if machine is not None and (report.session, report.seq) < (machine.agent_epoch, machine.heartbeat_seq):
+        machine = self.machines.get(report.machine_name)
+        if machine is not None and (report.agent_epoch, report.heartbeat_seq) < (
+            machine.agent_epoch,
+            machine.heartbeat_seq,
+        ):
             machine.agent_epoch, machine.heartbeat_seq = 0, -1
         return on_report(self, report, now, wall)
 
--- a/oatport/lab/world/builds.py
+++ b/oatport/lab/world/builds.py
@@ -19,6 +19,8 @@
 from pathlib import Path
 from typing import Any
 
+import msgspec
+
 from oatport.clients.http import Keep, NoResponseError, RequestNotSentError
 from oatport.lab.world.loop import Host
 from oatport.lab.world.net import Net
@@ -100,6 +102,19 @@
     return tree
 
 
+def _resolve_annotations() -> None:
+    """Resolve the annotations of all message types imported now.
+
+    msgspec does so at the first use of a type, by the name of its module in `sys.modules`: by then that is this version's
+    module of the same name, or none.
+    """
+    for name, module in list(sys.modules.items()):
+        if name == PACKAGE or name.startswith(PACKAGE + "."):
+            for value in vars(module).values():
+                if isinstance(value, type) and issubclass(value, msgspec.Struct):
+                    msgspec.json.Decoder(value)
+
+
 @cache
 def production(root: Path = ROOT) -> Build:
     """Import it. Raises NoHistory."""
@@ -116,6 +131,7 @@
             times=importlib.import_module(f"{PACKAGE}.times"),
             settings=importlib.import_module(f"{PACKAGE}.settings"),
         )
+        _resolve_annotations()
     finally:
         sys.path.remove(str(tree))
         for name in [n for n in sys.modules if n == PACKAGE or n.startswith(PACKAGE + ".")]:
--- a/oatport/lab/world/cloud.py
+++ b/oatport/lab/world/cloud.py
@@ -112,12 +112,12 @@
             return 429, None
         self._level -= 1
         path, _, query = target.partition("?")
-        if path == wire.CATALOG:
+        if path == wire.CATALOG_PATH:
             return 200, self.registry.catalog()
-        if path == wire.HOSTS and method == "POST":
+        if path == wire.MACHINES_PATH and method == "POST":
             self.asked["rentals"] += 1
             return self.registry.rent(body)
-        if path == wire.RELEASE:
+        if path == wire.RELEASE_PATH:
             return self.registry.release(body)
         asked = {key: values[0] for key, values in parse_qs(query).items()}
         old = now - self.lag_s * self.rng.uniform(1.0, 2.0)
--- a/oatport/lab/world/deployment.py
+++ b/oatport/lab/world/deployment.py
@@ -49,7 +49,7 @@
         "harbors": list(ZONES),
     },
 ]
-TYPES = wire.catalog({"berthKinds": CATALOG})
+TYPES = wire.decode_catalog({"berthKinds": CATALOG})
 # class -> its share of the jobs; what one is like is drawn in `_job`
 CLASSES = {"serve": 0.12, "batch": 0.5, "train": 0.08, "guest": 0.2, "local": 0.1}
 TEAMS = {"serve": "north", "batch": "south", "train": "north", "guest": "east", "local": "east"}
--- a/oatport/lab/world/machine.py
+++ b/oatport/lab/world/machine.py
@@ -67,7 +67,7 @@
         return (worker.session, worker.reclaimed_at, tuple((key, held.status) for key, held in worker.tasks.items()))
 
     def _serve(self, method: str, target: str, body: Any) -> tuple[int, Any]:
-        if target == wire.SHOW:
+        if target == wire.WORKER_STATUS_PATH:
             return 200, self.worker.report()
         token = self.worker.token
         answer = self.worker.commands(body)
@@ -108,7 +108,7 @@
         self._told = self._signature()
         try:
             status, value = await self._net.request(
-                host, self._addresses[self._at], "POST", wire.REPORT, body, REPORT_WITHIN, ""
+                host, self._addresses[self._at], "POST", wire.HEARTBEAT_PATH, body, REPORT_WITHIN, ""
             )
         except NoResponseError:
             status, value = 0, None
--- a/oatport/lab/world/net.py
+++ b/oatport/lab/world/net.py
@@ -31,7 +31,7 @@
 LATE, LATE_MOST = 300 * MS, 12 * SECOND  # after a cut, until a connection tries again
 KNOCK = SECOND  # so is a connection attempt
 MESSAGES_KEPT = 6_000
-REPEATED = frozenset((wire.COMMIT, wire.HOSTS, wire.RELEASE, wire.SUBMISSIONS))
+REPEATED = frozenset((wire.COMMIT_PATH, wire.MACHINES_PATH, wire.RELEASE_PATH, wire.SUBMISSIONS_PATH))
 
 Serve = Callable[[str, str, Any], Any]  # method, path and body to (status, value), now or awaited
 
@@ -180,7 +180,7 @@
     ) -> tuple[int, Any]:
         if self.closed:
             raise RequestNotSentError("the run is over")
-        data = None if body is None else wire.dumps(body)
+        data = None if body is None else wire.encode(body)
         wait = Wait(self.loop.create_future())
         timer = self.loop.later(timeout_us, source, self._fail, wait, NoResponseError("timeout"))
         target = f"{path}?{query}" if query else path
@@ -190,14 +190,14 @@
             host = self._hosts[address]
             if self.repeats:
                 self._repeat(source, address, method, target, data)
-            if path == wire.REPORT and self.kept_share and self._rng.random() < self.kept_share:
+            if path == wire.HEARTBEAT_PATH and self.kept_share and self._rng.random() < self.kept_share:
                 self._kept.append((source, method, target, data))
             self._travel(source, host, lambda: self._serve(source, host, address, method, target, data, wait))
             status, raw = await wait.future
         finally:
             timer.cancel()
         self._idle.setdefault((source, address), deque()).append(self.loop.time() + KEPT / SECOND)
-        return status, wire.loads(raw) if raw else None
+        return status, wire.decode(raw) if raw else None
 
     async def _connect(self, source: Host, address: str, wait: Wait) -> None:
         idle = self._idle.get((source, address))
@@ -234,7 +234,7 @@
             self._reply(host, source, (503, None), wait)
             return
         try:
-            value = served[1](method, target, wire.loads(data) if data else None)
+            value = served[1](method, target, wire.decode(data) if data else None)
         except wire.InvalidMessageError:
             value = (400, None)
         if inspect.isawaitable(value):
@@ -252,7 +252,7 @@
         """
         path = target.split("?")[0]
         for kind, most_s, addresses in self.repeats:
-            report = path == wire.REPORT
+            report = path == wire.HEARTBEAT_PATH
             if (kind == "reports") != report or (not report and (method != "POST" or path not in REPEATED)):
                 continue
             if self._rng.random() > (0.2 if report else 0.1):
@@ -281,7 +281,7 @@
             self._serving.get(host, {}).pop(wait, None)
 
     def _reply(self, host: Host, source: Host, value: tuple[int, Any], wait: Wait) -> None:
-        raw = b"" if value[1] is None else wire.dumps(value[1])
+        raw = b"" if value[1] is None else wire.encode(value[1])
 
         def come() -> None:
             if not wait.future.done():
@@ -300,7 +300,7 @@
         self.digest = zlib.crc32(line.encode(), self.digest)
         if data:
             self.digest = zlib.crc32(data, self.digest)
-        self.messages.append(f"{line} {wire.loads(data)}" if self.tells and data else line)
+        self.messages.append(f"{line} {wire.decode(data)}" if self.tells and data else line)
 
 
 class Client:
@@ -349,7 +349,7 @@
     def held(self) -> int:
         return 0
 
-    def server(self, address: str, handler: Handler, body_limit: int = wire.BODY_LIMIT) -> _Listener:
+    def server(self, address: str, handler: Handler, body_limit: int = wire.MAX_BODY_BYTES) -> _Listener:
         return _Listener(self._net, self._host, address, handler, body_limit)
 
     async def close(self) -> None:
--- a/oatport/lab/world/state.py
+++ b/oatport/lab/world/state.py
@@ -180,10 +180,10 @@
             self.asked["429"] += 1
             return 429, None
         path, _, query = target.partition("?")
-        if path == wire.COMMIT and self._rng.random() < self.late_share:
+        if path == wire.COMMIT_PATH and self._rng.random() < self.late_share:
             self._host.loop.later(round(self._rng.uniform(*LATE_S) * SECOND), self._host, self._carry_out, body)
             await asyncio.Event().wait()
-        if path == wire.COMMIT:
+        if path == wire.COMMIT_PATH:
             count = len(body.get("then") or [])
             self.asked["changes"] += count
             if not self._spend("changes", count):
@@ -193,16 +193,16 @@
             if self._rng.random() < self.unanswered_share:
                 await asyncio.Event().wait()
             return answer
-        if path == wire.HOLDS:
+        if path == wire.LEASES_PATH:
             return self.store.hold(body["lifeMs"])
-        if path.startswith(wire.HOLDS):
+        if path.startswith(wire.LEASES_PATH):
             return self.store.touch(int(path.split("/")[2]))
         asked = {key: values[0] for key, values in parse_qs(query).items()}
-        if path == wire.CHANGES:
+        if path == wire.WATCH_PATH:
             return await self._watch(asked["under"], int(asked["from"]), int(asked.get("waitMs", 0)))
-        if path == wire.STORE:
+        if path == wire.STORE_PATH:
             return self.store.list(asked["under"], asked.get("from", ""), min(int(asked.get("page", 1000)), 1000))
-        return self.store.get(path[len(wire.STORE) + 1 :])
+        return self.store.get(path[len(wire.STORE_PATH) + 1 :])
 
     def _carry_out(self, body: Any) -> None:
         if not self.down:
--- a/oatport/lab/world/users.py
+++ b/oatport/lab/world/users.py
@@ -47,7 +47,9 @@
         while True:
             await asyncio.sleep(PROBE_EVERY)
             try:
-                status, _ = await self._net.request(self._host, seen.address, "GET", wire.READY, None, PROBE_WITHIN, "")
+                status, _ = await self._net.request(
+                    self._host, seen.address, "GET", wire.READY_PATH, None, PROBE_WITHIN, ""
+                )
             except NoResponseError:
                 status = 0
             self._judge(seen, status == 200)
@@ -143,7 +145,7 @@
             await asyncio.sleep(0.2)
         if ask.needs:
             ask.at = loop.time()
-        if not await self._until("submit", "POST", wire.SUBMISSIONS, ask.body, (200, 201), (400, 422)):
+        if not await self._until("submit", "POST", wire.SUBMISSIONS_PATH, ask.body, (200, 201), (400, 422)):
             ask.gave_up = ask.accepted_at is None
             return
         ask.accepted_at = loop.time()
@@ -154,17 +156,17 @@
             is_due = ask.cancel_at is not None and loop.time() >= ask.cancel_at and ask.cancelled_at is None
             if is_due and await self.cancel():
                 await asyncio.sleep(self._rng.uniform(1, 20))
-                await self._once("poll", "GET", f"{wire.SUBMISSIONS}/{ask.ref}", None, POLL_WITHIN)
+                await self._once("poll", "GET", f"{wire.SUBMISSIONS_PATH}/{ask.ref}", None, POLL_WITHIN)
                 return
-            await self._once("poll", "GET", f"{wire.SUBMISSIONS}/{ask.ref}", None, POLL_WITHIN)
+            await self._once("poll", "GET", f"{wire.SUBMISSIONS_PATH}/{ask.ref}", None, POLL_WITHIN)
             if ask.done_at is not None:
                 await asyncio.sleep(self._rng.uniform(1, 40))
-                await self._once("poll", "GET", f"{wire.SUBMISSIONS}/{ask.ref}", None, POLL_WITHIN)
+                await self._once("poll", "GET", f"{wire.SUBMISSIONS_PATH}/{ask.ref}", None, POLL_WITHIN)
                 return
 
     async def cancel(self) -> bool:
         """Ask until it is answered."""
-        path = f"{wire.SUBMISSIONS}/{self.ask.ref}/cancel"
+        path = f"{wire.SUBMISSIONS_PATH}/{self.ask.ref}/cancel"
         return await self._until("cancel", "POST", path, None, (200,), ())
 
     async def look(self, addresses: list[str], cancels: bool) -> None:
@@ -175,7 +177,9 @@
                 return
         for address in self._rng.sample(addresses, len(addresses)) * 2:
             repeats = self._rng.random() < 0.3 and self.ask.cancelled_at is None
-            method, path = ("POST", wire.SUBMISSIONS) if repeats else ("GET", f"{wire.SUBMISSIONS}/{self.ask.ref}")
+            method, path = (
+                ("POST", wire.SUBMISSIONS_PATH) if repeats else ("GET", f"{wire.SUBMISSIONS_PATH}/{self.ask.ref}")
+            )
             async with self._one:
                 try:
                     status, value = await self._balancer.ask_at(
@@ -190,12 +194,12 @@
 
     async def repeat(self) -> None:
         """The submission once more, whatever has become of the job."""
-        await self._once("submit", "POST", wire.SUBMISSIONS, self.ask.body, SUBMIT_WITHIN)
+        await self._once("submit", "POST", wire.SUBMISSIONS_PATH, self.ask.body, SUBMIT_WITHIN)
 
     async def submit_other(self, body: dict[str, Any]) -> int:
         """Another job, once; the status, 0 if there is no answer."""
         try:
-            return (await self._balancer.ask(self._host, "POST", wire.SUBMISSIONS, body, SUBMIT_WITHIN))[0]
+            return (await self._balancer.ask(self._host, "POST", wire.SUBMISSIONS_PATH, body, SUBMIT_WITHIN))[0]
         except NoResponseError:
             return 0
 
--- a/oatport/lab/world/worker.py
+++ b/oatport/lab/world/worker.py
@@ -361,7 +361,7 @@
         image = str(job["hull"])
         ready = now
         if self.kind is not None and image not in self.images:
-            fetch = micros(float(job["sizeGb"]) / max(self.kind.fetch_gb_per_s, 0.01))
+            fetch = micros(float(job["sizeGb"]) / max(self.kind.image_fetch_gb_per_s, 0.01))
             ready = self.fetching.setdefault(image, now + fetch * (1 + len(self.fetching)))
         held = self.tasks[key] = Held("pulling", cores=float(job["cores"]), job=job, image_at=ready)
         if job["rig"] == "gang" and self.gangs is not None:
--- a/oatport/lab/world/world.py
+++ b/oatport/lab/world/world.py
@@ -132,7 +132,7 @@
 
     def _rented(self, row: dict[str, Any]) -> None:
         self.cloud.born[row["ref"]] = self.loop.time()
-        startup = deployment.TYPES[row["berthKind"]].boot_s
+        startup = deployment.TYPES[row["berthKind"]].boot_time_s
         delay = boot_us(self._rng, startup) if self.loop.time() > 1_001 else 0
         if self.quick_boots and delay:
             delay = round(self._rng.uniform(0.2, 2.0) * SECOND)
--- a/oatport/queues/core.py
+++ b/oatport/queues/core.py
@@ -52,7 +52,7 @@
         return 503, None
 
     async def submit(self, job: dict[str, Any]) -> AcceptOutcome:
-        status, value = await self._ask(wire.SUBMISSIONS, job)
+        status, value = await self._ask(wire.SUBMISSIONS_PATH, job)
         if status in (200, 201):
             return AcceptOutcome(ACCEPTED)
         if status in (400, 422):
@@ -61,7 +61,7 @@
         return AcceptOutcome(LATER)
 
     async def cancel(self, ref: str) -> AcceptOutcome:
-        status, _ = await self._ask(f"{wire.SUBMISSIONS}/{ref}/cancel", None)
+        status, _ = await self._ask(f"{wire.SUBMISSIONS_PATH}/{ref}/cancel", None)
         if status == 200:
             return AcceptOutcome(GONE)
         return AcceptOutcome(UNKNOWN if status == 404 else LATER)
--- a/oatport/queues/rows.py
+++ b/oatport/queues/rows.py
@@ -97,11 +97,11 @@
 def answer_from(record: Any, row: Row, now: int) -> tuple[str, str] | None:
     """The answer that a job's record means for its sender; None while it is not over."""
     state = record.get("state") if isinstance(record, dict) else None
-    if state == wire.DONE:
+    if state == wire.JobStatus.COMPLETED:
         return DONE, ""
-    if state == wire.LOST:
+    if state == wire.JobStatus.FAILED:
         return LOST, str(record.get("cause") or "")
-    if state == wire.CANCELLED:
+    if state == wire.JobStatus.CANCELLED:
         # It is cancelled for its sender, or because its time was over: whoever came first.
         if row.expires_at and now >= row.expires_at:
             return EXPIRED, "not done by its expiry"
--- a/oatport/queues/templates.py
+++ b/oatport/queues/templates.py
@@ -15,8 +15,20 @@
 from oatport.errors import OatportError
 
 BODY_MOST = 32 * 1024
-# Fields of a submission as INI keys, by the field's own terms.
-NAMES = {field.name: field.encode_name for field in msgspec.structs.fields(wire.Submission)}
+# INI keys of the fields of a submission that have another name in the code. Operators' files have them: they stay.
+INI_KEYS = {
+    "job_id": "ref",
+    "task_count": "tasks",
+    "image_size_gb": "image_gb",
+    "machine_types": "types",
+    "single_zone": "one_zone",
+    "estimated_runtime_s": "estimate_s",
+    "checkpoint_interval_s": "checkpoint_s",
+    "checkpoint_duration_s": "save_s",
+    "dependencies": "needs",
+}
+# INI key -> name of the field on the wire.
+NAMES = {INI_KEYS.get(field.name, field.name): field.encode_name for field in msgspec.structs.fields(wire.Submission)}
 DEFAULTS: dict[str, Any] = {
     "kind": "array",
     "priority": "normal",
@@ -92,7 +104,7 @@
         values.update({name: message[name] for name in self.opens if name in message})
         job = {NAMES[name]: value for name, value in values.items()} | {"ref": ref}
         try:
-            wire.submission(job)
+            wire.decode_submission(job)
         except (wire.InvalidMessageError, ValueError, TypeError) as error:
             raise InvalidMessageError(str(error).splitlines()[0][:200]) from None
         return job
--- a/oatport/service/catalog.py
+++ b/oatport/service/catalog.py
@@ -21,12 +21,12 @@
     found = await state.get(CATALOG_KEY)
     if found is None:
         return None
-    types = wire.catalog(found[0])
+    types = wire.decode_catalog(found[0])
     for number in range(1, int(found[0].get("parts", 1))):
         part = await state.get(f"{CATALOG_KEY}/{number}")
         if part is None:
             raise NoResponseError("a part of the catalog is missing")  # it was written before the first value
-        types |= wire.catalog(part[0])
+        types |= wire.decode_catalog(part[0])
     return types, found[1]
 
 
--- a/oatport/service/cloud_controller.py
+++ b/oatport/service/cloud_controller.py
@@ -182,17 +182,24 @@
                 continue
             now, wall = steady(), time_of_day()
             cluster = self.cluster
-            listed = {row.machine for row in rows}
+            listed = {row.machine_name for row in rows}
             failed = []
             for row in rows:
-                if row.status == wire.FAILED:
-                    machine = cluster.machines.get(row.machine)
+                if row.status == wire.MachineStatus.FAILED:
+                    machine = cluster.machines.get(row.machine_name)
                     if machine is not None:
                         cluster.on_machine_removed(machine, now, "failed")
-                    failed.append(row.machine)
+                    failed.append(row.machine_name)
                     continue
                 machine = cluster.add_machine(
-                    row.machine, row.type, row.zone, row.spot, row.address, now, wall, round(row.age_s * SECOND)
+                    row.machine_name,
+                    row.machine_type,
+                    row.zone,
+                    row.spot,
+                    row.address,
+                    now,
+                    wall,
+                    round(row.age_s * SECOND),
                 )
                 if machine is not None:
                     machine.listed_by_cloud = True
--- a/oatport/service/dependency_controller.py
+++ b/oatport/service/dependency_controller.py
@@ -53,11 +53,11 @@
 
     def _take(self, ref: str, state: str, ended: int) -> None:
         """Its record says so: an end holds for good, anything else may have changed since."""
-        if state == wire.DONE:
+        if state == wire.JobStatus.COMPLETED:
             self.cluster.on_completion_recorded(ref, ended)
-        elif state == wire.CANCELLED:
+        elif state == wire.JobStatus.CANCELLED:
             self.cluster.cancel_dependents(ref)
-        elif state == wire.LOST or ref in self.cluster.jobs:
+        elif state == wire.JobStatus.FAILED or ref in self.cluster.jobs:
             self.cluster.dependency_graph.seen(ref)
 
     async def formats_loop(self) -> None:
--- a/oatport/service/failover.py
+++ b/oatport/service/failover.py
@@ -70,7 +70,7 @@
             report = await client.show()
             helm.cluster.on_contact(machine)
             helm.receive_heartbeat(report, steady())
-            if report.token < helm.token:
-                helm.receive_heartbeat(await client.commands(helm.token, report.session, []), steady())
+            if report.fencing_token < helm.token:
+                helm.receive_heartbeat(await client.commands(helm.token, report.agent_epoch, []), steady())
         except NoResponseError:
             await asyncio.sleep(jitter(SECOND))
--- a/oatport/service/group_commit.py
+++ b/oatport/service/group_commit.py
@@ -172,17 +172,17 @@
         found = await self._sure(job_key(ref))
         job = self.cluster.jobs.get(ref)
         state = None if found is None else found[0].get("state")
-        if found is not None and state == wire.CANCELLED:
+        if found is not None and state == wire.JobStatus.CANCELLED:
             self.cluster.cancel_job(ref, found[1], self._helm.lease_renewal_limit.known_at)
             return found[1]
-        if found is not None and state in wire.OVER and job is not None:
+        if found is not None and state in wire.TERMINAL_STATUSES and job is not None:
             self.cluster.remove_job(job)
             self.cluster.terminal_revisions[ref] = found[1]
-            if state == wire.DONE:
+            if state == wire.JobStatus.COMPLETED:
                 self.cluster.on_completion_recorded(ref, int(found[0].get("ended", 0)))
         return 0
 
 
 def _same(found: Any, written: Any) -> bool:
     """A value as it was written, and as it came back."""
-    return bool(found == written) or wire.dumps(found) == wire.dumps(written)
+    return bool(found == written) or wire.encode(found) == wire.encode(written)
--- a/oatport/service/leader.py
+++ b/oatport/service/leader.py
@@ -257,7 +257,7 @@
             last = {item["set"]: item for item in news if "set" in item}
             try:
                 for item in last.values():
-                    if "more" in item["value"] and item["value"]["state"] not in wire.OVER:
+                    if "more" in item["value"] and item["value"]["state"] not in wire.TERMINAL_STATUSES:
                         item["value"] = await read_whole(self.state, item["value"])
             except (NoResponseError, RequestRefusedError):
                 await asyncio.sleep(jitter(300 * MS))
@@ -265,11 +265,11 @@
             # Of each job only the last: one that came and ended meanwhile is not taken up again.
             for key, item in last.items():
                 ref, state = key[len(JOBS) :], str(item["value"]["state"])
-                if state == wire.CANCELLED:
+                if state == wire.JobStatus.CANCELLED:
                     self.cluster.cancel_job(ref, int(item["entryRev"]), self.lease_renewal_limit.known_at)
-                elif state == wire.DONE:
+                elif state == wire.JobStatus.COMPLETED:
                     self.cluster.on_completion_recorded(ref, int(item["value"].get("ended", 0)))
-                elif state not in wire.OVER and not self._knows_job(ref):
+                elif state not in wire.TERMINAL_STATUSES and not self._knows_job(ref):
                     self._admit(ref, item["value"], int(item["entryRev"]))
             self._watch_from = max(self._watch_from, revision)
             for ref in [ref for ref, at in self.cluster.terminal_revisions.items() if at <= self._watch_from]:
@@ -301,18 +301,21 @@
         )
         return steady() - done if done > 0 else -1
 
-    def answer_heartbeat(self, report: wire.Report) -> dict[str, Any] | None:
+    def answer_heartbeat(self, report: wire.Heartbeat) -> dict[str, Any] | None:
         if not self.may_answer_heartbeats():
             return None
-        if report.token > self.token:
-            self.step_down(f"a worker has seen token {report.token}")
+        if report.fencing_token > self.token:
+            self.step_down(f"a worker has seen token {report.fencing_token}")
             return None
         now = self.now()
-        known = self.cluster.machines.get(report.machine)
-        late = known is not None and (report.session, report.seq) <= (known.agent_epoch, known.heartbeat_seq)
+        known = self.cluster.machines.get(report.machine_name)
+        late = known is not None and (report.agent_epoch, report.heartbeat_seq) <= (
+            known.agent_epoch,
+            known.heartbeat_seq,
+        )
         machine = self.receive_heartbeat(report, now)
         if machine is None:
-            return wire.report_answer(self.token, [])
+            return wire.heartbeat_response(self.token, [])
         self.cluster.on_heartbeat_delivered(machine, report)
         if machine.command_unreachable:
             self.cloud_controller.watcher.ask([machine], now)
@@ -326,14 +329,14 @@
             # Tasks live on, but nothing starts while the state service can't be reached, or after standing still. What
             # is to be returned is still told to stop: without the cloud's answer it may go on for long, and with
             # every answer lives the lease of a task whose job's user was told that it is cancelled.
-            orders = [order for order in orders if order["orderKind"] != "start"]
+            orders = [order for order in orders if not isinstance(order, wire.StartCommand)]
             starts = []
         self.cluster.on_commands_sent(machine, starts, now, direct=False)
         if machine not in self._sending:
             self.cluster.machines_to_command.discard(machine)
-        return wire.report_answer(self.token, orders)
+        return wire.heartbeat_response(self.token, orders)
 
-    def receive_heartbeat(self, report: wire.Report, now: int) -> Machine | None:
+    def receive_heartbeat(self, report: wire.Heartbeat, now: int) -> Machine | None:
         machine = self.cluster.on_heartbeat(report, now, time_of_day())
         if self.cluster.quotas.unknown:
             self._read_orphaned_jobs()
@@ -411,8 +414,8 @@
             except NoResponseError as error:
                 log.debug("commands to %s: %s", machine.name, error)
                 return
-            if report.token > self.token:
-                self.step_down(f"a worker has seen token {report.token}")
+            if report.fencing_token > self.token:
+                self.step_down(f"a worker has seen token {report.fencing_token}")
                 return
             cluster.on_commands_answered(machine, keys)
             cluster.on_contact(machine)
@@ -460,7 +463,7 @@
 
     async def _read_orphaned_job(self, ref: str) -> None:
         try:
-            found = await self.state.get(job_key(ref)) if wire.valid_ref(ref) else None
+            found = await self.state.get(job_key(ref)) if wire.is_job_id(ref) else None
         except (NoResponseError, RequestRefusedError):
             return  # asked again with the next tick
         finally:
@@ -498,7 +501,9 @@
 
     @staticmethod
     def _count(job: Job) -> tuple[int, int]:
-        running = sum(1 for t in job.tasks.values() if t.status in (wire.RUNNING, wire.SAVING))
+        running = sum(
+            1 for t in job.tasks.values() if t.status in (wire.TaskStatus.RUNNING, wire.TaskStatus.CHECKPOINTING)
+        )
         return len(job.completed), running
 
 
--- a/oatport/service/lease_proxy_service.py
+++ b/oatport/service/lease_proxy_service.py
@@ -35,10 +35,10 @@
         self.steward = LeaseProxy.of(settings)
         self._keepers: dict[str, int] = {}  # node -> when it said that it answers workers (steady)
 
-    def take_report(self, report: wire.Report) -> bool:
+    def take_report(self, report: wire.Heartbeat) -> bool:
         """May this report be answered in the leader's name?"""
         state = self._here.state
-        return self.steward.answers(report.token, steady(), state.ok_at, state.failed_at)
+        return self.steward.answers(report.fencing_token, steady(), state.ok_at, state.failed_at)
 
     def named(self, leader: str | None) -> str | None:
         """Where to send a worker that can't be answered here: to a node that keeps its lease, if the leader can't.
--- a/oatport/service/network.py
+++ b/oatport/service/network.py
@@ -42,7 +42,7 @@
     def held(self) -> int:
         """Connections that users, workers and other nodes hold."""
 
-    def server(self, address: str, handler: Handler, body_limit: int = wire.BODY_LIMIT) -> Listener: ...
+    def server(self, address: str, handler: Handler, body_limit: int = wire.MAX_BODY_BYTES) -> Listener: ...
     async def close(self) -> None: ...
 
 
@@ -97,7 +97,7 @@
             self._held, self._counted_at = sum(server.held for server in self._servers), now
         return self._held
 
-    def server(self, address: str, handler: Handler, body_limit: int = wire.BODY_LIMIT) -> Listener:
+    def server(self, address: str, handler: Handler, body_limit: int = wire.MAX_BODY_BYTES) -> Listener:
         server = Server(address, handler, body_limit=body_limit)
         self._servers.append(server)
         return server
--- a/oatport/service/node.py
+++ b/oatport/service/node.py
@@ -139,10 +139,10 @@
             await net.close()
 
     async def _handle(self, method: str, path: str, body: BodyReader) -> Answer:
-        if path == wire.REPORT:
+        if path == wire.HEARTBEAT_PATH:
             return await handle_report(self, method, body)
         held = self._net.held()
-        if self._sockets.full(held) and path != wire.READY:
+        if self._sockets.full(held) and path != wire.READY_PATH:
             return Answer(503, {"error": "no connections left"}, {"Retry-After": "2", "Connection": "close"})
         answer = await self.users.handle(method, path, body)
         if self._sockets.closes(held):
@@ -151,12 +151,12 @@
 
     # --- reports ----------------------------------------------------------------------------
 
-    def answer_heartbeat(self, report: wire.Report) -> dict[str, Any] | None:
+    def answer_heartbeat(self, report: wire.Heartbeat) -> dict[str, Any] | None:
         if self.leader is not None:
             return self.leader.answer_heartbeat(report)
         if not self.lease_proxy.take_report(report):
             return None
-        return wire.report_answer(report.token, [])  # it lives on; nothing starts, stops or is forgotten
+        return wire.heartbeat_response(report.fencing_token, [])  # it lives on; nothing starts, stops or is forgotten
 
     def leader_name(self) -> str | None:
         return self.lease_proxy.named(self._leader_name)
--- a/oatport/windows/client.py
+++ b/oatport/windows/client.py
@@ -70,7 +70,7 @@
         async with asyncio.timeout(self._timeout_s):
             async with self._session.get(
                 self._url,
-                headers={"Accept": f"{wire.CBOR_TYPE}, {JSON_TYPE}"},
+                headers={"Accept": f"{wire.CBOR_CONTENT_TYPE}, {JSON_TYPE}"},
                 allow_redirects=False,
             ) as response:
                 if response.status != 200:
--- a/oatport/windows/feed.py
+++ b/oatport/windows/feed.py
@@ -44,7 +44,7 @@
         raise InvalidPriceSeriesError(f"{len(body)} bytes, at most {BODY_MOST}")
     try:
         # The standard library's parser takes NaN, which is to be told apart from a broken body.
-        raw: Any = json.loads(body) if content_type.startswith(JSON_TYPE) else wire.loads(body)
+        raw: Any = json.loads(body) if content_type.startswith(JSON_TYPE) else wire.decode(body)
         series = msgspec.convert(raw, Series, strict=True)
     except (ValueError, RecursionError, wire.InvalidMessageError, msgspec.ValidationError) as error:
         raise InvalidPriceSeriesError(f"not a series: {str(error).splitlines()[0][:120]}") from None
--- a/oatport/windows/holding.py
+++ b/oatport/windows/holding.py
@@ -109,7 +109,7 @@
         spec = job.spec
         run = self.cluster.predictor.run_time(job.job_id, spec)
         whole = job.kind is JobKind.GANG
-        cpus = spec.cpus * (spec.tasks if whole else 1)
+        cpus = spec.cpus * (spec.task_count if whole else 1)
         # So many of its tasks run at a time, in so many rounds.
         rounds = -(-tasks * spec.cpus // self.settings.capacity_cpus)
         deadline = job.deadline
@@ -129,8 +129,10 @@
     def _reserve(self, job: Job) -> int:
         """Time for what the plan knows nothing of: a machine to boot, once more if it never comes up, an image."""
         kinds = self.cluster.preferred_types(job)
-        boot = max((micros(kind.boot_s) for kind in kinds), default=0)
-        fetch = max((micros(job.spec.image_gb / max(kind.fetch_gb_per_s, 0.01)) for kind in kinds), default=0)
+        boot = max((micros(kind.boot_time_s) for kind in kinds), default=0)
+        fetch = max(
+            (micros(job.spec.image_size_gb / max(kind.image_fetch_gb_per_s, 0.01)) for kind in kinds), default=0
+        )
         return micros(self.settings.reserve_s) + 2 * boot + 2 * fetch
 
     @staticmethod
@@ -140,7 +142,7 @@
 
     def _plan(self, job: Job, deferral: Deferral, wall: int) -> None:
         self.planner.at(wall)
-        need = self._need(job, deferral, job.spec.tasks)
+        need = self._need(job, deferral, job.spec.task_count)
         self.arrivals.came(wall, need.run * need.cpus * need.tasks)
         plan = self.planner.add(need)
         if self._starts_now(plan):
@@ -166,7 +168,7 @@
 
     @staticmethod
     def _tasks(job: Job, count: int) -> int:
-        return job.spec.tasks if job.kind is JobKind.GANG else count
+        return job.spec.task_count if job.kind is JobKind.GANG else count
 
     def _restore(self, job: Job, deferral: Deferral, wall: int) -> None:
         """As an earlier leader recorded it."""
@@ -190,7 +192,7 @@
     def _open_all(self, job: Job) -> None:
         self.planner.remove(job.job_id)
         if job.start_limit >= 0:
-            self.cluster.release_deferred(job, job.spec.tasks)
+            self.cluster.release_deferred(job, job.spec.task_count)
         if job.deferral is not None:
             job.deferral.plan = []
 
@@ -244,7 +246,7 @@
                 job.deferral.plan = [row for row in job.deferral.plan if row[0] > wall]
             self.cluster.release_deferred(job, tasks)
             if ref not in planner.plans:
-                self.cluster.release_deferred(job, job.spec.tasks)  # whatever rounding left
+                self.cluster.release_deferred(job, job.spec.task_count)  # whatever rounding left
             let_go += tasks
         if len(self._predicted) > 2 * len(self.cluster.jobs) + FORGET_OVER:
             self._predicted = {ref: run for ref, run in self._predicted.items() if ref in self.cluster.jobs}
@@ -288,7 +290,13 @@
         """Stop running work that saves, where the settings allow it and much cheaper hours come in time."""
         for job in list(self.cluster.jobs.values()):
             deferral = self._deferral(job)
-            if deferral is None or not deferral.pause or job.spec.checkpoint_s <= 0 or job.cancelled or job.completing:
+            if (
+                deferral is None
+                or not deferral.pause
+                or job.spec.checkpoint_interval_s <= 0
+                or job.cancelled
+                or job.completing
+            ):
                 continue
             running = [
                 t for t in job.tasks.values() if t.phase is TaskPhase.BOUND and t.running_since and not t.stop_grace_s
@@ -297,13 +305,13 @@
             if not running or job.deferred or hold.pause_count >= PAUSES_MOST:
                 continue
             need = self._need(job, deferral, len(running))
-            save = micros(job.spec.save_s) + 10 * SECOND
+            save = micros(job.spec.checkpoint_duration_s) + 10 * SECOND
             plan = self.planner.quote(replace(need, latest=need.latest - save))
             if self._starts_now(plan) or plan.crowded or plan.saving < PAUSE_SAVES:
                 continue
             until = min(plan.starts) * self.planner.step
             for task in running:
-                self.cluster.stop(task, job.spec.grace_s)
+                self.cluster.stop(task, job.spec.stop_grace_s)
             job.retry_at = self.cluster.now + until - wall
             self.cluster.defer(
                 job, -1, DeferredStart([], "paused for a cheaper hour", hold.write_count, until, hold.pause_count + 1)
--- /dev/null
+++ b/oatport/wire/cloud.py
@@ -0,0 +1,84 @@
+"""The cloud's interface: machine types, rentals, and the list of machines."""
+
+from __future__ import annotations
+
+from enum import StrEnum
+from typing import Any
+
+import msgspec
+
+from oatport.wire.codec import InvalidMessageError
+
+
+class MachineType(msgspec.Struct, frozen=True):
+    """One machine type of GET /catalog; prices are per hour."""
+
+    name: str = msgspec.field(name="label")
+    cpus: float = msgspec.field(name="cores")
+    gpus: float = msgspec.field(name="accelerators")
+    memory_gb: float = msgspec.field(name="memoryGb")
+    price: float
+    spot_price: float = msgspec.field(name="marketPrice")
+    boot_time_s: float = msgspec.field(name="startupS")
+    zones: list[str] = msgspec.field(name="harbors")
+    image_cache_gb: float = msgspec.field(name="cacheGb", default=0.0)
+    image_fetch_gb_per_s: float = msgspec.field(name="fetchGbPerS", default=1.0)
+
+
+def decode_catalog(value: Any) -> dict[str, MachineType]:
+    """The machine types by name, from a decoded GET /catalog. Raises InvalidMessageError."""
+    try:
+        types = msgspec.convert(value["berthKinds"], list[MachineType], strict=False)
+    except (msgspec.ValidationError, KeyError, TypeError) as error:
+        raise InvalidMessageError(f"catalog: {error}") from error
+    return {machine_type.name: machine_type for machine_type in types}
+
+
+class MachineStatus(StrEnum):
+    """What the cloud says of a machine, as far as oatport looks at it."""
+
+    BOOTING = "booting"
+    FAILED = "failed"
+
+
+class ListedMachine(msgspec.Struct, frozen=True):
+    """One machine of GET /hosts."""
+
+    machine_name: str = msgspec.field(name="ref")
+    address: str
+    machine_type: str = msgspec.field(name="berthKind")
+    zone: str = msgspec.field(name="harbor")
+    spot: bool = msgspec.field(name="driftwood")
+    status: str
+    age_s: float = msgspec.field(name="ageS", default=0.0)
+
+
+class MachinePage(msgspec.Struct, frozen=True):
+    """One answer of GET /hosts."""
+
+    machines: list[ListedMachine]
+    has_next: bool
+
+
+def decode_machine_page(value: Any) -> MachinePage:
+    """A page of the machine list, from a decoded GET /hosts. Raises InvalidMessageError."""
+    try:
+        machines = msgspec.convert(value["berths"], list[ListedMachine], strict=False)
+        return MachinePage(machines, bool(value.get("hasNext")))
+    except (msgspec.ValidationError, KeyError, TypeError, AttributeError) as error:
+        raise InvalidMessageError(f"machine list: {error}") from error
+
+
+def rental_request(request_id: str, machine_type: str, zone: str, spot: bool, count: int) -> dict[str, Any]:
+    """The body of POST /hosts; `request_id` is never reused."""
+    return {"charter": request_id, "berthKind": machine_type, "harbor": zone, "driftwood": spot, "howMany": count}
+
+
+def rented_machines(value: Any) -> list[str]:
+    """The names of the machines that a rental got, from a decoded answer of POST /hosts."""
+    return [str(name) for name in value["berths"]]
+
+
+def release_request(machine_names: list[str]) -> dict[str, Any]:
+    """The body of POST /hosts/release."""
+    return {"berths": machine_names}
--- a/standins/feed.py
+++ b/standins/feed.py
@@ -47,8 +47,8 @@
         if self.mode == "refuse":
             return web.Response(status=503)
         value: Any = encode(self.intervals, self.zone, self.made_at)
-        body = json.dumps(value).encode() if self.as_json else wire.dumps(value)
-        content_type = "application/json" if self.as_json else wire.CBOR_TYPE
+        body = json.dumps(value).encode() if self.as_json else wire.encode(value)
+        content_type = "application/json" if self.as_json else wire.CBOR_CONTENT_TYPE
         if self.mode == "huge":
             body += b" " * 1_000_000
         if self.mode == "broken":
--- a/standins/serve.py
+++ b/standins/serve.py
@@ -43,7 +43,9 @@
 
 
 def _answer(status: int, value: Any) -> web.Response:
-    return web.Response(status=status, body=b"" if value is None else wire.dumps(value), content_type=wire.CBOR_TYPE)
+    return web.Response(
+        status=status, body=b"" if value is None else wire.encode(value), content_type=wire.CBOR_CONTENT_TYPE
+    )
 
 
 async def _listen(address: str, handler: Any) -> web.ServerRunner:
@@ -87,19 +89,19 @@
     async def _on_state(self, request: web.BaseRequest) -> web.Response:
         path, query = request.rel_url.path, request.rel_url.query
         raw = await request.read()
-        body = wire.loads(raw) if raw else {}
-        if path == wire.STORE:
+        body = wire.decode(raw) if raw else {}
+        if path == wire.STORE_PATH:
             page = int(query.get("page", "1000"))
             return _answer(*self.state.list(query.get("under", ""), query.get("from", ""), page))
-        if path.startswith(wire.STORE + "/"):
-            return _answer(*self.state.get(path[len(wire.STORE) + 1 :]))
-        if path == wire.COMMIT:
+        if path.startswith(wire.STORE_PATH + "/"):
+            return _answer(*self.state.get(path[len(wire.STORE_PATH) + 1 :]))
+        if path == wire.COMMIT_PATH:
             return _answer(*self.state.commit(body))
-        if path == wire.HOLDS:
+        if path == wire.LEASES_PATH:
             return _answer(*self.state.hold(int(body["lifeMs"])))
-        if path.startswith(wire.HOLDS):
+        if path.startswith(wire.LEASES_PATH):
             return _answer(*self.state.touch(int(path.split("/")[2])))
-        if path == wire.CHANGES:
+        if path == wire.WATCH_PATH:
             until = clock() + int(query.get("waitMs", "0")) * 1000
             while True:
                 status, value = self.state.changes(query.get("under", ""), int(query["from"]))
@@ -113,14 +115,14 @@
     async def _on_cloud(self, request: web.BaseRequest) -> web.Response:
         path = request.rel_url.path
         raw = await request.read()
-        body = wire.loads(raw) if raw else {}
-        if path == wire.CATALOG:
+        body = wire.decode(raw) if raw else {}
+        if path == wire.CATALOG_PATH:
             return _answer(200, self.cloud.catalog())
-        if path == wire.RELEASE:
+        if path == wire.RELEASE_PATH:
             return _answer(*self.cloud.release(body))
-        if path == wire.HOSTS and request.method == "POST":
+        if path == wire.MACHINES_PATH and request.method == "POST":
             return _answer(*self.cloud.rent(body))
-        if path == wire.HOSTS:
+        if path == wire.MACHINES_PATH:
             return _answer(*self.cloud.list())
         return _answer(404, None)
 
@@ -146,9 +148,9 @@
 
         async def handle(request: web.BaseRequest) -> web.Response:
             raw = await request.read()
-            if request.rel_url.path == wire.SHOW:
+            if request.rel_url.path == wire.WORKER_STATUS_PATH:
                 return _answer(200, worker.report())
-            return _answer(*worker.commands(wire.loads(raw)))
+            return _answer(*worker.commands(wire.decode(raw)))
 
         runner = web.ServerRunner(web.Server(handle, access_log=None))
         await runner.setup()
@@ -175,7 +177,7 @@
             sent, session = clock(), worker.session
             try:
                 status, value = await HttpClient(self._session, self.nodes[at]).request(
-                    "POST", wire.REPORT, worker.report(), timeout_us=4_000_000
+                    "POST", wire.HEARTBEAT_PATH, worker.report(), timeout_us=4_000_000
                 )
             except NoResponseError:
                 status, value = 0, None
--- a/standins/smoke.py
+++ b/standins/smoke.py
@@ -131,13 +131,13 @@
         return await clients[index].request(method, path, body, timeout_us=5_000_000)
 
     async def ready() -> bool:
-        return all([(await ask(i, "GET", wire.READY))[0] == 200 for i in range(3)])
+        return all([(await ask(i, "GET", wire.READY_PATH))[0] == 200 for i in range(3)])
 
     async def accepted(ref: str, rig: str, legs: int, voyage: float, index: int) -> bool:
-        return (await ask(index, "POST", wire.SUBMISSIONS, job(ref, rig, legs, voyage)))[0] in (200, 201)
+        return (await ask(index, "POST", wire.SUBMISSIONS_PATH, job(ref, rig, legs, voyage)))[0] in (200, 201)
 
     async def status(ref: str, wanted: str, index: int) -> bool:
-        return bool((await ask(index, "GET", f"{wire.SUBMISSIONS}/{ref}"))[1].get("status") == wanted)
+        return bool((await ask(index, "GET", f"{wire.SUBMISSIONS_PATH}/{ref}"))[1].get("status") == wanted)
 
     try:
         await _until("all nodes are ready", ready)
@@ -145,10 +145,10 @@
         await _until("the array is done, says another node", lambda: status("j-000001", "done", 1))
         await _until("a service is accepted", lambda: accepted("j-000002", "standing", 2, 0.0, 2))
         await _until("the service runs", lambda: status("j-000002", "running", 0))
-        stopped = (await ask(1, "POST", f"{wire.SUBMISSIONS}/j-000002/cancel"))[1]
+        stopped = (await ask(1, "POST", f"{wire.SUBMISSIONS_PATH}/j-000002/cancel"))[1]
         if stopped != {"ref": "j-000002", "status": "aborted"}:
             raise SystemExit(f"smoke: FAILED, cancel said {stopped}")
-        strange = (await ask(0, "GET", f"{wire.SUBMISSIONS}/j-999999"))[0]
+        strange = (await ask(0, "GET", f"{wire.SUBMISSIONS_PATH}/j-999999"))[0]
         if strange != 404:
             raise SystemExit(f"smoke: FAILED, an unknown job got {strange}")
         # Kill the leader: the one node that answers reports with something other than 421.
@@ -177,7 +177,7 @@
         "legs": [],
     }
     for index in range(3):
-        if (await ask(index, "POST", wire.REPORT, report))[0] == 200:
+        if (await ask(index, "POST", wire.HEARTBEAT_PATH, report))[0] == 200:
             return index
     raise SystemExit("smoke: FAILED, no node leads")
 
--- a/tests/scale.py
+++ b/tests/scale.py
@@ -100,7 +100,7 @@
     )
     found.move = calls(lambda: world.fleet.to_move(world.now))
     world.now += 1_000_000
-    reports = [wire.report(worker.report()) for worker in world.workers.values()]
+    reports = [wire.decode_heartbeat(worker.report()) for worker in world.workers.values()]
     found.report = calls(lambda: [world.cluster.on_heartbeat(r, world.now, world.now) for r in reports])
     found.tick = calls(lambda: world.cluster.account(world.now))
     for _ in range(machines // 2):
@@ -118,7 +118,7 @@
         if key.startswith(("live/", "fleet/"))
         for row in (key, value)
     ]
-    found.takeover_bytes = len(wire.dumps(rows))
+    found.takeover_bytes = len(wire.encode(rows))
     found.takeover = calls(world.fail_over)
     return found
 
@@ -212,7 +212,7 @@
     world.commit()
     world.send()
     world.settle(3)
-    reports = [wire.report(worker.report()) for worker in world.workers.values()]
+    reports = [wire.decode_heartbeat(worker.report()) for worker in world.workers.values()]
     found.reports = calls(lambda: [cluster.on_heartbeat(r, world.now, world.now) for r in reports])
     return found
 
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -146,12 +146,12 @@
 async def test_every_answer_that_a_job_is_cancelled_is_noted_before_it_leaves(state: KeyStore) -> None:
     """Only a commit that was answered once counted; what was learnt otherwise was told in the middle of an outage."""
     one, other = Asked(state), Asked(state)
-    submit, path = ("POST", wire.SUBMISSIONS), f"{wire.SUBMISSIONS}/"
+    submit, path = ("POST", wire.SUBMISSIONS_PATH), f"{wire.SUBMISSIONS_PATH}/"
     for number in range(1, 8):
         assert await one.ask(*submit, job(f"j-{number:06d}")) == ("queued", False)
         assert await other.ask("GET", f"{path}j-{number:06d}") == ("queued", False)
     await one.ask(*submit, job("j-000010", waitsOn=["j-000006"]))
-    told = (wire.CANCELLED, True)
+    told = (wire.JobStatus.CANCELLED, True)
     assert await one.ask("POST", f"{path}j-000001/cancel") == told  # committed
     assert await one.ask("POST", f"{path}j-000001/cancel") == told  # kept from before
     assert await one.ask("GET", f"{path}j-000001") == told
@@ -191,7 +191,7 @@
 
 def running(lead: Any, world_state: KeyStore, ref: str = "j-000001") -> None:
     """The lead has a job whose task runs on a machine."""
-    spec = wire.submission(job(ref))
+    spec = wire.decode_submission(job(ref))
     lead.cluster.add_job(ref, spec, 1, 0)
 
 
@@ -320,7 +320,7 @@
     assert world.live(first) == {}
     assert not world.cluster.jobs[first].tasks
     assert after not in world.cluster.blocked_jobs  # it went with it
-    assert world.record(after) == wire.CANCELLED
+    assert world.record(after) == wire.JobStatus.CANCELLED
     # Its keys wait for the record: with an unknown version the mark would be left behind.
     assert cancel_key(first) in world.state.items
     world.cluster.cancel_job(first, world.state.items[cancel_key(first)][1])
@@ -363,7 +363,8 @@
     world.cluster.cancel_confirmed(ref, 0, world.now)
 
     def orders() -> list[str]:
-        return [order["orderKind"] for order in world.cluster.commands_for(machine, world.now, direct=False)[0]]
+        commands, _ = world.cluster.commands_for(machine, world.now, direct=False)
+        return [order["orderKind"] for order in wire.heartbeat_response(0, commands)["orders"]]
 
     assert orders() == ["start", "stop"]  # so that the attempt is known there, whenever the first start lands
     assert not world.cluster.must_let_lease_expire(machine, world.now)
@@ -401,10 +402,10 @@
     lead.lease_renewal_limit.known_at = steady()
     worker = Worker(lambda: steady(), "vm-000001", "h:1", "m8", "a", False, 8.0, lambda ref: None)
     worker.token = lead.token
-    answer = lead.answer_heartbeat(wire.report(worker.report()))
+    answer = lead.answer_heartbeat(wire.decode_heartbeat(worker.report()))
     assert answer is not None
     lead.cluster.must_let_lease_expire = lambda machine, now: True  # type: ignore[method-assign]
-    assert lead.answer_heartbeat(wire.report(worker.report())) is None
+    assert lead.answer_heartbeat(wire.decode_heartbeat(worker.report())) is None
 
 
 # --- whole deployments ---------------------------------------------------------------------------
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -22,7 +22,7 @@
 
 def test_the_estimate_seeds_and_finished_tasks_take_over() -> None:
     predictor = RuntimePredictor()
-    spec = wire.submission(job(voyageS=100.0))
+    spec = wire.decode_submission(job(voyageS=100.0))
     assert predictor.run_time("j-1", spec) == 100 * SECOND
     for _ in range(100):
         predictor.finished("j-2", spec, 30 * SECOND)
@@ -46,7 +46,7 @@
 def test_short_tasks_end_first_and_do_not_lower_the_threshold() -> None:
     """50 s into a day the threshold was 17 s: 240 tasks waited for owned room beside free spot machines."""
     predictor = RuntimePredictor()
-    spec = wire.submission(job())
+    spec = wire.decode_submission(job())
     for took in range(1, 18):
         predictor.finished("j-1", spec, took * SECOND)
     assert predictor.percentile_run(0.99, []) == 17 * SECOND
@@ -64,8 +64,8 @@
     world.settle(25)
     world.fail_over()
     world.settle(10)
-    assert world.record(ref) == wire.DONE
-    spec = wire.submission(job())
+    assert world.record(ref) == wire.JobStatus.COMPLETED
+    spec = wire.decode_submission(job())
     assert world.cluster.predictor.run_time("j-000002", spec) == 30 * SECOND
 
 
@@ -427,7 +427,7 @@
     world.settle(2)
     other = world.submit(ref="j-000003", rig="standing", urgency="production", legs=1, cores=5.0)
     world.settle(60)
-    assert world.record(array) == wire.DONE
+    assert world.record(array) == wire.JobStatus.COMPLETED
     for task in [t for j in (service, other) for t in world.cluster.jobs[j].tasks.values()]:
         assert task.machine is not None
     used = {name for job in (service, other) for names in world.live(job).values() for name in names}
@@ -658,7 +658,11 @@
     world.settle(2)
     world.cancel(dropped)
     world.settle(6)
-    assert [world.record(ref) for ref in (done, lasting, waits)] == [wire.DONE, wire.QUEUED, wire.QUEUED]
+    assert [world.record(ref) for ref in (done, lasting, waits)] == [
+        wire.JobStatus.COMPLETED,
+        wire.JobStatus.QUEUED,
+        wire.JobStatus.QUEUED,
+    ]
     assert world.cluster.job_statistics.line() == (
         "served (started/accepted, done): class serve 1/2, 0; class train 1/1, 1; team crew 1/1, 1; team other 1/2, 0; "
         "largest serve 0/1 train 1/1"
--- a/tests/test_dark.py
+++ b/tests/test_dark.py
@@ -92,9 +92,11 @@
     worker.token = lead.token
     report: Any = worker.report()
 
-    assert node.answer_heartbeat(wire.report(report)) is None  # it is not out of touch: the state service answers
+    assert (
+        node.answer_heartbeat(wire.decode_heartbeat(report)) is None
+    )  # it is not out of touch: the state service answers
     client.ok_at, client.failed_at = steady() - 3 * SECOND, steady()
-    assert node.answer_heartbeat(wire.report(report)) == {"helm": lead.token, "orders": []}
+    assert node.answer_heartbeat(wire.decode_heartbeat(report)) == {"helm": lead.token, "orders": []}
     assert (await node.lease_proxy.on_carried_out(["carried out"])) == ["no"]  # only the leader knows
 
 
@@ -107,7 +109,7 @@
         node._leader_name = "n1"  # outside the cut
     worker = Worker(lambda: 0, "vm-000001", "h:1", "m8", "a", False, 8.0, lambda ref: None)
     worker.token = 7
-    report = wire.report(worker.report())
+    report = wire.decode_heartbeat(worker.report())
     assert await old.lease_proxy.on_kept(["kept"]) == ["no"]  # it was never told anything
     old.lease_proxy.steward.told(7, steady() - 3 * SECOND, 0)
     peer = FakePeer(None, "n2")
--- a/tests/test_evening.py
+++ b/tests/test_evening.py
@@ -67,13 +67,13 @@
     world = World()
     worker = world.machine(1)
     lead.cluster.types.update(world.cluster.types)
-    old = wire.report(worker.report())
+    old = wire.decode_heartbeat(worker.report())
     worker.token = lead.token
-    lead.cluster.on_heartbeat(wire.report(worker.report()), steady(), time_of_day())
+    lead.cluster.on_heartbeat(wire.decode_heartbeat(worker.report()), steady(), time_of_day())
     machine = lead.cluster.machines[worker.name]
     machine.persisted = True
-    spec = wire.submission(job(legs=1))
-    waiting = lead.cluster.add_job(spec.ref, spec, 5, time_of_day())
+    spec = wire.decode_submission(job(legs=1))
+    waiting = lead.cluster.add_job(spec.job_id, spec, 5, time_of_day())
     task = lead.cluster.begin_binding(waiting, machine, steady())
     batch = lead.cluster.take_batch(12)
     lead.cluster.committed(batch, 9, steady())
@@ -82,7 +82,7 @@
     assert answer == {"helm": lead.token, "orders": []}
     assert not task.start_epoch
     assert (machine.agent_epoch, machine.heartbeat_seq, machine.last_heartbeat_at) == before
-    answer = lead.answer_heartbeat(wire.report(worker.report()))
+    answer = lead.answer_heartbeat(wire.decode_heartbeat(worker.report()))
     assert answer is not None
     assert [order["orderKind"] for order in answer["orders"]] == ["start"]
 
--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -70,7 +70,7 @@
     assert placed(world, ref) == before
     assert len(world.cluster.machines) == 130
     world.settle(60)
-    assert world.record(ref) == wire.DONE
+    assert world.record(ref) == wire.JobStatus.COMPLETED
     assert not [key for key in world.state.items if key.startswith(LIVE)]
 
 
@@ -93,7 +93,7 @@
     assert placed(world, ref) == now
     assert len(world.cluster.machines) == 126
     world.settle(120)
-    assert world.record(ref) == wire.DONE
+    assert world.record(ref) == wire.JobStatus.COMPLETED
     assert not [key for key in world.state.items if key.startswith(LIVE)]
 
 
@@ -135,12 +135,14 @@
             assert all(after.get(i) == row for i, row in rows.items()), (seed, step, ref)
         world.settle(1)
     world.settle(150)
-    assert {world.record(ref) for ref in refs} == {wire.DONE}
+    assert {world.record(ref) for ref in refs} == {wire.JobStatus.COMPLETED}
 
 
 def test_a_job_whose_head_has_no_room_for_tasks() -> None:
     layout = RecordLayout(2048, 1, parts=True)
-    large = Job("j-1", wire.submission(job("j-1", legs=300, berthKinds=[f"kind-{i:020d}" for i in range(60)])), 1, 0)
+    large = Job(
+        "j-1", wire.decode_submission(job("j-1", legs=300, berthKinds=[f"kind-{i:020d}" for i in range(60)])), 1, 0
+    )
     assert layout.head_tasks(large) == 0
     keys = list(layout.task_keys(large, 0, 300))
     assert keys[0] == "live/j-1/0000.00"
@@ -152,24 +154,24 @@
 
 def test_limits_that_hold_all_leave_records_as_they_were() -> None:
     layout = RecordLayout(8192, 10, parts=True)
-    small = Job("j-1", wire.submission(job("j-1", legs=300)), 1, 0)
+    small = Job("j-1", wire.decode_submission(job("j-1", legs=300)), 1, 0)
     assert list(layout.task_keys(small, 0, 300)) == ["live/j-1", "live/j-1/0001", "live/j-1/0002"]
     assert list(layout.fleet_keys("fleet/000003")) == ["fleet/000003"]
 
 
 def test_long_lists_lie_in_records_of_their_own() -> None:
-    spec = wire.submission(job("j-1", waitsOn=[f"j-{i:06d}" for i in range(2, 1002)]))
-    record, parts = slimmed(job_record(spec, 5, wire.QUEUED), 2048)
+    spec = wire.decode_submission(job("j-1", waitsOn=[f"j-{i:06d}" for i in range(2, 1002)]))
+    record, parts = slimmed(job_record(spec, 5, wire.JobStatus.QUEUED), 2048)
     assert json_size(record) <= 2048 - 300
     assert all(json_size(part) <= 2048 for part in parts)
-    assert whole_lists(record, parts)["job"]["waitsOn"] == spec.needs
-    assert slimmed(job_record(spec, 5, wire.QUEUED), 32 * 1024)[1] == []
+    assert whole_lists(record, parts)["job"]["waitsOn"] == spec.dependencies
+    assert slimmed(job_record(spec, 5, wire.JobStatus.QUEUED), 32 * 1024)[1] == []
 
 
 def test_the_predictor_is_recorded_in_parts_that_can_be_read_alone() -> None:
     known = RuntimePredictor()
     for number in range(60):
-        spec = wire.submission(job(cargo=f"class-{number:02d}", voyageS=10.0))
+        spec = wire.decode_submission(job(cargo=f"class-{number:02d}", voyageS=10.0))
         for _ in range(3):
             known.finished("j-1", spec, 20 * SECOND)
         known.spot_held(number * SECOND, taken=True)
@@ -180,13 +182,13 @@
     learnt = RuntimePredictor()
     for part in parts:
         learnt.load(part)
-    spec = wire.submission(job(cargo="class-39", voyageS=10.0))
+    spec = wire.decode_submission(job(cargo="class-39", voyageS=10.0))
     assert learnt.run_time("j-9", spec) == known.run_time("j-9", spec)
     assert learnt.half_life([]) == known.half_life([])
 
 
 async def test_a_catalog_in_parts() -> None:
-    kinds = wire.catalog(
+    kinds = wire.decode_catalog(
         {
             "berthKinds": [
                 {
@@ -338,11 +340,11 @@
 
 async def test_a_job_whose_types_lie_apart_is_taken_up_from_where_it_was_accepted() -> None:
     """It names nobody, and lies under waits/ all the same: taken as lying under live/, its claim failed for ever."""
-    spec = wire.submission(job("j-000001", berthKinds=["m8", *(f"kind-{number:050d}" for number in range(40))]))
-    record, parts = slimmed(job_record(spec, 5, wire.QUEUED), 2048)
+    spec = wire.decode_submission(job("j-000001", berthKinds=["m8", *(f"kind-{number:050d}" for number in range(40))]))
+    record, parts = slimmed(job_record(spec, 5, wire.JobStatus.QUEUED), 2048)
     assert parts
     assert lies_apart(record)
-    assert not lies_apart(job_record(wire.submission(job()), 5, wire.QUEUED))
+    assert not lies_apart(job_record(wire.decode_submission(job()), 5, wire.JobStatus.QUEUED))
     lead, _, _ = leader(KeyStore(lambda: 0))
     lead._admit("j-000001", whole_lists(record, parts), 7)
     taken = lead.cluster.jobs["j-000001"]
@@ -350,4 +352,4 @@
     assert taken in lead.cluster.pending
     assert lead.cluster.versions[waits_key("j-000001")] == 7
     assert live_key("j-000001") not in lead.cluster.versions
-    assert taken.record(wire.DONE)["job"] == record["job"]
+    assert taken.record(wire.JobStatus.COMPLETED)["job"] == record["job"]
--- a/tests/test_limits_properties.py
+++ b/tests/test_limits_properties.py
@@ -27,7 +27,7 @@
     @initialize()
     def begin(self) -> None:
         self.world = World([Team(name, cpus_max=most) for name, most in LIMITS.items()])
-        self.reports: list[wire.Report] = []  # sent, of which copies may arrive
+        self.reports: list[wire.Heartbeat] = []  # sent, of which copies may arrive
         self.commands: list[tuple[str, dict[str, Any]]] = []  # under way
         self.late: list[dict[str, Any]] = []  # transactions that got no answer
         self.unsure: WriteBatch | None = None
@@ -95,7 +95,7 @@
 
     @rule(pick=st.integers(0, 7), tell=st.booleans())
     def cancel(self, pick: int, tell: bool) -> None:
-        refs = sorted(ref for ref in self.world.jobs if self.world.record(ref) == wire.QUEUED)
+        refs = sorted(ref for ref in self.world.jobs if self.world.record(ref) == wire.JobStatus.QUEUED)
         if refs:
             ref = refs[pick % len(refs)]
             self.world.cancel(ref, tell=tell)
@@ -110,7 +110,7 @@
         if self.unsure is not None:
             return
         for worker in self.world.workers.values():
-            self.reports.append(wire.report(worker.report()))
+            self.reports.append(wire.decode_heartbeat(worker.report()))
         self.world.step(1.0)
         self._learn()
 
@@ -179,11 +179,11 @@
             if not orders or not machine.agent_epoch:
                 continue
             cluster.on_commands_sent(machine, starts, self.world.now, direct=True)
-            body = wire.commands_body(cluster.token, machine.agent_epoch, orders)
+            body = wire.command_request(cluster.token, machine.agent_epoch, orders)
             if sent and machine.name in self.world.workers:
                 _, report = self.world.workers[machine.name].commands(body)
                 cluster.on_commands_answered(machine, [(t.name, t.attempt) for t in starts])
-                cluster.on_heartbeat(wire.report(report), self.world.now, self.world.now)
+                cluster.on_heartbeat(wire.decode_heartbeat(report), self.world.now, self.world.now)
             else:
                 self.commands.append((machine.name, body))
 
@@ -225,7 +225,7 @@
     def change_of_leader_and_a_copy(self, number: int, pick: int) -> None:
         """The first that the next leader hears of a machine is old."""
         self.fail_over(True)
-        mine = [report for report in self.reports if report.machine == f"vm-{number:06d}"]
+        mine = [report for report in self.reports if report.machine_name == f"vm-{number:06d}"]
         if mine:
             self.world.cluster.on_heartbeat(mine[-1 - pick % len(mine)], self.world.now, self.world.now)
         self.world.plan()
@@ -241,17 +241,17 @@
         if worker is None:
             return
         sent, session = self.world.now, worker.session
-        report = wire.report(worker.report())
+        report = wire.decode_heartbeat(worker.report())
         self.reports.append(report)
         cluster = self.world.cluster
         machine = cluster.on_heartbeat(report, self.world.now, self.world.now)
         self._learn()
-        if machine is None or report.token > cluster.token:
+        if machine is None or report.fencing_token > cluster.token:
             return
         cluster.on_heartbeat_delivered(machine, report)
         orders, starts = cluster.commands_for(machine, self.world.now, direct=False)
         cluster.on_commands_sent(machine, starts, self.world.now, direct=False)
-        worker.answer(sent, session, wire.report_answer(cluster.token, orders))
+        worker.answer(sent, session, wire.heartbeat_response(cluster.token, orders))
 
     def _reports(self) -> None:
         """All report, and nothing that follows is written yet."""
@@ -270,7 +270,7 @@
     def copy_arrives(self, pick: int) -> None:
         """Of any age, at whoever leads now."""
         report = self.reports[-1 - pick % len(self.reports)]
-        if report.token <= self.world.cluster.token:
+        if report.fencing_token <= self.world.cluster.token:
             self.world.cluster.on_heartbeat(report, self.world.now, self.world.now)
 
     @rule(number=PLACES)
--- a/tests/test_needs.py
+++ b/tests/test_needs.py
@@ -29,7 +29,7 @@
         state.commit(
             {
                 "if": [{"path": job_key(ref), "entryRev": version}],
-                "then": [{"set": job_key(ref), "value": {**record, "state": wire.DONE}}],
+                "then": [{"set": job_key(ref), "value": {**record, "state": wire.JobStatus.COMPLETED}}],
             }
         )[0]
         == 200
@@ -51,13 +51,17 @@
 )
 def test_lists_that_are_none(named: Any) -> None:
     with pytest.raises(wire.InvalidMessageError, match="waitsOn"):
-        wire.submission(body_of("j-000009", waitsOn=named))
+        wire.decode_submission(body_of("j-000009", waitsOn=named))
 
 
 def test_null_missing_and_empty_are_none_and_doubles_count_once() -> None:
-    assert wire.submission(body_of()).needs is wire.submission(body_of(waitsOn=None)).needs is None
-    assert wire.submission(body_of(waitsOn=[])).needs is None
-    assert wire.submission(body_of("j-9", waitsOn=["j-2", "j-1", "j-2"])).needs == ["j-2", "j-1"]
+    assert (
+        wire.decode_submission(body_of()).dependencies
+        is wire.decode_submission(body_of(waitsOn=None)).dependencies
+        is None
+    )
+    assert wire.decode_submission(body_of(waitsOn=[])).dependencies is None
+    assert wire.decode_submission(body_of("j-9", waitsOn=["j-2", "j-1", "j-2"])).dependencies == ["j-2", "j-1"]
 
 
 async def test_a_waiting_job_is_laid_where_an_earlier_version_finds_nothing(state: KeyStore) -> None:
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -50,9 +50,9 @@
     for _ in range(40):
         world.step(1.0)
         for ref in (left, right):
-            assert not world.live(ref) or world.record(first) == wire.DONE
-        assert not world.live(last) or {world.record(left), world.record(right)} == {wire.DONE}
-    assert world.record(last) == wire.DONE
+            assert not world.live(ref) or world.record(first) == wire.JobStatus.COMPLETED
+        assert not world.live(last) or {world.record(left), world.record(right)} == {wire.JobStatus.COMPLETED}
+    assert world.record(last) == wire.JobStatus.COMPLETED
     assert not [key for key in keys(world) if key.startswith(("live/", "waits/"))]
 
 
@@ -79,7 +79,7 @@
     world.cluster.jobs_to_complete.pop(job, None)
     world.cluster.cancel_job(first, 0)
     world.settle()
-    assert world.record(last) == wire.CANCELLED
+    assert world.record(last) == wire.JobStatus.CANCELLED
     assert not world.live(last)
 
 
@@ -106,7 +106,7 @@
     before = len(world.state.log)
     ref = world.submit(legs=1, voyageS=2.0, waitsOn=[first])
     world.settle(20)
-    assert world.record(ref) == wire.DONE
+    assert world.record(ref) == wire.JobStatus.COMPLETED
     assert len([key for _, key, _ in world.state.log[before:] if ref in key]) == 6
 
 
@@ -121,7 +121,7 @@
         assert waits_key(last) in keys(world)
     revisions = {key: revision for revision, key, _ in world.state.log if key in (live_key(last), waits_key(last))}
     assert revisions[live_key(last)] == revisions[waits_key(last)]
-    assert world.record(first) == wire.DONE
+    assert world.record(first) == wire.JobStatus.COMPLETED
 
 
 def test_times_count_from_the_release_also_for_the_next_leader() -> None:
@@ -147,10 +147,10 @@
     world = world_of()
     first = world.submit(legs=1, voyageS=2.0)
     world.settle(8)
-    assert world.record(first) == wire.DONE
+    assert world.record(first) == wire.JobStatus.COMPLETED
     gang = world.submit(rig="gang", legs=2, voyageS=5.0, waitsOn=[first], samePlace=True)
     world.settle(14)
-    assert world.record(gang) == wire.DONE
+    assert world.record(gang) == wire.JobStatus.COMPLETED
 
 
 def test_a_lost_or_failing_job_keeps_others_waiting_and_that_is_said() -> None:
@@ -161,11 +161,11 @@
     world.cluster.fail_job(task, "it may have begun")
     assert "lost" in world.cluster.explain_blocked(last)
     world.settle()
-    assert world.record(first) == wire.LOST
+    assert world.record(first) == wire.JobStatus.FAILED
     assert last in world.cluster.blocked_jobs
     world.cancel(last)
     world.settle()
-    assert world.record(last) == wire.CANCELLED
+    assert world.record(last) == wire.JobStatus.CANCELLED
     assert waits_key(last) not in keys(world)
 
 
@@ -177,9 +177,9 @@
     worker._end(*next(iter(worker.tasks.items())), "error")
     world.settle(3)
     assert last in world.cluster.blocked_jobs
-    assert world.record(first) == wire.QUEUED
+    assert world.record(first) == wire.JobStatus.QUEUED
     world.settle(30)
-    assert world.record(last) == wire.DONE
+    assert world.record(last) == wire.JobStatus.COMPLETED
 
 
 # --- takeovers --------------------------------------------------------------------------------------
@@ -195,9 +195,9 @@
         for worker in world.workers.values():
             world.report(worker)
         world.step(0.5)
-        assert not world.live(middle) or world.record(first) == wire.DONE
-        assert not world.live(last) or world.record(middle) == wire.DONE
-    assert world.record(last) == wire.DONE
+        assert not world.live(middle) or world.record(first) == wire.JobStatus.COMPLETED
+        assert not world.live(last) or world.record(middle) == wire.JobStatus.COMPLETED
+    assert world.record(last) == wire.JobStatus.COMPLETED
     assert all(len(set(worker.starts)) == len(worker.starts) for worker in world.workers.values())
 
 
@@ -209,7 +209,7 @@
     world.fail_over()
     assert len(world.cluster.blocked_jobs) == 200
     world.settle(60)
-    assert {world.record(ref) for ref in refs} == {wire.DONE}
+    assert {world.record(ref) for ref in refs} == {wire.JobStatus.COMPLETED}
 
 
 def test_where_a_transaction_holds_one_change_each_part_is_safe_alone() -> None:
@@ -224,7 +224,7 @@
     assert last in world.cluster.jobs
     assert last not in world.cluster.blocked_jobs
     world.settle(20)
-    assert world.record(last) == wire.DONE
+    assert world.record(last) == wire.JobStatus.COMPLETED
     assert waits_key(last) not in keys(world)
 
 
@@ -239,8 +239,10 @@
     world.settle()
     world.cancel(refs[which])
     world.settle(30)
-    assert [world.record(ref) for ref in refs] == [wire.DONE] * which + [wire.CANCELLED] * (3 - which)
-    assert world.record(aside) == wire.DONE
+    assert [world.record(ref) for ref in refs] == [wire.JobStatus.COMPLETED] * which + [wire.JobStatus.CANCELLED] * (
+        3 - which
+    )
+    assert world.record(aside) == wire.JobStatus.COMPLETED
     assert not [key for key in keys(world) if key.startswith(("live/", "waits/"))]
 
 
@@ -255,7 +257,7 @@
     assert world.state.commit(world.transaction(batch))[0] == 200
     world.fail_over()
     world.settle()
-    assert {world.record(ref) for ref in refs} == {wire.CANCELLED}
+    assert {world.record(ref) for ref in refs} == {wire.JobStatus.CANCELLED}
 
 
 def test_its_own_user_is_faster_than_the_cascade() -> None:
@@ -269,7 +271,7 @@
     world.cluster.restore_batch(batch)
     world.cluster.cancel_blocked(last, world.state.items[f"jobs/{last}"][1])
     world.settle()
-    assert world.record(last) == wire.CANCELLED
+    assert world.record(last) == wire.JobStatus.CANCELLED
     assert cancel_key(last) not in keys(world)
     assert waits_key(last) not in keys(world)
 
@@ -283,7 +285,7 @@
     world.settle()
     later = world.submit(legs=1, waitsOn=[first])  # nothing of it is live any more
     world.settle()
-    assert {world.record(ref) for ref in (after, later)} == {wire.CANCELLED}
+    assert {world.record(ref) for ref in (after, later)} == {wire.JobStatus.CANCELLED}
 
 
 def test_a_job_that_is_told_twice_is_called_off_once() -> None:
@@ -363,7 +365,7 @@
     world.settle()
     world.submit(legs=1, voyageS=1.0, urgency="high", waitsOn=[first])
     world.settle(12)
-    assert world.record(first) == wire.DONE
+    assert world.record(first) == wire.JobStatus.COMPLETED
     assert world.cluster.tasks_by_priority == [0, 0, 0, 0] or sum(world.cluster.tasks_by_priority) == len(
         [t for job in world.cluster.jobs.values() for t in job.tasks.values() if t.machine]
     )
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -89,7 +89,7 @@
         self.state = state
         self.outcomes: list[AcceptOutcome] = []
         self.submitted: list[str] = []
-        self.end = wire.DONE
+        self.end = wire.JobStatus.COMPLETED
 
     async def submit(self, job: dict[str, Any]) -> AcceptOutcome:
         if self.outcomes:
@@ -106,7 +106,9 @@
             return AcceptOutcome(UNKNOWN)
         record = self.state.items[key][0]
         if record["state"] == "queued":
-            self.state.commit({"if": [], "then": [{"set": key, "value": {**record, "state": wire.CANCELLED}}]})
+            self.state.commit(
+                {"if": [], "then": [{"set": key, "value": {**record, "state": wire.JobStatus.CANCELLED}}]}
+            )
         return AcceptOutcome(GONE)
 
 
@@ -161,7 +163,7 @@
 @given(st.text(max_size=30), st.text(max_size=30), st.text(max_size=30), st.text(max_size=30))
 @settings(max_examples=200, derandomize=True, deadline=None)
 def test_refs_are_in_the_protocols_form_and_tell_messages_apart(a: str, b: str, c: str, d: str) -> None:
-    assert wire.valid_ref(ref_of(a, b))
+    assert wire.is_job_id(ref_of(a, b))
     assert (ref_of(a, b) == ref_of(c, d)) == ((a, b) == (c, d))
     assert ref_of(a, b) != ref_of(a, b, 1)
     assert 0 <= part_of(ref_of(a, b)) < PARTS
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -34,7 +34,7 @@
     assert len(world.workers["vm-000001"].starts) == 2
     assert [row["path"] for row in world.state.list(live_key(ref))[1]["rows"]] == [live_key(ref)]
     world.settle(31)
-    assert world.record(ref) == wire.DONE
+    assert world.record(ref) == wire.JobStatus.COMPLETED
     assert world.state.list("live/")[1]["rows"] == []
 
 
@@ -46,7 +46,7 @@
     before = len(world.state.log)
     ref = world.submit(legs=1)
     world.settle(40)
-    assert world.record(ref) == wire.DONE
+    assert world.record(ref) == wire.JobStatus.COMPLETED
     writes = [key for _, key, _ in world.state.log[before:] if ref in key]
     assert len(writes) == 5
 
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -85,7 +85,7 @@
 
 def failed(world: World, worker: Worker) -> None:
     for task in worker.tasks.values():
-        task.status, task.why = "ended", wire.WHY_ERROR
+        task.status, task.why = "ended", wire.ExitReason.ERROR
     world.step(0.5)
 
 
@@ -100,7 +100,7 @@
     if repeat is RetryPolicy.ANY:
         assert starts == 2
     else:
-        assert (state, starts) == (wire.LOST, 1)
+        assert (state, starts) == (wire.JobStatus.FAILED, 1)
         assert not [key for key in world.state.items if key.startswith("live/")]
 
 
@@ -113,7 +113,7 @@
     world.send()
     world.step(0.5)
     state, starts = state_after(world, ref)
-    assert (state, starts) == ((wire.LOST, 0) if repeat is RetryPolicy.NEVER else ("queued", 1))
+    assert (state, starts) == ((wire.JobStatus.FAILED, 0) if repeat is RetryPolicy.NEVER else ("queued", 1))
 
 
 @pytest.mark.parametrize("repeat", MODES)
@@ -123,7 +123,7 @@
     world.send()  # lost on its way, or not: who knows
     release(world, worker)
     state, starts = state_after(world, ref)
-    assert (state, starts) == (("queued", 1) if repeat is RetryPolicy.ANY else (wire.LOST, 0))
+    assert (state, starts) == (("queued", 1) if repeat is RetryPolicy.ANY else (wire.JobStatus.FAILED, 0))
 
 
 @pytest.mark.parametrize("repeat", MODES)
@@ -140,7 +140,7 @@
     world, ref, _ = world_with(repeat)
     world.fail_over()
     state, starts = state_after(world, ref)
-    assert (state, starts) == ((wire.LOST, 0) if repeat is RetryPolicy.NEVER else ("queued", 1))
+    assert (state, starts) == ((wire.JobStatus.FAILED, 0) if repeat is RetryPolicy.NEVER else ("queued", 1))
 
 
 @pytest.mark.parametrize("repeat", MODES)
@@ -150,7 +150,7 @@
     worker.advance()
     world.fail_over()
     state, starts = state_after(world, ref)
-    assert (state, starts) == (("queued", 1) if repeat is RetryPolicy.ANY else (wire.LOST, 0))
+    assert (state, starts) == (("queued", 1) if repeat is RetryPolicy.ANY else (wire.JobStatus.FAILED, 0))
 
 
 def test_the_decision_outlives_a_takeover_at_any_moment() -> None:
@@ -171,7 +171,7 @@
         if not committed:  # the new leader finds the machine silent, and releases it once more
             world.cluster.on_machine_removed(world.cluster.machines[worker.name], world.now, "silent")
         state, starts = state_after(world, ref)
-        assert (state, starts) == (wire.LOST, 2)
+        assert (state, starts) == (wire.JobStatus.FAILED, 2)
 
 
 def test_the_rest_of_a_lost_job_is_stopped_before_that_is_told() -> None:
@@ -184,7 +184,7 @@
     world.commit()
     assert world.record(ref) == "queued"  # tasks of it still run
     world.settle(3)
-    assert world.record(ref) == wire.LOST
+    assert world.record(ref) == wire.JobStatus.FAILED
     assert not world.live(ref)
 
 
@@ -201,7 +201,7 @@
 def test_a_gang_that_never_became_whole_has_not_begun() -> None:
     world, ref, worker = world_with(RetryPolicy.BEFORE_START, rig="gang")
     task = next(iter(world.cluster.jobs[ref].tasks.values()))
-    worker.tasks[(task.name, task.attempt)] = Held("ended", wire.WHY_ALONE)
+    worker.tasks[(task.name, task.attempt)] = Held("ended", wire.ExitReason.GANG_INCOMPLETE)
     world.send()
     assert state_after(world, ref) == ("queued", 1)
 
@@ -224,7 +224,7 @@
 
     users = JobApi(node_settings(), client, Back())  # type: ignore[arg-type]
     assert (await users.show(ref)).value["status"] == "queued"
-    assert (await users.submit(wire.submission(world.jobs[ref]))).status in (200, 422)
+    assert (await users.submit(wire.decode_submission(world.jobs[ref]))).status in (200, 422)
     answer = await users.cancel(ref)
     assert (answer.status, answer.value["status"]) == (200, "aborted")
     assert (await users.show(ref)).value["status"] == "aborted"
@@ -241,7 +241,7 @@
     await lead._watch_loop()
     assert ref not in lead.cluster.jobs
     _, _, state = read_job(world.state.items[f"jobs/{ref}"][0])
-    assert state == wire.LOST
+    assert state == wire.JobStatus.FAILED
 
 
 def _once(lead: Any, client: FakeStateClient) -> Any:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -18,9 +18,9 @@
     ref = world.submit()
     world.settle()
     assert len(world.live(ref)) == 2
-    assert world.record(ref) == wire.QUEUED  # not_done: nothing but the end changes it
+    assert world.record(ref) == wire.JobStatus.QUEUED  # not_done: nothing but the end changes it
     world.settle(31)
-    assert world.record(ref) == wire.DONE
+    assert world.record(ref) == wire.JobStatus.COMPLETED
     assert world.state.list("live/")[1]["rows"] == []
 
 
@@ -31,10 +31,10 @@
     world.settle()
     worker.tasks[(f"{ref}/0", 1)].ends_at = world.now
     world.settle(3)
-    assert world.record(ref) == wire.QUEUED
+    assert world.record(ref) == wire.JobStatus.QUEUED
     worker.tasks[(f"{ref}/1", 1)].ends_at = world.now
     world.settle(3)
-    assert world.record(ref) == wire.DONE
+    assert world.record(ref) == wire.JobStatus.COMPLETED
 
 
 def test_no_start_goes_out_before_its_commit() -> None:
@@ -82,7 +82,7 @@
     assert world.live(ref) == {}
     world.settle()
     assert world.state.list(f"live/{ref}")[1]["rows"] == []
-    assert world.record(ref) == wire.CANCELLED
+    assert world.record(ref) == wire.JobStatus.CANCELLED
     assert worker.tasks == {}  # forgotten, once the end needs no recording any more
 
 
@@ -132,7 +132,7 @@
     world = World()
     worker = world.machine(1)
     world.settle(2)
-    old = wire.report(worker.report())
+    old = wire.decode_heartbeat(worker.report())
     ref = world.submit(legs=1)
     world.settle()
     task = world.cluster.jobs[ref].tasks[0]
@@ -157,10 +157,10 @@
     assert worker.starts == [(f"{ref}/0", 1)]
     world.step(6.0)
     world.settle(3)
-    assert world.record(ref) == wire.DONE
+    assert world.record(ref) == wire.JobStatus.COMPLETED
     key = (f"{ref}/0", 1)
     assert key in worker.tasks  # still listed as ended, so the late copy has no effect
-    worker.commands(wire.commands_body(world.cluster.token, worker.session, [wire.start(*key)]))
+    worker.commands(wire.command_request(world.cluster.token, worker.session, [wire.StartCommand(*key)]))
     assert worker.tasks[key].status == "ended"
     assert worker.starts == [key]
 
@@ -174,7 +174,7 @@
     world.plan()
     world.commit()
     cluster, key = world.cluster, (f"{ref}/0", 1)
-    report = wire.report(worker.report())
+    report = wire.decode_heartbeat(worker.report())
     machine = cluster.on_heartbeat(report, world.now, world.now)
     assert machine is not None
     cluster.on_heartbeat_delivered(machine, report)
@@ -192,7 +192,7 @@
     cluster.on_heartbeat_delivered(machine, report)  # held by a cut, that report comes once more
     cluster.machines_to_command.add(machine)
     world.send()
-    worker.commands({"helm": cluster.token, "watch": 1, "orders": late})
+    worker.commands(wire.command_request(cluster.token, 1, late))
     assert worker.starts == [key]
     world.report(worker)  # it reports again, so it has had that answer, or dropped it
     cluster.machines_to_command.add(machine)
@@ -265,8 +265,8 @@
     more = world.submit(ref="j-000002", legs=1, voyageS=1.0)
     world.settle(40)
     assert len([s for s in other.starts if s[0].startswith(ref)]) == 2
-    assert world.record(more) == wire.DONE
-    assert world.record(ref) == wire.QUEUED
+    assert world.record(more) == wire.JobStatus.COMPLETED
+    assert world.record(ref) == wire.JobStatus.QUEUED
     assert world.cluster.quotas["crew"].cpus == 8.0  # they count for the team's limit
 
 
@@ -278,9 +278,9 @@
     ref = world.submit(legs=1)
     world.plan()
     world.commit()  # the old leader dies here; its start is under way
-    late = wire.commands_body(world.cluster.token, worker.session, [wire.start(f"{ref}/0", 1)])
+    late = wire.command_request(world.cluster.token, worker.session, [wire.StartCommand(f"{ref}/0", 1)])
     world.fail_over()
-    world.cluster.on_heartbeat(wire.report(worker.report()), world.now, world.now)
+    world.cluster.on_heartbeat(wire.decode_heartbeat(worker.report()), world.now, world.now)
     assert world.cluster.jobs[ref].tasks[0].phase is TaskPhase.BOUND
     worker.commands(late)  # lands before the new token does
     world.settle()
@@ -295,7 +295,7 @@
     ref = world.submit(legs=1)
     world.plan()
     world.commit()
-    late = wire.commands_body(world.cluster.token, worker.session, [wire.start(f"{ref}/0", 1)])
+    late = wire.command_request(world.cluster.token, worker.session, [wire.StartCommand(f"{ref}/0", 1)])
     world.fail_over()
     world.settle()
     assert worker.starts == [(f"{ref}/0", 2)]
@@ -311,7 +311,7 @@
     world.fail_over()
     world.settle()
     assert world.live(ref) == {}
-    assert world.record(ref) == wire.CANCELLED
+    assert world.record(ref) == wire.JobStatus.CANCELLED
 
 
 def test_a_machine_silent_since_the_last_leader_is_judged_sooner() -> None:
@@ -493,7 +493,7 @@
         if f"jobs/{ref}" in batch.sets:
             break  # the leader dies here
         world.cluster.committed(batch, value["ledgerRev"], world.now)
-    assert world.record(ref) == wire.DONE
+    assert world.record(ref) == wire.JobStatus.COMPLETED
     assert world.state.list(live_key(ref))[1]["rows"]
     world.fail_over()
     world.commit()
--- a/tests/test_rush.py
+++ b/tests/test_rush.py
@@ -22,7 +22,7 @@
 
 
 def spec(**changes: Any) -> wire.Submission:
-    return wire.submission(job(**changes))
+    return wire.decode_submission(job(**changes))
 
 
 def waiting(number: int, **changes: Any) -> Job:
@@ -271,7 +271,7 @@
 
 def test_a_report_that_tells_nothing_new_costs_one_comparison() -> None:
     world, machine, _ = calm_world()
-    report = wire.report(world.workers[machine.name].report())
+    report = wire.decode_heartbeat(world.workers[machine.name].report())
     world.now += SECOND
     assert calls(lambda: world.cluster.on_heartbeat(report, world.now, world.now)) < 10
     assert machine.last_heartbeat_at == world.now
@@ -289,9 +289,9 @@
     world, machine, _ = calm_world(cores=4.0)
     other = world.submit(legs=1, cores=1.0, berthKinds=["g16"], sizeGb=0.0)
     world.workers[machine.name].commands(
-        wire.commands_body(world.cluster.token, machine.agent_epoch, [wire.start(f"{other}/0", 7)])
+        wire.command_request(world.cluster.token, machine.agent_epoch, [wire.StartCommand(f"{other}/0", 7)])
     )
-    report = wire.report(world.workers[machine.name].report())
+    report = wire.decode_heartbeat(world.workers[machine.name].report())
     world.cluster.on_heartbeat(report, world.now, world.now)
     assert (f"{other}/0", 7) in machine.orphaned_attempts
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -31,7 +31,7 @@
         self.value = value
 
     async def read(self) -> Any:
-        return wire.loads(wire.dumps(self.value))
+        return wire.decode(wire.encode(self.value))
 
 
 class FakePeer:
@@ -151,7 +151,7 @@
     now = steady()
     client.ok_at, client.failed_at = now - 5 * SECOND, now
     lead.lease_renewal_limit.known_at = now - 5 * SECOND
-    report = wire.Report("vm-000001", "h:1", "m8", "a", False, 1, 1, lead.token, [])
+    report = wire.Heartbeat("vm-000001", "h:1", "m8", "a", False, 1, 1, lead.token, [])
     answer = lead.answer_heartbeat(report)
     assert answer is not None
     assert answer["helm"] == lead.token
@@ -251,11 +251,11 @@
     """Its release may stay unanswered for as long as the cloud is away; its leases lived on, and no stop went out."""
     lead, _, _ = leader(state)
     lead.lease_renewal_limit.known_at = lead.leader_lease.asked_at = steady()
-    rows = [wire.TaskReport("j-000001/0", 1, wire.RUNNING)]  # of a job that is cancelled and over, say
-    report = wire.Report("vm-000001", "h:1", "m8", "a", False, 1, 1, lead.token, rows)
+    rows = [wire.TaskReport("j-000001/0", 1, wire.TaskStatus.RUNNING)]  # of a job that is cancelled and over, say
+    report = wire.Heartbeat("vm-000001", "h:1", "m8", "a", False, 1, 1, lead.token, rows)
     assert lead.answer_heartbeat(report) is not None
     lead.cluster.machines["vm-000001"].releasing = True
-    answer = lead.answer_heartbeat(wire.Report("vm-000001", "h:1", "m8", "a", False, 1, 2, lead.token, rows))
+    answer = lead.answer_heartbeat(wire.Heartbeat("vm-000001", "h:1", "m8", "a", False, 1, 2, lead.token, rows))
     assert answer is not None
     assert [(order["orderKind"], order["leg"]) for order in answer["orders"]] == [("stop", "j-000001/0")]
 
@@ -280,4 +280,4 @@
 
     lead.cloud_controller.cloud.catalog = cloud_tells  # type: ignore[method-assign]
     await lead.cloud_controller.catalog()
-    assert wire.catalog(state.get(CATALOG_KEY)[1]["value"]).keys() == {"m8", "g16", "new"}
+    assert wire.decode_catalog(state.get(CATALOG_KEY)[1]["value"]).keys() == {"m8", "g16", "new"}
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -47,14 +47,14 @@
     most = node.settings.cluster.resources.sockets
     held = 0
     node._net.held = lambda: held  # type: ignore[method-assign]
-    poll = ("GET", f"{wire.SUBMISSIONS}/j-000001", Body(None))
+    poll = ("GET", f"{wire.SUBMISSIONS_PATH}/j-000001", Body(None))
     assert (await node._handle(*poll)).headers == {}  # type: ignore[arg-type]
     held = most - node._sockets.calls - 10
     assert (await node._handle(*poll)).headers == {"Connection": "close"}  # type: ignore[arg-type]
     held = most
     answer = await node._handle(*poll)  # type: ignore[arg-type]
     assert (answer.status, answer.headers["Connection"], len(asked)) == (503, "close", 2)
-    assert (await node._handle("GET", wire.READY, Body(None))).status == 200  # type: ignore[arg-type]
+    assert (await node._handle("GET", wire.READY_PATH, Body(None))).status == 200  # type: ignore[arg-type]
     report = {
         "berth": "vm-000001",
         "address": "h:1",
@@ -67,7 +67,7 @@
         "recallS": None,
         "legs": [],
     }
-    assert (await node._handle("POST", wire.REPORT, Body(report))).status == 421  # type: ignore[arg-type]
+    assert (await node._handle("POST", wire.HEARTBEAT_PATH, Body(report))).status == 421  # type: ignore[arg-type]
 
 
 async def test_connections_to_workers_are_kept_for_as_long_as_there_is_room() -> None:
--- a/tests/test_still.py
+++ b/tests/test_still.py
@@ -79,7 +79,7 @@
     cloud._http = http_client  # type: ignore[assignment]
     lead.cloud_controller.cloud = cloud
     await cloud.release(["vm-000001"])
-    assert http_client.paths == [wire.RELEASE]
+    assert http_client.paths == [wire.RELEASE_PATH]
     clock.at += 7 * SECOND  # stands still, between the decision and the request
     with pytest.raises(RequestNotSentError):
         await cloud.release(["vm-000002"])
@@ -90,7 +90,7 @@
     assert machine is not None
     await lead.cloud_controller.release([machine], "returned")
     await lead._send(machine)
-    assert http_client.paths == [wire.RELEASE]
+    assert http_client.paths == [wire.RELEASE_PATH]
     assert not machine.removed  # it is there until proven gone
     assert home.lost == []  # whether it still leads is for the state service to say
 
@@ -118,14 +118,14 @@
 async def test_tasks_outlive_a_short_freeze_but_none_starts_before_proof(state: KeyStore, clock: Clock) -> None:
     lead, _, _ = leader(state)
     lead.leader_lease.asked_at = lead.lease_renewal_limit.known_at = clock.at
-    report = wire.Report("vm-000001", "h:1", "m8", "a", False, 1, 1, lead.token, [])
+    report = wire.Heartbeat("vm-000001", "h:1", "m8", "a", False, 1, 1, lead.token, [])
     assert lead.answer_heartbeat(report) is not None
     clock.at += 7 * SECOND
-    answer = lead.answer_heartbeat(wire.Report("vm-000001", "h:1", "m8", "a", False, 1, 2, lead.token, []))
+    answer = lead.answer_heartbeat(wire.Heartbeat("vm-000001", "h:1", "m8", "a", False, 1, 2, lead.token, []))
     assert answer is not None
     assert answer["helm"] == lead.token
     clock.at += 25 * SECOND  # a cancellation may have been told meanwhile, which this node never heard of
-    assert lead.answer_heartbeat(wire.Report("vm-000001", "h:1", "m8", "a", False, 1, 3, lead.token, [])) is None
+    assert lead.answer_heartbeat(wire.Heartbeat("vm-000001", "h:1", "m8", "a", False, 1, 3, lead.token, [])) is None
 
 
 def test_a_freeze_makes_no_machine_silent_or_idle() -> None:
--- a/tests/test_users.py
+++ b/tests/test_users.py
@@ -32,7 +32,7 @@
 
 
 def job(ref: str = "j-000001", **changes: Any) -> wire.Submission:
-    return wire.submission(body_of(ref, **changes))
+    return wire.decode_submission(body_of(ref, **changes))
 
 
 @pytest.fixture
@@ -131,7 +131,7 @@
     await users.submit(job())
     client.faults = ["", "lose"]
     assert (await users.cancel("j-000001")).value["status"] == "aborted"
-    assert state.get(job_key("j-000001"))[1]["value"]["state"] == wire.CANCELLED
+    assert state.get(job_key("j-000001"))[1]["value"]["state"] == wire.JobStatus.CANCELLED
     assert (await users.cancel("j-000009")).status == 404
 
 
@@ -140,7 +140,7 @@
     users, client, _ = node(state)
     await users.submit(job())
     record, version, _ = state.items[job_key("j-000001")]
-    done = {**record, "state": wire.DONE}
+    done = {**record, "state": wire.JobStatus.COMPLETED}
     client.faults = ["", "late"]
 
     original = client.get
@@ -184,7 +184,7 @@
 )
 def test_malformed_submissions(change: dict[str, Any]) -> None:
     with pytest.raises(wire.InvalidMessageError):
-        wire.submission(body_of(**{"ref": "j-1", **change}))
+        wire.decode_submission(body_of(**{"ref": "j-1", **change}))
 
 
 def test_missing_fields_and_bodies_that_are_no_map() -> None:
@@ -192,11 +192,11 @@
     del body["cores"]
     for value in (body, [], None, 3, "x"):
         with pytest.raises(wire.InvalidMessageError):
-            wire.submission(value)
+            wire.decode_submission(value)
     for raw in (b"", b"\xff", b"\xa1", b"\x01\x01"):
         with pytest.raises(wire.InvalidMessageError):
-            wire.loads(raw)
-    assert wire.submission({**body_of(), "unheardOf": 1}).tasks == 2
+            wire.decode(raw)
+    assert wire.decode_submission({**body_of(), "unheardOf": 1}).task_count == 2
 
 
 async def test_what_can_never_run(state: KeyStore) -> None:
--- a/tests/test_whereabouts.py
+++ b/tests/test_whereabouts.py
@@ -115,7 +115,7 @@
     world.cluster.in_flight_keys = set()
     machine = world.cluster.machines[worker.name]
     orders, _ = world.cluster.commands_for(machine, world.now, direct=True)
-    assert not [order for order in orders if order["orderKind"] == "forget"]
+    assert not [order for order in orders if isinstance(order, wire.ForgetCommand)]
     assert world.cluster.holds_unwritten_completions(machine)
 
 
@@ -169,7 +169,7 @@
     world.released(worker.name)
     for _ in range(25):
         world.step(1.0)
-    assert world.record(ref) == wire.DONE
+    assert world.record(ref) == wire.JobStatus.COMPLETED
     assert not any(task == f"{ref}/0" for w in world.workers.values() for task, _ in w.starts)
 
 
@@ -337,7 +337,7 @@
     world.released(workers[1].name)
     world.machine(3)
     world.settle(6)
-    assert world.record(ref) == wire.DONE
+    assert world.record(ref) == wire.JobStatus.COMPLETED
     assert not world.workers["vm-000003"].starts
     assert told.startswith(ref)
 
@@ -350,14 +350,14 @@
     world.settle(3)
     _until_done(world, workers[0])
     world.commit()
-    assert world.record(ref) == wire.QUEUED
+    assert world.record(ref) == wire.JobStatus.QUEUED
     world.refused.add(workers[1].name)
     world.fail_over()
     assert world.cluster.jobs[ref].on_machines == 1  # where it is recorded, until that is disproved
     world.released(workers[1].name)
     world.machine(3)
     world.settle(6)
-    assert world.record(ref) == wire.DONE
+    assert world.record(ref) == wire.JobStatus.COMPLETED
     assert not world.workers["vm-000003"].starts
 
 
@@ -372,7 +372,7 @@
             "orders": [{"orderKind": "start", "leg": f"{ref}/{index}", "sailing": attempt}],
         }
     )
-    world.cluster.on_heartbeat(wire.report(worker.report()), world.now, world.now)
+    world.cluster.on_heartbeat(wire.decode_heartbeat(worker.report()), world.now, world.now)
 
 
 def test_attempts_that_no_record_knows_count_for_their_team_and_zone() -> None:
@@ -418,7 +418,7 @@
     world = World([Team("crew", cpus_max=8.0)])
     worker = world.machine(1)
     world.settle(2)
-    spec = wire.submission(job("j-000777", cores=6.0))
+    spec = wire.decode_submission(job("j-000777", cores=6.0))
     world.jobs["j-000777"] = job("j-000777", cores=6.0)
     _start_behind_its_back(world, worker, "j-000777")
     world.cluster.add_job("j-000777", spec, 1, world.now)
@@ -482,7 +482,7 @@
     world.commit()
     world.send()
     other = world.machine(2)
-    world.cluster.on_heartbeat(wire.report(other.report()), world.now, world.now)
+    world.cluster.on_heartbeat(wire.decode_heartbeat(other.report()), world.now, world.now)
     assert world.cluster.jobs[ref].orphaned_attempt_count == 1
     world.plan()
     assert not world.cluster.jobs[ref].on_machines
@@ -512,7 +512,7 @@
             ],
         },
     )[1]["ledgerRev"]
-    cancelled = {**record, "state": wire.CANCELLED}
+    cancelled = {**record, "state": wire.JobStatus.CANCELLED}
     batch = WriteBatch(
         conditions={job_key(waiting): version, job_key(claimed): version, live_key(claimed): version},
         sets={job_key(waiting): cancelled, live_key(claimed): {"t": [[1, "vm-000001"]]}},
--- a/tests/test_windows.py
+++ b/tests/test_windows.py
@@ -394,7 +394,7 @@
     from oatport import wire
     from tests.world import job
 
-    return wire.submission(job())
+    return wire.decode_submission(job())
 
 
 def _with_deadline(job: Job) -> Any:
--- a/tests/world.py
+++ b/tests/world.py
@@ -48,7 +48,7 @@
 )
 from oatport.times import SECOND
 
-TYPES = wire.catalog(
+TYPES = wire.decode_catalog(
     {
         "berthKinds": [
             {
@@ -194,14 +194,14 @@
             self.cluster.on_commands_sent(machine, starts, self.now, direct=True)
             if machine.name in self.refused | self.mute or machine.name not in self.workers:
                 continue
-            body = wire.commands_body(self.cluster.token, machine.agent_epoch, orders)
+            body = wire.command_request(self.cluster.token, machine.agent_epoch, orders)
             _, report = self.workers[machine.name].commands(body)
             self.cluster.on_commands_answered(machine, [(t.name, t.attempt) for t in starts])
-            self.cluster.on_heartbeat(wire.report(report), self.now, self.now)
+            self.cluster.on_heartbeat(wire.decode_heartbeat(report), self.now, self.now)
 
     def report(self, worker: Worker) -> None:
         sent, session = self.now, worker.session
-        report = wire.report(worker.report())
+        report = wire.decode_heartbeat(worker.report())
         machine = self.cluster.on_heartbeat(report, self.now, self.now)
         orders: list[wire.Command] = []
         if machine is not None and worker.name not in self.mute:
@@ -211,7 +211,7 @@
             orders, starts = self.cluster.commands_for(machine, self.now, direct=False)
             self.cluster.on_commands_sent(machine, starts, self.now, direct=False)
         if worker.name not in self.mute:
-            worker.answer(sent, session, wire.report_answer(self.cluster.token, orders))
+            worker.answer(sent, session, wire.heartbeat_response(self.cluster.token, orders))
 
     def step(self, seconds: float = 0.0) -> None:
         """Time passes, everybody reports, and the leader acts."""
@@ -230,9 +230,9 @@
         for ref in list(self.cluster.dependency_graph.unknown):
             found = self.state.items.get(job_key(ref))
             record = found[0] if found else {}
-            if record.get("state") == wire.DONE:
+            if record.get("state") == wire.JobStatus.COMPLETED:
                 self.cluster.on_completion_recorded(ref, int(record.get("ended", 0)))
-            elif record.get("state") == wire.CANCELLED:
+            elif record.get("state") == wire.JobStatus.CANCELLED:
                 self.cluster.cancel_dependents(ref)
 
     def settle(self, rounds: int = 4) -> None:
@@ -245,24 +245,24 @@
         numbers = chain((1,), range(len(self.jobs) + 1, 10**6))
         free = next(ref for number in numbers if (ref := f"j-{number:06d}") not in self.jobs)
         body = job(**{"ref": free, **changes})
-        spec = wire.submission(body)
-        record = job_record(spec, self.now, wire.QUEUED)
+        spec = wire.decode_submission(body)
+        record = job_record(spec, self.now, wire.JobStatus.QUEUED)
         status, value = self.state.commit(
             {
-                "if": [{"path": job_key(spec.ref), "entryRev": 0}],
+                "if": [{"path": job_key(spec.job_id), "entryRev": 0}],
                 "then": [
-                    {"set": job_key(spec.ref), "value": record},
-                    {"set": (waits_key if spec.needs else live_key)(spec.ref), "value": record},
+                    {"set": job_key(spec.job_id), "value": record},
+                    {"set": (waits_key if spec.dependencies else live_key)(spec.job_id), "value": record},
                 ],
             }
         )
         assert status == 200
-        self.jobs[spec.ref] = msgspec.to_builtins(spec)
-        if spec.needs:
-            self.cluster.add_blocked(Job(spec.ref, spec, value["ledgerRev"], self.now))
-            return spec.ref
-        self.cluster.add_job(spec.ref, spec, value["ledgerRev"], self.now)
-        return spec.ref
+        self.jobs[spec.job_id] = msgspec.to_builtins(spec)
+        if spec.dependencies:
+            self.cluster.add_blocked(Job(spec.job_id, spec, value["ledgerRev"], self.now))
+            return spec.job_id
+        self.cluster.add_job(spec.job_id, spec, value["ledgerRev"], self.now)
+        return spec.job_id
 
     def cancel(self, ref: str, *, tell: bool = True) -> None:
         record, version, _ = self.state.items[job_key(ref)]
@@ -270,7 +270,7 @@
             {
                 "if": [{"path": job_key(ref), "entryRev": version}],
                 "then": [
-                    {"set": job_key(ref), "value": {**record, "state": wire.CANCELLED}},
+                    {"set": job_key(ref), "value": {**record, "state": wire.JobStatus.CANCELLED}},
                     {"set": cancel_key(ref), "value": {}},
                 ],
             }
