--- a/oatport/control/leadership/zone_partition.py
+++ b/oatport/control/leadership/zone_partition.py
@@ -21,7 +21,7 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-from oatport.control.scaling.scale_in import CapacityPlanner
+from oatport.control.scaling.capacity_planner import CapacityPlanner
 from oatport.control.state.capacity import zone_cap
 from oatport.control.state.cluster_state import ClusterState
 from oatport.control.state.job import Job, JobKind
@@ -135,7 +135,9 @@
             return now - since > KEEP_BOUND
         if now > alive + micros(machine.type.boot_s):
             return True
-        return self.fleet.to_be_had(machine, now) and now >= min(self._done_by(machine, since), alive)
+        return self.fleet.availability.replacement_available(machine, now) and now >= min(
+            self._done_by(machine, since), alive
+        )
 
     def _done_by(self, machine: Machine, since: int) -> int:
         """When its tasks are done, as predicted; those of an earlier leader ran before it was last heard."""
--- a/oatport/control/queueing/queue_estimator.py
+++ b/oatport/control/queueing/queue_estimator.py
@@ -8,7 +8,7 @@
 
 from oatport.control.queueing.pending_queue import NO_DEADLINE, RUN_STEP, OrderKey, order_key
 from oatport.control.queueing.tier_router import OWNED, SPOT
-from oatport.control.scaling.scale_in import CapacityPlanner
+from oatport.control.scaling.capacity_planner import CapacityPlanner
 from oatport.control.state.cluster_state import ClusterState
 from oatport.control.state.job import IDLE_RANK, Job, JobKind
 from oatport.control.storage.write_buffer import live_key
@@ -349,7 +349,7 @@
         sort = (spot, spec.zone, tuple(spec.types) if spec.types else None, (spec.cpus, spec.gpus, spec.memory_gb))
         found = self._known.get(sort)
         if found is None:
-            found = self._known[sort] = self._fleet.open(job, spot, self._now)
+            found = self._known[sort] = self._fleet.availability.any_for(job, spot, self._now)
         return found
 
 
--- a/oatport/control/scaling/incoming_capacity.py
+++ b/oatport/control/scaling/incoming_capacity.py
@@ -1,7 +1,8 @@
-"""Room that is on its way: booting machines and those about to be rented, and who is to have it.
+"""Capacity that is on its way: booting machines and those about to be rented, and which pending tasks are to have it.
 
-Each waiting job once looked at every one of them: with hundreds booting and thousands waiting, that was most of what a
-rush cost. Room only shrinks while rentals are reckoned, so jobs of one shape go on where the one before them stopped.
+Each pending job once looked at every slot: with hundreds of machines booting and thousands of jobs pending, that was
+most of what a burst of submissions cost. Capacity only shrinks while rentals are planned, so jobs of one equivalence
+class go on where the one before them stopped.
 """
 
 from __future__ import annotations
@@ -12,75 +13,82 @@
 from oatport import wire
 from oatport.control.state.capacity import task_slots
 
-Shape = tuple[float, float, float, bool, tuple[str, ...]]  # CPUs, GPUs, memory, may it use spot, types that suit
+# CPUs, GPUs, memory in GB, may it use spot machines, names of the preferred types.
+EquivalenceKey = tuple[float, float, float, bool, tuple[str, ...]]
 
 
 @dataclass(slots=True)
 class CapacitySlot:
+    """The capacity of one machine that is left for pending tasks while rentals are planned."""
+
     type: wire.MachineType
     zone: str
     spot: bool
     cpus: float
     gpus: float
-    memory: float
-    place: int = 0  # among all, in the order in which they are taken up
+    memory_gb: float
+    position: int = 0  # among all slots, in the order in which they are used
 
     @classmethod
-    def of(cls, kind: wire.MachineType, zone: str, spot: bool) -> CapacitySlot:
-        return cls(kind, zone, spot, kind.cpus, kind.gpus, kind.memory_gb)
+    def of(cls, machine_type: wire.MachineType, zone: str, spot: bool) -> CapacitySlot:
+        """The slot of an empty machine."""
+        return cls(machine_type, zone, spot, machine_type.cpus, machine_type.gpus, machine_type.memory_gb)
 
-    def holds(self, spec: wire.Submission) -> int:
-        """How many tasks of a job it has room for."""
-        return task_slots(spec, self.cpus, self.gpus, self.memory)
+    def free_slots(self, spec: wire.Submission) -> int:
+        """How many more tasks of a job fit."""
+        return task_slots(spec, self.cpus, self.gpus, self.memory_gb)
 
-    def take(self, spec: wire.Submission, most: int) -> int:
-        """Give room to up to `most` tasks; how many got it."""
-        count = max(0, min(self.holds(spec), most))
+    def reserve(self, spec: wire.Submission, limit: int) -> int:
+        """Reserve capacity for up to `limit` tasks; returns for how many there was any."""
+        count = max(0, min(self.free_slots(spec), limit))
         self.cpus -= count * spec.cpus
         self.gpus -= count * spec.gpus
-        self.memory -= count * spec.memory_gb
+        self.memory_gb -= count * spec.memory_gb
         return count
 
 
 @dataclass(slots=True)
 class IncomingCapacity:
-    """All room that is coming, in order; only ever added to and taken from."""
+    """All slots that are on their way, in order; slots are only ever added, and capacity only reserved."""
 
-    looked_at: int = 0  # what tests count instead of time
-    _all: list[CapacitySlot] = field(default_factory=list)
-    _zones: dict[str, list[CapacitySlot]] = field(default_factory=dict)
-    _from: dict[tuple[Shape, str], int] = field(default_factory=dict)
+    slots_examined: int = 0  # what tests count instead of time
+    _slots: list[CapacitySlot] = field(default_factory=list)
+    _slots_by_zone: dict[str, list[CapacitySlot]] = field(default_factory=dict)
+    # Where the search of an equivalence class in a zone goes on: no slot before it is feasible any more.
+    _search_from: dict[tuple[EquivalenceKey, str], int] = field(default_factory=dict)
 
-    def add(self, room: CapacitySlot) -> None:
-        room.place = len(self._all)
-        self._all.append(room)
-        self._zones.setdefault(room.zone, []).append(room)
+    def add(self, slot: CapacitySlot) -> None:
+        """Append a slot."""
+        slot.position = len(self._slots)
+        self._slots.append(slot)
+        self._slots_by_zone.setdefault(slot.zone, []).append(slot)
 
     def __iter__(self) -> Iterator[CapacitySlot]:
-        return iter(self._all)
+        return iter(self._slots)
 
     def zones(self) -> list[str]:
-        return list(self._zones)
+        """The zones that have a slot, in order of their first one."""
+        return list(self._slots_by_zone)
 
-    def first(
-        self, spec: wire.Submission, spot: bool, suited: tuple[str, ...], zones: list[str]
+    def first_feasible(
+        self, spec: wire.Submission, spot: bool, preferred_types: tuple[str, ...], zones: list[str]
     ) -> CapacitySlot | None:
-        """The first in these zones that has room for a task of such a job; None if there is none.
+        """The first slot in these zones that a task of such a job fits into; None if there is none.
 
-        `spot`: may it be a spot machine? `suited`: names of the types that it may be.
+        `spot`: may it be a spot machine? `preferred_types`: names of the types that it may be.
         """
-        shape = (spec.cpus, spec.gpus, spec.memory_gb, spot, suited)
-        best: CapacitySlot | None = None
+        equivalence = (spec.cpus, spec.gpus, spec.memory_gb, spot, preferred_types)
+        first: CapacitySlot | None = None
         for zone in zones:
-            there = self._zones.get(zone, ())
-            at = self._from.get((shape, zone), 0)
-            while at < len(there):
-                room = there[at]
-                self.looked_at += 1
-                if (spot or not room.spot) and room.type.name in suited and room.holds(spec) > 0:
-                    if best is None or room.place < best.place:
-                        best = room
+            slots = self._slots_by_zone.get(zone, ())
+            index = self._search_from.get((equivalence, zone), 0)
+            while index < len(slots):
+                slot = slots[index]
+                self.slots_examined += 1
+                if (spot or not slot.spot) and slot.type.name in preferred_types and slot.free_slots(spec) > 0:
+                    if first is None or slot.position < first.position:
+                        first = slot
                     break
-                at += 1  # it has none for this shape, and will never have any
-            self._from[(shape, zone)] = at
-        return best
+                index += 1  # it has no capacity for this class, and will never have any
+            self._search_from[(equivalence, zone)] = index
+        return first
--- /dev/null
+++ b/oatport/control/scaling/offering_selector.py
@@ -0,0 +1,120 @@
+"""Which offering of the cloud serves pending tasks at the least cost."""
+
+from __future__ import annotations
+
+from collections import Counter
+from dataclasses import dataclass, field
+
+from oatport import wire
+from oatport.control.scaling.cloud_availability import CloudAvailability, Offering
+from oatport.control.scaling.demand import Demand
+from oatport.control.scaling.incoming_capacity import CapacitySlot
+from oatport.control.state.capacity import task_slots_when_empty
+from oatport.control.state.cluster_state import ClusterState
+from oatport.control.state.job import Job, JobKind
+from oatport.times import SECOND, micros
+
+COST_RATIO_MAX = 2.5  # beyond so many times the cheapest type's cost a type isn't rented instead of it
+PARTITION_PROBE_DELAY = 20 * SECOND
+RUNTIME_MIN = 10 * SECOND
+UNUSED_SLOT_WEIGHT = 0.7  # of a slot that later work is expected to fill
+
+
+@dataclass(slots=True)
+class OfferingSelector:
+    """Picks offerings during one planning pass; `start_pass` begins the next one."""
+
+    cluster: ClusterState
+    availability: CloudAvailability
+    _machine_counts: Counter[Offering] = field(default_factory=Counter)
+    # The choices of this pass, by what a task needs, where and for how long it may run, and how many there are.
+    _choices: dict[tuple[object, int], tuple[wire.MachineType, str] | None] = field(default_factory=dict)
+
+    def start_pass(self) -> None:
+        """Forget the choices of the last pass and count the machines anew."""
+        self._machine_counts = Counter((m.type.name, m.zone, m.spot) for m in self.cluster.machines.values())
+        self._choices.clear()
+
+    def choose_shared(self, demand: Demand, equivalence: object, slots_max: int, now: int) -> CapacitySlot | None:
+        """As `choose`, with one search for all jobs of an equivalence class.
+
+        Neither refusals nor the count of machines change within a pass, and more tasks than `slots_max`, what the
+        largest machine holds, change nothing. A job whose zones or other tasks matter is searched for by itself.
+        """
+        job = demand.job
+        key = (equivalence, min(demand.remaining, slots_max))
+        depends_on_zones = job.spec.spread or job.spec.one_zone or job.kind is JobKind.SERVICE
+        if depends_on_zones or key not in self._choices:
+            self._choices[key] = self._cheapest(demand, now)
+        choice = self._choices[key]
+        return None if choice is None else CapacitySlot.of(*choice, demand.spot)
+
+    def choose(self, demand: Demand, now: int) -> CapacitySlot | None:
+        """An empty machine of the offering that costs least for the remaining tasks; None if none should be rented."""
+        choice = self._cheapest(demand, now)
+        return None if choice is None else CapacitySlot.of(*choice, demand.spot)
+
+    def _cheapest(self, demand: Demand, now: int) -> tuple[wire.MachineType, str] | None:
+        """The type and zone with the least cost, boot time included."""
+        job, spot = demand.job, demand.spot
+        runtime = max(self.cluster.predictor.run_time(job.job_id, job.spec), RUNTIME_MIN)
+        best: tuple[wire.MachineType, str] | None = None
+        best_key: tuple[float, float] | None = None
+        costs: dict[str, float] = {}
+        for machine_type in self.cluster.feasible_types(job):
+            cost = costs[machine_type.name] = self._cost_per_task(machine_type, demand, runtime)
+            for zone in machine_type.zones:
+                if not self._can_rent(demand, machine_type, zone, now):
+                    continue
+                # A wave of reclamations confined to one zone should not take all machines of an offering.
+                offering = (machine_type.name, zone, spot)
+                is_service = job.kind is JobKind.SERVICE
+                key = (cost, demand.tasks_by_zone.get(zone, 0) if is_service else self._machine_counts[offering])
+                if best_key is None or key < best_key:
+                    best, best_key = (machine_type, zone), key
+        if best is not None and costs[best[0].name] > COST_RATIO_MAX * min(costs.values()):
+            return None  # waiting for the right type of machine is better than, say, GPUs left idle
+        return best
+
+    @staticmethod
+    def _cost_per_task(machine_type: wire.MachineType, demand: Demand, runtime: int) -> float:
+        slots = task_slots_when_empty(machine_type, demand.job.spec)
+        count = min(slots, demand.remaining)
+        # What the machine could hold counts for a part: later work fills the rest.
+        useful = count + UNUSED_SLOT_WEIGHT * (slots - count)
+        price = machine_type.spot_price if demand.spot else machine_type.price
+        return price * (runtime + micros(machine_type.boot_s)) / runtime / useful
+
+    def _can_rent(self, demand: Demand, machine_type: wire.MachineType, zone: str, now: int) -> bool:
+        if (demand.only_zone and zone != demand.only_zone) or self._is_unreachable(zone, now):
+            return False
+        if demand.is_zone_full(zone):
+            return False
+        offering = (machine_type.name, zone, demand.spot)
+        return not self.availability.is_refused(offering, now) and not self.availability.is_requested(offering)
+
+    def _is_unreachable(self, zone: str, now: int) -> bool:
+        """A partitioned zone: after a while one machine at a time is rented there, to find out."""
+        since = self.cluster.partitioned_zones.get(zone)
+        if since is None:
+            return False
+        return (
+            now - since < PARTITION_PROBE_DELAY
+            or any(request.zone == zone for request in self.availability.requests_in_flight)
+            or any(m.zone == zone for m in self.cluster.machines.values())
+        )
+
+
+def equivalence_key(job: Job, spot: bool) -> object:
+    """Jobs with the same key are served best by the same offering, their zones and other tasks apart."""
+    spec = job.spec
+    return (
+        spec.cpus,
+        spec.gpus,
+        spec.memory_gb,
+        spec.zone,
+        tuple(spec.types) if spec.types else None,
+        spot,
+        job.kind,
+        job.runtime_bucket,
+    )
--- a/oatport/service/cloud_controller.py
+++ b/oatport/service/cloud_controller.py
@@ -9,7 +9,8 @@
 from oatport import wire
 from oatport.clients.cloud import CloudClient
 from oatport.clients.http import NoResponseError, RequestRefusedError, jitter
-from oatport.control.scaling.scale_in import CapacityPlanner, ScaleOutRequest
+from oatport.control.scaling.capacity_planner import CapacityPlanner
+from oatport.control.scaling.cloud_availability import ScaleOutRequest
 from oatport.control.state.job import JobKind
 from oatport.control.state.machine import Machine
 from oatport.service.catalog import read_types, write_types
@@ -52,8 +53,8 @@
             f"cpus {fleet.cpus:.0f} of which free {fleet.free_owned:.0f} owned {fleet.free_spot:.0f} spot; "
             f"jobs {len(self.cluster.jobs)}; waiting tasks {fleet.waiting or 0}; "
             f"threshold {seconds(self.cluster.router.threshold):.0f} s; "
-            f"rentals under way {len(self.fleet.under_way)}, "
-            f"refused {sum(1 for until in self.fleet.refused.values() if until > now)}; spent "
+            f"rentals under way {len(self.fleet.availability.requests_in_flight)}, "
+            f"refused {self.fleet.availability.refused_count(now)}; spent "
             + " ".join(f"{what} {money:.2f}" for what, money in sorted(self.cluster.cost_by_use.items()))
         )
 
@@ -84,25 +85,25 @@
                 self.group.once("catalog", self.catalog())
             if self._settled(now) and not self._helm.decisions_paused(now):
                 self.cluster.find_usable(now)
-                due = self.fleet.due(now)
+                due = self.fleet.scale_out.due(now)
                 if due:
                     # What waits is placed on reopened machines first: more than what they take was once rented.
-                    reopened = self.fleet.mark_surplus(now) and not reopened
+                    reopened = self.fleet.scale_in.update_cordons() and not reopened
                     self.cluster.planning_needed = self.cluster.planning_needed or reopened
                 if now - moved_at > SECOND:
                     replicas = sum(j.on_machines for j in self.cluster.jobs.values() if j.kind is JobKind.SERVICE)
                     self.cluster.replica_us += replicas * (now - moved_at) if moved_at else 0
                     moved_at = now
-                    for task in self.fleet.to_move(now):
+                    for task in self.fleet.rebalancer.replicas_to_move(now):
                         self.cluster.stop(task, 0.0)
                     self._helm.wake()
                 # Few at a time: a queue of requests that the cloud will refuse holds up those it would
                 # fill, and by the time they get there nobody wants them.
-                rentals = self.fleet.wanted(now) if due and not reopened else []
-                for rental in rentals[: max(0, RENTALS_AT_ONCE - len(self.fleet.under_way))]:
-                    self.fleet.under_way.append(rental)
+                rentals = self.fleet.scale_out.plan(now) if due and not reopened else []
+                for rental in rentals[: max(0, RENTALS_AT_ONCE - len(self.fleet.availability.requests_in_flight))]:
+                    self.fleet.availability.requests_in_flight.append(rental)
                     self.group.once("rent", self.rent(rental))
-            gone = self.fleet.to_release(now)
+            gone = self.fleet.scale_in.machines_to_release(now)
             if gone and self._settled(now) and self._helm.holds_lease():
                 await self.release(gone, "returned")
 
@@ -128,7 +129,7 @@
                 except RequestRefusedError as error:
                     reason = error.value.get("error") if isinstance(error.value, dict) else None
                     if error.status == 503 and reason == "no capacity":
-                        self.fleet.refuse(rental, steady())
+                        self.fleet.availability.refuse(rental, steady())
                         log.info("no %s in %s (spot %s)", rental.type, rental.zone, rental.spot)
                         return
                     await asyncio.sleep(jitter(SECOND))
@@ -138,15 +139,17 @@
                     await asyncio.sleep(jitter(300 * MS))  # the same name again: it rents once
             if names is None:
                 return
-            if len(names) < rental.count:
-                self.fleet.refuse(rental, steady(), some=bool(names))
+            if not names:
+                self.fleet.availability.refuse(rental, steady())
+            elif len(names) < rental.count:
+                self.fleet.availability.grant_partially(rental, steady())
             else:
-                self.fleet.grant(rental, steady())
+                self.fleet.availability.grant(rental, steady())
             log.info("rented %d %s in %s (spot %s)", len(names), rental.type, rental.zone, rental.spot)
             for name in names:
                 self.cluster.add_machine(name, rental.type, rental.zone, rental.spot, "", steady(), time_of_day())
         finally:
-            self.fleet.under_way.remove(rental)
+            self.fleet.availability.requests_in_flight.remove(rental)
             self._helm.wake()
 
     async def release(self, machines: list[Machine], why: str) -> None:
--- a/oatport/service/failure_detector.py
+++ b/oatport/service/failure_detector.py
@@ -9,7 +9,8 @@
 from oatport.clients.http import Keep, NoResponseError, RequestRefusedError
 from oatport.clients.worker import WorkerClient
 from oatport.control.leadership.zone_partition import ZoneEvacuation
-from oatport.control.scaling.scale_in import RELEASE_MOST, CapacityPlanner
+from oatport.control.scaling.capacity_planner import CapacityPlanner
+from oatport.control.scaling.scale_in import MACHINES_PER_RELEASE
 from oatport.control.state.machine import Machine
 from oatport.control.storage.recovery import command_unreachable, cut_off, dark_suspects, silent
 from oatport.control.storage.write_buffer import LEADER_KEY
@@ -103,7 +104,7 @@
         # A zone that is cut off as a whole is left bit by bit; others that fell silent are gone.
         left = cluster.mark_partitioned(lost, steady())
         self._confirmed_at = steady()
-        lost = [m for m in lost if m.zone not in left][:RELEASE_MOST]
+        lost = [m for m in lost if m.zone not in left][:MACHINES_PER_RELEASE]
         if lost:
             log.info("silent machines, releasing: %s", " ".join(m.name for m in lost))
             await self._release(lost, "silent")
@@ -149,7 +150,9 @@
             self._confirmed_at = steady()
         if not await self._may_judge():
             return
-        leaving = [m for m in leaving if m.zone in self.cluster.partitioned_zones and not m.removed][:RELEASE_MOST]
+        leaving = [m for m in leaving if m.zone in self.cluster.partitioned_zones and not m.removed][
+            :MACHINES_PER_RELEASE
+        ]
         if leaving:
             log.info("cut off, releasing: %s", " ".join(m.name for m in leaving))
             await self._release(leaving, "cut off")
--- a/tests/scale.py
+++ b/tests/scale.py
@@ -96,9 +96,13 @@
     world.commit()
     world.send()
     found.rent = calls(
-        lambda: (world.fleet.mark_surplus(world.now), world.fleet.wanted(world.now), world.fleet.to_release(world.now))
+        lambda: (
+            world.fleet.scale_in.update_cordons(),
+            world.fleet.scale_out.plan(world.now),
+            world.fleet.scale_in.machines_to_release(world.now),
+        )
     )
-    found.move = calls(lambda: world.fleet.to_move(world.now))
+    found.move = calls(lambda: world.fleet.rebalancer.replicas_to_move(world.now))
     world.now += 1_000_000
     reports = [wire.report(worker.report()) for worker in world.workers.values()]
     found.report = calls(lambda: [world.cluster.on_heartbeat(r, world.now, world.now) for r in reports])
@@ -161,7 +165,7 @@
     for _ in range(3):
         world.step(2.0)
     for sort in [(kind, zone, spot) for kind in world.cluster.types for zone in "ab" for spot in (False, True)]:
-        world.fleet.refused[sort] = world.now + 3600 * SECOND
+        world.fleet.availability.refused_until[sort] = world.now + 3600 * SECOND
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
     for number in range(tasks // 12):
@@ -179,10 +183,10 @@
 
     def rent() -> None:
         cluster.find_usable(world.now)
-        if world.fleet.due(world.now):
-            world.fleet.mark_surplus(world.now)
-            world.fleet.wanted(world.now)
-        world.fleet.to_release(world.now)
+        if world.fleet.scale_out.due(world.now):
+            world.fleet.scale_in.update_cordons()
+            world.fleet.scale_out.plan(world.now)
+        world.fleet.scale_in.machines_to_release(world.now)
 
     def ten_seconds(each_second: Callable[[], None]) -> int:
         total = 0
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -12,7 +12,7 @@
 from oatport.control.queueing.queue_estimator import order as order_of
 from oatport.control.queueing.runtime_predictor import RuntimePredictor
 from oatport.control.queueing.tier_router import ON_DEMAND, OWNED, SPOT, TierRouter
-from oatport.control.scaling.scale_in import ScaleOutRequest
+from oatport.control.scaling.cloud_availability import ScaleOutRequest
 from oatport.control.storage.recovery import LeaseRenewalLimit, cut_off, dark_suspects, silent
 from oatport.settings import Objective, SettingsError, Team, load, load_tuning
 from oatport.times import SECOND, micros
@@ -92,29 +92,29 @@
     world = World()
     world.submit(legs=6, voyageS=30.0)
     world.plan()
-    (rental,) = world.fleet.wanted(world.now)
+    (rental,) = world.fleet.scale_out.plan(world.now)
     assert (rental.type, rental.spot, rental.count) == ("m8", True, 3)
-    world.fleet.under_way.append(rental)
-    assert world.fleet.wanted(world.now) == []
-    world.fleet.under_way.clear()
+    world.fleet.availability.requests_in_flight.append(rental)
+    assert world.fleet.scale_out.plan(world.now) == []
+    world.fleet.availability.requests_in_flight.clear()
     for number in range(3):
         world.cluster.add_machine(f"vm-00000{number}", "m8", "a", True, "", world.now, world.now)
-    assert world.fleet.wanted(world.now) == []  # booting machines count
+    assert world.fleet.scale_out.plan(world.now) == []  # booting machines count
     world.now += 200 * SECOND
-    assert world.fleet.wanted(world.now)  # but not for ever
-    assert len(world.fleet.to_release(world.now)) == 3  # the ones that never boot go back
+    assert world.fleet.scale_out.plan(world.now)  # but not for ever
+    assert len(world.fleet.scale_in.machines_to_release(world.now)) == 3  # the ones that never boot go back
 
 
 def test_refused_capacity_is_sought_elsewhere() -> None:
     world = World()
     world.submit(legs=2, voyageS=30.0)
     world.plan()
-    (first,) = world.fleet.wanted(world.now)
-    world.fleet.refuse(first, world.now)
-    (second,) = world.fleet.wanted(world.now)
+    (first,) = world.fleet.scale_out.plan(world.now)
+    world.fleet.availability.refuse(first, world.now)
+    (second,) = world.fleet.scale_out.plan(world.now)
     assert second.zone != first.zone
-    world.fleet.refuse(second, world.now)
-    assert world.fleet.wanted(world.now) == []  # GPU machines are too dear for it
+    world.fleet.availability.refuse(second, world.now)
+    assert world.fleet.scale_out.plan(world.now) == []  # GPU machines are too dear for it
 
 
 def test_nothing_is_rented_in_a_dark_zone_but_one_machine_to_find_out() -> None:
@@ -134,11 +134,11 @@
     assert set(cluster.partitioned_zones) == {"a"}
     world.submit(legs=20, cores=8.0)
     world.plan()
-    assert {rental.zone for rental in world.fleet.wanted(world.now)} == {"b"}
-    world.fleet.refuse(ScaleOutRequest("m8", "b", True, 1), world.now + 20 * SECOND)
-    assert world.fleet.wanted(world.now) == []
+    assert {rental.zone for rental in world.fleet.scale_out.plan(world.now)} == {"b"}
+    world.fleet.availability.refuse(ScaleOutRequest("m8", "b", True, 1), world.now + 20 * SECOND)
+    assert world.fleet.scale_out.plan(world.now) == []
     world.now += 25 * SECOND
-    (probe,) = world.fleet.wanted(world.now)
+    (probe,) = world.fleet.scale_out.plan(world.now)
     assert (probe.zone, probe.count) == ("a", 1)
     world.machine(9, "a")
     world.settle(1)
@@ -157,7 +157,7 @@
     world.submit(ref="j-000007", legs=1, **GANG)
     world.plan()
     assert world.cluster.jobs["j-000007"].tier == ON_DEMAND
-    (rental,) = world.fleet.wanted(world.now)
+    (rental,) = world.fleet.scale_out.plan(world.now)
     assert rental.type == "g16"
 
 
@@ -204,7 +204,7 @@
     world.settle(2)
     gang = world.submit(ref="j-000007", legs=2, **GANG)
     world.plan()
-    (rental,) = world.fleet.wanted(world.now)
+    (rental,) = world.fleet.scale_out.plan(world.now)
     assert (rental.type, rental.zone, rental.count) == ("g16", "a", 1)  # where the free one is
     world.cluster.add_machine("vm-000002", "g16", "a", False, "", world.now, world.now)
     small = world.submit(ref="j-000008", legs=1, **GANG)
@@ -294,7 +294,7 @@
     near = world.submit(ref="j-000002", legs=2, voyageS=50.0, tideS=80.0)
     for zone in "ab":
         for kind in ("m8", "g16"):
-            world.fleet.refuse(ScaleOutRequest(kind, zone, True, 1), world.now)
+            world.fleet.availability.refuse(ScaleOutRequest(kind, zone, True, 1), world.now)
     world.plan()
     jobs = world.cluster.jobs
     assert (jobs[lost].tier, jobs[near].tier) == (SPOT, ON_DEMAND)
@@ -351,7 +351,7 @@
     world.settle(60)
     assert sorted(names[0] for names in world.live(moving).values())[:2] == ["vm-000001"] * 2
     world.cluster.replica_us = 10_000 * SECOND
-    assert len(world.fleet.to_move(world.now)) == 2
+    assert len(world.fleet.rebalancer.replicas_to_move(world.now)) == 2
 
 
 def test_moves_that_fetch_stay_within_what_replicas_may_miss() -> None:
@@ -366,9 +366,9 @@
     world.settle(60)
     assert world.live(moving) == {f"{moving}/0": ["vm-000002"]}
     world.cluster.replica_us = 100 * SECOND
-    assert world.fleet.to_move(world.now) == []  # a fetch of 1 s would be 1 %
+    assert world.fleet.rebalancer.replicas_to_move(world.now) == []  # a fetch of 1 s would be 1 %
     world.cluster.replica_us = 100_000 * SECOND
-    assert [task.name for task in world.fleet.to_move(world.now)] == [f"{moving}/0"]
+    assert [task.name for task in world.fleet.rebalancer.replicas_to_move(world.now)] == [f"{moving}/0"]
 
 
 def test_replicas_of_a_job_leave_room_for_a_lost_mate() -> None:
@@ -404,7 +404,9 @@
     assert len(world.live(short)) == 4
     gang = world.submit(ref="j-000007", legs=1, **GANG)
     world.plan()
-    assert world.fleet.wanted(world.now) == [] or all(r.type != "g16" for r in world.fleet.wanted(world.now))
+    assert world.fleet.scale_out.plan(world.now) == [] or all(
+        r.type != "g16" for r in world.fleet.scale_out.plan(world.now)
+    )
     world.step(0.1)
     world.step(0.1)
     world.step(0.1)
@@ -413,7 +415,9 @@
     world.settle(3)
     for _ in range(9):
         world.step(10.0)
-    assert [m.name for m in world.fleet.to_release(world.now)] == ["vm-000001"]  # no warm room for services either
+    assert [m.name for m in world.fleet.scale_in.machines_to_release(world.now)] == [
+        "vm-000001"
+    ]  # no warm room for services either
 
 
 def test_replicas_move_together_once_nothing_else_wants_the_room() -> None:
@@ -432,10 +436,12 @@
         assert task.machine is not None
     used = {name for job in (service, other) for names in world.live(job).values() for name in names}
     assert len(used) == 2
-    assert world.fleet.to_move(world.now) == []  # too few replicas, for too short a time, for one to be missed
+    assert (
+        world.fleet.rebalancer.replicas_to_move(world.now) == []
+    )  # too few replicas, for too short a time, for one to be missed
     world.cluster.replica_us = 10_000 * SECOND
     for _ in range(6):
-        for task in world.fleet.to_move(world.now):
+        for task in world.fleet.rebalancer.replicas_to_move(world.now):
             world.cluster.stop(task, 0.0)
         world.send()
         world.step(0.5)
@@ -444,7 +450,7 @@
     used = {name for job in (service, other) for names in world.live(job).values() for name in names}
     assert len(used) == 1
     empty = first if second.name in used else second
-    assert [m.name for m in world.fleet.to_release(world.now)] == [empty.name]
+    assert [m.name for m in world.fleet.scale_in.machines_to_release(world.now)] == [empty.name]
 
 
 def test_the_work_of_a_planning_pass_is_bounded() -> None:
@@ -540,7 +546,7 @@
     world = World()
     world.submit(crew="crew", legs=100)
     world.plan()
-    assert sum(r.count for r in world.fleet.wanted(world.now)) == 4  # 32 CPUs
+    assert sum(r.count for r in world.fleet.scale_out.plan(world.now)) == 4  # 32 CPUs
 
 
 def test_idle_machines_go_back_but_not_busy_ones() -> None:
@@ -549,7 +555,7 @@
     world.submit(legs=1, voyageS=100.0)
     for _ in range(40):
         world.step(1.0)
-    names = [m.name for m in world.fleet.to_release(world.now)]
+    names = [m.name for m in world.fleet.scale_in.machines_to_release(world.now)]
     assert names == [idle.name if busy.starts else busy.name]
 
 
@@ -561,10 +567,10 @@
     assert owned.starts  # free owned room first
     world.machine(2, spot=True)
     world.settle(2)
-    world.fleet.mark_surplus(world.now)
+    world.fleet.scale_in.update_cordons()
     assert world.cluster.machines[owned.name].cordoned_for_scale_in
     world.submit(ref="j-000002", legs=6, voyageS=30.0)  # more than spot room can take
-    world.fleet.mark_surplus(world.now)
+    world.fleet.scale_in.update_cordons()
     assert not world.cluster.machines[owned.name].cordoned_for_scale_in
 
 
--- a/tests/test_dark.py
+++ b/tests/test_dark.py
@@ -9,7 +9,7 @@
 from oatport import wire
 from oatport.control.leadership.lease_proxy import ISOLATED_AFTER, LeaseProxy
 from oatport.control.leadership.zone_partition import KEEP_BOUND, REPLICAS_AT_ONCE, ZoneEvacuation, lives_until
-from oatport.control.scaling.scale_in import ScaleOutRequest
+from oatport.control.scaling.cloud_availability import ScaleOutRequest
 from oatport.control.state.machine import Machine
 from oatport.control.storage.write_buffer import DARK_KEY
 from oatport.lab.world.state import KeyStore
@@ -217,9 +217,9 @@
     there = cut(world, "b")
     world.now += 20 * SECOND  # what they ran is done by now, and will be done at once where it is started again
     assert leaving(world, True) == []  # but who knows whether there are other machines?
-    world.fleet.grant(ScaleOutRequest("m8", "b", False, 1), world.now)
+    world.fleet.availability.grant(ScaleOutRequest("m8", "b", False, 1), world.now)
     assert leaving(world, True) == []
-    world.fleet.grant(ScaleOutRequest("m8", "a", False, 1), world.now)
+    world.fleet.availability.grant(ScaleOutRequest("m8", "a", False, 1), world.now)
     assert leaving(world, True) == [m.name for m in there]
 
 
@@ -236,7 +236,7 @@
     assert abs(world.cluster.partitioned_zones["b"] - since) < SECOND // 10
     world.submit(rig="standing", legs=2, driftwood=False)
     world.settle()
-    assert all(rental.zone == "a" for rental in world.fleet.wanted(world.now))
+    assert all(rental.zone == "a" for rental in world.fleet.scale_out.plan(world.now))
     world.refused.clear()
     world.settle()
     assert not world.cluster.partitioned_zones
--- a/tests/test_evening.py
+++ b/tests/test_evening.py
@@ -56,7 +56,7 @@
     world.mute |= set(world.workers)
     for _ in range(60):
         world.step(1.0)
-        assert world.fleet.to_release(world.now) == []
+        assert world.fleet.scale_in.machines_to_release(world.now) == []
     assert all(m.command_unreachable for m in world.cluster.machines.values())
 
 
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -65,7 +65,7 @@
     job.retry_at = 0
     world.plan()
     assert job.tier != OWNED
-    assert world.fleet.wanted(world.now) == []
+    assert world.fleet.scale_out.plan(world.now) == []
     # Its cancellation is met, and it is never called done.
     world.cancel(ref)
     world.settle()
@@ -86,7 +86,7 @@
     assert not world.cluster.machines[bad.name].draining  # not proven yet: it may be the jobs
     world.settle(32)
     assert world.cluster.machines[bad.name].draining
-    assert [m.name for m in world.fleet.to_release(world.now)] == [bad.name]
+    assert [m.name for m in world.fleet.scale_in.machines_to_release(world.now)] == [bad.name]
 
 
 def test_a_job_wrongly_suspected_is_cleared_by_its_first_task_done() -> None:
--- a/tests/test_guests.py
+++ b/tests/test_guests.py
@@ -20,13 +20,13 @@
     world.settle()
     assert world.cluster.jobs[ref].tier == SPOT
     assert world.live(ref) == {}  # the empty owned machine is not kept for it
-    rentals = world.fleet.wanted(world.now)
+    rentals = world.fleet.scale_out.plan(world.now)
     assert rentals
     assert all(rental.spot for rental in rentals)
     for rental in rentals:
-        world.fleet.refuse(rental, world.now)
+        world.fleet.availability.refuse(rental, world.now)
     world.plan()
-    assert not any(not rental.spot for rental in world.fleet.wanted(world.now))
+    assert not any(not rental.spot for rental in world.fleet.scale_out.plan(world.now))
 
 
 def test_guests_fill_the_room_beside_replicas() -> None:
@@ -53,7 +53,7 @@
     world.cancel(service)
     world.settle()
     assert len(world.live(guest)) == 2
-    world.fleet.mark_surplus(world.now)
+    world.fleet.scale_in.update_cordons()
     assert world.cluster.machines["vm-000001"].cordoned_for_scale_in
 
 
@@ -111,7 +111,7 @@
     world.settle()
     array = world.submit(ref="j-000002", legs=16, tideS=70.0)
     world.plan()
-    assert not world.fleet.wanted(world.now)
+    assert not world.fleet.scale_out.plan(world.now)
     world.settle(5)  # a task a machine each second
     assert len(world.live(array)) == 16
 
@@ -126,11 +126,11 @@
     world.settle()
     world.cancel(service)
     world.settle()
-    assert not world.fleet.mark_surplus(world.now)
+    assert not world.fleet.scale_in.update_cordons()
     world.submit(ref="j-000003", rig="standing", urgency="production", legs=1, driftwood=False)
     world.plan()
-    assert world.fleet.mark_surplus(world.now)
-    assert not world.fleet.mark_surplus(world.now)
+    assert world.fleet.scale_in.update_cordons()
+    assert not world.fleet.scale_in.update_cordons()
 
 
 def test_a_new_machine_is_written_down_before_a_swarms_claims() -> None:
--- a/tests/test_limits_properties.py
+++ b/tests/test_limits_properties.py
@@ -283,7 +283,7 @@
     @rule()
     def release(self) -> None:
         """What is idle, drained or given up goes, if nothing speaks against it."""
-        for machine in self.world.fleet.to_release(self.world.now):
+        for machine in self.world.fleet.scale_in.machines_to_release(self.world.now):
             self._gone(machine.name)
 
     @rule(number=PLACES)
--- a/tests/test_rush.py
+++ b/tests/test_rush.py
@@ -11,8 +11,9 @@
 from oatport.control.queueing import pending_queue
 from oatport.control.queueing.pending_queue import PendingQueue, order_key
 from oatport.control.queueing.queue_estimator import ROUTE_EVERY, ROUTE_MOST, QueueEstimator
+from oatport.control.scaling.cloud_availability import REFUSAL_BACKOFF, REFUSAL_BACKOFF_MAX, ScaleOutRequest
 from oatport.control.scaling.incoming_capacity import CapacitySlot, IncomingCapacity
-from oatport.control.scaling.scale_out import PLANNED_MOST, REFUSED_MOST, REFUSED_PAUSE, ScaleOutRequest
+from oatport.control.scaling.scale_out import MACHINES_PER_PASS
 from oatport.control.state.job import Job
 from oatport.control.state.machine import Machine
 from oatport.settings import Team
@@ -217,13 +218,13 @@
         plain.append(CapacitySlot.of(kind, zone, on_spot))
     wants = [(spec(cores=rng.choice([1.0, 4.0, 12.0])), rng.random() < 0.5) for _ in range(300)]
     for want, on_spot in wants:
-        found = rooms.first(want, on_spot, ("m8", "g16"), ["a", "b"])
-        expected = next((r for r in plain if (on_spot or not r.spot) and r.holds(want) > 0), None)
+        found = rooms.first_feasible(want, on_spot, ("m8", "g16"), ["a", "b"])
+        expected = next((r for r in plain if (on_spot or not r.spot) and r.free_slots(want) > 0), None)
         assert (found is None) == (expected is None)
         if found is not None and expected is not None:
-            assert plain[found.place] is expected
-            assert found.take(want, 1) == expected.take(want, 1) == 1
-    assert rooms.looked_at < 2 * len(wants) + 6 * len(plain)  # and not one times the other
+            assert plain[found.position] is expected
+            assert found.reserve(want, 1) == expected.reserve(want, 1) == 1
+    assert rooms.slots_examined < 2 * len(wants) + 6 * len(plain)  # and not one times the other
 
 
 def test_no_more_is_planned_than_is_asked_for() -> None:
@@ -231,9 +232,9 @@
     for _ in range(40):
         world.submit(legs=100, voyageS=20.0)
     world.plan()
-    rentals = world.fleet.wanted(world.now)
-    assert PLANNED_MOST <= sum(rental.count for rental in rentals) < PLANNED_MOST + 60
-    assert not world.fleet.due(world.now + SECOND // 10)
+    rentals = world.fleet.scale_out.plan(world.now)
+    assert MACHINES_PER_PASS <= sum(rental.count for rental in rentals) < MACHINES_PER_PASS + 60
+    assert not world.fleet.scale_out.due(world.now + SECOND // 10)
 
 
 def test_what_is_refused_again_and_again_is_asked_for_less_often() -> None:
@@ -241,17 +242,17 @@
     rental = ScaleOutRequest("m8", "a", True, 5)
     pauses = []
     for _ in range(6):
-        world.fleet.refuse(rental, world.now)
-        pauses.append(world.fleet.refused["m8", "a", True] - world.now)
-    assert pauses[0] == REFUSED_PAUSE
+        world.fleet.availability.refuse(rental, world.now)
+        pauses.append(world.fleet.availability.refused_until["m8", "a", True] - world.now)
+    assert pauses[0] == REFUSAL_BACKOFF
     assert pauses == sorted(pauses)
-    assert pauses[-1] == REFUSED_MOST
-    world.fleet.refuse(rental, world.now, some=True)  # some came: there may be more soon
-    assert world.fleet.refused["m8", "a", True] - world.now == REFUSED_PAUSE
-    world.fleet.refuse(rental, world.now)
-    world.fleet.grant(rental, world.now)
-    world.fleet.refuse(rental, world.now)
-    assert world.fleet.refused["m8", "a", True] - world.now == REFUSED_PAUSE
+    assert pauses[-1] == REFUSAL_BACKOFF_MAX
+    world.fleet.availability.grant_partially(rental, world.now)  # some came: there may be more soon
+    assert world.fleet.availability.refused_until["m8", "a", True] - world.now == REFUSAL_BACKOFF
+    world.fleet.availability.refuse(rental, world.now)
+    world.fleet.availability.grant(rental, world.now)
+    world.fleet.availability.refuse(rental, world.now)
+    assert world.fleet.availability.refused_until["m8", "a", True] - world.now == REFUSAL_BACKOFF
 
 
 # --- reports that tell nothing new ----------------------------------------------------------------
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -13,7 +13,7 @@
 from oatport.api.heartbeat_api import handle_report
 from oatport.api.peer_api import PeerApi
 from oatport.clients.http import NoResponseError
-from oatport.control.scaling.scale_in import ScaleOutRequest
+from oatport.control.scaling.cloud_availability import ScaleOutRequest
 from oatport.control.state.completions import Completion
 from oatport.control.storage.recovery import UnknownMachineTypeError, load, types_recorded
 from oatport.control.storage.write_buffer import CATALOG_KEY, LEADER_KEY, WriteBatch
@@ -241,7 +241,7 @@
     lead.cloud_controller.cloud = Cloud()  # type: ignore[assignment]
     for _ in range(2):
         rental = ScaleOutRequest("m8", "a", True, 1)
-        lead.cloud_controller.fleet.under_way.append(rental)
+        lead.cloud_controller.fleet.availability.requests_in_flight.append(rental)
         await lead.cloud_controller.rent(rental)
     assert asked == [f"r-{lead.token}-1", f"r-{lead.token}-1", f"r-{lead.token}-2"]
     assert sorted(lead.cluster.machines) == ["vm-000002", "vm-000003"]
--- a/tests/test_still.py
+++ b/tests/test_still.py
@@ -13,7 +13,7 @@
 from oatport.clients.cloud import CloudClient
 from oatport.clients.http import NoResponseError, RequestNotSentError
 from oatport.control.leadership.leader_lease import DOUBT, LeaderLease, PauseDetector
-from oatport.control.scaling.scale_in import ScaleOutRequest
+from oatport.control.scaling.cloud_availability import ScaleOutRequest
 from oatport.control.storage.recovery import command_unreachable, cut_off, silent
 from oatport.lab.world.state import KeyStore
 from oatport.service import leader as lead_module
@@ -109,10 +109,10 @@
 
     lead.cloud_controller.cloud = Cloud()  # type: ignore[assignment]
     rental = ScaleOutRequest("m8", "a", True, 1)
-    lead.cloud_controller.fleet.under_way.append(rental)
+    lead.cloud_controller.fleet.availability.requests_in_flight.append(rental)
     await lead.cloud_controller.rent(rental)
     assert asked == [f"r-{lead.token}-1"]
-    assert lead.cloud_controller.fleet.under_way == []
+    assert lead.cloud_controller.fleet.availability.requests_in_flight == []
 
 
 async def test_tasks_outlive_a_short_freeze_but_none_starts_before_proof(state: KeyStore, clock: Clock) -> None:
@@ -137,14 +137,14 @@
     gap = 20 * SECOND
     world.now += gap
     assert len(silent(machines, world.now, 5 * SECOND)) == 3  # as it would look
-    assert world.fleet.to_release(world.now)
+    assert world.fleet.scale_in.machines_to_release(world.now)
     for machine in machines:
         machine.releasing = False
     machines[0].last_heartbeat_at = world.now  # its answer was read first
     world.cluster.on_process_pause(gap, world.now)
     assert machines[0].last_heartbeat_at == world.now
     assert silent(machines, world.now, 5 * SECOND) == []
-    assert world.fleet.to_release(world.now) == []
+    assert world.fleet.scale_in.machines_to_release(world.now) == []
     # What really passes meanwhile is not moved: a spot notice, a boot.
     assert all(machine.rented_at < world.now - gap for machine in machines)
 
--- a/tests/test_whereabouts.py
+++ b/tests/test_whereabouts.py
@@ -61,10 +61,10 @@
     ref, worker = _done_unwritten(world)
     machine = world.cluster.machines[worker.name]
     machine.draining = True
-    assert world.fleet.to_release(world.now) == []
+    assert world.fleet.scale_in.machines_to_release(world.now) == []
     assert live_key(ref) in world.cluster.urgent_keys  # and it is written at once
     world.commit()
-    assert world.fleet.to_release(world.now) == [machine]
+    assert world.fleet.scale_in.machines_to_release(world.now) == [machine]
 
 
 def test_a_release_without_an_answer_is_repeated_though_tasks_are_recorded_there() -> None:
@@ -76,16 +76,16 @@
     world.settle(3)
     machine = world.cluster.machines[worker.name]
     assert machine.tasks
-    assert world.fleet.to_release(world.now) == []
+    assert world.fleet.scale_in.machines_to_release(world.now) == []
     machine.releasing = True
-    assert world.fleet.to_release(world.now) == [machine]
+    assert world.fleet.scale_in.machines_to_release(world.now) == [machine]
 
 
 def test_ends_on_machines_that_stay_wait_for_others_of_their_record() -> None:
     """Written at once for every machine, they used up the changes that submissions wait for."""
     world = World()
     ref, worker = _done_unwritten(world)
-    assert world.fleet.to_release(world.now) == []
+    assert world.fleet.scale_in.machines_to_release(world.now) == []
     assert live_key(ref) in world.cluster.dirty_keys
     assert live_key(ref) not in world.cluster.urgent_keys
     assert not world.cluster.machines[worker.name].releasing
@@ -97,11 +97,11 @@
     world.cluster.machines[worker.name].draining = True
     batch = world.cluster.take_batch(world.ops)
     assert live_key(ref) in batch.sets
-    assert world.fleet.to_release(world.now) == []
+    assert world.fleet.scale_in.machines_to_release(world.now) == []
     world.cluster.restore_batch(batch)
-    assert world.fleet.to_release(world.now) == []
+    assert world.fleet.scale_in.machines_to_release(world.now) == []
     world.commit()
-    assert len(world.fleet.to_release(world.now)) == 1
+    assert len(world.fleet.scale_in.machines_to_release(world.now)) == 1
 
 
 def test_an_end_held_back_for_its_size_is_not_forgotten() -> None:
--- a/tests/world.py
+++ b/tests/world.py
@@ -15,7 +15,7 @@
 from oatport.control.placement.retry_policy import RetryPolicies
 from oatport.control.queueing.queue_estimator import route_waiting
 from oatport.control.queueing.runtime_predictor import RuntimePredictor
-from oatport.control.scaling.scale_in import CapacityPlanner
+from oatport.control.scaling.capacity_planner import CapacityPlanner
 from oatport.control.state.cluster_state import ClusterState
 from oatport.control.state.job import Job, job_record
 from oatport.control.storage.recovery import load
