--- a/oatport/cli.py
+++ b/oatport/cli.py
@@ -118,20 +118,22 @@
 async def _explain(node: str, ref: str) -> int:
     from oatport.clients.http import HttpConnector, NoResponseError, make_session
     from oatport.clients.peer import PeerClient
+    from oatport.peer_messages import ExplainJob, No, decode_explanation
     from oatport.times import SECOND
 
     session = make_session(64)
     try:
-        tag, answer = await PeerClient(HttpConnector(session), node, node).ask("explain", ref, timeout_us=5 * SECOND)
+        client = PeerClient(HttpConnector(session), node, node)
+        answer = await client.ask(ExplainJob(ref), decode_explanation, timeout_us=5 * SECOND)
     except (NoResponseError, ValueError) as error:
         print(f"oatport: {node}: no answer: {error}", file=sys.stderr)
         return 2
     finally:
         await session.close()
-    if tag != "explained":
-        print(f"oatport: {node}: {answer}", file=sys.stderr)
+    if isinstance(answer, No):
+        print(f"oatport: {node}: {answer.reason}", file=sys.stderr)
         return 1
-    print(json.dumps(answer, indent=2))
+    print(json.dumps(answer.explanation, indent=2))
     return 0
 
 
--- a/oatport/service/dependency_controller.py
+++ b/oatport/service/dependency_controller.py
@@ -11,6 +11,7 @@
 from oatport.clients.state import Applied
 from oatport.control.storage import schema_version
 from oatport.control.storage.write_buffer import JOBS, LEADER_KEY
+from oatport.peer_messages import SchemaVersionRequest, undecoded
 from oatport.service.leader_context import LeaderContext
 from oatport.times import SECOND
 
@@ -66,7 +67,7 @@
         gate = schema_version.Gate([home.node_name, *home.peers])
         while not self._helm.stopped and not self.cluster.layout.parts:
             answers = await asyncio.gather(
-                *(peer.ask("formats") for peer in home.peers.values()), return_exceptions=True
+                *(peer.ask(SchemaVersionRequest(), undecoded) for peer in home.peers.values()), return_exceptions=True
             )
             own = schema_version.answer(home.node_name, home.boot_id)
             if gate.heard([own, *(row for row in answers if not isinstance(row, BaseException))]):
--- a/oatport/service/failure_detector.py
+++ b/oatport/service/failure_detector.py
@@ -13,6 +13,7 @@
 from oatport.control.state.machine import Machine
 from oatport.control.storage.recovery import command_unreachable, cut_off, dark_suspects, silent
 from oatport.control.storage.write_buffer import LEADER_KEY
+from oatport.peer_messages import ProbeResult, ProbeWorkers
 from oatport.service.failover import introduce
 from oatport.service.leader_context import LeaderContext
 from oatport.service.network import Network
@@ -213,22 +214,21 @@
         is itself cut off hears from no other node.
         """
         addresses = [m.address for m in machines if m.address][:20]
+        probe = ProbeWorkers(addresses)
         answers = await asyncio.gather(
-            *(peer.ask("probe", addresses, timeout_us=1_300 * MS) for peer in self.home.peers.values()),
+            *(peer.ask(probe, ProbeResult.decode_reply, timeout_us=1_300 * MS) for peer in self.home.peers.values()),
             return_exceptions=True,
         )
         agree, seen = 1, False
         for name, answer in zip(self.home.peers, answers, strict=True):
             if isinstance(answer, NoResponseError):
                 continue
-            try:
-                assert not isinstance(answer, BaseException)
-                tag, count, served = answer
-                if tag == "seen" and int(count) * 2 >= len(addresses) > 0 and served:
-                    return name, False
-                seen = seen or tag != "seen" or int(count) > 0
-            except (AssertionError, ValueError, TypeError):
+            if isinstance(answer, BaseException):
                 seen = True  # a strange answer proves nothing
+            else:
+                if answer.reached * 2 >= len(addresses) > 0 and answer.state_service_answers:
+                    return name, False
+                seen = seen or answer.reached > 0
             agree += 1
         return None, not seen and agree * 2 > len(self.home.peers) + 1
 
--- a/oatport/service/leader.py
+++ b/oatport/service/leader.py
@@ -27,6 +27,7 @@
 from oatport.control.storage.overflow_records import lies_apart, note_slim
 from oatport.control.storage.recovery import LeaseRenewalLimit, load, read_job, types_recorded
 from oatport.control.storage.write_buffer import JOBS, MODEL_KEY, job_key
+from oatport.peer_messages import JobAccepted, JobCancelled, JobProgressUpdate, PeerMessage
 from oatport.service.background_tasks import BackgroundTasks
 from oatport.service.catalog import read_types
 from oatport.service.cloud_controller import CloudController
@@ -98,7 +99,7 @@
         self._send_wanted = asyncio.Event()
         self._sending: set[Machine] = set()
         self._commanded = 0  # requests to workers since the last tick
-        self._early_hints: list[tuple[str, str, Any, int]] = []  # told before the records were loaded
+        self._early_hints: list[JobAccepted | JobCancelled] = []  # told before the records were loaded
         self._watch_from = 0
         self._reading: set[str] = set()  # ids of jobs that are looked up
 
@@ -120,8 +121,8 @@
         self._watch_from = revision
         self.lease_renewal_limit.known(asked)
         self.loaded = True
-        for kind, ref, value, rev in self._early_hints:
-            self._apply_job_hint(kind, ref, value, rev)
+        for hint in self._early_hints:
+            self._apply_job_hint(hint)
         self._early_hints.clear()
         log.info(
             "leading with token %d: %d jobs, %d machines recorded",
@@ -205,19 +206,19 @@
 
     # --- jobs told by nodes or seen in the watch -----------------------------------------------
 
-    def on_job_hint(self, kind: str, ref: str, value: Any, revision: int) -> None:
+    def on_job_hint(self, hint: JobAccepted | JobCancelled) -> None:
         if not self.loaded:
             if len(self._early_hints) < 10_000:
-                self._early_hints.append((kind, ref, value, revision))
+                self._early_hints.append(hint)
             return
-        self._apply_job_hint(kind, ref, value, revision)
+        self._apply_job_hint(hint)
 
-    def _apply_job_hint(self, kind: str, ref: str, value: Any, revision: int) -> None:
-        if kind == "cancelled":
-            self.cluster.cancel_confirmed(ref, revision, self.lease_renewal_limit.known_at)
-        elif not self._knows_job(ref) and revision > self._watch_from and "more" not in value:
+    def _apply_job_hint(self, hint: JobAccepted | JobCancelled) -> None:
+        if isinstance(hint, JobCancelled):
+            self.cluster.cancel_confirmed(hint.job_id, hint.revision, self.lease_renewal_limit.known_at)
+        elif not self._knows_job(hint.job_id) and hint.revision > self._watch_from and "more" not in hint.record:
             # An older one was seen by the load or by the watch, and may be over already.
-            self._admit(ref, value, revision)
+            self._admit(hint.job_id, hint.record, hint.revision)
         self.wake()
 
     def _knows_job(self, ref: str) -> bool:
@@ -483,18 +484,18 @@
             everything = rounds % 10 == 0  # a node that was started meanwhile knows none
             stirred = list(self.cluster.jobs_with_changed_counts)
             self.cluster.jobs_with_changed_counts.clear()
-            changed: dict[str, list[int]] = {}
+            changed: dict[str, tuple[int, int]] = {}
             for job in jobs.values() if everything else stirred:
                 count = self._count(job)
                 if job.job_id in jobs and (everything or counts.get(job.job_id) != count):
                     counts[job.job_id] = count
-                    changed[job.job_id] = list(count)
+                    changed[job.job_id] = count
             ended = [ref for ref in counts if ref not in jobs]
             for ref in ended:
                 del counts[ref]
             if changed or ended:
                 for peer in self.node.peers.values():
-                    self.background.once("display", _tell(peer, "display", changed, ended))
+                    self.background.once("display", _tell(peer, JobProgressUpdate(changed, ended)))
 
     @staticmethod
     def _count(job: Job) -> tuple[int, int]:
@@ -502,6 +503,6 @@
         return len(job.completed), running
 
 
-async def _tell(peer: PeerClient, *message: Any) -> None:
+async def _tell(peer: PeerClient, message: PeerMessage) -> None:
     with contextlib.suppress(NoResponseError):
-        await peer.ask(*message)
+        await peer.notify(message)
--- a/oatport/service/lease_proxy_service.py
+++ b/oatport/service/lease_proxy_service.py
@@ -10,11 +10,20 @@
 from typing import Protocol
 
 from oatport import wire
-from oatport.api.peer_api import Message
 from oatport.clients.http import NoResponseError
 from oatport.clients.peer import PeerClient
 from oatport.clients.state import StateClient
 from oatport.control.leadership.lease_proxy import LeaseProxy
+from oatport.peer_messages import (
+    CancellationWatermark,
+    CancellationWatermarkRequest,
+    LeaseProxyState,
+    LeaseProxyStateRequest,
+    MalformedReplyError,
+    No,
+    decode_lease_proxy_state,
+    decode_watermark,
+)
 from oatport.service.leader import Leader
 from oatport.settings import ClusterSettings
 from oatport.times import SECOND, steady
@@ -56,35 +65,36 @@
 
     # --- what nodes tell one another --------------------------------------------------------
 
-    async def on_carried_out(self, message: Message) -> Message:
+    async def on_carried_out(self, request: CancellationWatermarkRequest) -> CancellationWatermark | No:
         """Up to when are cancellations carried out? Only the leader knows."""
         lead = self._here.leader
-        return ["carried out", lead.token, lead.cancellation_watermark_age()] if lead is not None else ["no"]
+        return CancellationWatermark(lead.token, lead.cancellation_watermark_age()) if lead is not None else No()
 
-    async def on_kept(self, message: Message) -> Message:
+    async def on_kept(self, request: LeaseProxyStateRequest) -> LeaseProxyState | No:
         """What this node keeps leases by, for one that was started again."""
         now = steady()
         told = self.steward.pass_on(now)
         if self._here.leader is not None or told is None:
-            return ["no"]
-        return ["kept", *told, self._out_of_touch(now) and now < self.steward.ends()]
+            return No()
+        return LeaseProxyState(*told, self._out_of_touch(now) and now < self.steward.ends())
 
     async def ask_leader(self, peer: PeerClient) -> None:
         asked = steady()
-        answer = await peer.ask("carried out")
-        if answer[0] == "carried out":
-            self.steward.told(int(answer[1]), asked, int(answer[2]))
+        watermark = await peer.ask(CancellationWatermarkRequest(), decode_watermark)
+        if watermark is not None:
+            self.steward.told(watermark.fencing_token, asked, watermark.age_us)
 
     async def ask_keeper(self, peer: PeerClient) -> None:
         """Out of touch with the state service: what does another node there go by? Never raises for its answer."""
         self._keepers.pop(peer.name, None)
         asked = steady()
         try:
-            answer = await peer.ask("kept")  # 400 from a node of before this tag
-            if answer[0] == "kept":
-                _, token, age, told_age, keeps = answer[:5]
-                self.steward.told(int(token), asked, int(age), int(told_age))
-                if keeps is True:
-                    self._keepers[peer.name] = asked
-        except (NoResponseError, ValueError, TypeError):
-            pass
+            # 400 from a node of before this tag
+            state = await peer.ask(LeaseProxyStateRequest(), decode_lease_proxy_state)
+        except (NoResponseError, MalformedReplyError):
+            return
+        if state is None:
+            return
+        self.steward.told(state.fencing_token, asked, state.watermark_age_us, state.contact_age_us)
+        if state.answering:
+            self._keepers[peer.name] = asked
--- a/oatport/service/node.py
+++ b/oatport/service/node.py
@@ -11,7 +11,7 @@
 from oatport import wire
 from oatport.api.heartbeat_api import handle_report
 from oatport.api.job_api import JobApi
-from oatport.api.peer_api import Message, PeerApi
+from oatport.api.peer_api import PeerApi
 from oatport.api.server import Answer, BodyReader
 from oatport.clients.http import NoResponseError, RequestRefusedError, jitter
 from oatport.clients.peer import PeerClient
@@ -21,9 +21,33 @@
 from oatport.control.limits.connection_budget import ConnectionBudget
 from oatport.control.placement.retry_policy import RetryPolicies
 from oatport.control.state.completions import Completion
-from oatport.control.storage import schema_version
 from oatport.control.storage.recovery import UnknownMachineTypeError
+from oatport.control.storage.schema_version import READS
 from oatport.control.storage.write_buffer import LEADER_KEY
+from oatport.peer_messages import (
+    CancellationWatermarkRequest,
+    CompletionsRequest,
+    ConfirmedCancellationsRequest,
+    ExplainJob,
+    Handover,
+    JobAccepted,
+    JobCancelled,
+    JobExplanation,
+    JobProgressUpdate,
+    LeaseProxyStateRequest,
+    MalformedReplyError,
+    No,
+    Ok,
+    Ping,
+    Pong,
+    ProbeResult,
+    ProbeWorkers,
+    ReplicateCompletions,
+    SchemaVersionReply,
+    SchemaVersionRequest,
+    decode_explanation,
+    is_ok,
+)
 from oatport.service.background_tasks import BackgroundTasks
 from oatport.service.catalog import read_types
 from oatport.service.leader import Leader
@@ -97,25 +121,8 @@
         self.users = JobApi(self.settings, self.state, self)
         for peer in self.settings.peers:
             self.peers[peer.node_name] = PeerClient(net, peer.node_name, peer.endpoint)
-        inside = PeerApi()
-        for tag, handler in (
-            ("ping", self._on_ping),
-            ("accepted", self.peer_notifier.on_hint),
-            ("cancelled", self.peer_notifier.on_hint),
-            ("display", self._on_display),
-            ("probe", self._on_probe),
-            ("handover", self._on_handover),
-            ("carried out", self.lease_proxy.on_carried_out),
-            ("kept", self.lease_proxy.on_kept),
-            ("explain", self._on_explain),
-            ("formats", self._on_formats),
-            ("told", self.peer_notifier.on_told),
-            ("ends", self.peer_notifier.on_ends),
-            ("ended", self.peer_notifier.on_ended),
-        ):
-            inside.on(tag, handler)
         servers = [
-            net.server(self.settings.internal_addr, inside.handle, 1024 * 1024),
+            net.server(self.settings.internal_addr, self.peer_api().handle, 1024 * 1024),
             net.server(self.settings.bind, self._handle),
         ]
         for server in servers:
@@ -138,6 +145,24 @@
                 await server.close()
             await net.close()
 
+    def peer_api(self) -> PeerApi:
+        """What the other nodes may ask of this one."""
+        api = PeerApi()
+        api.on(Ping, self._on_ping)
+        api.on(JobAccepted, self.peer_notifier.on_hint)
+        api.on(JobCancelled, self.peer_notifier.on_hint)
+        api.on(JobProgressUpdate, self._on_display)
+        api.on(ProbeWorkers, self._on_probe)
+        api.on(Handover, self._on_handover)
+        api.on(CancellationWatermarkRequest, self.lease_proxy.on_carried_out)
+        api.on(LeaseProxyStateRequest, self.lease_proxy.on_kept)
+        api.on(ExplainJob, self._on_explain)
+        api.on(SchemaVersionRequest, self._on_formats)
+        api.on(ConfirmedCancellationsRequest, self.peer_notifier.on_told)
+        api.on(ReplicateCompletions, self.peer_notifier.on_ends)
+        api.on(CompletionsRequest, self.peer_notifier.on_ended)
+        return api
+
     async def _handle(self, method: str, path: str, body: BodyReader) -> Answer:
         if path == wire.REPORT:
             return await handle_report(self, method, body)
@@ -190,15 +215,14 @@
 
     # --- peers ------------------------------------------------------------------------------
 
-    async def _on_ping(self, message: Message) -> Message:
-        _, name, leader, token, served = message
-        self._learn_leader(str(leader) if leader else None, int(token))
-        self._peer_state_service_answers[str(name)] = (bool(served), steady())
+    async def _on_ping(self, ping: Ping) -> Pong:
+        self._learn_leader(ping.leader_name, ping.leader_token)
+        self._peer_state_service_answers[ping.node_name] = (ping.state_service_answers, steady())
         return self._pong()
 
-    def _pong(self) -> Message:
+    def _pong(self) -> Pong:
         quiet = self.peer_notifier.cancellations.quiet(steady())
-        return ["pong", self.node_name, self._leader_name, self._leader_token, self.state_service_answers(), quiet]
+        return Pong(self.node_name, self._leader_name, self._leader_token, self.state_service_answers(), quiet)
 
     def leading_peer(self) -> PeerClient | None:
         return self.peers.get(self._leader_name or "")
@@ -210,69 +234,61 @@
             if self.leader is not None and token > self.leader.token:
                 self.step_down(f"{name} leads with token {token}")
 
-    async def _on_display(self, message: Message) -> Message:
-        for ref, (done, running) in message[1].items():
-            self.job_progress[str(ref)] = (int(done), int(running))
-        for ref in message[2]:
-            self.job_progress.pop(ref, None)
-        return ["ok"]
+    async def _on_display(self, update: JobProgressUpdate) -> Ok:
+        self.job_progress.update(update.changed)
+        for job_id in update.removed:
+            self.job_progress.pop(job_id, None)
+        return Ok()
 
-    async def _on_probe(self, message: Message) -> Message:
+    async def _on_probe(self, probe: ProbeWorkers) -> ProbeResult:
         """Which of these workers can this node reach? And does the state service answer it?"""
-        return [
-            "seen",
-            await self._reaches([str(address) for address in message[1][:50]]),
-            self.state_service_answers(),
-        ]
+        reached = await self._reaches(probe.addresses)
+        return ProbeResult(reached, self.state_service_answers())
 
-    async def _on_handover(self, message: Message) -> Message:
-        token = int(message[1])
+    async def _on_handover(self, handover: Handover) -> Ok | No:
         if steady() > self._backoff_until and not self._unreachable_workers:
             try:
                 # Asked just now: at the start of an outage for all, what was known a moment ago is wrong,
                 # and without a leader nobody would keep the workers' leases alive until it ends.
                 await self.state.get(LEADER_KEY)
             except (NoResponseError, RequestRefusedError):
-                return ["no"]
-            self._handover_token = max(self._handover_token, token)
+                return No()
+            self._handover_token = max(self._handover_token, handover.fencing_token)
             self._handover_until = steady() + TAKE_WITHIN
             self._election.set()
-            return ["ok"]
-        return ["no"]
+            return Ok()
+        return No()
 
-    async def _on_explain(self, message: Message) -> Message:
+    async def _on_explain(self, question: ExplainJob) -> JobExplanation | No:
         """Why a job is held; asked by operators on the internal address, answered by the leader."""
-        ref = str(message[1])
         if self.leader is not None:
-            return ["explained", self.leader.explain(ref)]
+            return JobExplanation(self.leader.explain(question.job_id))
         peer = self.leading_peer()
-        if peer is None or len(message) > 2:  # it is sent on once
-            return ["no", "no leader is known: ask again in a few seconds"]
-        return await peer.ask("explain", ref, True)
+        if peer is None or question.forwarded:
+            return No("no leader is known: ask again in a few seconds")
+        return await peer.ask(ExplainJob(question.job_id, forwarded=True), decode_explanation)
 
-    async def _on_formats(self, message: Message) -> Message:
+    async def _on_formats(self, request: SchemaVersionRequest) -> SchemaVersionReply:
         """What this process reads of what is stored. Earlier versions don't know the question."""
-        return schema_version.answer(self.node_name, self.boot_id)
+        return SchemaVersionReply(self.node_name, self.boot_id, READS)
 
     async def _ping_loop(self, peer: PeerClient) -> None:
         while True:
             lead = self.leader
             try:
-                answer = await peer.ask(
-                    "ping", self.node_name, self._leader_name, self._leader_token, self.state_service_answers()
-                )
-                tag, name, leader, token, served, _ = answer
+                ping = Ping(self.node_name, self._leader_name, self._leader_token, self.state_service_answers())
+                pong = await peer.ask(ping, Pong.decode_reply)
                 self._peer_contact_at[peer.name] = steady()
-                if tag == "pong":
-                    self._learn_leader(str(leader) if leader else None, int(token))
-                    self._peer_state_service_answers[str(name)] = (bool(served), steady())
-                    if lead is self.leader and lead is not None and served and lead.state_service_down(steady()):
-                        await self._hand_over(lead, peer, "the state service answers it")
-                    if self.leader is None and peer.name == self._leader_name:
-                        await self.lease_proxy.ask_leader(peer)
-                    elif self.leader is None and not self.state_service_answers():
-                        await self.lease_proxy.ask_keeper(peer)
-            except (NoResponseError, ValueError, TypeError):
+                self._learn_leader(pong.leader_name, pong.leader_token)
+                served = pong.state_service_answers
+                self._peer_state_service_answers[pong.node_name] = (served, steady())
+                if lead is self.leader and lead is not None and served and lead.state_service_down(steady()):
+                    await self._hand_over(lead, peer, "the state service answers it")
+                if self.leader is None and peer.name == self._leader_name:
+                    await self.lease_proxy.ask_leader(peer)
+                elif self.leader is None and not self.state_service_answers():
+                    await self.lease_proxy.ask_keeper(peer)
+            except (NoResponseError, MalformedReplyError):
                 self._peer_state_service_answers.pop(peer.name, None)
             await asyncio.sleep(jitter(PING_EVERY))
 
@@ -285,8 +301,8 @@
     async def _hand_over(self, lead: Leader, peer: PeerClient, why: str) -> None:
         """That peer can do more."""
         lead.leader_lease.doubt(steady())  # it may take over though its answer is lost
-        answer = await peer.ask("handover", lead.token, timeout_us=2 * SECOND)
-        if answer[0] != "ok":
+        agreed = await peer.ask(Handover(lead.token), is_ok, timeout_us=2 * SECOND)
+        if not agreed:
             lead.leader_lease.doubt_until = 0
         elif lead is self.leader:
             self.step_down(f"handed over to {peer.name}: {why}")
--- a/oatport/service/peer_notifications.py
+++ b/oatport/service/peer_notifications.py
@@ -10,11 +10,22 @@
 import asyncio
 from typing import Any, Protocol
 
-from oatport.api.peer_api import Message
 from oatport.clients.http import NoResponseError, RequestNotSentError, jitter
 from oatport.clients.peer import PeerClient, UnexpectedReplyError
 from oatport.control.state import completions as ends
 from oatport.control.state.cancellations import CancellationLog, ConfirmedCancellations
+from oatport.peer_messages import (
+    CompletionsReply,
+    CompletionsRequest,
+    ConfirmedCancellationsReply,
+    ConfirmedCancellationsRequest,
+    JobAccepted,
+    JobCancelled,
+    MalformedReplyError,
+    Ok,
+    PeerMessage,
+    ReplicateCompletions,
+)
 from oatport.service.background_tasks import BackgroundTasks
 from oatport.service.leader import Leader
 from oatport.settings import ClusterSettings
@@ -46,7 +57,7 @@
         self.cancellations = CancellationLog(steady(), 2 * micros(settings.workers.cancel_s))
 
     def accepted(self, ref: str, record: dict[str, Any], revision: int) -> None:
-        self._hint("accepted", ref, record, revision)
+        self._hint(JobAccepted(ref, record, revision))
 
     def cancelled(self, ref: str, revision: int = 0) -> None:
         """The gate of every answer that a job is cancelled: called before it leaves.
@@ -54,41 +65,35 @@
         `revision`: of this node's own commit, which marked the job's live record as well; 0: it knows in another way.
         """
         if self.cancellations.tell(ref, steady()) and (revision or self._here.leader is not None):
-            self._hint("cancelled", ref, None, revision)
+            self._hint(JobCancelled(ref, None, revision))
 
-    def _hint(self, tag: str, ref: str, value: Any, revision: int) -> None:
+    def _hint(self, hint: JobAccepted | JobCancelled) -> None:
         lead, peer = self._here.leader, self._here.leading_peer()
         if lead is not None:
-            lead.on_job_hint(tag, ref, value, revision)
+            lead.on_job_hint(hint)
         elif peer is not None:
-            self._here.group.once("tell", _ask_quietly(peer, tag, ref, value, revision))
+            self._here.group.once("tell", _ask_quietly(peer, hint))
 
-    async def on_hint(self, message: Message) -> Message:
-        tag, ref, value, revision = message
+    async def on_hint(self, hint: JobAccepted | JobCancelled) -> Ok:
+        """A job was accepted, or its cancellation was confirmed to a user, by another node."""
         if self._here.leader is not None:
-            self._here.leader.on_job_hint(str(tag), str(ref), value, int(revision))
-        return ["ok"]
+            self._here.leader.on_job_hint(hint)
+        return Ok()
 
     # --- ends that are not recorded yet --------------------------------------------------------
 
-    async def on_ends(self, message: Message) -> Message:
-        """["ends", token, rows]: what that leader has taken in."""
-        _, token, rows = message
-        if type(token) is not int:
-            raise ValueError("not a token")
-        told = ends.parse(rows)
-        self.ends.note(token, told)
+    async def on_ends(self, message: ReplicateCompletions) -> Ok:
+        """What that leader has taken in."""
+        token = message.fencing_token
+        self.ends.note(token, message.completions)
         lead = self._here.leader
         if lead is not None and token < lead.token:
-            lead.apply_completions(told)
-        return ["ok"]
+            lead.apply_completions(message.completions)
+        return Ok()
 
-    async def on_ended(self, message: Message) -> Message:
-        """["ended", token]: what did earlier leaders not record, as far as is known here? No list: not known."""
-        if type(message[1]) is not int:
-            raise ValueError("not a token")
-        found = self.ends.before(message[1])
-        return ["ended", found]
+    async def on_ended(self, request: CompletionsRequest) -> CompletionsReply:
+        """What did earlier leaders not record, as far as is known here?"""
+        return CompletionsReply(self.ends.before(request.before_token))
 
     async def ends_loop(self) -> None:
         """As the leader: tell the others at once of ends that are not recorded, and first of all that it leads."""
@@ -100,7 +105,7 @@
                 if new or lead.token != told:
                     told = lead.token
                     for peer in self._here.peers.values():
-                        self._here.group.once("ends", _ask_quietly(peer, "ends", lead.token, new))
+                        self._here.group.once("ends", _ask_quietly(peer, ReplicateCompletions(lead.token, new)))
             await asyncio.sleep(seconds(TELL_ENDS))
 
     def deposed(self, lead: Leader) -> None:
@@ -114,7 +119,7 @@
     async def _tell_left(self, peer: PeerClient, token: int, left: list[ends.Completion]) -> None:
         for _ in range(TELL_LEFT_TRIES):
             try:
-                await peer.ask("ends", token, left)
+                await peer.notify(ReplicateCompletions(token, left))
                 return
             except NoResponseError:
                 await asyncio.sleep(jitter(TELL_LEFT_EVERY))
@@ -125,8 +130,12 @@
         Not if no node knows anything, or the last leader may know more and can't be asked, since it is cut off or
         stands still. One whose process ended knows nothing any more.
         """
+        request = CompletionsRequest(token)
         answers = await asyncio.gather(
-            *(peer.ask("ended", token, timeout_us=ENDED_WITHIN) for peer in self._here.peers.values()),
+            *(
+                peer.ask(request, CompletionsReply.decode_reply, timeout_us=ENDED_WITHIN)
+                for peer in self._here.peers.values()
+            ),
             return_exceptions=True,
         )
         lists, complete = [self.ends.before(token)], True
@@ -140,22 +149,19 @@
             try:
                 if isinstance(answer, BaseException):
                     raise answer
-                if answer[0] == "ended" and answer[1] is not None:
-                    lists.append(ends.parse(answer[1]))
-            except (NoResponseError, ValueError, TypeError, IndexError):
+                if answer.completions is not None:
+                    lists.append(answer.completions)
+            except (NoResponseError, MalformedReplyError):
                 continue  # away, of an earlier version, or strange: less is known, and nothing else follows
         known = [found for found in lists if found is not None]
         return list(dict.fromkeys(end for found in known for end in found)), complete and bool(known)
 
     # --- what a leader that can't read is told ---------------------------------------------------
 
-    async def on_told(self, message: Message) -> Message:
-        """["told", us]: whose users were told that they are cancelled, within so long before the question was sent?"""
-        age = message[1]
-        if not isinstance(age, int) or isinstance(age, bool) or age < 0:
-            raise ValueError("not a time")
-        told = self.cancellations.since(steady(), age)
-        return ["told", told.whole_us, told.refs]
+    async def on_told(self, request: ConfirmedCancellationsRequest) -> ConfirmedCancellationsReply:
+        """Whose users were told that they are cancelled, within so long before the question was sent?"""
+        told = self.cancellations.since(steady(), request.age_us)
+        return ConfirmedCancellationsReply(told.whole_us, told.refs)
 
     async def loop(self) -> None:
         """As the leader: while the records can't be read, go by what all nodes told."""
@@ -169,33 +175,35 @@
         """Put into effect what users were told, and move the moment of knowledge on if all nodes told all."""
         asked, since = steady(), lead.lease_renewal_limit.known_at
         answers = await asyncio.gather(
-            *(peer.ask("told", asked - since) for peer in self._here.peers.values()), return_exceptions=True
+            *(
+                peer.ask(ConfirmedCancellationsRequest(asked - since), ConfirmedCancellations.of)
+                for peer in self._here.peers.values()
+            ),
+            return_exceptions=True,
         )
         answered = steady()
         if lead is not self._here.leader:
             return
         complete = True
         refs: dict[str, None] = {}
-        for answer in (await self.on_told(["told", answered - since]), *answers):
-            try:
-                if isinstance(answer, BaseException):
-                    raise answer
-                told = ConfirmedCancellations.of(answer)
-            except (NoResponseError, ValueError):
+        for told in (self.cancellations.since(steady(), answered - since), *answers):
+            if isinstance(told, NoResponseError | MalformedReplyError):
                 complete = False  # it can't be asked, is of an earlier version, or says something strange
                 continue
+            if isinstance(told, BaseException):
+                raise told
             refs |= dict.fromkeys(told.refs)
             complete = complete and told.covers(since, asked, answered)
         for ref in refs:
-            lead.on_job_hint("cancelled", ref, None, 0)
+            lead.on_job_hint(JobCancelled(ref, None, 0))
         if complete:
             lead.lease_renewal_limit.known(asked)
 
 
-async def _ask_quietly(peer: PeerClient, *message: Any) -> None:
+async def _ask_quietly(peer: PeerClient, message: PeerMessage) -> None:
     for _ in range(2):
         try:
-            await peer.ask(*message)
+            await peer.notify(message)
             return
         except NoResponseError:
             await asyncio.sleep(jitter(100 * MS))
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from typing import Any
 
 import pytest
@@ -26,11 +27,12 @@
 from oatport.lab.world.worker import Worker
 from oatport.lab.world.world import Result
 from oatport.lab.world.world import World as WholeWorld
+from oatport.peer_messages import PeerArray, PeerMessage, decode_reply
 from oatport.service.node import Node
 from oatport.service.peer_notifications import STALE
 from oatport.settings import Tuning
 from oatport.times import SECOND, steady, with_drift
-from tests.test_service import Body, FakePeer, leader
+from tests.test_service import Body, FakePeer, leader, peer_reply
 from tests.test_users import FakeControllerNode
 from tests.world import FakeStateClient, World, cluster_settings, job, node_settings
 
@@ -240,9 +242,9 @@
     before = lead.lease_renewal_limit.known_at
 
     class Slow(FakePeer):
-        async def ask(self, *message: Any, timeout_us: int = 0) -> list[Any]:
+        async def ask(self, request: PeerMessage, decode: Callable[[PeerArray], Any], *, timeout_us: int = 0) -> Any:
             node.leader = None
-            return ["told", WHOLE, []]
+            return decode_reply(["told", WHOLE, []], decode)
 
     node.peers = {"n1": Slow(None)}  # type: ignore[dict-item]
     await node.peer_notifier.collect(lead)
@@ -260,9 +262,8 @@
     running(lead, state)
 
     class Real(FakePeer):
-        async def ask(self, *message: Any, timeout_us: int = 0) -> list[Any]:
-            handler = {"told": other.peer_notifier.on_told, "cancelled": other.peer_notifier.on_hint}[message[0]]
-            return await handler(list(message))
+        async def ask(self, request: PeerMessage, decode: Callable[[PeerArray], Any], *, timeout_us: int = 0) -> Any:
+            return decode_reply(await peer_reply(other, request.encode()), decode)
 
     node.peers = {"n1": Real(None)}  # type: ignore[dict-item]
     before = lead.lease_renewal_limit.known_at
@@ -277,12 +278,13 @@
     node.state = FakeStateClient(state)  # type: ignore[assignment]
     for question in (["told"], ["told", "1"], ["told", -1], ["told", True], ["told", None]):
         with pytest.raises((ValueError, IndexError)):
-            await node.peer_notifier.on_told(question)
+            await peer_reply(node, question)
     node.peer_notifier.cancellations = told(began=steady() - 600 * SECOND)
-    assert node._pong()[5] >= 600 * SECOND
+    ping = ["ping", "n1", None, 0, True]
+    assert (await peer_reply(node, ping))[5] >= 600 * SECOND
     node.tell_cancelled("j-000001")  # in whichever way it knew
-    assert node._pong()[5] < SECOND
-    assert len(node._pong()) == 6
+    assert (await peer_reply(node, ping))[5] < SECOND
+    assert len(await peer_reply(node, ping)) == 6
 
 
 async def test_a_node_of_an_earlier_version_leaves_the_bound_as_it_is(state: KeyStore) -> None:
@@ -291,10 +293,10 @@
     before = lead.lease_renewal_limit.known_at
 
     class Older(FakePeer):
-        async def ask(self, *message: Any, timeout_us: int = 0) -> list[Any]:
-            if message[0] == "told":
+        async def ask(self, request: PeerMessage, decode: Callable[[PeerArray], Any], *, timeout_us: int = 0) -> Any:
+            if request.encode()[0] == "told":
                 raise NoResponseError("status 400")
-            return ["pong", "n1", None, 0, False, WHOLE]
+            return decode_reply(["pong", "n1", None, 0, False, WHOLE], decode)
 
     node.peers = {"n1": Older(None)}  # type: ignore[dict-item]
     await node.peer_notifier.collect(lead)
--- a/tests/test_dark.py
+++ b/tests/test_dark.py
@@ -19,7 +19,7 @@
 from oatport.service.node import Node
 from oatport.settings import Team, Tuning
 from oatport.times import SECOND, steady
-from tests.test_service import FakeLeadingNode, FakePeer, leader
+from tests.test_service import FakeLeadingNode, FakePeer, leader, peer_reply
 from tests.world import FakeStateClient, World, cluster_settings, node_settings
 
 
@@ -95,7 +95,7 @@
     assert node.answer_heartbeat(wire.report(report)) is None  # it is not out of touch: the state service answers
     client.ok_at, client.failed_at = steady() - 3 * SECOND, steady()
     assert node.answer_heartbeat(wire.report(report)) == {"helm": lead.token, "orders": []}
-    assert (await node.lease_proxy.on_carried_out(["carried out"])) == ["no"]  # only the leader knows
+    assert (await peer_reply(node, ["carried out"])) == ["no"]  # only the leader knows
 
 
 async def test_a_node_that_was_started_again_learns_from_another_what_leases_are_kept_by(state: KeyStore) -> None:
@@ -108,7 +108,7 @@
     worker = Worker(lambda: 0, "vm-000001", "h:1", "m8", "a", False, 8.0, lambda ref: None)
     worker.token = 7
     report = wire.report(worker.report())
-    assert await old.lease_proxy.on_kept(["kept"]) == ["no"]  # it was never told anything
+    assert await peer_reply(old, ["kept"]) == ["no"]  # it was never told anything
     old.lease_proxy.steward.told(7, steady() - 3 * SECOND, 0)
     peer = FakePeer(None, "n2")
     for answer in (None, ["no"], ["kept", 7], ["kept", "x", 0, 0, True], ["pong"]):  # cut, an older node, a strange one
@@ -116,7 +116,7 @@
         await new.lease_proxy.ask_keeper(peer)  # type: ignore[arg-type]
         assert new.answer_heartbeat(report) is None
         assert new.leader_name() == "n1"
-    peer.answer = await old.lease_proxy.on_kept(["kept"])
+    peer.answer = await peer_reply(old, ["kept"])
     await new.lease_proxy.ask_keeper(peer)  # type: ignore[arg-type]
     assert new.answer_heartbeat(report) == {"helm": 7, "orders": []}
     assert new.leader_name() == "n2"  # for a worker that has another token
--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -16,6 +16,7 @@
 from oatport.control.storage.schema_version import FORMATS_KEY, READS, Gate, answer
 from oatport.control.storage.write_buffer import FLEET, LIVE, WriteBatch, live_key, waits_key
 from oatport.lab.world.state import KeyStore
+from oatport.peer_messages import SchemaVersionRequest, undecoded
 from oatport.service.catalog import read_types, type_values, write_types
 from oatport.service.leader import Leader
 from oatport.settings import NextLimits, StateLimits, Team
@@ -244,7 +245,7 @@
 async def rounds(lead: Leader, times: int) -> None:
     gate = Gate([lead.node.node_name, *lead.node.peers])
     for _ in range(times):
-        rows = [await peer.ask("formats") for peer in lead.node.peers.values()]
+        rows = [await peer.ask(SchemaVersionRequest(), undecoded) for peer in lead.node.peers.values()]
         if gate.heard([answer(lead.node.node_name, lead.node.boot_id), *rows]):
             await lead.dependency_controller._open(gate)
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+from collections.abc import Callable
 from typing import Any
 
 import msgspec
@@ -11,13 +12,13 @@
 
 from oatport import wire
 from oatport.api.heartbeat_api import handle_report
-from oatport.api.peer_api import PeerApi
 from oatport.clients.http import NoResponseError
 from oatport.control.scaling.scale_in import ScaleOutRequest
 from oatport.control.state.completions import Completion
 from oatport.control.storage.recovery import UnknownMachineTypeError, load, types_recorded
 from oatport.control.storage.write_buffer import CATALOG_KEY, LEADER_KEY, WriteBatch
 from oatport.lab.world.state import KeyStore
+from oatport.peer_messages import PeerArray, PeerMessage, any_reply, decode_reply
 from oatport.service.background_tasks import BackgroundTasks
 from oatport.service.leader import Leader
 from oatport.service.node import Node
@@ -38,10 +39,20 @@
     def __init__(self, answer: list[Any] | None, name: str = "n1") -> None:
         self.answer, self.name = answer, name
 
-    async def ask(self, *message: Any, timeout_us: int = 0) -> list[Any]:
+    async def ask(self, request: PeerMessage, decode: Callable[[PeerArray], Any], *, timeout_us: int = 0) -> Any:
         if self.answer is None:
             raise NoResponseError("cut")
-        return self.answer
+        return decode_reply(self.answer, decode)
+
+    async def notify(self, request: PeerMessage) -> None:
+        await self.ask(request, any_reply)
+
+
+async def peer_reply(node: Node, message: list[Any]) -> list[Any]:
+    """What a node answers to another one."""
+    answer = await node.peer_api().handle("POST", wire.PEER, Body(message))  # type: ignore[arg-type]
+    assert answer.status == 200
+    return answer.value  # type: ignore[no-any-return]
 
 
 class FakeLeadingNode:
@@ -84,11 +95,11 @@
     client = FakeStateClient(state)
     node.state = client  # type: ignore[assignment]
     client.faults = ["refuse"]
-    assert await node._on_handover(["handover", 5]) == ["no"]
-    assert await node._on_handover(["handover", 5]) == ["ok"]
+    assert await peer_reply(node, ["handover", 5]) == ["no"]
+    assert await peer_reply(node, ["handover", 5]) == ["ok"]
     # A leader gave up to a node that had been cut off from the workers a moment ago.
     node.mark_workers_unreachable(["h:1"])
-    assert await node._on_handover(["handover", 6]) == ["no"]
+    assert await peer_reply(node, ["handover", 6]) == ["no"]
 
 
 async def test_a_lost_answer_to_a_leaders_commit_is_resolved(state: KeyStore) -> None:
@@ -182,18 +193,13 @@
             await handle_report(node, "POST", Body(bad))  # type: ignore[arg-type]
 
 
-async def test_strange_peer_messages_are_400() -> None:
-    peers = PeerApi()
-
-    async def ping(message: list[Any]) -> list[Any]:
-        _, one = message
-        return ["pong", one]
-
-    peers.on("ping", ping)
-    assert (await peers.handle("POST", "/peer", Body(["ping", 1]))).value == ["pong", 1]  # type: ignore[arg-type]
+async def test_strange_peer_messages_are_400(state: KeyStore) -> None:
+    node = Node(node_settings(), Tuning())
+    node.state = FakeStateClient(state)  # type: ignore[assignment]
+    assert (await peer_reply(node, ["ping", "n1", None, 0, True]))[:2] == ["pong", "n0"]
     for bad in ([], {}, ["unheard"], ["ping"], [1], "x"):
         with pytest.raises(wire.InvalidMessageError):
-            await peers.handle("POST", "/peer", Body(bad))  # type: ignore[arg-type]
+            await peer_reply(node, bad)  # type: ignore[arg-type]
 
 
 async def test_a_failing_background_task_is_seen_and_started_again(caplog: pytest.LogCaptureFixture) -> None:
--- a/tests/test_still.py
+++ b/tests/test_still.py
@@ -20,7 +20,7 @@
 from oatport.service.node import Node
 from oatport.settings import Peer, Tuning
 from oatport.times import MS, SECOND
-from tests.test_service import FakePeer, leader
+from tests.test_service import FakePeer, leader, peer_reply
 from tests.world import FakeStateClient, Unplugged, World, node_settings
 
 
@@ -191,7 +191,7 @@
     client = FakeStateClient(state)
     node.state = client  # type: ignore[assignment]
     state.commit({"if": [], "then": [{"set": "leader", "value": {"node": "n1", "boot": "x", "lease": 1}}]})
-    assert await node._on_handover(["handover", state.revision]) == ["ok"]
+    assert await peer_reply(node, ["handover", state.revision]) == ["ok"]
     node._handover_until -= 10 * SECOND  # it stood still before it came to that
     await node._run_for_leader()
     assert node.leader is None
--- a/tests/test_whereabouts.py
+++ b/tests/test_whereabouts.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+from collections.abc import Callable
 from typing import Any
 
 import pytest
@@ -15,11 +16,12 @@
 from oatport.control.storage.write_buffer import WriteBatch, job_key, live_key, waits_key
 from oatport.lab.world.state import KeyStore
 from oatport.lab.world.worker import Worker
+from oatport.peer_messages import JobAccepted, PeerArray, PeerMessage, any_reply, decode_reply
 from oatport.service.leader import LOOKED_UP_MOST
 from oatport.service.node import Node
 from oatport.settings import Team, Tuning
 from oatport.times import SECOND, steady
-from tests.test_service import leader
+from tests.test_service import leader, peer_reply
 from tests.world import World, job, node_settings
 
 # --- ends that no record says yet -----------------------------------------------------------------------
@@ -263,11 +265,14 @@
     def __init__(self, answer: Any) -> None:
         self.answer, self.asked = answer, list[Any]()
 
-    async def ask(self, *message: Any, timeout_us: int = 0) -> Any:
-        self.asked.append(message)
+    async def ask(self, request: PeerMessage, decode: Callable[[PeerArray], Any], *, timeout_us: int = 0) -> Any:
+        self.asked.append(request.encode())
         if isinstance(self.answer, Exception):
             raise self.answer
-        return self.answer
+        return decode_reply(self.answer, decode)
+
+    async def notify(self, request: PeerMessage) -> None:
+        await self.ask(request, any_reply)
 
 
 async def test_a_takeover_asks_all_nodes_and_strange_or_missing_answers_are_none() -> None:
@@ -285,7 +290,7 @@
     assert await node.peer_notifier.completions_before(9) == ([], False)
     node.peers["n3"] = Peer(["ended", [["j-000001", 2, 1]]])  # type: ignore[assignment]
     assert await node.peer_notifier.completions_before(9) == ([("j-000001", 2, 1)], True)
-    assert await node.peer_notifier.on_ends(["ends", 4, [["j-000002", 0, 1]]]) == ["ok"]
+    assert await peer_reply(node, ["ends", 4, [["j-000002", 0, 1]]]) == ["ok"]
     found, complete = await node.peer_notifier.completions_before(9)
     assert set(found) == {("j-000001", 2, 1), ("j-000002", 0, 1)}
     assert complete
@@ -298,11 +303,11 @@
     found, complete = await node.peer_notifier.completions_before(11)
     assert not complete
     assert len(found) == 2
-    assert await node.peer_notifier.on_ended(["ended", 4]) == ["ended", None]
-    assert await node.peer_notifier.on_ended(["ended", 5]) == ["ended", [("j-000002", 0, 1)]]
+    assert await peer_reply(node, ["ended", 4]) == ["ended", None]
+    assert await peer_reply(node, ["ended", 5]) == ["ended", [("j-000002", 0, 1)]]
     for message in (["ends", "4", []], ["ends", 4, [[]]], ["ended", None]):
         with pytest.raises((ValueError, TypeError)):
-            await (node.peer_notifier.on_ends if message[0] == "ends" else node.peer_notifier.on_ended)(message)
+            await peer_reply(node, message)
 
 
 async def test_a_deposed_leader_tells_what_it_could_not_record(state: KeyStore) -> None:
@@ -315,7 +320,7 @@
     node.peers = {"n1": reached}  # type: ignore[dict-item]
     node.peer_notifier.deposed(lead)
     await asyncio.sleep(0.01)
-    assert reached.asked == [("ends", lead.token, [(ref, 0, 1)])]
+    assert reached.asked == [["ends", lead.token, [(ref, 0, 1)]]]
     assert node.peer_notifier.ends.before(lead.token + 1) == [(ref, 0, 1)]
     node.group.close()
 
@@ -537,10 +542,10 @@
     """Its claims failed on keys that were gone, which cost the lead."""
     lead, _, _ = leader(state)
     record = {"state": "queued", "at": 0, "job": job("j-000001")}
-    lead._apply_job_hint("accepted", "j-000001", record, 50)
+    lead._apply_job_hint(JobAccepted("j-000001", record, 50))
     found = lead.cluster.jobs["j-000001"]
     batch = WriteBatch(deleted_jobs=[found])
     lead.cluster.committed(batch, 60, steady())
     assert not lead.cluster.jobs
-    lead._apply_job_hint("accepted", "j-000001", record, 50)
+    lead._apply_job_hint(JobAccepted("j-000001", record, 50))
     assert not lead.cluster.jobs
