--- a/oatport/lab/world/builds.py
+++ b/oatport/lab/world/builds.py
@@ -105,7 +105,7 @@
 def _resolve_annotations() -> None:
     """Resolve the annotations of all message types imported now.
 
-    msgspec does so at the first use of a type, by the name of its module in `sys.modules`: by then that is this version's
+    msgspec does so at a type's first use, by the name of its module in `sys.modules`: by then it finds this version's
     module of the same name, or none.
     """
     for name, module in list(sys.modules.items()):
