--- a/oatport/api/job_status_cache.py
+++ b/oatport/api/job_status_cache.py
@@ -110,7 +110,7 @@
             came = {ref: len(self._wanted[ref]) for ref in names}
             mark = self.mark()
             try:
-                rows, asked = await self._state.some(JOBS, names)
+                rows, asked = await self._state.get_many(JOBS, names)
             except Exception as error:
                 # All that wait are told at once: who comes back finds the state service there, or not.
                 for ref in names:
@@ -212,7 +212,7 @@
         missing.sort()
         while missing:
             async with self._slots.one():
-                rows, asked = await self._state.some(JOBS, missing)
+                rows, asked = await self._state.get_many(JOBS, missing)
             for ref, (record, version) in rows.items():
                 found[ref] = self.learn(ref, record, version, mark)
             missing = missing[len(asked) :]
@@ -306,13 +306,12 @@
 
     async def _read_changes(self) -> None:
         if self._revision:
-            found = await self._state.changes(JOBS, self._revision, 0, timeout_us=WITHIN)
+            found = await self._state.watch(JOBS, self._revision, 0, timeout_us=WITHIN)
             if found is not None:
-                revision, news = found
-                for item in news:
-                    if "set" in item:
-                        self.learn(item["set"][len(JOBS) :], item["value"], int(item["entryRev"]), self._forgets)
-                self._revision = max(self._revision, revision)
+                for change in found.changes:
+                    if not change.deleted:
+                        self.learn(change.key[len(JOBS) :], change.value, change.revision, self._forgets)
+                self._revision = max(self._revision, found.revision)
                 return
         # The first time, or too long ago: what is known may be out of date, and is read again job by job.
-        self._forget(await self._state.revision(JOBS, timeout_us=WITHIN))
+        self._forget(await self._state.current_revision(JOBS, timeout_us=WITHIN))
--- a/oatport/api/submission_batcher.py
+++ b/oatport/api/submission_batcher.py
@@ -6,8 +6,9 @@
 from typing import Any
 
 from oatport import wire
-from oatport.clients.http import Bucket, NoResponseError, RequestRefusedError
+from oatport.clients.http import NoResponseError, RequestRefusedError
 from oatport.clients.state import Applied, StateClient
+from oatport.clients.token_bucket import TokenBucket
 from oatport.control.limits.rate_limiter import AdaptiveRateLimiter
 from oatport.control.storage.overflow_records import lies_apart, more_key
 from oatport.control.storage.write_buffer import ACCEPT_KEYS, job_key, live_key, waits_key
@@ -138,7 +139,7 @@
                     return outcomes
                 if isinstance(result, Applied):
                     return outcomes | {ref: (CREATED, result.revision) for ref in left}
-                known = [ref for ref in left if job_key(ref) in result.failed] or list(left)
+                known = [ref for ref in left if job_key(ref) in result.failed_keys] or list(left)
                 for ref in known:  # the others are none the worse for it
                     outcomes[ref] = (KNOWN, 0)
                     del left[ref]
@@ -152,10 +153,10 @@
     """
 
     def __init__(self, write_rps: float) -> None:
-        self._bucket = Bucket(IDLE_SHARE * write_rps / ACCEPT_KEYS)
+        self._bucket = TokenBucket(IDLE_SHARE * write_rps / ACCEPT_KEYS)
 
     def take(self) -> bool:
         if self._bucket.available() < 1:
             return False
-        self._bucket.take()
+        self._bucket.reserve()
         return True
--- /dev/null
+++ b/oatport/clients/token_bucket.py
@@ -0,0 +1,38 @@
+"""A token bucket: so many a second, with bursts of a second's worth."""
+
+from __future__ import annotations
+
+import asyncio
+
+from oatport.times import SECOND, seconds, steady
+
+MIN_RATE_PER_S = 0.1
+
+
+class TokenBucket:
+    """A rate limit whose tokens may be reserved ahead of time: `tokens` is below 0 while they are."""
+
+    def __init__(self, rate_per_s: float) -> None:
+        self.rate_per_s = max(rate_per_s, MIN_RATE_PER_S)
+        self.tokens = self.rate_per_s
+        self.refilled_at = steady()
+
+    def available(self) -> float:
+        """What can be used without waiting; below 0 if more was reserved."""
+        now = steady()
+        refill = (now - self.refilled_at) * self.rate_per_s / SECOND
+        self.tokens = min(self.rate_per_s, self.tokens + refill)
+        self.refilled_at = now
+        return self.tokens
+
+    def reserve(self, count: float = 1.0) -> int:
+        """Reserve `count` tokens; the time to wait before using them."""
+        self.available()
+        self.tokens -= count
+        return 0 if self.tokens >= 0 else round(-self.tokens / self.rate_per_s * SECOND)
+
+    async def acquire(self, count: float = 1.0) -> None:
+        """Reserve `count` tokens and wait until they may be used."""
+        wait = self.reserve(count)
+        if wait:
+            await asyncio.sleep(seconds(wait))
--- a/oatport/control/storage/recovery.py
+++ b/oatport/control/storage/recovery.py
@@ -48,24 +48,24 @@
     """A recorded machine is of a type that no catalog tells: what is on it can't be taken in."""
 
 
-def machines_recorded(rows: list[dict[str, Any]]) -> list[list[Any]]:
+def machines_recorded(rows: list[wire.StoredEntry]) -> list[list[Any]]:
     """The machines of all fleet records. Where two tell of the same numbers, the one written last is right."""
     known: dict[int, list[Any]] = {}
-    for found in sorted((r for r in rows if r["path"].startswith(FLEET)), key=lambda r: int(r["entryRev"])):
-        low, _ = group_of(found["path"])
-        span = range(low, low + int(found["value"].get("n", FLEET_CHUNK)))
+    for found in sorted((row for row in rows if row.key.startswith(FLEET)), key=lambda row: row.revision):
+        low, _ = group_of(found.key)
+        span = range(low, low + int(found.value.get("n", FLEET_CHUNK)))
         for number in [n for n in known if n in span]:
             del known[number]
-        known |= {number_in_name(row[0]): row for row in found["value"]["m"]}
+        known |= {number_in_name(row[0]): row for row in found.value["m"]}
     return [known[number] for number in sorted(known)]
 
 
-def types_recorded(rows: list[dict[str, Any]]) -> set[str]:
+def types_recorded(rows: list[wire.StoredEntry]) -> set[str]:
     """The types of all recorded machines."""
     return {str(row[1]) for row in machines_recorded(rows)}
 
 
-def load(cluster: ClusterState, rows: list[dict[str, Any]], now: int, wall: int) -> None:
+def load(cluster: ClusterState, rows: list[wire.StoredEntry], now: int, wall: int) -> None:
     """Fill a new leader's view from the records under live/ and fleet/, and the model.
 
     What a record says is on a machine is taken as there, whatever the machine itself says later
@@ -76,7 +76,7 @@
     cancelled: dict[str, int] = {}
     waits: dict[str, tuple[Any, int]] = {}
     apart: dict[str, Any] = {}  # first chunks of before version 0.3, which did not lie with their jobs
-    cluster.layout.parts = any(row["path"] == FORMATS_KEY and reads_of(row["value"]) >= READS for row in rows)
+    cluster.layout.parts = any(row.key == FORMATS_KEY and reads_of(row.value) >= READS for row in rows)
     for name, type_name, zone, spot, address, rented, was_up in machines_recorded(rows):
         machine = cluster.add_machine(name, type_name, zone, spot, address, now, wall, max(0, wall - rented))
         if machine is None:
@@ -86,7 +86,7 @@
         # Asked at once by the new leader; one that stays silent has most likely been so before.
         machine.known_since = now - cluster.tuning.us("silent_s") * 3 // 10
     for row in rows:
-        key, value, version = row["path"], row["value"], row["entryRev"]
+        key, value, version = row
         cluster.versions[key] = version
         if key.startswith(MODEL_KEY):
             cluster.predictor.load(value)
@@ -138,7 +138,7 @@
             sorted(i for i, t in job.tasks.items() if t.phase is TaskPhase.PENDING and not t.retry_exhausted)
         )
     for row in rows:
-        cluster.note_record_width(row["path"], row["value"])
+        cluster.note_record_width(row.key, row.value)
     for ref, (value, version) in waits.items():
         if ref in cluster.jobs:
             cluster.orphaned_keys.append(
--- a/oatport/lab/world/breaks.py
+++ b/oatport/lab/world/breaks.py
@@ -36,7 +36,7 @@
 
 def _fencing() -> list[Any]:
     """A leader goes on whatever became of its lease and its key, and takes over whatever token a worker has seen."""
-    commit, commands, lost = StateClient.commit, WorkerClient.commands, Node.step_down
+    commit, commands, lost = StateClient.commit, WorkerClient.send_commands, Node.step_down
 
     async def unconditioned(self: StateClient, conditions: dict[str, int], sets: Any, *args: Any, **more: Any) -> Any:
         if LEADER_KEY in conditions and LEADER_KEY not in sets and len(conditions) > 1:
@@ -58,7 +58,7 @@
         patch.object(LeaderLease, "holds", lambda self, now: True),
         patch.object(LeaseRenewalLimit, "until", property(lambda self: steady() + 10**12)),
         patch.object(StateClient, "commit", unconditioned),
-        patch.object(WorkerClient, "commands", unfenced),
+        patch.object(WorkerClient, "send_commands", unfenced),
         patch.object(Node, "step_down", keeps),
         patch.object(Leader, "step_down", lambda self, why: None),
         patch.object(GroupCommit, "stuck", lambda self, now: False),
--- a/oatport/lab/world/builds.py
+++ b/oatport/lab/world/builds.py
@@ -21,7 +21,7 @@
 
 import msgspec
 
-from oatport.clients.http import Keep, NoResponseError, RequestNotSentError
+from oatport.clients.http import ConnectionReuse, NoResponseError, RequestNotSentError
 from oatport.lab.world.loop import Host
 from oatport.lab.world.net import Net
 from oatport.service.node import Node
@@ -163,7 +163,7 @@
         self._build = build
         self._inner = build.net.NodeNetwork(net, host)
 
-    def client(self, address: str, keep: Keep = Keep.LONG) -> _Client:
+    def client(self, address: str, reuse: ConnectionReuse = ConnectionReuse.KEEP_ALIVE) -> _Client:
         return _Client(self._build, self._inner.client(address))
 
     def __getattr__(self, name: str) -> Any:
--- a/oatport/lab/world/net.py
+++ b/oatport/lab/world/net.py
@@ -21,7 +21,7 @@
 
 from oatport import wire
 from oatport.api.server import Answer, BodyTooLargeError, Handler
-from oatport.clients.http import Keep, NoResponseError, RequestNotSentError
+from oatport.clients.http import ConnectionReuse, NoResponseError, RequestNotSentError
 from oatport.lab.world.loop import Host, VirtualLoop
 from oatport.times import MS, SECOND
 
@@ -340,7 +340,7 @@
     def session(self) -> aiohttp.ClientSession:
         raise NotImplementedError("no price feeds here")
 
-    def client(self, address: str, keep: Keep = Keep.LONG) -> Client:
+    def client(self, address: str, reuse: ConnectionReuse = ConnectionReuse.KEEP_ALIVE) -> Client:
         return Client(self._net, self._host, address)
 
     def expect(self, machines: int, a_second: float) -> None:
--- a/oatport/queues/gateway.py
+++ b/oatport/queues/gateway.py
@@ -86,7 +86,7 @@
                     await self._join()
                 else:
                     asked = steady()
-                    await self.state.touch(self._lease, min(self._life // 2, SECOND))
+                    await self.state.renew_lease(self._lease, min(self._life // 2, SECOND))
                     self._mandate.proven(asked)
                 if self._lease:
                     await self._share_parts()
@@ -115,7 +115,7 @@
         if found is not None and found[0].get("boot") != self.boot:
             log.info("taking the place of an earlier gateway %s", self.settings.name)
         asked = steady()
-        lease = await self.state.hold(self._life)
+        lease = await self.state.grant_lease(self._life)
         result = await self.state.commit({key: found[1] if found else 0}, {key: {"boot": self.boot}}, lease=lease)
         if isinstance(result, Applied):
             self._lease = lease
@@ -123,15 +123,15 @@
             log.info("gateway %s joined", self.settings.name)
 
     async def _share_parts(self) -> None:
-        members, _ = await self.state.list_all(MEMBERS)
-        mine = next((row for row in members if row["path"] == MEMBERS + self.settings.name), None)
-        if mine is None or mine["value"].get("boot") != self.boot:
+        members, _ = await self.state.list_prefix(MEMBERS)
+        mine = next((entry for entry in members if entry.key == MEMBERS + self.settings.name), None)
+        if mine is None or mine.value.get("boot") != self.boot:
             # Another process has this name: two must not share one place, nor take it from one another in turns.
             self._ousted = mine is not None
             raise LeaseExpiredError
-        wanted = parts_for(self.settings.name, [row["path"][len(MEMBERS) :] for row in members])
-        rows, _ = await self.state.list_all(PART_KEYS)
-        held = {int(row["path"][len(PART_KEYS) :]): (row["value"], row["entryRev"]) for row in rows}
+        wanted = parts_for(self.settings.name, [entry.key[len(MEMBERS) :] for entry in members])
+        rows, _ = await self.state.list_prefix(PART_KEYS)
+        held = {int(entry.key[len(PART_KEYS) :]): (entry.value, entry.revision) for entry in rows}
         for part, token in list(self.outbox.parts.items()):
             if held.get(part, ({}, 0))[1] != token:
                 self.outbox.disown(part)
@@ -182,17 +182,16 @@
         while True:
             try:
                 if not revision:
-                    revision = await self.state.revision(prefix)
+                    revision = await self.state.current_revision(prefix)
                     await again()
                 self.store.asked += 1
-                found = await self.state.changes(prefix, revision, WATCH_WAIT)
+                found = await self.state.watch(prefix, revision, WATCH_WAIT)
                 if found is None:
                     revision = 0
                     continue
-                now, news = found
-                for key, item in {item["set"]: item for item in news if "set" in item}.items():
-                    await take(key, item["value"], int(item["entryRev"]))
-                revision = max(revision, now)
+                for key, change in {change.key: change for change in found.changes if not change.deleted}.items():
+                    await take(key, change.value, change.revision)
+                revision = max(revision, found.revision)
             except (NoResponseError, RequestRefusedError, StoreUnavailableError):
                 await asyncio.sleep(jitter(300 * MS))
                 continue
--- a/oatport/queues/store.py
+++ b/oatport/queues/store.py
@@ -7,8 +7,9 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from oatport.clients.http import Bucket, NoResponseError, RequestRefusedError, jitter
+from oatport.clients.http import NoResponseError, RequestRefusedError, jitter
 from oatport.clients.state import Applied, LeaseExpiredError, StateClient
+from oatport.clients.token_bucket import TokenBucket
 from oatport.errors import OatportError
 from oatport.queues.rows import ROWS, Row, row_key
 from oatport.times import MS, SECOND
@@ -39,8 +40,8 @@
 
     def __init__(self, state: StateClient, changes_per_s: float, requests_per_s: float, txn_ops: int) -> None:
         self.state = state
-        self._changes = Bucket(changes_per_s)
-        self.requests = Bucket(requests_per_s)
+        self._changes = TokenBucket(changes_per_s)
+        self.requests = TokenBucket(requests_per_s)
         self._txn_ops = txn_ops
         self._waiting: list[_Change] = []
         self._runner: asyncio.Task[None] | None = None
@@ -57,7 +58,7 @@
         return await change.done
 
     async def get(self, key: str) -> tuple[Any, int] | None:
-        await self.requests.spend()
+        await self.requests.acquire()
         self.asked += 1
         try:
             return await self.state.get(key)
@@ -70,13 +71,13 @@
 
     async def rows(self, prefix: str = ROWS) -> tuple[list[tuple[Row, int]], int]:
         """All rows under a prefix with their versions, and the revision to watch from. Raises Away."""
-        await self.requests.spend()
+        await self.requests.acquire()
         self.asked += 1
         try:
-            items, revision = await self.state.list_all(prefix)
+            items, revision = await self.state.list_prefix(prefix)
         except (NoResponseError, RequestRefusedError):
             raise StoreUnavailableError from None
-        return [row for item in items if (row := read_row(item["path"], item["value"], item["entryRev"]))], revision
+        return [row for item in items if (row := read_row(*item))], revision
 
     async def _run(self) -> None:
         await asyncio.sleep(GATHER_S)
@@ -110,8 +111,8 @@
             conditions: dict[str, int] = {}
             for change in batch:
                 conditions |= change.conditions
-            await self._changes.spend(len(batch))
-            await self.requests.spend()
+            await self._changes.acquire(len(batch))
+            await self.requests.acquire()
             self.asked += 1
             self.changed += len(batch)
             try:
@@ -133,7 +134,7 @@
             if isinstance(result, Applied):
                 self._settle(batch, result.revision)
                 return
-            failed = [c for c in batch if any(key in result.failed for key in c.conditions)]
+            failed = [c for c in batch if any(key in result.failed_keys for key in c.conditions)]
             self._settle(failed or batch, 0)
             batch = [c for c in batch if not c.done.done()]
 
--- a/oatport/service/cloud_controller.py
+++ b/oatport/service/cloud_controller.py
@@ -178,7 +178,7 @@
         while not self._helm.stopped:
             asked = steady()
             try:
-                rows = await self.cloud.list_all()
+                rows = await self.cloud.list_machines()
             except (NoResponseError, RequestRefusedError, wire.InvalidMessageError) as error:
                 log.info("machine list: %s", error)
                 await asyncio.sleep(jitter(SECOND))
--- a/oatport/service/dependency_controller.py
+++ b/oatport/service/dependency_controller.py
@@ -39,7 +39,7 @@
             unknown = sorted(self.cluster.dependency_graph.unknown)
             while unknown and not self._helm.stopped:
                 try:
-                    found, asked = await self.state.some(JOBS, unknown)
+                    found, asked = await self.state.get_many(JOBS, unknown)
                 except (NoResponseError, RequestRefusedError):
                     await asyncio.sleep(jitter(SECOND))
                     break
--- a/oatport/service/failover.py
+++ b/oatport/service/failover.py
@@ -6,6 +6,7 @@
 import logging
 from typing import Any
 
+from oatport import wire
 from oatport.clients.http import NoResponseError, jitter
 from oatport.clients.state import StateClient
 from oatport.clients.worker import WorkerClient
@@ -22,23 +23,24 @@
 INTRODUCTIONS = 3  # tries; after that its own report has to come
 
 
-async def read_records(state: StateClient) -> tuple[list[dict[str, Any]], int]:
+async def read_records(state: StateClient) -> tuple[list[wire.StoredEntry], int]:
     """All that an earlier leader left: rows for `recovery.load`, and the revision to watch jobs from.
 
     Raises NoAnswer or Refused.
     """
-    live, revision = await state.list_all(LIVE)
+    live, revision = await state.list_prefix(LIVE)
     # After `live/`: only a leader moves a job from here to there, and no other one can any more.
-    waits, _ = await state.list_all(WAITS)
-    fleet, _ = await state.list_all(FLEET)
-    rows, _ = await state.list_all(MODEL_KEY)
+    waits, _ = await state.list_prefix(WAITS)
+    fleet, _ = await state.list_prefix(FLEET)
+    rows, _ = await state.list_prefix(MODEL_KEY)
     for key in (DARK_KEY, FORMATS_KEY):
         found = await state.get(key)
         if found is not None:
-            rows.append({"path": key, "value": found[0], "entryRev": found[1]})
-    for row in (*live, *waits):
-        if "more" in row["value"]:
-            row["value"] = await read_whole(state, row["value"])
+            rows.append(wire.StoredEntry(key, *found))
+    for entries in (live, waits):
+        for number, entry in enumerate(entries):
+            if "more" in entry.value:
+                entries[number] = entry._replace(value=await read_whole(state, entry.value))
     return rows + fleet + live + waits, revision
 
 
@@ -67,10 +69,10 @@
         if helm.stopped or machine.removed or machine.confirmed(helm.token):
             return
         try:
-            report = await client.show()
+            report = await client.fetch_status()
             helm.cluster.on_contact(machine)
             helm.receive_heartbeat(report, steady())
             if report.fencing_token < helm.token:
-                helm.receive_heartbeat(await client.commands(helm.token, report.agent_epoch, []), steady())
+                helm.receive_heartbeat(await client.send_commands(helm.token, report.agent_epoch, []), steady())
         except NoResponseError:
             await asyncio.sleep(jitter(SECOND))
--- a/oatport/service/failure_detector.py
+++ b/oatport/service/failure_detector.py
@@ -6,7 +6,7 @@
 import logging
 from collections.abc import Awaitable, Callable
 
-from oatport.clients.http import Keep, NoResponseError, RequestRefusedError
+from oatport.clients.http import ConnectionReuse, NoResponseError, RequestRefusedError
 from oatport.clients.worker import WorkerClient
 from oatport.control.leadership.zone_partition import ZoneEvacuation
 from oatport.control.scaling.capacity_planner import CapacityPlanner
@@ -237,7 +237,7 @@
 
     async def _probe(self, machine: Machine) -> None:
         try:
-            report = await WorkerClient(self._net, machine.address, Keep.ONCE).show()
+            report = await WorkerClient(self._net, machine.address, ConnectionReuse.NEVER).fetch_status()
             self.cluster.on_contact(machine)
             self._helm.receive_heartbeat(report, steady())
         except NoResponseError:
--- a/oatport/service/group_commit.py
+++ b/oatport/service/group_commit.py
@@ -7,8 +7,9 @@
 from typing import Any
 
 from oatport import wire
-from oatport.clients.http import Bucket, NoResponseError, RequestRefusedError, jitter
+from oatport.clients.http import NoResponseError, RequestRefusedError, jitter
 from oatport.clients.state import Applied
+from oatport.clients.token_bucket import TokenBucket
 from oatport.control.storage.write_buffer import ACCEPT_KEYS, JOBS, LEADER_KEY, WriteBatch, job_key
 from oatport.service.leader_context import LeaderContext
 from oatport.times import MS, SECOND, seconds, steady
@@ -27,7 +28,7 @@
         self.cluster = helm.cluster
         self.state = helm.state
         limits = helm.settings.cluster.state
-        self._budget = Bucket(limits.write_rps * WRITE_SHARE)
+        self._budget = TokenBucket(limits.write_rps * WRITE_SHARE)
         self._later_rate = limits.least_write_rps * WRITE_SHARE
         self._txn_ops = limits.least_txn_ops
         self.wanted = asyncio.Event()
@@ -39,7 +40,7 @@
         But a swarm makes no debt that claims wait for.
         """
         if self._budget.available() > 0:
-            self._budget.take(ACCEPT_KEYS)
+            self._budget.reserve(ACCEPT_KEYS)
 
     def stuck(self, now: int) -> bool:
         """The commit under way has been without an answer for long."""
@@ -55,7 +56,7 @@
                     await asyncio.sleep(seconds(END_DELAY) if not self.cluster.has_urgent_writes() else 0)
                 # What can wait leaves half a second's worth to claims, and to users' requests.
                 now = steady()
-                budget = int(self._budget.available() - self._budget.rate / 2)
+                budget = int(self._budget.available() - self._budget.rate_per_s / 2)
                 if now - bulk_at > BULK_WAIT:
                     budget = self._txn_ops
                 ripe = END_RIPE if now - bulk_at <= BULK_WAIT else 0
@@ -68,7 +69,7 @@
                     self.cluster.in_flight_keys = set()
                     await asyncio.sleep(0.04)
                     continue
-                await self._budget.spend(batch.operation_count)
+                await self._budget.acquire(batch.operation_count)
                 await self.commit(batch)
                 self._helm.wake()
 
@@ -90,7 +91,7 @@
                     log.info("commit: %s", error)
                 if isinstance(error, RequestRefusedError) and error.status == 429:
                     # The first sign that the limits have fallen; until then their full rate is used.
-                    self._budget.rate = min(self._budget.rate, self._later_rate)
+                    self._budget.rate_per_s = min(self._budget.rate_per_s, self._later_rate)
                 if isinstance(error, RequestRefusedError) and error.status < 429:
                     if not self.cluster.layout.parts and not self.cluster.value_limit_lowered:
                         # The limits have fallen while a node was away, so that it isn't known whether it reads parts:
@@ -108,7 +109,7 @@
             if isinstance(result, Applied):
                 self.cluster.committed(batch, result.revision, steady())
                 return
-            await self._conflict(batch, result.failed, tries)
+            await self._conflict(batch, result.failed_keys, tries)
             return
 
     async def _conflict(self, batch: WriteBatch, failed: tuple[str, ...], tries: int) -> None:
--- a/oatport/service/leader.py
+++ b/oatport/service/leader.py
@@ -246,7 +246,7 @@
         while not self.stopped:
             asked = steady()
             try:
-                found = await self.state.changes(JOBS, self._watch_from, WATCH_WAIT)
+                found = await self.state.watch(JOBS, self._watch_from, WATCH_WAIT)
             except (NoResponseError, RequestRefusedError):
                 await asyncio.sleep(jitter(300 * MS))
                 continue
@@ -254,25 +254,24 @@
                 log.warning("the watch fell too far behind")
                 self.step_down("the watch on jobs fell behind")
                 return
-            revision, news = found
-            last = {item["set"]: item for item in news if "set" in item}
+            last = {change.key: change for change in found.changes if not change.deleted}
             try:
-                for item in last.values():
-                    if "more" in item["value"] and item["value"]["state"] not in wire.TERMINAL_STATUSES:
-                        item["value"] = await read_whole(self.state, item["value"])
+                for key, change in last.items():
+                    if "more" in change.value and change.value["state"] not in wire.TERMINAL_STATUSES:
+                        last[key] = change._replace(value=await read_whole(self.state, change.value))
             except (NoResponseError, RequestRefusedError):
                 await asyncio.sleep(jitter(300 * MS))
                 continue
             # Of each job only the last: one that came and ended meanwhile is not taken up again.
-            for key, item in last.items():
-                ref, state = key[len(JOBS) :], str(item["value"]["state"])
+            for key, change in last.items():
+                ref, state = key[len(JOBS) :], str(change.value["state"])
                 if state == wire.JobStatus.CANCELLED:
-                    self.cluster.cancel_job(ref, int(item["entryRev"]), self.lease_renewal_limit.known_at)
+                    self.cluster.cancel_job(ref, change.revision, self.lease_renewal_limit.known_at)
                 elif state == wire.JobStatus.COMPLETED:
-                    self.cluster.on_completion_recorded(ref, int(item["value"].get("ended", 0)))
+                    self.cluster.on_completion_recorded(ref, int(change.value.get("ended", 0)))
                 elif state not in wire.TERMINAL_STATUSES and not self._knows_job(ref):
-                    self._admit(ref, item["value"], int(item["entryRev"]))
-            self._watch_from = max(self._watch_from, revision)
+                    self._admit(ref, change.value, change.revision)
+            self._watch_from = max(self._watch_from, found.revision)
             for ref in [ref for ref, at in self.cluster.terminal_revisions.items() if at <= self._watch_from]:
                 del self.cluster.terminal_revisions[ref]
             self.lease_renewal_limit.known(asked)
@@ -345,7 +344,7 @@
         return machine
 
     def state_service_down(self, now: int) -> bool:
-        return now - self.state.ok_at > 2 * SECOND and self.state.failed_at > self.state.ok_at
+        return now - self.state.last_served_at > 2 * SECOND and self.state.last_failed_at > self.state.last_served_at
 
     # --- placing and sending ------------------------------------------------------------------
 
@@ -408,7 +407,7 @@
             session = machine.agent_epoch
             self._commanded += 1
             try:
-                report = await WorkerClient(self._net, machine.address).commands(self.token, session, orders)
+                report = await WorkerClient(self._net, machine.address).send_commands(self.token, session, orders)
             except RequestNotSentError:
                 cluster.on_commands_answered(machine, keys)  # no connection: it can't land later
                 return
--- a/oatport/service/lease_proxy_service.py
+++ b/oatport/service/lease_proxy_service.py
@@ -47,7 +47,7 @@
     def take_report(self, report: wire.Heartbeat) -> bool:
         """May this report be answered in the leader's name?"""
         state = self._here.state
-        return self.steward.answers(report.fencing_token, steady(), state.ok_at, state.failed_at)
+        return self.steward.answers(report.fencing_token, steady(), state.last_served_at, state.last_failed_at)
 
     def named(self, leader: str | None) -> str | None:
         """Where to send a worker that can't be answered here: to a node that keeps its lease, if the leader can't.
@@ -61,7 +61,7 @@
 
     def _out_of_touch(self, now: int) -> bool:
         state = self._here.state
-        return self.steward.is_isolated(now, state.ok_at, state.failed_at)
+        return self.steward.is_isolated(now, state.last_served_at, state.last_failed_at)
 
     # --- what nodes tell one another --------------------------------------------------------
 
--- a/oatport/service/network.py
+++ b/oatport/service/network.py
@@ -10,7 +10,7 @@
 
 from oatport import wire
 from oatport.api.server import Handler, Server
-from oatport.clients.http import Connector, HttpClient, Keep, Requester, make_session
+from oatport.clients.http import ConnectionReuse, Connector, HttpClient, Requester, make_session
 from oatport.control.limits.connection_budget import MOST_IDLE, ConnectionBudget
 from oatport.times import MS, SECOND, seconds, steady
 
@@ -49,7 +49,7 @@
 class HttpNetwork:
     def __init__(self, sockets: int) -> None:
         self._sockets = ConnectionBudget(sockets)
-        self._sessions: dict[Keep, aiohttp.ClientSession] = {}
+        self._sessions: dict[ConnectionReuse, aiohttp.ClientSession] = {}
         self._idle_us = MOST_IDLE
         self._replaced: set[asyncio.Task[None]] = set()
         self._servers: list[Server] = []
@@ -57,25 +57,25 @@
 
     def open(self) -> None:
         self._sessions = {
-            Keep.LONG: make_session(self._sockets.most),
-            Keep.WORKER: make_session(self._sockets.most),
-            Keep.ONCE: make_session(self._sockets.calls * 4, idle_us=0),  # probes: most of them hang
+            ConnectionReuse.KEEP_ALIVE: make_session(self._sockets.most),
+            ConnectionReuse.WHILE_SPARE: make_session(self._sockets.most),
+            ConnectionReuse.NEVER: make_session(self._sockets.calls * 4, idle_us=0),  # probes: most of them hang
         }
 
     @property
     def session(self) -> aiohttp.ClientSession:
-        return self._sessions[Keep.LONG]
+        return self._sessions[ConnectionReuse.KEEP_ALIVE]
 
-    def client(self, address: str, keep: Keep = Keep.LONG) -> Requester:
-        return HttpClient(self._sessions[keep], address)
+    def client(self, address: str, reuse: ConnectionReuse = ConnectionReuse.KEEP_ALIVE) -> Requester:
+        return HttpClient(self._sessions[reuse], address)
 
     def expect(self, machines: int, a_second: float) -> None:
         idle = self._sockets.idle_us(machines, a_second)
         if 1 / CHANGED_BY < idle / self._idle_us < CHANGED_BY:
             return
         self._idle_us = idle
-        before = self._sessions[Keep.WORKER]
-        self._sessions[Keep.WORKER] = make_session(self._sockets.most, idle_us=idle)
+        before = self._sessions[ConnectionReuse.WHILE_SPARE]
+        self._sessions[ConnectionReuse.WHILE_SPARE] = make_session(self._sockets.most, idle_us=idle)
         task = asyncio.get_running_loop().create_task(self._replace(before))
         self._replaced.add(task)
         task.add_done_callback(self._replaced.discard)
--- a/oatport/service/node.py
+++ b/oatport/service/node.py
@@ -16,7 +16,7 @@
 from oatport.clients.http import NoResponseError, RequestRefusedError, jitter
 from oatport.clients.peer import PeerClient
 from oatport.clients.state import Applied, LeaseExpiredError, StateClient
-from oatport.clients.worker import count_reached
+from oatport.clients.worker import count_reachable
 from oatport.control.leadership.election_priority import ElectionPriority
 from oatport.control.limits.connection_budget import ConnectionBudget
 from oatport.control.placement.retry_policy import RetryPolicies
@@ -190,8 +190,9 @@
 
     def state_service_answers(self) -> bool:
         """The state service answers this node."""
-        return self.state.ok_at > 0 and (
-            steady() - self.state.ok_at < SERVED_FRESH or self.state.failed_at <= self.state.ok_at
+        return self.state.last_served_at > 0 and (
+            steady() - self.state.last_served_at < SERVED_FRESH
+            or self.state.last_failed_at <= self.state.last_served_at
         )
 
     def ready(self) -> bool:
@@ -316,13 +317,13 @@
             try:
                 if lead is not None:
                     asked = steady()
-                    await self.state.touch(lead.lease, min(self._lease_us // 2, SECOND))
+                    await self.state.renew_lease(lead.lease, min(self._lease_us // 2, SECOND))
                     lead.leader_lease.proven(asked)
                     better = self._better_placed()
                     if better is not None and lead is self.leader and lead.loaded:
                         self._successor_answered_at = steady()  # not again at once, if it does not want to
                         self.group.once("offer", self._offer(lead, better))  # renewals do not wait for it
-                elif steady() - self.state.ok_at > SECOND:
+                elif steady() - self.state.last_served_at > SECOND:
                     await self.state.get(LEADER_KEY)
             except LeaseExpiredError:
                 if lead is self.leader:
@@ -360,15 +361,15 @@
                 found = await self.state.get(LEADER_KEY)
                 revision = self._see_leader(found)
                 while True:
-                    result = await self.state.changes(LEADER_KEY, revision, 5 * SECOND)
+                    result = await self.state.watch(LEADER_KEY, revision, 5 * SECOND)
                     if result is None:
                         break
-                    revision, news = result
-                    for item in news:
-                        if item.get("set") == LEADER_KEY:
-                            self._see_leader((item["value"], int(item["entryRev"])))
-                        elif item.get("drop") == LEADER_KEY:
-                            self._see_leader(None)
+                    revision = result.revision
+                    for change in result.changes:
+                        if change.key == LEADER_KEY:
+                            self._see_leader(
+                                None if change.deleted else wire.StoredValue(change.value, change.revision)
+                            )
             except (NoResponseError, RequestRefusedError):
                 await asyncio.sleep(jitter(300 * MS))
 
@@ -441,7 +442,7 @@
 
     async def _reaches(self, addresses: list[str]) -> int:
         """How many of these workers this node can reach."""
-        return await count_reached(self._net, addresses)
+        return await count_reachable(self._net, addresses)
 
     async def _run_for_leader(self) -> None:
         """Become the leader if there is none, or if the one there is handed over."""
@@ -456,7 +457,7 @@
                 return
             version = found[1]
         held_at = steady()
-        lease = await self.state.hold(self._lease_us)
+        lease = await self.state.grant_lease(self._lease_us)
         value = {"node": self.node_name, "boot": self.boot_id, "lease": lease}
         token = 0
         try:
--- a/oatport/windows/client.py
+++ b/oatport/windows/client.py
@@ -9,7 +9,8 @@
 import aiohttp
 
 from oatport import wire
-from oatport.clients.http import Bucket, jitter
+from oatport.clients.http import jitter
+from oatport.clients.token_bucket import TokenBucket
 from oatport.times import SECOND, micros, seconds, time_of_day
 from oatport.windows.feed import BODY_MOST, JSON_TYPE, decode
 from oatport.windows.prices import Book, InvalidPriceSeriesError
@@ -40,7 +41,7 @@
         self._poll = micros(poll_s)
         self._timeout_s = timeout_s
         self._changed = changed
-        self._rate = Bucket(ASKED_A_SECOND)
+        self._rate = TokenBucket(ASKED_A_SECOND)
         self.failures = 0  # in a row
 
     async def loop(self) -> None:
@@ -50,7 +51,7 @@
 
     async def step(self) -> float:
         """Ask once; how long to wait before the next (seconds)."""
-        await self._rate.spend()
+        await self._rate.acquire()
         try:
             body, content_type = await self._fetch()
             intervals, made_at = decode(body, content_type, self._zone)
--- /dev/null
+++ b/oatport/wire/state_service.py
@@ -0,0 +1,111 @@
+"""The state service's interface: entries, transactions, leases and changes."""
+
+from __future__ import annotations
+
+from typing import Any, NamedTuple
+
+from oatport.times import MS
+
+
+class StoredValue(NamedTuple):
+    """The value of a key, and the revision of its last change."""
+
+    value: Any
+    revision: int
+
+
+class StoredEntry(NamedTuple):
+    """A key with its value, and the revision of its last change."""
+
+    key: str
+    value: Any
+    revision: int
+
+
+class EntryPage(NamedTuple):
+    """One answer of GET /store. `revision`: that of the whole store."""
+
+    entries: list[StoredEntry]
+    revision: int
+    has_next: bool
+
+
+class Change(NamedTuple):
+    """A change of a key; `value` is None if it was deleted."""
+
+    key: str
+    value: Any
+    revision: int
+    deleted: bool
+
+
+class ChangeSet(NamedTuple):
+    """Changes in their order, complete up to `revision` of the store."""
+
+    revision: int
+    changes: list[Change]
+
+
+def decode_stored_value(value: Any) -> StoredValue:
+    """From a decoded GET /store/KEY."""
+    return StoredValue(value["value"], int(value["entryRev"]))
+
+
+def decode_entry_page(value: Any) -> EntryPage:
+    """From a decoded GET /store."""
+    entries = [StoredEntry(row["path"], row["value"], int(row["entryRev"])) for row in value["rows"]]
+    return EntryPage(entries, decode_revision(value), bool(value.get("hasNext")))
+
+
+def decode_revision(value: Any) -> int:
+    """The revision of the whole store, which most answers tell."""
+    return int(value["ledgerRev"])
+
+
+def decode_changes(value: Any) -> ChangeSet:
+    """From a decoded GET /changes."""
+    return ChangeSet(decode_revision(value), [_decode_change(item) for item in value.get("news") or []])
+
+
+def _decode_change(item: dict[str, Any]) -> Change:
+    revision = int(item["entryRev"])
+    if "set" in item:
+        return Change(item["set"], item["value"], revision, deleted=False)
+    return Change(item["drop"], None, revision, deleted=True)
+
+
+def transaction_request(
+    conditions: dict[str, int], sets: dict[str, Any], deletes: list[str], lease: int | None
+) -> dict[str, Any]:
+    """The body of POST /commit; keys that are set end with the lease, if one is given."""
+    operations: list[dict[str, Any]] = []
+    for key, value in sets.items():
+        operation = {"set": key, "value": value}
+        if lease is not None:
+            operation["permit"] = lease
+        operations.append(operation)
+    operations += [{"drop": key} for key in deletes]
+    return {
+        "if": [{"path": key, "entryRev": revision} for key, revision in conditions.items()],
+        "then": operations,
+    }
+
+
+def decode_failed_keys(value: Any) -> tuple[str, ...]:
+    """The keys whose conditions didn't hold, from the answer 409 of POST /commit."""
+    return tuple(value.get("failed") or ())
+
+
+def is_lease_missing(value: Any) -> bool:
+    """Whether the answer 400 of POST /commit says that its lease has ended."""
+    return isinstance(value, dict) and value.get("error") == "no such lease"
+
+
+def lease_request(ttl_us: int) -> dict[str, Any]:
+    """The body of POST /holds."""
+    return {"lifeMs": ttl_us // MS}
+
+
+def decode_lease(value: Any) -> int:
+    """The number of a lease, from a decoded answer of POST /holds."""
+    return int(value["permit"])
--- a/tests/test_dark.py
+++ b/tests/test_dark.py
@@ -95,7 +95,7 @@
     assert (
         node.answer_heartbeat(wire.decode_heartbeat(report)) is None
     )  # it is not out of touch: the state service answers
-    client.ok_at, client.failed_at = steady() - 3 * SECOND, steady()
+    client.last_served_at, client.last_failed_at = steady() - 3 * SECOND, steady()
     assert node.answer_heartbeat(wire.decode_heartbeat(report)) == {"helm": lead.token, "orders": []}
     assert (await peer_reply(node, ["carried out"])) == ["no"]  # only the leader knows
 
@@ -105,7 +105,7 @@
     old, new = Node(node_settings(), Tuning()), Node(node_settings(), Tuning())
     for node in (old, new):
         node.state = FakeStateClient(state)  # type: ignore[assignment]
-        node.state.ok_at, node.state.failed_at = 0, steady()
+        node.state.last_served_at, node.state.last_failed_at = 0, steady()
         node._leader_name = "n1"  # outside the cut
     worker = Worker(lambda: 0, "vm-000001", "h:1", "m8", "a", False, 8.0, lambda ref: None)
     worker.token = 7
--- a/tests/test_needs.py
+++ b/tests/test_needs.py
@@ -245,14 +245,14 @@
     other, _, _ = node(state)
     await other.submit(job("j-000001"))
     await users.show("j-000009")
-    some, held = client.some, asyncio.Event()
+    some, held = client.get_many, asyncio.Event()
 
     async def slow(prefix: str, names: list[str]) -> Any:
         found = await some(prefix, names)
         await held.wait()
         return found
 
-    client.some = slow  # type: ignore[method-assign]
+    client.get_many = slow  # type: ignore[method-assign]
     first = asyncio.ensure_future(users.show("j-000001"))
     await asyncio.sleep(0.01)
     assert (await other.cancel("j-000001")).value["status"] == "aborted"
--- a/tests/test_peer_messages.py
+++ b/tests/test_peer_messages.py
@@ -10,7 +10,7 @@
 
 from oatport import wire
 from oatport.api.peer_api import PeerApi
-from oatport.clients.http import Keep
+from oatport.clients.http import ConnectionReuse
 from oatport.clients.peer import PeerClient, UnexpectedReplyError
 from oatport.lab.world.state import KeyStore
 from oatport.peer_messages import (
@@ -128,7 +128,7 @@
     def __init__(self, status: int, value: Any) -> None:
         self.reply, self.sent = (status, value), list[Any]()
 
-    def client(self, address: str, keep: Keep = Keep.LONG) -> FixedReply:
+    def client(self, address: str, reuse: ConnectionReuse = ConnectionReuse.KEEP_ALIVE) -> FixedReply:
         return self
 
     async def request(
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -18,7 +18,7 @@
 from oatport import wire
 from oatport.cli import main
 from oatport.clients.http import RequestRefusedError
-from oatport.clients.state import LeaseExpiredError
+from oatport.clients.state import LeaseExpiredError, Listing
 from oatport.control.leadership.leader_lease import LeaderLease
 from oatport.lab.queues import Senders, audit
 from oatport.lab.world.state import KeyStore
@@ -46,14 +46,14 @@
 class State(FakeStateClient):
     """With the calls that a gateway makes beside a node's."""
 
-    async def list_all(self, prefix: str) -> tuple[list[dict[str, Any]], int]:
-        value = self.state.list(prefix, page=10**9)[1]
-        return value["rows"], value["ledgerRev"]
+    async def list_prefix(self, prefix: str) -> Listing:
+        page = wire.decode_entry_page(self.state.list(prefix, page=10**9)[1])
+        return Listing(page.entries, page.revision)
 
-    async def hold(self, life_us: int) -> int:
+    async def grant_lease(self, life_us: int) -> int:
         return int(self.state.hold(life_us // 1000)[1]["permit"])
 
-    async def touch(self, lease: int, timeout_us: int) -> None:
+    async def renew_lease(self, lease: int, timeout_us: int) -> None:
         if self._fault():
             raise RequestRefusedError(503)
         if self.state.touch(lease)[0] == 404:
@@ -73,13 +73,13 @@
             self.state.items[key] = (value, version, lease)
         return result
 
-    async def changes(self, prefix: str, revision: int, wait_us: int, timeout_us: int = 0) -> Any:
+    async def watch(self, prefix: str, revision: int, wait_us: int, timeout_us: int = 0) -> Any:
         for _ in range(10):
-            now, news = await super().changes(prefix, revision, 0)
-            if news:
+            found = await super().watch(prefix, revision, 0)
+            if found is None or found.changes:
                 break
             await asyncio.sleep(0.01)
-        return now, news
+        return found
 
 
 class Core:
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -237,7 +237,7 @@
     lead, client, _ = leader(world.state)
     lead._watch_from = 0
     lead.stopped = False
-    client.changes = _once(lead, client)  # type: ignore[method-assign]
+    client.watch = _once(lead, client)  # type: ignore[method-assign]
     await lead._watch_loop()
     assert ref not in lead.cluster.jobs
     _, _, state = read_job(world.state.items[f"jobs/{ref}"][0])
@@ -245,7 +245,7 @@
 
 
 def _once(lead: Any, client: FakeStateClient) -> Any:
-    changes = client.changes
+    changes = client.watch
 
     async def ask(*arguments: Any) -> Any:
         lead.stopped = True
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -160,7 +160,7 @@
 async def test_in_an_outage_tasks_live_but_nothing_starts(state: KeyStore) -> None:
     lead, client, _ = leader(state)
     now = steady()
-    client.ok_at, client.failed_at = now - 5 * SECOND, now
+    client.last_served_at, client.last_failed_at = now - 5 * SECOND, now
     lead.lease_renewal_limit.known_at = now - 5 * SECOND
     report = wire.Heartbeat("vm-000001", "h:1", "m8", "a", False, 1, 1, lead.token, [])
     answer = lead.answer_heartbeat(report)
@@ -270,7 +270,8 @@
     """Back within a blink and leading at once, the cloud down: all that ran was started again elsewhere."""
     types = {"berthKinds": [msgspec.to_builtins(kind) for kind in TYPES.values()]}
     state.commit({"if": [], "then": [{"set": CATALOG_KEY, "value": types}]})
-    rows = [{"path": "fleet/000000", "entryRev": 1, "value": {"m": [["vm-000001", "m8", "a", False, "h:1", 1, True]]}}]
+    machine = ["vm-000001", "m8", "a", False, "h:1", 1, True]
+    rows = [wire.StoredEntry("fleet/000000", {"m": [machine]}, 1)]
     lead, _, home = leader(state)
     lead.cluster.types.clear()
     home.types = {}
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -8,7 +8,7 @@
 
 from oatport import wire
 from oatport.api.server import Answer, BodyReader, Server
-from oatport.clients.http import HttpClient, Keep, NoResponseError, make_session
+from oatport.clients.http import ConnectionReuse, HttpClient, NoResponseError, make_session
 from oatport.control.limits.connection_budget import LEAST_IDLE, MOST_IDLE, ConnectionBudget
 from oatport.lab.world.state import KeyStore
 from oatport.service.network import HttpNetwork
@@ -82,15 +82,18 @@
     net.open()
     try:
         for _ in range(3):
-            await net.client(address, Keep.ONCE).request("GET", "/show", timeout_us=SECOND)
+            await net.client(address, ConnectionReuse.NEVER).request("GET", "/show", timeout_us=SECOND)
         assert server.held <= 1  # the last may just be closing
         for _ in range(3):
-            await net.client(address, Keep.WORKER).request("GET", "/show", timeout_us=SECOND)
-        before = net.client(address, Keep.WORKER)
+            await net.client(address, ConnectionReuse.WHILE_SPARE).request("GET", "/show", timeout_us=SECOND)
+        before = net.client(address, ConnectionReuse.WHILE_SPARE)
         net.expect(929, 30.0)
         net.expect(929, 31.0)  # hardly different: the connections stay
         assert len(net._replaced) == 1
-        for client in (before, net.client(address, Keep.WORKER)):  # what is under way on the one before goes on
+        for client in (
+            before,
+            net.client(address, ConnectionReuse.WHILE_SPARE),
+        ):  # what is under way on the one before goes on
             assert (await client.request("GET", "/show", timeout_us=SECOND))[0] == 200
     finally:
         await net.close()
--- a/tests/test_still.py
+++ b/tests/test_still.py
@@ -9,7 +9,7 @@
 from msgspec.structs import replace
 
 from oatport import wire
-from oatport.clients import http
+from oatport.clients import token_bucket
 from oatport.clients.cloud import CloudClient
 from oatport.clients.http import NoResponseError, RequestNotSentError
 from oatport.control.leadership.leader_lease import DOUBT, LeaderLease, PauseDetector
@@ -27,7 +27,7 @@
 class Clock:
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.at = 1_000 * SECOND
-        for module in (lead_module, http):
+        for module in (lead_module, token_bucket):
             monkeypatch.setattr(module, "steady", lambda: self.at)
 
 
--- a/tests/test_users.py
+++ b/tests/test_users.py
@@ -237,7 +237,7 @@
     await users.show("j-000001")
     other, _, _ = node(state)
     asked = asyncio.Event()
-    real = client.changes
+    real = client.watch
 
     async def slow(*args: Any, **more: Any) -> Any:
         found = await real(*args, **more)
@@ -245,7 +245,7 @@
         await asyncio.sleep(0.01)
         return found
 
-    client.changes = slow  # type: ignore[method-assign]
+    client.watch = slow  # type: ignore[method-assign]
     early = asyncio.create_task(users.show("j-000001"))
     await asked.wait()
     await other.cancel("j-000001")
--- a/tests/test_windows.py
+++ b/tests/test_windows.py
@@ -140,7 +140,7 @@
     url = await feed.start()
     session = make_session(16)
     client = FeedClient(session, url, "z", known, 60.0, 0.3, lambda: changed.append(1))
-    client._rate.level = client._rate.rate = 100.0
+    client._rate.tokens = client._rate.rate_per_s = 100.0
     now = time_of_day()
     feed.intervals, feed.made_at = hours(10.0, 20.0, start=now), now
     try:
--- a/tests/world.py
+++ b/tests/world.py
@@ -10,7 +10,7 @@
 
 from oatport import wire
 from oatport.clients.http import NoResponseError, RequestNotSentError, RequestRefusedError
-from oatport.clients.state import Applied, Conflict
+from oatport.clients.state import Applied, Conflict, PartialRead
 from oatport.control.placement.placer import Placer
 from oatport.control.placement.retry_policy import RetryPolicies
 from oatport.control.queueing.queue_estimator import route_waiting
@@ -152,7 +152,7 @@
         self.cluster = ClusterState(value["ledgerRev"], self.settings, Tuning(), dict(TYPES), RuntimePredictor())
         self.cluster.retry_policies = self.repeats
         prefixes = (DARK_KEY, FORMATS_KEY, FLEET, LIVE, WAITS)
-        rows = [row for prefix in prefixes for row in self.state.list(prefix)[1]["rows"]]
+        rows = [entry for prefix in prefixes for entry in wire.decode_entry_page(self.state.list(prefix)[1]).entries]
         load(self.cluster, rows, self.now, self.now)
         self.placer = Placer(self.cluster)
         self.fleet = CapacityPlanner(self.cluster)
@@ -326,14 +326,14 @@
         self.state = state
         self.faults: list[str] = []
         self.held: list[dict[str, Any]] = []
-        self.ok_at = 1
-        self.failed_at = 0
+        self.last_served_at = 1
+        self.last_failed_at = 0
         self.reads = 0
 
     def _fault(self) -> str:
         return self.faults.pop(0) if self.faults else ""
 
-    async def get(self, key: str, timeout_us: int = 0) -> tuple[Any, int] | None:
+    async def get(self, key: str, timeout_us: int = 0) -> wire.StoredValue | None:
         self.reads += 1
         fault = self._fault()
         if fault == "refuse":
@@ -341,31 +341,28 @@
         if fault:
             raise NoResponseError(fault)
         status, value = self.state.get(key)
-        return (value["value"], value["entryRev"]) if status == 200 else None
+        return wire.decode_stored_value(value) if status == 200 else None
 
-    async def some(self, prefix: str, names: list[str]) -> tuple[dict[str, tuple[Any, int]], list[str]]:
+    async def get_many(self, prefix: str, names: list[str]) -> PartialRead:
         self.reads += 1
         if self._fault():
             raise NoResponseError("some")
         page = names[:100]
         there = {name: self.state.get(prefix + name) for name in page}
-        return {n: (v["value"], v["entryRev"]) for n, (status, v) in there.items() if status == 200}, page
+        return PartialRead({n: wire.decode_stored_value(v) for n, (status, v) in there.items() if status == 200}, page)
 
-    async def revision(self, prefix: str, timeout_us: int = 0) -> int:
+    async def current_revision(self, prefix: str, timeout_us: int = 0) -> int:
         self.reads += 1
         return self.state.revision
 
-    async def changes(
-        self, prefix: str, revision: int, wait_us: int, timeout_us: int = 0
-    ) -> tuple[int, list[dict[str, Any]]] | None:
+    async def watch(self, prefix: str, revision: int, wait_us: int, timeout_us: int = 0) -> wire.ChangeSet | None:
         self.reads += 1
         fault = self._fault()
         if fault == "refuse":
             raise RequestRefusedError(503)
         if fault:
             raise NoResponseError(fault)
-        value = self.state.changes(prefix, revision)[1]
-        return value["ledgerRev"], value["news"]
+        return wire.decode_changes(self.state.changes(prefix, revision)[1])
 
     async def commit(
         self,
