--- /dev/null
+++ b/emulators/serve.py
@@ -0,0 +1,208 @@
+"""The stand-ins as HTTP servers on loopback: one process with state service, cloud and workers.
+
+    python3 -m emulators.serve --state 127.0.0.1:2379 --cloud 127.0.0.1:8443 \
+        --nodes berth-0=127.0.0.1:8080,berth-1=127.0.0.1:8082,berth-2=127.0.0.1:8084
+"""
+
+from __future__ import annotations
+
+import argparse
+import asyncio
+import contextlib
+import random
+import time
+from typing import Any
+
+import aiohttp
+from aiohttp import web
+
+from oatport import wire
+from oatport.clients.http import HttpClient, NoResponseError, make_session
+from oatport.simulation.cloud_service import Registry
+from oatport.simulation.state_service import KeyStore
+from oatport.simulation.worker import Worker
+
+TYPES: list[dict[str, Any]] = [
+    {
+        "label": "m8",
+        "cores": 8.0,
+        "accelerators": 0,
+        "memoryGb": 32.0,
+        "cacheGb": 50.0,
+        "fetchGbPerS": 1.0,
+        "price": 1.0,
+        "marketPrice": 0.4,
+        "startupS": 1,
+        "harbors": ["a", "b"],
+    }
+]
+
+
+def clock() -> int:
+    return time.monotonic_ns() // 1000
+
+
+def _answer(status: int, value: Any) -> web.Response:
+    return web.Response(status=status, body=b"" if value is None else wire.dumps(value), content_type=wire.CBOR_TYPE)
+
+
+async def _listen(address: str, handler: Any) -> web.ServerRunner:
+    host, _, port = address.rpartition(":")
+    runner = web.ServerRunner(web.Server(handler, access_log=None))
+    await runner.setup()
+    await web.TCPSite(runner, host, int(port), reuse_address=True).start()
+    return runner
+
+
+class Emulators:
+    def __init__(self, state_address: str, cloud_address: str, nodes: dict[str, str], report_s: float = 0.5) -> None:
+        self.state = KeyStore(clock)
+        self.cloud = Registry(TYPES)
+        self.cloud.on_rent = self._boot
+        self.cloud.on_release = self._gone
+        self.nodes = nodes
+        self._addresses = (state_address, cloud_address)
+        self._report_s = report_s
+        self._runners: list[web.ServerRunner] = []
+        self._tasks: dict[str, asyncio.Task[None]] = {}
+        self._worker_runners: dict[str, web.ServerRunner] = {}
+        self.workers: dict[str, Worker] = {}
+        self._session: aiohttp.ClientSession | None = None
+
+    async def start(self) -> None:
+        self._session = make_session(512)
+        self._runners = [
+            await _listen(self._addresses[0], self._on_state),
+            await _listen(self._addresses[1], self._on_cloud),
+        ]
+
+    async def close(self) -> None:
+        for task in self._tasks.values():
+            task.cancel()
+        for runner in [*self._runners, *self._worker_runners.values()]:
+            await runner.cleanup()
+        if self._session:
+            await self._session.close()
+
+    async def _on_state(self, request: web.BaseRequest) -> web.Response:
+        path, query = request.rel_url.path, request.rel_url.query
+        raw = await request.read()
+        body = wire.loads(raw) if raw else {}
+        if path == wire.STORE:
+            page = int(query.get("page", "1000"))
+            return _answer(*self.state.list(query.get("under", ""), query.get("from", ""), page))
+        if path.startswith(wire.STORE + "/"):
+            return _answer(*self.state.get(path[len(wire.STORE) + 1 :]))
+        if path == wire.COMMIT:
+            return _answer(*self.state.commit(body))
+        if path == wire.HOLDS:
+            return _answer(*self.state.hold(int(body["lifeMs"])))
+        if path.startswith(wire.HOLDS):
+            return _answer(*self.state.touch(int(path.split("/")[2])))
+        if path == wire.CHANGES:
+            until = clock() + int(query.get("waitMs", "0")) * 1000
+            while True:
+                status, value = self.state.changes(query.get("under", ""), int(query["from"]))
+                left = (until - clock()) / 1e6
+                if value["news"] or left <= 0:
+                    return _answer(status, value)
+                with contextlib.suppress(TimeoutError):
+                    await asyncio.wait_for(self.state.changed.wait(), min(left, 0.2))
+        return _answer(404, None)
+
+    async def _on_cloud(self, request: web.BaseRequest) -> web.Response:
+        path = request.rel_url.path
+        raw = await request.read()
+        body = wire.loads(raw) if raw else {}
+        if path == wire.CATALOG:
+            return _answer(200, self.cloud.catalog())
+        if path == wire.RELEASE:
+            return _answer(*self.cloud.release(body))
+        if path == wire.HOSTS and request.method == "POST":
+            return _answer(*self.cloud.rent(body))
+        if path == wire.HOSTS:
+            return _answer(*self.cloud.list())
+        return _answer(404, None)
+
+    def _boot(self, machine: dict[str, Any]) -> None:
+        name = machine["ref"]
+        self._tasks[name] = asyncio.get_running_loop().create_task(self._work(machine))
+
+    def _gone(self, name: str) -> None:
+        self.workers.pop(name, None)
+        self._tasks.pop(name).cancel()
+        runner = self._worker_runners.pop(name, None)
+        if runner:
+            task = asyncio.get_running_loop().create_task(runner.cleanup())
+            self._tasks[f"{name} cleanup"] = task
+
+    def _job(self, ref: str) -> dict[str, Any] | None:
+        item = self.state.items.get(f"jobs/{ref}")
+        return None if item is None else item[0]["job"]
+
+    async def _work(self, machine: dict[str, Any]) -> None:
+        await asyncio.sleep(0.5)
+        name = machine["ref"]
+
+        async def handle(request: web.BaseRequest) -> web.Response:
+            raw = await request.read()
+            if request.rel_url.path == wire.SHOW:
+                return _answer(200, worker.report())
+            return _answer(*worker.commands(wire.loads(raw)))
+
+        runner = web.ServerRunner(web.Server(handle, access_log=None))
+        await runner.setup()
+        site = web.TCPSite(runner, "127.0.0.1", 0)
+        await site.start()
+        port = runner.addresses[0][1]
+        machine["address"], machine["status"] = f"127.0.0.1:{port}", "running"
+        self._worker_runners[name] = runner
+        worker = Worker(
+            clock,
+            name,
+            machine["address"],
+            machine["berthKind"],
+            machine["harbor"],
+            machine["driftwood"],
+            TYPES[0]["cores"],
+            self._job,
+        )
+        self.workers[name] = worker
+        names = list(self.nodes)
+        at = random.choice(names)
+        assert self._session is not None
+        while True:
+            sent, session = clock(), worker.session
+            try:
+                status, value = await HttpClient(self._session, self.nodes[at]).request(
+                    "POST", wire.REPORT, worker.report(), timeout_us=4_000_000
+                )
+            except NoResponseError:
+                status, value = 0, None
+            if status == 200:
+                worker.answer(sent, session, value)
+                await asyncio.sleep(self._report_s)
+            elif status == 421 and value.get("harbormaster") in self.nodes and value["harbormaster"] != at:
+                at = value["harbormaster"]
+            else:
+                at = names[(names.index(at) + 1) % len(names)]
+                await asyncio.sleep(1.0)
+
+
+async def _main() -> None:
+    parser = argparse.ArgumentParser(description="Stand-ins for the outside systems, on loopback.")
+    parser.add_argument("--state", default="127.0.0.1:2379")
+    parser.add_argument("--cloud", default="127.0.0.1:8443")
+    parser.add_argument("--nodes", required=True, help="name=host:port of each node, with commas")
+    arguments = parser.parse_args()
+    nodes = dict(item.split("=", 1) for item in arguments.nodes.split(","))
+    emulators = Emulators(arguments.state, arguments.cloud, nodes)
+    await emulators.start()
+    try:
+        await asyncio.Event().wait()
+    finally:
+        await emulators.close()
+
+
+if __name__ == "__main__":
+    asyncio.run(_main())
--- a/oatport/lab/cli.py
+++ b/oatport/lab/cli.py
@@ -1,4 +1,4 @@
-"""`oatport lab ...`: the experiments' command line."""
+"""`oatport lab ...`: the command line of the experiments."""
 
 from __future__ import annotations
 
@@ -7,80 +7,124 @@
 import sys
 from typing import Any
 
-from oatport.lab import BREAKS, FAULTS, GUARDS
+from oatport.lab import FAULTS, QUEUE_SAFETY_CHECKS, SAFETY_CHECKS, SCENARIOS, deprecated_names
+from oatport.lab.deprecated_names import DeprecatedOption, current_name
 
 
 def add(commands: Any) -> None:
-    """The sub-commands; none of their libraries is imported for that."""
+    """Add the sub-commands to the program's parser; none of their libraries is imported for that."""
     lab = commands.add_parser("lab", help="experiments in virtual time (extra: lab)")
-    experiments = lab.add_subparsers(dest="experiment", required=True)
+    experiments = lab.add_subparsers(dest="experiment", required=True, metavar="{windows,queues,simulate}")
+    _add_windows(experiments)
+    _add_queues(experiments)
+    _add_simulate(experiments, "simulate", help="whole deployments in virtual time, checked against the invariants")
+    _add_simulate(experiments, "rehearse")  # its former name
+
+
+def _add_windows(experiments: Any) -> None:
     windows = experiments.add_parser("windows", help="a night at once, by windows, and the least it could cost")
     windows.add_argument("--seed", type=int, default=1)
     windows.add_argument("--jobs", type=int, default=500)
     windows.add_argument("--fault", choices=FAULTS, default="none")
     windows.add_argument("--json", action="store_true", help="the figures as one JSON object")
     windows.add_argument("--html", metavar="FILE", help="write a page with plots")
+
+
+def _add_queues(experiments: Any) -> None:
     queues = experiments.add_parser("queues", help="moves over AMQP through kills, counted from the outside")
     queues.add_argument("--seed", type=int, default=1)
     queues.add_argument("--moves", type=int, default=1000)
     queues.add_argument("--kills", type=int, default=20)
     queues.add_argument("--gateways", type=int, default=2)
-    queues.add_argument("--break", dest="broken", choices=BREAKS, default="", help="switch one guard off")
+    queues.add_argument("--disable-check", choices=QUEUE_SAFETY_CHECKS, default="", help="disable one safety check")
+    queues.add_argument(
+        "--break", dest="disable_check", choices=QUEUE_SAFETY_CHECKS, action=DeprecatedOption, new="--disable-check"
+    )
     queues.add_argument("--json", action="store_true", help="the figures as one JSON object")
-    world = experiments.add_parser("rehearse", help="whole deployments in virtual time, judged by the rules")
-    world.add_argument("--seed", type=int, default=1)
-    world.add_argument("--seeds", type=int, default=1, help="so many, from --seed on")
-    world.add_argument("--nodes", type=int, default=3)
-    world.add_argument("--machines", type=int, default=40)
-    world.add_argument("--plan", metavar="FILE", help="troubles from a TOML file instead of drawn ones")
-    world.add_argument("--story", default="any", help="a family of plans")
-    world.add_argument("--break", dest="broken", choices=GUARDS, default="", help="switch one guard off")
-    world.add_argument("--jobs", type=int, default=0, help="runs at a time (default: all processors)")
-    world.add_argument("--json", action="store_true", help="the figures as one JSON object")
+
+
+def _add_simulate(experiments: Any, name: str, **options: Any) -> None:
+    simulate = experiments.add_parser(name, **options)
+    simulate.add_argument("--seed", type=int, default=1)
+    simulate.add_argument("--seeds", type=int, default=1, help="so many, from --seed on")
+    simulate.add_argument("--nodes", type=int, default=3)
+    simulate.add_argument("--machines", type=int, default=40)
+    simulate.add_argument("--plan", metavar="FILE", help="faults from a TOML file instead of generated ones")
+    simulate.add_argument("--scenario", default="random", help=f"a family of fault plans: {', '.join(SCENARIOS)}")
+    simulate.add_argument("--story", dest="scenario", action=DeprecatedOption, new="--scenario")
+    checks = (*SAFETY_CHECKS, *deprecated_names.SAFETY_CHECKS)
+    simulate.add_argument(
+        "--disable-check",
+        choices=checks,
+        default="",
+        metavar="CHECK",
+        help=f"disable one safety check: {', '.join(SAFETY_CHECKS)}",
+    )
+    simulate.add_argument(
+        "--break", dest="disable_check", choices=checks, action=DeprecatedOption, new="--disable-check"
+    )
+    simulate.add_argument("--jobs", type=int, default=0, help="runs at a time (default: all processors)")
+    simulate.add_argument("--json", action="store_true", help="the figures as one JSON object")
 
 
 def run(arguments: argparse.Namespace) -> int:
-    experiments = {"queues": _queues, "windows": _windows, "rehearse": _rehearse}
+    """Run the experiment that was asked for and return the exit status."""
+    experiments = {"queues": _queues, "windows": _windows, "simulate": _simulate, "rehearse": _simulate}
     return experiments[arguments.experiment](arguments)
 
 
-def _rehearse(arguments: argparse.Namespace) -> int:
-    from oatport.lab.world import rehearse as world
-    from oatport.lab.world.plan import InvalidPlanError
+def _simulate(arguments: argparse.Namespace) -> int:
+    from oatport.simulation import runner
+    from oatport.simulation.fault_plan import InvalidPlanError
+    from oatport.simulation.production_build import HistoryUnavailableError, production
 
+    runner.restart_with_fixed_hash_seed()
+    if arguments.experiment == "rehearse":
+        deprecated_names.warn("lab rehearse", "lab simulate")
+    deprecated_names.warn_of_options(arguments)
     try:
-        if arguments.story not in world.STORIES:
-            raise InvalidPlanError(f"story: must be one of {', '.join(world.STORIES)}, not {arguments.story!r}")
-        for name, least, most in (("seeds", 1, 100_000), ("nodes", 1, 7), ("machines", 1, 5000), ("jobs", 0, 256)):
-            if not least <= getattr(arguments, name) <= most:
-                raise InvalidPlanError(f"{name}: must be {least} to {most}, not {getattr(arguments, name)}")
-        plan = world.read_plan(arguments.plan)
-    except InvalidPlanError as error:
-        print(f"oatport: lab rehearse: {error}", file=sys.stderr)
+        request = _run_request(arguments)
+        if request.needs_production:
+            production()
+    except (InvalidPlanError, HistoryUnavailableError) as error:
+        print(f"oatport: lab {arguments.experiment}: {error}", file=sys.stderr)
         return 2
-    world.same_hashes()
-    if arguments.story == "upgrade" or (plan is not None and plan.old_nodes):
-        from oatport.lab.world import builds
-
-        try:
-            builds.production()
-        except builds.HistoryUnavailableError as error:
-            print(f"oatport: lab rehearse: {error}", file=sys.stderr)
-            return 2
-    asked = world.Asked(
-        arguments.seed, arguments.seeds, arguments.nodes, arguments.machines, plan, arguments.story, arguments.broken
-    )
-    figures, bad = world.rehearse(asked, arguments.jobs)
+    figures, bad = runner.simulate(request, arguments.jobs)
     for result in bad[:3]:
         if result.errors:
             print(f"seed {result.seed}: {result.errors[0]}", file=sys.stderr)
     if any(result.violations for result in bad):
-        print(world.account(asked, next(result for result in bad if result.violations)), file=sys.stderr)
+        first = next(result for result in bad if result.violations)
+        print(runner.describe_failure(request, first), file=sys.stderr)
     print(json.dumps(figures) if arguments.json else "\n".join(f"{name:18} {value}" for name, value in figures.items()))
     return 1 if bad else 0
 
 
+def _run_request(arguments: argparse.Namespace) -> Any:
+    """What the options ask for, as a `RunRequest`. Raises InvalidPlanError, which names the option or the field."""
+    from oatport.simulation import runner
+    from oatport.simulation.fault_plan import InvalidPlanError
+
+    scenario = current_name("--scenario", arguments.scenario, deprecated_names.SCENARIOS)
+    disabled_check = current_name("--disable-check", arguments.disable_check, deprecated_names.SAFETY_CHECKS)
+    if scenario not in runner.SCENARIOS:
+        raise InvalidPlanError(f"scenario: must be one of {', '.join(runner.SCENARIOS)}, not {scenario!r}")
+    for name, least, most in (("seeds", 1, 100_000), ("nodes", 1, 7), ("machines", 1, 5000), ("jobs", 0, 256)):
+        if not least <= getattr(arguments, name) <= most:
+            raise InvalidPlanError(f"{name}: must be {least} to {most}, not {getattr(arguments, name)}")
+    return runner.RunRequest(
+        arguments.seed,
+        arguments.seeds,
+        arguments.nodes,
+        arguments.machines,
+        runner.read_plan(arguments.plan),
+        scenario,
+        disabled_check,
+    )
+
+
 def _queues(arguments: argparse.Namespace) -> int:
+    deprecated_names.warn_of_options(arguments)
     try:
         from oatport.lab.queues import run as run_queues
         from oatport.lab.queues import sound
@@ -88,7 +132,9 @@
         print(f"oatport: {error.name} is missing: pip install 'oatport[lab,queues]'", file=sys.stderr)
         return 2
     try:
-        result = run_queues(arguments.seed, arguments.moves, arguments.kills, arguments.gateways, arguments.broken)
+        result = run_queues(
+            arguments.seed, arguments.moves, arguments.kills, arguments.gateways, arguments.disable_check
+        )
     except (ValueError, ModuleNotFoundError) as error:
         print(f"oatport: lab queues: {error}", file=sys.stderr)
         return 2
--- a/oatport/lab/bound.py
+++ b/oatport/lab/cost_lower_bound.py
@@ -13,7 +13,7 @@
 from scipy.optimize import linprog
 from scipy.sparse import coo_matrix
 
-from oatport.lab.night import BEGINS, CPUS, Night
+from oatport.lab.window_workload import BEGINS, CPUS, Night
 from oatport.times import SECOND
 
 
--- a/oatport/lab/queues.py
+++ b/oatport/lab/queues.py
@@ -79,14 +79,14 @@
 
     def __init__(self, gateways: int, broken: str) -> None:
         # Stand-ins are the repository's, not the package's.
-        from standins.broker import Broker
-        from standins.serve import StandIns
+        from emulators.amqp_broker import Broker
+        from emulators.serve import Emulators
 
         self.broken = broken
         self.addresses = {f"n{i}": f"127.0.0.1:{_port()}" for i in range(NODES)}
         self._inside = {name: f"127.0.0.1:{_port()}" for name in self.addresses}
         self._outside = (f"127.0.0.1:{_port()}", f"127.0.0.1:{_port()}")
-        self.standins = StandIns(*self._outside, self.addresses, report_s=0.25)
+        self._emulators = Emulators(*self._outside, self.addresses, report_s=0.25)
         self.broker = Broker()
         self.nodes: dict[str, tuple[Node, asyncio.Task[None]]] = {}
         self.gateways: dict[str, tuple[Gateway, Link]] = {}
@@ -96,8 +96,8 @@
 
     async def start(self) -> None:
         self.session = make_session(2048)
-        self.standins.cloud.on_release = self._released
-        await self.standins.start()
+        self._emulators.cloud.on_release = self._released
+        await self._emulators.start()
         await self.broker.start()
         for name in (ONCE, OFTEN, REPLIES):
             self.broker.declare(name)
@@ -107,14 +107,14 @@
             self.start_gateway(name)
 
     def _released(self, name: str) -> None:
-        worker = self.standins.workers.get(name)
+        worker = self._emulators.workers.get(name)
         if worker is not None:
             self.starts.update(task for task, _ in worker.starts)
-        self.standins._gone(name)
+        self._emulators._gone(name)
 
     def runs(self) -> Counter[str]:
         total = Counter(self.starts)
-        for worker in self.standins.workers.values():
+        for worker in self._emulators.workers.values():
             total.update(task for task, _ in worker.starts)
         return total
 
@@ -193,7 +193,7 @@
         for name in list(self.nodes):
             await self.kill_node(name)
         await self.broker.stop()
-        await self.standins.close()
+        await self._emulators.close()
         await self.session.close()
 
 
--- a/oatport/lab/page.py
+++ b/oatport/lab/report_page.py
@@ -13,7 +13,7 @@
 from matplotlib import pyplot
 from matplotlib.figure import Figure
 
-from oatport.lab.night import Night
+from oatport.lab.window_workload import Night
 from oatport.lab.windows import TICK, AcceptOutcome
 from oatport.times import SECOND
 
--- a/oatport/lab/windows.py
+++ b/oatport/lab/windows.py
@@ -15,8 +15,8 @@
 from oatport.control.queueing.runtime_predictor import RuntimePredictor
 from oatport.control.state.cluster_state import ClusterState
 from oatport.control.state.job import Job
-from oatport.lab.bound import least_cost, possible
-from oatport.lab.night import BEGINS, CLASS, CPUS, HOUR, Night, NightJob, draw
+from oatport.lab.cost_lower_bound import least_cost, possible
+from oatport.lab.window_workload import BEGINS, CLASS, CPUS, HOUR, Night, NightJob, draw
 from oatport.settings import CloudLimits, ClusterSettings, StateLimits, Team, Tuning, Workers
 from oatport.times import SECOND
 from oatport.windows.holding import Holder
@@ -228,7 +228,7 @@
         "plan_ms_max": round(times[-1], 3),
     }
     if page is not None:
-        from oatport.lab.page import write
+        from oatport.lab.report_page import write
 
         write(page, night, immediate, windows, result)
     return result
--- a/oatport/service/network.py
+++ b/oatport/service/network.py
@@ -27,7 +27,7 @@
 
 
 class Network(Connector, Protocol):
-    """A node's; `oatport.lab.world` has another one, in memory."""
+    """A node's; `oatport.simulation` has another one, in memory."""
 
     def open(self) -> None:
         """To be called in the event loop before anything else."""
--- a/oatport/lab/world/cloud.py
+++ b/oatport/simulation/cloud_service.py
@@ -11,7 +11,7 @@
 from urllib.parse import parse_qs
 
 from oatport import wire
-from oatport.lab.world.loop import Host
+from oatport.simulation.virtual_time import Host
 from oatport.times import MS, micros, seconds
 
 Answer = tuple[int, Any]
--- a/oatport/lab/world/deployment.py
+++ b/oatport/simulation/deployment.py
@@ -6,8 +6,6 @@
 from typing import Any
 
 from oatport import wire
-from oatport.lab.world.plan import Plan
-from oatport.lab.world.users import Ask
 from oatport.settings import (
     CloudLimits,
     ClusterSettings,
@@ -20,6 +18,8 @@
     Team,
     Workers,
 )
+from oatport.simulation.fault_plan import Plan
+from oatport.simulation.users import SubmittedJob
 
 ZONES = ("a", "b")
 STATE, CLOUD = "10.2.0.1:2379", "10.2.0.2:8443"
@@ -123,9 +123,9 @@
     return found
 
 
-def jobs(plan: Plan, rng: random.Random, begins: float) -> list[Ask]:
+def jobs(plan: Plan, rng: random.Random, begins: float) -> list[SubmittedJob]:
     """The jobs of a day, in the order in which they come; some are cancelled by their users."""
-    asks: list[Ask] = []
+    asks: list[SubmittedJob] = []
     for name, share in CLASSES.items():
         rate = plan.jobs_a_minute * share / 60
         rushes = [f for f in plan.faults if f.kind == "rush" and f.name == name]
@@ -138,19 +138,19 @@
                 break
             times = max([f.amount for f in rushes if 0 <= JOBS_FROM_S + at - f.at_s < f.for_s], default=1.0)
             if rng.random() * most < times:
-                asks.append(Ask(_job(rng, name, plan), begins + at))
+                asks.append(SubmittedJob(_job(rng, name, plan), begins + at))
     for fault in plan.faults:
         if fault.kind == "singles":
             count = round(fault.amount * fault.for_s)
             asks += [
-                Ask(
+                SubmittedJob(
                     _job(rng, "local", plan) | {"legs": 1, "cores": 1.0, "voyageS": rng.uniform(1, 8)},
                     begins + fault.at_s - JOBS_FROM_S + rng.uniform(0, fault.for_s),
                 )
                 for _ in range(count)
             ]
     asks += [
-        Ask(_job(rng, "serve", plan), begins + rng.uniform(0, 1))
+        SubmittedJob(_job(rng, "serve", plan), begins + rng.uniform(0, 1))
         for _ in range(round(SERVICES_AT_START * plan.machines))
     ]
     asks.sort(key=lambda ask: ask.at)
@@ -173,15 +173,15 @@
 )
 
 
-def pipelines(plan: Plan, rng: random.Random, begins: float) -> list[Ask]:
+def pipelines(plan: Plan, rng: random.Random, begins: float) -> list[SubmittedJob]:
     """Stages that their users submit one after another; some last ones only when the others are over."""
-    asks: list[Ask] = []
+    asks: list[SubmittedJob] = []
     at = plan.pipelines_from_s
     while plan.pipelines_a_minute > 0:
         at += rng.expovariate(plan.pipelines_a_minute / 60)
         if at >= plan.for_s:
             break
-        stages: list[Ask] = []
+        stages: list[SubmittedJob] = []
         earlier = [ask for ask in asks if ask.last and rng.random() < 0.1][:1]  # some need what is long over
         for number, (name, team, urgency, tasks, run, needs) in enumerate(STAGES):
             mean = rng.uniform(*run)
@@ -204,7 +204,7 @@
             needed = [stages[i] for i in needs] + (earlier if not needs else [])
             if needed:
                 job["waitsOn"] = [ask.ref for ask in needed]
-            ask = Ask(job, begins + at, needs=needed)
+            ask = SubmittedJob(job, begins + at, needs=needed)
             stages.append(ask)
         last = stages[-1]
         last.body["tideS"] = 75.0
--- a/oatport/lab/world/troubles.py
+++ b/oatport/simulation/fault_injection.py
@@ -7,17 +7,17 @@
 from collections.abc import Callable
 from typing import Any
 
-from oatport.lab.world import deployment
-from oatport.lab.world.checker import Checker
-from oatport.lab.world.cloud import CloudService, Registry
-from oatport.lab.world.loop import Host, VirtualLoop
-from oatport.lab.world.machine import MachineHost
-from oatport.lab.world.net import Net, Rule
-from oatport.lab.world.plan import ALL, LEADER, Fault, Plan
-from oatport.lab.world.state import KeyStore, StateService, leader_of
-from oatport.lab.world.users import Ask, User
-from oatport.lab.world.worker import Gangs, Worker
 from oatport.settings import ClusterSettings
+from oatport.simulation import deployment
+from oatport.simulation.cloud_service import CloudService, Registry
+from oatport.simulation.fault_plan import ALL, LEADER, Fault, Plan
+from oatport.simulation.invariant_checker import Checker
+from oatport.simulation.machine_host import MachineHost
+from oatport.simulation.network import Net, Rule
+from oatport.simulation.state_service import KeyStore, StateService, leader_of
+from oatport.simulation.users import SubmittedJob, User
+from oatport.simulation.virtual_time import Host, VirtualLoop
+from oatport.simulation.worker import GangCoordinator, Worker
 from oatport.times import SECOND, micros
 
 EVERY = "any"  # a tag that all hosts have
@@ -25,7 +25,7 @@
 FAILED_AFTER = 30 * SECOND  # a machine that died is listed as running for so long
 
 
-class Troubles:
+class FaultInjector:
     """The base of `World`: each `_on_KIND` begins a fault, and returns what ends it, if anything has to."""
 
     loop: VirtualLoop
@@ -38,10 +38,10 @@
     checker: Checker
     hosts: dict[str, Host]
     machines: dict[str, MachineHost]
-    people: Host
-    gangs: Gangs
+    users_host: Host
+    gangs: GangCoordinator
     users: dict[str, User]
-    new: set[str]
+    upgraded_nodes: set[str]
     settings: ClusterSettings
     quick_boots = False  # machines are up within two seconds
     _rng: random.Random
@@ -309,13 +309,13 @@
         return [bind for bind, _ in deployment.node_addresses(self.plan).values()]
 
     def _on_close_looks(self, fault: Fault) -> Callable[[], None]:
-        def news(ask: Ask) -> None:
+        def news(ask: SubmittedJob) -> None:
             user = self.users[ask.ref]
             self.loop.later(
                 self._rng.randrange(5_000),
                 None,
                 lambda: self.loop.create_task(
-                    user.look(self._binds(), self._rng.random() < 0.1), context=self.people.context
+                    user.look(self._binds(), self._rng.random() < 0.1), context=self.users_host.context
                 ),
             )
 
@@ -337,9 +337,9 @@
                 if asks:
                     await self._ask_oddly(self._rng.choice(asks), f"j-{950_000 + number:06d}")
 
-        self.loop.create_task(ask_oddly(), context=self.people.context)
+        self.loop.create_task(ask_oddly(), context=self.users_host.context)
 
-    async def _ask_oddly(self, ask: Ask, ref: str) -> None:
+    async def _ask_oddly(self, ask: SubmittedJob, ref: str) -> None:
         kind, user = self._rng.randrange(4), self.users[ask.ref]
         if kind == 0:
             await user.repeat()
@@ -357,7 +357,7 @@
 
     # --- pipelines and upgrades ---------------------------------------------------------------
 
-    def _needed(self) -> list[Ask]:
+    def _needed(self) -> list[SubmittedJob]:
         """Jobs that others need."""
         return list({id(need): need for ask in self.checker.asks.values() for need in ask.needs}.values())
 
@@ -372,15 +372,15 @@
             ask.cancel_at = now
             self._cancel_at_once(ask)
 
-    def _cancel_at_once(self, ask: Ask) -> None:
-        self.loop.create_task(self.users[ask.ref].cancel(), context=self.people.context)
+    def _cancel_at_once(self, ask: SubmittedJob) -> None:
+        self.loop.create_task(self.users[ask.ref].cancel(), context=self.users_host.context)
 
     def _on_cancel_at_end(self, fault: Fault) -> Callable[[], None]:
         """What is recorded first holds: the end or the cancellation."""
         before = self.checker.on_completed
         needed = {ask.ref for ask in self._needed()}
 
-        def completed(ask: Ask) -> None:
+        def completed(ask: SubmittedJob) -> None:
             chance = fault.amount or (0.7 if ask.ref in needed else 0.0)
             if chance and ask.cancel_at is None and ask.accepted_at is not None and self._rng.random() < chance:
                 ask.cancel_at = self.loop.time()
@@ -396,7 +396,7 @@
 
     def _on_upgrade(self, fault: Fault) -> None:
         """The nodes of the old version, in any order; each is away for a while and comes back with the new one."""
-        names = sorted(set(deployment.node_addresses(self.plan)) - self.new)
+        names = sorted(set(deployment.node_addresses(self.plan)) - self.upgraded_nodes)
         self._rng.shuffle(names)
         for turn in range(0, len(names), fault.count):
             self.loop.later(
@@ -409,7 +409,7 @@
 
     def _replace(self, names: list[str], away_s: float) -> None:
         for name in names:
-            self.new.add(name)
+            self.upgraded_nodes.add(name)
             if name in self.hosts:
                 self.crash_node(name)
                 self.loop.later(round(away_s * SECOND), None, self._back, name)
--- a/oatport/lab/world/meetings.py
+++ b/oatport/simulation/fault_interactions.py
@@ -4,13 +4,13 @@
 
 from collections.abc import Callable
 
-from oatport.lab.world.drawing import PIPELINES, Draw
-from oatport.lab.world.plan import LEADER, Plan
+from oatport.simulation.fault_plan import LEADER, Plan
+from oatport.simulation.scenario_generator import PIPELINES, ScenarioBuilder
 
 CANCEL_S, LEASE_S = 36.0, 12.0  # of `deployment.cluster_settings`
 
 
-def _told_by_others(plan: Draw, at: float, span: float) -> None:
+def _told_by_others(plan: ScenarioBuilder, at: float, span: float) -> None:
     """What makes it hard for a leader to know what others told between `at` and `at + span`."""
     rng = plan.rng
 
@@ -79,11 +79,11 @@
         make()
 
 
-def gap(
+def state_outage_plan(
     seed: int, nodes: int = 3, machines: int = 40, zones: tuple[str, ...] = ("a", "b"), for_s: float = 130.0
 ) -> Plan:
     """The state service refuses the leader alone, others confirm cancellations, then it is down for all."""
-    plan = Draw(seed, nodes, machines, zones, for_s)
+    plan = ScenarioBuilder(seed, nodes, machines, zones, for_s)
     rng = plan.rng
     at = rng.uniform(16, 30)
     while True:
@@ -102,7 +102,7 @@
     return Plan(faults, for_s, nodes, machines, machines * rng.choice([0.5, 1, 2]), PIPELINES)
 
 
-class Meeting(Draw):
+class FaultInteraction(ScenarioBuilder):
     """The meetings of docs/meetings.md, one for each method."""
 
     def cancels(self, at: float, span: float, times: int = 4) -> None:
@@ -369,37 +369,37 @@
             self.add("node_crash", at + self.rng.uniform(0, 15), self.end(), node=self.node())
 
 
-MEETINGS = (
-    Meeting.slow_state,
-    Meeting.ends_far_apart,
-    Meeting.back_and_forth,
-    Meeting.old_reports,
-    Meeting.leader_alone,
-    Meeting.held_commands,
-    Meeting.unreached_machines,
-    Meeting.late_transactions,
-    Meeting.close_looks,
-    Meeting.answers_lost,
-    Meeting.hands_change,
-    Meeting.singles_swarm,
-    Meeting.bound_to_zones,
-    Meeting.zone_away,
-    Meeting.at_the_last_task,
-    Meeting.many_leaders,
-    Meeting.no_room,
+FAULT_INTERACTIONS = (
+    FaultInteraction.slow_state,
+    FaultInteraction.ends_far_apart,
+    FaultInteraction.back_and_forth,
+    FaultInteraction.old_reports,
+    FaultInteraction.leader_alone,
+    FaultInteraction.held_commands,
+    FaultInteraction.unreached_machines,
+    FaultInteraction.late_transactions,
+    FaultInteraction.close_looks,
+    FaultInteraction.answers_lost,
+    FaultInteraction.hands_change,
+    FaultInteraction.singles_swarm,
+    FaultInteraction.bound_to_zones,
+    FaultInteraction.zone_away,
+    FaultInteraction.at_the_last_task,
+    FaultInteraction.many_leaders,
+    FaultInteraction.no_room,
 )
 
 
-def meetings(
+def fault_interaction_plan(
     seed: int, nodes: int = 3, machines: int = 40, zones: tuple[str, ...] = ("a", "b"), for_s: float = 120.0
 ) -> Plan:
     """One meeting, in turn, and half of the time another one or a process that ends beside it."""
-    plan = Meeting(seed, nodes, machines, zones, for_s)
+    plan = FaultInteraction(seed, nodes, machines, zones, for_s)
     rng = plan.rng
-    MEETINGS[seed % len(MEETINGS)](plan)
+    FAULT_INTERACTIONS[seed % len(FAULT_INTERACTIONS)](plan)
     beside = rng.random()
     if beside < 0.25:
-        rng.choice(MEETINGS)(plan)
+        rng.choice(FAULT_INTERACTIONS)(plan)
     elif beside < 0.5:
         plan.add("node_crash", plan.moment(), plan.end(), node=plan.node())
     faults = tuple(sorted(plan.faults, key=lambda f: f.at_s))
--- a/oatport/lab/world/checker.py
+++ b/oatport/simulation/invariant_checker.py
@@ -7,10 +7,10 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from oatport.lab.world.loop import VirtualLoop
-from oatport.lab.world.users import Ask
-from oatport.lab.world.worker import DONE, Worker
 from oatport.settings import ClusterSettings
+from oatport.simulation.users import SubmittedJob
+from oatport.simulation.virtual_time import VirtualLoop
+from oatport.simulation.worker import DONE, Worker
 from oatport.times import SECOND
 
 POLLS_FAIL_FOR = 75.0
@@ -21,7 +21,7 @@
 
 
 @dataclass
-class Place:
+class TaskLocation:
     worker: Worker
     attempt: int
     since: float
@@ -31,16 +31,18 @@
 class Checker:
     loop: VirtualLoop
     settings: ClusterSettings
-    asks: dict[str, Ask] = field(default_factory=dict)
+    asks: dict[str, SubmittedJob] = field(default_factory=dict)
     violations: list[str] = field(default_factory=list)
     counts: Counter[str] = field(default_factory=Counter)
     on_first: Callable[[], None] = lambda: None  # a rule breaks for the first time
-    on_news: Callable[[Ask], None] = lambda ask: None  # its user was told for the first time: accepted, done, cancelled
-    on_completed: Callable[[Ask], None] = lambda ask: None  # all tasks of a job have ended
+    on_news: Callable[[SubmittedJob], None] = lambda ask: (
+        None
+    )  # its user was told for the first time: accepted, done, cancelled
+    on_completed: Callable[[SubmittedJob], None] = lambda ask: None  # all tasks of a job have ended
     troubled_until: float = 0.0  # when the last trouble ends
     forgotten_most: float = 0.0  # the longest that no question about a job was answered, after all troubles
     closed: bool = False  # what happens now is no part of the run
-    places: dict[str, Place] = field(default_factory=dict)  # task -> where it is
+    places: dict[str, TaskLocation] = field(default_factory=dict)  # task -> where it is
     _by_job: defaultdict[str, dict[str, Worker]] = field(default_factory=lambda: defaultdict(dict))
     _use: defaultdict[str, list[float]] = field(default_factory=lambda: defaultdict(lambda: [0.0, 0.0]))
     _done: defaultdict[str, set[str]] = field(default_factory=lambda: defaultdict(set))
@@ -85,7 +87,7 @@
                 what = "was cancelled" if need.cancelled_at is not None else f"has done {need.completed} tasks"
                 self.break_of("too_early", f"{task} starts on {worker.name}, {need.ref} that it needs {what}")
         self._check_place(ask.body, worker, task)
-        self.places[task] = Place(worker, attempt, now)
+        self.places[task] = TaskLocation(worker, attempt, now)
         self._by_job[ref][task] = worker
         team = str(ask.body["crew"])
         use = self._use[team]
@@ -182,14 +184,14 @@
                 ask.completed_at = now
                 self.on_completed(ask)
 
-    def cancel_due(self, ask: Ask) -> None:
+    def cancel_due(self, ask: SubmittedJob) -> None:
         """So long after its user was told: nothing of it may be left."""
         for task in self._by_job[ask.ref]:
             self.break_of("ran_cancelled", f"{task} is still on {self.places[task].worker.name}")
 
     # --- users ------------------------------------------------------------------------------
 
-    def told(self, ask: Ask, what: str, status: int, value: Any) -> None:
+    def told(self, ask: SubmittedJob, what: str, status: int, value: Any) -> None:
         if self.closed:
             return
         now = self.loop.time()
@@ -230,7 +232,7 @@
         elif status == 201 and state == "queued":
             self.on_news(ask)
 
-    def _fallen_since(self, ask: Ask) -> float | None:
+    def _fallen_since(self, ask: SubmittedJob) -> float | None:
         """Since when a user knows that a job before it is cancelled; None: nobody was told so."""
         times = [
             need.cancelled_at if need.cancelled_at is not None else self._fallen_since(need)
@@ -240,15 +242,15 @@
         return min((at for at in times if at is not None), default=None)
 
     @staticmethod
-    def _waits(ask: Ask) -> bool:
+    def _waits(ask: SubmittedJob) -> bool:
         """It can't begin: a job before it isn't done, or is cancelled."""
         return any(need.completed_at is None or need.cancelled_at is not None for need in ask.needs)
 
-    def _may_fall(self, ask: Ask) -> bool:
+    def _may_fall(self, ask: SubmittedJob) -> bool:
         """A user asked for the cancellation of a job before it."""
         return any(need.cancel_at is not None or self._may_fall(need) for need in ask.needs)
 
-    def _polled(self, ask: Ask, status: int, now: float) -> None:
+    def _polled(self, ask: SubmittedJob, status: int, now: float) -> None:
         """Once all troubles are over, a job about which no question is answered for so long is forgotten."""
         if status in (200, 404):
             ask.answered_at = now
@@ -276,7 +278,7 @@
         Of jobs that could begin: not cancelled, not mistaken, waiting for no other, accepted a while before the end.
         """
         end = self.loop.time()
-        rows: defaultdict[str, list[Ask]] = defaultdict(list)
+        rows: defaultdict[str, list[SubmittedJob]] = defaultdict(list)
         for ask in self.asks.values():
             if (
                 ask.accepted_at is not None
@@ -296,7 +298,7 @@
         return least, longest
 
     @staticmethod
-    def _could_begin(ask: Ask) -> float:
+    def _could_begin(ask: SubmittedJob) -> float:
         return max([ask.accepted_at or ask.at, *(need.completed_at or 0.0 for need in ask.needs)])
 
     def pipelines(self) -> dict[str, int]:
@@ -332,7 +334,7 @@
         end = self.loop.time()
         found = []
         for by in ("cargo", "crew"):
-            rows: defaultdict[str, list[Ask]] = defaultdict(list)
+            rows: defaultdict[str, list[SubmittedJob]] = defaultdict(list)
             for ask in self.asks.values():
                 if (
                     ask.accepted_at is not None
@@ -364,7 +366,7 @@
         Jobs that their users cancelled, or submitted with a mistake, count only as submitted and accepted.
         """
         end = self.loop.time()
-        rows: defaultdict[str, list[Ask]] = defaultdict(list)
+        rows: defaultdict[str, list[SubmittedJob]] = defaultdict(list)
         for ask in self.asks.values():
             if ask.at < end:
                 rows[str(ask.body[by])].append(ask)
--- a/oatport/lab/world/machine.py
+++ b/oatport/simulation/machine_host.py
@@ -9,10 +9,10 @@
 
 from oatport import wire
 from oatport.clients.http import NoResponseError
-from oatport.lab.world.loop import Host
-from oatport.lab.world.net import Net
-from oatport.lab.world.worker import Worker
 from oatport.settings import Workers
+from oatport.simulation.network import Net
+from oatport.simulation.virtual_time import Host
+from oatport.simulation.worker import Worker
 from oatport.times import MS, SECOND, micros, seconds
 
 REPORT_WITHIN = 4 * SECOND
--- a/oatport/lab/world/breaks.py
+++ b/oatport/simulation/mutations.py
@@ -80,12 +80,12 @@
     return [patch.object(TaskLifecycle, "begin_binding", claim_and_send)]
 
 
-def _forget() -> list[Any]:
+def _start_in_flight() -> list[Any]:
     """Ended attempts are forgotten while a start of theirs may be in flight."""
     return [patch.object(ClusterState, "_may_forget", lambda self, machine, name, attempt: True)]
 
 
-def _unproven() -> list[Any]:
+def _failure_confirmation() -> list[Any]:
     """What is silent is taken to be gone, without the cloud's word for it."""
     release = CloudController.release
 
@@ -99,7 +99,7 @@
     return [patch.object(CloudController, "release", judged)]
 
 
-def _boot() -> list[Any]:
+def _process_identity() -> list[Any]:
     """A process takes itself for its predecessor of the same name: it goes on under its token and its lease."""
     stand = Node._run_for_leader
 
@@ -113,7 +113,7 @@
     return [patch.object(Node, "_run_for_leader", stands)]
 
 
-def _early() -> list[Any]:
+def _dependency_release() -> list[Any]:
     """A job's end releases others before it is recorded."""
     finish = TaskLifecycle.complete_task
 
@@ -125,7 +125,7 @@
     return [patch.object(TaskLifecycle, "complete_task", ends)]
 
 
-def _orphan() -> list[Any]:
+def _transitive_cancellation() -> list[Any]:
     """Only jobs that name the cancelled one are cancelled with it, not those that need these."""
     with_needed = JobStatusCache._with_needed
 
@@ -158,12 +158,12 @@
     ]
 
 
-def _gate() -> list[Any]:
+def _feature_gate() -> list[Any]:
     """New formats are written before all nodes are known to read them."""
     return [patch.object(Gate, "heard", lambda self, answers: True)]
 
 
-def _size() -> list[Any]:
+def _record_size() -> list[Any]:
     """Records are as large as they get."""
     return [
         patch.object(RecordLayout, "part_tasks", property(lambda self: CHUNK_TASKS)),
@@ -172,7 +172,7 @@
     ]
 
 
-def _copies() -> list[Any]:
+def _heartbeat_order() -> list[Any]:
     """Each report is taken for the newest, whenever it was sent."""
     on_report = ClusterState.on_heartbeat
 
@@ -185,7 +185,7 @@
     return [patch.object(ClusterState, "on_heartbeat", newest)]
 
 
-def _conditions() -> list[Any]:
+def _transaction_conditions() -> list[Any]:
     """Transactions go out without the versions that they count on; a leader's still with its token."""
     commit = StateClient.commit
 
@@ -196,7 +196,7 @@
     return [patch.object(StateClient, "commit", unversioned)]
 
 
-def _ends() -> list[Any]:
+def _completion_record() -> list[Any]:
     """An ended attempt is forgotten before its end is recorded."""
 
     def at_once(self: ClusterState, machine: Any, name: str, attempt: int) -> bool:
@@ -207,12 +207,12 @@
     return [patch.object(ClusterState, "_may_forget", at_once)]
 
 
-def _told() -> list[Any]:
+def _cancellation_log() -> list[Any]:
     """What users are told is noted by nobody."""
     return [patch.object(CancellationLog, "tell", lambda self, ref, now: True)]
 
 
-def _returned() -> list[Any]:
+def _unwritten_completions() -> list[Any]:
     """Machines are returned, or given up, though they alone tell of an end."""
     return [
         patch.object(OrphanedAttempts, "holds_unwritten_completions", lambda self, machine: False),
@@ -220,7 +220,7 @@
     ]
 
 
-def _handed_on() -> list[Any]:
+def _completion_handover() -> list[Any]:
     """Ends that a leader took in and did not record go with it."""
 
     async def idle(self: PeerNotifier) -> None:
@@ -236,7 +236,7 @@
     ]
 
 
-def _whole() -> list[Any]:
+def _gang_completion() -> list[Any]:
     """Of a gang that is done, the tasks whose ends were not reported run again."""
     requeue = TaskLifecycle.requeue
 
@@ -253,7 +253,7 @@
     ]
 
 
-def _asked() -> list[Any]:
+def _read_freshness() -> list[Any]:
     """Questions about jobs are answered by what was last heard of them."""
     refresh = JobStatusCache._refresh
 
@@ -264,7 +264,7 @@
     return [patch.object(JobStatusCache, "_refresh", once)]
 
 
-def _one_key() -> list[Any]:
+def _commit_verification() -> list[Any]:
     """An unsure commit counts as applied once one of its keys looks like it; its claims go out."""
 
     async def first(self: GroupCommit, batch: Any) -> bool:
@@ -278,33 +278,32 @@
     return [patch.object(GroupCommit, "_was_applied", first)]
 
 
-GUARDS: dict[str, Callable[[], list[Any]]] = {
+MUTATIONS: dict[str, Callable[[], list[Any]]] = {
     "fencing": _fencing,
     "write-ahead": _write_ahead,
-    "forget": _forget,
-    "unproven": _unproven,
-    "boot": _boot,
-    "early": _early,
-    "orphan": _orphan,
-    "gate": _gate,
-    "size": _size,
-    "copies": _copies,
-    "told": _told,
-    "order": _copies,
-    "conditions": _conditions,
-    "ends": _ends,
-    "returned": _returned,
-    "handed-on": _handed_on,
-    "whole": _whole,
-    "asked": _asked,
-    "one-key": _one_key,
+    "start-in-flight": _start_in_flight,
+    "failure-confirmation": _failure_confirmation,
+    "process-identity": _process_identity,
+    "dependency-release": _dependency_release,
+    "transitive-cancellation": _transitive_cancellation,
+    "feature-gate": _feature_gate,
+    "record-size": _record_size,
+    "heartbeat-order": _heartbeat_order,
+    "cancellation-log": _cancellation_log,
+    "transaction-conditions": _transaction_conditions,
+    "completion-record": _completion_record,
+    "unwritten-completions": _unwritten_completions,
+    "completion-handover": _completion_handover,
+    "gang-completion": _gang_completion,
+    "read-freshness": _read_freshness,
+    "commit-verification": _commit_verification,
 }
 
 
 @contextmanager
-def broken(name: str) -> Iterator[None]:
+def mutated(name: str) -> Iterator[None]:
     """Within this, one guard is off; none if the name is empty."""
     with ExitStack() as stack:
-        for change in GUARDS[name]() if name else []:
+        for change in MUTATIONS[name]() if name else []:
             stack.enter_context(change)
         yield
--- a/oatport/lab/world/net.py
+++ b/oatport/simulation/network.py
@@ -22,7 +22,7 @@
 from oatport import wire
 from oatport.api.server import Answer, BodyTooLargeError, Handler
 from oatport.clients.http import Keep, NoResponseError, RequestNotSentError
-from oatport.lab.world.loop import Host, VirtualLoop
+from oatport.simulation.virtual_time import Host, VirtualLoop
 from oatport.times import MS, SECOND
 
 LATENCY = MS // 2
@@ -88,7 +88,7 @@
         self.denied: list[tuple[str, str]] = []  # (host's name, address): answered 503, and nothing else
         self.messages: deque[str] = deque(maxlen=MESSAGES_KEPT)
         self.sent = 0
-        self.tells = False  # messages are kept with what they say
+        self.keeps_bodies = False  # messages are kept with what they say
         self.closed = False  # the run is over: nobody is reached any more
         self.digest = 0  # of all messages: the same seed gives the same one
 
@@ -300,7 +300,7 @@
         self.digest = zlib.crc32(line.encode(), self.digest)
         if data:
             self.digest = zlib.crc32(data, self.digest)
-        self.messages.append(f"{line} {wire.loads(data)}" if self.tells and data else line)
+        self.messages.append(f"{line} {wire.loads(data)}" if self.keeps_bodies and data else line)
 
 
 class Client:
--- a/oatport/lab/world/builds.py
+++ b/oatport/simulation/production_build.py
@@ -20,11 +20,11 @@
 from typing import Any
 
 from oatport.clients.http import Keep, NoResponseError, RequestNotSentError
-from oatport.lab.world.loop import Host
-from oatport.lab.world.net import Net
 from oatport.service.node import Node
+from oatport.simulation.network import Net
+from oatport.simulation.virtual_time import Host
 
-ROOT = Path(__file__).resolve().parents[3]
+ROOT = Path(__file__).resolve().parents[2]
 PACKAGE = "oatport"
 
 
@@ -75,7 +75,7 @@
         raise HistoryUnavailableError(f"deploy/service.toml names no version in production: {error}") from None
 
 
-def lay_tree(root: Path = ROOT) -> Path:
+def unpack_production_tree(root: Path = ROOT) -> Path:
     """The tree of the version in production, under target/."""
     commit = production_commit(root)
     tree = root / "target" / "production" / commit
@@ -103,7 +103,7 @@
 @cache
 def production(root: Path = ROOT) -> Build:
     """Import it. Raises NoHistory."""
-    tree = lay_tree(root)
+    tree = unpack_production_tree(root)
     own = {name: module for name, module in sys.modules.items() if name == PACKAGE or name.startswith(PACKAGE + ".")}
     for name in own:
         del sys.modules[name]
--- a/oatport/lab/world/limits.py
+++ b/oatport/simulation/quota_scenarios.py
@@ -4,14 +4,14 @@
 
 from collections.abc import Callable
 
-from oatport.lab.world.drawing import PIPELINES, Draw
-from oatport.lab.world.meetings import CANCEL_S, LEASE_S
-from oatport.lab.world.plan import ALL, Plan
+from oatport.simulation.fault_interactions import CANCEL_S, LEASE_S
+from oatport.simulation.fault_plan import ALL, Plan
+from oatport.simulation.scenario_generator import PIPELINES, ScenarioBuilder
 
 TEAM_SHARE = 0.45  # of the usual limits: what comes is more than they allow
 
 
-class Limits(Draw):
+class QuotaScenario(ScenarioBuilder):
     """What meets, each by itself; a plan has several in a row."""
 
     def _lead_changes(self, at: float) -> None:
@@ -110,11 +110,11 @@
         self._lag(at)
 
 
-def limits(
+def quota_plan(
     seed: int, nodes: int = 3, machines: int = 40, zones: tuple[str, ...] = ("a", "b"), for_s: float = 120.0
 ) -> Plan:
     """All teams at their limits, and three rounds of what meets there."""
-    plan = Limits(seed, nodes, machines, zones, for_s)
+    plan = QuotaScenario(seed, nodes, machines, zones, for_s)
     rng = plan.rng
     meetings = (plan.cancelled, plan.ended, plan.new_machines, plan.away, plan.given_up, plan.gangs_end)
     at = rng.uniform(18, 28)
--- /dev/null
+++ b/oatport/simulation/runner.py
@@ -0,0 +1,200 @@
+"""Runs of scenarios: seeds in parallel, sums over all runs, and of a failing run the smallest plan that fails."""
+
+from __future__ import annotations
+
+import logging
+import os
+import sys
+import time
+from collections import Counter
+from collections.abc import Callable
+from concurrent.futures import ProcessPoolExecutor
+from dataclasses import dataclass, replace
+from functools import partial
+from pathlib import Path
+from typing import Any
+
+from oatport.simulation import fault_plan
+from oatport.simulation.fault_interactions import fault_interaction_plan, state_outage_plan
+from oatport.simulation.fault_plan import Plan
+from oatport.simulation.mutations import mutated
+from oatport.simulation.quota_scenarios import quota_plan
+from oatport.simulation.scenario_generator import random_plan, rolling_upgrade_plan, unreachable_machines_plan
+from oatport.simulation.simulation import RunResult, Simulation
+
+AT_LIMIT_SHARE = 0.3  # of the time: a run in which no team was at its limit for so long says little of limits
+SHRINK_RUNS_MAX = 40  # runs to make a failing plan smaller
+MESSAGES_SHOWN, MESSAGE_WIDTH = 40, 400  # of the newest messages of the jobs and machines concerned
+DIGESTS_SHOWN = 20  # the figures list the digests of so few runs
+
+# name -> a generated plan of that family by seed, nodes and machines
+SCENARIOS: dict[str, Callable[[int, int, int], Plan]] = {
+    "random": random_plan,
+    "rolling-upgrade": rolling_upgrade_plan,
+    "unreachable-machines": unreachable_machines_plan,
+    "state-outage": state_outage_plan,
+    "fault-interactions": fault_interaction_plan,
+    "quota": quota_plan,
+}
+
+
+@dataclass(frozen=True)
+class RunRequest:
+    """What is to be simulated: so many seeds from `seed` on, of one plan or of a family of generated ones."""
+
+    seed: int = 1
+    seeds: int = 1
+    nodes: int = 3
+    machines: int = 40
+    plan: Plan | None = None
+    scenario: str = "random"
+    disabled_check: str = ""  # the safety check that is disabled: a name of `mutations.MUTATIONS`
+
+    @property
+    def needs_production(self) -> bool:
+        """Some of its nodes run the version in production."""
+        return self.scenario == "rolling-upgrade" or (self.plan is not None and self.plan.old_nodes)
+
+    def plan_of(self, seed: int) -> Plan:
+        """The plan that a seed runs."""
+        return self.plan or SCENARIOS[self.scenario](seed, self.nodes, self.machines)
+
+
+def run_scenario(request: RunRequest, seed: int, plan: Plan | None = None, *, keep_bodies: bool = False) -> RunResult:
+    """One run. `keep_bodies`: the messages of the result carry what they say."""
+    logging.disable(logging.CRITICAL)
+    try:
+        with mutated(request.disabled_check):
+            simulation = Simulation(plan or request.plan_of(seed), seed)
+            simulation.net.keeps_bodies = keep_bodies
+            return simulation.run()
+    finally:
+        logging.disable(logging.NOTSET)
+
+
+def _run_without_messages(request: RunRequest, seed: int) -> RunResult:
+    result = run_scenario(request, seed)
+    result.last_messages.clear()
+    return result
+
+
+def shrink(request: RunRequest, failed: RunResult, plan: Plan) -> Plan:
+    """The plan without the faults that it does not need to break the same invariant."""
+    for fault in plan.faults[:SHRINK_RUNS_MAX]:
+        fewer = replace(plan, faults=tuple(f for f in plan.faults if f is not fault))
+        again = run_scenario(request, failed.seed, fewer)
+        if failed.broken_invariants & again.broken_invariants:
+            plan = fewer
+    return plan
+
+
+def describe_failure(request: RunRequest, failed: RunResult) -> str:
+    """What a person needs to understand a failing run: seed, violations, smallest plan and the last messages."""
+    plan = shrink(request, failed, request.plan_of(failed.seed))
+    again = run_scenario(request, failed.seed, plan, keep_bodies=True)
+    words = {word.strip(",:;") for row in again.violations[:3] for word in row.split()}
+    names = {word for word in words if word.startswith(("vm-", "j-"))}
+    concerned = [line for line in again.last_messages if "/commit" not in line and any(name in line for name in names)]
+    return "\n".join(
+        [
+            f"seed {failed.seed} fails:",
+            *(f"  {row}" for row in again.violations[:5]),
+            "with this plan:",
+            plan.toml(),
+            "the last messages of those concerned, up to then:",
+            *(line[:MESSAGE_WIDTH] for line in concerned[-MESSAGES_SHOWN:]),
+        ]
+    )
+
+
+def simulate(request: RunRequest, jobs: int = 0) -> tuple[dict[str, Any], list[RunResult]]:
+    """Run all seeds, `jobs` at a time (0: all processors).
+
+    Returns the figures, and the runs that broke an invariant or had an error.
+    """
+    started = time.monotonic()
+    results = _run_all(request, jobs)
+    bad = [result for result in results if result.violations or result.errors]
+    return _figures(request, results, time.monotonic() - started), bad
+
+
+def _run_all(request: RunRequest, jobs: int) -> list[RunResult]:
+    seeds = range(request.seed, request.seed + request.seeds)
+    workers = min(jobs or (os.cpu_count() or 1), len(seeds))
+    if workers <= 1:
+        return [_run_without_messages(request, seed) for seed in seeds]
+    with ProcessPoolExecutor(workers) as pool:
+        return list(pool.map(partial(_run_without_messages, request), seeds))
+
+
+def _figures(request: RunRequest, results: list[RunResult], wall_s: float) -> dict[str, Any]:
+    """Sums and extremes over all runs; docs/rehearsal.md says what each figure means."""
+    total: Counter[str] = Counter()
+    for result in results:
+        total.update(result.counts)
+    violations = [row for result in results for row in result.violations]
+    return {
+        "seeds": len(results),
+        "violations": len(violations),
+        "caught": sum(bool(result.violations) for result in results) if request.disabled_check else 0,
+        "errors": sum(len(result.errors) for result in results),
+        "lease_kills": total["lease_kills"],
+        "lease_kills_unreached": total["lease_kills_unreached"],
+        **_service_figures(results),
+        "state_429": total["state_429"],
+        "too_early": sum(row.startswith("too_early") for row in violations),
+        "orphaned": sum(row.startswith("orphaned") for row in violations),
+        "over_limit": total["over_limit"],
+        "pipelines": total["pipelines"],
+        "in_time": total["in_time"],
+        "starts_after_done": total["starts_after_done"],
+        "results_lost": total["results_lost"],
+        "starts_cancelled": total["starts_cancelled"],
+        **_limit_figures(results),
+        "gate_opened_early": total["gate_early"],
+        **_largest_job_figures(results),
+        "wall_s": round(wall_s, 1),
+        "starts": total["starts"],
+        "stops": total["stops"],
+        "rentals": total["rentals"],
+        "state_requests": total["state_requests"],
+        "state_changes": total["state_changes"],
+        "digests": [result.digest for result in results] if len(results) <= DIGESTS_SHOWN else [],
+    }
+
+
+def _service_figures(results: list[RunResult]) -> dict[str, Any]:
+    return {
+        "leaderless_s_max": max(result.leaderless_s_max for result in results),
+        "served_min_class": round(min(result.least_served(result.served_by_class) for result in results), 4),
+        "served_min_team": round(min(result.least_served(result.served_by_team) for result in results), 4),
+        "starved": sum(bool(result.starved) for result in results),
+    }
+
+
+def _limit_figures(results: list[RunResult]) -> dict[str, Any]:
+    longest = [max(result.at_limit.values(), default=0.0) for result in results]
+    return {
+        "at_limit_most": round(max(longest), 3),
+        "at_limit_least": round(min(longest), 3),
+        "no_team_at_limit": sum(share < AT_LIMIT_SHARE for share in longest),
+    }
+
+
+def _largest_job_figures(results: list[RunResult]) -> dict[str, Any]:
+    return {
+        "forgotten_s_max": round(max(result.unanswered_s_max for result in results), 1),
+        "largest_served_min": round(min(result.largest_served for result in results), 4),
+        "largest_begin_s_max": round(max(result.largest_begin_s for result in results), 1),
+    }
+
+
+def restart_with_fixed_hash_seed() -> None:
+    """Start this process again with fixed hashes of texts: else sets of them differ from run to run."""
+    if os.environ.get("PYTHONHASHSEED") != "0":
+        os.execve(sys.executable, [sys.executable, *sys.orig_argv[1:]], {**os.environ, "PYTHONHASHSEED": "0"})
+
+
+def read_plan(path: str | None) -> Plan | None:
+    """The plan in a TOML file; None if no file is named. Raises InvalidPlanError."""
+    return fault_plan.read(Path(path)) if path else None
--- a/oatport/lab/world/drawing.py
+++ b/oatport/simulation/scenario_generator.py
@@ -9,12 +9,12 @@
 import random
 from collections.abc import Callable
 
-from oatport.lab.world.plan import ALL, LEADER, MODES, WAYS, WHAT, Fault, Plan
+from oatport.simulation.fault_plan import ALL, LEADER, MODES, WAYS, WHAT, Fault, Plan
 
 PIPELINES = 5.0  # a minute
 
 
-class Draw:
+class ScenarioBuilder:
     """One plan in the making."""
 
     def __init__(self, seed: int, nodes: int, machines: int, zones: tuple[str, ...], for_s: float) -> None:
@@ -133,24 +133,29 @@
 
 
 # Each plan has one of these, by weight. What starts that are overtaken hit is seldom, and hidden by other troubles.
-AIMED = {Draw.overtaken_starts: 10, Draw.in_flight: 7, Draw.long_cut: 4, Draw.lost_commit: 2}
+AIMED = {
+    ScenarioBuilder.overtaken_starts: 10,
+    ScenarioBuilder.in_flight: 7,
+    ScenarioBuilder.long_cut: 4,
+    ScenarioBuilder.lost_commit: 2,
+}
 OTHERS = (
-    Draw.slow_requests,
-    Draw.all_at_once,
-    Draw.in_a_row,
-    Draw.in_an_outage,
-    Draw.in_a_cut,
-    Draw.in_a_takeover,
-    Draw.in_a_handover,
-    Draw.late_commit,
+    ScenarioBuilder.slow_requests,
+    ScenarioBuilder.all_at_once,
+    ScenarioBuilder.in_a_row,
+    ScenarioBuilder.in_an_outage,
+    ScenarioBuilder.in_a_cut,
+    ScenarioBuilder.in_a_takeover,
+    ScenarioBuilder.in_a_handover,
+    ScenarioBuilder.late_commit,
 )
 
 
-def draw(
+def random_plan(
     seed: int, nodes: int = 3, machines: int = 40, zones: tuple[str, ...] = ("a", "b"), for_s: float = 120.0
 ) -> Plan:
     """Some faults of all kinds by chance, one aimed pattern, and up to two others."""
-    plan = Draw(seed, nodes, machines, zones, for_s)
+    plan = ScenarioBuilder(seed, nodes, machines, zones, for_s)
     rng, few, node, end = plan.rng, plan.few, plan.node, plan.end
     makers: list[Callable[[float], Fault]] = [
         lambda at: Fault(
@@ -197,7 +202,7 @@
         *_end_of_day(rng, few, zones, node),
     ]
     aimed = rng.choices(list(AIMED), list(AIMED.values()))[0]
-    alone = aimed is Draw.overtaken_starts
+    alone = aimed is ScenarioBuilder.overtaken_starts
     chance, others = (rng.randint(0, 1), 0) if alone else (rng.randint(1, 4), rng.randint(0, 2))
     plan.faults += [rng.choice(makers)(rng.uniform(12, for_s * 0.75)) for _ in range(chance)]
     for pattern in (aimed, *rng.sample(OTHERS, others)):
@@ -227,11 +232,11 @@
     ]
 
 
-def evening(
+def unreachable_machines_plan(
     seed: int, nodes: int = 3, machines: int = 40, zones: tuple[str, ...] = ("a", "b"), for_s: float = 120.0
 ) -> Plan:
     """One or two of the troubles at the end of a day, beside others; then time to answer everything."""
-    plan = Draw(seed, nodes, machines, zones, for_s)
+    plan = ScenarioBuilder(seed, nodes, machines, zones, for_s)
     rng = plan.rng
     kinds = _end_of_day(rng, plan.few, zones, plan.node)
     plan.faults += [rng.choice(kinds)(rng.uniform(10, 50)) for _ in range(rng.randint(1, 2))]
@@ -255,7 +260,7 @@
     return Plan(faults, for_s, nodes, machines, machines / 2, PIPELINES)
 
 
-def upgrade(
+def rolling_upgrade_plan(
     seed: int, nodes: int = 3, machines: int = 40, zones: tuple[str, ...] = ("a", "b"), for_s: float = 150.0
 ) -> Plan:
     """Nodes are killed and come back with the new version, one or two at a time, among other troubles.
@@ -263,7 +268,7 @@
     Once all have it the state service's limits fall, and pipelines come; some are cancelled at their first stage, or
     when a stage has just ended.
     """
-    plan = Draw(seed, nodes, machines, zones, for_s)
+    plan = ScenarioBuilder(seed, nodes, machines, zones, for_s)
     rng = plan.rng
     begins, count, gap = rng.uniform(8, 14), rng.randint(1, 2), rng.uniform(4, 9)
     away = rng.choice([rng.uniform(0.05, 0.6), rng.uniform(0.6, 6.0)])
@@ -271,7 +276,13 @@
     over = begins + gap * -(-nodes // count) + away
     for _ in range(rng.randint(0, 2)):  # before its turn one comes back old
         plan.add("node_crash", rng.uniform(6, over), plan.end(), node=plan.node())
-    troubles = (Draw.slow_requests, Draw.in_a_row, Draw.in_a_takeover, Draw.late_commit, Draw.in_a_handover)
+    troubles = (
+        ScenarioBuilder.slow_requests,
+        ScenarioBuilder.in_a_row,
+        ScenarioBuilder.in_a_takeover,
+        ScenarioBuilder.late_commit,
+        ScenarioBuilder.in_a_handover,
+    )
     if rng.random() < 0.5:
         rng.choice(troubles)(plan)
     if rng.random() < 0.3:
--- a/oatport/lab/world/world.py
+++ b/oatport/simulation/simulation.py
@@ -9,19 +9,19 @@
 from typing import Any
 
 from oatport.control.storage.schema_version import FORMATS_KEY
-from oatport.lab.world import builds, deployment
-from oatport.lab.world.checker import Checker
-from oatport.lab.world.cloud import CloudService, Registry, boot_us
-from oatport.lab.world.loop import Host, VirtualLoop
-from oatport.lab.world.machine import MachineHost
-from oatport.lab.world.net import Net, NodeNetwork
-from oatport.lab.world.plan import Plan
-from oatport.lab.world.state import KeyStore, StateService
-from oatport.lab.world.troubles import EVERY, Troubles
-from oatport.lab.world.users import Balancer, User
-from oatport.lab.world.worker import Gangs, Worker
 from oatport.service.node import Node
 from oatport.settings import Tuning
+from oatport.simulation import deployment, production_build
+from oatport.simulation.cloud_service import CloudService, Registry, boot_us
+from oatport.simulation.fault_injection import EVERY, FaultInjector
+from oatport.simulation.fault_plan import Plan
+from oatport.simulation.invariant_checker import Checker
+from oatport.simulation.machine_host import MachineHost
+from oatport.simulation.network import Net, NodeNetwork
+from oatport.simulation.state_service import KeyStore, StateService
+from oatport.simulation.users import Balancer, User
+from oatport.simulation.virtual_time import Host, VirtualLoop
+from oatport.simulation.worker import GangCoordinator, Worker
 from oatport.times import SECOND, micros
 
 SAMPLE_S = 0.25
@@ -29,7 +29,7 @@
 
 
 @dataclass
-class Result:
+class RunResult:
     seed: int
     violations: list[str]
     errors: list[str]
@@ -37,20 +37,25 @@
     messages: int
     counts: dict[str, int]
     leaderless_s_max: float
-    by_class: dict[str, dict[str, float]]
-    by_team: dict[str, dict[str, float]]
-    last: list[str] = field(default_factory=list)  # the newest messages when a rule first broke
+    served_by_class: dict[str, dict[str, float]]
+    served_by_team: dict[str, dict[str, float]]
+    last_messages: list[str] = field(default_factory=list)  # the newest messages when a rule first broke
     starved: list[str] = field(default_factory=list)  # classes and teams under half beside free room
-    forgotten_s: float = 0.0  # the longest that no question about a job was answered, once all troubles were over
+    unanswered_s_max: float = 0.0  # the longest that no question about a job was answered, once all troubles were over
     largest_served: float = 1.0  # the least share of a class's largest jobs that began
     largest_begin_s: float = 0.0  # the longest that one of them waited for its first task
     at_limit: dict[str, float] = field(default_factory=dict)  # team -> share of the time in which it was at its limit
 
-    def least(self, rows: dict[str, dict[str, float]]) -> float:
+    @property
+    def broken_invariants(self) -> set[str]:
+        """The names of the invariants that were violated."""
+        return {row.split(" ", 1)[0] for row in self.violations}
+
+    def least_served(self, rows: dict[str, dict[str, float]]) -> float:
         return min((min(row.values()) for row in rows.values()), default=1.0)
 
 
-class World(Troubles):
+class Simulation(FaultInjector):
     """One run. `tuning`: operators' settings of all nodes."""
 
     def __init__(self, plan: Plan, seed: int, tuning: Tuning | None = None) -> None:
@@ -66,14 +71,18 @@
         self.nodes: dict[str, Any] = {}  # of this version or of that in production
         self.hosts: dict[str, Host] = {}  # of nodes
         self.users: dict[str, User] = {}
-        self.new: set[str] = set() if plan.old_nodes else set(deployment.node_addresses(plan))  # nodes of this version
+        self.upgraded_nodes: set[str] = (
+            set() if plan.old_nodes else set(deployment.node_addresses(plan))
+        )  # nodes of this version
         self.gate_early = 0
-        self._leads = 0  # the token of the lead that was seen last
+        self._last_fencing_token = 0  # the token of the lead that was seen last
         self.users_at: set[str] | None = None  # nodes that users reach; None: all
         self.machines: dict[str, MachineHost] = {}
         self.results: set[str] = set()
         self.progress: dict[str, int] = {}
-        self.gangs = Gangs(micros(self.settings.workers.gang_wait_s), micros(self.settings.workers.gang_peer_s))
+        self.gangs = GangCoordinator(
+            micros(self.settings.workers.gang_wait_s), micros(self.settings.workers.gang_peer_s)
+        )
         self._boots = dict.fromkeys(deployment.node_addresses(plan), 0)
         self._leaderless = self._leaderless_most = 0.0
         self._make_services()
@@ -97,7 +106,7 @@
             self.settings.cloud.list_lag_s,
         )
         self.net.listen(deployment.CLOUD, host, self.cloud.serve)
-        self.people = Host(self.loop, "users", EVERY)
+        self.users_host = Host(self.loop, "users", EVERY)
 
     def start_node(self, name: str) -> None:
         rng = self._rng
@@ -116,10 +125,10 @@
             self.net.at(address, host)
         boot = f"{name}-{self._boots[name]}"
         # By its host's clocks: by the machine's, when a process began depended on for how long that had been up.
-        if name in self.new:
+        if name in self.upgraded_nodes:
             node: Any = host.context.run(Node, settings, self.tuning, net=NodeNetwork(self.net, host), boot=boot)
         else:
-            node = builds.production().make_node(settings, self.net, host, boot)
+            node = production_build.production().make_node(settings, self.net, host, boot)
         self.nodes[name], self.hosts[name] = node, host
         self.loop.create_task(node.run(), context=host.context)
 
@@ -183,7 +192,7 @@
     def _answered(self, node: str, legs: list[dict[str, Any]]) -> None:
         """Ends count as taken in if the node that answered leads: others only keep leases."""
         there = self.nodes.get(node)
-        if there is not None and builds.leader_of(there) is not None:
+        if there is not None and production_build.leader_of(there) is not None:
             self.checker.took_in([leg["leg"] for leg in legs if leg.get("wreckCause") == "done"])
 
     def _ended(self, worker: Worker, task: str, attempt: int, why: str) -> None:
@@ -214,7 +223,7 @@
 
     # --- a run ------------------------------------------------------------------------------
 
-    def run(self) -> Result:
+    def run(self) -> RunResult:
         """Play the plan. The same seed and plan give the same run, message by message."""
         random.seed(self.seed)  # what nodes draw their pauses from
         asyncio.set_event_loop(self.loop)
@@ -242,7 +251,7 @@
         }
         if self.store.over_limit and FORMATS_KEY in self.store.items:
             self.checker.violations.append(f"over_limit: {self.store.over_limit} values or transactions were too large")
-        return Result(
+        return RunResult(
             self.seed,
             self.checker.violations,
             errors,
@@ -274,9 +283,9 @@
             for name, (bind, _) in deployment.node_addresses(plan).items()
             if self.users_at is None or name in self.users_at
         ]
-        balancer = Balancer(loop, self.net, self.people, binds)
+        balancer = Balancer(loop, self.net, self.users_host, binds)
         for seen in balancer.nodes:
-            loop.create_task(balancer.probe(seen), context=self.people.context)
+            loop.create_task(balancer.probe(seen), context=self.users_host.context)
         begins = loop.time() + deployment.JOBS_FROM_S
         asks = deployment.jobs(plan, random.Random(f"jobs {self.seed}"), begins)
         asks += deployment.pipelines(plan, random.Random(f"pipelines {self.seed}"), begins)
@@ -284,9 +293,9 @@
         for ask in asks:
             self.checker.asks[ask.ref] = ask
             rng = random.Random(f"user {self.seed} {ask.ref}")
-            user = self.users[ask.ref] = User(balancer, self.people, ask, rng, self.checker.told)
-            loop.create_task(user.live(), context=self.people.context)
-        loop.create_task(self._strangers(balancer), context=self.people.context)
+            user = self.users[ask.ref] = User(balancer, self.users_host, ask, rng, self.checker.told)
+            loop.create_task(user.live(), context=self.users_host.context)
+        loop.create_task(self._strangers(balancer), context=self.users_host.context)
         for fault in plan.faults:
             loop.later(round(fault.at_s * SECOND), None, self._begin, fault)
         until = loop.time() + plan.for_s
@@ -301,20 +310,20 @@
             await asyncio.sleep(SAMPLE_S)
 
     def _look_at_gate(self) -> None:
-        if FORMATS_KEY in self.store.items and not self.gate_early and self.new < set(self._boots):
+        if FORMATS_KEY in self.store.items and not self.gate_early and self.upgraded_nodes < set(self._boots):
             self.gate_early = 1
-            old = sorted(set(self._boots) - self.new)
+            old = sorted(set(self._boots) - self.upgraded_nodes)
             self.checker.break_of("gate", f"new formats are written, and {', '.join(old)} may not read them")
 
     def _look_for_leader(self) -> None:
         led = False
         for name, node in self.nodes.items():
-            leader = builds.leader_of(node)
+            leader = production_build.leader_of(node)
             if leader is None or leader.stopped or self.hosts[name].frozen:
                 continue
             led = led or leader.loaded
-            if leader.token > self._leads:  # what was kept for the next leader comes as it begins
-                self._leads = leader.token
+            if leader.token > self._last_fencing_token:  # what was kept for the next leader comes as it begins
+                self._last_fencing_token = leader.token
                 self.net.deliver_kept(deployment.node_addresses(self.plan)[name][0])
         self._leaderless = 0.0 if led else self._leaderless + SAMPLE_S
         self._leaderless_most = max(self._leaderless_most, self._leaderless)
@@ -324,7 +333,7 @@
             await asyncio.sleep(self.plan.for_s / (STRANGERS + 1))
             ref = f"j-{900_000 + number:06d}"
             try:
-                status, _ = await balancer.ask(self.people, "GET", f"/submissions/{ref}", None, 2 * SECOND)
+                status, _ = await balancer.ask(self.users_host, "GET", f"/submissions/{ref}", None, 2 * SECOND)
             except Exception:
                 continue
             self.checker.stranger(ref, status)
--- a/oatport/lab/world/users.py
+++ b/oatport/simulation/users.py
@@ -10,8 +10,8 @@
 
 from oatport import wire
 from oatport.clients.http import NoResponseError, RequestNotSentError
-from oatport.lab.world.loop import Host, VirtualLoop
-from oatport.lab.world.net import Net
+from oatport.simulation.network import Net
+from oatport.simulation.virtual_time import Host, VirtualLoop
 from oatport.times import SECOND
 
 PROBE_EVERY, PROBE_WITHIN = 1.0, SECOND
@@ -91,7 +91,7 @@
 
 
 @dataclass(eq=False)
-class Ask:
+class SubmittedJob:
     """A job as its user has it: what is wanted, and what was told."""
 
     body: dict[str, Any]
@@ -107,7 +107,7 @@
     completed_at: float | None = None  # the last one did
     completed: int = 0
     up_us: int = 0  # time that replicas ran
-    needs: list[Ask] = field(default_factory=list)  # jobs that it names
+    needs: list[SubmittedJob] = field(default_factory=list)  # jobs that it names
     last: bool = False  # of a pipeline
     late: bool = False  # submitted when those that it needs are over
     answered_at: float = 0.0  # when a question about it was last answered
@@ -124,9 +124,9 @@
         self,
         balancer: Balancer,
         host: Host,
-        ask: Ask,
+        ask: SubmittedJob,
         rng: random.Random,
-        told: Callable[[Ask, str, int, Any], None],
+        told: Callable[[SubmittedJob, str, int, Any], None],
     ) -> None:
         self._balancer, self._host, self.ask, self._rng, self._told = balancer, host, ask, rng, told
         self._one = asyncio.Lock()  # an answer under way when another came is no older answer
--- a/oatport/lab/world/worker.py
+++ b/oatport/simulation/worker.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(eq=False)
-class Held:
+class Attempt:
     """A task on a machine, in the wire's own terms."""
 
     status: str
@@ -32,18 +32,18 @@
     present: bool = False  # it has its image, and is on the machine as the rules count
 
 
-class Gangs:
+class GangCoordinator:
     """What tasks of one attempt know of each other, wherever they are."""
 
     def __init__(self, wait_us: int, peer_us: int) -> None:
         self.wait_us, self.peer_us = wait_us, peer_us
-        self.members: dict[tuple[str, int], dict[str, tuple[Worker, Held]]] = {}
-        self.broken: dict[tuple[str, int], int] = {}  # since when a task of the attempt is gone
+        self.members: dict[tuple[str, int], dict[str, tuple[Worker, Attempt]]] = {}
+        self.mutated: dict[tuple[str, int], int] = {}  # since when a task of the attempt is gone
         self.first_image: dict[tuple[str, int], int] = {}
         self.on_done: Callable[[list[Worker]], None] = lambda mates: None  # one is done; where the others are
         self.stopped: set[tuple[str, int]] = set()  # attempts of which a task was told to stop: no progress since
 
-    def join(self, task: str, attempt: int, worker: Worker, held: Held) -> None:
+    def join(self, task: str, attempt: int, worker: Worker, held: Attempt) -> None:
         key = (task.rsplit("/", 1)[0], attempt)
         self.members.setdefault(key, {})[task] = (worker, held)
 
@@ -69,14 +69,14 @@
             if mates:
                 self.on_done(mates)
         else:
-            self.broken.setdefault(key, now)
+            self.mutated.setdefault(key, now)
             for worker, _ in there.values():
                 worker.stirred()
 
     def stands(self, task: str, attempt: int) -> bool:
         """Its progress has stopped: a task of the attempt is gone, or was told to stop."""
         key = (task.rsplit("/", 1)[0], attempt)
-        return key in self.broken or key in self.stopped
+        return key in self.mutated or key in self.stopped
 
 
 class Worker:
@@ -92,7 +92,7 @@
         job_of: Callable[[str], dict[str, Any] | None],
         lease_us: int = 10 * SECOND,
         kind: wire.MachineType | None = None,
-        gangs: Gangs | None = None,
+        gangs: GangCoordinator | None = None,
     ) -> None:
         self._clock = clock
         self.name, self.address, self.type, self.zone, self.spot = name, address, type_name, zone, spot
@@ -106,7 +106,7 @@
         self.token = 0
         self.reclaimed_at: int | None = None
         self.notice_s: float | None = None
-        self.tasks: dict[Key, Held] = {}
+        self.tasks: dict[Key, Attempt] = {}
         self.images: set[str] = set()
         self.fetching: dict[str, int] = {}  # image -> when it is there
         self.results: set[str] = set()  # tasks that completed: kept, shared by all machines
@@ -167,8 +167,8 @@
                 times.append(held.saved_at)
             if self.gangs is not None and held.job.get("rig") == "gang" and held.status in ("waiting", "running"):
                 attempt = (key[0].rsplit("/", 1)[0], key[1])
-                if attempt in self.gangs.broken:
-                    times.append(self.gangs.broken[attempt] + self.gangs.peer_us)
+                if attempt in self.gangs.mutated:
+                    times.append(self.gangs.mutated[attempt] + self.gangs.peer_us)
                 if held.status == "waiting":
                     times.append(self.gangs.first_image.get(attempt, 0) + self.gangs.wait_us)
         return min(times)
@@ -200,7 +200,7 @@
         self.answered_at = self._clock()
         self.stirred()
 
-    def _image_there(self, key: Key, held: Held, now: int) -> None:
+    def _image_there(self, key: Key, held: Attempt, now: int) -> None:
         held.present = True
         self.on_begin(self, *key)
         if key[0] in self.results:
@@ -213,7 +213,7 @@
         else:
             self._run(key, held, now)
 
-    def _run(self, key: Key, held: Held, now: int) -> None:
+    def _run(self, key: Key, held: Attempt, now: int) -> None:
         held.status, held.began_at = "running", now
         fails = self.fails_us(key[0], held.job)
         held.fails_at = None if fails is None else now + fails
@@ -221,11 +221,11 @@
             left = self.run_us(key[0], held.job) - self.progress.get(key[0], 0)
             held.ends_at = now + round(max(left, 0) / self.speed)
 
-    def _wait_for_mates(self, key: Key, held: Held, now: int) -> None:
+    def _wait_for_mates(self, key: Key, held: Attempt, now: int) -> None:
         assert self.gangs is not None
         attempt = (key[0].rsplit("/", 1)[0], key[1])
-        if attempt in self.gangs.broken:
-            if now >= self.gangs.broken[attempt] + self.gangs.peer_us:
+        if attempt in self.gangs.mutated:
+            if now >= self.gangs.mutated[attempt] + self.gangs.peer_us:
                 self._end(key, held, PEERS)
         elif self.gangs.ready(key[0], key[1], now):
             for mate, (worker, its) in list(self.gangs.members[attempt].items()):
@@ -235,25 +235,25 @@
         elif now >= self.gangs.first_image.get(attempt, now) + self.gangs.wait_us:
             self._end(key, held, ALONE)
 
-    def _stands(self, key: Key, held: Held) -> bool:
+    def _stands(self, key: Key, held: Attempt) -> bool:
         return held.job.get("rig") == "gang" and self.gangs is not None and self.gangs.stands(*key)
 
-    def complete(self, key: Key, held: Held) -> None:
+    def complete(self, key: Key, held: Attempt) -> None:
         """Its gang has completed."""
         self._end(key, held, DONE)
         self.stirred()
 
     def _mates_gone(self, key: Key, now: int) -> bool:
-        since = self.gangs.broken.get((key[0].rsplit("/", 1)[0], key[1])) if self.gangs is not None else None
+        since = self.gangs.mutated.get((key[0].rsplit("/", 1)[0], key[1])) if self.gangs is not None else None
         return since is not None and self.gangs is not None and now >= since + self.gangs.peer_us
 
-    def _end(self, key: Key, held: Held, why: str) -> None:
+    def _end(self, key: Key, held: Attempt, why: str) -> None:
         if why == DONE:
             self.results.add(key[0])
         self._gone(*key, held, why)
         held.status, held.why = "ended", why
 
-    def _gone(self, task: str, attempt: int, held: Held, why: str) -> None:
+    def _gone(self, task: str, attempt: int, held: Attempt, why: str) -> None:
         every = micros(float(held.job.get("mooringS") or 0.0))
         if held.ends_at is not None and every and why != DONE and held.status in ("running", "flushing"):
             until = self._clock() if held.stopped_at is None else held.stopped_at
@@ -330,7 +330,7 @@
                 if held.why == DONE:
                     self.results_lost[key[0]] = "forgotten"
 
-    def _stop(self, key: Key, held: Held, slack_s: float) -> None:
+    def _stop(self, key: Key, held: Attempt, slack_s: float) -> None:
         if held.status == "running" and held.job.get("rig") == "gang" and self.gangs is not None:
             self.gangs.stopped.add((key[0].rsplit("/", 1)[0], key[1]))
         saves = float(held.job.get("mooringS") or 0.0) > 0 and slack_s >= float(held.job.get("stowS") or 0.0)
@@ -347,14 +347,14 @@
         task = key[0]
         job = self._job_of(task.rsplit("/", 1)[0])
         if job is None:
-            self.tasks[key] = Held("ended", "unknown")
+            self.tasks[key] = Attempt("ended", "unknown")
             return
         live = [(k, held) for k, held in self.tasks.items() if held.status != "ended"]
         if any(k[0] == task for k, _ in live):
-            self.tasks[key] = Held("ended", "in_use")
+            self.tasks[key] = Attempt("ended", "in_use")
             return
         if not self._has_room(job, [held for _, held in live]):
-            self.tasks[key] = Held("ended", "full")
+            self.tasks[key] = Attempt("ended", "full")
             return
         self.starts.append(key)
         now = self._clock()
@@ -363,7 +363,7 @@
         if self.kind is not None and image not in self.images:
             fetch = micros(float(job["sizeGb"]) / max(self.kind.fetch_gb_per_s, 0.01))
             ready = self.fetching.setdefault(image, now + fetch * (1 + len(self.fetching)))
-        held = self.tasks[key] = Held("pulling", cores=float(job["cores"]), job=job, image_at=ready)
+        held = self.tasks[key] = Attempt("pulling", cores=float(job["cores"]), job=job, image_at=ready)
         if job["rig"] == "gang" and self.gangs is not None:
             self.gangs.join(task, key[1], self, held)
         if ready <= now:
@@ -374,7 +374,7 @@
         """A task of this job finds room here now."""
         return self._has_room(job, [held for held in self.tasks.values() if held.status != "ended"])
 
-    def _has_room(self, job: dict[str, Any], live: list[Held]) -> bool:
+    def _has_room(self, job: dict[str, Any], live: list[Attempt]) -> bool:
         if sum(h.cores for h in live) + float(job["cores"]) > self.cores + 1e-9:
             return False
         if self.kind is None:
--- /dev/null
+++ b/tests/__init__.py
@@ -0,0 +1,1 @@
+"""TODO: what this package is for."""
--- a/tests/scale.py
+++ b/tests/call_counts.py
@@ -1,6 +1,6 @@
 """How much work grows with the size: counted on the in-memory world, never timed.
 
-    python -m tests.scale [MACHINES ...] [--waiting TASKS ...] [--on MACHINES]      tables for docs/measurements.md
+    python -m tests.call_counts [MACHINES ...] [--waiting TASKS ...] [--on MACHINES]   tables for docs/measurements.md
 
 Counted are calls of functions (Python's and built-in), changes of the state service, bytes of records and bytes held
 by the leader's view. A swarm, a huge array and a takeover come in the middle of each. With `--waiting`, all machines
@@ -22,7 +22,7 @@
 from oatport.control.queueing.queue_estimator import QueueEstimator, route_waiting
 from oatport.settings import Team
 from oatport.times import SECOND
-from tests.world import World
+from tests.cluster_fixture import World
 
 
 def calls(work: Callable[[], Any]) -> int:
--- a/tests/world.py
+++ b/tests/cluster_fixture.py
@@ -33,8 +33,6 @@
     live_key,
     waits_key,
 )
-from oatport.lab.world.state import KeyStore
-from oatport.lab.world.worker import Worker
 from oatport.settings import (
     CloudLimits,
     ClusterSettings,
@@ -46,6 +44,8 @@
     Tuning,
     Workers,
 )
+from oatport.simulation.state_service import KeyStore
+from oatport.simulation.worker import Worker
 from oatport.times import SECOND
 
 TYPES = wire.catalog(
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -8,17 +8,17 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT))
 
-from tests import known_red  # noqa: E402
+from tests import known_failures  # noqa: E402
 
 
 @pytest.hookimpl(tryfirst=True)
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
     try:
-        known_red.mark(known_red.read(ROOT), items, whole=config.args == config.getini("testpaths"))
-    except known_red.InvalidListError as error:
+        known_failures.mark(known_failures.read(ROOT), items, whole=config.args == config.getini("testpaths"))
+    except known_failures.InvalidListError as error:
         raise pytest.UsageError(str(error)) from None
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    for red in known_red.read(ROOT):
+    for red in known_failures.read(ROOT):
         terminalreporter.write_line(f"known red: {red.test}: {red.cause} ({red.issue})")
--- a/tests/test_queues.py
+++ b/tests/test_amqp_queues.py
@@ -15,13 +15,13 @@
 from hypothesis import strategies as st
 from pamqp import commands, frame
 
+from emulators.amqp_broker import Broker
 from oatport import wire
 from oatport.cli import main
 from oatport.clients.http import RequestRefusedError
 from oatport.clients.state import LeaseExpiredError
 from oatport.control.leadership.leader_lease import LeaderLease
 from oatport.lab.queues import Senders, audit
-from oatport.lab.world.state import KeyStore
 from oatport.queues.client import Answers, Sender
 from oatport.queues.core import ACCEPTED, GONE, LATER, REFUSED, UNKNOWN, AcceptOutcome
 from oatport.queues.gateway import Gateway
@@ -35,9 +35,9 @@
 from oatport.queues.store import Store
 from oatport.queues.templates import InvalidMessageError, Template
 from oatport.settings import SettingsError
+from oatport.simulation.state_service import KeyStore
 from oatport.times import SECOND, steady
-from standins.broker import Broker
-from tests.world import FakeStateClient
+from tests.cluster_fixture import FakeStateClient
 
 FIELDS = {"job_class": "moves", "team": "crew", "image": "img", "cpus": "2"}
 MOVES = QueueSettings("moves", Template.make(FIELDS, frozenset({"tasks", "estimate_s"})), dead_letter="bad")
--- a/tests/test_guests.py
+++ b/tests/test_best_effort_jobs.py
@@ -5,7 +5,7 @@
 from oatport.control.queueing.tier_router import SPOT
 from oatport.settings import Team
 from oatport.times import SECOND
-from tests.world import World
+from tests.cluster_fixture import World
 
 TEAMS = [Team("crew", cpus=8.0, cpus_max=32.0), Team("guests")]
 IDLE = {"urgency": "idle", "crew": "guests", "cores": 2.0}
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -19,20 +19,19 @@
 )
 from oatport.control.state.machine import Machine
 from oatport.control.storage.write_buffer import cancel_key, job_key
-from oatport.lab.world.breaks import broken
-from oatport.lab.world.meetings import gap
-from oatport.lab.world.plan import Fault, Plan
-from oatport.lab.world.state import KeyStore
-from oatport.lab.world.worker import Worker
-from oatport.lab.world.world import Result
-from oatport.lab.world.world import World as WholeWorld
 from oatport.service.node import Node
 from oatport.service.peer_notifications import STALE
 from oatport.settings import Tuning
+from oatport.simulation.fault_interactions import state_outage_plan
+from oatport.simulation.fault_plan import Fault, Plan
+from oatport.simulation.mutations import mutated
+from oatport.simulation.simulation import RunResult, Simulation
+from oatport.simulation.state_service import KeyStore
+from oatport.simulation.worker import Worker
 from oatport.times import SECOND, steady, with_drift
-from tests.test_service import Body, FakePeer, leader
-from tests.test_users import FakeControllerNode
-from tests.world import FakeStateClient, World, cluster_settings, job, node_settings
+from tests.cluster_fixture import FakeStateClient, World, cluster_settings, job, node_settings
+from tests.test_client_consistency import FakeControllerNode
+from tests.test_node_failures import Body, FakePeer, leader
 
 
 @pytest.fixture
@@ -422,8 +421,8 @@
     return Plan(tuple(sorted([*faults, *more], key=lambda f: f.at_s)), 80.0, 3, 20, 20.0, 5.0)
 
 
-def told_by_others(plan: Plan) -> Result:
-    world = WholeWorld(plan, 5)
+def told_by_others(plan: Plan) -> RunResult:
+    world = Simulation(plan, 5)
     world.users_at = {"n1", "n2"}  # n0 leads at first
     result = world.run()
     told = [ask for ask in world.checker.asks.values() if 1020 < (ask.cancelled_at or 0) < 1023]
@@ -476,12 +475,12 @@
 
 
 def test_answers_that_nobody_notes_are_noticed() -> None:
-    with broken("told"):
+    with mutated("cancellation-log"):
         found = told_by_others(meeting(count=1000, hints_lost_s=6.0)).violations
     assert any(row.startswith("ran_cancelled") for row in found)
 
 
 def test_a_drawn_gap_breaks_no_rule() -> None:
-    result = WholeWorld(gap(3, machines=20), 3).run()
+    result = Simulation(state_outage_plan(3, machines=20), 3).run()
     assert result.violations == []
     assert result.errors == []
--- a/tests/test_users.py
+++ b/tests/test_client_consistency.py
@@ -10,9 +10,9 @@
 from oatport import wire
 from oatport.api.job_api import JobApi
 from oatport.control.storage.write_buffer import job_key
-from oatport.lab.world.state import KeyStore
-from tests.world import TYPES, FakeStateClient, node_settings
-from tests.world import job as body_of
+from oatport.simulation.state_service import KeyStore
+from tests.cluster_fixture import TYPES, FakeStateClient, node_settings
+from tests.cluster_fixture import job as body_of
 
 
 class FakeControllerNode:
--- a/tests/test_sockets.py
+++ b/tests/test_connection_budget.py
@@ -10,13 +10,13 @@
 from oatport.api.server import Answer, BodyReader, Server
 from oatport.clients.http import HttpClient, Keep, NoResponseError, make_session
 from oatport.control.limits.connection_budget import LEAST_IDLE, MOST_IDLE, ConnectionBudget
-from oatport.lab.world.state import KeyStore
 from oatport.service.network import HttpNetwork
 from oatport.service.node import Node
 from oatport.settings import Tuning
+from oatport.simulation.state_service import KeyStore
 from oatport.times import SECOND
-from tests.test_service import Body
-from tests.world import FakeStateClient, node_settings
+from tests.cluster_fixture import FakeStateClient, node_settings
+from tests.test_node_failures import Body
 
 
 @pytest.mark.parametrize(("sockets", "machines"), [(2044, 929), (1515, 836), (1208, 929), (1087, 836), (600, 28)])
--- a/tests/test_pipelines.py
+++ b/tests/test_dependencies.py
@@ -15,7 +15,7 @@
 from oatport.control.storage.write_buffer import cancel_key, live_key, waits_key
 from oatport.settings import Team
 from oatport.times import SECOND
-from tests.world import World
+from tests.cluster_fixture import World
 
 
 def world_of(machines: int = 4, teams: list[Team] | None = None) -> World:
--- a/tests/test_needs.py
+++ b/tests/test_dependency_submissions.py
@@ -11,11 +11,11 @@
 from oatport import wire
 from oatport.api.job_api import JobApi
 from oatport.control.storage.write_buffer import cancel_key, job_key, live_key, waits_key
-from oatport.lab.world.state import KeyStore
 from oatport.settings import NextLimits, SettingsError, StateLimits, check
-from tests.test_users import FakeControllerNode, job, node
-from tests.world import FakeStateClient, node_settings
-from tests.world import job as body_of
+from oatport.simulation.state_service import KeyStore
+from tests.cluster_fixture import FakeStateClient, node_settings
+from tests.cluster_fixture import job as body_of
+from tests.test_client_consistency import FakeControllerNode, job, node
 
 
 @pytest.fixture
--- a/tests/test_faults.py
+++ b/tests/test_failure_attribution.py
@@ -4,8 +4,8 @@
 
 from oatport.control.queueing.tier_router import OWNED
 from oatport.control.state.machine import Machine
-from oatport.lab.world.worker import Worker
-from tests.world import World
+from oatport.simulation.worker import Worker
+from tests.cluster_fixture import World
 
 
 def fail_all(world: World, ref: str) -> int:
--- a/tests/test_known_red.py
+++ b/tests/test_known_failures.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from tests.known_red import InvalidListError, Red, parse
+from tests.known_failures import InvalidListError, Red, parse
 
 HERE = Path(__file__).parent
 LINE = "tests/test_a.py::test_{} | the world is round | issue 7"
@@ -44,7 +44,7 @@
     """A run of two tests, one of which fails."""
     tests = tmp_path / "tests"
     tests.mkdir()
-    for name in ("conftest.py", "known_red.py"):
+    for name in ("conftest.py", "known_failures.py"):
         shutil.copy(HERE / name, tests / name)
     (tests / "test_a.py").write_text("def test_good(): pass\n\ndef test_bad(): assert False\n", encoding="utf-8")
     (tmp_path / "pyproject.toml").write_text('[tool.pytest.ini_options]\ntestpaths = ["tests"]\n', encoding="utf-8")
--- a/tests/test_limits_properties.py
+++ b/tests/test_limits_properties.py
@@ -12,10 +12,10 @@
 from oatport import wire
 from oatport.control.state.completions import Completion
 from oatport.control.storage.write_buffer import WriteBatch
-from oatport.lab.world.worker import Worker
 from oatport.settings import Team
+from oatport.simulation.worker import Worker
 from oatport.times import SECOND
-from tests.world import World
+from tests.cluster_fixture import World
 
 LIMITS = {"crew": 12.0, "other": 8.0}
 PLACES = st.integers(1, 6)
--- a/tests/test_service.py
+++ b/tests/test_node_failures.py
@@ -17,13 +17,13 @@
 from oatport.control.state.completions import Completion
 from oatport.control.storage.recovery import UnknownMachineTypeError, load, types_recorded
 from oatport.control.storage.write_buffer import CATALOG_KEY, LEADER_KEY, WriteBatch
-from oatport.lab.world.state import KeyStore
 from oatport.service.background_tasks import BackgroundTasks
 from oatport.service.leader import Leader
 from oatport.service.node import Node
 from oatport.settings import Tuning
+from oatport.simulation.state_service import KeyStore
 from oatport.times import SECOND, steady, time_of_day
-from tests.world import TYPES, FakeStateClient, Unplugged, node_settings
+from tests.cluster_fixture import TYPES, FakeStateClient, Unplugged, node_settings
 
 
 class Body:
--- a/tests/test_evening.py
+++ b/tests/test_one_way_partitions.py
@@ -5,13 +5,13 @@
 from oatport import wire
 from oatport.control.queueing.pending_queue import order_key
 from oatport.control.queueing.queue_estimator import route_waiting
-from oatport.lab.world.plan import Fault, Plan
-from oatport.lab.world.rehearse import Asked, play
-from oatport.lab.world.state import KeyStore
 from oatport.settings import Team
+from oatport.simulation.fault_plan import Fault, Plan
+from oatport.simulation.runner import RunRequest, run_scenario
+from oatport.simulation.state_service import KeyStore
 from oatport.times import SECOND, steady, time_of_day
-from tests.test_service import leader
-from tests.world import World, job
+from tests.cluster_fixture import World, job
+from tests.test_node_failures import leader
 
 
 def test_a_machine_that_does_not_hear_gets_no_work_until_it_has_shown_that_it_does() -> None:
@@ -100,14 +100,14 @@
         )
     ):
         plan = Plan((fault, Fault("node_crash", 20.0, 0.1)), 50.0, 3, 20, 20.0, 6.0)
-        found = play(Asked(plan=plan), number)
+        found = run_scenario(RunRequest(plan=plan), number)
         assert (found.violations, found.errors) == ([], []), fault.kind
 
 
 def test_copies_of_reports_taken_for_new_ones_are_noticed() -> None:
     plan = Plan((Fault("report_copies", 8.0, 40.0, amount=20.0),), 50.0, 3, 20, 40.0)
-    asked = Asked(plan=plan, guard="copies")
-    assert any(play(asked, seed).violations for seed in range(8))
+    asked = RunRequest(plan=plan, disabled_check="heartbeat-order")
+    assert any(run_scenario(asked, seed).violations for seed in range(8))
 
 
 def test_the_largest_is_passed_over_by_its_equals_only_for_so_long() -> None:
--- a/tests/test_rush.py
+++ b/tests/test_overload.py
@@ -17,8 +17,8 @@
 from oatport.control.state.machine import Machine
 from oatport.settings import Team
 from oatport.times import SECOND
-from tests.scale import calls, rush
-from tests.world import TYPES, World, job
+from tests.call_counts import calls, rush
+from tests.cluster_fixture import TYPES, World, job
 
 
 def spec(**changes: Any) -> wire.Submission:
--- a/tests/test_still.py
+++ b/tests/test_process_pauses.py
@@ -15,13 +15,13 @@
 from oatport.control.leadership.leader_lease import DOUBT, LeaderLease, PauseDetector
 from oatport.control.scaling.scale_in import ScaleOutRequest
 from oatport.control.storage.recovery import command_unreachable, cut_off, silent
-from oatport.lab.world.state import KeyStore
 from oatport.service import leader as lead_module
 from oatport.service.node import Node
 from oatport.settings import Peer, Tuning
+from oatport.simulation.state_service import KeyStore
 from oatport.times import MS, SECOND
-from tests.test_service import FakePeer, leader
-from tests.world import FakeStateClient, Unplugged, World, node_settings
+from tests.cluster_fixture import FakeStateClient, Unplugged, World, node_settings
+from tests.test_node_failures import FakePeer, leader
 
 
 class Clock:
--- a/tests/test_repeats.py
+++ b/tests/test_retry_policy.py
@@ -12,11 +12,11 @@
 from oatport.api.job_api import JobApi
 from oatport.control.placement.retry_policy import RetryPolicy, load
 from oatport.control.storage.recovery import read_job
-from oatport.lab.world.worker import Held, Worker
 from oatport.settings import SettingsError
+from oatport.simulation.worker import Attempt, Worker
 from oatport.times import SECOND
-from tests.test_service import leader
-from tests.world import FakeStateClient, World, node_settings
+from tests.cluster_fixture import FakeStateClient, World, node_settings
+from tests.test_node_failures import leader
 
 MODES = (RetryPolicy.ANY, RetryPolicy.BEFORE_START, RetryPolicy.NEVER)
 
@@ -109,7 +109,7 @@
 def test_a_refused_start_never_began(repeat: RetryPolicy, why: str) -> None:
     world, ref, worker = world_with(repeat)
     task = next(iter(world.cluster.jobs[ref].tasks.values()))
-    worker.tasks[(task.name, task.attempt)] = Held("ended", why)
+    worker.tasks[(task.name, task.attempt)] = Attempt("ended", why)
     world.send()
     world.step(0.5)
     state, starts = state_after(world, ref)
@@ -201,7 +201,7 @@
 def test_a_gang_that_never_became_whole_has_not_begun() -> None:
     world, ref, worker = world_with(RetryPolicy.BEFORE_START, rig="gang")
     task = next(iter(world.cluster.jobs[ref].tasks.values()))
-    worker.tasks[(task.name, task.attempt)] = Held("ended", wire.WHY_ALONE)
+    worker.tasks[(task.name, task.attempt)] = Attempt("ended", wire.WHY_ALONE)
     world.send()
     assert state_after(world, ref) == ("queued", 1)
 
--- a/tests/test_upgrade.py
+++ b/tests/test_rolling_upgrade.py
@@ -8,15 +8,21 @@
 import pytest
 
 from oatport.control.storage.schema_version import FORMATS_KEY
-from oatport.lab.world.builds import HistoryUnavailableError, lay_tree, leader_of, production, production_commit
-from oatport.lab.world.drawing import upgrade
-from oatport.lab.world.plan import Fault, Plan
-from oatport.lab.world.rehearse import Asked, play
-from oatport.lab.world.world import Result, World
 from oatport.service.node import Node
-
-
-def quiet(world: World) -> Result:
+from oatport.simulation.fault_plan import Fault, Plan
+from oatport.simulation.production_build import (
+    HistoryUnavailableError,
+    leader_of,
+    production,
+    production_commit,
+    unpack_production_tree,
+)
+from oatport.simulation.runner import RunRequest, run_scenario
+from oatport.simulation.scenario_generator import rolling_upgrade_plan
+from oatport.simulation.simulation import RunResult, Simulation
+
+
+def quiet(world: Simulation) -> RunResult:
     logging.disable(logging.CRITICAL)
     try:
         return world.run()
@@ -38,7 +44,7 @@
     (tmp_path / "deploy").mkdir()
     (tmp_path / "deploy" / "service.toml").write_text('production = "0123"\n')
     with pytest.raises(HistoryUnavailableError, match="not in this repository's history"):
-        lay_tree(tmp_path)
+        unpack_production_tree(tmp_path)
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
@@ -58,8 +64,8 @@
         12.0,
         old_nodes=True,
     )
-    world = World(plan, seed)
-    world.new, world.users_at = {"n1"}, {"n1"}
+    world = Simulation(plan, seed)
+    world.upgraded_nodes, world.users_at = {"n1"}, {"n1"}
     led: set[str] = set()
     look = world._look_for_leader
 
@@ -78,12 +84,12 @@
 def test_an_upgrade_among_troubles() -> None:
     pipelines = 0
     for seed in (1, 2):
-        found = play(Asked(plan=upgrade(seed)), seed)
+        found = run_scenario(RunRequest(plan=rolling_upgrade_plan(seed)), seed)
         assert (found.violations, found.errors) == ([], [])
         pipelines += found.counts["pipelines"]
     assert pipelines > 0
 
 
 def test_new_formats_before_all_read_them_are_noticed() -> None:
-    asked = Asked(story="upgrade", guard="gate")
-    assert any("gate" in row for seed in range(1, 9) for row in play(asked, seed).violations)
+    asked = RunRequest(scenario="rolling-upgrade", disabled_check="feature-gate")
+    assert any("gate" in row for seed in range(1, 9) for row in run_scenario(asked, seed).violations)
--- a/tests/test_rules.py
+++ b/tests/test_safety_invariants.py
@@ -9,7 +9,7 @@
 from oatport.control.storage.write_buffer import LEADER_KEY, chunk_key, live_key
 from oatport.settings import Team
 from oatport.times import SECOND
-from tests.world import World
+from tests.cluster_fixture import World
 
 
 def test_an_array_runs_and_its_record_says_done() -> None:
--- a/tests/test_control.py
+++ b/tests/test_scheduling.py
@@ -7,6 +7,7 @@
 import msgspec
 import pytest
 
+from emulators import smoke_test
 from oatport import wire
 from oatport.cli import main
 from oatport.control.queueing.queue_estimator import order as order_of
@@ -16,8 +17,7 @@
 from oatport.control.storage.recovery import LeaseRenewalLimit, cut_off, dark_suspects, silent
 from oatport.settings import Objective, SettingsError, Team, load, load_tuning
 from oatport.times import SECOND, micros
-from standins import smoke
-from tests.world import World, cluster_settings, job
+from tests.cluster_fixture import World, cluster_settings, job
 
 
 def test_the_estimate_seeds_and_finished_tasks_take_over() -> None:
@@ -617,7 +617,7 @@
 
 
 def test_settings_name_the_broken_field(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    good = smoke.settings(0, list(range(4000, 4008)))
+    good = smoke_test.settings(0, list(range(4000, 4008)))
     path = tmp_path / "n.toml"
     path.write_text(good + "\n[unheard]\nof = 1\n")
     assert load(path).node_name == "n0"
--- a/tests/test_formats.py
+++ b/tests/test_schema_versions.py
@@ -15,14 +15,14 @@
 from oatport.control.storage.record_layout import RecordLayout
 from oatport.control.storage.schema_version import FORMATS_KEY, READS, Gate, answer
 from oatport.control.storage.write_buffer import FLEET, LIVE, WriteBatch, live_key, waits_key
-from oatport.lab.world.state import KeyStore
 from oatport.service.catalog import read_types, type_values, write_types
 from oatport.service.leader import Leader
 from oatport.settings import NextLimits, StateLimits, Team
+from oatport.simulation.state_service import KeyStore
 from oatport.sizes import json_size
 from oatport.times import SECOND
-from tests.test_service import FakePeer, leader
-from tests.world import FakeStateClient, World, job
+from tests.cluster_fixture import FakeStateClient, World, job
+from tests.test_node_failures import FakePeer, leader
 
 SMALL = StateLimits(rps=100.0, write_rps=50.0, value_kb=32.0, txn_ops=16, next=NextLimits(value_kb=2.0, txn_ops=4))
 NO_LIMITS = [Team("crew")]
--- a/tests/test_world.py
+++ b/tests/test_simulation.py
@@ -14,20 +14,20 @@
 from oatport.clients.http import NoResponseError, RequestNotSentError
 from oatport.control.state.job import Job
 from oatport.control.state.task_lifecycle import TaskLifecycle
-from oatport.lab import GUARDS as NAMES
-from oatport.lab.world.breaks import GUARDS
-from oatport.lab.world.checker import Checker
-from oatport.lab.world.deployment import TYPES, cluster_settings
-from oatport.lab.world.drawing import draw
-from oatport.lab.world.loop import Host, VirtualLoop
-from oatport.lab.world.net import LATE_MOST, Net, Rule
-from oatport.lab.world.plan import ALL, Fault, InvalidPlanError, Plan, parse, read
-from oatport.lab.world.rehearse import Asked, account, play, rehearse
-from oatport.lab.world.state import KeyStore
-from oatport.lab.world.users import Ask
-from oatport.lab.world.worker import Gangs, Worker
+from oatport.lab import SAFETY_CHECKS as NAMES
+from oatport.simulation.deployment import TYPES, cluster_settings
+from oatport.simulation.fault_plan import ALL, Fault, InvalidPlanError, Plan, parse, read
+from oatport.simulation.invariant_checker import Checker
+from oatport.simulation.mutations import MUTATIONS
+from oatport.simulation.network import LATE_MOST, Net, Rule
+from oatport.simulation.runner import RunRequest, describe_failure, run_scenario, simulate
+from oatport.simulation.scenario_generator import random_plan
+from oatport.simulation.state_service import KeyStore
+from oatport.simulation.users import SubmittedJob
+from oatport.simulation.virtual_time import Host, VirtualLoop
+from oatport.simulation.worker import GangCoordinator, Worker
 from oatport.times import SECOND, steady
-from tests.world import job
+from tests.cluster_fixture import job
 
 SMALL = Plan(for_s=40.0, machines=20, jobs_a_minute=20.0)
 
@@ -186,7 +186,7 @@
     def __init__(self, **changes: Any) -> None:
         self.now = 0
         body = job(rig="gang", legs=2, cores=2.0, voyageS=20.0, sizeGb=2.0, **changes)
-        gangs = Gangs(30 * SECOND, 4 * SECOND)
+        gangs = GangCoordinator(30 * SECOND, 4 * SECOND)
         self.workers = [
             Worker(
                 lambda: self.now,
@@ -278,7 +278,7 @@
     def __init__(self, **changes: Any) -> None:
         self.loop = VirtualLoop()
         self.checker = Checker(self.loop, cluster_settings(SMALL))
-        self.ask = Ask(job(**{"crew": "east", "legs": 2, **changes}), 1_000.0)
+        self.ask = SubmittedJob(job(**{"crew": "east", "legs": 2, **changes}), 1_000.0)
         self.checker.asks[self.ask.ref] = self.ask
 
     def worker(self, number: int, **changes: Any) -> Worker:
@@ -370,7 +370,7 @@
 
 
 def test_a_plan_that_is_written_down_reads_as_it_was(tmp_path: Path) -> None:
-    drawn = draw(5)
+    drawn = random_plan(5)
     (tmp_path / "plan.toml").write_text(drawn.toml())
     assert read(tmp_path / "plan.toml") == drawn
     with pytest.raises(InvalidPlanError, match=r"missing\.toml"):
@@ -381,18 +381,22 @@
 
 
 def test_a_calm_world_serves_everybody_and_repeats_itself() -> None:
-    first, again = (play(Asked(plan=SMALL), 3) for _ in range(2))
+    first, again = (run_scenario(RunRequest(plan=SMALL), 3) for _ in range(2))
     assert (first.violations, first.errors) == ([], [])
     assert first.digest == again.digest
     assert first.messages > 500
-    assert {name: row["accepted"] for name, row in first.by_team.items()} == {"north": 1.0, "south": 1.0, "east": 1.0}
-    assert first.by_class["serve"]["completed"] > 0.8
+    assert {name: row["accepted"] for name, row in first.served_by_team.items()} == {
+        "north": 1.0,
+        "south": 1.0,
+        "east": 1.0,
+    }
+    assert first.served_by_class["serve"]["completed"] > 0.8
     assert first.leaderless_s_max <= 0.5
 
 
 def test_the_leader_ends_and_the_next_one_goes_on_from_the_records() -> None:
     plan = Plan((Fault("node_crash", 15.0, 4.0),), 40.0, 3, 20, 20.0)
-    found = play(Asked(plan=plan), 4)
+    found = run_scenario(RunRequest(plan=plan), 4)
     assert (found.violations, found.errors) == ([], [])
     assert 2.0 < found.leaderless_s_max < 5.0
     assert found.counts["lease_kills"] == 0
@@ -400,7 +404,7 @@
 
 def test_a_leader_without_the_state_service_hands_over_while_workers_reach_it() -> None:
     plan = Plan((Fault("node_cut", 15.0, 20.0, what="state"),), 40.0, 3, 20, 20.0)
-    found = play(Asked(plan=plan), 4)
+    found = run_scenario(RunRequest(plan=plan), 4)
     assert (found.violations, found.errors) == ([], [])
     assert found.leaderless_s_max < 5.0
     assert found.counts["lease_kills"] == 0
@@ -408,10 +412,10 @@
 
 def test_a_guard_that_is_off_is_noticed_unproven() -> None:
     """Machines that are only cut off are taken to be gone. docs/rehearsal.md has all guards."""
-    assert set(GUARDS) == set(NAMES)
+    assert set(MUTATIONS) == set(NAMES)
     plan = Plan((Fault("machine_cut", 10.0, 30.0, count=8),), 24.0, 3, 20, 40.0)
-    asked = Asked(plan=plan, guard="unproven")
-    assert any("ran_twice" in row for seed in range(12) for row in play(asked, seed).violations)
+    asked = RunRequest(plan=plan, disabled_check="failure-confirmation")
+    assert any("ran_twice" in row for seed in range(12) for row in run_scenario(asked, seed).violations)
 
 
 def test_a_failing_run_tells_its_seed_the_least_plan_and_the_last_messages() -> None:
@@ -426,22 +430,22 @@
         )
 
     plan = Plan((Fault("cloud_down", 33.0, 0.5), *lost(10), *lost(26)), 34.0, 3, 20, 10.0)
-    unwritten = Asked(plan=plan, guard="write-ahead")
+    unwritten = RunRequest(plan=plan, disabled_check="write-ahead")
     # Broken before the cloud is down, which has nothing to do with it then.
     failed = next(
         result
         for seed in range(24)
-        if (result := play(unwritten, seed)).violations
+        if (result := run_scenario(unwritten, seed)).violations
         and float(result.violations[0].split(" at ")[1].split(" ")[0]) < 33.0
     )
-    told = account(unwritten, failed)
+    told = describe_failure(unwritten, failed)
     assert f"seed {failed.seed} fails:" in told
     assert "/commands" in told
     assert "cloud_down" not in told  # it has nothing to do with it
 
 
 def test_many_seeds_are_counted_together() -> None:
-    figures, bad = rehearse(Asked(seed=1, seeds=2, machines=20, plan=SMALL), jobs=1)
+    figures, bad = simulate(RunRequest(seed=1, seeds=2, machines=20, plan=SMALL), jobs=1)
     assert bad == []
     assert (figures["seeds"], figures["violations"], figures["caught"], figures["errors"]) == (2, 0, 0, 0)
     named = {"lease_kills", "leaderless_s_max", "served_min_class", "served_min_team", "state_429", "wall_s"}
@@ -452,7 +456,7 @@
     """A rush of one class ten times: the others and the least of the teams are served, or have no room."""
     rush = Fault("rush", 5.0, 30.0, name="batch", amount=10.0)
     plan = Plan((rush, Fault("node_crash", 20.0, 0.1, node=ALL)), 60.0, 3, 24, 20.0)
-    served = play(Asked(plan=plan), 2)
+    served = run_scenario(RunRequest(plan=plan), 2)
     assert (served.violations, served.errors, served.starved) == ([], [], [])
     add = TaskLifecycle.add_job
 
@@ -463,5 +467,5 @@
         return job
 
     monkeypatch.setattr(TaskLifecycle, "add_job", passes_over)
-    starved = play(Asked(plan=Plan((), 60.0, 3, 24, 20.0)), 6).starved
+    starved = run_scenario(RunRequest(plan=Plan((), 60.0, 3, 24, 20.0)), 6).starved
     assert [row.split(":")[0] for row in starved] == ["batch", "south"]
--- a/tests/test_whereabouts.py
+++ b/tests/test_task_locations.py
@@ -13,14 +13,14 @@
 from oatport.control.state.completions import LEADS_MOST, ROWS_MOST, CompletionLog, parse
 from oatport.control.state.task import TaskPhase
 from oatport.control.storage.write_buffer import WriteBatch, job_key, live_key, waits_key
-from oatport.lab.world.state import KeyStore
-from oatport.lab.world.worker import Worker
 from oatport.service.leader import LOOKED_UP_MOST
 from oatport.service.node import Node
 from oatport.settings import Team, Tuning
+from oatport.simulation.state_service import KeyStore
+from oatport.simulation.worker import Worker
 from oatport.times import SECOND, steady
-from tests.test_service import leader
-from tests.world import World, job, node_settings
+from tests.cluster_fixture import World, job, node_settings
+from tests.test_node_failures import leader
 
 # --- ends that no record says yet -----------------------------------------------------------------------
 
--- a/tests/test_windows.py
+++ b/tests/test_windows.py
@@ -8,14 +8,15 @@
 
 import pytest
 
+from emulators.price_feed import FeedServer
 from oatport.cli import main
 from oatport.clients.http import make_session
 from oatport.control.queueing.queue_estimator import QueueEstimates, _pools_by_type
 from oatport.control.state.job import Job
 from oatport.lab.windows import run
-from oatport.lab.world.state import KeyStore
 from oatport.service.window_controller import KEY, WindowController
 from oatport.settings import SettingsError, Team, load_tuning
+from oatport.simulation.state_service import KeyStore
 from oatport.times import SECOND, time_of_day
 from oatport.windows.client import FeedClient
 from oatport.windows.feed import decode, encode
@@ -23,9 +24,8 @@
 from oatport.windows.margins import Margins
 from oatport.windows.prices import Book, Interval, InvalidPriceSeriesError
 from oatport.windows.settings import Deferral, WindowSettings, load
-from standins.feed import FeedServer
-from tests.test_service import leader
-from tests.world import Unplugged, World
+from tests.cluster_fixture import Unplugged, World
+from tests.test_node_failures import leader
 
 HOUR = 3600 * SECOND
 DAY = 500_000 * HOUR
@@ -392,7 +392,7 @@
 
 def _spec() -> Any:
     from oatport import wire
-    from tests.world import job
+    from tests.cluster_fixture import job
 
     return wire.submission(job())
 
--- a/tests/test_records.py
+++ b/tests/test_write_order.py
@@ -6,7 +6,7 @@
 from oatport.control.storage.write_buffer import live_key
 from oatport.settings import Team
 from oatport.times import SECOND
-from tests.world import World
+from tests.cluster_fixture import World
 
 
 def test_first_chunks_of_an_earlier_version_are_taken_over() -> None:
--- a/tests/test_dark.py
+++ b/tests/test_zone_partitions.py
@@ -12,15 +12,15 @@
 from oatport.control.scaling.scale_in import ScaleOutRequest
 from oatport.control.state.machine import Machine
 from oatport.control.storage.write_buffer import DARK_KEY
-from oatport.lab.world.state import KeyStore
-from oatport.lab.world.worker import Worker
 from oatport.service.failure_detector import FailureDetector
 from oatport.service.leader import Leader
 from oatport.service.node import Node
 from oatport.settings import Team, Tuning
+from oatport.simulation.state_service import KeyStore
+from oatport.simulation.worker import Worker
 from oatport.times import SECOND, steady
-from tests.test_service import FakeLeadingNode, FakePeer, leader
-from tests.world import FakeStateClient, World, cluster_settings, node_settings
+from tests.cluster_fixture import FakeStateClient, World, cluster_settings, node_settings
+from tests.test_node_failures import FakeLeadingNode, FakePeer, leader
 
 
 @pytest.fixture
