--- a/oatport/control/scaling/offering_selector.py
+++ b/oatport/control/scaling/offering_selector.py
@@ -43,7 +43,7 @@
         """
         job = demand.job
         key = (equivalence, min(demand.remaining, slots_max))
-        depends_on_zones = job.spec.spread or job.spec.one_zone or job.kind is JobKind.SERVICE
+        depends_on_zones = job.spec.spread or job.spec.single_zone or job.kind is JobKind.SERVICE
         if depends_on_zones or key not in self._choices:
             self._choices[key] = self._cheapest(demand, now)
         choice = self._choices[key]
@@ -83,7 +83,7 @@
         # What the machine could hold counts for a part: later work fills the rest.
         useful = count + UNUSED_SLOT_WEIGHT * (slots - count)
         price = machine_type.spot_price if demand.spot else machine_type.price
-        return price * (runtime + micros(machine_type.boot_s)) / runtime / useful
+        return price * (runtime + micros(machine_type.boot_time_s)) / runtime / useful
 
     def _can_rent(self, demand: Demand, machine_type: wire.MachineType, zone: str, now: int) -> bool:
         if (demand.only_zone and zone != demand.only_zone) or self._is_unreachable(zone, now):
@@ -113,7 +113,7 @@
         spec.gpus,
         spec.memory_gb,
         spec.zone,
-        tuple(spec.types) if spec.types else None,
+        tuple(spec.machine_types) if spec.machine_types else None,
         spot,
         job.kind,
         job.runtime_bucket,
--- a/oatport/control/scaling/scale_in.py
+++ b/oatport/control/scaling/scale_in.py
@@ -179,7 +179,7 @@
         # In a partitioned zone it may be up though no heartbeat arrives: charged all the same.
         partitioned = machine.zone in self.cluster.partitioned_zones
         boot_times = PARTITIONED_BOOT_PATIENCE if partitioned else self.cluster.tuning.boot_patience
-        overdue = now - machine.rented_at >= micros(machine.type.boot_s * boot_times)
+        overdue = now - machine.rented_at >= micros(machine.type.boot_time_s * boot_times)
         return overdue and (not machine.was_ready or machine.listed_by_cloud)
 
     def _is_idle(self, machine: Machine, now: int) -> bool:
