--- a/oatport/cli.py
+++ b/oatport/cli.py
@@ -76,9 +76,9 @@
 
 
 def load_repeats(tuning: str | None) -> RetryPolicies:
-    from oatport.control.placement.retry_policy import load as load_section
+    from oatport.control.placement.retry_policy import load_retry_policies
 
-    return load_section(tuning)
+    return load_retry_policies(tuning)
 
 
 def serve(config: str, tuning: str | None) -> int:
--- /dev/null
+++ b/oatport/control/placement/candidate_search.py
@@ -0,0 +1,96 @@
+"""The best machine for a task: rankings of candidates that are shared by equivalent jobs during one planning pass."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+
+from oatport.control.placement.candidate_ranking import Candidate, CandidateRanking
+from oatport.control.placement.feasibility import FeasibilityFilter
+from oatport.control.placement.scoring import MachineScorer, with_zone_balance
+from oatport.control.queueing.pending_queue import RUNTIME_BUCKET
+from oatport.control.state.capacity import zone_cap
+from oatport.control.state.cluster_state import ClusterState
+from oatport.control.state.job import Job, JobKind
+from oatport.control.state.machine import Machine
+
+
+class CandidateSearch:
+    """Finds machines during one planning pass; `start_pass` begins the next one."""
+
+    def __init__(self, cluster: ClusterState, feasibility: FeasibilityFilter, scorer: MachineScorer) -> None:
+        self._cluster = cluster
+        self._feasibility = feasibility
+        self._scorer = scorer
+        self.bound: list[Machine] = []  # machines on which tasks were bound in this pass, in order
+        self.gpus_available = False  # who may use machines with GPUs depends on the run time
+        self._rankings: dict[tuple[object, ...], CandidateRanking] = {}
+
+    def start_pass(self, machines: list[Machine]) -> None:
+        """Forget the rankings of the last pass."""
+        self.gpus_available = any(m.type.gpus > 0 for m in machines)
+        self._rankings.clear()
+        self.bound.clear()
+
+    def exclude(self, machines: Iterable[Machine]) -> None:
+        """These are kept for a job: nobody else takes them any more in this pass."""
+        for ranking in self._rankings.values():
+            ranking.exclude(machines)
+
+    def best(self, job: Job, machines: list[Machine]) -> Machine | None:
+        """The machine with the best score that the next task of the job may go to."""
+        spec = job.spec
+        ranking = self._ranking(job, machines)
+        errors = job.error_machines if len(machines) > len(job.error_machines) else ()
+        limit = zone_cap(spec)
+        best: Candidate | None = None
+        for zone in ranking.zones:
+            there = job.tasks_by_zone.get(zone, 0)
+            if (spec.spread and there >= limit) or (spec.one_zone and job.tasks_by_zone and not there):
+                continue
+            candidate = ranking.best(zone, errors)
+            if candidate is None:
+                continue
+            score, position, machine = candidate
+            if job.kind is JobKind.SERVICE:
+                score = with_zone_balance(score, there)
+            if best is None or (score, position) < best[:2]:
+                best = score, position, machine
+        return best[2] if best else None
+
+    def _ranking(self, job: Job, machines: list[Machine]) -> CandidateRanking:
+        """The candidates for a task of the job now, shared by all jobs that look for the same."""
+        start_within = self._scorer.start_objective(job)
+        key = self._equivalence_key(job, start_within)
+        ranking = self._rankings.get(key)
+        if ranking is None:
+            ranking = self._rankings[key] = CandidateRanking(
+                machines,
+                self._feasibility.predicate(job),
+                lambda machine: self._scorer.score(job, machine, start_within),
+                len(self.bound),
+            )
+        ranking.catch_up(self.bound)
+        return ranking
+
+    def _equivalence_key(self, job: Job, start_within: int | None) -> tuple[object, ...]:
+        """Jobs with the same key have the same candidates with the same scores."""
+        spec, cluster = job.spec, self._cluster
+        keeps_headroom = job.kind is JobKind.SERVICE and spec.tasks >= cluster.tuning.mate_room_tasks
+        runtime_bucket = cluster.predictor.run_time(job.job_id, spec) // RUNTIME_BUCKET if self.gpus_available else 0
+        return (
+            job.kind,
+            job.priority_rank,
+            job.tier,
+            spec.spot,
+            spec.zone,
+            tuple(spec.types) if spec.types else None,
+            spec.cpus,
+            spec.gpus,
+            spec.memory_gb,
+            spec.image,
+            spec.image_gb,
+            start_within,
+            keeps_headroom,
+            cluster.may_use_free_spot(job),
+            runtime_bucket,
+        )
--- /dev/null
+++ b/oatport/control/placement/victim_selection.py
@@ -0,0 +1,199 @@
+"""Which running tasks to stop so that those of a job find capacity: the least loss first."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+from dataclasses import dataclass
+
+from oatport.control.placement.feasibility import FeasibilityFilter, machine_allowed
+from oatport.control.placement.image_fetch import image_fetch_time
+from oatport.control.state.capacity import zone_cap
+from oatport.control.state.cluster_state import ClusterState
+from oatport.control.state.job import Job, JobKind
+from oatport.control.state.machine import Machine
+from oatport.control.state.task import Task, TaskPhase
+
+FETCH_WEIGHT = 4  # of a fetch by the job that preempts, against the work of victims that is lost
+EPSILON = 1e-9
+
+
+@dataclass(slots=True)
+class VictimSearch:
+    """Who looks for victims: a job, how many of its tasks want capacity, and whom it may stop."""
+
+    job: Job
+    wanted: int
+    for_guarantee: bool  # may it stop other teams' tasks of its own priority?
+    now: int
+
+    @property
+    def first_preemptible_rank(self) -> int:
+        """The priority rank from which on tasks may be stopped."""
+        return self.job.priority_rank if self.for_guarantee else self.job.priority_rank + 1
+
+
+@dataclass(slots=True)
+class PreemptionOption:
+    """Tasks of a machine that make room for at least one of the job's."""
+
+    loss: int  # microseconds of work and of waiting
+    machine: Machine
+    victims: list[Task]
+
+
+class FreedCapacity:
+    """What is free on a machine, with that of tasks that leave it."""
+
+    def __init__(self, machine: Machine) -> None:
+        self.cpus = machine.free_cpus
+        self.gpus = machine.free_gpus
+        self.memory_gb = machine.free_memory_gb
+
+    def add(self, task: Task) -> None:
+        """The task leaves."""
+        spec = task.job.spec
+        self.cpus += spec.cpus
+        self.gpus += spec.gpus
+        self.memory_gb += spec.memory_gb
+
+    def suffices_for(self, job: Job) -> bool:
+        """Is it enough for one task of the job?"""
+        spec = job.spec
+        return (
+            self.cpus + EPSILON >= spec.cpus
+            and self.gpus + EPSILON >= spec.gpus
+            and self.memory_gb + EPSILON >= spec.memory_gb
+        )
+
+
+class VictimSelector:
+    """Finds the cheapest victims on machines that are feasible for a job."""
+
+    def __init__(self, cluster: ClusterState, feasibility: FeasibilityFilter) -> None:
+        self._cluster = cluster
+        self._feasibility = feasibility
+        self.machines_examined = 0  # what tests count instead of time
+
+    def cheapest(self, search: VictimSearch, usable: list[Machine]) -> list[Task]:
+        """Whom to stop so that up to `wanted` tasks find capacity."""
+        if not any(self._cluster.tasks_by_priority[search.first_preemptible_rank :]):
+            return []
+        options = self._options(search, usable)
+        if search.wanted <= 0:
+            return []
+        options.sort(key=lambda option: option.loss)
+        if search.job.kind is JobKind.GANG:
+            return self._victims_for_gang(search.job, usable, options)
+        return self._victims_for_tasks(search, options)
+
+    def _options(self, search: VictimSearch, usable: list[Machine]) -> list[PreemptionOption]:
+        """What could be stopped, machine by machine; `wanted` goes down by the capacity that is being freed already."""
+        job, spec = search.job, search.job.spec
+        first_preemptible_rank = search.first_preemptible_rank
+        may_use_spot = self._cluster.may_use_free_spot(job)
+        avoids_gpus = self._feasibility.avoids_gpus(job)
+        options: list[PreemptionOption] = []
+        for machine in usable:
+            self.machines_examined += 1
+            if sum(machine.cpus_by_priority[first_preemptible_rank:]) + machine.free_cpus + EPSILON < spec.cpus:
+                continue
+            if (machine.spot and not may_use_spot) or (machine.type.gpus > 0 and avoids_gpus):
+                continue
+            if not machine.could_hold(spec) or not machine_allowed(job, machine):
+                continue
+            stopping = [task for task in machine.tasks if task.stop_grace_s is not None]
+            if stopping and job.kind is not JobKind.GANG:
+                # They may take seconds to save: for that capacity nobody else is stopped, here or elsewhere.
+                search.wanted -= machine.free_slots_without(stopping, spec)
+            victims = self._victims_on(machine, search)
+            if victims:
+                options.append(PreemptionOption(_loss(search, machine, victims), machine, victims))
+        return options
+
+    def _victims_on(self, machine: Machine, search: VictimSearch) -> list[Task]:
+        """The youngest tasks of a machine that make room for one of the job's; none if that is not possible."""
+        job = search.job
+        freed = FreedCapacity(machine)
+        stopping = False
+        # Capacity that stops already sent will free counts as free; nobody else is stopped for it.
+        for task in machine.tasks:
+            if task.stop_grace_s is not None:
+                freed.add(task)
+                stopping = True
+        if stopping and job.kind is not JobKind.GANG and freed.suffices_for(job):
+            return []
+        victims: list[Task] = []
+        candidates = self._preemptible_tasks(machine, search)
+        for task in sorted(candidates, key=lambda t: search.now - (t.running_since or search.now)):
+            if freed.suffices_for(job):
+                break
+            freed.add(task)
+            victims.append(task)
+        return victims if freed.suffices_for(job) else []
+
+    def _preemptible_tasks(self, machine: Machine, search: VictimSearch) -> Iterator[Task]:
+        job = search.job
+        for task in machine.tasks:
+            other = task.job
+            if task.phase is not TaskPhase.BOUND or task.stop_grace_s is not None or other is job or other.at_most_once:
+                continue
+            if other.priority_rank > job.priority_rank or (
+                search.for_guarantee
+                and other.priority_rank == job.priority_rank
+                and other.spec.team != job.spec.team
+                and self._exceeds_guarantee(other)
+            ):
+                yield task
+
+    def _exceeds_guarantee(self, job: Job) -> bool:
+        """Its team uses more than its guarantee, and this job isn't a part of that."""
+        quota = self._cluster.quotas.get(job.spec.team)
+        return (
+            quota is not None
+            and quota.beyond_guarantee()
+            and not job.within_guarantee
+            and job.kind is not JobKind.SERVICE
+        )
+
+    @staticmethod
+    def _victims_for_tasks(search: VictimSearch, options: list[PreemptionOption]) -> list[Task]:
+        """Victims for tasks that start one by one."""
+        spec, wanted = search.job.spec, search.wanted
+        victims: list[Task] = []
+        tasks_by_zone = dict(search.job.tasks_by_zone)
+        for option in options:
+            # One large task makes room for several small ones.
+            zone = option.machine.zone
+            count = min(option.machine.free_slots_without(option.victims, spec), wanted)
+            if spec.spread:
+                count = min(count, zone_cap(spec) - tasks_by_zone.get(zone, 0))
+            if count > 0:
+                tasks_by_zone[zone] = tasks_by_zone.get(zone, 0) + count
+                wanted -= count
+                victims += option.victims
+            if wanted <= 0:
+                break
+        return victims
+
+    def _victims_for_gang(self, job: Job, usable: list[Machine], options: list[PreemptionOption]) -> list[Task]:
+        """Victims that let a whole gang start; none if only a part of it would find capacity."""
+        spec = job.spec
+        for zone in sorted({option.machine.zone for option in options}) if spec.one_zone else [None]:
+            in_zone = [m for m in usable if zone in (None, m.zone)]
+            feasible = self._feasibility.feasible_machines(job, in_zone)
+            missing = job.pending - sum(m.free_slots(spec) for m in feasible)
+            victims: list[Task] = []
+            for option in options:
+                machine = option.machine
+                if missing > 0 and zone in (None, machine.zone):
+                    missing -= machine.free_slots_without(option.victims, spec) - machine.free_slots(spec)
+                    victims += option.victims
+            if missing <= 0:
+                return victims
+        return []
+
+
+def _loss(search: VictimSearch, machine: Machine, victims: list[Task]) -> int:
+    """Whoever may preempt is missed while it fetches: that weighs more than the work that is lost."""
+    lost_work = sum(search.now - task.running_since for task in victims if task.running_since)
+    return FETCH_WEIGHT * image_fetch_time(search.job.spec, machine) + lost_work
--- /dev/null
+++ b/oatport/control/queueing/capacity_pools.py
@@ -0,0 +1,85 @@
+"""The machines' CPUs by type, and the predicted work that they have to do before they can take more."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from oatport.control.queueing.runtime_predictor import RuntimePredictor
+from oatport.control.state.cluster_state import ClusterState
+from oatport.control.state.job import IDLE_RANK
+from oatport.control.state.machine import Machine
+from oatport.times import micros
+
+BOOT_TIME_MARGIN = 1.2  # by which a boot is expected to take longer than the catalog says
+
+
+@dataclass(slots=True)
+class CapacityPool:
+    """CPUs of a set of machine types, and the predicted work before them in CPU-microseconds."""
+
+    cpus: float = 0.0
+    work: float = 0.0
+    owned_cpus: float = 0.0
+    owned_work: float = 0.0
+    best_effort_work: float = 0.0  # of tasks of the lowest priority, which give way to all others
+
+    def add(self, other: CapacityPool) -> None:
+        """Join the machines of another pool to this one."""
+        self.cpus += other.cpus
+        self.work += other.work
+        self.owned_cpus += other.owned_cpus
+        self.owned_work += other.owned_work
+        self.best_effort_work += other.best_effort_work
+
+
+PoolsByType = dict[str, CapacityPool]  # by the name of the machine type
+
+
+def pools_by_type(cluster: ClusterState, now: int) -> PoolsByType:
+    """The machines' CPUs less those that services hold, and what is left of the running tasks."""
+    pools: PoolsByType = {}
+    for machine in cluster.machines.values():
+        if (
+            machine.draining
+            or machine.releasing
+            or machine.reclaimed_at
+            or machine.command_unreachable
+            or machine.zone in cluster.partitioned_zones
+        ):
+            continue
+        pool = _pool_of(machine, cluster.predictor, now)
+        if pool is not None:
+            pools.setdefault(machine.type.name, CapacityPool()).add(pool)
+    return pools
+
+
+def _pool_of(machine: Machine, predictor: RuntimePredictor, now: int) -> CapacityPool | None:
+    """One machine; None if it should have booted long ago."""
+    cpus, work, best_effort_work = machine.type.cpus - machine.service_cpus, 0.0, 0.0
+    if not machine.ready_at:
+        # One that boots is capacity from then on: without it, a wave of work would rent on-demand what the spot
+        # machines rented a moment ago are about to do.
+        boot_time = micros(machine.type.boot_s)
+        until_ready = machine.rented_at + round(boot_time * BOOT_TIME_MARGIN) - now
+        if until_ready < -boot_time:  # long overdue
+            return None
+        work = max(until_ready, 0) * cpus
+    for task in machine.finite_tasks:
+        job = task.job
+        elapsed = now - task.running_since if task.running_since else 0
+        remaining = max(predictor.run_time(job.job_id, job.spec) - elapsed, 0) * job.spec.cpus
+        if job.priority_rank == IDLE_RANK:
+            best_effort_work += remaining
+        else:
+            work += remaining
+    if machine.spot:
+        return CapacityPool(cpus, work, 0.0, 0.0, best_effort_work)
+    return CapacityPool(cpus, work, cpus, work, best_effort_work)
+
+
+def joint_pool(pools: PoolsByType, type_names: tuple[str, ...]) -> CapacityPool:
+    """The machines of these types together."""
+    pool = CapacityPool()
+    for name in type_names:
+        pool.add(pools.get(name, CapacityPool()))
+    return pool
--- a/oatport/control/state/cluster_state.py
+++ b/oatport/control/state/cluster_state.py
@@ -11,7 +11,7 @@
 
 from oatport import wire
 from oatport.control.placement import failure_attribution
-from oatport.control.placement.retry_policy import REFUSED
+from oatport.control.placement.retry_policy import REFUSAL_REASONS
 from oatport.control.state.identifiers import split_task
 from oatport.control.state.job import Job, JobKind
 from oatport.control.state.machine import Machine
@@ -95,7 +95,7 @@
         self.machines_to_command.discard(machine)
         self.mark_machine_dirty(machine)
         if machine.spot and machine.ready_at:
-            self.predictor.spot_held(now - machine.rented_at, why == "taken" or bool(machine.reclaimed_at))
+            self.predictor.spot_machine_ended(now - machine.rented_at, why == "taken" or bool(machine.reclaimed_at))
         self.expedite_completions(machine)
         for key in list(machine.orphaned_attempts):
             self._remove_orphan(machine, key)
@@ -269,8 +269,8 @@
             if task.status != row.status:
                 task.status = row.status
                 self.jobs_with_changed_counts[job] = None
-            if job.suspected_faulty and job.kind is JobKind.SERVICE and failure_attribution.works(job, now):
-                failure_attribution.task_done(job, machine, self.machines, now)
+            if job.suspected_faulty and job.kind is JobKind.SERVICE and failure_attribution.has_succeeded(job, now):
+                failure_attribution.record_success(job, machine, self.machines, now)
             if task.job.cancelled and task.stop_grace_s is None:
                 self.stop(task, 0.0)
             return
@@ -284,7 +284,7 @@
             return
         wanted = task.stop_grace_s is not None
         if why == wire.WHY_ERROR:
-            if failure_attribution.job_failed(job, machine, self.machines, task.attempt, now):
+            if failure_attribution.record_failure(job, machine, self.machines, task.attempt, now):
                 self.dirty_keys.setdefault(live_key(job.job_id), None)  # for the next leader
         elif why == wire.WHY_NO_ROOM:
             machine.cordoned_until = now + 3 * SECOND
@@ -292,7 +292,9 @@
             job.retry_at = now + 2 * SECOND
         elif why == wire.WHY_BUSY:
             machine.cordoned_until = now + SECOND
-        self.requeue(task, lost=not wanted and why in (wire.WHY_PEERS, wire.WHY_STOPPED), unexecuted=why in REFUSED)
+        self.requeue(
+            task, lost=not wanted and why in (wire.WHY_PEERS, wire.WHY_STOPPED), unexecuted=why in REFUSAL_REASONS
+        )
 
     def _on_absent(self, task: Task, machine: Machine, report: wire.Report, now: int) -> None:
         """A placed task that the newest report does not list: gone only if nothing can still bring it."""
--- a/oatport/control/state/task_lifecycle.py
+++ b/oatport/control/state/task_lifecycle.py
@@ -9,7 +9,7 @@
 
 from oatport import wire
 from oatport.control.placement import failure_attribution
-from oatport.control.placement.retry_policy import RetryPolicies, RetryPolicy, may_repeat, never_sent
+from oatport.control.placement.retry_policy import RetryPolicies, RetryPolicy, may_retry, never_sent
 from oatport.control.queueing.dependency_tracker import DependencyTracker
 from oatport.control.queueing.pending_queue import PendingQueue
 from oatport.control.queueing.runtime_predictor import RuntimePredictor
@@ -59,7 +59,7 @@
         self.start_objectives = {
             aim.job_class: micros(aim.within_s) for aim in settings.objectives if aim.kind == "wait"
         }
-        self.router.start_aims = self.start_objectives
+        self.router.start_objectives = self.start_objectives
         # class -> the multiples of its jobs' deadlines that users look at, the nearest first
         self.deadline_objectives: dict[str, tuple[float, ...]] = {}
         self.completion_objectives: dict[str, tuple[int, ...]] = {}  # class -> how soon its jobs should be done
@@ -166,7 +166,7 @@
             if task.machine is not None:
                 self._count_priority(task, task.machine, 1)
         job.inherited_deadlines, job.deadlines, job.deadline_at, job.attainable_deadline = dues, None, 0, 0
-        self.pending.urged(job)
+        self.pending.reroute(job)
         self.planning_needed = True
 
     def _count_priority(self, task: Task, machine: Machine, sign: int) -> None:
@@ -342,7 +342,7 @@
             self.complete_task(task, self.now, measured=False)  # one of them is done, so it is as well
             return
         repeat = self.retry_policies.get(job.spec.job_class, RetryPolicy.ANY)
-        if not job.cancelled and not may_repeat(repeat, task, unexecuted):
+        if not job.cancelled and not may_retry(repeat, task, unexecuted):
             self.fail_job(task, "a task may have begun and may not run again")
             return
         if task.machine is not None:
@@ -442,9 +442,9 @@
             if machine is not None:
                 self._learn_speed(machine, took, self.predictor.run_time(job.job_id, job.spec))
             self.on_runtime_measured(job, took)
-            self.predictor.finished(job.job_id, job.spec, took)
+            self.predictor.task_completed(job.job_id, job.spec, took)
         if machine is not None:
-            failure_attribution.task_done(job, machine, self.machines, now)
+            failure_attribution.record_success(job, machine, self.machines, now)
             self.unbind(task)
         job.tasks.pop(task.index, None)
         job.completed.add(task.index)
--- a/oatport/lab/windows.py
+++ b/oatport/lab/windows.py
@@ -160,7 +160,7 @@
         for ref, took in room.until(now, before):
             held = cluster.jobs[ref]
             cluster.on_runtime_measured(held, took)
-            cluster.predictor.finished(ref, held.spec, took)
+            cluster.predictor.task_completed(ref, held.spec, took)
             held.completed.add(len(held.completed))
             if len(held.completed) == held.spec.tasks:
                 cluster.remove_job(held)
--- a/oatport/service/leader.py
+++ b/oatport/service/leader.py
@@ -18,7 +18,7 @@
 from oatport.control.leadership.leader_lease import LeaderLease, PauseDetector
 from oatport.control.placement.placer import Placer
 from oatport.control.placement.retry_policy import RetryPolicies
-from oatport.control.queueing.queue_estimator import QueueEstimator
+from oatport.control.queueing.pending_job_router import PendingJobRouter
 from oatport.control.queueing.runtime_predictor import RuntimePredictor
 from oatport.control.state.cluster_state import ClusterState
 from oatport.control.state.completions import Completion
@@ -347,7 +347,7 @@
     # --- placing and sending ------------------------------------------------------------------
 
     async def _plan_loop(self) -> None:
-        backlog = QueueEstimator(self.cluster, self.cloud_controller.fleet)
+        router = PendingJobRouter(self.cluster, self.cloud_controller.fleet.availability)
         while not self.stopped:
             try:
                 async with asyncio.timeout(0.5):
@@ -361,7 +361,7 @@
                 # preempted for it would be lost.
                 await asyncio.sleep(0.1)
                 continue
-            backlog.step(now, wall)
+            router.step(now, wall)
             if self.placer.due(now):
                 self.placer.plan(now)
                 self.wake()
--- a/tests/scale.py
+++ b/tests/scale.py
@@ -19,7 +19,7 @@
 from typing import Any
 
 from oatport import wire
-from oatport.control.queueing.queue_estimator import QueueEstimator, route_waiting
+from oatport.control.queueing.pending_job_router import PendingJobRouter, route_pending
 from oatport.settings import Team
 from oatport.times import SECOND
 from tests.world import World
@@ -91,7 +91,7 @@
         world.report(worker)
     world.commit()
     found.tasks = sum(job.on_machines for job in world.cluster.jobs.values())
-    found.route = calls(lambda: route_waiting(world.cluster, world.fleet, world.now, world.now))
+    found.route = calls(lambda: route_pending(world.cluster, world.fleet.availability, world.now, world.now))
     found.plan = calls(lambda: world.placer.plan(world.now))
     world.commit()
     world.send()
@@ -170,14 +170,14 @@
     before = tracemalloc.get_traced_memory()[0]
     for number in range(tasks // 12):
         submit(legs=12, voyageS=50.0 + number % 7, tideS=120.0 + 10 * (number % 50), cargo="van")
-    backlog, cluster = QueueEstimator(world.cluster, world.fleet), world.cluster
+    router, cluster = PendingJobRouter(world.cluster, world.fleet.availability), world.cluster
     world.plan()
     found.held = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
 
     def look() -> None:
         """As the leader's loops do (`service/leader.py`, `service/cloud_controller.py`)."""
-        backlog.step(world.now, world.now)
+        router.step(world.now, world.now)
         if world.placer.due(world.now):
             world.placer.plan(world.now)
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -9,9 +9,9 @@
 
 from oatport import wire
 from oatport.cli import main
-from oatport.control.queueing.queue_estimator import order as order_of
+from oatport.control.queueing.pending_job_router import jobs_in_order as order_of
 from oatport.control.queueing.runtime_predictor import RuntimePredictor
-from oatport.control.queueing.tier_router import ON_DEMAND, OWNED, SPOT, TierRouter
+from oatport.control.queueing.tier_router import ON_DEMAND, OWNED, SPOT, TierAvailability, TierRouter
 from oatport.control.scaling.cloud_availability import ScaleOutRequest
 from oatport.control.storage.recovery import LeaseRenewalLimit, cut_off, dark_suspects, silent
 from oatport.settings import Objective, SettingsError, Team, load, load_tuning
@@ -25,7 +25,7 @@
     spec = wire.submission(job(voyageS=100.0))
     assert predictor.run_time("j-1", spec) == 100 * SECOND
     for _ in range(100):
-        predictor.finished("j-2", spec, 30 * SECOND)
+        predictor.task_completed("j-2", spec, 30 * SECOND)
     assert 30 * SECOND <= predictor.run_time("j-1", spec) < 40 * SECOND
     other = RuntimePredictor()
     other.load(predictor.record())
@@ -35,12 +35,12 @@
 def test_the_half_life_counts_survivors() -> None:
     predictor = RuntimePredictor()
     for _ in range(4):
-        predictor.spot_held(100 * SECOND, True)
-    assert predictor.half_life([]) == 100 * SECOND
-    assert predictor.half_life([500 * SECOND] * 20) is None
+        predictor.spot_machine_ended(100 * SECOND, True)
+    assert predictor.spot_half_life([]) == 100 * SECOND
+    assert predictor.spot_half_life([500 * SECOND] * 20) is None
     few = RuntimePredictor()
-    few.spot_held(SECOND, True)
-    assert few.half_life([]) is None  # one early take-back says nothing
+    few.spot_machine_ended(SECOND, True)
+    assert few.spot_half_life([]) is None  # one early take-back says nothing
 
 
 def test_short_tasks_end_first_and_do_not_lower_the_threshold() -> None:
@@ -48,12 +48,12 @@
     predictor = RuntimePredictor()
     spec = wire.submission(job())
     for took in range(1, 18):
-        predictor.finished("j-1", spec, took * SECOND)
-    assert predictor.percentile_run(0.99, []) == 17 * SECOND
-    assert predictor.percentile_run(0.99, [18 * SECOND] * 100) is None  # the start value holds
+        predictor.task_completed("j-1", spec, took * SECOND)
+    assert predictor.runtime_percentile(0.99, []) == 17 * SECOND
+    assert predictor.runtime_percentile(0.99, [18 * SECOND] * 100) is None  # the start value holds
     for took in range(18, 100):
-        predictor.finished("j-1", spec, took * SECOND)
-    assert predictor.percentile_run(0.9, [5 * SECOND] * 100) == 90 * SECOND
+        predictor.task_completed("j-1", spec, took * SECOND)
+    assert predictor.runtime_percentile(0.9, [5 * SECOND] * 100) == 90 * SECOND
 
 
 def test_what_an_earlier_leader_started_teaches_no_run_time() -> None:
@@ -75,17 +75,17 @@
     world.submit(voyageS=30.0, tideS=500.0)
     short = world.cluster.jobs["j-000001"]
     wall = world.now
-    assert router.route(short, wall, None) == SPOT
+    assert router.route(short, wall, TierAvailability(None)) == SPOT
     short.loss_count = 1
-    assert router.route(short, wall, None) == SPOT  # the deadline leaves twice the predicted time
-    assert router.route(short, wall + 450 * SECOND, None) == ON_DEMAND
+    assert router.route(short, wall, TierAvailability(None)) == SPOT  # the deadline leaves twice the predicted time
+    assert router.route(short, wall + 450 * SECOND, TierAvailability(None)) == ON_DEMAND
     world.submit(ref="j-000002", voyageS=100.0, tideS=300.0)
     long = world.cluster.jobs["j-000002"]
-    assert router.route(long, wall, None) == ON_DEMAND  # none is owned
-    assert router.route(long, wall, 10 * SECOND) == OWNED
-    assert router.route(long, wall, 250 * SECOND) == ON_DEMAND  # the queue would miss the deadline
+    assert router.route(long, wall, TierAvailability(None)) == ON_DEMAND  # none is owned
+    assert router.route(long, wall, TierAvailability(10 * SECOND)) == OWNED
+    assert router.route(long, wall, TierAvailability(250 * SECOND)) == ON_DEMAND  # the queue would miss the deadline
     # DESIGN assumes that on-demand comes when called; here the cloud has none.
-    assert router.route(long, wall, None, spot_open=True, on_demand_open=False) == SPOT
+    assert router.route(long, wall, TierAvailability(None, spot_rentable=True, on_demand_rentable=False)) == SPOT
 
 
 def test_rentals_fit_the_waiting_tasks_once() -> None:
@@ -238,9 +238,9 @@
     one = world.cluster.jobs[world.submit(legs=1, voyageS=40.0, tideS=100.0)]
     many = world.cluster.jobs[world.submit(ref="j-000002", legs=9, voyageS=40.0, tideS=100.0)]
     router = TierRouter(RuntimePredictor(), 60 * SECOND, 2.0, tail_factor=1.5)
-    assert router.route(one, world.now, None, False, True, 50 * SECOND) == SPOT
-    assert router.route(many, world.now, None, False, True, 50 * SECOND) == ON_DEMAND
-    assert router.route(many, world.now, None, False, True, 30 * SECOND) == SPOT
+    assert router.route(one, world.now, TierAvailability(None, False, True, 50 * SECOND)) == SPOT
+    assert router.route(many, world.now, TierAvailability(None, False, True, 50 * SECOND)) == ON_DEMAND
+    assert router.route(many, world.now, TierAvailability(None, False, True, 30 * SECOND)) == SPOT
 
 
 def test_as_many_jobs_as_possible_meet_their_deadlines() -> None:
@@ -464,11 +464,13 @@
     for number in range(2, 30):
         world.submit(ref=f"j-{number:06d}", rig="standing", urgency="production", legs=1, cores=9.0, berthKinds=["m8"])
         world.submit(ref=f"j-{number + 50:06d}", legs=5, voyageS=900.0)
-    world.placer.looked_at = 0
+    world.placer.preemption.victims.machines_examined = 0
     for _ in range(10):
         world.plan()
     services, machines = 28, 40
-    assert 0 < world.placer.looked_at <= services * machines  # once in a pause, and none for the arrays
+    assert (
+        0 < world.placer.preemption.victims.machines_examined <= services * machines
+    )  # once in a pause, and none for the arrays
 
 
 def test_when_no_more_spot_is_to_be_had_the_queue_decides() -> None:
@@ -477,8 +479,8 @@
     world.submit(voyageS=30.0, tideS=100.0)
     waiting = world.cluster.jobs["j-000001"]
     router = TierRouter(RuntimePredictor(), 60 * SECOND, 2.0)
-    assert router.route(waiting, world.now, None, False, True, 40 * SECOND) == SPOT
-    assert router.route(waiting, world.now, None, False, True, 90 * SECOND) == ON_DEMAND
+    assert router.route(waiting, world.now, TierAvailability(None, False, True, 40 * SECOND)) == SPOT
+    assert router.route(waiting, world.now, TierAvailability(None, False, True, 90 * SECOND)) == ON_DEMAND
 
 
 def test_a_replica_takes_room_where_its_image_is() -> None:
--- a/tests/test_evening.py
+++ b/tests/test_evening.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from oatport import wire
+from oatport.control.queueing.pending_job_router import route_pending
 from oatport.control.queueing.pending_queue import order_key
-from oatport.control.queueing.queue_estimator import route_waiting
 from oatport.lab.world.plan import Fault, Plan
 from oatport.lab.world.rehearse import Asked, play
 from oatport.lab.world.state import KeyStore
@@ -120,17 +120,17 @@
     blocker = world.submit(ref="j-000002", legs=4, voyageS=500.0, urgency="production", rig="standing")
     small = [world.submit(ref=f"j-{n:06d}", legs=1, voyageS=5.0, tideS=400.0) for n in range(10, 20)]
     jobs = world.cluster.jobs
-    route_waiting(world.cluster, world.fleet, world.now, world.now)
+    route_pending(world.cluster, world.fleet.availability, world.now, world.now)
     assert jobs[large].deadline_missed
     assert order_key(jobs[large]) > order_key(jobs[small[0]])
     world.now += 121 * SECOND
     newer = world.submit(ref="j-000020", legs=1, voyageS=5.0, tideS=400.0)
-    route_waiting(world.cluster, world.fleet, world.now, world.now)
+    route_pending(world.cluster, world.fleet.availability, world.now, world.now)
     assert jobs[large].starving
     assert order_key(jobs[large]) < order_key(jobs[newer])
     assert order_key(jobs[blocker]) < order_key(jobs[large])  # its priority is what it was
     jobs[large].started = True
-    route_waiting(world.cluster, world.fleet, world.now, world.now)
+    route_pending(world.cluster, world.fleet.availability, world.now, world.now)
     assert not jobs[large].starving
 
 
--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -172,8 +172,8 @@
     for number in range(60):
         spec = wire.submission(job(cargo=f"class-{number:02d}", voyageS=10.0))
         for _ in range(3):
-            known.finished("j-1", spec, 20 * SECOND)
-        known.spot_held(number * SECOND, taken=True)
+            known.task_completed("j-1", spec, 20 * SECOND)
+        known.spot_machine_ended(number * SECOND, reclaimed=True)
     parts = known.parts(2048)
     assert len(parts) > 1
     assert max(map(json_size, parts)) <= 2048
@@ -183,7 +183,7 @@
         learnt.load(part)
     spec = wire.submission(job(cargo="class-39", voyageS=10.0))
     assert learnt.run_time("j-9", spec) == known.run_time("j-9", spec)
-    assert learnt.half_life([]) == known.half_life([])
+    assert learnt.spot_half_life([]) == known.spot_half_life([])
 
 
 async def test_a_catalog_in_parts() -> None:
--- a/tests/test_guests.py
+++ b/tests/test_guests.py
@@ -89,14 +89,14 @@
     assert len(keys) <= 3
     for number in range(2, 300):
         world.submit(ref=f"j-{number:06d}", legs=1, memoryGb=0.5 + number / 1e6, **{**IDLE, "cores": 8.0})
-    fitting = world.placer._fitting
+    fitting = world.placer.feasibility.feasible_machines
     looked = []
 
     def counted(waiting: object, machines: list[object]) -> object:
         looked.append(len(machines))
         return fitting(waiting, machines)  # type: ignore[arg-type]
 
-    world.placer._fitting = counted  # type: ignore[method-assign, assignment]
+    world.placer.feasibility.feasible_machines = counted  # type: ignore[method-assign, assignment]
     world.plan()
     assert len(looked) <= 30  # one that found no room speaks for all that need as much
 
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -88,13 +88,13 @@
     world = world_of()
     first = world.submit(legs=1, voyageS=500.0)
     world.settle()
-    looked = world.placer.looked_at
+    looked = world.placer.preemption.victims.machines_examined
     before = len(world.cluster.pending), world.cluster.pending.version
     for _ in range(300):
         world.submit(legs=8, waitsOn=[first], cores=4.0)
     world.settle()
     assert (len(world.cluster.pending), world.cluster.pending.version) == before
-    assert world.placer.looked_at == looked
+    assert world.placer.preemption.victims.machines_examined == looked
     assert set(world.cluster.jobs) == {first}
     assert not world.cluster.has_writes()
 
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -10,7 +10,7 @@
 
 from oatport import wire
 from oatport.api.job_api import JobApi
-from oatport.control.placement.retry_policy import RetryPolicy, load
+from oatport.control.placement.retry_policy import RetryPolicy, load_retry_policies
 from oatport.control.storage.recovery import read_job
 from oatport.lab.world.worker import Held, Worker
 from oatport.settings import SettingsError
@@ -257,7 +257,7 @@
 def test_settings_of_repeats_name_the_class(tmp_path: Path) -> None:
     path = tmp_path / "own.ini"
     path.write_text("[repeat]\nMoves = before_start\nreplays = never\n")
-    assert load(path) == {"Moves": RetryPolicy.BEFORE_START, "replays": RetryPolicy.NEVER}
+    assert load_retry_policies(path) == {"Moves": RetryPolicy.BEFORE_START, "replays": RetryPolicy.NEVER}
     path.write_text("[repeat]\nmoves = once\n")
     with pytest.raises(SettingsError, match="moves: must be any, before_start, never"):
-        load(path)
+        load_retry_policies(path)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from oatport import wire
-from oatport.control.placement.placer import machine_allowed
+from oatport.control.placement.feasibility import machine_allowed
 from oatport.control.state.task import TaskPhase
 from oatport.control.storage.recovery import silent
 from oatport.control.storage.write_buffer import LEADER_KEY, chunk_key, live_key
--- a/tests/test_rush.py
+++ b/tests/test_rush.py
@@ -9,8 +9,8 @@
 
 from oatport import wire
 from oatport.control.queueing import pending_queue
+from oatport.control.queueing.pending_job_router import ROUTING_INTERVAL, ROUTING_INTERVAL_MAX, PendingJobRouter
 from oatport.control.queueing.pending_queue import PendingQueue, order_key
-from oatport.control.queueing.queue_estimator import ROUTE_EVERY, ROUTE_MOST, QueueEstimator
 from oatport.control.scaling.cloud_availability import REFUSAL_BACKOFF, REFUSAL_BACKOFF_MAX, ScaleOutRequest
 from oatport.control.scaling.incoming_capacity import CapacitySlot, IncomingCapacity
 from oatport.control.scaling.scale_out import MACHINES_PER_PASS
@@ -68,7 +68,7 @@
 def test_lines_place_what_a_look_at_every_job_would_place(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
     """Leaving a line early saves looks and changes no placement: the same day with all jobs looked at one by one."""
     by_lines = day(seed)
-    monkeypatch.setattr(pending_queue, "plain", lambda job: False)
+    monkeypatch.setattr(pending_queue, "is_interchangeable", lambda job: False)
     assert day(seed) == by_lines
     assert len(by_lines) > 50
 
@@ -88,14 +88,14 @@
     for one in jobs[:40]:
         found.discard(one)
     jobs[60].deadline_at = 1  # most pressing now
-    found.moved(jobs[60])
+    found.reposition(jobs[60])
     assert [one for _, one in found.walk()] == sorted(jobs[40:], key=order_key)
     walked = []
     for _, one in found.walk():
         walked.append(one)
         found.discard(jobs[100])  # taken by an earlier one's step: it does not come any more
     assert jobs[100] not in walked[1:]
-    assert found.smallest() == 4.0
+    assert found.smallest_cpus() == 4.0
 
 
 def test_nothing_is_looked_at_while_nothing_changes() -> None:
@@ -111,12 +111,12 @@
         world.settle()
         for number in range(tasks // 20):
             world.submit(ref=f"j-{500000 + number:06d}", legs=20, voyageS=100.0)
-        backlog = QueueEstimator(world.cluster, world.fleet)
-        backlog.step(world.now, world.now)
+        router = PendingJobRouter(world.cluster, world.fleet.availability)
+        router.step(world.now, world.now)
         world.placer.plan(world.now)
         world.now += SECOND // 10
         assert not world.placer.due(world.now)
-        return calls(lambda: (backlog.step(world.now, world.now), world.placer.due(world.now)))
+        return calls(lambda: (router.step(world.now, world.now), world.placer.due(world.now)))
 
     assert look(10_000) <= 2 * look(0)
 
@@ -185,11 +185,11 @@
     world.step()
     for number in range(20):
         world.submit(legs=8, voyageS=60.0, tideS=3000.0 + number)
-    backlog = QueueEstimator(world.cluster, world.fleet)
-    backlog.step(world.now, world.now)
+    router = PendingJobRouter(world.cluster, world.fleet.availability)
+    router.step(world.now, world.now)
     routed = {one.job_id: one.tier for one in world.cluster.pending}
     pressing = world.cluster.jobs[world.submit(legs=1, voyageS=10.0, tideS=60.0)]
-    counted = calls(lambda: backlog.step(world.now, world.now))
+    counted = calls(lambda: router.step(world.now, world.now))
     assert pressing.tier
     assert counted < 150  # the others were not looked at
     assert {one.job_id: one.tier for one in world.cluster.pending if one is not pressing} == routed
@@ -198,14 +198,14 @@
 
 def test_routing_slows_down_with_what_there_is_to_route() -> None:
     world = World([Team("crew")])
-    backlog = QueueEstimator(world.cluster, world.fleet)
-    assert backlog.pace() == ROUTE_EVERY
+    router = PendingJobRouter(world.cluster, world.fleet.availability)
+    assert router.interval() == ROUTING_INTERVAL
     for number in range(800):
         world.cluster.pending.add(waiting(number + 1))
-    assert ROUTE_EVERY < backlog.pace() < ROUTE_MOST
+    assert ROUTING_INTERVAL < router.interval() < ROUTING_INTERVAL_MAX
     for number in range(800, 5000):
         world.cluster.pending.add(waiting(number + 1))
-    assert backlog.pace() == ROUTE_MOST
+    assert router.interval() == ROUTING_INTERVAL_MAX
 
 
 def test_coming_room_is_found_in_order_and_looked_at_once_a_shape() -> None:
--- a/tests/test_windows.py
+++ b/tests/test_windows.py
@@ -10,7 +10,8 @@
 
 from oatport.cli import main
 from oatport.clients.http import make_session
-from oatport.control.queueing.queue_estimator import QueueEstimates, _pools_by_type
+from oatport.control.queueing.capacity_pools import pools_by_type
+from oatport.control.queueing.queue_wait import QueueWaitEstimator
 from oatport.control.state.job import Job
 from oatport.lab.windows import run
 from oatport.lab.world.state import KeyStore
@@ -352,9 +353,9 @@
     world = night.world
 
     def wait() -> int:
-        pools = _pools_by_type(world.cluster, world.now)
+        pools = pools_by_type(world.cluster, world.now)
         other.predicted_runtime = world.cluster.predictor.run_time(other.job_id, other.spec)
-        return QueueEstimates(world.cluster, pools).append(other)[0]
+        return QueueWaitEstimator(world.cluster, pools).append(other).any_machine
 
     before = wait()
     world.now += HOUR - 60 * SECOND
--- a/tests/world.py
+++ b/tests/world.py
@@ -13,7 +13,7 @@
 from oatport.clients.state import Applied, Conflict
 from oatport.control.placement.placer import Placer
 from oatport.control.placement.retry_policy import RetryPolicies
-from oatport.control.queueing.queue_estimator import route_waiting
+from oatport.control.queueing.pending_job_router import route_pending
 from oatport.control.queueing.runtime_predictor import RuntimePredictor
 from oatport.control.scaling.capacity_planner import CapacityPlanner
 from oatport.control.state.cluster_state import ClusterState
@@ -181,7 +181,7 @@
         raise AssertionError("there is always more to write")
 
     def plan(self) -> None:
-        route_waiting(self.cluster, self.fleet, self.now, self.now)
+        route_pending(self.cluster, self.fleet.availability, self.now, self.now)
         self.placer.plan(self.now)
 
     def send(self) -> None:
