--- a/oatport/control/placement/candidate_search.py
+++ b/oatport/control/placement/candidate_search.py
@@ -45,7 +45,7 @@
         best: Candidate | None = None
         for zone in ranking.zones:
             there = job.tasks_by_zone.get(zone, 0)
-            if (spec.spread and there >= limit) or (spec.one_zone and job.tasks_by_zone and not there):
+            if (spec.spread and there >= limit) or (spec.single_zone and job.tasks_by_zone and not there):
                 continue
             candidate = ranking.best(zone, errors)
             if candidate is None:
@@ -75,7 +75,7 @@
     def _equivalence_key(self, job: Job, start_within: int | None) -> tuple[object, ...]:
         """Jobs with the same key have the same candidates with the same scores."""
         spec, cluster = job.spec, self._cluster
-        keeps_headroom = job.kind is JobKind.SERVICE and spec.tasks >= cluster.tuning.mate_room_tasks
+        keeps_headroom = job.kind is JobKind.SERVICE and spec.task_count >= cluster.tuning.mate_room_tasks
         runtime_bucket = cluster.predictor.run_time(job.job_id, spec) // RUNTIME_BUCKET if self.gpus_available else 0
         return (
             job.kind,
@@ -83,12 +83,12 @@
             job.tier,
             spec.spot,
             spec.zone,
-            tuple(spec.types) if spec.types else None,
+            tuple(spec.machine_types) if spec.machine_types else None,
             spec.cpus,
             spec.gpus,
             spec.memory_gb,
             spec.image,
-            spec.image_gb,
+            spec.image_size_gb,
             start_within,
             keeps_headroom,
             cluster.may_use_free_spot(job),
--- a/oatport/control/placement/feasibility.py
+++ b/oatport/control/placement/feasibility.py
@@ -16,11 +16,11 @@
     spec = job.spec
     if machine.spot and not spec.spot:
         return False
-    if spec.types is not None and machine.type.name not in spec.types:
+    if spec.machine_types is not None and machine.type.name not in spec.machine_types:
         return False
     if spec.zone is not None and machine.zone != spec.zone:
         return False
-    if spec.one_zone and job.tasks_by_zone and machine.zone not in job.tasks_by_zone:
+    if spec.single_zone and job.tasks_by_zone and machine.zone not in job.tasks_by_zone:
         return False
     return not spec.spread or job.tasks_by_zone.get(machine.zone, 0) < zone_cap(spec)
 
@@ -46,7 +46,7 @@
             return (
                 machine.has_capacity_for(spec)
                 and (may_use_spot or not machine.spot)
-                and (spec.types is None or machine.type.name in spec.types)
+                and (spec.machine_types is None or machine.type.name in spec.machine_types)
                 and (spec.zone is None or machine.zone == spec.zone)
                 and not (avoids_gpus and machine.type.gpus > 0 and not cluster.may_backfill(job, machine, cluster.now))
                 and not (beside_replicas and not machine.spot and machine.service_cpus <= 0)
--- a/oatport/control/placement/gang_placement.py
+++ b/oatport/control/placement/gang_placement.py
@@ -31,7 +31,7 @@
 
         Only when nothing of an earlier attempt is left anywhere.
         """
-        if job.on_machines or job.pending + len(job.completed) < job.spec.tasks:
+        if job.on_machines or job.pending + len(job.completed) < job.spec.task_count:
             return []
         if self._cluster.quotas.room(job.spec) < job.pending:
             return []
@@ -45,7 +45,7 @@
     def _cheapest_zone(self, job: Job, machines: list[Machine]) -> list[Machine]:
         """A machine for each task, where the gang starts soonest; empty if it can't be whole anywhere."""
         spec, needed = job.spec, job.pending
-        zones = {m.zone for m in machines} if spec.one_zone else {None}
+        zones = {m.zone for m in machines} if spec.single_zone else {None}
         best: list[Machine] = []
         best_cost = 0.0
         for zone in sorted(zones, key=str):
@@ -123,7 +123,7 @@
         spec = job.spec
         best: set[Machine] = set()
         most_slots = 0
-        for zone in sorted({m.zone for m in machines}) if spec.one_zone else [None]:
+        for zone in sorted({m.zone for m in machines}) if spec.single_zone else [None]:
             free = [m for m in self._feasibility.feasible_machines(job, machines) if zone in (None, m.zone)]
             incoming = [m for m in booting if zone in (None, m.zone) and m.could_hold(spec) and machine_allowed(job, m)]
             slots = sum(m.free_slots(spec) for m in free)
@@ -137,6 +137,6 @@
         if missing <= 0:
             return
         for machine in booting:
-            if machine.could_hold(job.spec) and (not job.spec.one_zone or machine.zone in zones):
+            if machine.could_hold(job.spec) and (not job.spec.single_zone or machine.zone in zones):
                 booting.remove(machine)
                 return
--- a/oatport/control/placement/placer.py
+++ b/oatport/control/placement/placer.py
@@ -201,7 +201,7 @@
         """Bind tasks that start one by one; returns how many were bound."""
         spec = job.spec
         key = self._capacity_key(job)
-        any_zone = not (spec.spread or spec.one_zone)
+        any_zone = not (spec.spread or spec.single_zone)
         if any_zone and current.infeasible.covers(key, spec):
             equivalence_class.exhausted = equivalence_class.interchangeable
             return 0
@@ -224,7 +224,7 @@
             spec.spot,
             job.tier,
             spec.zone,
-            tuple(spec.types) if spec.types else None,
+            tuple(spec.machine_types) if spec.machine_types else None,
             job.priority_rank,
             self._candidates.gpus_available and job.runtime_bucket,
         )
--- a/oatport/control/placement/preemption.py
+++ b/oatport/control/placement/preemption.py
@@ -96,7 +96,7 @@
         stopped = victim.job.tasks.values() if victim.job.kind is JobKind.GANG else (victim,)
         for task in list(stopped):
             if task.phase is TaskPhase.BOUND:
-                self._cluster.stop(task, victim.job.spec.grace_s)
+                self._cluster.stop(task, victim.job.spec.stop_grace_s)
 
     def _may_preempt(self, job: Job, now: int) -> bool:
         """Is there anybody at all whom it may stop? If only later, that is when to look again."""
@@ -140,7 +140,7 @@
         for task in sorted(lower, key=lambda t: (-t.job.priority_rank, now - (t.running_since or now), t.name)):
             if task.stop_grace_s is None and shortfall.is_reduced_by(task):
                 shortfall.subtract([task])
-                self._cluster.stop(task, task.job.spec.grace_s)
+                self._cluster.stop(task, task.job.spec.stop_grace_s)
 
     def _lower_tasks_of_team(self, job: Job) -> list[Task]:
         """Array tasks of the team with a lower priority that may be stopped."""
--- a/oatport/control/placement/scoring.py
+++ b/oatport/control/placement/scoring.py
@@ -50,7 +50,7 @@
             # capacity for one more is left to work that can be stopped for it, where there is such work.
             service
             and self._owned_machines_contended
-            and spec.tasks >= self._cluster.tuning.mate_room_tasks
+            and spec.task_count >= self._cluster.tuning.mate_room_tasks
             and machine.type.cpus - machine.service_cpus < 2 * spec.cpus - 1e-9,
             spec.image not in machine.images,
             # Otherwise replicas together, and the rest away from them: machines without replicas can be returned, and
--- a/oatport/control/placement/victim_selection.py
+++ b/oatport/control/placement/victim_selection.py
@@ -178,7 +178,7 @@
     def _victims_for_gang(self, job: Job, usable: list[Machine], options: list[PreemptionOption]) -> list[Task]:
         """Victims that let a whole gang start; none if only a part of it would find capacity."""
         spec = job.spec
-        for zone in sorted({option.machine.zone for option in options}) if spec.one_zone else [None]:
+        for zone in sorted({option.machine.zone for option in options}) if spec.single_zone else [None]:
             in_zone = [m for m in usable if zone in (None, m.zone)]
             feasible = self._feasibility.feasible_machines(job, in_zone)
             missing = job.pending - sum(m.free_slots(spec) for m in feasible)
--- a/oatport/control/queueing/capacity_pools.py
+++ b/oatport/control/queueing/capacity_pools.py
@@ -59,7 +59,7 @@
     if not machine.ready_at:
         # One that boots is capacity from then on: without it, a wave of work would rent on-demand what the spot
         # machines rented a moment ago are about to do.
-        boot_time = micros(machine.type.boot_s)
+        boot_time = micros(machine.type.boot_time_s)
         until_ready = machine.rented_at + round(boot_time * BOOT_TIME_MARGIN) - now
         if until_ready < -boot_time:  # long overdue
             return None
--- a/oatport/control/queueing/guarantees.py
+++ b/oatport/control/queueing/guarantees.py
@@ -24,7 +24,7 @@
         if job.cancelled or job.completing:
             job.within_guarantee = False
             continue
-        spec, tasks = job.spec, job.spec.tasks - len(job.completed)
+        spec, tasks = job.spec, job.spec.task_count - len(job.completed)
         cpus, gpus = requested.get(spec.team, (0.0, 0.0))
         cpus, gpus = cpus + spec.cpus * tasks, gpus + spec.gpus * tasks
         requested[spec.team] = (cpus, gpus)
--- a/oatport/control/queueing/pending_job_router.py
+++ b/oatport/control/queueing/pending_job_router.py
@@ -115,7 +115,12 @@
 
     def __call__(self, job: Job, spot: bool) -> bool:
         spec = job.spec
-        key = (spot, spec.zone, tuple(spec.types) if spec.types else None, (spec.cpus, spec.gpus, spec.memory_gb))
+        key = (
+            spot,
+            spec.zone,
+            tuple(spec.machine_types) if spec.machine_types else None,
+            (spec.cpus, spec.gpus, spec.memory_gb),
+        )
         answer = self._answers.get(key)
         if answer is None:
             answer = self._answers[key] = self._availability.any_for(job, spot, self._now)
--- a/oatport/control/queueing/pending_queue.py
+++ b/oatport/control/queueing/pending_queue.py
@@ -44,7 +44,7 @@
 def is_interchangeable(job: Job) -> bool:
     """Any machine with free capacity does, whatever the job's other tasks are on."""
     spec = job.spec
-    return job.kind is JobKind.ARRAY and not (spec.spread or spec.one_zone or job.suspected_faulty)
+    return job.kind is JobKind.ARRAY and not (spec.spread or spec.single_zone or job.suspected_faulty)
 
 
 def equivalence_key(job: Job) -> tuple[object, ...]:
@@ -56,7 +56,7 @@
         job.tier,
         spec.spot,
         spec.zone,
-        tuple(spec.types) if spec.types else None,
+        tuple(spec.machine_types) if spec.machine_types else None,
         spec.team,
         job.within_guarantee,
         spec.cpus,
--- a/oatport/control/queueing/runtime_predictor.py
+++ b/oatport/control/queueing/runtime_predictor.py
@@ -76,7 +76,7 @@
         count, total = self._completed_by_job.get(job_id, (0, 0))
         self._completed_by_job[job_id] = (count + 1, total + runtime)
         _add_fading(self._means, job_class, runtime)
-        estimate = micros(spec.estimate_s)
+        estimate = micros(spec.estimated_runtime_s)
         if estimate > 0:
             _add_fading(self._ratios, job_class, min(runtime / estimate, RATIO_MAX))
 
@@ -95,7 +95,7 @@
 
     def _predict(self, job_id: str, spec: wire.Submission) -> int:
         weight, ratio_sum = self._ratios.get(spec.job_class, (0.0, 0.0))
-        predicted = micros(spec.estimate_s) * (ratio_sum + SEED_WEIGHT) / (weight + SEED_WEIGHT)
+        predicted = micros(spec.estimated_runtime_s) * (ratio_sum + SEED_WEIGHT) / (weight + SEED_WEIGHT)
         weight, runtime_sum = self._means.get(spec.job_class, (0.0, 0.0))
         if weight >= SEED_WEIGHT and predicted > 0:
             # Estimates are often off by as much as a class's jobs differ: half of the belief, on the scale of ratios,
--- a/oatport/control/scaling/demand.py
+++ b/oatport/control/scaling/demand.py
@@ -28,7 +28,7 @@
     def of_pending_tasks(cls, job: Job, count: int) -> Demand:
         """`count` tasks beside those of the job that are on machines already."""
         tasks_by_zone = dict(job.tasks_by_zone)
-        only_zone = next(iter(tasks_by_zone)) if job.spec.one_zone and tasks_by_zone else job.spec.zone
+        only_zone = next(iter(tasks_by_zone)) if job.spec.single_zone and tasks_by_zone else job.spec.zone
         return cls(job, count, only_zone, tasks_by_zone)
 
     def is_zone_full(self, zone: str) -> bool:
@@ -45,5 +45,5 @@
         """Capacity for so many tasks was found in a zone."""
         self.remaining -= count
         self.tasks_by_zone[zone] = self.tasks_by_zone.get(zone, 0) + count
-        if self.job.spec.one_zone:
+        if self.job.spec.single_zone:
             self.only_zone = zone
--- a/oatport/control/scaling/rebalancing.py
+++ b/oatport/control/scaling/rebalancing.py
@@ -124,14 +124,14 @@
             return False
         if task_slots(spec, *self._free[machine.name]) <= 0:
             return False
-        if spec.types is not None and machine.type.name not in spec.types:
+        if spec.machine_types is not None and machine.type.name not in spec.machine_types:
             return False
         if machine.zone == self._source.zone:
             return spec.zone in (None, machine.zone)  # within its zone a move changes nothing about the spread
         replicas_there = job.tasks_by_zone.get(machine.zone, 0) + self._moved[job.job_id, machine.zone]
         return (
             not (spec.spread and replicas_there >= zone_cap(spec))
-            and not spec.one_zone
+            and not spec.single_zone
             and spec.zone in (None, machine.zone)
         )
 
--- a/oatport/control/scaling/scale_out.py
+++ b/oatport/control/scaling/scale_out.py
@@ -142,7 +142,7 @@
 
     def _released_cpus(self, now: int) -> ReleasedCpus:
         """CPUs that running tasks free before a rented machine could be up, and those of best-effort tasks."""
-        boot_time = min((micros(t.boot_s) for t in self.cluster.types.values()), default=DEFAULT_BOOT_TIME)
+        boot_time = min((micros(t.boot_time_s) for t in self.cluster.types.values()), default=DEFAULT_BOOT_TIME)
         released = ReleasedCpus()
         for machine in self.cluster.usable_machines:
             self._add_released_by(machine, boot_time, released, now)
--- a/tests/test_peer_messages.py
+++ b/tests/test_peer_messages.py
@@ -88,13 +88,13 @@
 
 @pytest.mark.parametrize(("message", "array"), ARRAYS, ids=lambda value: str(value)[:40])
 def test_each_message_is_its_tag_and_its_fields_in_order(message: PeerMessage, array: list[Any]) -> None:
-    assert wire.dumps(message.encode()) == wire.dumps(array)
+    assert wire.encode(message.encode()) == wire.encode(array)
 
 
 @pytest.mark.parametrize(("message", "array"), ARRAYS, ids=lambda value: str(value)[:40])
 def test_each_message_is_read_back_as_it_was_sent(message: PeerMessage, array: list[Any]) -> None:
     if not isinstance(message, SchemaVersionReply | ConfirmedCancellationsReply):  # these are decoded elsewhere
-        assert type(message).decode(wire.loads(wire.dumps(array))) == message
+        assert type(message).decode(wire.decode(wire.encode(array))) == message
 
 
 @pytest.mark.parametrize("line", REPLIES.read_text(encoding="utf-8").splitlines(), ids=lambda line: line[:40])
@@ -105,11 +105,11 @@
     api, body = node.peer_api(), Body(request)
     if status == 400:
         with pytest.raises(wire.InvalidMessageError) as refused:  # the server's answer is this text and status 400
-            await api.handle("POST", wire.PEER, body)  # type: ignore[arg-type]
+            await api.handle("POST", wire.PEER_PATH, body)  # type: ignore[arg-type]
         assert str(refused.value) == expected
         return
-    answer = await api.handle("POST", wire.PEER, body)  # type: ignore[arg-type]
-    reply = wire.loads(wire.dumps(answer.value))
+    answer = await api.handle("POST", wire.PEER_PATH, body)  # type: ignore[arg-type]
+    reply = wire.decode(wire.encode(answer.value))
     for tag, position in (("pong", 5), ("told", 1)):
         if reply[0] == tag:
             reply[position] = 0
@@ -119,7 +119,7 @@
 async def test_other_paths_and_methods_are_refused() -> None:
     api = PeerApi()
     assert (await api.handle("POST", "/other", Body(["ping"]))).status == 404  # type: ignore[arg-type]
-    assert (await api.handle("GET", wire.PEER, Body(["ping"]))).status == 405  # type: ignore[arg-type]
+    assert (await api.handle("GET", wire.PEER_PATH, Body(["ping"]))).status == 405  # type: ignore[arg-type]
 
 
 class FixedReply:
@@ -154,7 +154,7 @@
     with pytest.raises(MalformedReplyError) as found:
         await client.ask(Ping("n0", None, 0, True), Pong.decode_reply)
     assert found.value.tag == reply[0]
-    assert network.sent == [("POST", wire.PEER, ["ping", "n0", None, 0, True])]
+    assert network.sent == [("POST", wire.PEER_PATH, ["ping", "n0", None, 0, True])]
     await client.notify(Ping("n0", None, 0, True))  # of which any reply will do
 
 
