--- a/oatport/control/state/cluster_state.py
+++ b/oatport/control/state/cluster_state.py
@@ -11,7 +11,7 @@
 
 from oatport import wire
 from oatport.control.placement import failure_attribution
-from oatport.control.placement.retry_policy import REFUSED
+from oatport.control.placement.retry_policy import REFUSAL_REASONS
 from oatport.control.state.identifiers import split_task
 from oatport.control.state.job import Job, JobKind
 from oatport.control.state.machine import Machine
@@ -95,7 +95,7 @@
         self.machines_to_command.discard(machine)
         self.mark_machine_dirty(machine)
         if machine.spot and machine.ready_at:
-            self.predictor.spot_held(now - machine.rented_at, why == "taken" or bool(machine.reclaimed_at))
+            self.predictor.spot_machine_ended(now - machine.rented_at, why == "taken" or bool(machine.reclaimed_at))
         self.expedite_completions(machine)
         for key in list(machine.orphaned_attempts):
             self._remove_orphan(machine, key)
@@ -275,8 +275,8 @@
             if task.status != row.status:
                 task.status = row.status
                 self.jobs_with_changed_counts[job] = None
-            if job.suspected_faulty and job.kind is JobKind.SERVICE and failure_attribution.works(job, now):
-                failure_attribution.task_done(job, machine, self.machines, now)
+            if job.suspected_faulty and job.kind is JobKind.SERVICE and failure_attribution.has_succeeded(job, now):
+                failure_attribution.record_success(job, machine, self.machines, now)
             if task.job.cancelled and task.stop_grace_s is None:
                 self.stop(task, 0.0)
             return
@@ -290,7 +290,7 @@
             return
         wanted = task.stop_grace_s is not None
         if why == wire.ExitReason.ERROR:
-            if failure_attribution.job_failed(job, machine, self.machines, task.attempt, now):
+            if failure_attribution.record_failure(job, machine, self.machines, task.attempt, now):
                 self.dirty_keys.setdefault(live_key(job.job_id), None)  # for the next leader
         elif why == wire.ExitReason.INSUFFICIENT_CAPACITY:
             machine.cordoned_until = now + 3 * SECOND
@@ -301,7 +301,7 @@
         self.requeue(
             task,
             lost=not wanted and why in (wire.ExitReason.GANG_MEMBER_LOST, wire.ExitReason.STOPPED),
-            unexecuted=why in REFUSED,
+            unexecuted=why in REFUSAL_REASONS,
         )
 
     def _on_absent(self, task: Task, machine: Machine, report: wire.Heartbeat, now: int) -> None:
