--- a/tests/world.py
+++ b/tests/cluster_fixture.py
@@ -13,7 +13,7 @@
 from oatport.clients.state import Applied, Conflict, PartialRead
 from oatport.control.placement.placer import Placer
 from oatport.control.placement.retry_policy import RetryPolicies
-from oatport.control.queueing.queue_estimator import route_waiting
+from oatport.control.queueing.pending_job_router import route_pending
 from oatport.control.queueing.runtime_predictor import RuntimePredictor
 from oatport.control.scaling.capacity_planner import CapacityPlanner
 from oatport.control.state.cluster_state import ClusterState
@@ -33,8 +33,6 @@
     live_key,
     waits_key,
 )
-from oatport.lab.world.state import KeyStore
-from oatport.lab.world.worker import Worker
 from oatport.settings import (
     CloudLimits,
     ClusterSettings,
@@ -46,6 +44,8 @@
     Tuning,
     Workers,
 )
+from oatport.simulation.state_service import KeyStore
+from oatport.simulation.worker import Worker
 from oatport.times import SECOND
 
 TYPES = wire.decode_catalog(
@@ -181,7 +181,7 @@
         raise AssertionError("there is always more to write")
 
     def plan(self) -> None:
-        route_waiting(self.cluster, self.fleet, self.now, self.now)
+        route_pending(self.cluster, self.fleet.availability, self.now, self.now)
         self.placer.plan(self.now)
 
     def send(self) -> None:
