--- a/oatport/control/queueing/capacity_pools.py
+++ b/oatport/control/queueing/capacity_pools.py
@@ -47,22 +47,23 @@
             or machine.zone in cluster.partitioned_zones
         ):
             continue
-        pool = _pool_of(machine, cluster.predictor, now)
-        if pool is not None:
-            pools.setdefault(machine.type.name, CapacityPool()).add(pool)
+        pool = pools.get(machine.type.name)
+        if pool is None:
+            pool = pools[machine.type.name] = CapacityPool()
+        _add_machine(pool, machine, cluster.predictor, now)
     return pools
 
 
-def _pool_of(machine: Machine, predictor: RuntimePredictor, now: int) -> CapacityPool | None:
-    """One machine; None if it should have booted long ago."""
+def _add_machine(pool: CapacityPool, machine: Machine, predictor: RuntimePredictor, now: int) -> None:
+    """Add one machine, unless it should have booted long ago."""
     cpus, work, best_effort_work = machine.type.cpus - machine.service_cpus, 0.0, 0.0
     if not machine.ready_at:
         # One that boots is capacity from then on: without it, a wave of work would rent on-demand what the spot
         # machines rented a moment ago are about to do.
         boot_time = micros(machine.type.boot_time_s)
         until_ready = machine.rented_at + round(boot_time * BOOT_TIME_MARGIN) - now
-        if until_ready < -boot_time:  # long overdue
-            return None
+        if until_ready < -boot_time:
+            return
         work = max(until_ready, 0) * cpus
     for task in machine.finite_tasks:
         job = task.job
@@ -72,9 +73,12 @@
             best_effort_work += remaining
         else:
             work += remaining
-    if machine.spot:
-        return CapacityPool(cpus, work, 0.0, 0.0, best_effort_work)
-    return CapacityPool(cpus, work, cpus, work, best_effort_work)
+    pool.cpus += cpus
+    pool.work += work
+    pool.best_effort_work += best_effort_work
+    if not machine.spot:
+        pool.owned_cpus += cpus
+        pool.owned_work += work
 
 
 def joint_pool(pools: PoolsByType, type_names: tuple[str, ...]) -> CapacityPool:
--- a/oatport/control/queueing/deadlines.py
+++ b/oatport/control/queueing/deadlines.py
@@ -18,10 +18,6 @@
     job: Job
     deadlines: list[int]
 
-    def without_first(self) -> DeadlineCandidate:
-        """It can't meet the first one."""
-        return DeadlineCandidate(self.job, self.deadlines[1:])
-
 
 def deadlines_of(cluster: ClusterState, job: Job) -> list[int]:
     """Times of day by which its completion is looked for, in order.
@@ -49,8 +45,11 @@
     job.deadline_missed = job.suspected_faulty
     if deadlines and not job.suspected_faulty:
         earliest_end = wall + predicted_runtime
-        attainable = (deadline for deadline in deadlines if deadline >= earliest_end)
-        job.attainable_deadline = next(attainable, wall + DEFAULT_DEADLINE)
+        if deadlines[0] >= earliest_end:
+            job.attainable_deadline = deadlines[0]
+        else:
+            later = (deadline for deadline in deadlines if deadline >= earliest_end)
+            job.attainable_deadline = next(later, wall + DEFAULT_DEADLINE)
 
 
 def mark_missed_deadlines(cluster: ClusterState, pools: PoolsByType, wall: int) -> None:
@@ -82,8 +81,9 @@
 def _mark_missed(pool: CapacityPool, candidates: list[DeadlineCandidate], wall: int) -> None:
     """Give every job that misses a deadline its next one, until none is left."""
     while candidates:
-        missed = [candidate.without_first() for candidate in _take_by_deadline(pool, candidates, wall)]
+        missed = _take_by_deadline(pool, candidates, wall)
         for candidate in missed:
+            candidate.deadlines = candidate.deadlines[1:]
             candidate.job.deadline_missed = not candidate.deadlines
         candidates = [candidate for candidate in missed if candidate.deadlines]
 
--- a/oatport/control/queueing/queue_wait.py
+++ b/oatport/control/queueing/queue_wait.py
@@ -5,6 +5,8 @@
 from bisect import bisect_left
 from dataclasses import dataclass, field
 
+import msgspec
+
 from oatport.control.queueing.capacity_pools import CapacityPool, PoolsByType, joint_pool
 from oatport.control.queueing.pending_queue import OrderKey, order_key
 from oatport.control.queueing.tier_router import SPOT
@@ -15,8 +17,7 @@
 WAIT_WITHOUT_MACHINES = 600 * SECOND
 
 
-@dataclass(frozen=True, slots=True)
-class QueueWait:
+class QueueWait(msgspec.Struct, frozen=True):
     """The predicted time until a job's last task starts."""
 
     any_machine: int
--- a/oatport/control/queueing/tier_router.py
+++ b/oatport/control/queueing/tier_router.py
@@ -4,14 +4,15 @@
 
 from dataclasses import dataclass, field
 
+import msgspec
+
 from oatport.control.queueing.runtime_predictor import RuntimePredictor
 from oatport.control.state.job import IDLE_RANK, Job
 
 OWNED, SPOT, ON_DEMAND = "owned", "spot", "on-demand"
 
 
-@dataclass(frozen=True, slots=True)
-class TierAvailability:
+class TierAvailability(msgspec.Struct, frozen=True):
     """How soon machines of each tier can take a job's tasks.
 
     DESIGN assumes that on-demand machines come when called; here the cloud may have refused them.
--- a/oatport/control/scaling/demand.py
+++ b/oatport/control/scaling/demand.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 
 from oatport.control.queueing.tier_router import SPOT
 from oatport.control.state.capacity import zone_cap
@@ -16,20 +16,21 @@
     job: Job
     remaining: int
     only_zone: str | None
-    tasks_by_zone: dict[str, int] = field(default_factory=dict)
-    zone_limit: int = field(init=False)
-    spot: bool = field(init=False)
-
-    def __post_init__(self) -> None:
-        self.zone_limit = zone_cap(self.job.spec)
-        self.spot = self.job.tier == SPOT
+    tasks_by_zone: dict[str, int]
+    zone_limit: int
+    spot: bool
 
     @classmethod
-    def of_pending_tasks(cls, job: Job, count: int) -> Demand:
+    def of_tasks(cls, job: Job, count: int) -> Demand:
         """`count` tasks beside those of the job that are on machines already."""
         tasks_by_zone = dict(job.tasks_by_zone)
         only_zone = next(iter(tasks_by_zone)) if job.spec.single_zone and tasks_by_zone else job.spec.zone
-        return cls(job, count, only_zone, tasks_by_zone)
+        return cls(job, count, only_zone, tasks_by_zone, zone_cap(job.spec), job.tier == SPOT)
+
+    @classmethod
+    def of_gang(cls, job: Job, zone: str | None) -> Demand:
+        """All tasks of a gang, in one zone unless that is None."""
+        return cls(job, job.pending, zone, {}, zone_cap(job.spec), job.tier == SPOT)
 
     def is_zone_full(self, zone: str) -> bool:
         """The job is spread over zones, and this one has its share."""
--- a/oatport/control/scaling/gang_scale_out.py
+++ b/oatport/control/scaling/gang_scale_out.py
@@ -66,7 +66,7 @@
         return sorted({zone for machine_type in self.cluster.feasible_types(job) for zone in machine_type.zones})
 
     def _plan_in(self, zone: str | None, job: Job, incoming: IncomingCapacity, now: int) -> GangPlan | None:
-        demand, plan = Demand(job, job.pending, zone), GangPlan()
+        demand, plan = Demand.of_gang(job, zone), GangPlan()
         self._use_existing(demand, incoming, plan)
         while demand.remaining > 0:
             slot = self.selector.choose(demand, now)
--- a/oatport/control/scaling/scale_in.py
+++ b/oatport/control/scaling/scale_in.py
@@ -147,6 +147,8 @@
         commands_cut_off = cut_off(sum(m.command_unreachable for m in machines), list(machines))
         for machine in machines:
             if not machine.releasing:  # else it was asked before without an answer
+                if machine.tasks or machine.orphaned_attempts:
+                    continue
                 if machine.command_unreachable and commands_cut_off:
                     continue  # it is rather this node that reaches none: others would be just as unreachable
                 if not self._should_release(machine, budget, now):
@@ -160,8 +162,7 @@
         return chosen[:MACHINES_PER_RELEASE]
 
     def _should_release(self, machine: Machine, budget: ReleaseBudget, now: int) -> bool:
-        if machine.tasks or machine.orphaned_attempts:
-            return False
+        """Is a machine without tasks to be returned?"""
         if self._is_unwanted(machine, now):
             return True
         if not machine.ready_at or not self._is_idle(machine, now):
--- a/oatport/control/scaling/scale_out.py
+++ b/oatport/control/scaling/scale_out.py
@@ -13,7 +13,6 @@
 from oatport.control.state.capacity import task_slots_when_empty
 from oatport.control.state.cluster_state import ClusterState
 from oatport.control.state.job import IDLE_RANK, Job, JobKind
-from oatport.control.state.machine import Machine
 from oatport.times import MS, SECOND, micros
 
 MACHINES_PER_REQUEST = 50  # PROTOCOL, POST /hosts
@@ -31,19 +30,16 @@
     by_completions: float = 0.0  # of running tasks that end before a rented machine could be up
     by_best_effort: float = 0.0  # of best-effort tasks, which give way to all others
 
-    def absorb_completions(self, demand: Demand) -> None:
-        """Count tasks on the CPUs that completions will free."""
-        cpus = demand.job.spec.cpus
+    def absorb(self, demand: Demand) -> None:
+        """Count tasks on the CPUs that completions will free, then on those that best-effort tasks give up."""
+        job, cpus = demand.job, demand.job.spec.cpus
         absorbed = min(demand.remaining, int(self.by_completions // cpus))
         self.by_completions -= absorbed * cpus
         demand.remaining -= absorbed
-
-    def absorb_best_effort(self, demand: Demand) -> None:
-        """Count tasks on the CPUs that best-effort tasks give up."""
-        cpus = demand.job.spec.cpus
-        absorbed = min(demand.remaining, int(self.by_best_effort // cpus))
-        self.by_best_effort -= absorbed * cpus
-        demand.remaining -= absorbed
+        if job.priority_rank < IDLE_RANK and demand.spot:
+            absorbed = min(demand.remaining, int(self.by_best_effort // cpus))
+            self.by_best_effort -= absorbed * cpus
+            demand.remaining -= absorbed
 
 
 @dataclass(slots=True)
@@ -145,26 +141,23 @@
         boot_time = min((micros(t.boot_time_s) for t in self.cluster.types.values()), default=DEFAULT_BOOT_TIME)
         released = ReleasedCpus()
         for machine in self.cluster.usable_machines:
-            self._add_released_by(machine, boot_time, released, now)
+            released.by_best_effort += machine.cpus_by_priority[IDLE_RANK]
+            for task in machine.finite_tasks:
+                job = task.job
+                if job.priority_rank == IDLE_RANK:
+                    released.by_best_effort -= job.spec.cpus if job.spec.gpus else 0.0
+                    continue
+                if not task.running_since or job.spec.gpus:
+                    continue
+                remaining = self.cluster.predictor.run_time(job.job_id, job.spec) - (now - task.running_since)
+                if remaining < boot_time:
+                    released.by_completions += job.spec.cpus
         return released
 
-    def _add_released_by(self, machine: Machine, boot_time: int, released: ReleasedCpus, now: int) -> None:
-        released.by_best_effort += machine.cpus_by_priority[IDLE_RANK]
-        for task in machine.finite_tasks:
-            job = task.job
-            if job.priority_rank == IDLE_RANK:
-                released.by_best_effort -= job.spec.cpus if job.spec.gpus else 0.0
-                continue
-            if not task.running_since or job.spec.gpus:
-                continue
-            remaining = self.cluster.predictor.run_time(job.job_id, job.spec) - (now - task.running_since)
-            if remaining < boot_time:
-                released.by_completions += job.spec.cpus
-
     def _plan_job(self, job: Job, current: ScaleOutPass) -> None:
         wanted = min(job.pending, self.cluster.quotas.room(job.spec))
         if job.kind is not JobKind.GANG:
-            self._plan_tasks(Demand.of_pending_tasks(job, wanted), current)
+            self._plan_tasks(Demand.of_tasks(job, wanted), current)
         elif wanted == job.pending and not job.on_machines:
             for slot in self._gangs.plan(job, current.incoming, current.now):
                 current.add(slot)
@@ -173,9 +166,7 @@
         """Machines for tasks that start one by one."""
         job = demand.job
         if job.kind is JobKind.ARRAY and not job.spec.gpus:
-            current.released.absorb_completions(demand)
-            if job.priority_rank < IDLE_RANK and demand.spot:
-                current.released.absorb_best_effort(demand)
+            current.released.absorb(demand)
         if demand.remaining <= 0:
             return
         self._use_incoming(demand, current.incoming)
--- a/tests/scale.py
+++ b/tests/call_counts.py
@@ -1,11 +1,11 @@
 """How much work grows with the size: counted on the in-memory world, never timed.
 
-    python -m tests.scale [MACHINES ...] [--waiting TASKS ...] [--on MACHINES]      tables for docs/measurements.md
+    python -m tests.call_counts [MACHINES ...] [--waiting TASKS ...] [--on MACHINES]      tables for docs/measurements.md
 
 Counted are calls of functions (Python's and built-in), changes of the state service, bytes of records and bytes held
-by the leader's view. A swarm, a huge array and a takeover come in the middle of each. With `--waiting`, all machines
-are full and so many tasks wait: what ten seconds of the leader's loops call while nothing changes, while work ends,
-and while jobs come.
+by the leader's view. Many small jobs, a huge array and a failover come in the middle of each. With `--waiting`, all
+machines are full and so many tasks are pending: what ten seconds of the leader's loops call while nothing changes,
+while tasks complete, and while jobs are submitted.
 """
 
 from __future__ import annotations
@@ -45,16 +45,16 @@
 class Counts:
     machines: int
     tasks: int = 0
-    fill: int = 0  # the first planning pass: everything waits, all machines are empty
+    fill: int = 0  # the first planning pass: everything is pending, all machines are empty
     route: int = 0
     plan: int = 0
-    rent: int = 0  # renting and returning
-    move: int = 0  # replicas together
-    report: int = 0  # all machines' reports once
+    rent: int = 0  # scale-out and scale-in
+    move: int = 0  # rebalancing of replicas
+    heartbeats: int = 0  # all machines' heartbeats once
     tick: int = 0
-    swarm: int = 0  # a planning pass with a swarm and a huge array waiting
-    takeover: int = 0
-    takeover_bytes: int = 0
+    small_jobs: int = 0  # a planning pass with many small jobs and a huge array pending
+    failover: int = 0
+    failover_bytes: int = 0
     changes: int = 0  # puts and deletes from an empty world to a full one
     held: int = 0  # bytes
 
@@ -105,12 +105,12 @@
     found.move = calls(lambda: world.fleet.rebalancer.replicas_to_move(world.now))
     world.now += 1_000_000
     reports = [wire.decode_heartbeat(worker.report()) for worker in world.workers.values()]
-    found.report = calls(lambda: [world.cluster.on_heartbeat(r, world.now, world.now) for r in reports])
+    found.heartbeats = calls(lambda: [world.cluster.on_heartbeat(r, world.now, world.now) for r in reports])
     found.tick = calls(lambda: world.cluster.account(world.now))
     for _ in range(machines // 2):
         submit(legs=1, cores=1.0, urgency="idle")
     submit(legs=20 * machines, cores=1.0, voyageS=100.0)
-    found.swarm = calls(world.plan)
+    found.small_jobs = calls(world.plan)
     world.commit()
     world.send()
     found.held = tracemalloc.get_traced_memory()[0] - before
@@ -122,27 +122,27 @@
         if key.startswith(("live/", "fleet/"))
         for row in (key, value)
     ]
-    found.takeover_bytes = len(wire.encode(rows))
-    found.takeover = calls(world.fail_over)
+    found.failover_bytes = len(wire.encode(rows))
+    found.failover = calls(world.fail_over)
     return found
 
 
 @dataclass
-class Rush:
-    """What ten seconds call with so many tasks waiting on full machines."""
-
-    waiting: int
-    quiet: int = 0  # nothing changes
-    longest: int = 0  # the dearest of those looks: what a claim, a report or a renewal may have to wait for
-    ends: int = 0  # ten tasks end each second
-    claims: int = 0  # and so many were claimed for that
-    comes: int = 0  # a job comes each second, and no machine has room
-    reports: int = 0  # all machines' reports once, which tell nothing new
+class Backlog:
+    """What ten seconds call with so many tasks pending on full machines."""
+
+    pending: int
+    unchanged: int = 0  # nothing changes
+    longest: int = 0  # the dearest of those looks: what a binding, a heartbeat or a lease renewal may have to wait for
+    completions: int = 0  # ten tasks complete each second
+    bindings: int = 0  # and so many were bound for that
+    submissions: int = 0  # a job is submitted each second, and no machine has capacity
+    heartbeats: int = 0  # all machines' heartbeats once, which are unchanged
     held: int = 0  # bytes, by the leader's view
 
 
-def rush(machines: int, tasks: int) -> Rush:
-    found = Rush(tasks)
+def backlog(machines: int, tasks: int) -> Backlog:
+    found = Backlog(tasks)
     world = World([Team("crew")])
     for number in range(1, machines + 1):
         world.machine(number, "ab"[number % 2], spot=number % 4 == 3)
@@ -208,16 +208,16 @@
 
     ten_seconds(lambda: None)  # machines and routes settle
     found.longest = 0
-    found.quiet = ten_seconds(lambda: None)
-    found.comes = ten_seconds(lambda: submit(legs=12, voyageS=50.0, tideS=300.0, cargo="van"))
+    found.unchanged = ten_seconds(lambda: None)
+    found.submissions = ten_seconds(lambda: submit(legs=12, voyageS=50.0, tideS=300.0, cargo="van"))
     on_machines = sum(cluster.tasks_by_priority)
-    found.ends = ten_seconds(ends)
-    found.claims = sum(cluster.tasks_by_priority) - on_machines + 100
+    found.completions = ten_seconds(ends)
+    found.bindings = sum(cluster.tasks_by_priority) - on_machines + 100
     world.commit()
     world.send()
     world.settle(3)
     reports = [wire.decode_heartbeat(worker.report()) for worker in world.workers.values()]
-    found.reports = calls(lambda: [cluster.on_heartbeat(r, world.now, world.now) for r in reports])
+    found.heartbeats = calls(lambda: [cluster.on_heartbeat(r, world.now, world.now) for r in reports])
     return found
 
 
@@ -229,13 +229,13 @@
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser(prog="python -m tests.scale", description=__doc__.splitlines()[0])
+    parser = argparse.ArgumentParser(prog="python -m tests.call_counts", description=__doc__.splitlines()[0])
     parser.add_argument("machines", nargs="*", type=int)
-    parser.add_argument("--waiting", nargs="+", type=int, help="tasks that wait on full machines")
+    parser.add_argument("--waiting", nargs="+", type=int, help="tasks that are pending on full machines")
     parser.add_argument("--on", type=int, default=430, help="how many machines those are")
     asked = parser.parse_args()
     if asked.waiting:
-        table([rush(asked.on, tasks) for tasks in asked.waiting], list(Rush.__dataclass_fields__))
+        table([backlog(asked.on, tasks) for tasks in asked.waiting], list(Backlog.__dataclass_fields__))
     else:
         table([measure(size) for size in asked.machines or [75, 150, 300]], list(Counts.__dataclass_fields__))
 
--- a/tests/test_guests.py
+++ b/tests/test_best_effort_jobs.py
@@ -1,4 +1,4 @@
-"""Guests: idle work of teams without a guarantee uses what is cheap and free, and costs others nothing."""
+"""Best-effort jobs of teams without a guarantee use what is cheap and free, and cost others nothing."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 from oatport.times import SECOND
 from tests.world import World
 
-TEAMS = [Team("crew", cpus=8.0, cpus_max=32.0), Team("guests")]
-IDLE = {"urgency": "idle", "crew": "guests", "cores": 2.0}
+TEAMS = [Team("crew", cpus=8.0, cpus_max=32.0), Team("scavenger")]
+BEST_EFFORT = {"urgency": "idle", "crew": "scavenger", "cores": 2.0}
 
 
-def test_a_guests_long_array_is_rented_spot_for_and_no_owned_machine() -> None:
-    # It was sent to owned room, of which there was none for it all day.
+def test_spot_machines_and_no_owned_one_are_rented_for_a_long_best_effort_array() -> None:
+    # It was sent to owned machines, of which there was none for it all day.
     world = World(TEAMS)
     world.machine(1)
     world.settle()
-    ref = world.submit(legs=20, voyageS=300.0, **IDLE)
+    ref = world.submit(legs=20, voyageS=300.0, **BEST_EFFORT)
     world.settle()
     assert world.cluster.jobs[ref].tier == SPOT
     assert world.live(ref) == {}  # the empty owned machine is not kept for it
@@ -29,44 +29,44 @@
     assert not any(not rental.spot for rental in world.fleet.scale_out.plan(world.now))
 
 
-def test_guests_fill_the_room_beside_replicas() -> None:
+def test_best_effort_tasks_use_the_capacity_beside_replicas() -> None:
     world = World(TEAMS)
     world.machine(1)
     world.submit(ref="j-000001", rig="standing", urgency="production", legs=1, driftwood=False)
     world.settle()
-    guest = world.submit(ref="j-000002", legs=4, voyageS=300.0, **IDLE)
+    best_effort = world.submit(ref="j-000002", legs=4, voyageS=300.0, **BEST_EFFORT)
     world.settle()
-    assert len(world.live(guest)) == 2
+    assert len(world.live(best_effort)) == 2
     # They give way at once.
     world.submit(ref="j-000003", rig="standing", urgency="production", legs=1, driftwood=False)
     world.settle()
     assert len(world.live("j-000003")) == 1
 
 
-def test_an_owned_machine_that_only_guests_use_runs_empty() -> None:
+def test_an_owned_machine_with_best_effort_tasks_only_is_cordoned() -> None:
     world = World(TEAMS)
     world.machine(1)
     service = world.submit(ref="j-000001", rig="standing", urgency="production", legs=1, driftwood=False)
     world.settle()
-    guest = world.submit(ref="j-000002", legs=4, voyageS=300.0, **IDLE)
+    best_effort = world.submit(ref="j-000002", legs=4, voyageS=300.0, **BEST_EFFORT)
     world.settle()
     world.cancel(service)
     world.settle()
-    assert len(world.live(guest)) == 2
+    assert len(world.live(best_effort)) == 2
     world.fleet.scale_in.update_cordons()
     assert world.cluster.machines["vm-000001"].cordoned_for_scale_in
 
 
-def test_a_swarm_does_not_claim_more_than_can_be_written_down_soon() -> None:
+def test_many_small_jobs_are_not_bound_faster_than_they_can_be_recorded() -> None:
     world = World(TEAMS)
     for number in range(1, 13):
         world.machine(number, spot=True)
     world.settle(2)
     for number in range(100):
-        world.submit(ref=f"j-{number:06d}", legs=1, memoryGb=0.5, **{**IDLE, "cores": 0.25})
+        world.submit(ref=f"j-{number:06d}", legs=1, memoryGb=0.5, **{**BEST_EFFORT, "cores": 0.25})
     world.plan()
-    claimed = sum(job.on_machines for job in world.cluster.jobs.values())
-    assert 0 < claimed < 40
+    bound = sum(job.on_machines for job in world.cluster.jobs.values())
+    assert 0 < bound < 40
     urgent = world.submit(ref="j-000200", urgency="production", rig="standing", legs=1)
     world.step()
     assert len(world.live(urgent)) == 1
@@ -74,12 +74,12 @@
     assert sum(job.on_machines for job in world.cluster.jobs.values()) == 101
 
 
-def test_a_huge_array_and_a_swarm_are_planned_and_written_in_little_work() -> None:
+def test_a_huge_array_and_many_small_jobs_are_planned_and_recorded_in_little_work() -> None:
     world = World(TEAMS)
     for number in range(1, 5):
         world.machine(number, spot=True)
     world.settle(2)
-    huge = world.submit(legs=25_000, voyageS=5.0, memoryGb=0.5, **IDLE)
+    huge = world.submit(legs=25_000, voyageS=5.0, memoryGb=0.5, **BEST_EFFORT)
     world.settle(12)
     job = world.cluster.jobs[huge]
     assert len(job.completed) > 16
@@ -88,26 +88,26 @@
     keys = [key for key in world.state.items if key.startswith(f"live/{huge}")]
     assert len(keys) <= 3
     for number in range(2, 300):
-        world.submit(ref=f"j-{number:06d}", legs=1, memoryGb=0.5 + number / 1e6, **{**IDLE, "cores": 8.0})
-    fitting = world.placer.feasibility.feasible_machines
-    looked = []
+        world.submit(ref=f"j-{number:06d}", legs=1, memoryGb=0.5 + number / 1e6, **{**BEST_EFFORT, "cores": 8.0})
+    feasible_machines_of = world.placer.feasibility.feasible_machines
+    examined = []
 
-    def counted(waiting: object, machines: list[object]) -> object:
-        looked.append(len(machines))
-        return fitting(waiting, machines)  # type: ignore[arg-type]
+    def counted(pending: object, machines: list[object]) -> object:
+        examined.append(len(machines))
+        return feasible_machines_of(pending, machines)  # type: ignore[arg-type]
 
     world.placer.feasibility.feasible_machines = counted  # type: ignore[method-assign, assignment]
     world.plan()
-    assert len(looked) <= 30  # one that found no room speaks for all that need as much
+    assert len(examined) <= 30  # one that found no capacity speaks for all that need as much
 
 
-def test_guests_give_way_at_once_and_nothing_is_rented_for_what_they_free() -> None:
-    """An array got room for eight tasks in four seconds, and ordinary machines were rented for the rest."""
-    world = World([Team("crew", cpus=8.0), Team("guests")])
+def test_best_effort_tasks_give_way_at_once_and_nothing_is_rented_for_what_they_free() -> None:
+    """An array got capacity for eight tasks in four seconds, and ordinary machines were rented for the rest."""
+    world = World([Team("crew", cpus=8.0), Team("scavenger")])
     for number in range(1, 11):
         world.machine(number, spot=True)
     world.settle(2)
-    world.submit(ref="j-000001", legs=40, voyageS=300.0, **IDLE)
+    world.submit(ref="j-000001", legs=40, voyageS=300.0, **BEST_EFFORT)
     world.settle()
     array = world.submit(ref="j-000002", legs=16, tideS=70.0)
     world.plan()
@@ -116,13 +116,13 @@
     assert len(world.live(array)) == 16
 
 
-def test_surplus_machines_that_are_needed_again_are_told() -> None:
-    """What waited had room on them, and was rented for all the same."""
+def test_cordoned_machines_that_are_needed_again_are_reported() -> None:
+    """What was pending had capacity on them, and machines were rented for it all the same."""
     world = World(TEAMS)
     world.machine(1)
     service = world.submit(ref="j-000001", rig="standing", urgency="production", legs=1, driftwood=False)
     world.settle()
-    world.submit(ref="j-000002", legs=4, voyageS=300.0, **IDLE)
+    world.submit(ref="j-000002", legs=4, voyageS=300.0, **BEST_EFFORT)
     world.settle()
     world.cancel(service)
     world.settle()
@@ -133,13 +133,13 @@
     assert not world.fleet.scale_in.update_cordons()
 
 
-def test_a_new_machine_is_written_down_before_a_swarms_claims() -> None:
+def test_a_new_machine_is_recorded_before_the_bindings_of_many_small_jobs() -> None:
     world = World(TEAMS)
     for number in range(1, 3):
         world.machine(number, spot=True)
     world.settle(2)
     for number in range(20):
-        world.submit(ref=f"j-{number:06d}", legs=1, memoryGb=0.5, **{**IDLE, "cores": 0.25})
+        world.submit(ref=f"j-{number:06d}", legs=1, memoryGb=0.5, **{**BEST_EFFORT, "cores": 0.25})
     world.plan()
     world.machine(50, spot=True)
     world.report(world.workers["vm-000050"])
@@ -147,26 +147,26 @@
     assert next(iter(batch.sets)).startswith("fleet/")
 
 
-def test_guests_tasks_do_not_set_the_threshold() -> None:
+def test_best_effort_tasks_do_not_set_the_spot_threshold() -> None:
     world = World(TEAMS)
     world.machine(1, spot=True)
     world.settle(2)
-    guest = world.cluster.jobs[world.submit(ref="j-000001", legs=50, voyageS=2.0, **IDLE)]
+    best_effort = world.cluster.jobs[world.submit(ref="j-000001", legs=50, voyageS=2.0, **BEST_EFFORT)]
     world.settle(30)
-    assert len(guest.completed) > 20
+    assert len(best_effort.completed) > 20
     assert world.cluster.router.threshold == 120 * SECOND
     array = world.cluster.jobs[world.submit(ref="j-000002", legs=2, voyageS=30.0)]
     world.settle(2)
     assert array.tier == SPOT
 
 
-def test_nobody_is_stopped_for_room_that_is_being_left() -> None:
+def test_nobody_is_stopped_for_capacity_that_is_being_freed() -> None:
     """While the first saved for 3 s, more were stopped each second, on other machines."""
-    world = World([Team("crew", cpus=8.0), Team("guests")])
+    world = World([Team("crew", cpus=8.0), Team("scavenger")])
     for number in range(1, 11):
         world.machine(number, spot=True)
     world.settle(2)
-    world.submit(ref="j-000001", legs=40, voyageS=300.0, mooringS=30.0, stowS=3.0, **IDLE)
+    world.submit(ref="j-000001", legs=40, voyageS=300.0, mooringS=30.0, stowS=3.0, **BEST_EFFORT)
     world.settle()
     world.submit(ref="j-000002", legs=2)
     stopped = set()
--- a/tests/test_faults.py
+++ b/tests/test_failure_attribution.py
@@ -23,8 +23,8 @@
     return list(world.cluster.machines.values())
 
 
-def test_jobs_that_fail_everywhere_cost_no_machine() -> None:
-    # Each of two such jobs failed on two healthy machines, which were set aside for good and returned.
+def test_jobs_that_fail_everywhere_drain_no_machine() -> None:
+    # Each of two such jobs failed on two healthy machines, which were drained for good and returned.
     world = World()
     for number in (1, 2):
         world.machine(number)
@@ -43,7 +43,7 @@
     assert len(world.live(good)) == 6
 
 
-def test_a_suspect_job_runs_a_task_at_a_time_with_longer_pauses_and_nothing_is_done_for_it() -> None:
+def test_a_suspected_job_runs_a_task_at_a_time_with_backoff_and_without_preemption_or_rental() -> None:
     world = World()
     for number in (1, 2, 3):
         world.machine(number)
@@ -58,7 +58,9 @@
     assert failures[0] == 5 or failures[0] == 6
     assert max(failures[2:]) <= 1
     assert 1 <= sum(failures[2:]) <= 6
-    assert world.cluster.predictor.run_time(ref, world.cluster.jobs[ref].spec) == 30_000_000  # no lesson learnt
+    assert (
+        world.cluster.predictor.run_time(ref, world.cluster.jobs[ref].spec) == 30_000_000
+    )  # nothing is learnt from it
     # It stops nobody else's work, and nothing is rented for it.
     assert len(world.live(idle)) == 1
     job = world.cluster.jobs[ref]
@@ -73,7 +75,7 @@
     assert world.record(ref) == "aborted"
 
 
-def test_a_faulty_machine_is_set_aside_by_jobs_that_run_elsewhere() -> None:
+def test_a_faulty_machine_is_drained_by_jobs_that_run_elsewhere() -> None:
     world = World()
     bad = world.machine(1)
     refs = [world.submit(ref=f"j-00000{number}", legs=1) for number in (1, 2)]
@@ -83,13 +85,13 @@
     good = world.machine(2)
     world.settle()
     assert len(good.starts) == 2  # they run elsewhere at once
-    assert not world.cluster.machines[bad.name].draining  # not proven yet: it may be the jobs
+    assert not world.cluster.machines[bad.name].draining  # not confirmed yet: it may be the jobs
     world.settle(32)
     assert world.cluster.machines[bad.name].draining
     assert [m.name for m in world.fleet.scale_in.machines_to_release(world.now)] == [bad.name]
 
 
-def test_a_job_wrongly_suspected_is_cleared_by_its_first_task_done() -> None:
+def test_a_job_wrongly_suspected_is_cleared_by_its_first_completed_task() -> None:
     world = World()
     bad: list[Worker] = [world.machine(1), world.machine(2)]
     ref = world.submit(legs=4)
@@ -106,7 +108,7 @@
     assert world.record(ref) == "done"
 
 
-def test_a_suspicion_outlives_a_takeover() -> None:
+def test_a_suspicion_outlives_a_failover() -> None:
     world = World()
     for number in (1, 2):
         world.machine(number)
--- a/tests/test_evening.py
+++ b/tests/test_one_way_partitions.py
@@ -1,4 +1,4 @@
-"""The end of a day: machines that don't hear, late copies of reports, ends within a blink, and the largest jobs."""
+"""One-way partitions: machines that commands don't reach, late copies of heartbeats; and jobs larger than others."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from tests.world import World, job
 
 
-def test_a_machine_that_does_not_hear_gets_no_work_until_it_has_shown_that_it_does() -> None:
+def test_a_machine_that_commands_do_not_reach_gets_no_work_until_one_does() -> None:
     """Its session ends, it reports itself empty, and looked like the best place for what it had just lost."""
     world = World()
     command_unreachable, other = world.machine(1), world.machine(2)
@@ -29,7 +29,7 @@
     lost = world.cluster.machines[command_unreachable.name]
     assert lost.command_unreachable
     assert not lost.tasks
-    assert len(world.live(first)) == 1  # the other waits for room, and not there
+    assert len(world.live(first)) == 1  # the other waits for capacity, and not there
     assert other.name in next(iter(world.live(first).values()))
     world.mute.clear()
     world.settle(2)
@@ -37,7 +37,7 @@
     assert len(world.live(first)) == 2
 
 
-def test_a_start_that_reports_never_list_means_that_the_machine_does_not_hear() -> None:
+def test_a_start_that_heartbeats_never_list_means_that_commands_do_not_arrive() -> None:
     world = World()
     world.machine(1)
     world.settle(2)
@@ -48,7 +48,7 @@
     assert world.cluster.machines["vm-000001"].command_unreachable
 
 
-def test_a_leader_that_reaches_none_does_not_return_the_fleet() -> None:
+def test_a_leader_that_reaches_no_machine_does_not_release_them() -> None:
     world = World()
     for number in range(1, 6):
         world.machine(number)
@@ -87,7 +87,7 @@
     assert [order["orderKind"] for order in answer["orders"]] == ["start"]
 
 
-def test_troubles_of_the_evening_break_no_rule() -> None:
+def test_one_way_partitions_and_late_copies_break_no_rule() -> None:
     for number, fault in enumerate(
         (
             Fault("machine_deaf", 12.0, 20.0, count=5),
@@ -104,14 +104,14 @@
         assert (found.violations, found.errors) == ([], []), fault.kind
 
 
-def test_copies_of_reports_taken_for_new_ones_are_noticed() -> None:
+def test_copies_of_heartbeats_taken_for_new_ones_are_noticed() -> None:
     plan = Plan((Fault("report_copies", 8.0, 40.0, amount=20.0),), 50.0, 3, 20, 40.0)
     asked = Asked(plan=plan, guard="copies")
     assert any(play(asked, seed).violations for seed in range(8))
 
 
-def test_the_largest_is_passed_over_by_its_equals_only_for_so_long() -> None:
-    """Moore and Hodgson's rule gives up the largest first: as long as a rush lasted, it never began."""
+def test_the_largest_job_starves_only_for_so_long() -> None:
+    """Moore and Hodgson's rule gives up the largest first: as long as a burst lasted, it never began."""
     world = World([Team("crew")])
     world.machine(1)
     world.settle(2)
@@ -134,11 +134,11 @@
     assert not jobs[large].starving
 
 
-def test_the_status_line_tells_how_many_of_the_largest_began() -> None:
+def test_the_status_line_shows_how_many_of_the_largest_jobs_began() -> None:
     world = World([Team("crew")])
     world.machine(1)
     world.settle(2)
-    large = world.submit(ref="j-000100", legs=50, accelerators=1.0)  # there is no room for it
+    large = world.submit(ref="j-000100", legs=50, accelerators=1.0)  # no machine has capacity for it
     for number in range(1, 20):
         world.submit(ref=f"j-{number:06d}", legs=1, cores=0.25, voyageS=5.0)
     world.settle(10)
--- a/tests/test_rush.py
+++ b/tests/test_overload.py
@@ -1,4 +1,4 @@
-"""A rush: thousands of tasks wait while all machines are full. What that may cost, and that no decision changes."""
+"""A backlog: thousands of pending tasks while all machines are full. What it may cost, and that no decision changes."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from oatport.control.state.machine import Machine
 from oatport.settings import Team
 from oatport.times import SECOND
-from tests.scale import calls, rush
+from tests.call_counts import backlog, calls
 from tests.world import TYPES, World, job
 
 
@@ -26,12 +26,12 @@
     return wire.decode_submission(job(**changes))
 
 
-def waiting(number: int, **changes: Any) -> Job:
+def pending_job(number: int, **changes: Any) -> Job:
     return Job(f"j-{number:06d}", spec(ref=f"j-{number:06d}", **changes), 1, number * SECOND)
 
 
-def day(seed: int) -> list[tuple[str, str]]:
-    """What ran where on a drawn day of arrays, services, gangs and guests, with ends, faults and lost machines."""
+def placements_of_a_random_day(seed: int) -> list[tuple[str, str]]:
+    """What ran where on a random day of arrays, services, gangs and best-effort jobs, with a lost machine."""
     rng = random.Random(seed)
     world = World([Team("crew", cpus=40.0), Team("other", cpus_max=24.0)])
     for number in range(1, 13):
@@ -42,12 +42,12 @@
     for step in range(30):
         for _ in range(rng.randrange(3)):
             number = 1000 + step * 10 + rng.randrange(10)
-            sort = rng.choice(["array", "array", "array", "service", "gang", "guest"])
+            sort = rng.choice(["array", "array", "array", "service", "gang", "best-effort"])
             changes: dict[str, Any] = {
                 "array": {"legs": rng.randrange(1, 9), "voyageS": rng.choice([20.0, 90.0]), "tideS": 60.0 * step},
                 "service": {"rig": "standing", "legs": 3, "cores": 2.0, "urgency": "production", "spread": True},
                 "gang": {"rig": "gang", "legs": 2, "accelerators": 2.0, "cores": 6.0, "urgency": "high"},
-                "guest": {"legs": 20, "cores": 1.0, "urgency": "idle"},
+                "best-effort": {"legs": 20, "cores": 1.0, "urgency": "idle"},
             }[sort]
             ref = f"j-{number:06d}"
             if ref not in world.cluster.jobs:
@@ -65,19 +65,21 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_lines_place_what_a_look_at_every_job_would_place(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Leaving a line early saves looks and changes no placement: the same day with all jobs looked at one by one."""
-    by_lines = day(seed)
+def test_equivalence_classes_place_what_a_look_at_every_job_would_place(
+    seed: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """Leaving a class early saves looks and changes no placement: the same day with all jobs looked at one by one."""
+    by_classes = placements_of_a_random_day(seed)
     monkeypatch.setattr(pending_queue, "is_interchangeable", lambda job: False)
-    assert day(seed) == by_lines
-    assert len(by_lines) > 50
+    assert placements_of_a_random_day(seed) == by_classes
+    assert len(by_classes) > 50
 
 
-def test_the_agenda_walks_in_order_while_jobs_come_and_go() -> None:
+def test_the_pending_queue_walks_in_order_while_jobs_come_and_go() -> None:
     rng = random.Random(7)
     found = PendingQueue()
     jobs = [
-        waiting(n, tideS=float(rng.randrange(60, 600)), urgency=rng.choice(["normal", "high", "idle"]))
+        pending_job(n, tideS=float(rng.randrange(60, 600)), urgency=rng.choice(["normal", "high", "idle"]))
         for n in range(1, 200)
     ]
     for one in jobs[:150]:
@@ -87,7 +89,7 @@
         found.add(one)
     for one in jobs[:40]:
         found.discard(one)
-    jobs[60].deadline_at = 1  # most pressing now
+    jobs[60].deadline_at = 1  # most urgent now
     found.reposition(jobs[60])
     assert [one for _, one in found.walk()] == sorted(jobs[40:], key=order_key)
     walked = []
@@ -98,8 +100,8 @@
     assert found.smallest_cpus() == 4.0
 
 
-def test_nothing_is_looked_at_while_nothing_changes() -> None:
-    """Counted: a look at ten thousand waiting tasks costs what one at none does."""
+def test_pending_jobs_are_not_examined_while_nothing_changes() -> None:
+    """Counted: a look at ten thousand pending tasks costs what one at none does."""
 
     def look(tasks: int) -> int:
         world = World([Team("crew")])
@@ -121,15 +123,15 @@
     assert look(10_000) <= 2 * look(0)
 
 
-def test_a_rush_ten_times_as_large_costs_at_most_ten_times_as_much() -> None:
-    small, large = rush(60, 300), rush(60, 3000)
-    assert small.claims == large.claims == 100  # all the room that came free was taken
-    for name in ("quiet", "ends", "comes", "longest"):
+def test_a_backlog_ten_times_as_large_costs_at_most_ten_times_as_much() -> None:
+    small, large = backlog(60, 300), backlog(60, 3000)
+    assert small.bindings == large.bindings == 100  # all the capacity that came free was used
+    for name in ("unchanged", "completions", "submissions", "longest"):
         assert getattr(large, name) < 10 * getattr(small, name), name
-    assert large.reports == small.reports < 10 * 60  # what tells nothing new costs the same however much waits
+    assert large.heartbeats == small.heartbeats < 10 * 60  # unchanged ones cost the same however much is pending
 
 
-def test_room_that_comes_free_is_looked_at_though_nothing_else_changed() -> None:
+def test_freed_capacity_is_planned_for_though_nothing_else_changed() -> None:
     world = World()
     worker = world.machine(1)
     world.step()
@@ -145,7 +147,7 @@
     assert (f"{second}/0", 1) in worker.starts
 
 
-def test_times_that_a_pass_noted_bring_the_next_one() -> None:
+def test_wakeups_that_a_pass_noted_bring_the_next_one() -> None:
     """A refused start keeps a machine from more for three seconds; a job backs off: no event ends that."""
     world = World()
     world.machine(1)
@@ -162,8 +164,8 @@
     assert world.placer.due(world.now + SECOND // 2)
 
 
-def test_a_team_at_its_limit_is_not_searched_for_work_that_it_does_not_run() -> None:
-    """Each of its waiting jobs went through all that the team ran, twice a second."""
+def test_a_team_at_its_limit_is_not_searched_for_victims_that_it_does_not_have() -> None:
+    """Each of its pending jobs went through all that the team ran, twice a second."""
     world = World([Team("crew", cpus_max=8.0)])
     for number in range(1, 6):
         world.machine(number)
@@ -179,7 +181,7 @@
     assert len(world.live(service)) == 1  # which it would make room for
 
 
-def test_a_job_that_comes_between_is_routed_by_its_place_in_the_queue() -> None:
+def test_a_job_submitted_between_routings_is_routed_by_its_place_in_the_queue() -> None:
     world = World([Team("crew")])
     world.machine(1)
     world.step()
@@ -188,46 +190,46 @@
     router = PendingJobRouter(world.cluster, world.fleet.availability)
     router.step(world.now, world.now)
     routed = {one.job_id: one.tier for one in world.cluster.pending}
-    pressing = world.cluster.jobs[world.submit(legs=1, voyageS=10.0, tideS=60.0)]
+    urgent = world.cluster.jobs[world.submit(legs=1, voyageS=10.0, tideS=60.0)]
     counted = calls(lambda: router.step(world.now, world.now))
-    assert pressing.tier
+    assert urgent.tier
     assert counted < 150  # the others were not looked at
-    assert {one.job_id: one.tier for one in world.cluster.pending if one is not pressing} == routed
-    assert next(one for _, one in world.cluster.pending.walk()) is pressing
+    assert {one.job_id: one.tier for one in world.cluster.pending if one is not urgent} == routed
+    assert next(one for _, one in world.cluster.pending.walk()) is urgent
 
 
-def test_routing_slows_down_with_what_there_is_to_route() -> None:
+def test_routing_interval_grows_with_the_backlog() -> None:
     world = World([Team("crew")])
     router = PendingJobRouter(world.cluster, world.fleet.availability)
     assert router.interval() == ROUTING_INTERVAL
     for number in range(800):
-        world.cluster.pending.add(waiting(number + 1))
+        world.cluster.pending.add(pending_job(number + 1))
     assert ROUTING_INTERVAL < router.interval() < ROUTING_INTERVAL_MAX
     for number in range(800, 5000):
-        world.cluster.pending.add(waiting(number + 1))
+        world.cluster.pending.add(pending_job(number + 1))
     assert router.interval() == ROUTING_INTERVAL_MAX
 
 
-def test_coming_room_is_found_in_order_and_looked_at_once_a_shape() -> None:
+def test_incoming_slots_are_found_in_order_and_examined_once_per_equivalence_class() -> None:
     rng = random.Random(3)
-    rooms, plain = IncomingCapacity(), []
+    incoming, plain = IncomingCapacity(), []
     for number in range(200):
         kind = TYPES[rng.choice(["m8", "g16"])]
         zone, on_spot = "ab"[number % 2], rng.random() < 0.5
-        rooms.add(CapacitySlot.of(kind, zone, on_spot))
+        incoming.add(CapacitySlot.of(kind, zone, on_spot))
         plain.append(CapacitySlot.of(kind, zone, on_spot))
     wants = [(spec(cores=rng.choice([1.0, 4.0, 12.0])), rng.random() < 0.5) for _ in range(300)]
     for want, on_spot in wants:
-        found = rooms.first_feasible(want, on_spot, ("m8", "g16"), ["a", "b"])
+        found = incoming.first_feasible(want, on_spot, ("m8", "g16"), ["a", "b"])
         expected = next((r for r in plain if (on_spot or not r.spot) and r.free_slots(want) > 0), None)
         assert (found is None) == (expected is None)
         if found is not None and expected is not None:
             assert plain[found.position] is expected
             assert found.reserve(want, 1) == expected.reserve(want, 1) == 1
-    assert rooms.slots_examined < 2 * len(wants) + 6 * len(plain)  # and not one times the other
+    assert incoming.slots_examined < 2 * len(wants) + 6 * len(plain)  # and not one times the other
 
 
-def test_no_more_is_planned_than_is_asked_for() -> None:
+def test_no_more_machines_are_planned_than_are_requested() -> None:
     world = World([Team("crew")])
     for _ in range(40):
         world.submit(legs=100, voyageS=20.0)
@@ -237,7 +239,7 @@
     assert not world.fleet.scale_out.due(world.now + SECOND // 10)
 
 
-def test_what_is_refused_again_and_again_is_asked_for_less_often() -> None:
+def test_repeated_refusals_are_retried_less_often() -> None:
     world = World()
     rental = ScaleOutRequest("m8", "a", True, 5)
     pauses = []
@@ -255,10 +257,10 @@
     assert world.fleet.availability.refused_until["m8", "a", True] - world.now == REFUSAL_BACKOFF
 
 
-# --- reports that tell nothing new ----------------------------------------------------------------
+# --- unchanged heartbeats ----------------------------------------------------------------
 
 
-def calm_world(**changes: Any) -> tuple[World, Machine, str]:
+def settled_world(**changes: Any) -> tuple[World, Machine, str]:
     world = World()
     world.machine(1)
     world.machine(2)
@@ -270,24 +272,24 @@
     return world, machine, ref
 
 
-def test_a_report_that_tells_nothing_new_costs_one_comparison() -> None:
-    world, machine, _ = calm_world()
+def test_an_unchanged_heartbeat_costs_one_comparison() -> None:
+    world, machine, _ = settled_world()
     report = wire.decode_heartbeat(world.workers[machine.name].report())
     world.now += SECOND
     assert calls(lambda: world.cluster.on_heartbeat(report, world.now, world.now)) < 10
     assert machine.last_heartbeat_at == world.now
 
 
-def test_a_task_that_is_missing_from_a_calm_machine_is_seen() -> None:
-    world, machine, ref = calm_world()
+def test_a_task_missing_from_a_settled_machine_is_noticed() -> None:
+    world, machine, ref = settled_world()
     del world.workers[machine.name].tasks[(f"{ref}/0", 1)]
     world.settle()
     assert [attempt for worker in world.workers.values() for _, attempt in worker.starts] == [1, 2]
 
 
-def test_a_stray_on_a_calm_machine_is_seen() -> None:
+def test_an_orphaned_attempt_on_a_settled_machine_is_noticed() -> None:
     """A start of an earlier leader's that arrives late."""
-    world, machine, _ = calm_world(cores=4.0)
+    world, machine, _ = settled_world(cores=4.0)
     other = world.submit(legs=1, cores=1.0, berthKinds=["g16"], sizeGb=0.0)
     world.workers[machine.name].commands(
         wire.command_request(world.cluster.token, machine.agent_epoch, [wire.StartCommand(f"{other}/0", 7)])
@@ -297,22 +299,22 @@
     assert (f"{other}/0", 7) in machine.orphaned_attempts
 
 
-def test_a_cancelled_task_on_a_calm_machine_is_stopped() -> None:
-    world, _, ref = calm_world()
+def test_a_cancelled_task_on_a_settled_machine_is_stopped() -> None:
+    world, _, ref = settled_world()
     world.cancel(ref)
     world.settle()
     assert world.live(ref) == {}
 
 
-def test_a_lost_session_of_a_calm_machine_is_seen() -> None:
-    world, machine, ref = calm_world()
+def test_a_new_agent_epoch_of_a_settled_machine_is_noticed() -> None:
+    world, machine, ref = settled_world()
     world.workers[machine.name].answered_at = world.now - 60 * SECOND
     world.settle()
     assert sum(len(worker.starts) for worker in world.workers.values()) == 2
     assert len(world.live(ref)) == 1
 
 
-def test_a_start_that_never_went_out_is_seen_to() -> None:
+def test_a_start_that_was_never_sent_is_sent() -> None:
     """Beyond so many machines at a time, commands wait: a start was once left to the next look at all tasks."""
     world = World()
     world.machine(1)
--- a/tests/test_repeats.py
+++ b/tests/test_retry_policy.py
@@ -1,4 +1,4 @@
-"""Jobs whose class limits repeats: each way an attempt ends, and what users and later leaders are told."""
+"""Jobs whose class limits retries: each way an attempt ends, and what users and later leaders learn of it."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 from tests.test_service import leader
 from tests.world import FakeStateClient, World, node_settings
 
-MODES = (RetryPolicy.ANY, RetryPolicy.BEFORE_START, RetryPolicy.NEVER)
+POLICIES = (RetryPolicy.ANY, RetryPolicy.BEFORE_START, RetryPolicy.NEVER)
 
 
-def world_with(repeat: RetryPolicy, **changes: Any) -> tuple[World, str, Worker]:
-    """A job of one task; its claim is committed, nothing was sent yet."""
+def world_with(policy: RetryPolicy, **changes: Any) -> tuple[World, str, Worker]:
+    """A job of one task; its binding is committed, nothing was sent yet."""
     world = World()
-    world.repeats["train"] = repeat
+    world.repeats["train"] = policy
     world.cluster.retry_policies = world.repeats
     worker = world.machine(1)
     world.settle(2)
@@ -34,8 +34,8 @@
     return world, ref, worker
 
 
-def running(repeat: RetryPolicy, **changes: Any) -> tuple[World, str, Worker]:
-    world, ref, worker = world_with(repeat, **changes)
+def running(policy: RetryPolicy, **changes: Any) -> tuple[World, str, Worker]:
+    world, ref, worker = world_with(policy, **changes)
     world.send()
     world.step(1.0)
     assert world.live(ref)
@@ -47,26 +47,26 @@
     other = world.machine(7)
     for _ in range(8):
         world.step(1.0)
-    starts = [key for worker in [*world.workers.values(), *GONE] for key in worker.starts if key[0].startswith(ref)]
+    starts = [key for worker in [*world.workers.values(), *RELEASED] for key in worker.starts if key[0].startswith(ref)]
     assert other
     return world.record(ref), len(starts)
 
 
-GONE: list[Worker] = []
+RELEASED: list[Worker] = []
 
 
 @pytest.fixture(autouse=True)
-def nothing_gone() -> None:
-    GONE.clear()
+def nothing_released() -> None:
+    RELEASED.clear()
 
 
 def release(world: World, worker: Worker) -> None:
-    GONE.append(worker)
+    RELEASED.append(worker)
     world.refused.discard(worker.name)
     world.released(worker.name)
 
 
-def taken_back(world: World, worker: Worker) -> None:
+def reclaimed(world: World, worker: Worker) -> None:
     release(world, worker)
 
 
@@ -89,15 +89,15 @@
     world.step(0.5)
 
 
-@pytest.mark.parametrize("ends", [taken_back, silent_and_released, lease_ended, failed])
-@pytest.mark.parametrize("repeat", MODES)
+@pytest.mark.parametrize("ends", [reclaimed, silent_and_released, lease_ended, failed])
+@pytest.mark.parametrize("policy", POLICIES)
 def test_what_may_have_begun_runs_again_only_if_its_class_allows(
-    repeat: RetryPolicy, ends: Callable[[World, Worker], None]
+    policy: RetryPolicy, ends: Callable[[World, Worker], None]
 ) -> None:
-    world, ref, worker = running(repeat)
+    world, ref, worker = running(policy)
     ends(world, worker)
     state, starts = state_after(world, ref)
-    if repeat is RetryPolicy.ANY:
+    if policy is RetryPolicy.ANY:
         assert starts == 2
     else:
         assert (state, starts) == (wire.JobStatus.FAILED, 1)
@@ -105,60 +105,60 @@
 
 
 @pytest.mark.parametrize("why", ["full", "in_use", "unknown"])
-@pytest.mark.parametrize("repeat", MODES)
-def test_a_refused_start_never_began(repeat: RetryPolicy, why: str) -> None:
-    world, ref, worker = world_with(repeat)
+@pytest.mark.parametrize("policy", POLICIES)
+def test_a_refused_start_never_began(policy: RetryPolicy, why: str) -> None:
+    world, ref, worker = world_with(policy)
     task = next(iter(world.cluster.jobs[ref].tasks.values()))
     worker.tasks[(task.name, task.attempt)] = Held("ended", why)
     world.send()
     world.step(0.5)
     state, starts = state_after(world, ref)
-    assert (state, starts) == ((wire.JobStatus.FAILED, 0) if repeat is RetryPolicy.NEVER else ("queued", 1))
+    assert (state, starts) == ((wire.JobStatus.FAILED, 0) if policy is RetryPolicy.NEVER else ("queued", 1))
 
 
-@pytest.mark.parametrize("repeat", MODES)
-def test_an_unanswered_start_may_have_begun(repeat: RetryPolicy) -> None:
-    world, ref, worker = world_with(repeat)
+@pytest.mark.parametrize("policy", POLICIES)
+def test_an_unanswered_start_may_have_begun(policy: RetryPolicy) -> None:
+    world, ref, worker = world_with(policy)
     world.refused.add(worker.name)
     world.send()  # lost on its way, or not: who knows
     release(world, worker)
     state, starts = state_after(world, ref)
-    assert (state, starts) == (("queued", 1) if repeat is RetryPolicy.ANY else (wire.JobStatus.FAILED, 0))
+    assert (state, starts) == (("queued", 1) if policy is RetryPolicy.ANY else (wire.JobStatus.FAILED, 0))
 
 
-@pytest.mark.parametrize("repeat", MODES)
-def test_a_claim_that_was_never_sent_is_no_attempt(repeat: RetryPolicy) -> None:
-    world, ref, worker = world_with(repeat)
+@pytest.mark.parametrize("policy", POLICIES)
+def test_a_binding_that_was_never_sent_is_no_attempt(policy: RetryPolicy) -> None:
+    world, ref, worker = world_with(policy)
     release(world, worker)
     state, starts = state_after(world, ref)
     assert (state, starts) == ("queued", 1)
 
 
-@pytest.mark.parametrize("repeat", MODES)
-def test_a_node_killed_between_commit_and_send(repeat: RetryPolicy) -> None:
-    """In the session of the claim, the worker does not list it: so it never began."""
-    world, ref, _ = world_with(repeat)
+@pytest.mark.parametrize("policy", POLICIES)
+def test_a_node_killed_between_commit_and_send(policy: RetryPolicy) -> None:
+    """In the agent epoch of the binding, the worker does not list it: so it never began."""
+    world, ref, _ = world_with(policy)
     world.fail_over()
     state, starts = state_after(world, ref)
-    assert (state, starts) == ((wire.JobStatus.FAILED, 0) if repeat is RetryPolicy.NEVER else ("queued", 1))
+    assert (state, starts) == ((wire.JobStatus.FAILED, 0) if policy is RetryPolicy.NEVER else ("queued", 1))
 
 
-@pytest.mark.parametrize("repeat", MODES)
-def test_a_node_killed_between_commit_and_send_and_the_lease_ended_too(repeat: RetryPolicy) -> None:
-    world, ref, worker = world_with(repeat)
+@pytest.mark.parametrize("policy", POLICIES)
+def test_a_node_killed_between_commit_and_send_and_the_lease_ended_too(policy: RetryPolicy) -> None:
+    world, ref, worker = world_with(policy)
     world.now += 12 * SECOND
     worker.advance()
     world.fail_over()
     state, starts = state_after(world, ref)
-    assert (state, starts) == (("queued", 1) if repeat is RetryPolicy.ANY else (wire.JobStatus.FAILED, 0))
+    assert (state, starts) == (("queued", 1) if policy is RetryPolicy.ANY else (wire.JobStatus.FAILED, 0))
 
 
-def test_the_decision_outlives_a_takeover_at_any_moment() -> None:
+def test_the_decision_outlives_a_failover_at_any_moment() -> None:
     """A row of a task that may not run again once looked like one that waits for its next attempt."""
     for committed in (False, True):
-        GONE.clear()
+        RELEASED.clear()
         world, ref, worker = running(RetryPolicy.BEFORE_START, legs=2)
-        GONE.append(worker)
+        RELEASED.append(worker)
         world.machine(2)
         world.released(worker.name)
         assert world.cluster.jobs[ref].failure_reason
@@ -174,12 +174,12 @@
         assert (state, starts) == (wire.JobStatus.FAILED, 2)
 
 
-def test_the_rest_of_a_lost_job_is_stopped_before_that_is_told() -> None:
+def test_the_rest_of_a_lost_job_is_stopped_before_that_is_recorded() -> None:
     world, ref, worker = running(RetryPolicy.BEFORE_START, legs=4)
     other = world.machine(2)
     world.settle(2)
     assert [key for key in other.starts if key[0].startswith(ref)]
-    GONE.append(worker)
+    RELEASED.append(worker)
     world.released(worker.name)
     world.commit()
     assert world.record(ref) == "queued"  # tasks of it still run
@@ -188,7 +188,7 @@
     assert not world.live(ref)
 
 
-def test_limited_work_is_not_stopped_for_others_nor_for_a_notice() -> None:
+def test_at_most_once_work_is_not_stopped_for_others_nor_for_a_reclamation_notice() -> None:
     world, ref, worker = running(RetryPolicy.BEFORE_START, legs=2)
     worker.notice_s = 10.0
     world.step(1.0)
@@ -206,7 +206,7 @@
     assert state_after(world, ref) == ("queued", 1)
 
 
-async def test_users_are_told_nothing_that_the_protocol_forbids() -> None:
+async def test_users_see_nothing_that_the_protocol_forbids() -> None:
     world, ref, worker = running(RetryPolicy.NEVER)
     release(world, worker)
     state_after(world, ref)
@@ -254,7 +254,7 @@
     return ask
 
 
-def test_settings_of_repeats_name_the_class(tmp_path: Path) -> None:
+def test_retry_settings_name_the_class(tmp_path: Path) -> None:
     path = tmp_path / "own.ini"
     path.write_text("[repeat]\nMoves = before_start\nreplays = never\n")
     assert load_retry_policies(path) == {"Moves": RetryPolicy.BEFORE_START, "replays": RetryPolicy.NEVER}
--- a/tests/test_scale.py
+++ b/tests/test_scalability.py
@@ -4,7 +4,7 @@
 
 from dataclasses import asdict
 
-from tests.scale import measure
+from tests.call_counts import measure
 
 
 def test_twice_the_machines_and_tasks_are_at_most_two_and_a_half_times_the_work() -> None:
--- a/tests/test_planner.py
+++ b/tests/test_window_planner.py
@@ -82,7 +82,7 @@
 
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(st.lists(needs, max_size=25), units, capacities)
-def test_room_is_taken_and_given_back_exactly(jobs: list[Need], unit: list[float], capacity: float) -> None:
+def test_capacity_is_reserved_and_released_exactly(jobs: list[Need], unit: list[float], capacity: float) -> None:
     made = planner(unit, capacity)
     for need in jobs:
         made.add(need)
@@ -96,32 +96,32 @@
 
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(st.lists(needs, max_size=20), units, st.lists(st.integers(1, 900), min_size=1, max_size=60))
-def test_every_task_is_told_once_and_in_time(jobs: list[Need], unit: list[float], steps: list[int]) -> None:
+def test_every_task_is_released_once_and_in_time(jobs: list[Need], unit: list[float], steps: list[int]) -> None:
     made = planner(unit, 50.0)
     wanted = {need.ref: need for need in jobs}
     for need in wanted.values():
         made.add(need)
-    told = dict.fromkeys(wanted, 0)
+    released = dict.fromkeys(wanted, 0)
     now = NOW
     for step in [0, *steps, 50 * 300]:
         now += step * SECOND
         made.at(now)
         for ref, count in made.due():
-            told[ref] += count
+            released[ref] += count
         made.improve(3)
         for ref, plan in made.plans.items():
             assert plan.need.latest > now, (ref, plan)  # whoever is still held may still wait
-    assert told == {ref: need.tasks for ref, need in wanted.items()}
+    assert released == {ref: need.tasks for ref, need in wanted.items()}
 
 
 @settings(max_examples=80, deadline=None, derandomize=True)
 @given(st.lists(needs, max_size=12), st.sampled_from([20.0, 40.0]))
-def test_more_room_never_makes_a_deadline_fail(jobs: list[Need], capacity: float) -> None:
-    """Equal prices, so that only room decides: who has room in time with less of it has so with more."""
+def test_more_capacity_never_makes_a_deadline_fail(jobs: list[Need], capacity: float) -> None:
+    """Equal prices, so that only capacity decides: who has it in time with less has so with more."""
     jobs = [replace(need, cpus=1.0, run=STEP, ref=f"{number}") for number, need in enumerate(jobs)]
 
-    def late(room: float) -> set[str]:
-        made = planner([1.0] * SLOTS, room)
+    def late(capacity: float) -> set[str]:
+        made = planner([1.0] * SLOTS, capacity)
         for need in sorted(jobs, key=lambda need: need.latest):
             made.add(need)
         return {ref for ref, plan in made.plans.items() if plan.crowded}
--- a/tests/test_windows.py
+++ b/tests/test_windows.py
@@ -1,4 +1,4 @@
-"""Cheaper hours: what a feed may say, and held work through failures. The planner's properties: test_planner.py."""
+"""Cheaper hours: what a feed may say, and held work through failures. The planner: test_window_planner.py."""
 
 from __future__ import annotations
 
