--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -19,7 +19,7 @@
 from oatport.settings import Team
 from oatport.times import SECOND
 from tests.call_counts import backlog, calls
-from tests.world import TYPES, World, job
+from tests.cluster_fixture import TYPES, World, job
 
 
 def spec(**changes: Any) -> wire.Submission:
--- a/tests/test_peer_messages.py
+++ b/tests/test_peer_messages.py
@@ -12,7 +12,6 @@
 from oatport.api.peer_api import PeerApi
 from oatport.clients.http import Keep
 from oatport.clients.peer import PeerClient, UnexpectedReplyError
-from oatport.lab.world.state import KeyStore
 from oatport.peer_messages import (
     CancellationWatermark,
     CancellationWatermarkRequest,
@@ -46,8 +45,9 @@
 )
 from oatport.service.node import Node
 from oatport.settings import Tuning
-from tests.test_service import Body
-from tests.world import FakeStateClient, node_settings
+from oatport.simulation.state_service import KeyStore
+from tests.cluster_fixture import FakeStateClient, node_settings
+from tests.test_node_failures import Body
 
 # Written by the code before the messages were typed: a request to a node that does not lead, its status, and the reply
 # or the text of the refusal. Times in replies are 0.
