--- a/oatport/clients/http.py
+++ b/oatport/clients/http.py
@@ -11,12 +11,13 @@
 from yarl import URL
 
 from oatport import wire
+from oatport.errors import OatportError
 from oatport.times import SECOND, seconds, steady
 
-HEADERS = {"Content-Type": wire.CBOR_TYPE}
+HEADERS = {"Content-Type": wire.CBOR_CONTENT_TYPE}
 
 
-class NoResponseError(Exception):
+class NoResponseError(OatportError):
     """No answer came: the request may have been executed, or may still be."""
 
 
@@ -24,7 +25,7 @@
     """No connection came about: the request can't be executed (PROTOCOL, "Delayed messages")."""
 
 
-class RequestRefusedError(Exception):
+class RequestRefusedError(OatportError):
     """Answered that it was not executed (429, 503)."""
 
     def __init__(self, status: int, value: Any = None) -> None:
@@ -124,7 +125,7 @@
         """Status and decoded body."""
         # Built encoded, since slashes in keys go over the wire as they are.
         url = URL(f"{self._base}{path}{'?' + query if query else ''}", encoded=True)
-        data = None if body is None else wire.dumps(body)
+        data = None if body is None else wire.encode(body)
         try:
             async with asyncio.timeout(seconds(timeout_us)):
                 async with self._session.request(
@@ -139,6 +140,6 @@
         if not raw:
             return status, None
         try:
-            return status, wire.loads(raw)
+            return status, wire.decode(raw)
         except wire.InvalidMessageError as error:
             raise NoResponseError(f"status {status} with a body that is {error}") from None
--- a/oatport/control/state/task_lifecycle.py
+++ b/oatport/control/state/task_lifecycle.py
@@ -9,7 +9,7 @@
 
 from oatport import wire
 from oatport.control.placement import failure_attribution
-from oatport.control.placement.retry_policy import RetryPolicies, RetryPolicy, may_repeat, never_sent
+from oatport.control.placement.retry_policy import RetryPolicies, RetryPolicy, may_retry, never_sent
 from oatport.control.queueing.dependency_tracker import DependencyTracker
 from oatport.control.queueing.pending_queue import PendingQueue
 from oatport.control.queueing.runtime_predictor import RuntimePredictor
@@ -59,7 +59,7 @@
         self.start_objectives = {
             aim.job_class: micros(aim.within_s) for aim in settings.objectives if aim.kind == "wait"
         }
-        self.router.start_aims = self.start_objectives
+        self.router.start_objectives = self.start_objectives
         # class -> the multiples of its jobs' deadlines that users look at, the nearest first
         self.deadline_objectives: dict[str, tuple[float, ...]] = {}
         self.completion_objectives: dict[str, tuple[int, ...]] = {}  # class -> how soon its jobs should be done
@@ -151,8 +151,8 @@
 
     def image_fetch_us(self, job: Job) -> int:
         """How long its image takes to get to a machine of the types that suit it."""
-        rates = [kind.fetch_gb_per_s for kind in self.preferred_types(job) if kind.fetch_gb_per_s > 0]
-        return micros(job.spec.image_gb / min(rates)) if rates else 0
+        rates = [kind.image_fetch_gb_per_s for kind in self.preferred_types(job) if kind.image_fetch_gb_per_s > 0]
+        return micros(job.spec.image_size_gb / min(rates)) if rates else 0
 
     def set_urgency(self, job: Job, rank: int, dues: list[int]) -> None:
         """What jobs that need it ask of it. Its tasks on machines count with its priority."""
@@ -166,7 +166,7 @@
             if task.machine is not None:
                 self._count_priority(task, task.machine, 1)
         job.inherited_deadlines, job.deadlines, job.deadline_at, job.attainable_deadline = dues, None, 0, 0
-        self.pending.urged(job)
+        self.pending.reroute(job)
         self.planning_needed = True
 
     def _count_priority(self, task: Task, machine: Machine, sign: int) -> None:
@@ -246,7 +246,7 @@
         """So many more tasks of a held job may start. Not written by itself: the plan that is recorded says so."""
         if job.start_limit < 0 or job.cancelled or job.completing:
             return
-        job.start_limit = min(max(job.start_limit, job.next_untouched) + count, job.spec.tasks)
+        job.start_limit = min(max(job.start_limit, job.next_untouched) + count, job.spec.task_count)
         if job not in self.pending:
             job.unplaced_since = self.now or 1
         self.pending.add(job)
@@ -342,7 +342,7 @@
             self.complete_task(task, self.now, measured=False)  # one of them is done, so it is as well
             return
         repeat = self.retry_policies.get(job.spec.job_class, RetryPolicy.ANY)
-        if not job.cancelled and not may_repeat(repeat, task, unexecuted):
+        if not job.cancelled and not may_retry(repeat, task, unexecuted):
             self.fail_job(task, "a task may have begun and may not run again")
             return
         if task.machine is not None:
@@ -386,7 +386,11 @@
         Running tasks exit with `mates_gone` by themselves and a stopped one would do no harm.
         """
         for task in list(job.tasks.values()):
-            if task.phase is TaskPhase.BOUND and task.status in ("", wire.FETCHING, wire.WAITING):
+            if task.phase is TaskPhase.BOUND and task.status in (
+                "",
+                wire.TaskStatus.FETCHING_IMAGE,
+                wire.TaskStatus.WAITING_FOR_GANG,
+            ):
                 self.stop(task, 0.0)
 
     def begin_binding(self, job: Job, machine: Machine, now: int, attempt: int | None = None) -> Task:
@@ -442,9 +446,9 @@
             if machine is not None:
                 self._learn_speed(machine, took, self.predictor.run_time(job.job_id, job.spec))
             self.on_runtime_measured(job, took)
-            self.predictor.finished(job.job_id, job.spec, took)
+            self.predictor.task_completed(job.job_id, job.spec, took)
         if machine is not None:
-            failure_attribution.task_done(job, machine, self.machines, now)
+            failure_attribution.record_success(job, machine, self.machines, now)
             self.unbind(task)
         job.tasks.pop(task.index, None)
         job.completed.add(task.index)
@@ -455,7 +459,7 @@
             self.complete_gang(job)
         if job.cancelled:
             self._delete_if_gone(job)
-        elif len(job.completed) >= job.spec.tasks and not job.completing:
+        elif len(job.completed) >= job.spec.task_count and not job.completing:
             job.completing = True
             self.pending.discard(job)
             self.jobs_to_complete[job] = None
@@ -481,8 +485,8 @@
             self._note_completion(task)
             self.mark_dirty(task)
         job.retry_queue.clear()
-        job.completed.update(range(job.next_untouched, job.spec.tasks))
-        job.next_untouched = job.spec.tasks
+        job.completed.update(range(job.next_untouched, job.spec.task_count))
+        job.next_untouched = job.spec.task_count
         self.pending.discard(job)
 
     @staticmethod
@@ -529,4 +533,6 @@
         if job.tier in (SPOT, ""):
             return True
         spec = job.spec
-        return spec.spot and spec.checkpoint_s > 0 and spec.gpus > 0 and spec.job_class in self.start_objectives
+        return (
+            spec.spot and spec.checkpoint_interval_s > 0 and spec.gpus > 0 and spec.job_class in self.start_objectives
+        )
--- a/oatport/lab/windows.py
+++ b/oatport/lab/windows.py
@@ -15,8 +15,8 @@
 from oatport.control.queueing.runtime_predictor import RuntimePredictor
 from oatport.control.state.cluster_state import ClusterState
 from oatport.control.state.job import Job
-from oatport.lab.bound import least_cost, possible
-from oatport.lab.night import BEGINS, CLASS, CPUS, HOUR, Night, NightJob, draw
+from oatport.lab.cost_lower_bound import least_cost, possible
+from oatport.lab.window_workload import BEGINS, CLASS, CPUS, HOUR, Night, NightJob, draw
 from oatport.settings import CloudLimits, ClusterSettings, StateLimits, Team, Tuning, Workers
 from oatport.times import SECOND
 from oatport.windows.holding import Holder
@@ -113,10 +113,10 @@
             memory_gb=256.0,
             price=1.0,
             spot_price=0.4,
-            boot_s=30.0,
+            boot_time_s=30.0,
             zones=["z"],
-            fetch_gb_per_s=1.0,
-            cache_gb=100.0,
+            image_fetch_gb_per_s=1.0,
+            image_cache_gb=100.0,
         )
     }
     return ClusterState(1, limits, Tuning(), types, RuntimePredictor())
@@ -160,9 +160,9 @@
         for ref, took in room.until(now, before):
             held = cluster.jobs[ref]
             cluster.on_runtime_measured(held, took)
-            cluster.predictor.finished(ref, held.spec, took)
+            cluster.predictor.task_completed(ref, held.spec, took)
             held.completed.add(len(held.completed))
-            if len(held.completed) == held.spec.tasks:
+            if len(held.completed) == held.spec.task_count:
                 cluster.remove_job(held)
         for ref, count in opened.items():
             if ref in cluster.jobs:
@@ -180,7 +180,7 @@
 
 def _may(job: Job) -> int:
     """How many of its tasks may have started."""
-    return job.spec.tasks if job.start_limit < 0 else job.start_limit
+    return job.spec.task_count if job.start_limit < 0 else job.start_limit
 
 
 def _timed(outcome: AcceptOutcome, work: Callable[..., Any], *arguments: Any) -> None:
@@ -228,7 +228,7 @@
         "plan_ms_max": round(times[-1], 3),
     }
     if page is not None:
-        from oatport.lab.page import write
+        from oatport.lab.report_page import write
 
         write(page, night, immediate, windows, result)
     return result
--- a/oatport/service/leader.py
+++ b/oatport/service/leader.py
@@ -18,7 +18,7 @@
 from oatport.control.leadership.leader_lease import LeaderLease, PauseDetector
 from oatport.control.placement.placer import Placer
 from oatport.control.placement.retry_policy import RetryPolicies
-from oatport.control.queueing.queue_estimator import QueueEstimator
+from oatport.control.queueing.pending_job_router import PendingJobRouter
 from oatport.control.queueing.runtime_predictor import RuntimePredictor
 from oatport.control.state.cluster_state import ClusterState
 from oatport.control.state.completions import Completion
@@ -27,6 +27,7 @@
 from oatport.control.storage.overflow_records import lies_apart, note_slim
 from oatport.control.storage.recovery import LeaseRenewalLimit, load, read_job, types_recorded
 from oatport.control.storage.write_buffer import JOBS, MODEL_KEY, job_key
+from oatport.peer_messages import JobAccepted, JobCancelled, JobProgressUpdate, PeerMessage
 from oatport.service.background_tasks import BackgroundTasks
 from oatport.service.catalog import read_types
 from oatport.service.cloud_controller import CloudController
@@ -98,7 +99,7 @@
         self._send_wanted = asyncio.Event()
         self._sending: set[Machine] = set()
         self._commanded = 0  # requests to workers since the last tick
-        self._early_hints: list[tuple[str, str, Any, int]] = []  # told before the records were loaded
+        self._early_hints: list[JobAccepted | JobCancelled] = []  # told before the records were loaded
         self._watch_from = 0
         self._reading: set[str] = set()  # ids of jobs that are looked up
 
@@ -120,8 +121,8 @@
         self._watch_from = revision
         self.lease_renewal_limit.known(asked)
         self.loaded = True
-        for kind, ref, value, rev in self._early_hints:
-            self._apply_job_hint(kind, ref, value, rev)
+        for hint in self._early_hints:
+            self._apply_job_hint(hint)
         self._early_hints.clear()
         log.info(
             "leading with token %d: %d jobs, %d machines recorded",
@@ -205,19 +206,19 @@
 
     # --- jobs told by nodes or seen in the watch -----------------------------------------------
 
-    def on_job_hint(self, kind: str, ref: str, value: Any, revision: int) -> None:
+    def on_job_hint(self, hint: JobAccepted | JobCancelled) -> None:
         if not self.loaded:
             if len(self._early_hints) < 10_000:
-                self._early_hints.append((kind, ref, value, revision))
+                self._early_hints.append(hint)
             return
-        self._apply_job_hint(kind, ref, value, revision)
+        self._apply_job_hint(hint)
 
-    def _apply_job_hint(self, kind: str, ref: str, value: Any, revision: int) -> None:
-        if kind == "cancelled":
-            self.cluster.cancel_confirmed(ref, revision, self.lease_renewal_limit.known_at)
-        elif not self._knows_job(ref) and revision > self._watch_from and "more" not in value:
+    def _apply_job_hint(self, hint: JobAccepted | JobCancelled) -> None:
+        if isinstance(hint, JobCancelled):
+            self.cluster.cancel_confirmed(hint.job_id, hint.revision, self.lease_renewal_limit.known_at)
+        elif not self._knows_job(hint.job_id) and hint.revision > self._watch_from and "more" not in hint.record:
             # An older one was seen by the load or by the watch, and may be over already.
-            self._admit(ref, value, revision)
+            self._admit(hint.job_id, hint.record, hint.revision)
         self.wake()
 
     def _knows_job(self, ref: str) -> bool:
@@ -257,7 +258,7 @@
             last = {item["set"]: item for item in news if "set" in item}
             try:
                 for item in last.values():
-                    if "more" in item["value"] and item["value"]["state"] not in wire.OVER:
+                    if "more" in item["value"] and item["value"]["state"] not in wire.TERMINAL_STATUSES:
                         item["value"] = await read_whole(self.state, item["value"])
             except (NoResponseError, RequestRefusedError):
                 await asyncio.sleep(jitter(300 * MS))
@@ -265,11 +266,11 @@
             # Of each job only the last: one that came and ended meanwhile is not taken up again.
             for key, item in last.items():
                 ref, state = key[len(JOBS) :], str(item["value"]["state"])
-                if state == wire.CANCELLED:
+                if state == wire.JobStatus.CANCELLED:
                     self.cluster.cancel_job(ref, int(item["entryRev"]), self.lease_renewal_limit.known_at)
-                elif state == wire.DONE:
+                elif state == wire.JobStatus.COMPLETED:
                     self.cluster.on_completion_recorded(ref, int(item["value"].get("ended", 0)))
-                elif state not in wire.OVER and not self._knows_job(ref):
+                elif state not in wire.TERMINAL_STATUSES and not self._knows_job(ref):
                     self._admit(ref, item["value"], int(item["entryRev"]))
             self._watch_from = max(self._watch_from, revision)
             for ref in [ref for ref, at in self.cluster.terminal_revisions.items() if at <= self._watch_from]:
@@ -301,18 +302,21 @@
         )
         return steady() - done if done > 0 else -1
 
-    def answer_heartbeat(self, report: wire.Report) -> dict[str, Any] | None:
+    def answer_heartbeat(self, report: wire.Heartbeat) -> dict[str, Any] | None:
         if not self.may_answer_heartbeats():
             return None
-        if report.token > self.token:
-            self.step_down(f"a worker has seen token {report.token}")
+        if report.fencing_token > self.token:
+            self.step_down(f"a worker has seen token {report.fencing_token}")
             return None
         now = self.now()
-        known = self.cluster.machines.get(report.machine)
-        late = known is not None and (report.session, report.seq) <= (known.agent_epoch, known.heartbeat_seq)
+        known = self.cluster.machines.get(report.machine_name)
+        late = known is not None and (report.agent_epoch, report.heartbeat_seq) <= (
+            known.agent_epoch,
+            known.heartbeat_seq,
+        )
         machine = self.receive_heartbeat(report, now)
         if machine is None:
-            return wire.report_answer(self.token, [])
+            return wire.heartbeat_response(self.token, [])
         self.cluster.on_heartbeat_delivered(machine, report)
         if machine.command_unreachable:
             self.cloud_controller.watcher.ask([machine], now)
@@ -326,14 +330,14 @@
             # Tasks live on, but nothing starts while the state service can't be reached, or after standing still. What
             # is to be returned is still told to stop: without the cloud's answer it may go on for long, and with
             # every answer lives the lease of a task whose job's user was told that it is cancelled.
-            orders = [order for order in orders if order["orderKind"] != "start"]
+            orders = [order for order in orders if not isinstance(order, wire.StartCommand)]
             starts = []
         self.cluster.on_commands_sent(machine, starts, now, direct=False)
         if machine not in self._sending:
             self.cluster.machines_to_command.discard(machine)
-        return wire.report_answer(self.token, orders)
+        return wire.heartbeat_response(self.token, orders)
 
-    def receive_heartbeat(self, report: wire.Report, now: int) -> Machine | None:
+    def receive_heartbeat(self, report: wire.Heartbeat, now: int) -> Machine | None:
         machine = self.cluster.on_heartbeat(report, now, time_of_day())
         if self.cluster.quotas.unknown:
             self._read_orphaned_jobs()
@@ -346,7 +350,7 @@
     # --- placing and sending ------------------------------------------------------------------
 
     async def _plan_loop(self) -> None:
-        backlog = QueueEstimator(self.cluster, self.cloud_controller.fleet)
+        router = PendingJobRouter(self.cluster, self.cloud_controller.fleet.availability)
         while not self.stopped:
             try:
                 async with asyncio.timeout(0.5):
@@ -360,7 +364,7 @@
                 # preempted for it would be lost.
                 await asyncio.sleep(0.1)
                 continue
-            backlog.step(now, wall)
+            router.step(now, wall)
             if self.placer.due(now):
                 self.placer.plan(now)
                 self.wake()
@@ -411,8 +415,8 @@
             except NoResponseError as error:
                 log.debug("commands to %s: %s", machine.name, error)
                 return
-            if report.token > self.token:
-                self.step_down(f"a worker has seen token {report.token}")
+            if report.fencing_token > self.token:
+                self.step_down(f"a worker has seen token {report.fencing_token}")
                 return
             cluster.on_commands_answered(machine, keys)
             cluster.on_contact(machine)
@@ -460,7 +464,7 @@
 
     async def _read_orphaned_job(self, ref: str) -> None:
         try:
-            found = await self.state.get(job_key(ref)) if wire.valid_ref(ref) else None
+            found = await self.state.get(job_key(ref)) if wire.is_job_id(ref) else None
         except (NoResponseError, RequestRefusedError):
             return  # asked again with the next tick
         finally:
@@ -483,25 +487,27 @@
             everything = rounds % 10 == 0  # a node that was started meanwhile knows none
             stirred = list(self.cluster.jobs_with_changed_counts)
             self.cluster.jobs_with_changed_counts.clear()
-            changed: dict[str, list[int]] = {}
+            changed: dict[str, tuple[int, int]] = {}
             for job in jobs.values() if everything else stirred:
                 count = self._count(job)
                 if job.job_id in jobs and (everything or counts.get(job.job_id) != count):
                     counts[job.job_id] = count
-                    changed[job.job_id] = list(count)
+                    changed[job.job_id] = count
             ended = [ref for ref in counts if ref not in jobs]
             for ref in ended:
                 del counts[ref]
             if changed or ended:
                 for peer in self.node.peers.values():
-                    self.background.once("display", _tell(peer, "display", changed, ended))
+                    self.background.once("display", _tell(peer, JobProgressUpdate(changed, ended)))
 
     @staticmethod
     def _count(job: Job) -> tuple[int, int]:
-        running = sum(1 for t in job.tasks.values() if t.status in (wire.RUNNING, wire.SAVING))
+        running = sum(
+            1 for t in job.tasks.values() if t.status in (wire.TaskStatus.RUNNING, wire.TaskStatus.CHECKPOINTING)
+        )
         return len(job.completed), running
 
 
-async def _tell(peer: PeerClient, *message: Any) -> None:
+async def _tell(peer: PeerClient, message: PeerMessage) -> None:
     with contextlib.suppress(NoResponseError):
-        await peer.ask(*message)
+        await peer.notify(message)
--- a/oatport/lab/world/builds.py
+++ b/oatport/simulation/production_build.py
@@ -19,12 +19,14 @@
 from pathlib import Path
 from typing import Any
 
+import msgspec
+
 from oatport.clients.http import Keep, NoResponseError, RequestNotSentError
-from oatport.lab.world.loop import Host
-from oatport.lab.world.net import Net
 from oatport.service.node import Node
+from oatport.simulation.network import Net
+from oatport.simulation.virtual_time import Host
 
-ROOT = Path(__file__).resolve().parents[3]
+ROOT = Path(__file__).resolve().parents[2]
 PACKAGE = "oatport"
 
 
@@ -75,7 +77,7 @@
         raise HistoryUnavailableError(f"deploy/service.toml names no version in production: {error}") from None
 
 
-def lay_tree(root: Path = ROOT) -> Path:
+def unpack_production_tree(root: Path = ROOT) -> Path:
     """The tree of the version in production, under target/."""
     commit = production_commit(root)
     tree = root / "target" / "production" / commit
@@ -100,10 +102,23 @@
     return tree
 
 
+def _resolve_annotations() -> None:
+    """Resolve the annotations of all message types imported now.
+
+    msgspec does so at a type's first use, by the name of its module in `sys.modules`: by then it finds this version's
+    module of the same name, or none.
+    """
+    for name, module in list(sys.modules.items()):
+        if name == PACKAGE or name.startswith(PACKAGE + "."):
+            for value in vars(module).values():
+                if isinstance(value, type) and issubclass(value, msgspec.Struct):
+                    msgspec.json.Decoder(value)
+
+
 @cache
 def production(root: Path = ROOT) -> Build:
     """Import it. Raises NoHistory."""
-    tree = lay_tree(root)
+    tree = unpack_production_tree(root)
     own = {name: module for name, module in sys.modules.items() if name == PACKAGE or name.startswith(PACKAGE + ".")}
     for name in own:
         del sys.modules[name]
@@ -116,6 +131,7 @@
             times=importlib.import_module(f"{PACKAGE}.times"),
             settings=importlib.import_module(f"{PACKAGE}.settings"),
         )
+        _resolve_annotations()
     finally:
         sys.path.remove(str(tree))
         for name in [n for n in sys.modules if n == PACKAGE or n.startswith(PACKAGE + ".")]:
--- a/tests/scale.py
+++ b/tests/call_counts.py
@@ -1,6 +1,6 @@
 """How much work grows with the size: counted on the in-memory world, never timed.
 
-    python -m tests.scale [MACHINES ...] [--waiting TASKS ...] [--on MACHINES]      tables for docs/measurements.md
+    python -m tests.call_counts [MACHINES ...] [--waiting TASKS ...] [--on MACHINES]   tables for docs/measurements.md
 
 Counted are calls of functions (Python's and built-in), changes of the state service, bytes of records and bytes held
 by the leader's view. A swarm, a huge array and a takeover come in the middle of each. With `--waiting`, all machines
@@ -19,10 +19,10 @@
 from typing import Any
 
 from oatport import wire
-from oatport.control.queueing.queue_estimator import QueueEstimator, route_waiting
+from oatport.control.queueing.pending_job_router import PendingJobRouter, route_pending
 from oatport.settings import Team
 from oatport.times import SECOND
-from tests.world import World
+from tests.cluster_fixture import World
 
 
 def calls(work: Callable[[], Any]) -> int:
@@ -91,16 +91,20 @@
         world.report(worker)
     world.commit()
     found.tasks = sum(job.on_machines for job in world.cluster.jobs.values())
-    found.route = calls(lambda: route_waiting(world.cluster, world.fleet, world.now, world.now))
+    found.route = calls(lambda: route_pending(world.cluster, world.fleet.availability, world.now, world.now))
     found.plan = calls(lambda: world.placer.plan(world.now))
     world.commit()
     world.send()
     found.rent = calls(
-        lambda: (world.fleet.mark_surplus(world.now), world.fleet.wanted(world.now), world.fleet.to_release(world.now))
+        lambda: (
+            world.fleet.scale_in.update_cordons(),
+            world.fleet.scale_out.plan(world.now),
+            world.fleet.scale_in.machines_to_release(world.now),
+        )
     )
-    found.move = calls(lambda: world.fleet.to_move(world.now))
+    found.move = calls(lambda: world.fleet.rebalancer.replicas_to_move(world.now))
     world.now += 1_000_000
-    reports = [wire.report(worker.report()) for worker in world.workers.values()]
+    reports = [wire.decode_heartbeat(worker.report()) for worker in world.workers.values()]
     found.report = calls(lambda: [world.cluster.on_heartbeat(r, world.now, world.now) for r in reports])
     found.tick = calls(lambda: world.cluster.account(world.now))
     for _ in range(machines // 2):
@@ -118,7 +122,7 @@
         if key.startswith(("live/", "fleet/"))
         for row in (key, value)
     ]
-    found.takeover_bytes = len(wire.dumps(rows))
+    found.takeover_bytes = len(wire.encode(rows))
     found.takeover = calls(world.fail_over)
     return found
 
@@ -161,28 +165,28 @@
     for _ in range(3):
         world.step(2.0)
     for sort in [(kind, zone, spot) for kind in world.cluster.types for zone in "ab" for spot in (False, True)]:
-        world.fleet.refused[sort] = world.now + 3600 * SECOND
+        world.fleet.availability.refused_until[sort] = world.now + 3600 * SECOND
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
     for number in range(tasks // 12):
         submit(legs=12, voyageS=50.0 + number % 7, tideS=120.0 + 10 * (number % 50), cargo="van")
-    backlog, cluster = QueueEstimator(world.cluster, world.fleet), world.cluster
+    router, cluster = PendingJobRouter(world.cluster, world.fleet.availability), world.cluster
     world.plan()
     found.held = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
 
     def look() -> None:
         """As the leader's loops do (`service/leader.py`, `service/cloud_controller.py`)."""
-        backlog.step(world.now, world.now)
+        router.step(world.now, world.now)
         if world.placer.due(world.now):
             world.placer.plan(world.now)
 
     def rent() -> None:
         cluster.find_usable(world.now)
-        if world.fleet.due(world.now):
-            world.fleet.mark_surplus(world.now)
-            world.fleet.wanted(world.now)
-        world.fleet.to_release(world.now)
+        if world.fleet.scale_out.due(world.now):
+            world.fleet.scale_in.update_cordons()
+            world.fleet.scale_out.plan(world.now)
+        world.fleet.scale_in.machines_to_release(world.now)
 
     def ten_seconds(each_second: Callable[[], None]) -> int:
         total = 0
@@ -212,7 +216,7 @@
     world.commit()
     world.send()
     world.settle(3)
-    reports = [wire.report(worker.report()) for worker in world.workers.values()]
+    reports = [wire.decode_heartbeat(worker.report()) for worker in world.workers.values()]
     found.reports = calls(lambda: [cluster.on_heartbeat(r, world.now, world.now) for r in reports])
     return found
 
@@ -225,7 +229,7 @@
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser(prog="python -m tests.scale", description=__doc__.splitlines()[0])
+    parser = argparse.ArgumentParser(prog="python -m tests.call_counts", description=__doc__.splitlines()[0])
     parser.add_argument("machines", nargs="*", type=int)
     parser.add_argument("--waiting", nargs="+", type=int, help="tasks that wait on full machines")
     parser.add_argument("--on", type=int, default=430, help="how many machines those are")
--- a/tests/test_queues.py
+++ b/tests/test_amqp_queues.py
@@ -15,13 +15,13 @@
 from hypothesis import strategies as st
 from pamqp import commands, frame
 
+from emulators.amqp_broker import Broker
 from oatport import wire
 from oatport.cli import main
 from oatport.clients.http import RequestRefusedError
 from oatport.clients.state import LeaseExpiredError
 from oatport.control.leadership.leader_lease import LeaderLease
 from oatport.lab.queues import Senders, audit
-from oatport.lab.world.state import KeyStore
 from oatport.queues.client import Answers, Sender
 from oatport.queues.core import ACCEPTED, GONE, LATER, REFUSED, UNKNOWN, AcceptOutcome
 from oatport.queues.gateway import Gateway
@@ -35,9 +35,9 @@
 from oatport.queues.store import Store
 from oatport.queues.templates import InvalidMessageError, Template
 from oatport.settings import SettingsError
+from oatport.simulation.state_service import KeyStore
 from oatport.times import SECOND, steady
-from standins.broker import Broker
-from tests.world import FakeStateClient
+from tests.cluster_fixture import FakeStateClient
 
 FIELDS = {"job_class": "moves", "team": "crew", "image": "img", "cpus": "2"}
 MOVES = QueueSettings("moves", Template.make(FIELDS, frozenset({"tasks", "estimate_s"})), dead_letter="bad")
@@ -89,7 +89,7 @@
         self.state = state
         self.outcomes: list[AcceptOutcome] = []
         self.submitted: list[str] = []
-        self.end = wire.DONE
+        self.end = wire.JobStatus.COMPLETED
 
     async def submit(self, job: dict[str, Any]) -> AcceptOutcome:
         if self.outcomes:
@@ -106,7 +106,9 @@
             return AcceptOutcome(UNKNOWN)
         record = self.state.items[key][0]
         if record["state"] == "queued":
-            self.state.commit({"if": [], "then": [{"set": key, "value": {**record, "state": wire.CANCELLED}}]})
+            self.state.commit(
+                {"if": [], "then": [{"set": key, "value": {**record, "state": wire.JobStatus.CANCELLED}}]}
+            )
         return AcceptOutcome(GONE)
 
 
@@ -161,7 +163,7 @@
 @given(st.text(max_size=30), st.text(max_size=30), st.text(max_size=30), st.text(max_size=30))
 @settings(max_examples=200, derandomize=True, deadline=None)
 def test_refs_are_in_the_protocols_form_and_tell_messages_apart(a: str, b: str, c: str, d: str) -> None:
-    assert wire.valid_ref(ref_of(a, b))
+    assert wire.is_job_id(ref_of(a, b))
     assert (ref_of(a, b) == ref_of(c, d)) == ((a, b) == (c, d))
     assert ref_of(a, b) != ref_of(a, b, 1)
     assert 0 <= part_of(ref_of(a, b)) < PARTS
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from typing import Any
 
 import pytest
@@ -19,20 +20,20 @@
 )
 from oatport.control.state.machine import Machine
 from oatport.control.storage.write_buffer import cancel_key, job_key
-from oatport.lab.world.breaks import broken
-from oatport.lab.world.meetings import gap
-from oatport.lab.world.plan import Fault, Plan
-from oatport.lab.world.state import KeyStore
-from oatport.lab.world.worker import Worker
-from oatport.lab.world.world import Result
-from oatport.lab.world.world import World as WholeWorld
+from oatport.peer_messages import PeerArray, PeerMessage, decode_reply
 from oatport.service.node import Node
 from oatport.service.peer_notifications import STALE
 from oatport.settings import Tuning
+from oatport.simulation.fault_interactions import state_outage_plan
+from oatport.simulation.fault_plan import Fault, Plan
+from oatport.simulation.mutations import mutated
+from oatport.simulation.simulation import RunResult, Simulation
+from oatport.simulation.state_service import KeyStore
+from oatport.simulation.worker import Worker
 from oatport.times import SECOND, steady, with_drift
-from tests.test_service import Body, FakePeer, leader
-from tests.test_users import FakeControllerNode
-from tests.world import FakeStateClient, World, cluster_settings, job, node_settings
+from tests.cluster_fixture import FakeStateClient, World, cluster_settings, job, node_settings
+from tests.test_client_consistency import FakeControllerNode
+from tests.test_node_failures import Body, FakePeer, leader, peer_reply
 
 
 @pytest.fixture
@@ -146,12 +147,12 @@
 async def test_every_answer_that_a_job_is_cancelled_is_noted_before_it_leaves(state: KeyStore) -> None:
     """Only a commit that was answered once counted; what was learnt otherwise was told in the middle of an outage."""
     one, other = Asked(state), Asked(state)
-    submit, path = ("POST", wire.SUBMISSIONS), f"{wire.SUBMISSIONS}/"
+    submit, path = ("POST", wire.SUBMISSIONS_PATH), f"{wire.SUBMISSIONS_PATH}/"
     for number in range(1, 8):
         assert await one.ask(*submit, job(f"j-{number:06d}")) == ("queued", False)
         assert await other.ask("GET", f"{path}j-{number:06d}") == ("queued", False)
     await one.ask(*submit, job("j-000010", waitsOn=["j-000006"]))
-    told = (wire.CANCELLED, True)
+    told = (wire.JobStatus.CANCELLED, True)
     assert await one.ask("POST", f"{path}j-000001/cancel") == told  # committed
     assert await one.ask("POST", f"{path}j-000001/cancel") == told  # kept from before
     assert await one.ask("GET", f"{path}j-000001") == told
@@ -191,7 +192,7 @@
 
 def running(lead: Any, world_state: KeyStore, ref: str = "j-000001") -> None:
     """The lead has a job whose task runs on a machine."""
-    spec = wire.submission(job(ref))
+    spec = wire.decode_submission(job(ref))
     lead.cluster.add_job(ref, spec, 1, 0)
 
 
@@ -240,9 +241,9 @@
     before = lead.lease_renewal_limit.known_at
 
     class Slow(FakePeer):
-        async def ask(self, *message: Any, timeout_us: int = 0) -> list[Any]:
+        async def ask(self, request: PeerMessage, decode: Callable[[PeerArray], Any], *, timeout_us: int = 0) -> Any:
             node.leader = None
-            return ["told", WHOLE, []]
+            return decode_reply(["told", WHOLE, []], decode)
 
     node.peers = {"n1": Slow(None)}  # type: ignore[dict-item]
     await node.peer_notifier.collect(lead)
@@ -260,9 +261,8 @@
     running(lead, state)
 
     class Real(FakePeer):
-        async def ask(self, *message: Any, timeout_us: int = 0) -> list[Any]:
-            handler = {"told": other.peer_notifier.on_told, "cancelled": other.peer_notifier.on_hint}[message[0]]
-            return await handler(list(message))
+        async def ask(self, request: PeerMessage, decode: Callable[[PeerArray], Any], *, timeout_us: int = 0) -> Any:
+            return decode_reply(await peer_reply(other, request.encode()), decode)
 
     node.peers = {"n1": Real(None)}  # type: ignore[dict-item]
     before = lead.lease_renewal_limit.known_at
@@ -277,12 +277,13 @@
     node.state = FakeStateClient(state)  # type: ignore[assignment]
     for question in (["told"], ["told", "1"], ["told", -1], ["told", True], ["told", None]):
         with pytest.raises((ValueError, IndexError)):
-            await node.peer_notifier.on_told(question)
+            await peer_reply(node, question)
     node.peer_notifier.cancellations = told(began=steady() - 600 * SECOND)
-    assert node._pong()[5] >= 600 * SECOND
+    ping = ["ping", "n1", None, 0, True]
+    assert (await peer_reply(node, ping))[5] >= 600 * SECOND
     node.tell_cancelled("j-000001")  # in whichever way it knew
-    assert node._pong()[5] < SECOND
-    assert len(node._pong()) == 6
+    assert (await peer_reply(node, ping))[5] < SECOND
+    assert len(await peer_reply(node, ping)) == 6
 
 
 async def test_a_node_of_an_earlier_version_leaves_the_bound_as_it_is(state: KeyStore) -> None:
@@ -291,10 +292,10 @@
     before = lead.lease_renewal_limit.known_at
 
     class Older(FakePeer):
-        async def ask(self, *message: Any, timeout_us: int = 0) -> list[Any]:
-            if message[0] == "told":
+        async def ask(self, request: PeerMessage, decode: Callable[[PeerArray], Any], *, timeout_us: int = 0) -> Any:
+            if request.encode()[0] == "told":
                 raise NoResponseError("status 400")
-            return ["pong", "n1", None, 0, False, WHOLE]
+            return decode_reply(["pong", "n1", None, 0, False, WHOLE], decode)
 
     node.peers = {"n1": Older(None)}  # type: ignore[dict-item]
     await node.peer_notifier.collect(lead)
@@ -320,7 +321,7 @@
     assert world.live(first) == {}
     assert not world.cluster.jobs[first].tasks
     assert after not in world.cluster.blocked_jobs  # it went with it
-    assert world.record(after) == wire.CANCELLED
+    assert world.record(after) == wire.JobStatus.CANCELLED
     # Its keys wait for the record: with an unknown version the mark would be left behind.
     assert cancel_key(first) in world.state.items
     world.cluster.cancel_job(first, world.state.items[cancel_key(first)][1])
@@ -363,7 +364,8 @@
     world.cluster.cancel_confirmed(ref, 0, world.now)
 
     def orders() -> list[str]:
-        return [order["orderKind"] for order in world.cluster.commands_for(machine, world.now, direct=False)[0]]
+        commands, _ = world.cluster.commands_for(machine, world.now, direct=False)
+        return [order["orderKind"] for order in wire.heartbeat_response(0, commands)["orders"]]
 
     assert orders() == ["start", "stop"]  # so that the attempt is known there, whenever the first start lands
     assert not world.cluster.must_let_lease_expire(machine, world.now)
@@ -401,10 +403,10 @@
     lead.lease_renewal_limit.known_at = steady()
     worker = Worker(lambda: steady(), "vm-000001", "h:1", "m8", "a", False, 8.0, lambda ref: None)
     worker.token = lead.token
-    answer = lead.answer_heartbeat(wire.report(worker.report()))
+    answer = lead.answer_heartbeat(wire.decode_heartbeat(worker.report()))
     assert answer is not None
     lead.cluster.must_let_lease_expire = lambda machine, now: True  # type: ignore[method-assign]
-    assert lead.answer_heartbeat(wire.report(worker.report())) is None
+    assert lead.answer_heartbeat(wire.decode_heartbeat(worker.report())) is None
 
 
 # --- whole deployments ---------------------------------------------------------------------------
@@ -422,8 +424,8 @@
     return Plan(tuple(sorted([*faults, *more], key=lambda f: f.at_s)), 80.0, 3, 20, 20.0, 5.0)
 
 
-def told_by_others(plan: Plan) -> Result:
-    world = WholeWorld(plan, 5)
+def told_by_others(plan: Plan) -> RunResult:
+    world = Simulation(plan, 5)
     world.users_at = {"n1", "n2"}  # n0 leads at first
     result = world.run()
     told = [ask for ask in world.checker.asks.values() if 1020 < (ask.cancelled_at or 0) < 1023]
@@ -476,12 +478,12 @@
 
 
 def test_answers_that_nobody_notes_are_noticed() -> None:
-    with broken("told"):
+    with mutated("cancellation-log"):
         found = told_by_others(meeting(count=1000, hints_lost_s=6.0)).violations
     assert any(row.startswith("ran_cancelled") for row in found)
 
 
 def test_a_drawn_gap_breaks_no_rule() -> None:
-    result = WholeWorld(gap(3, machines=20), 3).run()
+    result = Simulation(state_outage_plan(3, machines=20), 3).run()
     assert result.violations == []
     assert result.errors == []
--- a/tests/test_needs.py
+++ b/tests/test_dependency_submissions.py
@@ -11,11 +11,11 @@
 from oatport import wire
 from oatport.api.job_api import JobApi
 from oatport.control.storage.write_buffer import cancel_key, job_key, live_key, waits_key
-from oatport.lab.world.state import KeyStore
 from oatport.settings import NextLimits, SettingsError, StateLimits, check
-from tests.test_users import FakeControllerNode, job, node
-from tests.world import FakeStateClient, node_settings
-from tests.world import job as body_of
+from oatport.simulation.state_service import KeyStore
+from tests.cluster_fixture import FakeStateClient, node_settings
+from tests.cluster_fixture import job as body_of
+from tests.test_client_consistency import FakeControllerNode, job, node
 
 
 @pytest.fixture
@@ -29,7 +29,7 @@
         state.commit(
             {
                 "if": [{"path": job_key(ref), "entryRev": version}],
-                "then": [{"set": job_key(ref), "value": {**record, "state": wire.DONE}}],
+                "then": [{"set": job_key(ref), "value": {**record, "state": wire.JobStatus.COMPLETED}}],
             }
         )[0]
         == 200
@@ -51,13 +51,17 @@
 )
 def test_lists_that_are_none(named: Any) -> None:
     with pytest.raises(wire.InvalidMessageError, match="waitsOn"):
-        wire.submission(body_of("j-000009", waitsOn=named))
+        wire.decode_submission(body_of("j-000009", waitsOn=named))
 
 
 def test_null_missing_and_empty_are_none_and_doubles_count_once() -> None:
-    assert wire.submission(body_of()).needs is wire.submission(body_of(waitsOn=None)).needs is None
-    assert wire.submission(body_of(waitsOn=[])).needs is None
-    assert wire.submission(body_of("j-9", waitsOn=["j-2", "j-1", "j-2"])).needs == ["j-2", "j-1"]
+    assert (
+        wire.decode_submission(body_of()).dependencies
+        is wire.decode_submission(body_of(waitsOn=None)).dependencies
+        is None
+    )
+    assert wire.decode_submission(body_of(waitsOn=[])).dependencies is None
+    assert wire.decode_submission(body_of("j-9", waitsOn=["j-2", "j-1", "j-2"])).dependencies == ["j-2", "j-1"]
 
 
 async def test_a_waiting_job_is_laid_where_an_earlier_version_finds_nothing(state: KeyStore) -> None:
--- a/tests/test_evening.py
+++ b/tests/test_one_way_partitions.py
@@ -3,15 +3,15 @@
 from __future__ import annotations
 
 from oatport import wire
+from oatport.control.queueing.pending_job_router import route_pending
 from oatport.control.queueing.pending_queue import order_key
-from oatport.control.queueing.queue_estimator import route_waiting
-from oatport.lab.world.plan import Fault, Plan
-from oatport.lab.world.rehearse import Asked, play
-from oatport.lab.world.state import KeyStore
 from oatport.settings import Team
+from oatport.simulation.fault_plan import Fault, Plan
+from oatport.simulation.runner import RunRequest, run_scenario
+from oatport.simulation.state_service import KeyStore
 from oatport.times import SECOND, steady, time_of_day
-from tests.test_service import leader
-from tests.world import World, job
+from tests.cluster_fixture import World, job
+from tests.test_node_failures import leader
 
 
 def test_a_machine_that_does_not_hear_gets_no_work_until_it_has_shown_that_it_does() -> None:
@@ -56,7 +56,7 @@
     world.mute |= set(world.workers)
     for _ in range(60):
         world.step(1.0)
-        assert world.fleet.to_release(world.now) == []
+        assert world.fleet.scale_in.machines_to_release(world.now) == []
     assert all(m.command_unreachable for m in world.cluster.machines.values())
 
 
@@ -67,13 +67,13 @@
     world = World()
     worker = world.machine(1)
     lead.cluster.types.update(world.cluster.types)
-    old = wire.report(worker.report())
+    old = wire.decode_heartbeat(worker.report())
     worker.token = lead.token
-    lead.cluster.on_heartbeat(wire.report(worker.report()), steady(), time_of_day())
+    lead.cluster.on_heartbeat(wire.decode_heartbeat(worker.report()), steady(), time_of_day())
     machine = lead.cluster.machines[worker.name]
     machine.persisted = True
-    spec = wire.submission(job(legs=1))
-    waiting = lead.cluster.add_job(spec.ref, spec, 5, time_of_day())
+    spec = wire.decode_submission(job(legs=1))
+    waiting = lead.cluster.add_job(spec.job_id, spec, 5, time_of_day())
     task = lead.cluster.begin_binding(waiting, machine, steady())
     batch = lead.cluster.take_batch(12)
     lead.cluster.committed(batch, 9, steady())
@@ -82,7 +82,7 @@
     assert answer == {"helm": lead.token, "orders": []}
     assert not task.start_epoch
     assert (machine.agent_epoch, machine.heartbeat_seq, machine.last_heartbeat_at) == before
-    answer = lead.answer_heartbeat(wire.report(worker.report()))
+    answer = lead.answer_heartbeat(wire.decode_heartbeat(worker.report()))
     assert answer is not None
     assert [order["orderKind"] for order in answer["orders"]] == ["start"]
 
@@ -100,14 +100,14 @@
         )
     ):
         plan = Plan((fault, Fault("node_crash", 20.0, 0.1)), 50.0, 3, 20, 20.0, 6.0)
-        found = play(Asked(plan=plan), number)
+        found = run_scenario(RunRequest(plan=plan), number)
         assert (found.violations, found.errors) == ([], []), fault.kind
 
 
 def test_copies_of_reports_taken_for_new_ones_are_noticed() -> None:
     plan = Plan((Fault("report_copies", 8.0, 40.0, amount=20.0),), 50.0, 3, 20, 40.0)
-    asked = Asked(plan=plan, guard="copies")
-    assert any(play(asked, seed).violations for seed in range(8))
+    asked = RunRequest(plan=plan, disabled_check="heartbeat-order")
+    assert any(run_scenario(asked, seed).violations for seed in range(8))
 
 
 def test_the_largest_is_passed_over_by_its_equals_only_for_so_long() -> None:
@@ -120,17 +120,17 @@
     blocker = world.submit(ref="j-000002", legs=4, voyageS=500.0, urgency="production", rig="standing")
     small = [world.submit(ref=f"j-{n:06d}", legs=1, voyageS=5.0, tideS=400.0) for n in range(10, 20)]
     jobs = world.cluster.jobs
-    route_waiting(world.cluster, world.fleet, world.now, world.now)
+    route_pending(world.cluster, world.fleet.availability, world.now, world.now)
     assert jobs[large].deadline_missed
     assert order_key(jobs[large]) > order_key(jobs[small[0]])
     world.now += 121 * SECOND
     newer = world.submit(ref="j-000020", legs=1, voyageS=5.0, tideS=400.0)
-    route_waiting(world.cluster, world.fleet, world.now, world.now)
+    route_pending(world.cluster, world.fleet.availability, world.now, world.now)
     assert jobs[large].starving
     assert order_key(jobs[large]) < order_key(jobs[newer])
     assert order_key(jobs[blocker]) < order_key(jobs[large])  # its priority is what it was
     jobs[large].started = True
-    route_waiting(world.cluster, world.fleet, world.now, world.now)
+    route_pending(world.cluster, world.fleet.availability, world.now, world.now)
     assert not jobs[large].starving
 
 
--- a/tests/test_rush.py
+++ b/tests/test_overload.py
@@ -9,20 +9,21 @@
 
 from oatport import wire
 from oatport.control.queueing import pending_queue
+from oatport.control.queueing.pending_job_router import ROUTING_INTERVAL, ROUTING_INTERVAL_MAX, PendingJobRouter
 from oatport.control.queueing.pending_queue import PendingQueue, order_key
-from oatport.control.queueing.queue_estimator import ROUTE_EVERY, ROUTE_MOST, QueueEstimator
+from oatport.control.scaling.cloud_availability import REFUSAL_BACKOFF, REFUSAL_BACKOFF_MAX, ScaleOutRequest
 from oatport.control.scaling.incoming_capacity import CapacitySlot, IncomingCapacity
-from oatport.control.scaling.scale_out import PLANNED_MOST, REFUSED_MOST, REFUSED_PAUSE, ScaleOutRequest
+from oatport.control.scaling.scale_out import MACHINES_PER_PASS
 from oatport.control.state.job import Job
 from oatport.control.state.machine import Machine
 from oatport.settings import Team
 from oatport.times import SECOND
-from tests.scale import calls, rush
-from tests.world import TYPES, World, job
+from tests.call_counts import calls, rush
+from tests.cluster_fixture import TYPES, World, job
 
 
 def spec(**changes: Any) -> wire.Submission:
-    return wire.submission(job(**changes))
+    return wire.decode_submission(job(**changes))
 
 
 def waiting(number: int, **changes: Any) -> Job:
@@ -67,7 +68,7 @@
 def test_lines_place_what_a_look_at_every_job_would_place(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
     """Leaving a line early saves looks and changes no placement: the same day with all jobs looked at one by one."""
     by_lines = day(seed)
-    monkeypatch.setattr(pending_queue, "plain", lambda job: False)
+    monkeypatch.setattr(pending_queue, "is_interchangeable", lambda job: False)
     assert day(seed) == by_lines
     assert len(by_lines) > 50
 
@@ -87,14 +88,14 @@
     for one in jobs[:40]:
         found.discard(one)
     jobs[60].deadline_at = 1  # most pressing now
-    found.moved(jobs[60])
+    found.reposition(jobs[60])
     assert [one for _, one in found.walk()] == sorted(jobs[40:], key=order_key)
     walked = []
     for _, one in found.walk():
         walked.append(one)
         found.discard(jobs[100])  # taken by an earlier one's step: it does not come any more
     assert jobs[100] not in walked[1:]
-    assert found.smallest() == 4.0
+    assert found.smallest_cpus() == 4.0
 
 
 def test_nothing_is_looked_at_while_nothing_changes() -> None:
@@ -110,12 +111,12 @@
         world.settle()
         for number in range(tasks // 20):
             world.submit(ref=f"j-{500000 + number:06d}", legs=20, voyageS=100.0)
-        backlog = QueueEstimator(world.cluster, world.fleet)
-        backlog.step(world.now, world.now)
+        router = PendingJobRouter(world.cluster, world.fleet.availability)
+        router.step(world.now, world.now)
         world.placer.plan(world.now)
         world.now += SECOND // 10
         assert not world.placer.due(world.now)
-        return calls(lambda: (backlog.step(world.now, world.now), world.placer.due(world.now)))
+        return calls(lambda: (router.step(world.now, world.now), world.placer.due(world.now)))
 
     assert look(10_000) <= 2 * look(0)
 
@@ -184,11 +185,11 @@
     world.step()
     for number in range(20):
         world.submit(legs=8, voyageS=60.0, tideS=3000.0 + number)
-    backlog = QueueEstimator(world.cluster, world.fleet)
-    backlog.step(world.now, world.now)
+    router = PendingJobRouter(world.cluster, world.fleet.availability)
+    router.step(world.now, world.now)
     routed = {one.job_id: one.tier for one in world.cluster.pending}
     pressing = world.cluster.jobs[world.submit(legs=1, voyageS=10.0, tideS=60.0)]
-    counted = calls(lambda: backlog.step(world.now, world.now))
+    counted = calls(lambda: router.step(world.now, world.now))
     assert pressing.tier
     assert counted < 150  # the others were not looked at
     assert {one.job_id: one.tier for one in world.cluster.pending if one is not pressing} == routed
@@ -197,14 +198,14 @@
 
 def test_routing_slows_down_with_what_there_is_to_route() -> None:
     world = World([Team("crew")])
-    backlog = QueueEstimator(world.cluster, world.fleet)
-    assert backlog.pace() == ROUTE_EVERY
+    router = PendingJobRouter(world.cluster, world.fleet.availability)
+    assert router.interval() == ROUTING_INTERVAL
     for number in range(800):
         world.cluster.pending.add(waiting(number + 1))
-    assert ROUTE_EVERY < backlog.pace() < ROUTE_MOST
+    assert ROUTING_INTERVAL < router.interval() < ROUTING_INTERVAL_MAX
     for number in range(800, 5000):
         world.cluster.pending.add(waiting(number + 1))
-    assert backlog.pace() == ROUTE_MOST
+    assert router.interval() == ROUTING_INTERVAL_MAX
 
 
 def test_coming_room_is_found_in_order_and_looked_at_once_a_shape() -> None:
@@ -217,13 +218,13 @@
         plain.append(CapacitySlot.of(kind, zone, on_spot))
     wants = [(spec(cores=rng.choice([1.0, 4.0, 12.0])), rng.random() < 0.5) for _ in range(300)]
     for want, on_spot in wants:
-        found = rooms.first(want, on_spot, ("m8", "g16"), ["a", "b"])
-        expected = next((r for r in plain if (on_spot or not r.spot) and r.holds(want) > 0), None)
+        found = rooms.first_feasible(want, on_spot, ("m8", "g16"), ["a", "b"])
+        expected = next((r for r in plain if (on_spot or not r.spot) and r.free_slots(want) > 0), None)
         assert (found is None) == (expected is None)
         if found is not None and expected is not None:
-            assert plain[found.place] is expected
-            assert found.take(want, 1) == expected.take(want, 1) == 1
-    assert rooms.looked_at < 2 * len(wants) + 6 * len(plain)  # and not one times the other
+            assert plain[found.position] is expected
+            assert found.reserve(want, 1) == expected.reserve(want, 1) == 1
+    assert rooms.slots_examined < 2 * len(wants) + 6 * len(plain)  # and not one times the other
 
 
 def test_no_more_is_planned_than_is_asked_for() -> None:
@@ -231,9 +232,9 @@
     for _ in range(40):
         world.submit(legs=100, voyageS=20.0)
     world.plan()
-    rentals = world.fleet.wanted(world.now)
-    assert PLANNED_MOST <= sum(rental.count for rental in rentals) < PLANNED_MOST + 60
-    assert not world.fleet.due(world.now + SECOND // 10)
+    rentals = world.fleet.scale_out.plan(world.now)
+    assert MACHINES_PER_PASS <= sum(rental.count for rental in rentals) < MACHINES_PER_PASS + 60
+    assert not world.fleet.scale_out.due(world.now + SECOND // 10)
 
 
 def test_what_is_refused_again_and_again_is_asked_for_less_often() -> None:
@@ -241,17 +242,17 @@
     rental = ScaleOutRequest("m8", "a", True, 5)
     pauses = []
     for _ in range(6):
-        world.fleet.refuse(rental, world.now)
-        pauses.append(world.fleet.refused["m8", "a", True] - world.now)
-    assert pauses[0] == REFUSED_PAUSE
+        world.fleet.availability.refuse(rental, world.now)
+        pauses.append(world.fleet.availability.refused_until["m8", "a", True] - world.now)
+    assert pauses[0] == REFUSAL_BACKOFF
     assert pauses == sorted(pauses)
-    assert pauses[-1] == REFUSED_MOST
-    world.fleet.refuse(rental, world.now, some=True)  # some came: there may be more soon
-    assert world.fleet.refused["m8", "a", True] - world.now == REFUSED_PAUSE
-    world.fleet.refuse(rental, world.now)
-    world.fleet.grant(rental, world.now)
-    world.fleet.refuse(rental, world.now)
-    assert world.fleet.refused["m8", "a", True] - world.now == REFUSED_PAUSE
+    assert pauses[-1] == REFUSAL_BACKOFF_MAX
+    world.fleet.availability.grant_partially(rental, world.now)  # some came: there may be more soon
+    assert world.fleet.availability.refused_until["m8", "a", True] - world.now == REFUSAL_BACKOFF
+    world.fleet.availability.refuse(rental, world.now)
+    world.fleet.availability.grant(rental, world.now)
+    world.fleet.availability.refuse(rental, world.now)
+    assert world.fleet.availability.refused_until["m8", "a", True] - world.now == REFUSAL_BACKOFF
 
 
 # --- reports that tell nothing new ----------------------------------------------------------------
@@ -271,7 +272,7 @@
 
 def test_a_report_that_tells_nothing_new_costs_one_comparison() -> None:
     world, machine, _ = calm_world()
-    report = wire.report(world.workers[machine.name].report())
+    report = wire.decode_heartbeat(world.workers[machine.name].report())
     world.now += SECOND
     assert calls(lambda: world.cluster.on_heartbeat(report, world.now, world.now)) < 10
     assert machine.last_heartbeat_at == world.now
@@ -289,9 +290,9 @@
     world, machine, _ = calm_world(cores=4.0)
     other = world.submit(legs=1, cores=1.0, berthKinds=["g16"], sizeGb=0.0)
     world.workers[machine.name].commands(
-        wire.commands_body(world.cluster.token, machine.agent_epoch, [wire.start(f"{other}/0", 7)])
+        wire.command_request(world.cluster.token, machine.agent_epoch, [wire.StartCommand(f"{other}/0", 7)])
     )
-    report = wire.report(world.workers[machine.name].report())
+    report = wire.decode_heartbeat(world.workers[machine.name].report())
     world.cluster.on_heartbeat(report, world.now, world.now)
     assert (f"{other}/0", 7) in machine.orphaned_attempts
 
--- a/tests/test_still.py
+++ b/tests/test_process_pauses.py
@@ -13,15 +13,15 @@
 from oatport.clients.cloud import CloudClient
 from oatport.clients.http import NoResponseError, RequestNotSentError
 from oatport.control.leadership.leader_lease import DOUBT, LeaderLease, PauseDetector
-from oatport.control.scaling.scale_in import ScaleOutRequest
+from oatport.control.scaling.cloud_availability import ScaleOutRequest
 from oatport.control.storage.recovery import command_unreachable, cut_off, silent
-from oatport.lab.world.state import KeyStore
 from oatport.service import leader as lead_module
 from oatport.service.node import Node
 from oatport.settings import Peer, Tuning
+from oatport.simulation.state_service import KeyStore
 from oatport.times import MS, SECOND
-from tests.test_service import FakePeer, leader
-from tests.world import FakeStateClient, Unplugged, World, node_settings
+from tests.cluster_fixture import FakeStateClient, Unplugged, World, node_settings
+from tests.test_node_failures import FakePeer, leader, peer_reply
 
 
 class Clock:
@@ -79,7 +79,7 @@
     cloud._http = http_client  # type: ignore[assignment]
     lead.cloud_controller.cloud = cloud
     await cloud.release(["vm-000001"])
-    assert http_client.paths == [wire.RELEASE]
+    assert http_client.paths == [wire.RELEASE_PATH]
     clock.at += 7 * SECOND  # stands still, between the decision and the request
     with pytest.raises(RequestNotSentError):
         await cloud.release(["vm-000002"])
@@ -90,7 +90,7 @@
     assert machine is not None
     await lead.cloud_controller.release([machine], "returned")
     await lead._send(machine)
-    assert http_client.paths == [wire.RELEASE]
+    assert http_client.paths == [wire.RELEASE_PATH]
     assert not machine.removed  # it is there until proven gone
     assert home.lost == []  # whether it still leads is for the state service to say
 
@@ -109,23 +109,23 @@
 
     lead.cloud_controller.cloud = Cloud()  # type: ignore[assignment]
     rental = ScaleOutRequest("m8", "a", True, 1)
-    lead.cloud_controller.fleet.under_way.append(rental)
+    lead.cloud_controller.fleet.availability.requests_in_flight.append(rental)
     await lead.cloud_controller.rent(rental)
     assert asked == [f"r-{lead.token}-1"]
-    assert lead.cloud_controller.fleet.under_way == []
+    assert lead.cloud_controller.fleet.availability.requests_in_flight == []
 
 
 async def test_tasks_outlive_a_short_freeze_but_none_starts_before_proof(state: KeyStore, clock: Clock) -> None:
     lead, _, _ = leader(state)
     lead.leader_lease.asked_at = lead.lease_renewal_limit.known_at = clock.at
-    report = wire.Report("vm-000001", "h:1", "m8", "a", False, 1, 1, lead.token, [])
+    report = wire.Heartbeat("vm-000001", "h:1", "m8", "a", False, 1, 1, lead.token, [])
     assert lead.answer_heartbeat(report) is not None
     clock.at += 7 * SECOND
-    answer = lead.answer_heartbeat(wire.Report("vm-000001", "h:1", "m8", "a", False, 1, 2, lead.token, []))
+    answer = lead.answer_heartbeat(wire.Heartbeat("vm-000001", "h:1", "m8", "a", False, 1, 2, lead.token, []))
     assert answer is not None
     assert answer["helm"] == lead.token
     clock.at += 25 * SECOND  # a cancellation may have been told meanwhile, which this node never heard of
-    assert lead.answer_heartbeat(wire.Report("vm-000001", "h:1", "m8", "a", False, 1, 3, lead.token, [])) is None
+    assert lead.answer_heartbeat(wire.Heartbeat("vm-000001", "h:1", "m8", "a", False, 1, 3, lead.token, [])) is None
 
 
 def test_a_freeze_makes_no_machine_silent_or_idle() -> None:
@@ -137,14 +137,14 @@
     gap = 20 * SECOND
     world.now += gap
     assert len(silent(machines, world.now, 5 * SECOND)) == 3  # as it would look
-    assert world.fleet.to_release(world.now)
+    assert world.fleet.scale_in.machines_to_release(world.now)
     for machine in machines:
         machine.releasing = False
     machines[0].last_heartbeat_at = world.now  # its answer was read first
     world.cluster.on_process_pause(gap, world.now)
     assert machines[0].last_heartbeat_at == world.now
     assert silent(machines, world.now, 5 * SECOND) == []
-    assert world.fleet.to_release(world.now) == []
+    assert world.fleet.scale_in.machines_to_release(world.now) == []
     # What really passes meanwhile is not moved: a spot notice, a boot.
     assert all(machine.rented_at < world.now - gap for machine in machines)
 
@@ -191,7 +191,7 @@
     client = FakeStateClient(state)
     node.state = client  # type: ignore[assignment]
     state.commit({"if": [], "then": [{"set": "leader", "value": {"node": "n1", "boot": "x", "lease": 1}}]})
-    assert await node._on_handover(["handover", state.revision]) == ["ok"]
+    assert await peer_reply(node, ["handover", state.revision]) == ["ok"]
     node._handover_until -= 10 * SECOND  # it stood still before it came to that
     await node._run_for_leader()
     assert node.leader is None
--- a/tests/test_control.py
+++ b/tests/test_scheduling.py
@@ -7,25 +7,25 @@
 import msgspec
 import pytest
 
+from emulators import smoke_test
 from oatport import wire
 from oatport.cli import main
-from oatport.control.queueing.queue_estimator import order as order_of
+from oatport.control.queueing.pending_job_router import jobs_in_order as order_of
 from oatport.control.queueing.runtime_predictor import RuntimePredictor
-from oatport.control.queueing.tier_router import ON_DEMAND, OWNED, SPOT, TierRouter
-from oatport.control.scaling.scale_in import ScaleOutRequest
+from oatport.control.queueing.tier_router import ON_DEMAND, OWNED, SPOT, TierAvailability, TierRouter
+from oatport.control.scaling.cloud_availability import ScaleOutRequest
 from oatport.control.storage.recovery import LeaseRenewalLimit, cut_off, dark_suspects, silent
 from oatport.settings import Objective, SettingsError, Team, load, load_tuning
 from oatport.times import SECOND, micros
-from standins import smoke
-from tests.world import World, cluster_settings, job
+from tests.cluster_fixture import World, cluster_settings, job
 
 
 def test_the_estimate_seeds_and_finished_tasks_take_over() -> None:
     predictor = RuntimePredictor()
-    spec = wire.submission(job(voyageS=100.0))
+    spec = wire.decode_submission(job(voyageS=100.0))
     assert predictor.run_time("j-1", spec) == 100 * SECOND
     for _ in range(100):
-        predictor.finished("j-2", spec, 30 * SECOND)
+        predictor.task_completed("j-2", spec, 30 * SECOND)
     assert 30 * SECOND <= predictor.run_time("j-1", spec) < 40 * SECOND
     other = RuntimePredictor()
     other.load(predictor.record())
@@ -35,25 +35,25 @@
 def test_the_half_life_counts_survivors() -> None:
     predictor = RuntimePredictor()
     for _ in range(4):
-        predictor.spot_held(100 * SECOND, True)
-    assert predictor.half_life([]) == 100 * SECOND
-    assert predictor.half_life([500 * SECOND] * 20) is None
+        predictor.spot_machine_ended(100 * SECOND, True)
+    assert predictor.spot_half_life([]) == 100 * SECOND
+    assert predictor.spot_half_life([500 * SECOND] * 20) is None
     few = RuntimePredictor()
-    few.spot_held(SECOND, True)
-    assert few.half_life([]) is None  # one early take-back says nothing
+    few.spot_machine_ended(SECOND, True)
+    assert few.spot_half_life([]) is None  # one early take-back says nothing
 
 
 def test_short_tasks_end_first_and_do_not_lower_the_threshold() -> None:
     """50 s into a day the threshold was 17 s: 240 tasks waited for owned room beside free spot machines."""
     predictor = RuntimePredictor()
-    spec = wire.submission(job())
+    spec = wire.decode_submission(job())
     for took in range(1, 18):
-        predictor.finished("j-1", spec, took * SECOND)
-    assert predictor.percentile_run(0.99, []) == 17 * SECOND
-    assert predictor.percentile_run(0.99, [18 * SECOND] * 100) is None  # the start value holds
+        predictor.task_completed("j-1", spec, took * SECOND)
+    assert predictor.runtime_percentile(0.99, []) == 17 * SECOND
+    assert predictor.runtime_percentile(0.99, [18 * SECOND] * 100) is None  # the start value holds
     for took in range(18, 100):
-        predictor.finished("j-1", spec, took * SECOND)
-    assert predictor.percentile_run(0.9, [5 * SECOND] * 100) == 90 * SECOND
+        predictor.task_completed("j-1", spec, took * SECOND)
+    assert predictor.runtime_percentile(0.9, [5 * SECOND] * 100) == 90 * SECOND
 
 
 def test_what_an_earlier_leader_started_teaches_no_run_time() -> None:
@@ -64,8 +64,8 @@
     world.settle(25)
     world.fail_over()
     world.settle(10)
-    assert world.record(ref) == wire.DONE
-    spec = wire.submission(job())
+    assert world.record(ref) == wire.JobStatus.COMPLETED
+    spec = wire.decode_submission(job())
     assert world.cluster.predictor.run_time("j-000002", spec) == 30 * SECOND
 
 
@@ -75,46 +75,46 @@
     world.submit(voyageS=30.0, tideS=500.0)
     short = world.cluster.jobs["j-000001"]
     wall = world.now
-    assert router.route(short, wall, None) == SPOT
+    assert router.route(short, wall, TierAvailability(None)) == SPOT
     short.loss_count = 1
-    assert router.route(short, wall, None) == SPOT  # the deadline leaves twice the predicted time
-    assert router.route(short, wall + 450 * SECOND, None) == ON_DEMAND
+    assert router.route(short, wall, TierAvailability(None)) == SPOT  # the deadline leaves twice the predicted time
+    assert router.route(short, wall + 450 * SECOND, TierAvailability(None)) == ON_DEMAND
     world.submit(ref="j-000002", voyageS=100.0, tideS=300.0)
     long = world.cluster.jobs["j-000002"]
-    assert router.route(long, wall, None) == ON_DEMAND  # none is owned
-    assert router.route(long, wall, 10 * SECOND) == OWNED
-    assert router.route(long, wall, 250 * SECOND) == ON_DEMAND  # the queue would miss the deadline
+    assert router.route(long, wall, TierAvailability(None)) == ON_DEMAND  # none is owned
+    assert router.route(long, wall, TierAvailability(10 * SECOND)) == OWNED
+    assert router.route(long, wall, TierAvailability(250 * SECOND)) == ON_DEMAND  # the queue would miss the deadline
     # DESIGN assumes that on-demand comes when called; here the cloud has none.
-    assert router.route(long, wall, None, spot_open=True, on_demand_open=False) == SPOT
+    assert router.route(long, wall, TierAvailability(None, spot_rentable=True, on_demand_rentable=False)) == SPOT
 
 
 def test_rentals_fit_the_waiting_tasks_once() -> None:
     world = World()
     world.submit(legs=6, voyageS=30.0)
     world.plan()
-    (rental,) = world.fleet.wanted(world.now)
+    (rental,) = world.fleet.scale_out.plan(world.now)
     assert (rental.type, rental.spot, rental.count) == ("m8", True, 3)
-    world.fleet.under_way.append(rental)
-    assert world.fleet.wanted(world.now) == []
-    world.fleet.under_way.clear()
+    world.fleet.availability.requests_in_flight.append(rental)
+    assert world.fleet.scale_out.plan(world.now) == []
+    world.fleet.availability.requests_in_flight.clear()
     for number in range(3):
         world.cluster.add_machine(f"vm-00000{number}", "m8", "a", True, "", world.now, world.now)
-    assert world.fleet.wanted(world.now) == []  # booting machines count
+    assert world.fleet.scale_out.plan(world.now) == []  # booting machines count
     world.now += 200 * SECOND
-    assert world.fleet.wanted(world.now)  # but not for ever
-    assert len(world.fleet.to_release(world.now)) == 3  # the ones that never boot go back
+    assert world.fleet.scale_out.plan(world.now)  # but not for ever
+    assert len(world.fleet.scale_in.machines_to_release(world.now)) == 3  # the ones that never boot go back
 
 
 def test_refused_capacity_is_sought_elsewhere() -> None:
     world = World()
     world.submit(legs=2, voyageS=30.0)
     world.plan()
-    (first,) = world.fleet.wanted(world.now)
-    world.fleet.refuse(first, world.now)
-    (second,) = world.fleet.wanted(world.now)
+    (first,) = world.fleet.scale_out.plan(world.now)
+    world.fleet.availability.refuse(first, world.now)
+    (second,) = world.fleet.scale_out.plan(world.now)
     assert second.zone != first.zone
-    world.fleet.refuse(second, world.now)
-    assert world.fleet.wanted(world.now) == []  # GPU machines are too dear for it
+    world.fleet.availability.refuse(second, world.now)
+    assert world.fleet.scale_out.plan(world.now) == []  # GPU machines are too dear for it
 
 
 def test_nothing_is_rented_in_a_dark_zone_but_one_machine_to_find_out() -> None:
@@ -134,11 +134,11 @@
     assert set(cluster.partitioned_zones) == {"a"}
     world.submit(legs=20, cores=8.0)
     world.plan()
-    assert {rental.zone for rental in world.fleet.wanted(world.now)} == {"b"}
-    world.fleet.refuse(ScaleOutRequest("m8", "b", True, 1), world.now + 20 * SECOND)
-    assert world.fleet.wanted(world.now) == []
+    assert {rental.zone for rental in world.fleet.scale_out.plan(world.now)} == {"b"}
+    world.fleet.availability.refuse(ScaleOutRequest("m8", "b", True, 1), world.now + 20 * SECOND)
+    assert world.fleet.scale_out.plan(world.now) == []
     world.now += 25 * SECOND
-    (probe,) = world.fleet.wanted(world.now)
+    (probe,) = world.fleet.scale_out.plan(world.now)
     assert (probe.zone, probe.count) == ("a", 1)
     world.machine(9, "a")
     world.settle(1)
@@ -157,7 +157,7 @@
     world.submit(ref="j-000007", legs=1, **GANG)
     world.plan()
     assert world.cluster.jobs["j-000007"].tier == ON_DEMAND
-    (rental,) = world.fleet.wanted(world.now)
+    (rental,) = world.fleet.scale_out.plan(world.now)
     assert rental.type == "g16"
 
 
@@ -204,7 +204,7 @@
     world.settle(2)
     gang = world.submit(ref="j-000007", legs=2, **GANG)
     world.plan()
-    (rental,) = world.fleet.wanted(world.now)
+    (rental,) = world.fleet.scale_out.plan(world.now)
     assert (rental.type, rental.zone, rental.count) == ("g16", "a", 1)  # where the free one is
     world.cluster.add_machine("vm-000002", "g16", "a", False, "", world.now, world.now)
     small = world.submit(ref="j-000008", legs=1, **GANG)
@@ -238,9 +238,9 @@
     one = world.cluster.jobs[world.submit(legs=1, voyageS=40.0, tideS=100.0)]
     many = world.cluster.jobs[world.submit(ref="j-000002", legs=9, voyageS=40.0, tideS=100.0)]
     router = TierRouter(RuntimePredictor(), 60 * SECOND, 2.0, tail_factor=1.5)
-    assert router.route(one, world.now, None, False, True, 50 * SECOND) == SPOT
-    assert router.route(many, world.now, None, False, True, 50 * SECOND) == ON_DEMAND
-    assert router.route(many, world.now, None, False, True, 30 * SECOND) == SPOT
+    assert router.route(one, world.now, TierAvailability(None, False, True, 50 * SECOND)) == SPOT
+    assert router.route(many, world.now, TierAvailability(None, False, True, 50 * SECOND)) == ON_DEMAND
+    assert router.route(many, world.now, TierAvailability(None, False, True, 30 * SECOND)) == SPOT
 
 
 def test_as_many_jobs_as_possible_meet_their_deadlines() -> None:
@@ -294,7 +294,7 @@
     near = world.submit(ref="j-000002", legs=2, voyageS=50.0, tideS=80.0)
     for zone in "ab":
         for kind in ("m8", "g16"):
-            world.fleet.refuse(ScaleOutRequest(kind, zone, True, 1), world.now)
+            world.fleet.availability.refuse(ScaleOutRequest(kind, zone, True, 1), world.now)
     world.plan()
     jobs = world.cluster.jobs
     assert (jobs[lost].tier, jobs[near].tier) == (SPOT, ON_DEMAND)
@@ -351,7 +351,7 @@
     world.settle(60)
     assert sorted(names[0] for names in world.live(moving).values())[:2] == ["vm-000001"] * 2
     world.cluster.replica_us = 10_000 * SECOND
-    assert len(world.fleet.to_move(world.now)) == 2
+    assert len(world.fleet.rebalancer.replicas_to_move(world.now)) == 2
 
 
 def test_moves_that_fetch_stay_within_what_replicas_may_miss() -> None:
@@ -366,9 +366,9 @@
     world.settle(60)
     assert world.live(moving) == {f"{moving}/0": ["vm-000002"]}
     world.cluster.replica_us = 100 * SECOND
-    assert world.fleet.to_move(world.now) == []  # a fetch of 1 s would be 1 %
+    assert world.fleet.rebalancer.replicas_to_move(world.now) == []  # a fetch of 1 s would be 1 %
     world.cluster.replica_us = 100_000 * SECOND
-    assert [task.name for task in world.fleet.to_move(world.now)] == [f"{moving}/0"]
+    assert [task.name for task in world.fleet.rebalancer.replicas_to_move(world.now)] == [f"{moving}/0"]
 
 
 def test_replicas_of_a_job_leave_room_for_a_lost_mate() -> None:
@@ -404,7 +404,9 @@
     assert len(world.live(short)) == 4
     gang = world.submit(ref="j-000007", legs=1, **GANG)
     world.plan()
-    assert world.fleet.wanted(world.now) == [] or all(r.type != "g16" for r in world.fleet.wanted(world.now))
+    assert world.fleet.scale_out.plan(world.now) == [] or all(
+        r.type != "g16" for r in world.fleet.scale_out.plan(world.now)
+    )
     world.step(0.1)
     world.step(0.1)
     world.step(0.1)
@@ -413,7 +415,9 @@
     world.settle(3)
     for _ in range(9):
         world.step(10.0)
-    assert [m.name for m in world.fleet.to_release(world.now)] == ["vm-000001"]  # no warm room for services either
+    assert [m.name for m in world.fleet.scale_in.machines_to_release(world.now)] == [
+        "vm-000001"
+    ]  # no warm room for services either
 
 
 def test_replicas_move_together_once_nothing_else_wants_the_room() -> None:
@@ -427,15 +431,17 @@
     world.settle(2)
     other = world.submit(ref="j-000003", rig="standing", urgency="production", legs=1, cores=5.0)
     world.settle(60)
-    assert world.record(array) == wire.DONE
+    assert world.record(array) == wire.JobStatus.COMPLETED
     for task in [t for j in (service, other) for t in world.cluster.jobs[j].tasks.values()]:
         assert task.machine is not None
     used = {name for job in (service, other) for names in world.live(job).values() for name in names}
     assert len(used) == 2
-    assert world.fleet.to_move(world.now) == []  # too few replicas, for too short a time, for one to be missed
+    assert (
+        world.fleet.rebalancer.replicas_to_move(world.now) == []
+    )  # too few replicas, for too short a time, for one to be missed
     world.cluster.replica_us = 10_000 * SECOND
     for _ in range(6):
-        for task in world.fleet.to_move(world.now):
+        for task in world.fleet.rebalancer.replicas_to_move(world.now):
             world.cluster.stop(task, 0.0)
         world.send()
         world.step(0.5)
@@ -444,7 +450,7 @@
     used = {name for job in (service, other) for names in world.live(job).values() for name in names}
     assert len(used) == 1
     empty = first if second.name in used else second
-    assert [m.name for m in world.fleet.to_release(world.now)] == [empty.name]
+    assert [m.name for m in world.fleet.scale_in.machines_to_release(world.now)] == [empty.name]
 
 
 def test_the_work_of_a_planning_pass_is_bounded() -> None:
@@ -458,11 +464,13 @@
     for number in range(2, 30):
         world.submit(ref=f"j-{number:06d}", rig="standing", urgency="production", legs=1, cores=9.0, berthKinds=["m8"])
         world.submit(ref=f"j-{number + 50:06d}", legs=5, voyageS=900.0)
-    world.placer.looked_at = 0
+    world.placer.preemption.victims.machines_examined = 0
     for _ in range(10):
         world.plan()
     services, machines = 28, 40
-    assert 0 < world.placer.looked_at <= services * machines  # once in a pause, and none for the arrays
+    assert (
+        0 < world.placer.preemption.victims.machines_examined <= services * machines
+    )  # once in a pause, and none for the arrays
 
 
 def test_when_no_more_spot_is_to_be_had_the_queue_decides() -> None:
@@ -471,8 +479,8 @@
     world.submit(voyageS=30.0, tideS=100.0)
     waiting = world.cluster.jobs["j-000001"]
     router = TierRouter(RuntimePredictor(), 60 * SECOND, 2.0)
-    assert router.route(waiting, world.now, None, False, True, 40 * SECOND) == SPOT
-    assert router.route(waiting, world.now, None, False, True, 90 * SECOND) == ON_DEMAND
+    assert router.route(waiting, world.now, TierAvailability(None, False, True, 40 * SECOND)) == SPOT
+    assert router.route(waiting, world.now, TierAvailability(None, False, True, 90 * SECOND)) == ON_DEMAND
 
 
 def test_a_replica_takes_room_where_its_image_is() -> None:
@@ -540,7 +548,7 @@
     world = World()
     world.submit(crew="crew", legs=100)
     world.plan()
-    assert sum(r.count for r in world.fleet.wanted(world.now)) == 4  # 32 CPUs
+    assert sum(r.count for r in world.fleet.scale_out.plan(world.now)) == 4  # 32 CPUs
 
 
 def test_idle_machines_go_back_but_not_busy_ones() -> None:
@@ -549,7 +557,7 @@
     world.submit(legs=1, voyageS=100.0)
     for _ in range(40):
         world.step(1.0)
-    names = [m.name for m in world.fleet.to_release(world.now)]
+    names = [m.name for m in world.fleet.scale_in.machines_to_release(world.now)]
     assert names == [idle.name if busy.starts else busy.name]
 
 
@@ -561,10 +569,10 @@
     assert owned.starts  # free owned room first
     world.machine(2, spot=True)
     world.settle(2)
-    world.fleet.mark_surplus(world.now)
+    world.fleet.scale_in.update_cordons()
     assert world.cluster.machines[owned.name].cordoned_for_scale_in
     world.submit(ref="j-000002", legs=6, voyageS=30.0)  # more than spot room can take
-    world.fleet.mark_surplus(world.now)
+    world.fleet.scale_in.update_cordons()
     assert not world.cluster.machines[owned.name].cordoned_for_scale_in
 
 
@@ -617,7 +625,7 @@
 
 
 def test_settings_name_the_broken_field(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    good = smoke.settings(0, list(range(4000, 4008)))
+    good = smoke_test.settings(0, list(range(4000, 4008)))
     path = tmp_path / "n.toml"
     path.write_text(good + "\n[unheard]\nof = 1\n")
     assert load(path).node_name == "n0"
@@ -658,7 +666,11 @@
     world.settle(2)
     world.cancel(dropped)
     world.settle(6)
-    assert [world.record(ref) for ref in (done, lasting, waits)] == [wire.DONE, wire.QUEUED, wire.QUEUED]
+    assert [world.record(ref) for ref in (done, lasting, waits)] == [
+        wire.JobStatus.COMPLETED,
+        wire.JobStatus.QUEUED,
+        wire.JobStatus.QUEUED,
+    ]
     assert world.cluster.job_statistics.line() == (
         "served (started/accepted, done): class serve 1/2, 0; class train 1/1, 1; team crew 1/1, 1; team other 1/2, 0; "
         "largest serve 0/1 train 1/1"
--- a/tests/test_whereabouts.py
+++ b/tests/test_task_locations.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+from collections.abc import Callable
 from typing import Any
 
 import pytest
@@ -13,14 +14,15 @@
 from oatport.control.state.completions import LEADS_MOST, ROWS_MOST, CompletionLog, parse
 from oatport.control.state.task import TaskPhase
 from oatport.control.storage.write_buffer import WriteBatch, job_key, live_key, waits_key
-from oatport.lab.world.state import KeyStore
-from oatport.lab.world.worker import Worker
+from oatport.peer_messages import JobAccepted, PeerArray, PeerMessage, any_reply, decode_reply
 from oatport.service.leader import LOOKED_UP_MOST
 from oatport.service.node import Node
 from oatport.settings import Team, Tuning
+from oatport.simulation.state_service import KeyStore
+from oatport.simulation.worker import Worker
 from oatport.times import SECOND, steady
-from tests.test_service import leader
-from tests.world import World, job, node_settings
+from tests.cluster_fixture import World, job, node_settings
+from tests.test_node_failures import leader, peer_reply
 
 # --- ends that no record says yet -----------------------------------------------------------------------
 
@@ -61,10 +63,10 @@
     ref, worker = _done_unwritten(world)
     machine = world.cluster.machines[worker.name]
     machine.draining = True
-    assert world.fleet.to_release(world.now) == []
+    assert world.fleet.scale_in.machines_to_release(world.now) == []
     assert live_key(ref) in world.cluster.urgent_keys  # and it is written at once
     world.commit()
-    assert world.fleet.to_release(world.now) == [machine]
+    assert world.fleet.scale_in.machines_to_release(world.now) == [machine]
 
 
 def test_a_release_without_an_answer_is_repeated_though_tasks_are_recorded_there() -> None:
@@ -76,16 +78,16 @@
     world.settle(3)
     machine = world.cluster.machines[worker.name]
     assert machine.tasks
-    assert world.fleet.to_release(world.now) == []
+    assert world.fleet.scale_in.machines_to_release(world.now) == []
     machine.releasing = True
-    assert world.fleet.to_release(world.now) == [machine]
+    assert world.fleet.scale_in.machines_to_release(world.now) == [machine]
 
 
 def test_ends_on_machines_that_stay_wait_for_others_of_their_record() -> None:
     """Written at once for every machine, they used up the changes that submissions wait for."""
     world = World()
     ref, worker = _done_unwritten(world)
-    assert world.fleet.to_release(world.now) == []
+    assert world.fleet.scale_in.machines_to_release(world.now) == []
     assert live_key(ref) in world.cluster.dirty_keys
     assert live_key(ref) not in world.cluster.urgent_keys
     assert not world.cluster.machines[worker.name].releasing
@@ -97,11 +99,11 @@
     world.cluster.machines[worker.name].draining = True
     batch = world.cluster.take_batch(world.ops)
     assert live_key(ref) in batch.sets
-    assert world.fleet.to_release(world.now) == []
+    assert world.fleet.scale_in.machines_to_release(world.now) == []
     world.cluster.restore_batch(batch)
-    assert world.fleet.to_release(world.now) == []
+    assert world.fleet.scale_in.machines_to_release(world.now) == []
     world.commit()
-    assert len(world.fleet.to_release(world.now)) == 1
+    assert len(world.fleet.scale_in.machines_to_release(world.now)) == 1
 
 
 def test_an_end_held_back_for_its_size_is_not_forgotten() -> None:
@@ -115,7 +117,7 @@
     world.cluster.in_flight_keys = set()
     machine = world.cluster.machines[worker.name]
     orders, _ = world.cluster.commands_for(machine, world.now, direct=True)
-    assert not [order for order in orders if order["orderKind"] == "forget"]
+    assert not [order for order in orders if isinstance(order, wire.ForgetCommand)]
     assert world.cluster.holds_unwritten_completions(machine)
 
 
@@ -169,7 +171,7 @@
     world.released(worker.name)
     for _ in range(25):
         world.step(1.0)
-    assert world.record(ref) == wire.DONE
+    assert world.record(ref) == wire.JobStatus.COMPLETED
     assert not any(task == f"{ref}/0" for w in world.workers.values() for task, _ in w.starts)
 
 
@@ -263,11 +265,14 @@
     def __init__(self, answer: Any) -> None:
         self.answer, self.asked = answer, list[Any]()
 
-    async def ask(self, *message: Any, timeout_us: int = 0) -> Any:
-        self.asked.append(message)
+    async def ask(self, request: PeerMessage, decode: Callable[[PeerArray], Any], *, timeout_us: int = 0) -> Any:
+        self.asked.append(request.encode())
         if isinstance(self.answer, Exception):
             raise self.answer
-        return self.answer
+        return decode_reply(self.answer, decode)
+
+    async def notify(self, request: PeerMessage) -> None:
+        await self.ask(request, any_reply)
 
 
 async def test_a_takeover_asks_all_nodes_and_strange_or_missing_answers_are_none() -> None:
@@ -285,7 +290,7 @@
     assert await node.peer_notifier.completions_before(9) == ([], False)
     node.peers["n3"] = Peer(["ended", [["j-000001", 2, 1]]])  # type: ignore[assignment]
     assert await node.peer_notifier.completions_before(9) == ([("j-000001", 2, 1)], True)
-    assert await node.peer_notifier.on_ends(["ends", 4, [["j-000002", 0, 1]]]) == ["ok"]
+    assert await peer_reply(node, ["ends", 4, [["j-000002", 0, 1]]]) == ["ok"]
     found, complete = await node.peer_notifier.completions_before(9)
     assert set(found) == {("j-000001", 2, 1), ("j-000002", 0, 1)}
     assert complete
@@ -298,11 +303,11 @@
     found, complete = await node.peer_notifier.completions_before(11)
     assert not complete
     assert len(found) == 2
-    assert await node.peer_notifier.on_ended(["ended", 4]) == ["ended", None]
-    assert await node.peer_notifier.on_ended(["ended", 5]) == ["ended", [("j-000002", 0, 1)]]
+    assert await peer_reply(node, ["ended", 4]) == ["ended", None]
+    assert await peer_reply(node, ["ended", 5]) == ["ended", [("j-000002", 0, 1)]]
     for message in (["ends", "4", []], ["ends", 4, [[]]], ["ended", None]):
         with pytest.raises((ValueError, TypeError)):
-            await (node.peer_notifier.on_ends if message[0] == "ends" else node.peer_notifier.on_ended)(message)
+            await peer_reply(node, message)
 
 
 async def test_a_deposed_leader_tells_what_it_could_not_record(state: KeyStore) -> None:
@@ -315,7 +320,7 @@
     node.peers = {"n1": reached}  # type: ignore[dict-item]
     node.peer_notifier.deposed(lead)
     await asyncio.sleep(0.01)
-    assert reached.asked == [("ends", lead.token, [(ref, 0, 1)])]
+    assert reached.asked == [["ends", lead.token, [(ref, 0, 1)]]]
     assert node.peer_notifier.ends.before(lead.token + 1) == [(ref, 0, 1)]
     node.group.close()
 
@@ -337,7 +342,7 @@
     world.released(workers[1].name)
     world.machine(3)
     world.settle(6)
-    assert world.record(ref) == wire.DONE
+    assert world.record(ref) == wire.JobStatus.COMPLETED
     assert not world.workers["vm-000003"].starts
     assert told.startswith(ref)
 
@@ -350,14 +355,14 @@
     world.settle(3)
     _until_done(world, workers[0])
     world.commit()
-    assert world.record(ref) == wire.QUEUED
+    assert world.record(ref) == wire.JobStatus.QUEUED
     world.refused.add(workers[1].name)
     world.fail_over()
     assert world.cluster.jobs[ref].on_machines == 1  # where it is recorded, until that is disproved
     world.released(workers[1].name)
     world.machine(3)
     world.settle(6)
-    assert world.record(ref) == wire.DONE
+    assert world.record(ref) == wire.JobStatus.COMPLETED
     assert not world.workers["vm-000003"].starts
 
 
@@ -372,7 +377,7 @@
             "orders": [{"orderKind": "start", "leg": f"{ref}/{index}", "sailing": attempt}],
         }
     )
-    world.cluster.on_heartbeat(wire.report(worker.report()), world.now, world.now)
+    world.cluster.on_heartbeat(wire.decode_heartbeat(worker.report()), world.now, world.now)
 
 
 def test_attempts_that_no_record_knows_count_for_their_team_and_zone() -> None:
@@ -418,7 +423,7 @@
     world = World([Team("crew", cpus_max=8.0)])
     worker = world.machine(1)
     world.settle(2)
-    spec = wire.submission(job("j-000777", cores=6.0))
+    spec = wire.decode_submission(job("j-000777", cores=6.0))
     world.jobs["j-000777"] = job("j-000777", cores=6.0)
     _start_behind_its_back(world, worker, "j-000777")
     world.cluster.add_job("j-000777", spec, 1, world.now)
@@ -482,7 +487,7 @@
     world.commit()
     world.send()
     other = world.machine(2)
-    world.cluster.on_heartbeat(wire.report(other.report()), world.now, world.now)
+    world.cluster.on_heartbeat(wire.decode_heartbeat(other.report()), world.now, world.now)
     assert world.cluster.jobs[ref].orphaned_attempt_count == 1
     world.plan()
     assert not world.cluster.jobs[ref].on_machines
@@ -512,7 +517,7 @@
             ],
         },
     )[1]["ledgerRev"]
-    cancelled = {**record, "state": wire.CANCELLED}
+    cancelled = {**record, "state": wire.JobStatus.CANCELLED}
     batch = WriteBatch(
         conditions={job_key(waiting): version, job_key(claimed): version, live_key(claimed): version},
         sets={job_key(waiting): cancelled, live_key(claimed): {"t": [[1, "vm-000001"]]}},
@@ -537,10 +542,10 @@
     """Its claims failed on keys that were gone, which cost the lead."""
     lead, _, _ = leader(state)
     record = {"state": "queued", "at": 0, "job": job("j-000001")}
-    lead._apply_job_hint("accepted", "j-000001", record, 50)
+    lead._apply_job_hint(JobAccepted("j-000001", record, 50))
     found = lead.cluster.jobs["j-000001"]
     batch = WriteBatch(deleted_jobs=[found])
     lead.cluster.committed(batch, 60, steady())
     assert not lead.cluster.jobs
-    lead._apply_job_hint("accepted", "j-000001", record, 50)
+    lead._apply_job_hint(JobAccepted("j-000001", record, 50))
     assert not lead.cluster.jobs
--- a/tests/test_dark.py
+++ b/tests/test_zone_partitions.py
@@ -9,18 +9,18 @@
 from oatport import wire
 from oatport.control.leadership.lease_proxy import ISOLATED_AFTER, LeaseProxy
 from oatport.control.leadership.zone_partition import KEEP_BOUND, REPLICAS_AT_ONCE, ZoneEvacuation, lives_until
-from oatport.control.scaling.scale_in import ScaleOutRequest
+from oatport.control.scaling.cloud_availability import ScaleOutRequest
 from oatport.control.state.machine import Machine
 from oatport.control.storage.write_buffer import DARK_KEY
-from oatport.lab.world.state import KeyStore
-from oatport.lab.world.worker import Worker
 from oatport.service.failure_detector import FailureDetector
 from oatport.service.leader import Leader
 from oatport.service.node import Node
 from oatport.settings import Team, Tuning
+from oatport.simulation.state_service import KeyStore
+from oatport.simulation.worker import Worker
 from oatport.times import SECOND, steady
-from tests.test_service import FakeLeadingNode, FakePeer, leader
-from tests.world import FakeStateClient, World, cluster_settings, node_settings
+from tests.cluster_fixture import FakeStateClient, World, cluster_settings, node_settings
+from tests.test_node_failures import FakeLeadingNode, FakePeer, leader, peer_reply
 
 
 @pytest.fixture
@@ -92,10 +92,12 @@
     worker.token = lead.token
     report: Any = worker.report()
 
-    assert node.answer_heartbeat(wire.report(report)) is None  # it is not out of touch: the state service answers
+    assert (
+        node.answer_heartbeat(wire.decode_heartbeat(report)) is None
+    )  # it is not out of touch: the state service answers
     client.ok_at, client.failed_at = steady() - 3 * SECOND, steady()
-    assert node.answer_heartbeat(wire.report(report)) == {"helm": lead.token, "orders": []}
-    assert (await node.lease_proxy.on_carried_out(["carried out"])) == ["no"]  # only the leader knows
+    assert node.answer_heartbeat(wire.decode_heartbeat(report)) == {"helm": lead.token, "orders": []}
+    assert (await peer_reply(node, ["carried out"])) == ["no"]  # only the leader knows
 
 
 async def test_a_node_that_was_started_again_learns_from_another_what_leases_are_kept_by(state: KeyStore) -> None:
@@ -107,8 +109,8 @@
         node._leader_name = "n1"  # outside the cut
     worker = Worker(lambda: 0, "vm-000001", "h:1", "m8", "a", False, 8.0, lambda ref: None)
     worker.token = 7
-    report = wire.report(worker.report())
-    assert await old.lease_proxy.on_kept(["kept"]) == ["no"]  # it was never told anything
+    report = wire.decode_heartbeat(worker.report())
+    assert await peer_reply(old, ["kept"]) == ["no"]  # it was never told anything
     old.lease_proxy.steward.told(7, steady() - 3 * SECOND, 0)
     peer = FakePeer(None, "n2")
     for answer in (None, ["no"], ["kept", 7], ["kept", "x", 0, 0, True], ["pong"]):  # cut, an older node, a strange one
@@ -116,7 +118,7 @@
         await new.lease_proxy.ask_keeper(peer)  # type: ignore[arg-type]
         assert new.answer_heartbeat(report) is None
         assert new.leader_name() == "n1"
-    peer.answer = await old.lease_proxy.on_kept(["kept"])
+    peer.answer = await peer_reply(old, ["kept"])
     await new.lease_proxy.ask_keeper(peer)  # type: ignore[arg-type]
     assert new.answer_heartbeat(report) == {"helm": 7, "orders": []}
     assert new.leader_name() == "n2"  # for a worker that has another token
@@ -217,9 +219,9 @@
     there = cut(world, "b")
     world.now += 20 * SECOND  # what they ran is done by now, and will be done at once where it is started again
     assert leaving(world, True) == []  # but who knows whether there are other machines?
-    world.fleet.grant(ScaleOutRequest("m8", "b", False, 1), world.now)
+    world.fleet.availability.grant(ScaleOutRequest("m8", "b", False, 1), world.now)
     assert leaving(world, True) == []
-    world.fleet.grant(ScaleOutRequest("m8", "a", False, 1), world.now)
+    world.fleet.availability.grant(ScaleOutRequest("m8", "a", False, 1), world.now)
     assert leaving(world, True) == [m.name for m in there]
 
 
@@ -236,7 +238,7 @@
     assert abs(world.cluster.partitioned_zones["b"] - since) < SECOND // 10
     world.submit(rig="standing", legs=2, driftwood=False)
     world.settle()
-    assert all(rental.zone == "a" for rental in world.fleet.wanted(world.now))
+    assert all(rental.zone == "a" for rental in world.fleet.scale_out.plan(world.now))
     world.refused.clear()
     world.settle()
     assert not world.cluster.partitioned_zones
