--- a/oatport/control/placement/placer.py
+++ b/oatport/control/placement/placer.py
@@ -52,7 +52,7 @@
 
     now: int
     usable: list[Machine]
-    roomy: list[Machine]  # usable machines on which the smallest pending task may fit
+    with_capacity: list[Machine]  # usable machines on which the smallest pending task may fit
     smallest_cpus: float  # the least that a pending task takes
     zones: set[str]
     infeasible: InfeasibleRequests = field(default_factory=InfeasibleRequests)
@@ -61,19 +61,19 @@
     @classmethod
     def begin(cls, now: int, usable: list[Machine], smallest_cpus: float) -> PlacementPass:
         """Most machines are full most of the time: no job looks at those where none that is pending would fit."""
-        roomy = [m for m in usable if m.free_cpus >= smallest_cpus]
-        return cls(now, usable, roomy, smallest_cpus, {m.zone for m in usable})
+        with_capacity = [m for m in usable if m.free_cpus >= smallest_cpus]
+        return cls(now, usable, with_capacity, smallest_cpus, {m.zone for m in usable})
 
     def drop_full_machines(self, bindings: int) -> None:
         """Filter again, once enough tasks were bound for it to be worth the cost."""
-        if bindings - self.bindings_when_filtered > len(self.roomy) // 4:
+        if bindings - self.bindings_when_filtered > len(self.with_capacity) // 4:
             self.bindings_when_filtered = bindings
-            self.roomy = [m for m in self.roomy if m.free_cpus >= self.smallest_cpus]
+            self.with_capacity = [m for m in self.with_capacity if m.free_cpus >= self.smallest_cpus]
 
     def exclude(self, kept: set[Machine]) -> None:
         """These are kept for a job: the others do without."""
         self.usable = [m for m in self.usable if m not in kept]
-        self.roomy = [m for m in self.roomy if m not in kept]
+        self.with_capacity = [m for m in self.with_capacity if m not in kept]
 
 
 @dataclass(slots=True)
@@ -101,7 +101,8 @@
         """Is a pass worth its cost: has anything changed since the last one that could matter to it?
 
         Full machines with thousands of tasks pending were searched again and again for capacity that could not be
-        there. What makes room or changes the queue sets `planning_needed`; what only time brings is noted as a wakeup.
+        there. What frees capacity or changes the queue sets `planning_needed`; what only time brings is noted as a
+        wakeup.
         """
         return self._cluster.planning_needed or (bool(self._cluster.pending) and now >= self._wakeup.at)
 
@@ -136,7 +137,7 @@
     def _begin_pass(self, now: int, usable: list[Machine]) -> PlacementPass:
         current = PlacementPass.begin(now, usable, self._cluster.pending.smallest_cpus() - 1e-9)
         self._scorer.start_pass(usable)
-        self._candidates.start_pass(current.roomy)
+        self._candidates.start_pass(current.with_capacity)
         self._gangs.start_pass()
         return current
 
@@ -177,15 +178,15 @@
         return allowed
 
     def _place_gang(self, job: Job, current: PlacementPass) -> int:
-        """Bind a whole gang, or make room and keep machines for it; returns the number of tasks that were bound."""
-        machines = self._gangs.place(job, current.roomy, current.now)
+        """Bind a whole gang, or free capacity and keep machines for it; returns the number of tasks that were bound."""
+        machines = self._gangs.place(job, current.with_capacity, current.now)
         if machines:
             self._candidates.bound += machines
             # What machines with GPUs have left beside a gang is capacity for those that found none before.
             self._cluster.planning_needed = True
         elif not job.on_machines and not job.suspected_faulty:
             self.preemption.preempt(job, current.usable, current.now)
-            kept = self._gangs.machines_to_keep(job, current.roomy, current.now)
+            kept = self._gangs.machines_to_keep(job, current.with_capacity, current.now)
             if kept:
                 self._keep(kept, current)
         return len(machines)
@@ -232,7 +233,7 @@
     def _bind_tasks(self, job: Job, startable: int, current: PlacementPass) -> TaskPlacement:
         bound_count = 0
         while bound_count < startable:
-            machine = self._candidates.best(job, current.roomy)
+            machine = self._candidates.best(job, current.with_capacity)
             if machine is None:
                 break
             if job.kind is JobKind.SERVICE and self._warm_starts.should_wait(job, machine, current.usable, current.now):
--- a/oatport/control/placement/preemption.py
+++ b/oatport/control/placement/preemption.py
@@ -19,7 +19,7 @@
 BEST_EFFORT_PREEMPTION_INTERVAL = SECOND
 FAILED_SEARCH_INTERVAL = SECOND // 2
 
-# Tasks to make room for in one round.
+# Tasks to free capacity for in one round.
 TASKS_PER_ROUND = 8
 TASKS_PER_BEST_EFFORT_ROUND = 64
 
@@ -63,7 +63,7 @@
     def preempt(
         self, job: Job, usable: list[Machine], now: int, *, failed_search_interval: int = FAILED_SEARCH_INTERVAL
     ) -> None:
-        """Make room for a job of higher priority, or for a team that lacks its guarantee.
+        """Free capacity for a job of higher priority, or for a team that lacks its guarantee.
 
         A search in vain is not repeated for `failed_search_interval`: it looks at every task of every machine.
         """
--- a/oatport/control/placement/victim_selection.py
+++ b/oatport/control/placement/victim_selection.py
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True)
 class PreemptionOption:
-    """Tasks of a machine that make room for at least one of the job's."""
+    """Tasks of a machine whose capacity suffices for at least one of the job's."""
 
     loss: int  # microseconds of work and of waiting
     machine: Machine
@@ -111,7 +111,7 @@
         return options
 
     def _victims_on(self, machine: Machine, search: VictimSearch) -> list[Task]:
-        """The youngest tasks of a machine that make room for one of the job's; none if that is not possible."""
+        """The youngest tasks of a machine whose capacity suffices for one of the job's; none if it can't."""
         job = search.job
         freed = FreedCapacity(machine)
         stopping = False
@@ -162,7 +162,7 @@
         victims: list[Task] = []
         tasks_by_zone = dict(search.job.tasks_by_zone)
         for option in options:
-            # One large task makes room for several small ones.
+            # The capacity of one large task suffices for several small ones.
             zone = option.machine.zone
             count = min(option.machine.free_slots_without(option.victims, spec), wanted)
             if spec.spread:
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -1,4 +1,4 @@
-"""Jobs that need others: when they start, with whom they are cancelled, what is recorded, and what it costs."""
+"""Jobs that depend on others: when they start, what cancels them, what is recorded, and what it costs."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from tests.cluster_fixture import World
 
 
-def world_of(machines: int = 4, teams: list[Team] | None = None) -> World:
+def world_with_machines(machines: int = 4, teams: list[Team] | None = None) -> World:
     world = World(teams)
     for number in range(1, machines + 1):
         world.machine(number, zone="ab"[number % 2])
@@ -26,22 +26,22 @@
     return world
 
 
-def keys(world: World) -> set[str]:
+def recorded_keys(world: World) -> set[str]:
     return set(world.state.items)
 
 
-def chain(world: World, count: int, **more: Any) -> list[str]:
-    refs = [world.submit(legs=1, voyageS=5.0, **more)]
+def dependency_chain(world: World, count: int, **more: Any) -> list[str]:
+    job_ids = [world.submit(legs=1, voyageS=5.0, **more)]
     for _ in range(count - 1):
-        refs.append(world.submit(legs=1, voyageS=5.0, waitsOn=[refs[-1]], **more))
-    return refs
+        job_ids.append(world.submit(legs=1, voyageS=5.0, waitsOn=[job_ids[-1]], **more))
+    return job_ids
 
 
 # --- release ----------------------------------------------------------------------------------------
 
 
-def test_a_diamond_over_two_teams_runs_stage_by_stage() -> None:
-    world = world_of()
+def test_a_diamond_over_two_teams_runs_in_order_of_its_dependencies() -> None:
+    world = world_with_machines()
     first = world.submit(legs=2, voyageS=3.0)
     left = world.submit(legs=2, voyageS=3.0, waitsOn=[first, first], crew="other")
     right = world.submit(legs=1, voyageS=9.0, waitsOn=[first])
@@ -53,18 +53,18 @@
             assert not world.live(ref) or world.record(first) == wire.JobStatus.COMPLETED
         assert not world.live(last) or {world.record(left), world.record(right)} == {wire.JobStatus.COMPLETED}
     assert world.record(last) == wire.JobStatus.COMPLETED
-    assert not [key for key in keys(world) if key.startswith(("live/", "waits/"))]
+    assert not [key for key in recorded_keys(world) if key.startswith(("live/", "waits/"))]
 
 
-def test_tasks_that_ended_release_nobody_before_that_is_recorded() -> None:
-    """Their job's cancellation may still be told: it was, and what needed the job had been started."""
-    world = world_of()
-    first, last = chain(world, 2)
+def test_completed_tasks_release_no_dependents_before_the_completion_is_recorded() -> None:
+    """Their job may still be cancelled: it was, and what depended on it had been started."""
+    world = world_with_machines()
+    first, last = dependency_chain(world, 2)
     world.settle()
     world.now += 6 * SECOND
     for worker in world.workers.values():
         world.report(worker)
-    assert world.cluster.jobs[first].completing  # its end is about to be committed
+    assert world.cluster.jobs[first].completing  # its completion is about to be committed
     world.plan()
     assert last in world.cluster.blocked_jobs
     assert not world.cluster.blocked_jobs[last].tasks
@@ -83,25 +83,25 @@
     assert not world.live(last)
 
 
-def test_what_waits_counts_for_nothing() -> None:
-    """No queue, guarantee, hunger, line or pass knows of it."""
-    world = world_of()
+def test_blocked_jobs_cost_no_planning() -> None:
+    """No queue, guarantee, starvation, equivalence class or pass knows of them."""
+    world = world_with_machines()
     first = world.submit(legs=1, voyageS=500.0)
     world.settle()
-    looked = world.placer.preemption.victims.machines_examined
+    examined = world.placer.preemption.victims.machines_examined
     before = len(world.cluster.pending), world.cluster.pending.version
     for _ in range(300):
         world.submit(legs=8, waitsOn=[first], cores=4.0)
     world.settle()
     assert (len(world.cluster.pending), world.cluster.pending.version) == before
-    assert world.placer.preemption.victims.machines_examined == looked
+    assert world.placer.preemption.victims.machines_examined == examined
     assert set(world.cluster.jobs) == {first}
     assert not world.cluster.has_writes()
 
 
-def test_a_dependent_job_costs_one_change_more() -> None:
-    """Puts and deletes from accept to end: two, two for its first claim, two for its end; others have five."""
-    world = world_of(1)
+def test_a_dependent_job_costs_one_write_more() -> None:
+    """Puts and deletes: two when accepted, two for its first binding, two when completed; others have five."""
+    world = world_with_machines(1)
     first = world.submit(legs=1, voyageS=2.0)
     before = len(world.state.log)
     ref = world.submit(legs=1, voyageS=2.0, waitsOn=[first])
@@ -110,41 +110,41 @@
     assert len([key for _, key, _ in world.state.log[before:] if ref in key]) == 6
 
 
-def test_the_first_claim_is_what_brings_a_waiting_job_under_live() -> None:
+def test_the_first_binding_moves_a_released_job_from_waits_to_live() -> None:
     """An earlier version starts whatever lies there; both changes are one transaction."""
-    world = world_of()
-    first, last = chain(world, 2)
+    world = world_with_machines()
+    first, last = dependency_chain(world, 2)
     for _ in range(20):
         world.step(1.0)
-        if live_key(last) in keys(world):
+        if live_key(last) in recorded_keys(world):
             break
-        assert waits_key(last) in keys(world)
+        assert waits_key(last) in recorded_keys(world)
     revisions = {key: revision for revision, key, _ in world.state.log if key in (live_key(last), waits_key(last))}
     assert revisions[live_key(last)] == revisions[waits_key(last)]
     assert world.record(first) == wire.JobStatus.COMPLETED
 
 
-def test_times_count_from_the_release_also_for_the_next_leader() -> None:
-    world = world_of()
+def test_times_count_from_the_release_after_a_failover_too() -> None:
+    world = world_with_machines()
     first = world.submit(legs=1, voyageS=5.0)
     last = world.submit(legs=1, voyageS=5.0, waitsOn=[first])
-    for_gpus = world.submit(legs=1, accelerators=1.0, waitsOn=[first])  # there is no room for it
+    for_gpus = world.submit(legs=1, accelerators=1.0, waitsOn=[first])  # no machine has capacity for it
     while last in world.cluster.blocked_jobs:
         world.step(1.0)
     released = world.cluster.jobs[last].eligible_at
     assert world.now - 2 * SECOND <= released <= world.now
     world.settle(2)
     world.fail_over()
-    assert world.cluster.jobs[last].eligible_at == released  # recorded with its claim
+    assert world.cluster.jobs[last].eligible_at == released  # recorded with its binding
     assert (
         for_gpus in world.cluster.blocked_jobs
-    )  # needed jobs that ended are not among live work: their records are read
+    )  # completed dependencies are not among live work: their records are read
     world.look_up()
     assert world.cluster.jobs[for_gpus].eligible_at == released
 
 
-def test_a_gang_and_a_job_that_is_named_long_after_its_end() -> None:
-    world = world_of()
+def test_a_gang_depends_on_a_job_that_completed_long_ago() -> None:
+    world = world_with_machines()
     first = world.submit(legs=1, voyageS=2.0)
     world.settle(8)
     assert world.record(first) == wire.JobStatus.COMPLETED
@@ -153,9 +153,9 @@
     assert world.record(gang) == wire.JobStatus.COMPLETED
 
 
-def test_a_lost_or_failing_job_keeps_others_waiting_and_that_is_said() -> None:
-    world = world_of(1)
-    first, last = chain(world, 2)
+def test_a_lost_job_keeps_its_dependents_blocked_and_the_explanation_says_so() -> None:
+    world = world_with_machines(1)
+    first, last = dependency_chain(world, 2)
     world.settle()
     task = world.cluster.jobs[first].tasks[0]
     world.cluster.fail_job(task, "it may have begun")
@@ -166,12 +166,12 @@
     world.cancel(last)
     world.settle()
     assert world.record(last) == wire.JobStatus.CANCELLED
-    assert waits_key(last) not in keys(world)
+    assert waits_key(last) not in recorded_keys(world)
 
 
-def test_a_needed_job_that_failed_and_ran_again_releases_the_others() -> None:
-    world = world_of()
-    first, last = chain(world, 2)
+def test_a_job_that_failed_and_was_retried_releases_its_dependents() -> None:
+    world = world_with_machines()
+    first, last = dependency_chain(world, 2)
     world.settle()
     worker = next(w for w in world.workers.values() if w.starts)
     worker._end(*next(iter(worker.tasks.items())), "error")
@@ -182,11 +182,11 @@
     assert world.record(last) == wire.JobStatus.COMPLETED
 
 
-# --- takeovers --------------------------------------------------------------------------------------
+# --- failover --------------------------------------------------------------------------------------
 
 
-def test_a_takeover_at_each_step_goes_on_from_the_records() -> None:
-    world = world_of()
+def test_a_failover_at_each_step_goes_on_from_the_records() -> None:
+    world = world_with_machines()
     first = world.submit(legs=2, voyageS=3.0)
     middle = world.submit(legs=2, voyageS=3.0, waitsOn=[first])
     last = world.submit(legs=1, voyageS=3.0, waitsOn=[middle, first])
@@ -201,23 +201,23 @@
     assert all(len(set(worker.starts)) == len(worker.starts) for worker in world.workers.values())
 
 
-def test_all_nodes_end_while_two_hundred_jobs_wait() -> None:
-    world = world_of()
+def test_a_failover_while_two_hundred_jobs_are_blocked() -> None:
+    world = world_with_machines()
     first = world.submit(legs=1, voyageS=4.0)
-    refs = [world.submit(legs=1, voyageS=1.0, cores=0.5, waitsOn=[first]) for _ in range(200)]
+    job_ids = [world.submit(legs=1, voyageS=1.0, cores=0.5, waitsOn=[first]) for _ in range(200)]
     world.settle(2)
     world.fail_over()
     assert len(world.cluster.blocked_jobs) == 200
     world.settle(60)
-    assert {world.record(ref) for ref in refs} == {wire.JobStatus.COMPLETED}
+    assert {world.record(ref) for ref in job_ids} == {wire.JobStatus.COMPLETED}
 
 
 def test_where_a_transaction_holds_one_change_each_part_is_safe_alone() -> None:
-    """live/ first, then waits/ goes: a leader that finds both knows that the job waits no more."""
-    world = world_of()
+    """live/ first, then waits/ goes: a leader that finds both knows that the job is released."""
+    world = world_with_machines()
     world.ops = 1
-    _, last = chain(world, 2)
-    while live_key(last) not in keys(world):
+    _, last = dependency_chain(world, 2)
+    while live_key(last) not in recorded_keys(world):
         world.step(1.0)
     world.state.commit({"if": [], "then": [{"set": waits_key(last), "value": world.state.items[live_key(last)][0]}]})
     world.fail_over()
@@ -225,44 +225,44 @@
     assert last not in world.cluster.blocked_jobs
     world.settle(20)
     assert world.record(last) == wire.JobStatus.COMPLETED
-    assert waits_key(last) not in keys(world)
+    assert waits_key(last) not in recorded_keys(world)
 
 
 # --- cancellation -----------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("which", [0, 1, 2])
-def test_a_cancellation_takes_with_it_all_that_need_the_job(which: int) -> None:
-    world = world_of()
-    refs = chain(world, 3)
+def test_a_cancellation_cancels_all_that_depend_on_the_job(which: int) -> None:
+    world = world_with_machines()
+    job_ids = dependency_chain(world, 3)
     aside = world.submit(legs=1, voyageS=5.0)
     world.settle()
-    world.cancel(refs[which])
+    world.cancel(job_ids[which])
     world.settle(30)
-    assert [world.record(ref) for ref in refs] == [wire.JobStatus.COMPLETED] * which + [wire.JobStatus.CANCELLED] * (
+    assert [world.record(ref) for ref in job_ids] == [wire.JobStatus.COMPLETED] * which + [wire.JobStatus.CANCELLED] * (
         3 - which
     )
     assert world.record(aside) == wire.JobStatus.COMPLETED
-    assert not [key for key in keys(world) if key.startswith(("live/", "waits/"))]
+    assert not [key for key in recorded_keys(world) if key.startswith(("live/", "waits/"))]
 
 
-def test_a_takeover_between_two_marks_finds_the_others_by_itself() -> None:
+def test_a_failover_in_the_middle_of_a_cascade_completes_it() -> None:
     """Level-triggered: whatever the leader before had recorded of a cascade."""
-    world = world_of()
-    refs = chain(world, 4)
+    world = world_with_machines()
+    job_ids = dependency_chain(world, 4)
     world.settle()
-    world.cancel(refs[0])
+    world.cancel(job_ids[0])
     batch = world.cluster.take_batch(2)
-    assert [job.job_id for job in batch.cancelled_jobs] == [refs[1]]
+    assert [job.job_id for job in batch.cancelled_jobs] == [job_ids[1]]
     assert world.state.commit(world.transaction(batch))[0] == 200
     world.fail_over()
     world.settle()
-    assert {world.record(ref) for ref in refs} == {wire.JobStatus.CANCELLED}
+    assert {world.record(ref) for ref in job_ids} == {wire.JobStatus.CANCELLED}
 
 
-def test_its_own_user_is_faster_than_the_cascade() -> None:
-    world = world_of()
-    first, last = chain(world, 2)
+def test_a_dependent_that_its_user_cancelled_before_the_cascade() -> None:
+    world = world_with_machines()
+    first, last = dependency_chain(world, 2)
     world.settle()
     world.cancel(first)
     world.cancel(last, tell=False)
@@ -272,25 +272,25 @@
     world.cluster.cancel_blocked(last, world.state.items[f"jobs/{last}"][1])
     world.settle()
     assert world.record(last) == wire.JobStatus.CANCELLED
-    assert cancel_key(last) not in keys(world)
-    assert waits_key(last) not in keys(world)
+    assert cancel_key(last) not in recorded_keys(world)
+    assert waits_key(last) not in recorded_keys(world)
 
 
-def test_a_job_that_names_a_cancelled_one_is_cancelled() -> None:
-    world = world_of()
+def test_a_job_that_depends_on_a_cancelled_one_is_cancelled() -> None:
+    world = world_with_machines()
     first = world.submit(legs=1)
     world.settle()
     world.cancel(first)
-    after = world.submit(legs=1, waitsOn=[first])  # its tasks are still being stopped
+    early = world.submit(legs=1, waitsOn=[first])  # its tasks are still being stopped
     world.settle()
     later = world.submit(legs=1, waitsOn=[first])  # nothing of it is live any more
     world.settle()
-    assert {world.record(ref) for ref in (after, later)} == {wire.JobStatus.CANCELLED}
+    assert {world.record(ref) for ref in (early, later)} == {wire.JobStatus.CANCELLED}
 
 
-def test_a_job_that_is_told_twice_is_called_off_once() -> None:
+def test_a_job_that_is_received_twice_is_cancelled_once() -> None:
     """By the node that accepted it, and by the watch: each time another object of the same job."""
-    world = world_of()
+    world = world_with_machines()
     first = world.submit(legs=1)
     world.settle()
     world.cancel(first)
@@ -302,8 +302,8 @@
     assert world.cluster.job_statistics.classes["train"].accepted == counted
 
 
-def test_three_thousand_at_once_leave_claims_their_half() -> None:
-    world = world_of()
+def test_three_thousand_cancellations_at_once_leave_bindings_their_half() -> None:
+    world = world_with_machines()
     first = world.submit(legs=1, voyageS=100.0)
     for _ in range(3000):
         world.submit(legs=1, waitsOn=[first])
@@ -322,8 +322,8 @@
 # --- urgency ----------------------------------------------------------------------------------------
 
 
-def test_deadline_and_priority_are_carried_back_and_taken_back() -> None:
-    world = world_of(0)
+def test_deadline_and_priority_are_inherited_and_revoked() -> None:
+    world = world_with_machines(0)
     first = world.submit(legs=1, voyageS=20.0, urgency="idle")
     middle = world.submit(legs=1, voyageS=30.0, urgency="normal", waitsOn=[first])
     world.plan()
@@ -335,7 +335,7 @@
     assert job.priority_rank == 1
     assert (
         world.now + 140 * SECOND < job.inherited_deadlines[0] < world.now + 160 * SECOND
-    )  # less both runs, fetches and steps
+    )  # less both run times, fetches and steps
     assert job.deadline_at == job.inherited_deadlines[0]
     world.cancel(last)
     world.plan()
@@ -346,9 +346,9 @@
     assert job.priority_rank == 3
 
 
-def test_a_stage_whose_last_is_yet_to_come_is_no_idle_work() -> None:
-    """Some users submit the last only when the others are over: until then a stage waited behind everything else."""
-    world = world_of(0)
+def test_a_stage_whose_last_job_is_not_submitted_yet_is_not_best_effort() -> None:
+    """Some users submit the last one when the others have completed: until then a stage was behind everything else."""
+    world = world_with_machines(0)
     first = world.submit(legs=1, voyageS=1.0, urgency="idle")
     world.cluster.on_completion_recorded(first, world.now)
     stage = world.submit(legs=1, urgency="idle", waitsOn=[first])
@@ -359,8 +359,8 @@
     assert world.cluster.jobs[alone].priority_rank == 3
 
 
-def test_a_priority_that_changes_leaves_no_trace_in_what_is_taken() -> None:
-    world = world_of()
+def test_a_changed_priority_leaves_no_trace_in_the_accounts() -> None:
+    world = world_with_machines()
     first = world.submit(legs=2, voyageS=5.0, urgency="idle")
     world.settle()
     world.submit(legs=1, voyageS=1.0, urgency="high", waitsOn=[first])
@@ -374,36 +374,36 @@
     assert all(abs(sum(m.cpus_by_priority)) < 1e-9 for m in world.cluster.machines.values())
 
 
-def test_what_gives_up_its_urgency_is_reckoned_once() -> None:
-    """A job that thousands need: each that goes does not make all the others be looked at again."""
-    asked = 0
-    pipelines = DependencyGraph()
+def test_urgency_is_propagated_once_for_thousands_of_dependents() -> None:
+    """A job that thousands depend on: each that goes does not make all the others be looked at again."""
+    evaluated = 0
+    graph = DependencyGraph()
     for number in range(3000):
-        pipelines.add(f"j-{number + 2}", ["j-1"], lambda ref: Known.OPEN)
-    pipelines.stale.clear()
+        graph.add(f"j-{number + 2}", ["j-1"], lambda ref: Known.OPEN)
+    graph.stale.clear()
     for number in range(1000):
-        pipelines.leave(f"j-{number + 2}")
-    assert list(pipelines.stale) == ["j-1"]
+        graph.leave(f"j-{number + 2}")
+    assert list(graph.stale) == ["j-1"]
 
-    def of(ref: str) -> Any:
-        nonlocal asked
-        asked += 1
+    def urgency_of(ref: str) -> Any:
+        nonlocal evaluated
+        evaluated += 1
         return Urgency(1, (5,)), 1
 
-    pipelines.wanted("j-1", of)
-    assert asked == 2000
+    graph.wanted("j-1", urgency_of)
+    assert evaluated == 2000
 
 
 # --- against a plain model --------------------------------------------------------------------------
 
 
 class Model(RuleBasedStateMachine):
-    """Jobs that are accepted, done and cancelled in any order; what waits, is released or falls is told by sets."""
+    """Jobs that are accepted, completed and cancelled in any order; sets say what is blocked, released or cancelled."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.pipelines = DependencyGraph()
-        self.needs: dict[str, list[str]] = {}
+        self.graph = DependencyGraph()
+        self.dependencies: dict[str, list[str]] = {}
         self.state: dict[str, str] = {}  # waits, runs, done, cancelled
 
     def known(self, ref: str) -> Known:
@@ -411,31 +411,31 @@
             self.state[ref]
         ]
 
-    def fallen(self, ref: str) -> bool:
+    def cancelled(self, ref: str) -> bool:
         return self.state[ref] == "cancelled" or any(
-            self.fallen(need) for need in self.needs[ref] if self.state[need] != "done"
+            self.cancelled(need) for need in self.dependencies[ref] if self.state[need] != "done"
         )
 
     def ready(self, ref: str) -> bool:
-        return all(self.state[need] == "done" for need in self.needs[ref])
+        return all(self.state[need] == "done" for need in self.dependencies[ref])
 
     @rule(data=st.data())
     def accept(self, data: st.DataObject) -> None:
-        ref = f"j-{len(self.needs) + 1}"
-        named = data.draw(st.lists(st.sampled_from(sorted(self.needs)), max_size=4)) if self.needs else []
-        self.needs[ref] = list(dict.fromkeys(named))
-        if not named:
+        ref = f"j-{len(self.dependencies) + 1}"
+        drawn = data.draw(st.lists(st.sampled_from(sorted(self.dependencies)), max_size=4)) if self.dependencies else []
+        self.dependencies[ref] = list(dict.fromkeys(drawn))
+        if not drawn:
             self.state[ref] = "runs"
             return
-        told = self.pipelines.add(ref, self.needs[ref], self.known)
-        self.state[ref] = {Known.OPEN: "waits", Known.DONE: "runs", Known.CANCELLED: "cancelled"}[told]
+        outcome = self.graph.add(ref, self.dependencies[ref], self.known)
+        self.state[ref] = {Known.OPEN: "waits", Known.DONE: "runs", Known.CANCELLED: "cancelled"}[outcome]
 
     @precondition(lambda self: "runs" in self.state.values())
     @rule(data=st.data())
     def end(self, data: st.DataObject) -> None:
         ref = data.draw(st.sampled_from([r for r, state in self.state.items() if state == "runs"]))
         self.state[ref] = "done"
-        _, released = self.pipelines.done(ref)
+        _, released = self.graph.done(ref)
         for name in released:
             assert self.state[name] == "waits"
             self.state[name] = "runs"
@@ -445,22 +445,22 @@
     def cancel(self, data: st.DataObject) -> None:
         ref = data.draw(st.sampled_from([r for r, s in self.state.items() if s in ("runs", "waits")]))
         self.state[ref] = "cancelled"
-        for name in self.pipelines.cancelled(ref):
+        for name in self.graph.cancelled(ref):
             assert self.state[name] == "waits"
             self.state[name] = "cancelled"
 
     @invariant()
-    def as_the_sets_have_it(self) -> None:
+    def graph_agrees_with_the_sets(self) -> None:
         for ref, state in self.state.items():
-            if self.fallen(ref):
+            if self.cancelled(ref):
                 assert state == "cancelled"
             elif state == "waits":
                 assert not self.ready(ref)
-                assert set(self.pipelines.waits(ref)) == {n for n in self.needs[ref] if self.state[n] != "done"}
+                assert set(self.graph.waits(ref)) == {n for n in self.dependencies[ref] if self.state[n] != "done"}
             else:
                 assert self.ready(ref)
-        assert set(self.pipelines.unmet) == {ref for ref, state in self.state.items() if state == "waits"}
-        assert not self.pipelines.unknown
+        assert set(self.graph.unmet) == {ref for ref, state in self.state.items() if state == "waits"}
+        assert not self.graph.unknown
 
 
 Model.TestCase.settings = hypothesis_settings(max_examples=60, stateful_step_count=30, deadline=None)
