--- a/oatport/api/job_api.py
+++ b/oatport/api/job_api.py
@@ -49,8 +49,8 @@
         limits = settings.cluster.state
         self._slots = ConcurrencyLimit(SLOTS)
         self._view = JobStatusCache(state, self._slots, limits.least_rps)
-        pace = AdaptiveRateLimiter(limits.write_rps, settings.cluster.size, limits.least_write_rps)
-        self._intake = SubmissionBatcher(state, limits.least_txn_ops, pace)
+        limiter = AdaptiveRateLimiter(limits.write_rps, settings.cluster.size, limits.least_write_rps)
+        self._intake = SubmissionBatcher(state, limits.least_txn_ops, limiter)
         self._value_bytes = limits.least_value_bytes
         self._idle_share = Share(limits.write_rps)
         self._busy = 0
--- a/oatport/api/submission_batcher.py
+++ b/oatport/api/submission_batcher.py
@@ -28,10 +28,10 @@
 
 
 class SubmissionBatcher:
-    def __init__(self, state: StateClient, txn_ops: int, pace: AdaptiveRateLimiter) -> None:
+    def __init__(self, state: StateClient, txn_ops: int, limiter: AdaptiveRateLimiter) -> None:
         self._state = state
         self._most = max(1, txn_ops // ACCEPT_KEYS)
-        self._pace = pace
+        self._limiter = limiter
         self._waiting: dict[str, Entry] = {}
         self._running: set[asyncio.Task[None]] = set()
 
@@ -39,28 +39,28 @@
         """One more would wait in vain: it could not be sent soon. Work of the lowest priority goes last."""
         now = steady()
         ahead = (sum(not entry[3] for entry in self._waiting.values()) + 1) * ACCEPT_KEYS
-        if len(self._waiting) < WAITING_MOST and self._pace.wait(now, ahead) <= SENT_WITHIN:
+        if len(self._waiting) < WAITING_MOST and self._limiter.wait_us(now, ahead) <= SENT_WITHIN:
             return False
-        self._pace.wanting(now)
+        self._limiter.request_more(now)
         return True
 
     def spare(self) -> bool:
-        return self._pace.spare(steady(), (len(self._waiting) + 1) * ACCEPT_KEYS)
+        return self._limiter.available_to_best_effort(steady(), (len(self._waiting) + 1) * ACCEPT_KEYS)
 
     def short(self) -> bool:
         """Changes are short, rather than the state service away."""
-        return self._pace.short(steady())
+        return self._limiter.is_throttled(steady())
 
     def comes_back(self) -> int:
         """When somebody who was sent away finds room, in whole seconds."""
-        return self._pace.book(steady(), ACCEPT_KEYS)
+        return self._limiter.retry_after_s(steady(), ACCEPT_KEYS)
 
     async def ahead(self, ref: str, parts: list[Any]) -> bool:
         """Write long lists of a job ahead of its accept, which they count with. False: its user must come back."""
         for number, part in enumerate(parts):
-            wait = self._pace.wait(steady(), 1)
+            wait = self._limiter.wait_us(steady(), 1)
             await asyncio.sleep(seconds(wait))
-            self._pace.asked(steady(), 1)
+            self._limiter.consume(steady(), 1)
             try:
                 result = await self._state.commit({job_key(ref): 0}, {more_key(ref, number): part})
             except (NoResponseError, RequestRefusedError):
@@ -95,20 +95,20 @@
 
     async def _rounds(self) -> None:
         while self._waiting:
-            wait = self._pace.wait(steady(), ACCEPT_KEYS)
+            wait = self._limiter.wait_us(steady(), ACCEPT_KEYS)
             if wait:
                 await asyncio.sleep(seconds(wait))
                 continue
             batch: dict[str, Entry] = {}
             size = 0
-            most = min(self._most, max(1, self._pace.room(steady()) // ACCEPT_KEYS))
+            most = min(self._most, max(1, self._limiter.available(steady()) // ACCEPT_KEYS))
             for ref in sorted(self._waiting, key=lambda ref: self._waiting[ref][3]):
                 size += len(wire.dumps(self._waiting[ref][0])) * ACCEPT_KEYS
                 if batch and (len(batch) >= most or size > BYTES_MOST):
                     break
                 batch[ref] = self._waiting.pop(ref)
                 batch[ref][2].set_result(None)
-            self._pace.asked(steady(), len(batch) * ACCEPT_KEYS)
+            self._limiter.consume(steady(), len(batch) * ACCEPT_KEYS)
             try:
                 outcomes = await self._commit({ref: record for ref, (record, *_) in batch.items()})
             except Exception:
@@ -134,7 +134,7 @@
                     break
                 except RequestRefusedError as error:
                     if error.status == 429:
-                        self._pace.refused(steady())
+                        self._limiter.on_throttled(steady())
                     return outcomes
                 if isinstance(result, Applied):
                     return outcomes | {ref: (CREATED, result.revision) for ref in left}
--- a/oatport/control/leadership/election_priority.py
+++ b/oatport/control/leadership/election_priority.py
@@ -1,4 +1,4 @@
-"""How soon a node stands for election: those that are worse placed as leaders let the others go first."""
+"""Election priority: a node that would be worse placed as the leader lets the others go first."""
 
 from __future__ import annotations
 
@@ -7,38 +7,44 @@
 from oatport.settings import Settings
 from oatport.times import MS, SECOND, micros
 
-TWO_NODES_WAIT = 11 * SECOND  # a worker waits 4 s for a node and goes on 1 s later, twice (PROTOCOL)
-DEFER_NEXT_DOWN = 200 * MS
-DEFER_NEXT_NEAR = 150 * MS
+# A worker waits 4 s for a node and goes on 1 s later, twice (PROTOCOL), and needs some time to be answered.
+FAILOVER_OVER_TWO_NODES = 11 * SECOND
+BACKOFF_SUCCESSOR_DOWN = 200 * MS
+BACKOFF_SUCCESSOR_IN_ZONE = 150 * MS
 
 
 class ElectionPriority:
-    """Workers that lose their leader try the node after it, by name."""
+    """Rates candidates by their successor: the node that workers try next if they lose their leader.
+
+    The successor is the next node by name, and after the last one the first.
+    """
 
     def __init__(self, settings: Settings) -> None:
-        self._name, self._zone = settings.node_name, settings.zone
+        self._node_name, self._zone = settings.node_name, settings.zone
         self._zones = {peer.node_name: peer.zone for peer in settings.peers}
-        self._lease_us = micros(settings.cluster.workers.lease_s)
+        self._worker_lease_us = micros(settings.cluster.workers.lease_s)
 
-    def after(self, name: str) -> str:
-        names = sorted([self._name, *self._zones])
-        return names[(names.index(name) + 1) % len(names)]
+    def successor_of(self, node_name: str) -> str:
+        """The node that workers of this one try next."""
+        names = sorted([self._node_name, *self._zones])
+        return names[(names.index(node_name) + 1) % len(names)]
 
-    def next_answers(self, name: str, answering: Collection[str]) -> bool:
-        """Would the node after this one answer its workers in time? `answering`: the others that do.
+    def successor_answers(self, node_name: str, answering: Collection[str]) -> bool:
+        """Would the successor of this node answer its workers in time? `answering`: the other nodes that do.
 
         If it is down too, they wait for both in turn, which a short lease does not outlast.
         """
-        if self._lease_us > TWO_NODES_WAIT:
+        if self._worker_lease_us > FAILOVER_OVER_TWO_NODES:
             return True
-        after = self.after(name)
-        return after == self._name or after in answering
+        successor = self.successor_of(node_name)
+        return successor == self._node_name or successor in answering
 
-    def deference(self, answering: Collection[str]) -> int:
+    def backoff(self, answering: Collection[str]) -> int:
         """How long (us) to let the others go first."""
-        if not self.next_answers(self._name, answering):
-            return DEFER_NEXT_DOWN
-        # After a leader in a cut zone workers outside try the next node. If that is cut off as well, two waits take
-        # 10 s of their leases: with one more crash 1,200 tasks were killed beside a node that could be reached.
-        near = self._zones.get(self.after(self._name)) == self._zone
-        return DEFER_NEXT_NEAR if near and set(self._zones.values()) != {self._zone} else 0
+        if not self.successor_answers(self._node_name, answering):
+            return BACKOFF_SUCCESSOR_DOWN
+        # After a leader in a partitioned zone workers outside try its successor. If that is partitioned as well, two
+        # waits take 10 s of their leases: with one more crash 1,200 tasks were killed beside a node that was reachable.
+        successor_is_near = self._zones.get(self.successor_of(self._node_name)) == self._zone
+        has_several_zones = set(self._zones.values()) != {self._zone}
+        return BACKOFF_SUCCESSOR_IN_ZONE if successor_is_near and has_several_zones else 0
--- a/oatport/control/leadership/leader_lease.py
+++ b/oatport/control/leadership/leader_lease.py
@@ -1,8 +1,8 @@
-"""How long a leader may act on its own word, and what it makes of time in which it did not run.
+"""The leader lease as its holder sees it, and the detection of process pauses.
 
-A node may stand still for seconds while its clocks run on. When it wakes, its timers fire before the answers that
-wait in its sockets are read, every machine looks silent, and another node may lead. So entitlement is a matter of
-the time since the last proof of leadership *was asked for*, looked at when something goes out.
+A process may be paused for seconds while its clocks run on. When it goes on, its timers fire before the answers that
+wait in its sockets are read, every machine looks silent, and another node may lead. So whether the lease is held
+depends on when its last renewal *was requested*, checked at the moment at which something is sent.
 """
 
 from __future__ import annotations
@@ -11,41 +11,48 @@
 
 from oatport.times import MS, SECOND, with_drift
 
-MARGIN = 200 * MS  # for a request to be sent after the look
-STILL = 1_500 * MS  # loops come round at least three times as often
-DOUBT = 5 * SECOND  # a node that was asked to take over does so well within this, or never
+SEND_MARGIN = 200 * MS  # for a request to be sent after the check
+PAUSE_THRESHOLD = 1_500 * MS  # loops come round at least three times as often
+HANDOVER_UNDECIDED_FOR = 5 * SECOND  # a node that was asked to take over does so well within this, or never
 
 
 @dataclass(slots=True)
 class LeaderLease:
-    """Entitled for as long as the lease that the leader key hangs on can't have ended.
+    """Held for as long as the lease that the leader key depends on can't have expired.
 
-    Commits, starts and stops carry the token and need none of this to be safe; what the cloud is asked to do
+    Commits, starts and stops carry the fencing token and need none of this to be safe; requests to the cloud
     can't be fenced.
     """
 
-    life_us: int
-    asked_at: int  # when the last renewal that was granted was sent (steady)
-    doubt_until: int = 0
+    duration_us: int
+    renewal_requested_at: int  # when the last renewal that was granted was sent (steady)
+    handover_undecided_until: int = 0
 
-    def proven(self, asked_at: int) -> None:
-        self.asked_at = max(self.asked_at, asked_at)
+    def renewed(self, requested_at: int) -> None:
+        """A renewal that was requested at this moment was granted."""
+        self.renewal_requested_at = max(self.renewal_requested_at, requested_at)
 
-    def doubt(self, now: int) -> None:
-        """Another node was asked to take over: it replaces the key while the lease lives on."""
-        self.doubt_until = now + DOUBT
+    def handover_requested(self, now: int) -> None:
+        """Another node was asked to take over: it may replace the leader key while the lease is alive."""
+        self.handover_undecided_until = now + HANDOVER_UNDECIDED_FOR
 
-    def holds(self, now: int) -> bool:
-        return now - self.asked_at < with_drift(self.life_us) - MARGIN and now >= self.doubt_until
+    def handover_declined(self) -> None:
+        """The other node does not take over."""
+        self.handover_undecided_until = 0
+
+    def is_held(self, now: int) -> bool:
+        """Nobody else can be leading."""
+        held_for = with_drift(self.duration_us) - SEND_MARGIN
+        return now - self.renewal_requested_at < held_for and now >= self.handover_undecided_until
 
 
 @dataclass(slots=True)
 class PauseDetector:
-    """Notices that the process stood still: nothing that it looks at was looked at meanwhile."""
+    """Notices that the process was paused: nothing that it checks was checked meanwhile."""
 
-    at: int
+    last_checked_at: int
 
-    def beat(self, now: int) -> int:
-        """How long it stood still since the last beat; 0 if it did not."""
-        gap, self.at = now - self.at, now
-        return gap if gap > STILL else 0
+    def check(self, now: int) -> int:
+        """How long (us) the process was paused since the last check; 0 if it was not."""
+        gap, self.last_checked_at = now - self.last_checked_at, now
+        return gap if gap > PAUSE_THRESHOLD else 0
--- a/oatport/lab/queues.py
+++ b/oatport/lab/queues.py
@@ -142,7 +142,7 @@
     async def kill_node(self, name: str) -> None:
         """As a process that is killed: it gives nothing up."""
         node, task = self.nodes.pop(name)
-        node.group.close()
+        node.background.close()
         if node.leader is not None:
             node.leader.close()
         task.cancel()
--- a/oatport/lab/world/breaks.py
+++ b/oatport/lab/world/breaks.py
@@ -26,17 +26,18 @@
 from oatport.control.storage.schema_version import Gate
 from oatport.control.storage.write_buffer import LEADER_KEY
 from oatport.service.cloud_controller import CloudController
+from oatport.service.completion_replication import CompletionReplicator
 from oatport.service.dependency_controller import DependencyController
+from oatport.service.election import Election
 from oatport.service.group_commit import GroupCommit
 from oatport.service.leader import Leader
-from oatport.service.node import Node
-from oatport.service.peer_notifications import PeerNotifier
+from oatport.service.leader_context import EarlierCompletions
 from oatport.times import SECOND, steady
 
 
 def _fencing() -> list[Any]:
     """A leader goes on whatever became of its lease and its key, and takes over whatever token a worker has seen."""
-    commit, commands, lost = StateClient.commit, WorkerClient.commands, Node.step_down
+    commit, commands, lost = StateClient.commit, WorkerClient.commands, Election.step_down
 
     async def unconditioned(self: StateClient, conditions: dict[str, int], sets: Any, *args: Any, **more: Any) -> Any:
         if LEADER_KEY in conditions and LEADER_KEY not in sets and len(conditions) > 1:
@@ -50,18 +51,18 @@
             return replace(report, token=token)
         return report
 
-    def keeps(self: Node, why: str) -> None:
-        if why == "shutting down":
-            lost(self, why)
+    def keeps(self: Election, reason: str) -> None:
+        if reason == "shutting down":
+            lost(self, reason)
 
     return [
-        patch.object(LeaderLease, "holds", lambda self, now: True),
+        patch.object(LeaderLease, "is_held", lambda self, now: True),
         patch.object(LeaseRenewalLimit, "until", property(lambda self: steady() + 10**12)),
         patch.object(StateClient, "commit", unconditioned),
         patch.object(WorkerClient, "commands", unfenced),
-        patch.object(Node, "step_down", keeps),
-        patch.object(Leader, "step_down", lambda self, why: None),
-        patch.object(GroupCommit, "stuck", lambda self, now: False),
+        patch.object(Election, "step_down", keeps),
+        patch.object(Leader, "step_down", lambda self, reason: None),
+        patch.object(GroupCommit, "is_stuck", lambda self, now: False),
     ]
 
 
@@ -89,28 +90,28 @@
     """What is silent is taken to be gone, without the cloud's word for it."""
     release = CloudController.release
 
-    async def judged(self: CloudController, machines: Any, why: str) -> None:
-        if why not in ("silent", "cut off"):
-            await release(self, machines, why)
+    async def judged(self: CloudController, machines: Any, reason: str) -> None:
+        if reason not in ("silent", "cut off"):
+            await release(self, machines, reason)
             return
         for machine in machines:
-            self.cluster.on_machine_removed(machine, steady(), why)
+            self.cluster.on_machine_removed(machine, steady(), reason)
 
     return [patch.object(CloudController, "release", judged)]
 
 
 def _boot() -> list[Any]:
     """A process takes itself for its predecessor of the same name: it goes on under its token and its lease."""
-    stand = Node._run_for_leader
+    stand = Election._run_for_leader
 
-    async def stands(self: Node) -> None:
-        found = await self.state.get(LEADER_KEY)
-        if found is not None and found[0].get("node") == self.node_name:
+    async def stands(self: Election) -> None:
+        found = await self._node.state.get(LEADER_KEY)
+        if found is not None and found[0].get("node") == self._node.node_name:
             await self._become_leader(found[1], int(found[0]["lease"]), steady())
         else:
             await stand(self)
 
-    return [patch.object(Node, "_run_for_leader", stands)]
+    return [patch.object(Election, "_run_for_leader", stands)]
 
 
 def _early() -> list[Any]:
@@ -154,7 +155,7 @@
         patch.object(DependencyGraph, "cancelled", direct),
         patch.object(JobStatusCache, "_with_needed", one_step),
         patch.object(DependencyTracker, "cancel_dependents", unseen),
-        patch.object(DependencyController, "_take", forgets),
+        patch.object(DependencyController, "_apply_state", forgets),
     ]
 
 
@@ -223,16 +224,16 @@
 def _handed_on() -> list[Any]:
     """Ends that a leader took in and did not record go with it."""
 
-    async def idle(self: PeerNotifier) -> None:
+    async def idle(self: CompletionReplicator) -> None:
         await asyncio.Event().wait()
 
-    async def nothing(self: PeerNotifier, token: int) -> tuple[list[Any], bool]:
-        return [], True
+    async def nothing(self: CompletionReplicator, token: int) -> EarlierCompletions:
+        return EarlierCompletions([], complete=True)
 
     return [
-        patch.object(PeerNotifier, "ends_loop", idle),
-        patch.object(PeerNotifier, "deposed", lambda self, lead: None),
-        patch.object(PeerNotifier, "completions_before", nothing),
+        patch.object(CompletionReplicator, "loop", idle),
+        patch.object(CompletionReplicator, "on_deposed", lambda self, leader: None),
+        patch.object(CompletionReplicator, "completions_before", nothing),
     ]
 
 
@@ -269,7 +270,7 @@
 
     async def first(self: GroupCommit, batch: Any) -> bool:
         key = next(iter(batch.sets), None) or batch.deletes[0]
-        found = await self._sure(key)
+        found = await self.read_until_answered(key)
         if key in batch.sets and (found is None or found[0] != batch.sets[key]):
             return False
         self.cluster.committed(batch, found[1] if found else 0, steady())
--- a/oatport/queues/gateway.py
+++ b/oatport/queues/gateway.py
@@ -70,7 +70,7 @@
 
     def entitled(self) -> bool:
         """The lease that the parts hang on can't have ended; after a freeze it may have."""
-        return self._lease > 0 and self._mandate.holds(steady())
+        return self._lease > 0 and self._mandate.is_held(steady())
 
     def _saw(self, row: Row, version: int) -> None:
         self.outbox.saw(row, version)
@@ -87,7 +87,7 @@
                 else:
                     asked = steady()
                     await self.state.touch(self._lease, min(self._life // 2, SECOND))
-                    self._mandate.proven(asked)
+                    self._mandate.renewed(asked)
                 if self._lease:
                     await self._share_parts()
             except LeaseExpiredError:
--- a/oatport/service/background_tasks.py
+++ b/oatport/service/background_tasks.py
@@ -1,4 +1,10 @@
-"""Background tasks: none fails unseen, and a failure of one does not end the others."""
+"""Supervised background tasks: no failure goes unseen, and a failure of one task does not end the others.
+
+This is no `asyncio.TaskGroup`: that cancels all its tasks when one of them fails, and waits for them where it is left.
+Here a loop that fails is logged and started again, since a leader that goes on without one of its loops for half a
+second is better than one that steps down; tasks are added from callbacks, without a block that they belong to; and
+`close` ends them from within one of them, without waiting, as a leader that steps down has to.
+"""
 
 from __future__ import annotations
 
@@ -11,14 +17,14 @@
 
 
 class BackgroundTasks:
-    """A set of background tasks that end together."""
+    """A set of background tasks that are cancelled together; the names are for the log."""
 
     def __init__(self) -> None:
         self._tasks: dict[asyncio.Task[Any], None] = {}  # in the order in which they began: runs can be repeated
         self.closed = False
 
     def keep(self, name: str, loop: Callable[[], Awaitable[None]], pause_s: float = 0.5) -> None:
-        """Run a loop for as long as the group lives; if it fails, log that and start it again."""
+        """Run a loop for as long as the group lives; if it fails, log that and start it again `pause_s` later."""
 
         async def run() -> None:
             while not self.closed:
@@ -28,7 +34,7 @@
                 except asyncio.CancelledError:
                     raise
                 except Exception:
-                    log.exception("%s failed, starting it again", name)
+                    log.exception("background loop failed, restarting it loop=%r", name)
                 await asyncio.sleep(pause_s)
 
         self._add(run())
@@ -42,7 +48,7 @@
             except asyncio.CancelledError:
                 raise
             except Exception:
-                log.exception("%s failed", name)
+                log.exception("background task failed task=%r", name)
 
         if self.closed:
             work.close()
@@ -58,6 +64,7 @@
         return task
 
     def close(self) -> None:
+        """Cancel all tasks but the one that calls this."""
         self.closed = True
         for task in list(self._tasks):
             if task is not asyncio.current_task():
--- a/oatport/service/catalog.py
+++ b/oatport/service/catalog.py
@@ -2,22 +2,32 @@
 
 from __future__ import annotations
 
+import asyncio
+import contextlib
 from collections.abc import Iterable
-from typing import Any
+from typing import Any, Protocol
 
 import msgspec
 
 from oatport import wire
-from oatport.clients.http import NoResponseError
+from oatport.clients.http import NoResponseError, RequestRefusedError, jitter
 from oatport.clients.state import Applied, StateClient
 from oatport.control.storage.write_buffer import CATALOG_KEY, LEADER_KEY
 from oatport.sizes import json_size
+from oatport.times import MS, SECOND
+
+REREAD_INTERVAL = 20 * SECOND
+READ_RETRY = 500 * MS  # while no types are known
+ROW_OVERHEAD_BYTES = 32
 
 Types = dict[str, wire.MachineType]
 
 
 async def read_types(state: StateClient) -> tuple[Types, int] | None:
-    """The types, and the version of the first value; None if there is none. Raises NoAnswer or Refused."""
+    """The types, and the version of the first value; None if there is none.
+
+    Raises NoResponseError or RequestRefusedError.
+    """
     found = await state.get(CATALOG_KEY)
     if found is None:
         return None
@@ -35,7 +45,7 @@
     values: list[dict[str, Any]] = [{"berthKinds": []}]
     for kind in types:
         row = msgspec.to_builtins(kind)
-        if values[-1]["berthKinds"] and json_size(values[-1]) + json_size(row) + 32 > limit:
+        if values[-1]["berthKinds"] and json_size(values[-1]) + json_size(row) + ROW_OVERHEAD_BYTES > limit:
             values.append({"berthKinds": []})
         values[-1]["berthKinds"].append(row)
     if len(values) > 1:
@@ -44,10 +54,36 @@
 
 
 async def write_types(state: StateClient, token: int, version: int, types: Types, limit: int, parts: bool) -> None:
-    """Record them for a leader. `parts`: all nodes read several values. Raises NoAnswer or Refused."""
+    """Record them for a leader. `parts`: all nodes read several values.
+
+    Raises NoResponseError or RequestRefusedError.
+    """
     values = type_values(types.values(), limit if parts else 1 << 30)
     for number in range(1, len(values)):  # the first value, which tells of the others, comes last
         result = await state.commit({LEADER_KEY: token}, {f"{CATALOG_KEY}/{number}": values[number]})
         if not isinstance(result, Applied):
             return
     await state.commit({LEADER_KEY: token, CATALOG_KEY: version}, {CATALOG_KEY: values[0]})
+
+
+class CatalogNode(Protocol):
+    """The node whose machine types are kept up to date."""
+
+    types: Types
+    state: StateClient
+
+
+class CatalogReader:
+    """Reads the recorded machine types again and again."""
+
+    def __init__(self, node: CatalogNode) -> None:
+        self._node = node
+
+    async def loop(self) -> None:
+        """Read until there are types, then every 20 s."""
+        while True:
+            with contextlib.suppress(NoResponseError, RequestRefusedError):
+                found = await read_types(self._node.state)
+                if found is not None:
+                    self._node.types = found[0]
+            await asyncio.sleep(jitter(REREAD_INTERVAL if self._node.types else READ_RETRY))
--- /dev/null
+++ b/oatport/service/cluster_status.py
@@ -0,0 +1,27 @@
+"""The line that a leader logs about its cluster every ten seconds."""
+
+from __future__ import annotations
+
+from oatport.control.scaling.capacity_planner import CapacityPlanner
+from oatport.control.state.cluster_state import ClusterState
+from oatport.times import seconds
+
+
+def status_line(cluster: ClusterState, capacity_planner: CapacityPlanner, now: int) -> str:
+    """How things stand; all of it was counted on other occasions."""
+    utilization, availability = cluster.utilization, capacity_planner.availability
+    values = {
+        "machines_up": utilization.up,
+        "spot_machines_up": utilization.up_spot,
+        "machines_not_up": utilization.down,
+        "cpus": f"{utilization.cpus:.0f}",
+        "cpus_free_owned": f"{utilization.free_owned:.0f}",
+        "cpus_free_spot": f"{utilization.free_spot:.0f}",
+        "jobs": len(cluster.jobs),
+        "pending_tasks": utilization.waiting or 0,
+        "runtime_threshold_s": f"{seconds(cluster.router.threshold):.0f}",
+        "rent_requests_in_flight": len(availability.requests_in_flight),
+        "offerings_refused": availability.refused_count(now),
+    }
+    values |= {f"cost_{use}": f"{cost:.2f}" for use, cost in sorted(cluster.cost_by_use.items())}
+    return " ".join(f"{name}={value}" for name, value in values.items())
--- a/oatport/service/dependency_controller.py
+++ b/oatport/service/dependency_controller.py
@@ -1,89 +1,61 @@
-"""What a leader does for jobs that wait for others, and to find out what all nodes read of what is stored."""
+"""The dependency controller: how jobs stand on which others depend, and of which no record is known."""
 
 from __future__ import annotations
 
 import asyncio
-import contextlib
-import logging
 
 from oatport import wire
 from oatport.clients.http import NoResponseError, RequestRefusedError, jitter
-from oatport.clients.state import Applied
-from oatport.control.storage import schema_version
-from oatport.control.storage.write_buffer import JOBS, LEADER_KEY
-from oatport.peer_messages import SchemaVersionRequest, undecoded
+from oatport.control.storage.write_buffer import JOBS
 from oatport.service.leader_context import LeaderContext
 from oatport.times import SECOND
 
-log = logging.getLogger(__name__)
-
-LOOK_S = 0.2
-AGAIN_S = 1.0  # until a needed job that is not over is looked at again, if nothing was heard of it
-ASK_EVERY = SECOND
+INTERVAL_S = 0.2
+READ_INTERVAL_S = INTERVAL_S / 4  # between requests of one round
+REREAD_INTERVAL_S = 1.0  # until a dependency that is not over is looked at again, if nothing was heard of it
+RETRY_INTERVAL = SECOND
 
 
 class DependencyController:
-    def __init__(self, helm: LeaderContext) -> None:
-        self._helm = helm
-        self.cluster = helm.cluster
-        self.state = helm.state
+    """Reads the records of such dependencies for a leader."""
 
-    def start(self) -> None:
-        self._helm.background.keep("needed jobs", self.needs_loop)
-        self._helm.background.keep("formats", self.formats_loop)
+    def __init__(self, leader: LeaderContext) -> None:
+        self._leader = leader
+        self.cluster = leader.cluster
+        self.state = leader.state
 
-    async def needs_loop(self) -> None:
-        """Read how needed jobs stand of which no record is known: some together, one request at a time."""
-        while not self._helm.stopped:
-            await asyncio.sleep(LOOK_S)
-            unknown = sorted(self.cluster.dependency_graph.unknown)
-            while unknown and not self._helm.stopped:
-                try:
-                    found, asked = await self.state.some(JOBS, unknown)
-                except (NoResponseError, RequestRefusedError):
-                    await asyncio.sleep(jitter(SECOND))
-                    break
-                for ref in asked:
-                    record = found[ref][0] if ref in found else {}
-                    self._take(ref, str(record.get("state")), int(record.get("ended", 0)))
-                unknown = unknown[len(asked) :]
-                self._helm.wake()
-                await asyncio.sleep(LOOK_S / 4)
+    def start(self) -> None:
+        """Start the loop."""
+        self._leader.background.keep("dependencies", self.loop)
+
+    async def loop(self) -> None:
+        """Read unknown dependencies until the leader stops."""
+        while not self._leader.stopped:
+            await asyncio.sleep(INTERVAL_S)
+            await self._read(sorted(self.cluster.dependency_graph.unknown))
             if self.cluster.dependency_graph.unknown:
-                await asyncio.sleep(AGAIN_S)  # accepted a moment ago: the watch brings it
-
-    def _take(self, ref: str, state: str, ended: int) -> None:
-        """Its record says so: an end holds for good, anything else may have changed since."""
+                await asyncio.sleep(REREAD_INTERVAL_S)  # accepted a moment ago: the watch brings it
+
+    async def _read(self, unknown: list[str]) -> None:
+        """Some together, one request at a time."""
+        while unknown and not self._leader.stopped:
+            try:
+                found, asked = await self.state.some(JOBS, unknown)
+            except (NoResponseError, RequestRefusedError):
+                await asyncio.sleep(jitter(RETRY_INTERVAL))
+                return
+            for job_id in asked:
+                record = found[job_id][0] if job_id in found else {}
+                self._apply_state(job_id, str(record.get("state")), int(record.get("ended", 0)))
+            unknown = unknown[len(asked) :]
+            self._leader.wake()
+            await asyncio.sleep(READ_INTERVAL_S)
+
+    def _apply_state(self, job_id: str, state: str, ended: int) -> None:
+        """Its record says so: a terminal state holds for good, anything else may have changed since."""
         if state == wire.DONE:
-            self.cluster.on_completion_recorded(ref, ended)
+            self.cluster.on_completion_recorded(job_id, ended)
         elif state == wire.CANCELLED:
-            self.cluster.cancel_dependents(ref)
-        elif state == wire.LOST or ref in self.cluster.jobs:
-            self.cluster.dependency_graph.seen(ref)
-
-    async def formats_loop(self) -> None:
-        """Until all nodes are known to read what this version writes, ask them. Recorded, so that it is asked once."""
-        home = self._helm.node
-        gate = schema_version.Gate([home.node_name, *home.peers])
-        while not self._helm.stopped and not self.cluster.layout.parts:
-            answers = await asyncio.gather(
-                *(peer.ask(SchemaVersionRequest(), undecoded) for peer in home.peers.values()), return_exceptions=True
-            )
-            own = schema_version.answer(home.node_name, home.boot_id)
-            if gate.heard([own, *(row for row in answers if not isinstance(row, BaseException))]):
-                # Outcome unknown: the next round finds what is recorded.
-                with contextlib.suppress(NoResponseError, RequestRefusedError):
-                    await self._open(gate)
-            await asyncio.sleep(jitter(ASK_EVERY))
-
-    async def _open(self, gate: schema_version.Gate) -> None:
-        result = await self.state.commit(
-            {LEADER_KEY: self._helm.token, schema_version.FORMATS_KEY: 0}, {schema_version.FORMATS_KEY: gate.record()}
-        )
-        if not isinstance(result, Applied):
-            found = await self.state.get(schema_version.FORMATS_KEY)
-            if found is None or schema_version.reads_of(found[0]) < schema_version.READS:
-                return
-        log.info("all nodes read formats up to %d", schema_version.READS)
-        self.cluster.enable_record_parts()
-        self._helm.wake()
+            self.cluster.cancel_dependents(job_id)
+        elif state == wire.LOST or job_id in self.cluster.jobs:
+            self.cluster.dependency_graph.seen(job_id)
--- a/oatport/service/failover.py
+++ b/oatport/service/failover.py
@@ -1,4 +1,4 @@
-"""Taking the lead over: the records are read, and the recorded machines asked what is on them."""
+"""Failover: the records are read, and the recorded machines are asked what runs on them."""
 
 from __future__ import annotations
 
@@ -19,13 +19,14 @@
 
 log = logging.getLogger(__name__)
 
-INTRODUCTIONS = 3  # tries; after that its own report has to come
+INTRODUCTION_TRIES = 3  # after that the machine's own report has to come
+INTRODUCTION_RETRY = SECOND
 
 
 async def read_records(state: StateClient) -> tuple[list[dict[str, Any]], int]:
     """All that an earlier leader left: rows for `recovery.load`, and the revision to watch jobs from.
 
-    Raises NoAnswer or Refused.
+    Raises NoResponseError or RequestRefusedError.
     """
     live, revision = await state.list_all(LIVE)
     # After `live/`: only a leader moves a job from here to there, and no other one can any more.
@@ -43,34 +44,37 @@
 
 
 async def read_whole(state: StateClient, value: Any) -> Any:
-    """The record of a job with its long lists. Raises NoAnswer or Refused."""
-    count, ref = int(value["more"][0]), str(value["job"]["ref"])
+    """The record of a job with its long lists. Raises NoResponseError or RequestRefusedError."""
+    count, job_id = int(value["more"][0]), str(value["job"]["ref"])
     parts = []
     for number in range(count):
-        found = await state.get(more_key(ref, number))
+        found = await state.get(more_key(job_id, number))
         if found is None:
-            raise NoResponseError(f"{more_key(ref, number)} is missing")  # it was written before its job was accepted
+            raise NoResponseError(
+                f"{more_key(job_id, number)} is missing"
+            )  # it was written before its job was accepted
         parts.append(found[0])
     return whole_lists(value, parts)
 
 
-def introduce_all(helm: LeaderContext, net: Network) -> None:
-    for machine in list(helm.cluster.machines.values()):
+def introduce_all(leader: LeaderContext, net: Network) -> None:
+    """Introduce the leader to all machines whose addresses are known."""
+    for machine in list(leader.cluster.machines.values()):
         if machine.address:
-            helm.background.once("introduce", introduce(helm, net, machine))
+            leader.background.once("introduce", introduce(leader, net, machine))
 
 
-async def introduce(helm: LeaderContext, net: Network, machine: Machine) -> None:
+async def introduce(leader: LeaderContext, net: Network, machine: Machine) -> None:
     """Let a machine know the new token, and learn what is on it, without waiting for its report."""
     client = WorkerClient(net, machine.address)
-    for _ in range(INTRODUCTIONS):
-        if helm.stopped or machine.removed or machine.confirmed(helm.token):
+    for _ in range(INTRODUCTION_TRIES):
+        if leader.stopped or machine.removed or machine.confirmed(leader.token):
             return
         try:
             report = await client.show()
-            helm.cluster.on_contact(machine)
-            helm.receive_heartbeat(report, steady())
-            if report.token < helm.token:
-                helm.receive_heartbeat(await client.commands(helm.token, report.session, []), steady())
+            leader.cluster.on_contact(machine)
+            leader.receive_heartbeat(report, steady())
+            if report.token < leader.token:
+                leader.receive_heartbeat(await client.commands(leader.token, report.session, []), steady())
         except NoResponseError:
-            await asyncio.sleep(jitter(SECOND))
+            await asyncio.sleep(jitter(INTRODUCTION_RETRY))
--- a/oatport/service/group_commit.py
+++ b/oatport/service/group_commit.py
@@ -15,136 +15,160 @@
 
 log = logging.getLogger(__name__)
 
-END_DELAY = 250 * MS  # ends may wait this long for company in one transaction
-END_RIPE = 1_500 * MS
-BULK_WAIT = 4 * SECOND  # what can wait does so for no longer, however much is pressing
+BATCHING_WINDOW = 250 * MS  # completions may wait this long for others to go in the same transaction
+COMPLETIONS_WAIT = 1_500 * MS
+DEFERRABLE_WAIT = 4 * SECOND  # what can wait does so for no longer, however much is urgent
+EMPTY_BATCH_INTERVAL_S = 0.04
 WRITE_SHARE = 0.85  # of the changes a second; the rest is for users' requests
+STUCK_AFTER = SECOND
+RETRY_STEP, MAX_RETRY = 60 * MS, 400 * MS
+READ_RETRY = 200 * MS
+TOO_MANY_REQUESTS = 429
 
 
 class GroupCommit:
-    def __init__(self, helm: LeaderContext) -> None:
-        self._helm = helm
-        self.cluster = helm.cluster
-        self.state = helm.state
-        limits = helm.settings.cluster.state
+    """Writes batches for a leader, within its share of the rate limit."""
+
+    def __init__(self, leader: LeaderContext) -> None:
+        self._leader = leader
+        self.cluster = leader.cluster
+        self.state = leader.state
+        limits = leader.settings.cluster.state
         self._budget = Bucket(limits.write_rps * WRITE_SHARE)
-        self._later_rate = limits.least_write_rps * WRITE_SHARE
-        self._txn_ops = limits.least_txn_ops
+        self._reduced_rate = limits.least_write_rps * WRITE_SHARE
+        self._transaction_operations = limits.least_txn_ops
         self.wanted = asyncio.Event()
         self._trying_since = 0  # when the commit under way was first tried
+        self._deferrable_at = 0  # when what can wait was written last
 
-    def joined(self) -> None:
+    def charge_acceptance(self) -> None:
         """A job was accepted: what nodes wrote for it is off the same budget.
 
-        But a swarm makes no debt that claims wait for.
+        But a swarm makes no debt that bindings wait for.
         """
         if self._budget.available() > 0:
             self._budget.take(ACCEPT_KEYS)
 
-    def stuck(self, now: int) -> bool:
+    def is_stuck(self, now: int) -> bool:
         """The commit under way has been without an answer for long."""
-        return bool(self._trying_since and now - self._trying_since > SECOND)
+        return bool(self._trying_since and now - self._trying_since > STUCK_AFTER)
 
     async def loop(self) -> None:
-        bulk_at = steady()
-        while not self._helm.stopped:
+        """Write whenever there is something to write."""
+        self._deferrable_at = steady()
+        while not self._leader.stopped:
             await self.wanted.wait()
             self.wanted.clear()
-            while self.cluster.has_writes() and not self._helm.stopped:
+            while self.cluster.has_writes() and not self._leader.stopped:
                 if not self.cluster.has_urgent_writes():
-                    await asyncio.sleep(seconds(END_DELAY) if not self.cluster.has_urgent_writes() else 0)
-                # What can wait leaves half a second's worth to claims, and to users' requests.
-                now = steady()
-                budget = int(self._budget.available() - self._budget.rate / 2)
-                if now - bulk_at > BULK_WAIT:
-                    budget = self._txn_ops
-                ripe = END_RIPE if now - bulk_at <= BULK_WAIT else 0
-                batch = self.cluster.take_batch(self._txn_ops, max(budget, 0), ripe)
-                if not self.cluster.dirty_keys or batch.operation_count > 1:
-                    bulk_at = now
-                if not batch.operation_count:
-                    for job in batch.deleted_jobs + batch.completed_jobs + batch.cancelled_jobs:
-                        self.cluster.remove_job(job)
-                    self.cluster.in_flight_keys = set()
-                    await asyncio.sleep(0.04)
-                    continue
-                await self._budget.spend(batch.operation_count)
-                await self.commit(batch)
-                self._helm.wake()
+                    await asyncio.sleep(seconds(BATCHING_WINDOW))
+                await self._write_batch()
+
+    async def _write_batch(self) -> None:
+        batch = self._take_batch(steady())
+        if not batch.operation_count:
+            for job in batch.deleted_jobs + batch.completed_jobs + batch.cancelled_jobs:
+                self.cluster.remove_job(job)
+            self.cluster.in_flight_keys = set()
+            await asyncio.sleep(EMPTY_BATCH_INTERVAL_S)
+            return
+        await self._budget.spend(batch.operation_count)
+        await self.commit(batch)
+        self._leader.wake()
+
+    def _take_batch(self, now: int) -> WriteBatch:
+        """What can wait leaves half a second's worth to bindings, and to users' requests."""
+        budget, completions_wait = int(self._budget.available() - self._budget.rate / 2), COMPLETIONS_WAIT
+        if now - self._deferrable_at > DEFERRABLE_WAIT:
+            budget, completions_wait = self._transaction_operations, 0
+        batch = self.cluster.take_batch(self._transaction_operations, max(budget, 0), completions_wait)
+        if not self.cluster.dirty_keys or batch.operation_count > 1:
+            self._deferrable_at = now
+        return batch
 
     async def commit(self, batch: WriteBatch) -> None:
         """Commit a batch, trying the same transaction until its outcome is known.
 
-        While unsure, nothing else is written: each key's version is a condition, so once the answer
+        While it is unknown, nothing else is written: each key's version is a condition, so once the answer
         is known no earlier try can be applied any more.
         """
-        conditions = {LEADER_KEY: self._helm.token, **batch.conditions}
+        conditions = {LEADER_KEY: self._leader.token, **batch.conditions}
         tries = 0
         self._trying_since = steady()
-        while not self._helm.stopped:
+        while not self._leader.stopped:
             try:
                 result = await self.state.commit(conditions, batch.sets, batch.deletes)
-            except (NoResponseError, RequestRefusedError) as error:
-                tries += 1
-                if not (isinstance(error, RequestRefusedError) and error.status == 429):
-                    log.info("commit: %s", error)
-                if isinstance(error, RequestRefusedError) and error.status == 429:
-                    # The first sign that the limits have fallen; until then their full rate is used.
-                    self._budget.rate = min(self._budget.rate, self._later_rate)
-                if isinstance(error, RequestRefusedError) and error.status < 429:
-                    if not self.cluster.layout.parts and not self.cluster.value_limit_lowered:
-                        # The limits have fallen while a node was away, so that it isn't known whether it reads parts:
-                        # what is too large waits for that, and the rest goes on.
-                        log.error("a transaction was refused: records that may be too large are not written for now")
-                        self._trying_since = 0
-                        self.cluster.value_limit_lowered = True
-                        self.cluster.restore_batch(batch)
-                        return
-                    self._helm.step_down("the state service calls a transaction malformed")
+            except NoResponseError as error:
+                log.info('commit got no response fencing_token=%d error="%s"', self._leader.token, error)
+            except RequestRefusedError as error:
+                if error.status < TOO_MANY_REQUESTS:
+                    log.info('commit was refused fencing_token=%d error="%s"', self._leader.token, error)
+                    self._on_malformed(batch)
                     return
-                await asyncio.sleep(jitter(min(60 * MS * tries, 400 * MS)))
-                continue
-            self._trying_since = 0
-            if isinstance(result, Applied):
-                self.cluster.committed(batch, result.revision, steady())
+                self._on_refused(error)
+            else:
+                self._trying_since = 0
+                if isinstance(result, Applied):
+                    self.cluster.committed(batch, result.revision, steady())
+                else:
+                    await self._on_conflict(batch, result.failed, tries)
                 return
-            await self._conflict(batch, result.failed, tries)
+            tries += 1
+            await asyncio.sleep(jitter(min(RETRY_STEP * tries, MAX_RETRY)))
+
+    def _on_refused(self, error: RequestRefusedError) -> None:
+        if error.status == TOO_MANY_REQUESTS:
+            # The first sign that the limits have fallen; until then their full rate is used.
+            self._budget.rate = min(self._budget.rate, self._reduced_rate)
+        else:
+            log.info('commit was refused fencing_token=%d error="%s"', self._leader.token, error)
+
+    def _on_malformed(self, batch: WriteBatch) -> None:
+        if self.cluster.layout.parts or self.cluster.value_limit_lowered:
+            self._leader.step_down("the state service calls a transaction malformed")
             return
+        # The limits have fallen while a node was away, so that it isn't known whether it reads parts:
+        # what is too large waits for that, and the rest goes on.
+        log.error("transaction refused as malformed, large records are held back operations=%d", batch.operation_count)
+        self._trying_since = 0
+        self.cluster.value_limit_lowered = True
+        self.cluster.restore_batch(batch)
 
-    async def _conflict(self, batch: WriteBatch, failed: tuple[str, ...], tries: int) -> None:
+    async def _on_conflict(self, batch: WriteBatch, failed: tuple[str, ...], tries: int) -> None:
         if LEADER_KEY in failed:
-            self._helm.step_down("the leader key has another version")
+            self._leader.step_down("the leader key has another version")
             return
         if tries and await self._was_applied(batch):
             return
         others = [key for key in failed if not key.startswith(JOBS)]
         if others or not failed:
             # Somebody else wrote what only the leader writes: what we believe is not what is recorded.
-            log.error("records differ from what was expected: %s", others)
-            self._helm.step_down("records differ from what was expected")
+            log.error("records differ from the view fencing_token=%d keys=%s", self._leader.token, ",".join(others))
+            self._leader.step_down("records differ from what was expected")
             return
-        cancelled = {key: await self._reread(key[len(JOBS) :]) for key in failed}
+        cancelled = {key: await self._refresh_job(key[len(JOBS) :]) for key in failed}
         self.cluster.restore_batch(batch)
         for key, version in cancelled.items():
+            job_id = key[len(JOBS) :]
             if version:
-                self.cluster.cancel_blocked(key[len(JOBS) :], version)  # its user was faster than its needed job's
-            job = self.cluster.jobs.get(key[len(JOBS) :])
+                self.cluster.cancel_blocked(job_id, version)  # its user was faster than the job that it depends on
+            job = self.cluster.jobs.get(job_id)
             if job is not None and job.cancelled:
                 job.completing = False
                 self.cluster.jobs_to_complete.pop(job, None)
-                self.cluster.cancel_job(job.job_id, 0, self._helm.lease_renewal_limit.known_at)
+                self.cluster.cancel_job(job.job_id, 0, self._leader.lease_renewal_limit.known_at)
 
     async def _was_applied(self, batch: WriteBatch) -> bool:
-        """After an unsure try: did it get through? All that it wrote then has the revision of the commit.
+        """After a try with unknown outcome: did it get through? All that it wrote then has the commit's revision.
 
-        One key tells nothing: a job that it called off may have been cancelled by its user, in the same words, while
-        claims that went along were never written. A record that somebody has changed since leaves it to the others;
+        One key tells nothing: a job that it cancelled may have been cancelled by its user, in the same words, while
+        bindings that went along were never written. A record that somebody has changed since leaves it to the others;
         `jobs/REF` alone is ever written by others, and only where the commit did not come first.
         """
         revisions: set[int] = set()
         for key in (*batch.sets, *batch.deletes):
-            found = await self._sure(key)
-            if self._helm.stopped:
+            found = await self.read_until_answered(key)
+            if self._leader.stopped:
                 return False
             if key in batch.deletes:
                 if found is not None:
@@ -158,28 +182,28 @@
         self.cluster.committed(batch, revisions.pop() if revisions else 0, steady())
         return True
 
-    async def _sure(self, key: str) -> tuple[Any, int] | None:
+    async def read_until_answered(self, key: str) -> tuple[Any, int] | None:
         """What is recorded under a key, however often it has to be asked for."""
-        while not self._helm.stopped:
+        while not self._leader.stopped:
             try:
                 return await self.state.get(key)
             except (NoResponseError, RequestRefusedError):
-                await asyncio.sleep(jitter(200 * MS))
+                await asyncio.sleep(jitter(READ_RETRY))
         return None
 
-    async def _reread(self, ref: str) -> int:
-        """Take in how a job stands; the version of its record if it is cancelled."""
-        found = await self._sure(job_key(ref))
-        job = self.cluster.jobs.get(ref)
+    async def _refresh_job(self, job_id: str) -> int:
+        """Take in how a job stands; the version of its record if it is cancelled, else 0."""
+        found = await self.read_until_answered(job_key(job_id))
+        job = self.cluster.jobs.get(job_id)
         state = None if found is None else found[0].get("state")
         if found is not None and state == wire.CANCELLED:
-            self.cluster.cancel_job(ref, found[1], self._helm.lease_renewal_limit.known_at)
+            self.cluster.cancel_job(job_id, found[1], self._leader.lease_renewal_limit.known_at)
             return found[1]
         if found is not None and state in wire.OVER and job is not None:
             self.cluster.remove_job(job)
-            self.cluster.terminal_revisions[ref] = found[1]
+            self.cluster.terminal_revisions[job_id] = found[1]
             if state == wire.DONE:
-                self.cluster.on_completion_recorded(ref, int(found[0].get("ended", 0)))
+                self.cluster.on_completion_recorded(job_id, int(found[0].get("ended", 0)))
         return 0
 
 
--- /dev/null
+++ b/oatport/service/heartbeat_controller.py
@@ -0,0 +1,86 @@
+"""Heartbeats: what machines report, and the leader's answers, which renew their leases and carry commands."""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Callable
+from typing import Any
+
+from oatport import wire
+from oatport.control.state.machine import Machine
+from oatport.service.command_sender import CommandSender
+from oatport.service.leader_context import LeaderContext
+from oatport.service.orphaned_job_lookup import OrphanedJobLookup
+from oatport.times import steady, time_of_day
+
+log = logging.getLogger(__name__)
+
+
+class HeartbeatController:
+    """Answers workers' reports for a leader."""
+
+    def __init__(
+        self,
+        leader: LeaderContext,
+        command_sender: CommandSender,
+        orphaned_job_lookup: OrphanedJobLookup,
+        probe: Callable[[list[Machine], int], None],
+    ) -> None:
+        """`probe` asks machines directly whether commands reach them."""
+        self._leader = leader
+        self._command_sender = command_sender
+        self._orphaned_job_lookup = orphaned_job_lookup
+        self._probe = probe
+
+    def may_answer(self) -> bool:
+        """Entitled to renew workers' leases."""
+        leader = self._leader
+        return leader.loaded and not leader.stopped and steady() < leader.lease_renewal_limit.until
+
+    def answer(self, report: wire.Report) -> dict[str, Any] | None:
+        """The answer to a report; None if there must be none."""
+        if not self.may_answer():
+            return None
+        leader, cluster = self._leader, self._leader.cluster
+        if report.token > leader.token:
+            leader.step_down(f"a worker has seen token {report.token}")
+            return None
+        now = leader.now()
+        is_outdated = self._is_outdated(report)
+        machine = self.receive(report, now)
+        if machine is None:
+            return wire.report_answer(leader.token, [])
+        cluster.on_heartbeat_delivered(machine, report)
+        if machine.command_unreachable:
+            self._probe([machine], now)
+        if cluster.must_let_lease_expire(machine, now):
+            # A start of a cancelled job may be on its way there.
+            log.warning("lease is left to expire machine=%s", machine.name)
+            return None
+        commands, starts = cluster.commands_for(machine, now, direct=False)
+        # A late copy of a report, or one that a command's answer overtook: where the answer goes isn't known, so that
+        # no start in it counts as sent.
+        if is_outdated or not leader.holds_lease() or machine.releasing:
+            # Tasks live on, but nothing starts while the state service can't be reached, or after a pause. What
+            # is to be returned is still told to stop: without the cloud's answer it may go on for long, and with
+            # every answer lives the lease of a task whose job's user was told that it is cancelled.
+            commands = [command for command in commands if command["orderKind"] != "start"]
+            starts = []
+        cluster.on_commands_sent(machine, starts, now, direct=False)
+        if not self._command_sender.is_sending(machine):
+            cluster.machines_to_command.discard(machine)
+        return wire.report_answer(leader.token, commands)
+
+    def _is_outdated(self, report: wire.Report) -> bool:
+        """The machine was heard from with this report or a later one before."""
+        known = self._leader.cluster.machines.get(report.machine)
+        return known is not None and (report.session, report.seq) <= (known.agent_epoch, known.heartbeat_seq)
+
+    def receive(self, report: wire.Report, now: int) -> Machine | None:
+        """Take in what a machine reports; None if it is unknown and can't be added."""
+        cluster = self._leader.cluster
+        machine = cluster.on_heartbeat(report, now, time_of_day())
+        if cluster.quotas.unknown:
+            self._orphaned_job_lookup.look_up()
+        self._leader.wake()
+        return machine
--- /dev/null
+++ b/oatport/service/job_progress_publisher.py
@@ -0,0 +1,61 @@
+"""Publishes the counts of completed and running tasks that users are shown to all nodes."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+
+from oatport import wire
+from oatport.clients.http import NoResponseError
+from oatport.clients.peer import PeerClient
+from oatport.control.state.job import Job
+from oatport.peer_messages import JobProgressUpdate
+from oatport.service.leader_context import LeaderContext
+
+INTERVAL_S = 1.0
+FULL_UPDATE_ROUNDS = 10  # a node that was started meanwhile knows no counts
+
+
+class JobProgressPublisher:
+    """Sends changed counts once a second, and all of them every ten."""
+
+    def __init__(self, leader: LeaderContext) -> None:
+        self._leader = leader
+
+    async def loop(self) -> None:
+        """Publish until the leader stops."""
+        rounds = 0
+        self._leader.node.job_progress.clear()
+        while not self._leader.stopped:
+            await asyncio.sleep(INTERVAL_S)
+            rounds += 1
+            update = self._collect(full=rounds % FULL_UPDATE_ROUNDS == 0)
+            if update.changed or update.removed:
+                for peer in self._leader.node.peers.values():
+                    self._leader.background.once("job progress", _notify(peer, update))
+
+    def _collect(self, *, full: bool) -> JobProgressUpdate:
+        """Update this node's own counts; what the others have to change in theirs."""
+        cluster, counts = self._leader.cluster, self._leader.node.job_progress
+        jobs = cluster.jobs
+        dirty = list(cluster.jobs_with_changed_counts)
+        cluster.jobs_with_changed_counts.clear()
+        changed: dict[str, tuple[int, int]] = {}
+        for job in jobs.values() if full else dirty:
+            count = _completed_and_running(job)
+            if job.job_id in jobs and (full or counts.get(job.job_id) != count):
+                counts[job.job_id] = changed[job.job_id] = count
+        removed = [job_id for job_id in counts if job_id not in jobs]
+        for job_id in removed:
+            del counts[job_id]
+        return JobProgressUpdate(changed, removed)
+
+
+def _completed_and_running(job: Job) -> tuple[int, int]:
+    running = sum(1 for task in job.tasks.values() if task.status in (wire.RUNNING, wire.SAVING))
+    return len(job.completed), running
+
+
+async def _notify(peer: PeerClient, update: JobProgressUpdate) -> None:
+    with contextlib.suppress(NoResponseError):
+        await peer.notify(update)
--- /dev/null
+++ b/oatport/service/job_watch.py
@@ -0,0 +1,134 @@
+"""The watch on jobs: accepted and cancelled ones, from hints of other nodes and from the records."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from collections.abc import Callable
+from typing import Any
+
+from oatport import wire
+from oatport.clients.http import NoResponseError, RequestRefusedError, jitter
+from oatport.control.state.job import Job
+from oatport.control.storage.overflow_records import lies_apart, note_slim
+from oatport.control.storage.recovery import read_job
+from oatport.control.storage.write_buffer import JOBS
+from oatport.peer_messages import JobAccepted, JobCancelled
+from oatport.service.failover import read_whole
+from oatport.service.group_commit import GroupCommit
+from oatport.service.leader_context import LeaderContext
+from oatport.times import MS, steady
+
+log = logging.getLogger(__name__)
+
+WATCH_WAIT = 1_000 * MS
+RETRY_INTERVAL = 300 * MS
+MAX_EARLY_HINTS = 10_000
+
+
+class JobWatch:
+    """Keeps the leader's view up to date with what nodes accept and cancel."""
+
+    def __init__(self, leader: LeaderContext, commits: GroupCommit) -> None:
+        self._leader = leader
+        self._commits = commits
+        self.on_admitted: Callable[[Job], None] | None = None  # called for each job that may be queued at once
+        self.revision = 0  # up to which changes of the records are known
+        self._early_hints: list[JobAccepted | JobCancelled] = []  # received before the records were loaded
+
+    def begin(self, revision: int) -> None:
+        """The records were loaded as of this revision."""
+        self.revision = revision
+        for hint in self._early_hints:
+            self.apply_hint(hint)
+        self._early_hints.clear()
+
+    # --- hints ------------------------------------------------------------------------------
+
+    def on_hint(self, hint: JobAccepted | JobCancelled) -> None:
+        """A node accepted a job, or confirmed its cancellation."""
+        if self._leader.loaded:
+            self.apply_hint(hint)
+        elif len(self._early_hints) < MAX_EARLY_HINTS:
+            self._early_hints.append(hint)
+
+    def apply_hint(self, hint: JobAccepted | JobCancelled) -> None:
+        """Take a hint in, once the records are loaded."""
+        leader = self._leader
+        if isinstance(hint, JobCancelled):
+            leader.cluster.cancel_confirmed(hint.job_id, hint.revision, leader.lease_renewal_limit.known_at)
+        elif not self._is_known(hint.job_id) and hint.revision > self.revision and "more" not in hint.record:
+            # An older one was seen by the load or by the watch, and may be over already.
+            self.admit(hint.job_id, hint.record, hint.revision)
+        leader.wake()
+
+    def _is_known(self, job_id: str) -> bool:
+        """It is at work, or its terminal state is recorded, which the watch has not told yet."""
+        cluster = self._leader.cluster
+        return job_id in cluster.jobs or job_id in cluster.blocked_jobs or job_id in cluster.terminal_revisions
+
+    def admit(self, job_id: str, record: Any, revision: int) -> None:
+        """Take a job in from its whole record."""
+        cluster = self._leader.cluster
+        spec, submitted_at_wall, _ = read_job(record)
+        if lies_apart(record):
+            job = Job(job_id, spec, revision, submitted_at_wall)
+            note_slim(job, record)
+            cluster.add_blocked(job)
+            self._commits.charge_acceptance()
+            return
+        job = cluster.add_job(job_id, spec, revision, submitted_at_wall)
+        if self.on_admitted is not None:
+            self.on_admitted(job)
+        self._commits.charge_acceptance()
+
+    # --- watch ------------------------------------------------------------------------------
+
+    async def loop(self) -> None:
+        """Follow the records: accepted and cancelled jobs, and up to when all cancellations are known."""
+        leader = self._leader
+        while not leader.stopped:
+            asked_at = steady()
+            try:
+                found = await leader.state.changes(JOBS, self.revision, WATCH_WAIT)
+            except (NoResponseError, RequestRefusedError):
+                await asyncio.sleep(jitter(RETRY_INTERVAL))
+                continue
+            if found is None:
+                log.warning("job watch fell behind fencing_token=%d revision=%d", leader.token, self.revision)
+                leader.step_down("the watch on jobs fell behind")
+                return
+            revision, changes = found
+            # Of each job only the last: one that came and ended meanwhile is not taken up again.
+            latest = {item["set"]: item for item in changes if "set" in item}
+            try:
+                await self._read_overflow(latest)
+            except (NoResponseError, RequestRefusedError):
+                await asyncio.sleep(jitter(RETRY_INTERVAL))
+                continue
+            for key, item in latest.items():
+                self._apply_change(key[len(JOBS) :], item["value"], int(item["entryRev"]))
+            self._advance(revision)
+            leader.lease_renewal_limit.known(asked_at)
+            leader.wake()
+
+    async def _read_overflow(self, latest: dict[str, Any]) -> None:
+        """Complete the records of jobs whose lists lie apart. Raises NoResponseError or RequestRefusedError."""
+        for item in latest.values():
+            if "more" in item["value"] and item["value"]["state"] not in wire.OVER:
+                item["value"] = await read_whole(self._leader.state, item["value"])
+
+    def _apply_change(self, job_id: str, record: Any, revision: int) -> None:
+        cluster, state = self._leader.cluster, str(record["state"])
+        if state == wire.CANCELLED:
+            cluster.cancel_job(job_id, revision, self._leader.lease_renewal_limit.known_at)
+        elif state == wire.DONE:
+            cluster.on_completion_recorded(job_id, int(record.get("ended", 0)))
+        elif state not in wire.OVER and not self._is_known(job_id):
+            self.admit(job_id, record, revision)
+
+    def _advance(self, revision: int) -> None:
+        self.revision = max(self.revision, revision)
+        terminal = self._leader.cluster.terminal_revisions
+        for job_id in [job_id for job_id, at in terminal.items() if at <= self.revision]:
+            del terminal[job_id]
--- a/oatport/service/leader.py
+++ b/oatport/service/leader.py
@@ -1,43 +1,42 @@
-"""What the leader does: take work in, write ahead, send, rent and return, watch over machines.
+"""The leader: failover, the leader lease, and the controllers that act for it, one module each.
 
-All state is in `Cluster`, touched only between awaits: the event loop is the short lock.
+All state is in `ClusterState`, touched only between awaits: the event loop takes the place of a lock.
 """
 
 from __future__ import annotations
 
 import asyncio
-import contextlib
 import logging
 from typing import TYPE_CHECKING, Any
 
 from oatport import wire
-from oatport.clients.http import NoResponseError, RequestNotSentError, RequestRefusedError, jitter
-from oatport.clients.peer import PeerClient
 from oatport.clients.state import StateClient
-from oatport.clients.worker import WorkerClient
 from oatport.control.leadership.leader_lease import LeaderLease, PauseDetector
-from oatport.control.placement.placer import Placer
 from oatport.control.placement.retry_policy import RetryPolicies
-from oatport.control.queueing.queue_estimator import QueueEstimator
 from oatport.control.queueing.runtime_predictor import RuntimePredictor
 from oatport.control.state.cluster_state import ClusterState
 from oatport.control.state.completions import Completion
-from oatport.control.state.job import Job
 from oatport.control.state.machine import Machine
-from oatport.control.storage.overflow_records import lies_apart, note_slim
-from oatport.control.storage.recovery import LeaseRenewalLimit, load, read_job, types_recorded
-from oatport.control.storage.write_buffer import JOBS, MODEL_KEY, job_key
-from oatport.peer_messages import JobAccepted, JobCancelled, JobProgressUpdate, PeerMessage
+from oatport.control.storage.recovery import LeaseRenewalLimit, load, types_recorded
+from oatport.peer_messages import JobAccepted, JobCancelled
 from oatport.service.background_tasks import BackgroundTasks
 from oatport.service.catalog import read_types
 from oatport.service.cloud_controller import CloudController
+from oatport.service.command_sender import CommandSender
 from oatport.service.dependency_controller import DependencyController
-from oatport.service.failover import introduce_all, read_records, read_whole
+from oatport.service.failover import introduce_all, read_records
 from oatport.service.group_commit import GroupCommit
+from oatport.service.heartbeat_controller import HeartbeatController
+from oatport.service.job_progress_publisher import JobProgressPublisher
+from oatport.service.job_watch import JobWatch
 from oatport.service.leader_context import LeadingNode
+from oatport.service.maintenance import MaintenanceLoop
 from oatport.service.network import Network
+from oatport.service.orphaned_job_lookup import OrphanedJobLookup
+from oatport.service.planning_loop import PlanningLoop
+from oatport.service.schema_version_controller import SchemaVersionController
 from oatport.settings import Settings, Tuning
-from oatport.times import MS, SECOND, seconds, steady, time_of_day
+from oatport.times import SECOND, seconds, steady, time_of_day
 
 if TYPE_CHECKING:
     from oatport.service.window_controller import WindowController
@@ -45,109 +44,102 @@
 
 log = logging.getLogger(__name__)
 
-WATCH_WAIT = 1_000 * MS
-ACCOUNT_EVERY = 5 * SECOND
-TICK_S = 0.5
-LOOKED_UP_MOST = 4  # unknown jobs at a time
-SENDING_MOST = 64  # machines that are told something at a time
-PLAN_GAP = 30 * MS
-PLAN_REST = 3  # times as long as a planning pass took, until the next
+STATE_SERVICE_DOWN_AFTER = 2 * SECOND
 
 
 class Leader:
+    """One leadership: from taking the leader key over to stepping down."""
+
     def __init__(
         self,
-        home: LeadingNode,
+        node: LeadingNode,
         settings: Settings,
         tuning: Tuning,
         net: Network,
         state: StateClient,
         token: int,
         lease: int,
-        held_at: int,
+        lease_requested_at: int,
         windows: WindowSettings | None = None,
-        repeats: RetryPolicies | None = None,
+        retry_policies: RetryPolicies | None = None,
     ) -> None:
-        self.node = home
+        self.node = node
         self.settings = settings
         self.tuning = tuning
         self.state = state
         self.token = token
-        self.lease = lease
+        self.lease = lease  # its number at the state service
         self._net = net
         limits = settings.cluster
-        self.cluster = ClusterState(token, limits, tuning, dict(home.types), RuntimePredictor())
-        self.cluster.retry_policies = repeats or {}
-        self.placer = Placer(self.cluster)
+        self.cluster = ClusterState(token, limits, tuning, dict(node.types), RuntimePredictor())
+        self.cluster.retry_policies = retry_policies or {}
         self.led_since = steady()
         self.lease_renewal_limit = LeaseRenewalLimit(limits, self.led_since)
-        self.leader_lease = LeaderLease(tuning.us("leader_lease_s"), held_at)
+        self.leader_lease = LeaderLease(tuning.us("leader_lease_s"), lease_requested_at)
         self._pause_detector = PauseDetector(self.led_since)
         self.background = BackgroundTasks()
         self.loaded = False
         self.stopped = False
         self.cloud_controller = CloudController(self, net)
         self.commits = GroupCommit(self)
+        self.job_watch = JobWatch(self, self.commits)
+        self.command_sender = CommandSender(self, net)
+        self.orphaned_job_lookup = OrphanedJobLookup(self)
+        self.heartbeats = HeartbeatController(
+            self, self.command_sender, self.orphaned_job_lookup, self.cloud_controller.failure_detector.probe
+        )
+        self.planning_loop = PlanningLoop(self, self.cloud_controller.capacity_planner)
+        self.job_progress_publisher = JobProgressPublisher(self)
+        self.maintenance = MaintenanceLoop(
+            self, net, self.command_sender, self.orphaned_job_lookup, self.cloud_controller.capacity_planner
+        )
         self.dependency_controller = DependencyController(self)
+        self.schema_version_controller = SchemaVersionController(self)
         self.window_controller: WindowController | None = None
         if windows is not None and windows.on:
             from oatport.service.window_controller import WindowController
 
             self.window_controller = WindowController(self, net, windows)
-            self.cluster.on_released = self.window_controller.joined
-        self._plan_wanted = asyncio.Event()
-        self._send_wanted = asyncio.Event()
-        self._sending: set[Machine] = set()
-        self._commanded = 0  # requests to workers since the last tick
-        self._early_hints: list[JobAccepted | JobCancelled] = []  # told before the records were loaded
-        self._watch_from = 0
-        self._reading: set[str] = set()  # ids of jobs that are looked up
+            self.cluster.on_released = self.window_controller.on_job_admitted
+            self.job_watch.on_admitted = self.window_controller.on_job_admitted
 
     # --- lifecycle --------------------------------------------------------------------------
 
     async def fail_over(self) -> None:
-        """Load what is recorded; reports confirm it."""
-        asked = steady()  # cancellations told while the records are read may not be among them
-        (rows, revision), (ended, complete) = await asyncio.gather(
-            read_records(self.state), self.node.completions_before(self.token)
-        )
-        await self._know_types(types_recorded(rows))
-        load(self.cluster, rows, steady(), time_of_day())
-        self.cluster.now = steady()
-        self.cluster.apply_completions(ended)
-        self.cluster.completions_unknown = not complete
-        if self.window_controller is not None:
-            await self.window_controller.fail_over()
-        self._watch_from = revision
-        self.lease_renewal_limit.known(asked)
-        self.loaded = True
-        for hint in self._early_hints:
-            self._apply_job_hint(hint)
-        self._early_hints.clear()
+        """Load what is recorded, and start to lead; heartbeats confirm it.
+
+        Raises NoResponseError, RequestRefusedError or UnknownMachineTypeError.
+        """
+        await self._load()
         log.info(
-            "leading with token %d: %d jobs, %d machines recorded",
+            "became leader fencing_token=%d jobs=%d machines=%d",
             self.token,
             len(self.cluster.jobs),
             len(self.cluster.machines),
         )
-        for name, loop in (
-            ("watch", self._watch_loop),
-            ("write", self.commits.loop),
-            ("plan", self._plan_loop),
-            ("send", self._send_loop),
-            ("display", self._display_loop),
-            ("tick", self._tick_loop),
-        ):
-            self.background.keep(name, loop)
-        self.cloud_controller.start()
-        self.dependency_controller.start()
-        if self.window_controller is not None:
-            self.window_controller.start()
-        self._net.expect(len(self.cluster.machines), len(self.cluster.machines))  # at first each is told something
+        self._start_controllers()
+        machines = len(self.cluster.machines)
+        self._net.expect(machines, machines)  # at first each is sent something
         introduce_all(self, self._net)
         self.wake()
 
-    async def _know_types(self, needed: set[str]) -> None:
+    async def _load(self) -> None:
+        asked_at = steady()  # cancellations confirmed while the records are read may not be among them
+        (rows, revision), earlier = await asyncio.gather(
+            read_records(self.state), self.node.completions_before(self.token)
+        )
+        await self._load_machine_types(types_recorded(rows))
+        load(self.cluster, rows, steady(), time_of_day())
+        self.cluster.now = steady()
+        self.cluster.apply_completions(earlier.completions)
+        self.cluster.completions_unknown = not earlier.complete
+        if self.window_controller is not None:
+            await self.window_controller.fail_over()
+        self.lease_renewal_limit.known(asked_at)
+        self.loaded = True
+        self.job_watch.begin(revision)
+
+    async def _load_machine_types(self, needed: set[str]) -> None:
         """The machine types: known to this node, recorded, or from the cloud.
 
         A process that leads at once may not have read them yet. Without them it took every machine for gone while
@@ -159,350 +151,103 @@
             if found is not None:
                 self.cluster.update_catalog({**types, **found[0]})
         if not types or not needed <= types.keys():
-            await self.cloud_controller.catalog()
+            await self.cloud_controller.refresh_catalog()
+
+    def _start_controllers(self) -> None:
+        self.background.keep("job watch", self.job_watch.loop)
+        self.background.keep("commits", self.commits.loop)
+        self.background.keep("planning", self.planning_loop.loop)
+        self.background.keep("commands", self.command_sender.loop)
+        self.background.keep("job progress", self.job_progress_publisher.loop)
+        self.background.keep("maintenance", self.maintenance.loop)
+        self.cloud_controller.start()
+        self.dependency_controller.start()
+        self.schema_version_controller.start()
+        if self.window_controller is not None:
+            self.window_controller.start()
 
     def close(self) -> None:
+        """End all that acts for this leader."""
         self.stopped = True
         self.background.close()
 
-    def step_down(self, why: str) -> None:
+    def step_down(self, reason: str) -> None:
+        """Stop leading."""
         if not self.stopped:
             self.stopped = True
-            self.node.step_down(why)
+            self.node.step_down(reason)
+
+    # --- leadership ---------------------------------------------------------------------------
 
     def now(self) -> int:
-        """The steady clock. A time in which this process stood still is not counted as lived."""
+        """The steady clock. A time in which this process was paused is not counted as lived."""
         now = steady()
-        gap = self._pause_detector.beat(now)
-        if gap:
-            log.warning("stood still for %.1f s", seconds(gap))
-            self.cluster.on_process_pause(gap, now)
+        paused_for = self._pause_detector.check(now)
+        if paused_for:
+            log.warning("process was paused duration_s=%.1f", seconds(paused_for))
+            self.cluster.on_process_pause(paused_for, now)
         return now
 
     def holds_lease(self) -> bool:
         """Nobody else can be leading: asked at the moment of acting."""
-        return not self.stopped and self.leader_lease.holds(steady())
+        return not self.stopped and self.leader_lease.is_held(steady())
 
-    def explain(self, ref: str) -> dict[str, Any]:
-        """Why a job waits or is held, for operators."""
-        waits = self.cluster.explain_blocked(ref)
-        if waits:
-            return {"job": ref, "held": False, "why": waits, "waitsOn": self.cluster.dependency_graph.waits(ref)[:100]}
-        if self.window_controller is not None:
-            return self.window_controller.explain(ref)
-        job = self.cluster.jobs.get(ref)
-        if job is None:
-            return {"job": ref, "held": False, "why": "no unfinished job of this id"}
-        return {"job": ref, "held": False, "why": "windows are off: it is routed as ever", "pending": job.pending}
+    def decisions_paused(self, now: int) -> bool:
+        """Nothing new is to be decided: a commit gets no answer, or it may not lead any more."""
+        return self.commits.is_stuck(now) or not self.holds_lease()
+
+    def state_service_down(self, now: int) -> bool:
+        """The state service answers this node no more."""
+        return now - self.state.ok_at > STATE_SERVICE_DOWN_AFTER and self.state.failed_at > self.state.ok_at
 
     def wake(self) -> None:
+        """Start whatever there is to plan, to write and to send."""
         cluster = self.cluster
         if cluster.planning_needed:
-            self._plan_wanted.set()
+            self.planning_loop.wanted.set()
         if cluster.has_writes():
             self.commits.wanted.set()
         if cluster.machines_to_command:
-            self._send_wanted.set()
+            self.command_sender.wanted.set()
 
-    # --- jobs told by nodes or seen in the watch -----------------------------------------------
+    # --- what others tell and ask ---------------------------------------------------------------
 
     def on_job_hint(self, hint: JobAccepted | JobCancelled) -> None:
-        if not self.loaded:
-            if len(self._early_hints) < 10_000:
-                self._early_hints.append(hint)
-            return
-        self._apply_job_hint(hint)
-
-    def _apply_job_hint(self, hint: JobAccepted | JobCancelled) -> None:
-        if isinstance(hint, JobCancelled):
-            self.cluster.cancel_confirmed(hint.job_id, hint.revision, self.lease_renewal_limit.known_at)
-        elif not self._knows_job(hint.job_id) and hint.revision > self._watch_from and "more" not in hint.record:
-            # An older one was seen by the load or by the watch, and may be over already.
-            self._admit(hint.job_id, hint.record, hint.revision)
-        self.wake()
+        """A node accepted a job, or confirmed its cancellation."""
+        self.job_watch.on_hint(hint)
 
-    def _knows_job(self, ref: str) -> bool:
-        """It is at work, or its end is recorded, which the watch has not told yet.
-
-        Taken up again from an older change, a job that is over cost the lead: its claims fail on keys that are gone.
-        """
-        return ref in self.cluster.jobs or ref in self.cluster.blocked_jobs or ref in self.cluster.terminal_revisions
-
-    def _admit(self, ref: str, value: Any, revision: int) -> None:
-        spec, at, _ = read_job(value)
-        if lies_apart(value):
-            job = Job(ref, spec, revision, at)
-            note_slim(job, value)
-            self.cluster.add_blocked(job)
-            self.commits.joined()
-            return
-        job = self.cluster.add_job(ref, spec, revision, at)
-        if self.window_controller is not None:
-            self.window_controller.joined(job)
-        self.commits.joined()
-
-    async def _watch_loop(self) -> None:
-        """Accepted and cancelled jobs, and the moment up to which all cancellations are known."""
-        while not self.stopped:
-            asked = steady()
-            try:
-                found = await self.state.changes(JOBS, self._watch_from, WATCH_WAIT)
-            except (NoResponseError, RequestRefusedError):
-                await asyncio.sleep(jitter(300 * MS))
-                continue
-            if found is None:
-                log.warning("the watch fell too far behind")
-                self.step_down("the watch on jobs fell behind")
-                return
-            revision, news = found
-            last = {item["set"]: item for item in news if "set" in item}
-            try:
-                for item in last.values():
-                    if "more" in item["value"] and item["value"]["state"] not in wire.OVER:
-                        item["value"] = await read_whole(self.state, item["value"])
-            except (NoResponseError, RequestRefusedError):
-                await asyncio.sleep(jitter(300 * MS))
-                continue
-            # Of each job only the last: one that came and ended meanwhile is not taken up again.
-            for key, item in last.items():
-                ref, state = key[len(JOBS) :], str(item["value"]["state"])
-                if state == wire.CANCELLED:
-                    self.cluster.cancel_job(ref, int(item["entryRev"]), self.lease_renewal_limit.known_at)
-                elif state == wire.DONE:
-                    self.cluster.on_completion_recorded(ref, int(item["value"].get("ended", 0)))
-                elif state not in wire.OVER and not self._knows_job(ref):
-                    self._admit(ref, item["value"], int(item["entryRev"]))
-            self._watch_from = max(self._watch_from, revision)
-            for ref in [ref for ref, at in self.cluster.terminal_revisions.items() if at <= self._watch_from]:
-                del self.cluster.terminal_revisions[ref]
-            self.lease_renewal_limit.known(asked)
-            self.wake()
-
-    def apply_completions(self, ends: list[Completion]) -> None:
+    def apply_completions(self, completions: list[Completion]) -> None:
         """An earlier leader tells what it did not record."""
         if self.loaded:
-            self.cluster.apply_completions(ends)
+            self.cluster.apply_completions(completions)
             self.wake()
 
-    # --- reports ----------------------------------------------------------------------------
-
-    def may_answer_heartbeats(self) -> bool:
-        """Entitled to keep workers' leases alive."""
-        return self.loaded and not self.stopped and steady() < self.lease_renewal_limit.until
-
-    def cancellation_watermark_age(self) -> int:
-        """How long ago was the moment up to which cancellations told are carried out; -1: there is none.
-
-        What other nodes keep workers' leases by if they are cut off (`control/leadership/lease_proxy.py`).
-        """
-        done = (
-            self.cluster.cancellation_watermark(self.lease_renewal_limit.known_at)
-            if self.loaded and not self.stopped
-            else 0
-        )
-        return steady() - done if done > 0 else -1
-
     def answer_heartbeat(self, report: wire.Report) -> dict[str, Any] | None:
-        if not self.may_answer_heartbeats():
-            return None
-        if report.token > self.token:
-            self.step_down(f"a worker has seen token {report.token}")
-            return None
-        now = self.now()
-        known = self.cluster.machines.get(report.machine)
-        late = known is not None and (report.session, report.seq) <= (known.agent_epoch, known.heartbeat_seq)
-        machine = self.receive_heartbeat(report, now)
-        if machine is None:
-            return wire.report_answer(self.token, [])
-        self.cluster.on_heartbeat_delivered(machine, report)
-        if machine.command_unreachable:
-            self.cloud_controller.watcher.ask([machine], now)
-        if self.cluster.must_let_lease_expire(machine, now):
-            log.warning("machine %s is not answered: a start of a cancelled job may be on its way there", machine.name)
-            return None
-        orders, starts = self.cluster.commands_for(machine, now, direct=False)
-        # A late copy of a report, or one that a command's answer overtook: where the answer goes isn't known, so that
-        # no start in it counts as sent.
-        if late or not self.holds_lease() or machine.releasing:
-            # Tasks live on, but nothing starts while the state service can't be reached, or after standing still. What
-            # is to be returned is still told to stop: without the cloud's answer it may go on for long, and with
-            # every answer lives the lease of a task whose job's user was told that it is cancelled.
-            orders = [order for order in orders if order["orderKind"] != "start"]
-            starts = []
-        self.cluster.on_commands_sent(machine, starts, now, direct=False)
-        if machine not in self._sending:
-            self.cluster.machines_to_command.discard(machine)
-        return wire.report_answer(self.token, orders)
+        """The answer to a worker's report; None if this leader is not entitled to give one."""
+        return self.heartbeats.answer(report)
 
     def receive_heartbeat(self, report: wire.Report, now: int) -> Machine | None:
-        machine = self.cluster.on_heartbeat(report, now, time_of_day())
-        if self.cluster.quotas.unknown:
-            self._read_orphaned_jobs()
-        self.wake()
-        return machine
+        """Take in what a machine reports; None if it is unknown and can't be added."""
+        return self.heartbeats.receive(report, now)
 
-    def state_service_down(self, now: int) -> bool:
-        return now - self.state.ok_at > 2 * SECOND and self.state.failed_at > self.state.ok_at
-
-    # --- placing and sending ------------------------------------------------------------------
-
-    async def _plan_loop(self) -> None:
-        backlog = QueueEstimator(self.cluster, self.cloud_controller.fleet)
-        while not self.stopped:
-            try:
-                async with asyncio.timeout(0.5):
-                    await self._plan_wanted.wait()
-            except TimeoutError:
-                pass
-            self._plan_wanted.clear()
-            now, wall = self.now(), time_of_day()
-            if self.decisions_paused(now):
-                # What is claimed while the state service is away would only pile up, and what is
-                # preempted for it would be lost.
-                await asyncio.sleep(0.1)
-                continue
-            backlog.step(now, wall)
-            if self.placer.due(now):
-                self.placer.plan(now)
-                self.wake()
-            # However much there is to plan, reports and renewals get most of the processor.
-            took = steady() - now
-            await asyncio.sleep(seconds(max(PLAN_GAP, PLAN_REST * took)))
+    def cancellation_watermark_age(self) -> int:
+        """How long ago (us) the cancellation watermark was; -1: there is none.
 
-    def decisions_paused(self, now: int) -> bool:
-        return self.commits.stuck(now) or not self.holds_lease()
-
-    async def _send_loop(self) -> None:
-        while not self.stopped:
-            await self._send_wanted.wait()
-            self._send_wanted.clear()
-            now = self.now()
-            for machine in list(self.cluster.machines_to_command):
-                if len(self._sending) >= SENDING_MOST:
-                    break  # the others keep their place; once half a second passed until they were thought of again
-                if machine in self._sending or machine.releasing:
-                    continue
-                self.cluster.machines_to_command.discard(machine)
-                if not machine.address or not machine.agent_epoch:
-                    continue
-                if self.cluster.commands_for(machine, now, direct=True)[
-                    0
-                ]:  # mostly what it is to be told is on its way
-                    self._sending.add(machine)
-                    self.background.once("send", self._send(machine))
-
-    async def _send(self, machine: Machine) -> None:
-        cluster = self.cluster
-        try:
-            now = self.now()
-            if not self.holds_lease() or machine.removed:
-                return  # reports' answers still carry the stops
-            orders, starts = cluster.commands_for(machine, now, direct=True)
-            if not orders:
-                return
-            cluster.on_commands_sent(machine, starts, now, direct=True)
-            keys = [(task.name, task.attempt) for task in starts]
-            session = machine.agent_epoch
-            self._commanded += 1
-            try:
-                report = await WorkerClient(self._net, machine.address).commands(self.token, session, orders)
-            except RequestNotSentError:
-                cluster.on_commands_answered(machine, keys)  # no connection: it can't land later
-                return
-            except NoResponseError as error:
-                log.debug("commands to %s: %s", machine.name, error)
-                return
-            if report.token > self.token:
-                self.step_down(f"a worker has seen token {report.token}")
-                return
-            cluster.on_commands_answered(machine, keys)
-            cluster.on_contact(machine)
-            self.receive_heartbeat(report, steady())
-        finally:
-            self._sending.discard(machine)
-            if machine in cluster.machines_to_command or len(self._sending) == SENDING_MOST - 1:
-                self._send_wanted.set()
-
-    async def _tick_loop(self) -> None:
-        """Repeat what went unanswered, and learn."""
-        recorded_at = told_at = accounted_at = steady()
-        busiest = 0
-        while not self.stopped:
-            await asyncio.sleep(TICK_S)
-            now = self.now()
-            busiest, self._commanded = max(busiest, self._commanded), 0
-            if now - accounted_at > ACCOUNT_EVERY:
-                accounted_at = now
-                self._net.expect(len(self.cluster.machines), busiest / TICK_S)
-                busiest = 0
-                self.cluster.account(now)
-            for task in self.cluster.unacknowledged_tasks:
-                if task.start_acknowledged is None and task.machine is not None and task.start_retry_at <= now:
-                    self.cluster.machines_to_command.add(task.machine)
-            self._read_orphaned_jobs()
-            self.cluster.completions_to_replicate()  # what is recorded by now is left out
-            if now - recorded_at > 15 * SECOND and self.cluster.predictor.changed:
-                self.cluster.predictor.changed = False
-                self.cluster.dirty_keys[MODEL_KEY] = None
-                recorded_at = now
-            self.wake()
-            if now - told_at > 10 * SECOND:
-                told_at = now
-                log.info("%s", self.cloud_controller.status(now))
-                log.info("%s", self.cluster.job_statistics.line())
-
-    def _read_orphaned_jobs(self) -> None:
-        """Of which teams are tasks that machines tell of, and no record? Until that is known none has room."""
-        for ref in [ref for ref in self.cluster.quotas.unknown if ref not in self._reading]:
-            if len(self._reading) >= LOOKED_UP_MOST:
-                return  # old copies may tell of hundreds that are long over; renewals and users go first
-            self._reading.add(ref)
-            self.background.once("stray", self._read_orphaned_job(ref))
-
-    async def _read_orphaned_job(self, ref: str) -> None:
-        try:
-            found = await self.state.get(job_key(ref)) if wire.valid_ref(ref) else None
-        except (NoResponseError, RequestRefusedError):
-            return  # asked again with the next tick
-        finally:
-            self._reading.discard(ref)
-        self.cluster.resolve_orphaned_attempts(ref, None if found is None else read_job(found[0])[0])
-        self._read_orphaned_jobs()
-        self.wake()
+        Lease proxies on other nodes go by it (`control/leadership/lease_proxy.py`).
+        """
+        is_known = self.loaded and not self.stopped
+        watermark = self.cluster.cancellation_watermark(self.lease_renewal_limit.known_at) if is_known else 0
+        return steady() - watermark if watermark > 0 else -1
 
-    # --- display ----------------------------------------------------------------------------
-
-    async def _display_loop(self) -> None:
-        """Tell all nodes the counts that users are shown."""
-        rounds = 0
-        counts = self.node.job_progress
-        counts.clear()
-        while not self.stopped:
-            await asyncio.sleep(1.0)
-            rounds += 1
-            jobs = self.cluster.jobs
-            everything = rounds % 10 == 0  # a node that was started meanwhile knows none
-            stirred = list(self.cluster.jobs_with_changed_counts)
-            self.cluster.jobs_with_changed_counts.clear()
-            changed: dict[str, tuple[int, int]] = {}
-            for job in jobs.values() if everything else stirred:
-                count = self._count(job)
-                if job.job_id in jobs and (everything or counts.get(job.job_id) != count):
-                    counts[job.job_id] = count
-                    changed[job.job_id] = count
-            ended = [ref for ref in counts if ref not in jobs]
-            for ref in ended:
-                del counts[ref]
-            if changed or ended:
-                for peer in self.node.peers.values():
-                    self.background.once("display", _tell(peer, JobProgressUpdate(changed, ended)))
-
-    @staticmethod
-    def _count(job: Job) -> tuple[int, int]:
-        running = sum(1 for t in job.tasks.values() if t.status in (wire.RUNNING, wire.SAVING))
-        return len(job.completed), running
-
-
-async def _tell(peer: PeerClient, message: PeerMessage) -> None:
-    with contextlib.suppress(NoResponseError):
-        await peer.notify(message)
+    def explain(self, job_id: str) -> dict[str, Any]:
+        """Why a job waits, for operators."""
+        waits = self.cluster.explain_blocked(job_id)
+        if waits:
+            waits_on = self.cluster.dependency_graph.waits(job_id)[:100]
+            return {"job": job_id, "held": False, "why": waits, "waitsOn": waits_on}
+        if self.window_controller is not None:
+            return self.window_controller.explain(job_id)
+        job = self.cluster.jobs.get(job_id)
+        if job is None:
+            return {"job": job_id, "held": False, "why": "no unfinished job of this id"}
+        return {"job": job_id, "held": False, "why": "windows are off: it is routed as ever", "pending": job.pending}
--- a/oatport/service/lease_proxy_service.py
+++ b/oatport/service/lease_proxy_service.py
@@ -1,8 +1,8 @@
-"""How a node that does not lead keeps workers' leases, and what nodes tell one another about that.
+"""The lease proxy of a node, and what nodes tell one another about it.
 
 What it goes by is in `control/leadership/lease_proxy.py`. The leader tells it, asked with every ping. A
-node that was started again knows nothing; in a zone that is cut off it can ask the leader no more, so another node
-there passes on what it was told.
+node that was started again knows nothing; in a partitioned zone it can ask the leader no more, so another node
+there passes on what it knows.
 """
 
 from __future__ import annotations
@@ -28,73 +28,83 @@
 from oatport.settings import ClusterSettings
 from oatport.times import SECOND, steady
 
-NAMED_FOR = 2 * SECOND  # a keeper that answered so recently is named to workers
+REDIRECTS_TO_PROXY_FOR = 2 * SECOND  # workers are sent to a proxy that answered so recently
 
 
 class ProxyNode(Protocol):
     """The node that it belongs to."""
 
-    leader: Leader | None
     state: StateClient
 
+    @property
+    def leader(self) -> Leader | None:
+        """What acts as the leader on this node."""
+
 
 class LeaseProxyService:
-    def __init__(self, here: ProxyNode, settings: ClusterSettings) -> None:
-        self._here = here
-        self.steward = LeaseProxy.of(settings)
-        self._keepers: dict[str, int] = {}  # node -> when it said that it answers workers (steady)
+    """Renews agents' leases for a leader that can't be reached, as long as that is safe."""
+
+    def __init__(self, node: ProxyNode, settings: ClusterSettings) -> None:
+        self._node = node
+        self.proxy = LeaseProxy.create(settings)
+        self._other_proxies: dict[str, int] = {}  # node -> when it said that it answers workers (steady)
 
-    def take_report(self, report: wire.Report) -> bool:
+    def may_answer(self, report: wire.Report) -> bool:
         """May this report be answered in the leader's name?"""
-        state = self._here.state
-        return self.steward.answers(report.token, steady(), state.ok_at, state.failed_at)
+        state = self._node.state
+        return self.proxy.may_answer(report.token, steady(), state.ok_at, state.failed_at)
 
-    def named(self, leader: str | None) -> str | None:
-        """Where to send a worker that can't be answered here: to a node that keeps its lease, if the leader can't.
+    def redirect_target(self, leader: str | None) -> str | None:
+        """Where to send a worker that can't be answered here: to another lease proxy, if the leader can't be reached.
 
-        Sent to a leader outside the cut, each worker once lost 5 s of its lease there.
+        Sent to a leader outside the partition, each worker once lost 5 s of its lease there.
         """
         now = steady()
-        if not self._out_of_touch(now):
+        if not self._is_isolated(now):
             return leader
-        return next((name for name, at in self._keepers.items() if now - at < NAMED_FOR), leader)
+        proxies = self._other_proxies.items()
+        return next((name for name, at in proxies if now - at < REDIRECTS_TO_PROXY_FOR), leader)
 
-    def _out_of_touch(self, now: int) -> bool:
-        state = self._here.state
-        return self.steward.is_isolated(now, state.ok_at, state.failed_at)
+    def _is_isolated(self, now: int) -> bool:
+        state = self._node.state
+        return self.proxy.is_isolated(now, state.ok_at, state.failed_at)
 
     # --- what nodes tell one another --------------------------------------------------------
 
-    async def on_carried_out(self, request: CancellationWatermarkRequest) -> CancellationWatermark | No:
+    async def on_watermark_request(self, request: CancellationWatermarkRequest) -> CancellationWatermark | No:
         """Up to when are cancellations carried out? Only the leader knows."""
-        lead = self._here.leader
-        return CancellationWatermark(lead.token, lead.cancellation_watermark_age()) if lead is not None else No()
+        leader = self._node.leader
+        if leader is None:
+            return No()
+        return CancellationWatermark(leader.token, leader.cancellation_watermark_age())
 
-    async def on_kept(self, request: LeaseProxyStateRequest) -> LeaseProxyState | No:
-        """What this node keeps leases by, for one that was started again."""
+    async def on_proxy_state_request(self, request: LeaseProxyStateRequest) -> LeaseProxyState | No:
+        """What this node goes by as a lease proxy, for one that was started again."""
         now = steady()
-        told = self.steward.pass_on(now)
-        if self._here.leader is not None or told is None:
+        known = self.proxy.share(now)
+        if self._node.leader is not None or known is None:
             return No()
-        return LeaseProxyState(*told, self._out_of_touch(now) and now < self.steward.ends())
+        answering = self._is_isolated(now) and now < self.proxy.valid_until()
+        return LeaseProxyState(known.fencing_token, known.watermark_age_us, known.contact_age_us, answering)
 
-    async def ask_leader(self, peer: PeerClient) -> None:
-        asked = steady()
+    async def refresh_from_leader(self, peer: PeerClient) -> None:
+        """Ask the leader. Raises NoResponseError or MalformedReplyError."""
+        asked_at = steady()
         watermark = await peer.ask(CancellationWatermarkRequest(), decode_watermark)
         if watermark is not None:
-            self.steward.told(watermark.fencing_token, asked, watermark.age_us)
+            self.proxy.update(watermark.fencing_token, asked_at, watermark.age_us)
 
-    async def ask_keeper(self, peer: PeerClient) -> None:
-        """Out of touch with the state service: what does another node there go by? Never raises for its answer."""
-        self._keepers.pop(peer.name, None)
-        asked = steady()
+    async def refresh_from_proxy(self, peer: PeerClient) -> None:
+        """Isolated from the state service: what does another node go by? Never raises for its answer."""
+        self._other_proxies.pop(peer.name, None)
+        asked_at = steady()
         try:
-            # 400 from a node of before this tag
+            # A node of an earlier version answers 400.
             state = await peer.ask(LeaseProxyStateRequest(), decode_lease_proxy_state)
         except (NoResponseError, MalformedReplyError):
             return
         if state is None:
             return
-        self.steward.told(state.fencing_token, asked, state.watermark_age_us, state.contact_age_us)
+        self.proxy.update(state.fencing_token, asked_at, state.watermark_age_us, state.contact_age_us)
         if state.answering:
-            self._keepers[peer.name] = asked
+            self._other_proxies[peer.name] = asked_at
--- a/oatport/service/network.py
+++ b/oatport/service/network.py
@@ -11,23 +11,29 @@
 from oatport import wire
 from oatport.api.server import Handler, Server
 from oatport.clients.http import Connector, HttpClient, Keep, Requester, make_session
-from oatport.control.limits.connection_budget import MOST_IDLE, ConnectionBudget
+from oatport.control.limits.connection_budget import MAX_IDLE_TIMEOUT, ConnectionBudget
 from oatport.times import MS, SECOND, seconds, steady
 
 log = logging.getLogger(__name__)
 
-CHANGED_BY = 1.5  # connections are kept for another time only if that differs by so much
-COUNTED_FOR = 250 * MS
-REPLACED_AFTER = 5 * SECOND  # requests on the session before have been answered by then, or given up
+IDLE_TIMEOUT_HYSTERESIS = 1.5  # connections are kept for another time only if that differs by this factor
+COUNT_IS_VALID = 250 * MS
+SESSION_CLOSED_AFTER = 5 * SECOND  # requests on a replaced session have been answered by then, or given up
+PROBE_CONNECTIONS = 4  # times as many as for other calls, since most of them hang
 
 
 class Listener(Protocol):
-    async def start(self) -> None: ...
-    async def close(self) -> None: ...
+    """A listening address."""
+
+    async def start(self) -> None:
+        """Begin to listen."""
+
+    async def close(self) -> None:
+        """Stop listening."""
 
 
 class Network(Connector, Protocol):
-    """A node's; `oatport.lab.world` has another one, in memory."""
+    """A node's network; `oatport.lab.world` has another one, in memory."""
 
     def open(self) -> None:
         """To be called in the event loop before anything else."""
@@ -36,73 +42,86 @@
     def session(self) -> aiohttp.ClientSession:
         """For what is no part of the cluster, such as a price feed."""
 
-    def expect(self, machines: int, a_second: float) -> None:
+    def expect(self, machines: int, commands_per_s: float) -> None:
         """There are so many machines, and so many commands a second to them."""
 
     def held(self) -> int:
         """Connections that users, workers and other nodes hold."""
 
-    def server(self, address: str, handler: Handler, body_limit: int = wire.BODY_LIMIT) -> Listener: ...
-    async def close(self) -> None: ...
+    def server(self, address: str, handler: Handler, body_limit: int = wire.BODY_LIMIT) -> Listener:
+        """A listener that is yet to be started."""
+
+    async def close(self) -> None:
+        """Close all connections that this node opened."""
 
 
 class HttpNetwork:
-    def __init__(self, sockets: int) -> None:
-        self._sockets = ConnectionBudget(sockets)
+    """The network of a process: HTTP over TCP, within its budget of connections."""
+
+    def __init__(self, connections: int) -> None:
+        self._budget = ConnectionBudget(connections)
         self._sessions: dict[Keep, aiohttp.ClientSession] = {}
-        self._idle_us = MOST_IDLE
+        self._idle_timeout_us = MAX_IDLE_TIMEOUT
         self._replaced: set[asyncio.Task[None]] = set()
         self._servers: list[Server] = []
-        self._held, self._counted_at = 0, -COUNTED_FOR
+        self._held, self._counted_at = 0, -COUNT_IS_VALID
 
     def open(self) -> None:
+        """To be called in the event loop before anything else."""
         self._sessions = {
-            Keep.LONG: make_session(self._sockets.most),
-            Keep.WORKER: make_session(self._sockets.most),
-            Keep.ONCE: make_session(self._sockets.calls * 4, idle_us=0),  # probes: most of them hang
+            Keep.LONG: make_session(self._budget.limit),
+            Keep.WORKER: make_session(self._budget.limit),
+            Keep.ONCE: make_session(self._budget.concurrent_calls * PROBE_CONNECTIONS, idle_us=0),
         }
 
     @property
     def session(self) -> aiohttp.ClientSession:
+        """For what is no part of the cluster, such as a price feed."""
         return self._sessions[Keep.LONG]
 
     def client(self, address: str, keep: Keep = Keep.LONG) -> Requester:
+        """What to send requests to an address by."""
         return HttpClient(self._sessions[keep], address)
 
-    def expect(self, machines: int, a_second: float) -> None:
-        idle = self._sockets.idle_us(machines, a_second)
-        if 1 / CHANGED_BY < idle / self._idle_us < CHANGED_BY:
+    def expect(self, machines: int, commands_per_s: float) -> None:
+        """Keep idle connections for as long as there are enough for so many machines and commands."""
+        idle_timeout_us = self._budget.idle_timeout_us(machines, commands_per_s)
+        ratio = idle_timeout_us / self._idle_timeout_us
+        if 1 / IDLE_TIMEOUT_HYSTERESIS < ratio < IDLE_TIMEOUT_HYSTERESIS:
             return
-        self._idle_us = idle
+        self._idle_timeout_us = idle_timeout_us
         before = self._sessions[Keep.WORKER]
-        self._sessions[Keep.WORKER] = make_session(self._sockets.most, idle_us=idle)
-        task = asyncio.get_running_loop().create_task(self._replace(before))
+        self._sessions[Keep.WORKER] = make_session(self._budget.limit, idle_us=idle_timeout_us)
+        task = asyncio.get_running_loop().create_task(self._close_later(before))
         self._replaced.add(task)
         task.add_done_callback(self._replaced.discard)
 
     @staticmethod
-    async def _replace(session: aiohttp.ClientSession) -> None:
+    async def _close_later(session: aiohttp.ClientSession) -> None:
         try:
-            await asyncio.sleep(seconds(REPLACED_AFTER))
+            await asyncio.sleep(seconds(SESSION_CLOSED_AFTER))
         finally:
             try:
                 await session.close()
             except Exception:
-                log.exception("connections to workers were not closed")
+                log.exception("closing connections to workers failed")
 
     def held(self) -> int:
+        """Connections that users, workers and other nodes hold."""
         # Counting takes as long as there are connections, and every user's request asks.
         now = steady()
-        if now - self._counted_at > COUNTED_FOR:
+        if now - self._counted_at > COUNT_IS_VALID:
             self._held, self._counted_at = sum(server.held for server in self._servers), now
         return self._held
 
     def server(self, address: str, handler: Handler, body_limit: int = wire.BODY_LIMIT) -> Listener:
+        """A listener that is yet to be started."""
         server = Server(address, handler, body_limit=body_limit)
         self._servers.append(server)
         return server
 
     async def close(self) -> None:
+        """Close all connections that this node opened."""
         for task in list(self._replaced):
             task.cancel()
         await asyncio.gather(*self._replaced, return_exceptions=True)
--- /dev/null
+++ b/oatport/service/orphaned_job_lookup.py
@@ -0,0 +1,43 @@
+"""Looks up the jobs of orphaned attempts: those that a machine reports and no record of this leader's names.
+
+Until the team of such an attempt is known, no team has quota left.
+"""
+
+from __future__ import annotations
+
+from oatport import wire
+from oatport.clients.http import NoResponseError, RequestRefusedError
+from oatport.control.storage.recovery import read_job
+from oatport.control.storage.write_buffer import job_key
+from oatport.service.leader_context import LeaderContext
+
+MAX_CONCURRENT_LOOKUPS = 4
+
+
+class OrphanedJobLookup:
+    """Reads the records of such jobs, a few at a time."""
+
+    def __init__(self, leader: LeaderContext) -> None:
+        self._leader = leader
+        self.in_flight: set[str] = set()  # ids of jobs
+
+    def look_up(self) -> None:
+        """Start to read the records of jobs whose teams are unknown."""
+        for job_id in [job_id for job_id in self._leader.cluster.quotas.unknown if job_id not in self.in_flight]:
+            if len(self.in_flight) >= MAX_CONCURRENT_LOOKUPS:
+                return  # old copies may tell of hundreds that are long over; renewals and users go first
+            self.in_flight.add(job_id)
+            self._leader.background.once("orphaned job lookup", self.read(job_id))
+
+    async def read(self, job_id: str) -> None:
+        """Read one record, and go on with the others."""
+        try:
+            found = await self._leader.state.get(job_key(job_id)) if wire.valid_ref(job_id) else None
+        except (NoResponseError, RequestRefusedError):
+            return  # asked again by the maintenance loop
+        finally:
+            self.in_flight.discard(job_id)
+        spec = None if found is None else read_job(found[0])[0]
+        self._leader.cluster.resolve_orphaned_attempts(job_id, spec)
+        self.look_up()
+        self._leader.wake()
--- /dev/null
+++ b/oatport/service/peer_contact.py
@@ -0,0 +1,123 @@
+"""Contact with the other nodes: pings both ways, and questions that need nothing but this node's own view."""
+
+from __future__ import annotations
+
+import asyncio
+
+from oatport.clients.http import NoResponseError, jitter
+from oatport.clients.peer import PeerClient
+from oatport.clients.worker import count_reached
+from oatport.control.storage.schema_version import READS
+from oatport.peer_messages import (
+    ExplainJob,
+    JobExplanation,
+    JobProgressUpdate,
+    MalformedReplyError,
+    No,
+    Ok,
+    Ping,
+    Pong,
+    ProbeResult,
+    ProbeWorkers,
+    SchemaVersionReply,
+    SchemaVersionRequest,
+    decode_explanation,
+)
+from oatport.service.election import Election
+from oatport.service.handover import LeadershipHandover
+from oatport.service.lease_proxy_service import LeaseProxyService
+from oatport.service.network import Network
+from oatport.service.node_context import NodeContext
+from oatport.service.peer_notifications import PeerNotifier
+from oatport.service.peer_status import PeerStatus
+from oatport.times import MS, steady
+
+PING_INTERVAL = 700 * MS
+
+
+class PeerContact:
+    """Pings each peer for as long as the node runs, and answers peers' pings and questions."""
+
+    def __init__(
+        self,
+        node: NodeContext,
+        net: Network,
+        election: Election,
+        handover: LeadershipHandover,
+        peer_status: PeerStatus,
+        lease_proxy: LeaseProxyService,
+        peer_notifier: PeerNotifier,
+    ) -> None:
+        self._node = node
+        self._net = net
+        self._election = election
+        self._handover = handover
+        self._peer_status = peer_status
+        self._lease_proxy = lease_proxy
+        self._peer_notifier = peer_notifier
+
+    async def ping_loop(self, peer: PeerClient) -> None:
+        """Ping one peer: who leads, and does the state service answer it?"""
+        while True:
+            try:
+                await self._ping(peer)
+            except (NoResponseError, MalformedReplyError):
+                self._peer_status.lost(peer.name)
+            await asyncio.sleep(jitter(PING_INTERVAL))
+
+    async def _ping(self, peer: PeerClient) -> None:
+        leader = self._election.leader
+        node, election = self._node, self._election
+        ping = Ping(node.node_name, election.leader_name, election.leader_token, node.state_service_answers())
+        pong = await peer.ask(ping, Pong.decode_reply)
+        self._peer_status.contacted(peer.name)
+        election.learn_leader(pong.leader_name, pong.leader_token)
+        self._peer_status.update(pong.node_name, pong.state_service_answers)
+        if leader is not None and leader is election.leader and pong.state_service_answers:
+            await self._handover.hand_over_if_isolated(leader, peer)
+        if election.leader is not None:
+            return
+        if peer.name == election.leader_name:
+            await self._lease_proxy.refresh_from_leader(peer)
+        elif not node.state_service_answers():
+            await self._lease_proxy.refresh_from_proxy(peer)
+
+    async def on_ping(self, ping: Ping) -> Pong:
+        """A peer says who leads, and is told the same."""
+        self._election.learn_leader(ping.leader_name, ping.leader_token)
+        self._peer_status.update(ping.node_name, ping.state_service_answers)
+        quiet_us = self._peer_notifier.confirmed_cancellations.quiet(steady())
+        election = self._election
+        return Pong(
+            self._node.node_name,
+            election.leader_name,
+            election.leader_token,
+            self._node.state_service_answers(),
+            quiet_us,
+        )
+
+    async def on_job_progress(self, update: JobProgressUpdate) -> Ok:
+        """The leader sends the counts that users are shown."""
+        self._node.job_progress.update(update.changed)
+        for job_id in update.removed:
+            self._node.job_progress.pop(job_id, None)
+        return Ok()
+
+    async def on_probe(self, probe: ProbeWorkers) -> ProbeResult:
+        """Which of these workers can this node reach? And does the state service answer it?"""
+        reached = await count_reached(self._net, probe.addresses)
+        return ProbeResult(reached, self._node.state_service_answers())
+
+    async def on_explain(self, question: ExplainJob) -> JobExplanation | No:
+        """Why a job waits; asked by operators on the internal address, answered by the leader."""
+        leader = self._election.leader
+        if leader is not None:
+            return JobExplanation(leader.explain(question.job_id))
+        peer = self._node.leading_peer()
+        if peer is None or question.forwarded:
+            return No("no leader is known: ask again in a few seconds")
+        return await peer.ask(ExplainJob(question.job_id, forwarded=True), decode_explanation)
+
+    async def on_schema_version(self, request: SchemaVersionRequest) -> SchemaVersionReply:
+        """What this process reads of what is stored."""
+        return SchemaVersionReply(self._node.node_name, self._node.boot_id, READS)
--- /dev/null
+++ b/oatport/service/reachability.py
@@ -0,0 +1,140 @@
+"""Who can't be reached: machines, or this node? Asked of the machines themselves, and of the other nodes."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from dataclasses import dataclass
+
+from oatport.clients.http import Keep, NoResponseError, RequestRefusedError
+from oatport.clients.worker import WorkerClient
+from oatport.control.state.machine import Machine
+from oatport.control.storage.recovery import cut_off
+from oatport.control.storage.write_buffer import LEADER_KEY
+from oatport.peer_messages import ProbeResult, ProbeWorkers
+from oatport.service.leader_context import LeaderContext
+from oatport.service.network import Network
+from oatport.times import MS, steady
+
+log = logging.getLogger(__name__)
+
+OWN_PROBES = 4
+PROBE_INTERVAL = 1_500 * MS  # of one machine
+PEER_PROBE_TIMEOUT = 1_300 * MS
+PEER_PROBE_ADDRESSES = 20
+
+
+@dataclass(frozen=True, slots=True)
+class PeerSurvey:
+    """What the other nodes say of silent machines.
+
+    `reached_by`: a node that reaches at least half of them; `most_reach_none`: most nodes, this one among them,
+    answered and reach none of them.
+    """
+
+    reached_by: str | None
+    most_reach_none: bool
+
+
+class Reachability:
+    """Probes machines, and steps down if another node reaches those that this one doesn't."""
+
+    def __init__(self, leader: LeaderContext, net: Network) -> None:
+        self._leader = leader
+        self._net = net
+
+    # --- machines ---------------------------------------------------------------------------
+
+    def probe(self, machines: list[Machine], now: int) -> None:
+        """Are they there, and do commands reach them? Each at most once in `PROBE_INTERVAL`."""
+        for machine in machines:
+            if not machine.probing and now - machine.probed_at > PROBE_INTERVAL and machine.address:
+                machine.probing, machine.probed_at = True, now
+                self._leader.background.once("probe", self._probe(machine))
+
+    async def _probe(self, machine: Machine) -> None:
+        try:
+            report = await WorkerClient(self._net, machine.address, Keep.ONCE).show()
+            self._leader.cluster.on_contact(machine)
+            self._leader.receive_heartbeat(report, steady())
+        except NoResponseError:
+            pass
+        finally:
+            machine.probing = False
+
+    # --- this node --------------------------------------------------------------------------
+
+    async def may_judge(self) -> bool:
+        """A node without contact judges nobody.
+
+        Its request to release might be held by the partition and executed minutes later, when all those machines
+        are at work for another leader.
+        """
+        return self._leader.holds_lease() and await self.still_leading()
+
+    async def still_leading(self) -> bool:
+        """The state service answers, and the leader key is still this leader's."""
+        try:
+            found = await self._leader.state.get(LEADER_KEY)
+        except (NoResponseError, RequestRefusedError):
+            return False
+        if found is None or found[1] != self._leader.token:
+            self._leader.step_down("the leader key has another version")
+            return False
+        return True
+
+    async def step_down_if_reached_by_peer(self, machines: list[Machine]) -> PeerSurvey:
+        """Step down if another node reaches these machines, which are silent to this one."""
+        asked_at = steady()
+        # Asked once more by itself: after a busy moment, reports may just wait to be read.
+        own = asyncio.gather(*(self._probe(m) for m in machines[:OWN_PROBES] if m.address))
+        survey = await self.survey_peers(machines)
+        await own
+        if any(m.last_heartbeat_at >= asked_at for m in machines):
+            return PeerSurvey(None, survey.most_reach_none)
+        if survey.reached_by is not None:
+            log.warning("machines are silent to this node only machines=%d peer=%s", len(machines), survey.reached_by)
+            self._step_down(machines, f"cut off from workers; {survey.reached_by} sees them")
+        return survey
+
+    async def step_down_if_commands_reach_from_peer(self, machines: list[Machine]) -> None:
+        """Many machines are heard and commands don't reach them: another node that reaches them should rather lead."""
+        survey = await self.survey_peers(machines)
+        unreachable = sum(machine.command_unreachable for machine in machines)
+        if survey.reached_by is not None and cut_off(unreachable, machines):
+            log.warning(
+                "commands of this node do not reach machines machines=%d peer=%s", len(machines), survey.reached_by
+            )
+            self._step_down(machines, f"workers don't hear this node; {survey.reached_by} reaches them")
+
+    def _step_down(self, machines: list[Machine], reason: str) -> None:
+        node = self._leader.node
+        node.mark_workers_unreachable([m.address for m in machines if m.address][:OWN_PROBES])
+        node.step_down(reason)
+
+    async def survey_peers(self, machines: list[Machine]) -> PeerSurvey:
+        """Which other nodes reach these machines?
+
+        Most nodes must answer, this one among them. A node in a partitioned zone answers as little as its machines
+        do; waiting for it would leave their tasks nowhere until the partition ends. A leader that is itself
+        partitioned hears from no other node.
+        """
+        addresses = [m.address for m in machines if m.address][:PEER_PROBE_ADDRESSES]
+        request = ProbeWorkers(addresses)
+        peers = self._leader.node.peers
+        replies = await asyncio.gather(
+            *(peer.ask(request, ProbeResult.decode_reply, timeout_us=PEER_PROBE_TIMEOUT) for peer in peers.values()),
+            return_exceptions=True,
+        )
+        answering, some_reached = 1, False
+        for name, reply in zip(peers, replies, strict=True):
+            if isinstance(reply, NoResponseError):
+                continue
+            if isinstance(reply, BaseException):
+                some_reached = True  # a strange answer proves nothing
+            else:
+                if reply.reached * 2 >= len(addresses) > 0 and reply.state_service_answers:
+                    return PeerSurvey(name, most_reach_none=False)
+                some_reached = some_reached or reply.reached > 0
+            answering += 1
+        return PeerSurvey(None, not some_reached and answering * 2 > len(peers) + 1)
--- /dev/null
+++ b/oatport/service/state_service_contact.py
@@ -0,0 +1,64 @@
+"""Contact with the state service: does it answer this node, and the renewal of the leader lease."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+
+from oatport.clients.http import NoResponseError, RequestRefusedError, jitter
+from oatport.clients.state import LeaseExpiredError
+from oatport.control.storage.write_buffer import LEADER_KEY
+from oatport.service.election import Election
+from oatport.service.handover import LeadershipHandover
+from oatport.service.leader import Leader
+from oatport.service.node_context import NodeContext
+from oatport.times import MS, SECOND, seconds, steady
+
+log = logging.getLogger(__name__)
+
+ANSWER_IS_FRESH = 2 * SECOND
+CHECK_INTERVAL = 500 * MS  # of a node that does not lead
+RETRY_INTERVAL = 250 * MS
+RENEWALS_PER_LEASE = 4
+
+
+class StateServiceContact:
+    """Renews the leader lease, and knows whether the state service answers."""
+
+    def __init__(self, node: NodeContext, election: Election, handover: LeadershipHandover) -> None:
+        self._node = node
+        self._election = election
+        self._handover = handover
+        self._lease_us = node.tuning.us("leader_lease_s")
+
+    def answers(self) -> bool:
+        """The state service answers this node."""
+        state = self._node.state
+        return state.ok_at > 0 and (steady() - state.ok_at < ANSWER_IS_FRESH or state.failed_at <= state.ok_at)
+
+    async def loop(self) -> None:
+        """Know whether the state service answers; as the leader, renew the lease first of all."""
+        while True:
+            leader = self._election.leader
+            try:
+                if leader is not None:
+                    await self._renew_lease(leader)
+                elif steady() - self._node.state.ok_at > SECOND:
+                    await self._node.state.get(LEADER_KEY)
+            except LeaseExpiredError:
+                if leader is self._election.leader:
+                    self._election.step_down("the lease expired")
+            except (NoResponseError, RequestRefusedError) as error:
+                log.debug("state service does not answer error=%s", error)
+                await asyncio.sleep(jitter(RETRY_INTERVAL))
+                continue
+            interval = self._lease_us // RENEWALS_PER_LEASE if leader is not None else CHECK_INTERVAL
+            await asyncio.sleep(seconds(interval))
+
+    async def _renew_lease(self, leader: Leader) -> None:
+        requested_at = steady()
+        await self._node.state.touch(leader.lease, min(self._lease_us // 2, SECOND))
+        leader.leader_lease.renewed(requested_at)
+        peer = self._handover.better_placed_peer()
+        if peer is not None and leader is self._election.leader and leader.loaded:
+            self._handover.offer_in_background(leader, peer)  # renewals do not wait for it
--- a/oatport/service/window_controller.py
+++ b/oatport/service/window_controller.py
@@ -1,4 +1,4 @@
-"""The windows' lifecycle in a leader: prices asked for and kept, held jobs let go in time."""
+"""The window controller: spot prices and deferred starts of a leader."""
 
 from __future__ import annotations
 
@@ -18,40 +18,49 @@
 log = logging.getLogger(__name__)
 
 KEY = "windows"
-WRITTEN_EVERY = 60 * SECOND
+WRITE_INTERVAL = 60 * SECOND
+INTERVAL_S = 1.0
 
 
 class WindowController:
-    def __init__(self, helm: LeaderContext, net: Network, settings: WindowSettings) -> None:
-        self._helm = helm
+    """Reads the price feed, and defers and releases starts as the windows' planner decides."""
+
+    def __init__(self, leader: LeaderContext, net: Network, settings: WindowSettings) -> None:
+        self._leader = leader
         self._session = net.session
         self.settings = settings
         self.book = Book(micros(settings.fresh_s), micros(settings.dead_s))
         self._clock = DayClock(time_of_day(), steady())
-        self.holder = Holder(helm.cluster, settings, self.book, self.wall())
+        self.holder = Holder(leader.cluster, settings, self.book, self.wall())
         self._written: tuple[int, int] = (0, 0)  # the book's version, and when
 
     def wall(self) -> int:
+        """The time of day as the windows count it."""
         return self._clock.at(time_of_day(), steady())
 
     async def fail_over(self) -> None:
-        """The last good series and what was learnt; then all jobs as recorded. Raises NoAnswer or Refused."""
-        found = await self._helm.state.get(KEY)
+        """The last good series and what was learnt; then all jobs as recorded.
+
+        Raises NoResponseError or RequestRefusedError.
+        """
+        found = await self._leader.state.get(KEY)
         if found is not None:
-            self._helm.cluster.versions[KEY] = found[1]
+            self._leader.cluster.versions[KEY] = found[1]
             if isinstance(found[0], dict):
                 self.book.load(found[0].get("book"), self.wall())
                 self.holder.set_up(found[0])
-        self._helm.cluster.singleton_records[KEY] = self.record
+        self._leader.cluster.singleton_records[KEY] = self.record
         now = self.wall()
-        for job in sorted(self._helm.cluster.jobs.values(), key=lambda job: (job.submitted_at, job.job_id)):
+        for job in sorted(self._leader.cluster.jobs.values(), key=lambda job: (job.submitted_at, job.job_id)):
             self.holder.joined(job, now)
 
     def record(self) -> dict[str, Any]:
+        """What is stored: the price series and what was learnt."""
         return {"book": self.book.record(self.wall()), **self.holder.record()}
 
     def start(self) -> None:
-        self._helm.background.keep("windows", self._loop)
+        """Start the loops."""
+        self._leader.background.keep("windows", self._loop)
         if self.settings.feed:
             client = FeedClient(
                 self._session,
@@ -60,29 +69,32 @@
                 self.book,
                 self.settings.poll_s,
                 self.settings.timeout_s,
-                self._helm.wake,
+                self._leader.wake,
             )
-            self._helm.background.keep("price feed", client.loop)
+            self._leader.background.keep("price feed", client.loop)
 
-    def joined(self, job: Job) -> None:
+    def on_job_admitted(self, job: Job) -> None:
+        """A job joined the pending ones: its start may be deferred."""
         self.holder.joined(job, self.wall())
 
     async def _loop(self) -> None:
-        while not self._helm.stopped:
-            await asyncio.sleep(1.0)
+        while not self._leader.stopped:
+            await asyncio.sleep(INTERVAL_S)
             self.step()
 
     def step(self) -> None:
-        """Holding on is always safe for the rules, and letting go too: a job is only eligible, nothing starts by it."""
-        let_go = self.holder.tick(self.wall())
-        if let_go:
-            log.info("windows: %d tasks let go, %d jobs held", let_go, len(self.holder.planner.plans))
+        """Deferring is always safe for the rules, and so is a release: a job is only eligible, nothing starts by it."""
+        released_tasks = self.holder.tick(self.wall())
+        if released_tasks:
+            plans = self.holder.planner.plans
+            log.info("released deferred starts tasks=%d jobs_deferred=%d", released_tasks, len(plans))
         now = steady()
-        if self.book.version != self._written[0] or now - self._written[1] > WRITTEN_EVERY:
+        if self.book.version != self._written[0] or now - self._written[1] > WRITE_INTERVAL:
             if self.book.read_at or self.holder.margins:
-                self._helm.cluster.dirty_keys[KEY] = None
+                self._leader.cluster.dirty_keys[KEY] = None
             self._written = self.book.version, now
-        self._helm.wake()
+        self._leader.wake()
 
-    def explain(self, ref: str) -> dict[str, Any]:
-        return self.holder.explain(ref, self.wall())
+    def explain(self, job_id: str) -> dict[str, Any]:
+        """Why a job waits, for operators."""
+        return self.holder.explain(job_id, self.wall())
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -29,7 +29,7 @@
 from oatport.lab.world.world import World as WholeWorld
 from oatport.peer_messages import PeerArray, PeerMessage, decode_reply
 from oatport.service.node import Node
-from oatport.service.peer_notifications import STALE
+from oatport.service.peer_notifications import RECORDS_ARE_STALE
 from oatport.settings import Tuning
 from oatport.times import SECOND, steady, with_drift
 from tests.test_service import Body, FakePeer, leader, peer_reply
@@ -182,12 +182,12 @@
 async def blind(state: KeyStore) -> tuple[Node, Any]:
     """A leading node whose state service refuses it; what it knows is 20 s old."""
     node = Node(node_settings(), Tuning())
-    node.peer_notifier.cancellations = told(began=steady() - 600 * SECOND)
+    node.peer_notifier.confirmed_cancellations = told(began=steady() - 600 * SECOND)
     node.state = client = FakeStateClient(state)  # type: ignore[assignment]
     lead, _, _ = leader(state)
     client.faults = ["refuse"] * 1000
     lead.lease_renewal_limit.known_at = steady() - 20 * SECOND
-    node.leader = lead
+    node.election.leader = lead
     return node, lead
 
 
@@ -228,10 +228,12 @@
     node, lead = await blind(state)
     running(lead, state)
     node.peers = {"n1": FakePeer(["told", WHOLE, []])}  # type: ignore[dict-item]
-    node.peer_notifier.cancellations.tell("j-000001", steady() - 5 * SECOND)
+    node.peer_notifier.confirmed_cancellations.tell("j-000001", steady() - 5 * SECOND)
     await node.peer_notifier.collect(lead)
     assert lead.cluster.jobs["j-000001"].cancelled
-    node.peer_notifier.cancellations = told(began=steady() - SECOND)  # it began only after what is asked about
+    node.peer_notifier.confirmed_cancellations = told(
+        began=steady() - SECOND
+    )  # it began only after what is asked about
     before = lead.lease_renewal_limit.known_at = steady() - 20 * SECOND
     await node.peer_notifier.collect(lead)
     assert lead.lease_renewal_limit.known_at == before
@@ -243,7 +245,7 @@
 
     class Slow(FakePeer):
         async def ask(self, request: PeerMessage, decode: Callable[[PeerArray], Any], *, timeout_us: int = 0) -> Any:
-            node.leader = None
+            node.election.leader = None
             return decode_reply(["told", WHOLE, []], decode)
 
     node.peers = {"n1": Slow(None)}  # type: ignore[dict-item]
@@ -254,9 +256,9 @@
 async def test_a_hint_that_is_lost_costs_a_moment(state: KeyStore) -> None:
     """It went out twice and was lost twice: the tasks ran on until their leases ended, as did all others."""
     other = Node(node_settings(), Tuning())
-    other.peer_notifier.cancellations = told(began=steady() - 600 * SECOND)
+    other.peer_notifier.confirmed_cancellations = told(began=steady() - 600 * SECOND)
     other.peers = {"n1": FakePeer(None)}  # type: ignore[dict-item]
-    other._leader_name = "n1"
+    other.election.leader_name = "n1"
     other.tell_cancelled("j-000001", 7)
     node, lead = await blind(state)
     running(lead, state)
@@ -269,8 +271,8 @@
     before = lead.lease_renewal_limit.known_at
     await node.peer_notifier.collect(lead)
     assert lead.cluster.jobs["j-000001"].cancelled
-    assert lead.lease_renewal_limit.known_at > before + STALE
-    other.group.close()
+    assert lead.lease_renewal_limit.known_at > before + RECORDS_ARE_STALE
+    other.background.close()
 
 
 async def test_a_malformed_question_gets_400_and_an_older_leader_sees_when_something_was_told(state: KeyStore) -> None:
@@ -279,7 +281,7 @@
     for question in (["told"], ["told", "1"], ["told", -1], ["told", True], ["told", None]):
         with pytest.raises((ValueError, IndexError)):
             await peer_reply(node, question)
-    node.peer_notifier.cancellations = told(began=steady() - 600 * SECOND)
+    node.peer_notifier.confirmed_cancellations = told(began=steady() - 600 * SECOND)
     ping = ["ping", "n1", None, 0, True]
     assert (await peer_reply(node, ping))[5] >= 600 * SECOND
     node.tell_cancelled("j-000001")  # in whichever way it knew
--- a/tests/test_dark.py
+++ b/tests/test_dark.py
@@ -8,7 +8,12 @@
 
 from oatport import wire
 from oatport.control.leadership.lease_proxy import ISOLATED_AFTER, LeaseProxy
-from oatport.control.leadership.zone_partition import KEEP_BOUND, REPLICAS_AT_ONCE, ZoneEvacuation, lives_until
+from oatport.control.leadership.zone_partition import (
+    MAX_REPLICAS_MOVING,
+    RELEASE_UNMOVABLE_AFTER,
+    ZoneEvacuation,
+    tasks_alive_until,
+)
 from oatport.control.scaling.cloud_availability import ScaleOutRequest
 from oatport.control.state.machine import Machine
 from oatport.control.storage.write_buffer import DARK_KEY
@@ -31,32 +36,32 @@
 SETTINGS = cluster_settings()  # lease 10 s, cancellation 35 s, reports every second
 
 
-def steward(told_at: int = 100 * SECOND, age: int = 0) -> LeaseProxy:
-    kept = LeaseProxy.of(SETTINGS)
-    kept.told(7, told_at, age)
-    return kept
+def lease_proxy(contact_at: int = 100 * SECOND, age: int = 0) -> LeaseProxy:
+    proxy = LeaseProxy.create(SETTINGS)
+    proxy.update(7, contact_at, age)
+    return proxy
 
 
 def test_a_node_out_of_touch_answers_in_the_leaders_name_until_a_lease_could_outlast_a_cancellation() -> None:
-    kept, lost = steward(), 103 * SECOND
-    assert kept.answers(7, lost, 100 * SECOND, 102 * SECOND)
+    proxy, lost = lease_proxy(), 103 * SECOND
+    assert proxy.may_answer(7, lost, 100 * SECOND, 102 * SECOND)
     # A job cancelled just after the leader last told must be gone 35 s later, 10 s of which are the lease.
-    assert 115 * SECOND < kept.ends() <= 125 * SECOND
-    assert not kept.answers(7, kept.ends(), 100 * SECOND, 102 * SECOND)
-    assert not kept.answers(7, 100 * SECOND + ISOLATED_AFTER - 1, 99 * SECOND, 100 * SECOND)  # the leader just spoke
-    assert not kept.answers(7, lost, 102 * SECOND, 101 * SECOND)  # the state service answers: there may be another one
-    assert not kept.answers(8, lost, 100 * SECOND, 102 * SECOND)  # that worker knows a later leader
-    assert not kept.answers(6, lost, 100 * SECOND, 102 * SECOND)  # the leader never reached that worker
-    assert not LeaseProxy.of(SETTINGS).answers(0, lost, 0, lost)  # it was never told anything
+    assert 115 * SECOND < proxy.valid_until() <= 125 * SECOND
+    assert not proxy.may_answer(7, proxy.valid_until(), 100 * SECOND, 102 * SECOND)
+    assert not proxy.may_answer(7, 100 * SECOND + ISOLATED_AFTER - 1, 99 * SECOND, 100 * SECOND)  # the leader answers
+    assert not proxy.may_answer(7, lost, 102 * SECOND, 101 * SECOND)  # the state service answers: others may lead
+    assert not proxy.may_answer(8, lost, 100 * SECOND, 102 * SECOND)  # that worker knows a later leader
+    assert not proxy.may_answer(6, lost, 100 * SECOND, 102 * SECOND)  # the leader never reached that worker
+    assert not LeaseProxy.create(SETTINGS).may_answer(0, lost, 0, lost)  # it was never told anything
 
 
-def test_what_is_not_carried_out_yet_shortens_what_a_steward_may_do() -> None:
-    at_once, late = steward(), steward(age=9 * SECOND)
-    assert at_once.ends() - late.ends() >= 9 * SECOND
-    late.told(7, 101 * SECOND, -1)  # nothing is known
-    assert late.told_at == 100 * SECOND
-    at_once.told(6, 200 * SECOND, 0)  # an earlier leader that does not know yet
-    assert at_once.ends() == steward().ends()
+def test_what_is_not_carried_out_yet_shortens_what_a_lease_proxy_may_do() -> None:
+    at_once, late = lease_proxy(), lease_proxy(age=9 * SECOND)
+    assert at_once.valid_until() - late.valid_until() >= 9 * SECOND
+    late.update(7, 101 * SECOND, -1)  # nothing is known
+    assert late.leader_contact_at == 100 * SECOND
+    at_once.update(6, 200 * SECOND, 0)  # an earlier leader that does not know yet
+    assert at_once.valid_until() == lease_proxy().valid_until()
 
 
 def test_a_cancellation_counts_until_its_tasks_are_proven_gone() -> None:
@@ -86,8 +91,8 @@
     lead, _, _ = leader(state)
     lead.lease_renewal_limit.known_at = steady()
     peer = FakePeer(["carried out", lead.token, lead.cancellation_watermark_age()])
-    await node.lease_proxy.ask_leader(peer)  # type: ignore[arg-type]
-    node.lease_proxy.steward.told_at -= 3 * SECOND
+    await node.lease_proxy.refresh_from_leader(peer)  # type: ignore[arg-type]
+    node.lease_proxy.proxy.leader_contact_at -= 3 * SECOND
     worker = Worker(lambda: 0, "vm-000001", "h:1", "m8", "a", False, 8.0, lambda ref: None)
     worker.token = lead.token
     report: Any = worker.report()
@@ -104,36 +109,36 @@
     for node in (old, new):
         node.state = FakeStateClient(state)  # type: ignore[assignment]
         node.state.ok_at, node.state.failed_at = 0, steady()
-        node._leader_name = "n1"  # outside the cut
+        node.election.leader_name = "n1"  # outside the cut
     worker = Worker(lambda: 0, "vm-000001", "h:1", "m8", "a", False, 8.0, lambda ref: None)
     worker.token = 7
     report = wire.report(worker.report())
     assert await peer_reply(old, ["kept"]) == ["no"]  # it was never told anything
-    old.lease_proxy.steward.told(7, steady() - 3 * SECOND, 0)
+    old.lease_proxy.proxy.update(7, steady() - 3 * SECOND, 0)
     peer = FakePeer(None, "n2")
     for answer in (None, ["no"], ["kept", 7], ["kept", "x", 0, 0, True], ["pong"]):  # cut, an older node, a strange one
         peer.answer = answer
-        await new.lease_proxy.ask_keeper(peer)  # type: ignore[arg-type]
+        await new.lease_proxy.refresh_from_proxy(peer)  # type: ignore[arg-type]
         assert new.answer_heartbeat(report) is None
         assert new.leader_name() == "n1"
     peer.answer = await peer_reply(old, ["kept"])
-    await new.lease_proxy.ask_keeper(peer)  # type: ignore[arg-type]
+    await new.lease_proxy.refresh_from_proxy(peer)  # type: ignore[arg-type]
     assert new.answer_heartbeat(report) == {"helm": 7, "orders": []}
     assert new.leader_name() == "n2"  # for a worker that has another token
-    assert 0 < old.lease_proxy.steward.ends() - new.lease_proxy.steward.ends() < SECOND // 10
+    assert 0 < old.lease_proxy.proxy.valid_until() - new.lease_proxy.proxy.valid_until() < SECOND // 10
 
 
 def test_what_is_passed_on_in_a_circle_only_gets_less() -> None:
-    nodes = [steward(), LeaseProxy.of(SETTINGS)]
-    ends = nodes[0].ends()
+    nodes = [lease_proxy(), LeaseProxy.create(SETTINGS)]
+    ends = nodes[0].valid_until()
     for now in range(101, 112):
         giver, taker = nodes[now % 2 == 0], nodes[now % 2]
-        told = giver.pass_on(now * SECOND)
-        if told is not None:
-            taker.told(told[0], now * SECOND, *told[1:])
-    assert nodes[1].ends() <= nodes[0].ends() == ends
-    nodes[1].told(6, 200 * SECOND, 0, 0)  # of an earlier leader
-    assert nodes[1].ends() <= ends
+        known = giver.share(now * SECOND)
+        if known is not None:
+            taker.update(known.fencing_token, now * SECOND, known.watermark_age_us, known.contact_age_us)
+    assert nodes[1].valid_until() <= nodes[0].valid_until() == ends
+    nodes[1].update(6, 200 * SECOND, 0, 0)  # of an earlier leader
+    assert nodes[1].valid_until() <= ends
 
 
 def cut(world: World, zone: str) -> list[Machine]:
@@ -150,7 +155,7 @@
 
 def leaving(world: World, kept: bool) -> list[str]:
     zones = frozenset({"b"}) if kept else frozenset[str]()
-    return [m.name for m in ZoneEvacuation(world.cluster, world.fleet).now(world.now, zones)]
+    return [m.name for m in ZoneEvacuation(world.cluster, world.fleet).machines_to_release(world.now, zones)]
 
 
 def test_replicas_that_may_run_nowhere_else_keep_their_machines() -> None:
@@ -163,12 +168,12 @@
     there = cut(world, "b")
     with_replicas = {m.name for m in there if m.tasks}
     assert sum(len(m.tasks) for m in there) == 2
-    alive = lives_until(SETTINGS, world.cluster.partitioned_zones["b"], True)
+    alive = tasks_alive_until(SETTINGS, world.cluster.partitioned_zones["b"], True)
     world.now = alive + SECOND
     assert leaving(world, True) == []
     world.now += 31 * SECOND  # a machine without replicas would have booted twice by now
     assert set(leaving(world, True)) == {m.name for m in there} - with_replicas
-    world.now += KEEP_BOUND
+    world.now += RELEASE_UNMOVABLE_AFTER
     assert set(leaving(world, True)) == {m.name for m in there}
     world.refused.clear()  # back: new sessions, and the replicas return to where their image is
     world.now = alive + 10 * SECOND
@@ -205,7 +210,7 @@
     world.now += 4 * SECOND
     chosen = leaving(world, True)
     replicas = sum(len(m.tasks) for m in there if m.name in chosen)
-    assert 0 < replicas <= REPLICAS_AT_ONCE < sum(len(m.tasks) for m in there)
+    assert 0 < replicas <= MAX_REPLICAS_MOVING < sum(len(m.tasks) for m in there)
 
 
 def test_a_machine_whose_work_is_done_goes_if_its_like_is_to_be_had_elsewhere() -> None:
@@ -292,7 +297,7 @@
     async def release(machines: list[Machine], why: str) -> None:
         released.extend(m.name for m in machines)
 
-    lead.leader_lease.asked_at = now = steady()
+    lead.leader_lease.renewal_requested_at = now = steady()
     lead.led_since = now - 60 * SECOND
     for number in range(1, count + 1):
         lit = number <= count // 2
@@ -300,38 +305,38 @@
         assert machine is not None
         machine.ready_at = machine.probed_at = 1
         machine.last_heartbeat_at = machine.known_since = now if lit else now - silent_for
-    return FailureDetector(lead, None, release, lead.cloud_controller.fleet), lead, home, released  # type: ignore[arg-type]
+    return FailureDetector(lead, None, release, lead.cloud_controller.capacity_planner), lead, home, released  # type: ignore[arg-type]
 
 
 async def test_machines_that_are_heard_last_after_a_cut_are_not_taken_for_lost(state: KeyStore) -> None:
     """A leader that could not judge a zone alone released what was not heard yet in the second after the cut."""
-    watcher, lead, home, released = watched(state, 12, 20 * SECOND)
+    detector, lead, home, released = watched(state, 12, 20 * SECOND)
     home.peers = {"n1": FakePeer(None), "n2": FakePeer(None)}
-    await watcher.step()  # half of them: it is rather this node that is cut off
+    await detector.step()  # half of them: it is rather this node that is cut off
     machines = list(lead.cluster.machines.values())
     for machine in machines[6:9]:
         machine.last_heartbeat_at = steady()
-    await watcher.step()
+    await detector.step()
     assert released == []
-    watcher._doubted_at -= 6 * SECOND  # silent_s later they have all been asked
-    await watcher.step()
+    detector._node_suspected_at -= 6 * SECOND  # silent_s later they have all been asked
+    await detector.step()
     assert released == [m.name for m in machines[9:]]
 
 
 async def test_a_dark_zone_is_kept_and_judged_again_before_anything_is_released(state: KeyStore) -> None:
-    watcher, lead, home, released = watched(state, 6, 6 * SECOND)
+    detector, lead, home, released = watched(state, 6, 6 * SECOND)
     home.peers = {"n1": FakePeer(["seen", 0, True]), "n2": FakePeer(None)}
-    await watcher.step()
+    await detector.step()
     assert "b" in lead.cluster.partitioned_zones
     assert released == []
     lead.cluster.partitioned_zones["b"] -= 60 * SECOND  # dead by any reckoning: now they go
     for machine in lead.cluster.machines.values():
         if machine.zone == "b":
             machine.last_heartbeat_at -= 60 * SECOND
-    watcher._confirmed_at = 0
+    detector.partitions.confirmed_at = 0
     home.peers = {"n1": FakePeer(None), "n2": FakePeer(None)}
-    await watcher.step()
+    await detector.step()
     assert released == []  # it may be this node that is cut off
     home.peers = {"n1": FakePeer(["seen", 0, True]), "n2": FakePeer(None)}
-    await watcher.step()
+    await detector.step()
     assert released == ["vm-000004", "vm-000005", "vm-000006"]
--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -247,7 +247,7 @@
     for _ in range(times):
         rows = [await peer.ask(SchemaVersionRequest(), undecoded) for peer in lead.node.peers.values()]
         if gate.heard([answer(lead.node.node_name, lead.node.boot_id), *rows]):
-            await lead.dependency_controller._open(gate)
+            await lead.schema_version_controller.open_gate(gate)
 
 
 async def test_what_all_read_is_recorded_once_and_by_the_leader_alone() -> None:
@@ -345,7 +345,7 @@
     assert lies_apart(record)
     assert not lies_apart(job_record(wire.submission(job()), 5, wire.QUEUED))
     lead, _, _ = leader(KeyStore(lambda: 0))
-    lead._admit("j-000001", whole_lists(record, parts), 7)
+    lead.job_watch.admit("j-000001", whole_lists(record, parts), 7)
     taken = lead.cluster.jobs["j-000001"]
     assert taken.spec == spec
     assert taken in lead.cluster.pending
--- a/tests/test_pace.py
+++ b/tests/test_pace.py
@@ -11,7 +11,7 @@
 from oatport.api.submission_batcher import CREATED, SubmissionBatcher
 from oatport.clients.http import RequestRefusedError
 from oatport.clients.state import Applied
-from oatport.control.limits.rate_limiter import LONGEST_S, AdaptiveRateLimiter
+from oatport.control.limits.rate_limiter import MAX_RETRY_AFTER_S, AdaptiveRateLimiter
 from oatport.control.storage.write_buffer import ACCEPT_KEYS
 from oatport.times import MS, SECOND
 
@@ -37,7 +37,7 @@
 
     `others`: changes a second that something else, such as a leader's claims, takes of the same limit.
     """
-    paces = [AdaptiveRateLimiter(limit.a_second, nodes) for _ in range(up)]
+    limiters = [AdaptiveRateLimiter(limit.a_second, nodes) for _ in range(up)]
     waiting = [(0, number) for number in range(jobs)]
     accepted: list[int] = []
     now, taken = 0, 0.0
@@ -50,17 +50,17 @@
         due = [row for row in waiting if row[0] <= now]
         waiting = [row for row in waiting if row[0] > now]
         for _, number in due:
-            pace = paces[number % up]
-            if pace.wait(now, ACCEPT_KEYS):
-                pace.wanting(now)
+            limiter = limiters[number % up]
+            if limiter.wait_us(now, ACCEPT_KEYS):
+                limiter.request_more(now)
             elif limit.take(now, ACCEPT_KEYS):
-                pace.asked(now, ACCEPT_KEYS)
+                limiter.consume(now, ACCEPT_KEYS)
                 accepted.append(now)
                 continue
             else:
-                pace.asked(now, ACCEPT_KEYS)
-                pace.refused(now)
-            waiting.append((now + pace.book(now, ACCEPT_KEYS) * SECOND, number))
+                limiter.consume(now, ACCEPT_KEYS)
+                limiter.on_throttled(now)
+            waiting.append((now + limiter.retry_after_s(now, ACCEPT_KEYS) * SECOND, number))
     assert not waiting
     return accepted
 
@@ -82,25 +82,25 @@
     """On a day with a swarm of guests refusals had every node at a tenth: 0.716 of all others' jobs were in time."""
     limit = Limit(60.0)
     assert crowd(3, 3, 200, limit, others=35.0)[-1] < 20 * SECOND  # 25 a second are left: 16 s at best
-    pace = AdaptiveRateLimiter(60.0, 3)
-    part = pace.rate
+    limiter = AdaptiveRateLimiter(60.0, 3)
+    part = limiter.rate
     for second in range(1, 4):
-        pace.wanting(second * SECOND)
-    assert pace.rate > part
+        limiter.request_more(second * SECOND)
+    assert limiter.rate > part
     for second in range(4, 9):
-        pace.refused(second * SECOND)
-        assert pace.rate == part
-        assert not pace.wait(second * SECOND, ACCEPT_KEYS)
+        limiter.on_throttled(second * SECOND)
+        assert limiter.rate == part
+        assert not limiter.wait_us(second * SECOND, ACCEPT_KEYS)
 
 
 def test_those_sent_away_come_back_one_after_the_other_and_never_late() -> None:
-    pace = AdaptiveRateLimiter(60.0, 3)
-    told = [pace.book(0, ACCEPT_KEYS) for _ in range(400)]
+    limiter = AdaptiveRateLimiter(60.0, 3)
+    told = [limiter.retry_after_s(0, ACCEPT_KEYS) for _ in range(400)]
     assert told[0] == 1
-    assert max(told) <= LONGEST_S
+    assert max(told) <= MAX_RETRY_AFTER_S
     assert max(told.count(second) for second in set(told)) <= 70
     assert told[:80] == sorted(told[:80])
-    assert pace.book(100 * SECOND, ACCEPT_KEYS) == 1  # long after that rush
+    assert limiter.retry_after_s(100 * SECOND, ACCEPT_KEYS) == 1  # long after that rush
 
 
 async def test_a_batch_that_is_refused_is_not_asked_again_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -137,9 +137,9 @@
             sent.append([key.removeprefix("jobs/") for key in conditions])
             return Applied(7)
 
-    pace = AdaptiveRateLimiter(60.0, 3)
-    intake = SubmissionBatcher(State(), 12, pace)  # type: ignore[arg-type]
-    pace.asked(now[0], 16)  # of 18
+    limiter = AdaptiveRateLimiter(60.0, 3)
+    intake = SubmissionBatcher(State(), 12, limiter)  # type: ignore[arg-type]
+    limiter.consume(now[0], 16)  # of 18
     idle = [asyncio.create_task(intake.add(f"j-00000{n}", {"job": {}}, last=True)) for n in range(1, 6)]
     await asyncio.sleep(0)
     await asyncio.sleep(0)
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -366,7 +366,7 @@
     assert desk.outbox.ready
     await desk.settle()
     assert desk.published == []
-    assert LeaderLease(10 * SECOND, 0).holds(steady()) is (steady() < 9 * SECOND)
+    assert LeaderLease(10 * SECOND, 0).is_held(steady()) is (steady() < 9 * SECOND)
 
 
 async def test_what_an_earlier_owner_writes_is_refused_and_the_next_one_answers_once() -> None:
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -235,10 +235,10 @@
     release(world, worker)
     state_after(world, ref)
     lead, client, _ = leader(world.state)
-    lead._watch_from = 0
+    lead.job_watch.revision = 0
     lead.stopped = False
     client.changes = _once(lead, client)  # type: ignore[method-assign]
-    await lead._watch_loop()
+    await lead.job_watch.loop()
     assert ref not in lead.cluster.jobs
     _, _, state = read_job(world.state.items[f"jobs/{ref}"][0])
     assert state == wire.LOST
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -14,14 +14,15 @@
 from oatport.api.heartbeat_api import handle_report
 from oatport.clients.http import NoResponseError
 from oatport.control.scaling.cloud_availability import ScaleOutRequest
-from oatport.control.state.completions import Completion
 from oatport.control.storage.recovery import UnknownMachineTypeError, load, types_recorded
 from oatport.control.storage.write_buffer import CATALOG_KEY, LEADER_KEY, WriteBatch
 from oatport.lab.world.state import KeyStore
 from oatport.peer_messages import PeerArray, PeerMessage, any_reply, decode_reply
 from oatport.service.background_tasks import BackgroundTasks
 from oatport.service.leader import Leader
+from oatport.service.leader_context import EarlierCompletions
 from oatport.service.node import Node
+from oatport.service.reachability import PeerSurvey
 from oatport.settings import Tuning
 from oatport.times import SECOND, steady, time_of_day
 from tests.world import TYPES, FakeStateClient, Unplugged, node_settings
@@ -63,11 +64,11 @@
         self.node_name, self.boot_id = "n0", "boot"
         self.lost: list[str] = []
 
-    def step_down(self, why: str) -> None:
-        self.lost.append(why)
+    def step_down(self, reason: str) -> None:
+        self.lost.append(reason)
 
-    async def completions_before(self, token: int) -> tuple[list[Completion], bool]:
-        return [], True
+    async def completions_before(self, token: int) -> EarlierCompletions:
+        return EarlierCompletions([], complete=True)
 
     def peer_contact_times(self) -> dict[str, list[int]]:
         return {}
@@ -124,25 +125,26 @@
     state.commit({"if": [], "then": [{"set": LEADER_KEY, "value": {"node": "n1"}}]})
     await lead.commits.commit(WriteBatch(conditions={"fleet/000000": 0}, sets={"fleet/000000": {"m": []}}))
     assert home.lost
-    assert not lead.may_answer_heartbeats()
+    assert not lead.heartbeats.may_answer()
+
+
+async def survey(lead: Leader) -> PeerSurvey:
+    return await lead.cloud_controller.failure_detector.reachability.survey_peers([])
 
 
 async def test_nobody_is_judged_without_contact(state: KeyStore) -> None:
     """A cut may hold a release and deliver it minutes later, onto another leader's machines."""
     lead, client, home = leader(state)
     client.faults = ["refuse", "lose"]
-    assert not await lead.cloud_controller.watcher.still_leading()
-    assert not await lead.cloud_controller.watcher.still_leading()
-    assert await lead.cloud_controller.watcher.still_leading()
+    assert not await lead.cloud_controller.failure_detector.reachability.still_leading()
+    assert not await lead.cloud_controller.failure_detector.reachability.still_leading()
+    assert await lead.cloud_controller.failure_detector.reachability.still_leading()
     home.peers = {"n1": FakePeer(None)}
-    assert await lead.cloud_controller.watcher.ask_around([]) == (
-        None,
-        False,
-    )  # a peer that doesn't answer proves nothing
+    assert await survey(lead) == PeerSurvey(None, False)  # a peer that doesn't answer proves nothing
     home.peers = {"n1": FakePeer(["seen", 3, True])}
-    assert await lead.cloud_controller.watcher.ask_around([]) == (None, False)
+    assert await survey(lead) == PeerSurvey(None, False)
     home.peers = {"n1": FakePeer(["seen", 0, True])}
-    assert await lead.cloud_controller.watcher.ask_around([]) == (None, True)
+    assert await survey(lead) == PeerSurvey(None, True)
 
 
 async def test_a_node_in_a_dark_zone_does_not_hold_the_verdict_back(state: KeyStore) -> None:
@@ -150,11 +152,11 @@
     lead, _, home = leader(state)
     blind, silent, sees = FakePeer(["seen", 0, True]), FakePeer(None), FakePeer(["seen", 1, True])
     home.peers = {"n1": blind, "n2": silent}
-    assert await lead.cloud_controller.watcher.ask_around([]) == (None, True)  # two of three nodes
+    assert await survey(lead) == PeerSurvey(None, True)  # two of three nodes
     home.peers = {"n1": silent, "n2": silent}
-    assert await lead.cloud_controller.watcher.ask_around([]) == (None, False)  # it is rather I who am cut off
+    assert await survey(lead) == PeerSurvey(None, False)  # it is rather I who am cut off
     home.peers = {"n1": blind, "n2": sees}
-    assert await lead.cloud_controller.watcher.ask_around([]) == (None, False)
+    assert await survey(lead) == PeerSurvey(None, False)
 
 
 async def test_in_an_outage_tasks_live_but_nothing_starts(state: KeyStore) -> None:
@@ -174,7 +176,7 @@
 async def test_reports_go_to_the_leader_and_bad_ones_hurt_nobody(state: KeyStore) -> None:
     node = Node(node_settings(), Tuning())
     node.state = FakeStateClient(state)  # type: ignore[assignment]
-    node._leader_name = "n1"
+    node.election.leader_name = "n1"
     report = {
         "berth": "vm-1",
         "address": "h:1",
@@ -247,7 +249,7 @@
     lead.cloud_controller.cloud = Cloud()  # type: ignore[assignment]
     for _ in range(2):
         rental = ScaleOutRequest("m8", "a", True, 1)
-        lead.cloud_controller.fleet.availability.requests_in_flight.append(rental)
+        lead.cloud_controller.capacity_planner.availability.requests_in_flight.append(rental)
         await lead.cloud_controller.rent(rental)
     assert asked == [f"r-{lead.token}-1", f"r-{lead.token}-1", f"r-{lead.token}-2"]
     assert sorted(lead.cluster.machines) == ["vm-000002", "vm-000003"]
@@ -256,7 +258,7 @@
 async def test_a_machine_that_is_to_be_returned_is_told_to_stop_what_it_runs(state: KeyStore) -> None:
     """Its release may stay unanswered for as long as the cloud is away; its leases lived on, and no stop went out."""
     lead, _, _ = leader(state)
-    lead.lease_renewal_limit.known_at = lead.leader_lease.asked_at = steady()
+    lead.lease_renewal_limit.known_at = lead.leader_lease.renewal_requested_at = steady()
     rows = [wire.TaskReport("j-000001/0", 1, wire.RUNNING)]  # of a job that is cancelled and over, say
     report = wire.Report("vm-000001", "h:1", "m8", "a", False, 1, 1, lead.token, rows)
     assert lead.answer_heartbeat(report) is not None
@@ -276,7 +278,7 @@
     home.types = {}
     with pytest.raises(UnknownMachineTypeError, match="vm-000001 is of type m8"):
         load(lead.cluster, rows, steady(), time_of_day())
-    await lead._know_types(types_recorded(rows))
+    await lead._load_machine_types(types_recorded(rows))
     load(lead.cluster, rows, steady(), time_of_day())
     assert "vm-000001" in lead.cluster.machines
 
@@ -285,5 +287,5 @@
         return {"new": replace(TYPES["m8"], name="new")}
 
     lead.cloud_controller.cloud.catalog = cloud_tells  # type: ignore[method-assign]
-    await lead.cloud_controller.catalog()
+    await lead.cloud_controller.refresh_catalog()
     assert wire.catalog(state.get(CATALOG_KEY)[1]["value"]).keys() == {"m8", "g16", "new"}
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -9,7 +9,7 @@
 from oatport import wire
 from oatport.api.server import Answer, BodyReader, Server
 from oatport.clients.http import HttpClient, Keep, NoResponseError, make_session
-from oatport.control.limits.connection_budget import LEAST_IDLE, MOST_IDLE, ConnectionBudget
+from oatport.control.limits.connection_budget import MAX_IDLE_TIMEOUT, MIN_IDLE_TIMEOUT, ConnectionBudget
 from oatport.lab.world.state import KeyStore
 from oatport.service.network import HttpNetwork
 from oatport.service.node import Node
@@ -22,15 +22,15 @@
 @pytest.mark.parametrize(("sockets", "machines"), [(2044, 929), (1515, 836), (1208, 929), (1087, 836), (600, 28)])
 def test_a_leader_keeps_room_for_all_workers_and_for_users_at_any_size(sockets: int, machines: int) -> None:
     """1,873 of 2,044 were held at 929 machines: one for the reports of each, and one kept for 30 s after a command."""
-    plan = ConnectionBudget(sockets)
+    budget = ConnectionBudget(sockets)
     for a_second in (0.0, 3.0, 30.0, 300.0):
-        kept = plan.idle_us(machines, a_second) / SECOND * a_second
+        kept = budget.idle_timeout_us(machines, a_second) / SECOND * a_second
         assert kept <= max(sockets * 0.72 - machines, 32, a_second) + 1  # what is commanded within a second is kept
-    assert plan.idle_us(machines, 0.0) == MOST_IDLE
-    assert plan.idle_us(machines, 3000.0) == LEAST_IDLE
-    assert plan.full(sockets)
-    assert plan.closes(sockets - plan.calls)
-    assert not plan.closes(machines)
+    assert budget.idle_timeout_us(machines, 0.0) == MAX_IDLE_TIMEOUT
+    assert budget.idle_timeout_us(machines, 3000.0) == MIN_IDLE_TIMEOUT
+    assert budget.is_exhausted(sockets)
+    assert budget.closes_after_response(sockets - budget.concurrent_calls)
+    assert not budget.closes_after_response(machines)
 
 
 async def test_a_node_at_its_bound_takes_reports_and_refuses_users_at_once() -> None:
@@ -46,15 +46,15 @@
     node.state = FakeStateClient(KeyStore(lambda: 0))  # type: ignore[assignment]
     most = node.settings.cluster.resources.sockets
     held = 0
-    node._net.held = lambda: held  # type: ignore[method-assign]
+    node.net.held = lambda: held  # type: ignore[method-assign]
     poll = ("GET", f"{wire.SUBMISSIONS}/j-000001", Body(None))
-    assert (await node._handle(*poll)).headers == {}  # type: ignore[arg-type]
-    held = most - node._sockets.calls - 10
-    assert (await node._handle(*poll)).headers == {"Connection": "close"}  # type: ignore[arg-type]
+    assert (await node.handle(*poll)).headers == {}  # type: ignore[arg-type]
+    held = most - node.connection_budget.concurrent_calls - 10
+    assert (await node.handle(*poll)).headers == {"Connection": "close"}  # type: ignore[arg-type]
     held = most
-    answer = await node._handle(*poll)  # type: ignore[arg-type]
+    answer = await node.handle(*poll)  # type: ignore[arg-type]
     assert (answer.status, answer.headers["Connection"], len(asked)) == (503, "close", 2)
-    assert (await node._handle("GET", wire.READY, Body(None))).status == 200  # type: ignore[arg-type]
+    assert (await node.handle("GET", wire.READY, Body(None))).status == 200  # type: ignore[arg-type]
     report = {
         "berth": "vm-000001",
         "address": "h:1",
@@ -67,7 +67,7 @@
         "recallS": None,
         "legs": [],
     }
-    assert (await node._handle("POST", wire.REPORT, Body(report))).status == 421  # type: ignore[arg-type]
+    assert (await node.handle("POST", wire.REPORT, Body(report))).status == 421  # type: ignore[arg-type]
 
 
 async def test_connections_to_workers_are_kept_for_as_long_as_there_is_room() -> None:
--- a/tests/test_still.py
+++ b/tests/test_still.py
@@ -12,12 +12,14 @@
 from oatport.clients import http
 from oatport.clients.cloud import CloudClient
 from oatport.clients.http import NoResponseError, RequestNotSentError
-from oatport.control.leadership.leader_lease import DOUBT, LeaderLease, PauseDetector
+from oatport.control.leadership.leader_lease import HANDOVER_UNDECIDED_FOR, LeaderLease, PauseDetector
 from oatport.control.scaling.cloud_availability import ScaleOutRequest
 from oatport.control.storage.recovery import command_unreachable, cut_off, silent
 from oatport.lab.world.state import KeyStore
+from oatport.service import heartbeat_controller
 from oatport.service import leader as lead_module
 from oatport.service.node import Node
+from oatport.service.peer_status import StateServiceStatus
 from oatport.settings import Peer, Tuning
 from oatport.times import MS, SECOND
 from tests.test_service import FakePeer, leader, peer_reply
@@ -27,7 +29,7 @@
 class Clock:
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.at = 1_000 * SECOND
-        for module in (lead_module, http):
+        for module in (lead_module, heartbeat_controller, http):
             monkeypatch.setattr(module, "steady", lambda: self.at)
 
 
@@ -52,28 +54,28 @@
         return 200, {"berths": []}
 
 
-def test_a_mandate_counts_from_when_the_proof_was_asked_for() -> None:
-    mandate = LeaderLease(3 * SECOND, asked_at=0)
-    assert mandate.holds(2_700 * MS)
-    assert not mandate.holds(2_800 * MS)  # clocks drift, and a request takes a moment to go out
-    mandate.proven(2 * SECOND)
-    mandate.proven(1 * SECOND)  # an older answer that came late
-    assert mandate.holds(4_700 * MS)
-    mandate.doubt(4 * SECOND)  # another node was asked to take over: the lease says nothing about the key
-    assert not mandate.holds(4_100 * MS)
-    mandate.proven(4 * SECOND + DOUBT)
-    assert mandate.holds(4 * SECOND + DOUBT)
+def test_a_lease_counts_from_when_its_renewal_was_requested() -> None:
+    lease = LeaderLease(3 * SECOND, renewal_requested_at=0)
+    assert lease.is_held(2_700 * MS)
+    assert not lease.is_held(2_800 * MS)  # clocks drift, and a request takes a moment to go out
+    lease.renewed(2 * SECOND)
+    lease.renewed(1 * SECOND)  # an older answer that came late
+    assert lease.is_held(4_700 * MS)
+    lease.handover_requested(4 * SECOND)  # another node was asked to take over: the lease says nothing about the key
+    assert not lease.is_held(4_100 * MS)
+    lease.renewed(4 * SECOND + HANDOVER_UNDECIDED_FOR)
+    assert lease.is_held(4 * SECOND + HANDOVER_UNDECIDED_FOR)
 
 
 def test_a_gap_is_noticed_once() -> None:
-    pulse = PauseDetector(0)
-    assert [pulse.beat(at * SECOND) for at in (1, 2, 9, 10)] == [0, 0, 7 * SECOND, 0]
+    detector = PauseDetector(0)
+    assert [detector.check(at * SECOND) for at in (1, 2, 9, 10)] == [0, 0, 7 * SECOND, 0]
 
 
 async def test_a_leader_that_wakes_starts_rents_and_returns_nothing(state: KeyStore, clock: Clock) -> None:
     """Those machines may be at work for another leader: the cloud knows no tokens."""
     lead, _, home = leader(state)
-    lead.leader_lease.asked_at = clock.at
+    lead.leader_lease.renewal_requested_at = clock.at
     http_client = Asked()
     cloud = CloudClient(Unplugged(), "h:1", 5.0, lead.holds_lease)  # type: ignore[arg-type]
     cloud._http = http_client  # type: ignore[assignment]
@@ -89,7 +91,7 @@
     machine = lead.cluster.add_machine("vm-000003", "m8", "a", False, "h:1", clock.at, 0)
     assert machine is not None
     await lead.cloud_controller.release([machine], "returned")
-    await lead._send(machine)
+    await lead.command_sender.send(machine)
     assert http_client.paths == [wire.RELEASE]
     assert not machine.removed  # it is there until proven gone
     assert home.lost == []  # whether it still leads is for the state service to say
@@ -97,7 +99,7 @@
 
 async def test_a_rental_under_way_in_a_freeze_is_not_repeated_unentitled(state: KeyStore, clock: Clock) -> None:
     lead, _, _ = leader(state)
-    lead.leader_lease.asked_at = clock.at
+    lead.leader_lease.renewal_requested_at = clock.at
     asked: list[str] = []
 
     class Cloud:
@@ -109,15 +111,15 @@
 
     lead.cloud_controller.cloud = Cloud()  # type: ignore[assignment]
     rental = ScaleOutRequest("m8", "a", True, 1)
-    lead.cloud_controller.fleet.availability.requests_in_flight.append(rental)
+    lead.cloud_controller.capacity_planner.availability.requests_in_flight.append(rental)
     await lead.cloud_controller.rent(rental)
     assert asked == [f"r-{lead.token}-1"]
-    assert lead.cloud_controller.fleet.availability.requests_in_flight == []
+    assert lead.cloud_controller.capacity_planner.availability.requests_in_flight == []
 
 
 async def test_tasks_outlive_a_short_freeze_but_none_starts_before_proof(state: KeyStore, clock: Clock) -> None:
     lead, _, _ = leader(state)
-    lead.leader_lease.asked_at = lead.lease_renewal_limit.known_at = clock.at
+    lead.leader_lease.renewal_requested_at = lead.lease_renewal_limit.known_at = clock.at
     report = wire.Report("vm-000001", "h:1", "m8", "a", False, 1, 1, lead.token, [])
     assert lead.answer_heartbeat(report) is not None
     clock.at += 7 * SECOND
@@ -174,15 +176,15 @@
     """The other node may replace the key while this one's lease is renewed."""
     lead, _, _ = leader(state)
     node = Node(node_settings(), Tuning())
-    node.leader = lead
+    node.election.leader = lead
     peer = FakePeer(None)
     peer.name = "n1"  # type: ignore[attr-defined]
     assert lead.holds_lease()
     with pytest.raises(NoResponseError):
-        await node._hand_over(lead, peer, "")  # type: ignore[arg-type]
+        await node.handover.hand_over(lead, peer, "")  # type: ignore[arg-type]
     assert not lead.holds_lease()
     peer.answer = ["no"]
-    await node._hand_over(lead, peer, "")  # type: ignore[arg-type]
+    await node.handover.hand_over(lead, peer, "")  # type: ignore[arg-type]
     assert lead.holds_lease()
 
 
@@ -192,8 +194,8 @@
     node.state = client  # type: ignore[assignment]
     state.commit({"if": [], "then": [{"set": "leader", "value": {"node": "n1", "boot": "x", "lease": 1}}]})
     assert await peer_reply(node, ["handover", state.revision]) == ["ok"]
-    node._handover_until -= 10 * SECOND  # it stood still before it came to that
-    await node._run_for_leader()
+    node.election.handover_until -= 10 * SECOND  # it stood still before it came to that
+    await node.election._run_for_leader()
     assert node.leader is None
     assert state.get("leader")[1]["value"]["node"] == "n1"
     await asyncio.sleep(0)
@@ -210,22 +212,24 @@
     async def reaches(addresses: list[str]) -> int:
         return len(reached)
 
-    node._reaches = reaches  # type: ignore[method-assign]
+    node.election._count_reached = reaches  # type: ignore[method-assign]
     node.peers = {"n1": FakePeer(None), "n2": FakePeer(None)}  # type: ignore[dict-item]
-    node._peer_state_service_answers = {"n2": (True, 0)}
-    alone = await node._election_backoff()  # n1 comes after n0, and does not answer
-    assert node._better_placed() is None  # maybe just for a moment
-    node._successor_answered_at -= 5 * SECOND
-    assert node._better_placed() is node.peers["n2"]  # after which n0 comes
-    node._peer_state_service_answers = {"n1": (True, 0)}
-    assert await node._election_backoff() == 0 < alone
-    assert node._better_placed() is None
+    answering = node.peer_status.state_service_answers
+    answering["n2"] = StateServiceStatus(True, 0)
+    alone = await node.election.backoff()  # n1 comes after n0, and does not answer
+    assert node.handover.better_placed_peer() is None  # maybe just for a moment
+    node.peer_status.successor_answered_at -= 5 * SECOND
+    assert node.handover.better_placed_peer() is node.peers["n2"]  # after which n0 comes
+    answering.clear()
+    answering["n1"] = StateServiceStatus(True, 0)
+    assert await node.election.backoff() == 0 < alone
+    assert node.handover.better_placed_peer() is None
     node.mark_workers_unreachable(["h:1"])
-    assert await node._election_backoff() > alone
+    assert await node.election.backoff() > alone
     reached.append("h:1")
-    assert await node._election_backoff() == 0
+    assert await node.election.backoff() == 0
     reached.clear()
-    assert await node._election_backoff() == 0  # the cut is over, that is not asked again
+    assert await node.election.backoff() == 0  # the cut is over, that is not asked again
 
 
 async def test_the_lead_is_left_to_a_node_after_which_workers_try_another_zone() -> None:
@@ -240,12 +244,12 @@
         )
         found = Node(settings, Tuning())
         found.peers = {peer.node_name: FakePeer(None) for peer in settings.peers}  # type: ignore[misc]
-        found._peer_state_service_answers = dict.fromkeys(found.peers, (True, 0))
+        found.peer_status.state_service_answers = dict.fromkeys(found.peers, StateServiceStatus(True, 0))
         return found
 
-    two = [await node(name, n0="a", n1="b", n2="a")._election_backoff() for name in ("n0", "n1", "n2")]
+    two = [await node(name, n0="a", n1="b", n2="a").election.backoff() for name in ("n0", "n1", "n2")]
     assert two[0] == two[1] == 0 < two[2]
-    assert [await node(name, n0="a", n1="a", n2="a")._election_backoff() for name in ("n0", "n1", "n2")] == [0, 0, 0]
+    assert [await node(name, n0="a", n1="a", n2="a").election.backoff() for name in ("n0", "n1", "n2")] == [0, 0, 0]
 
 
 async def test_a_leader_knows_no_cancellation_told_while_it_read_the_records(
@@ -260,7 +264,6 @@
         return [], 0
 
     monkeypatch.setattr(lead_module, "read_records", slow)
-    for group in (lead.background, lead.cloud_controller.group):
-        monkeypatch.setattr(group, "keep", lambda *_: None)  # none of its loops is what is looked at
+    monkeypatch.setattr(lead.background, "keep", lambda *_: None)  # none of its loops is what is looked at
     await lead.fail_over()
     assert lead.lease_renewal_limit.known_at == began
--- a/tests/test_whereabouts.py
+++ b/tests/test_whereabouts.py
@@ -17,8 +17,9 @@
 from oatport.lab.world.state import KeyStore
 from oatport.lab.world.worker import Worker
 from oatport.peer_messages import JobAccepted, PeerArray, PeerMessage, any_reply, decode_reply
-from oatport.service.leader import LOOKED_UP_MOST
+from oatport.service.leader_context import EarlierCompletions
 from oatport.service.node import Node
+from oatport.service.orphaned_job_lookup import MAX_CONCURRENT_LOOKUPS
 from oatport.settings import Team, Tuning
 from oatport.times import SECOND, steady
 from tests.test_service import leader, peer_reply
@@ -287,22 +288,24 @@
             "down": RequestNotSentError("refused"),
         }.items()
     }
-    assert await node.peer_notifier.completions_before(9) == ([], False)
+    assert await node.completion_replicator.completions_before(9) == EarlierCompletions([], complete=False)
     node.peers["n3"] = Peer(["ended", [["j-000001", 2, 1]]])  # type: ignore[assignment]
-    assert await node.peer_notifier.completions_before(9) == ([("j-000001", 2, 1)], True)
+    assert await node.completion_replicator.completions_before(9) == EarlierCompletions(
+        [("j-000001", 2, 1)], complete=True
+    )
     assert await peer_reply(node, ["ends", 4, [["j-000002", 0, 1]]]) == ["ok"]
-    found, complete = await node.peer_notifier.completions_before(9)
-    assert set(found) == {("j-000001", 2, 1), ("j-000002", 0, 1)}
-    assert complete
+    earlier = await node.completion_replicator.completions_before(9)
+    assert set(earlier.completions) == {("j-000001", 2, 1), ("j-000002", 0, 1)}
+    assert earlier.complete
     node.peers["cut"] = Peer(NoResponseError("timeout"))  # type: ignore[assignment]
-    assert not (await node.peer_notifier.completions_before(9))[1]  # it may have led, and know more
-    node._learn_leader("n3", 8)
-    assert (await node.peer_notifier.completions_before(9))[1]
-    node._learn_leader("cut", 9)
-    node._learn_leader("n0", 10)  # this node itself
-    found, complete = await node.peer_notifier.completions_before(11)
-    assert not complete
-    assert len(found) == 2
+    assert not (await node.completion_replicator.completions_before(9)).complete  # it may have led, and know more
+    node.election.learn_leader("n3", 8)
+    assert (await node.completion_replicator.completions_before(9)).complete
+    node.election.learn_leader("cut", 9)
+    node.election.learn_leader("n0", 10)  # this node itself
+    earlier = await node.completion_replicator.completions_before(11)
+    assert not earlier.complete
+    assert len(earlier.completions) == 2
     assert await peer_reply(node, ["ended", 4]) == ["ended", None]
     assert await peer_reply(node, ["ended", 5]) == ["ended", [("j-000002", 0, 1)]]
     for message in (["ends", "4", []], ["ends", 4, [[]]], ["ended", None]):
@@ -318,11 +321,11 @@
     node = Node(node_settings(), Tuning())
     reached = Peer(["ok"])
     node.peers = {"n1": reached}  # type: ignore[dict-item]
-    node.peer_notifier.deposed(lead)
+    node.completion_replicator.on_deposed(lead)
     await asyncio.sleep(0.01)
     assert reached.asked == [["ends", lead.token, [(ref, 0, 1)]]]
-    assert node.peer_notifier.ends.before(lead.token + 1) == [(ref, 0, 1)]
-    node.group.close()
+    assert node.completion_replicator.log.before(lead.token + 1) == [(ref, 0, 1)]
+    node.background.close()
 
 
 # --- gangs ----------------------------------------------------------------------------------------------
@@ -446,9 +449,9 @@
     state.commit({"if": [], "then": [{"set": job_key("j-000777"), "value": record}]})
     _start_behind_its_back(world, worker, "j-000777")
     client.faults = ["refuse"]
-    await lead._read_orphaned_job("j-000777")
+    await lead.orphaned_job_lookup.read("j-000777")
     assert world.cluster.quotas.unknown  # it is still not known
-    await lead._read_orphaned_job("j-000777")
+    await lead.orphaned_job_lookup.read("j-000777")
     assert not world.cluster.quotas.unknown
     assert world.cluster.quotas["crew"].cpus == 6.0
     world.released(worker.name)
@@ -466,12 +469,12 @@
         ref = f"j-{700 + number:06d}"
         world.jobs[ref] = job(ref, cores=0.1, memoryGb=0.1)
         _start_behind_its_back(world, worker, ref)
-    lead._read_orphaned_jobs()
-    assert len(lead._reading) == LOOKED_UP_MOST
+    lead.orphaned_job_lookup.look_up()
+    assert len(lead.orphaned_job_lookup.in_flight) == MAX_CONCURRENT_LOOKUPS
     await asyncio.sleep(0.05)
     assert not world.cluster.quotas.unknown
     assert client.reads == 20
-    assert not lead._reading
+    assert not lead.orphaned_job_lookup.in_flight
 
 
 def test_an_attempt_that_refuses_another_keeps_its_task_from_other_machines() -> None:
@@ -542,10 +545,10 @@
     """Its claims failed on keys that were gone, which cost the lead."""
     lead, _, _ = leader(state)
     record = {"state": "queued", "at": 0, "job": job("j-000001")}
-    lead._apply_job_hint(JobAccepted("j-000001", record, 50))
+    lead.job_watch.apply_hint(JobAccepted("j-000001", record, 50))
     found = lead.cluster.jobs["j-000001"]
     batch = WriteBatch(deleted_jobs=[found])
     lead.cluster.committed(batch, 60, steady())
     assert not lead.cluster.jobs
-    lead._apply_job_hint(JobAccepted("j-000001", record, 50))
+    lead.job_watch.apply_hint(JobAccepted("j-000001", record, 50))
     assert not lead.cluster.jobs
