--- a/oatport/clients/peer.py
+++ b/oatport/clients/peer.py
@@ -34,7 +34,7 @@
         Raises NoResponseError, its subclass UnexpectedReplyError for a reply that is no message, and
         `oatport.peer_messages.MalformedReplyError` for a message that `decode` doesn't take.
         """
-        status, value = await self._http.request("POST", wire.PEER, request.encode(), timeout_us=timeout_us)
+        status, value = await self._http.request("POST", wire.PEER_PATH, request.encode(), timeout_us=timeout_us)
         if status != 200 or not isinstance(value, list) or not value:
             raise UnexpectedReplyError(f"status {status}")
         return decode_reply(value, decode)
--- a/oatport/control/leadership/zone_partition.py
+++ b/oatport/control/leadership/zone_partition.py
@@ -53,7 +53,7 @@
     zones = {zone for kind in cluster.preferred_types(job) for zone in kind.zones} - cluster.partitioned_zones.keys()
     if spec.zone is not None:
         zones &= {spec.zone}
-    if spec.one_zone and job.tasks_by_zone:
+    if spec.single_zone and job.tasks_by_zone:
         zones &= job.tasks_by_zone.keys()
     cap = zone_cap(spec)
     return max(0, sum(cap - job.tasks_by_zone.get(zone, 0) for zone in zones) - job.pending)
@@ -141,7 +141,7 @@
         """It has no replica that could run elsewhere: is the rest of what it runs not worth keeping it?"""
         if any(task.job.kind is JobKind.SERVICE and not task.job.cancelled for task in machine.tasks):
             return now - since > RELEASE_UNMOVABLE_AFTER
-        if now > alive_until + micros(machine.type.boot_s):
+        if now > alive_until + micros(machine.type.boot_time_s):
             return True
         return self.capacity_planner.availability.replacement_available(machine, now) and now >= min(
             self._predicted_completion(machine, since), alive_until
--- a/oatport/service/command_sender.py
+++ b/oatport/service/command_sender.py
@@ -89,8 +89,8 @@
         except NoResponseError as error:
             log.debug('commands got no response machine=%s error="%s"', machine.name, error)
             return
-        if report.token > leader.token:
-            leader.step_down(f"a worker has seen token {report.token}")
+        if report.fencing_token > leader.token:
+            leader.step_down(f"a worker has seen token {report.fencing_token}")
             return
         cluster.on_commands_answered(machine, sent_starts)
         cluster.on_contact(machine)
--- a/oatport/service/dependency_controller.py
+++ b/oatport/service/dependency_controller.py
@@ -53,9 +53,9 @@
 
     def _apply_state(self, job_id: str, state: str, ended: int) -> None:
         """Its record says so: a terminal state holds for good, anything else may have changed since."""
-        if state == wire.DONE:
+        if state == wire.JobStatus.COMPLETED:
             self.cluster.on_completion_recorded(job_id, ended)
-        elif state == wire.CANCELLED:
+        elif state == wire.JobStatus.CANCELLED:
             self.cluster.cancel_dependents(job_id)
-        elif state == wire.LOST or job_id in self.cluster.jobs:
+        elif state == wire.JobStatus.FAILED or job_id in self.cluster.jobs:
             self.cluster.dependency_graph.seen(job_id)
--- a/oatport/service/failover.py
+++ b/oatport/service/failover.py
@@ -74,7 +74,7 @@
             report = await client.show()
             leader.cluster.on_contact(machine)
             leader.receive_heartbeat(report, steady())
-            if report.token < leader.token:
-                leader.receive_heartbeat(await client.commands(leader.token, report.session, []), steady())
+            if report.fencing_token < leader.token:
+                leader.receive_heartbeat(await client.commands(leader.token, report.agent_epoch, []), steady())
         except NoResponseError:
             await asyncio.sleep(jitter(INTRODUCTION_RETRY))
--- a/oatport/service/heartbeat_controller.py
+++ b/oatport/service/heartbeat_controller.py
@@ -37,19 +37,19 @@
         leader = self._leader
         return leader.loaded and not leader.stopped and steady() < leader.lease_renewal_limit.until
 
-    def answer(self, report: wire.Report) -> dict[str, Any] | None:
+    def answer(self, report: wire.Heartbeat) -> dict[str, Any] | None:
         """The answer to a report; None if there must be none."""
         if not self.may_answer():
             return None
         leader, cluster = self._leader, self._leader.cluster
-        if report.token > leader.token:
-            leader.step_down(f"a worker has seen token {report.token}")
+        if report.fencing_token > leader.token:
+            leader.step_down(f"a worker has seen token {report.fencing_token}")
             return None
         now = leader.now()
         is_outdated = self._is_outdated(report)
         machine = self.receive(report, now)
         if machine is None:
-            return wire.report_answer(leader.token, [])
+            return wire.heartbeat_response(leader.token, [])
         cluster.on_heartbeat_delivered(machine, report)
         if machine.command_unreachable:
             self._probe([machine], now)
@@ -64,19 +64,22 @@
             # Tasks live on, but nothing starts while the state service can't be reached, or after a pause. What
             # is to be returned is still told to stop: without the cloud's answer it may go on for long, and with
             # every answer lives the lease of a task whose job's user was told that it is cancelled.
-            commands = [command for command in commands if command["orderKind"] != "start"]
+            commands = [command for command in commands if not isinstance(command, wire.StartCommand)]
             starts = []
         cluster.on_commands_sent(machine, starts, now, direct=False)
         if not self._command_sender.is_sending(machine):
             cluster.machines_to_command.discard(machine)
-        return wire.report_answer(leader.token, commands)
+        return wire.heartbeat_response(leader.token, commands)
 
-    def _is_outdated(self, report: wire.Report) -> bool:
+    def _is_outdated(self, report: wire.Heartbeat) -> bool:
         """The machine was heard from with this report or a later one before."""
-        known = self._leader.cluster.machines.get(report.machine)
-        return known is not None and (report.session, report.seq) <= (known.agent_epoch, known.heartbeat_seq)
+        known = self._leader.cluster.machines.get(report.machine_name)
+        return known is not None and (report.agent_epoch, report.heartbeat_seq) <= (
+            known.agent_epoch,
+            known.heartbeat_seq,
+        )
 
-    def receive(self, report: wire.Report, now: int) -> Machine | None:
+    def receive(self, report: wire.Heartbeat, now: int) -> Machine | None:
         """Take in what a machine reports; None if it is unknown and can't be added."""
         cluster = self._leader.cluster
         machine = cluster.on_heartbeat(report, now, time_of_day())
--- a/oatport/service/job_progress_publisher.py
+++ b/oatport/service/job_progress_publisher.py
@@ -52,7 +52,9 @@
 
 
 def _completed_and_running(job: Job) -> tuple[int, int]:
-    running = sum(1 for task in job.tasks.values() if task.status in (wire.RUNNING, wire.SAVING))
+    running = sum(
+        1 for task in job.tasks.values() if task.status in (wire.TaskStatus.RUNNING, wire.TaskStatus.CHECKPOINTING)
+    )
     return len(job.completed), running
 
 
--- a/oatport/service/job_watch.py
+++ b/oatport/service/job_watch.py
@@ -115,16 +115,16 @@
     async def _read_overflow(self, latest: dict[str, Any]) -> None:
         """Complete the records of jobs whose lists lie apart. Raises NoResponseError or RequestRefusedError."""
         for item in latest.values():
-            if "more" in item["value"] and item["value"]["state"] not in wire.OVER:
+            if "more" in item["value"] and item["value"]["state"] not in wire.TERMINAL_STATUSES:
                 item["value"] = await read_whole(self._leader.state, item["value"])
 
     def _apply_change(self, job_id: str, record: Any, revision: int) -> None:
         cluster, state = self._leader.cluster, str(record["state"])
-        if state == wire.CANCELLED:
+        if state == wire.JobStatus.CANCELLED:
             cluster.cancel_job(job_id, revision, self._leader.lease_renewal_limit.known_at)
-        elif state == wire.DONE:
+        elif state == wire.JobStatus.COMPLETED:
             cluster.on_completion_recorded(job_id, int(record.get("ended", 0)))
-        elif state not in wire.OVER and not self._is_known(job_id):
+        elif state not in wire.TERMINAL_STATUSES and not self._is_known(job_id):
             self.admit(job_id, record, revision)
 
     def _advance(self, revision: int) -> None:
--- a/oatport/service/leader.py
+++ b/oatport/service/leader.py
@@ -222,11 +222,11 @@
             self.cluster.apply_completions(completions)
             self.wake()
 
-    def answer_heartbeat(self, report: wire.Report) -> dict[str, Any] | None:
+    def answer_heartbeat(self, report: wire.Heartbeat) -> dict[str, Any] | None:
         """The answer to a worker's report; None if this leader is not entitled to give one."""
         return self.heartbeats.answer(report)
 
-    def receive_heartbeat(self, report: wire.Report, now: int) -> Machine | None:
+    def receive_heartbeat(self, report: wire.Heartbeat, now: int) -> Machine | None:
         """Take in what a machine reports; None if it is unknown and can't be added."""
         return self.heartbeats.receive(report, now)
 
--- a/oatport/service/leader_context.py
+++ b/oatport/service/leader_context.py
@@ -80,5 +80,5 @@
     def wake(self) -> None:
         """Start whatever there is to plan, to write and to send."""
 
-    def receive_heartbeat(self, report: wire.Report, now: int) -> Machine | None:
+    def receive_heartbeat(self, report: wire.Heartbeat, now: int) -> Machine | None:
         """Take in what a machine reports; None if it is unknown and can't be added."""
--- a/oatport/service/lease_proxy_service.py
+++ b/oatport/service/lease_proxy_service.py
@@ -49,10 +49,10 @@
         self.proxy = LeaseProxy.create(settings)
         self._other_proxies: dict[str, int] = {}  # node -> when it said that it answers workers (steady)
 
-    def may_answer(self, report: wire.Report) -> bool:
+    def may_answer(self, report: wire.Heartbeat) -> bool:
         """May this report be answered in the leader's name?"""
         state = self._node.state
-        return self.proxy.may_answer(report.token, steady(), state.ok_at, state.failed_at)
+        return self.proxy.may_answer(report.fencing_token, steady(), state.ok_at, state.failed_at)
 
     def redirect_target(self, leader: str | None) -> str | None:
         """Where to send a worker that can't be answered here: to another lease proxy, if the leader can't be reached.
--- a/oatport/service/machine_list_controller.py
+++ b/oatport/service/machine_list_controller.py
@@ -49,29 +49,31 @@
             self._leader.wake()
             await asyncio.sleep(jitter(round(interval_s * SECOND)))
 
-    async def _apply(self, rows: list[wire.Listed]) -> None:
+    async def _apply(self, rows: list[wire.ListedMachine]) -> None:
         now = steady()
         failed = self._take_in(rows, now, time_of_day())
-        lost = self._unlisted({row.machine for row in rows}, now)
+        lost = self._unlisted({row.machine_name for row in rows}, now)
         if lost:
             await self._cloud_controller.release(lost, "taken")
         if failed:
             with contextlib.suppress(NoResponseError, RequestRefusedError):
                 await self._cloud_controller.cloud.release(failed[:FAILED_PER_RELEASE])
 
-    def _take_in(self, rows: list[wire.Listed], now: int, now_wall: int) -> list[str]:
+    def _take_in(self, rows: list[wire.ListedMachine], now: int, now_wall: int) -> list[str]:
         """Add listed machines to the view, and take failed ones off it; the names of the latter."""
         cluster = self._leader.cluster
         failed = []
         for row in rows:
-            if row.status == wire.FAILED:
-                known = cluster.machines.get(row.machine)
+            if row.status == wire.MachineStatus.FAILED:
+                known = cluster.machines.get(row.machine_name)
                 if known is not None:
                     cluster.on_machine_removed(known, now, "failed")
-                failed.append(row.machine)
+                failed.append(row.machine_name)
                 continue
             age_us = round(row.age_s * SECOND)
-            machine = cluster.add_machine(row.machine, row.type, row.zone, row.spot, row.address, now, now_wall, age_us)
+            machine = cluster.add_machine(
+                row.machine_name, row.machine_type, row.zone, row.spot, row.address, now, now_wall, age_us
+            )
             if machine is not None:
                 machine.listed_by_cloud = True
         return failed
--- a/oatport/service/network.py
+++ b/oatport/service/network.py
@@ -48,7 +48,7 @@
     def held(self) -> int:
         """Connections that users, workers and other nodes hold."""
 
-    def server(self, address: str, handler: Handler, body_limit: int = wire.BODY_LIMIT) -> Listener:
+    def server(self, address: str, handler: Handler, body_limit: int = wire.MAX_BODY_BYTES) -> Listener:
         """A listener that is yet to be started."""
 
     async def close(self) -> None:
@@ -114,7 +114,7 @@
             self._held, self._counted_at = sum(server.held for server in self._servers), now
         return self._held
 
-    def server(self, address: str, handler: Handler, body_limit: int = wire.BODY_LIMIT) -> Listener:
+    def server(self, address: str, handler: Handler, body_limit: int = wire.MAX_BODY_BYTES) -> Listener:
         """A listener that is yet to be started."""
         server = Server(address, handler, body_limit=body_limit)
         self._servers.append(server)
--- a/oatport/service/node.py
+++ b/oatport/service/node.py
@@ -161,10 +161,10 @@
 
     async def handle(self, method: str, path: str, body: BodyReader) -> Answer:
         """Answer a request of a worker or a user."""
-        if path == wire.REPORT:
+        if path == wire.HEARTBEAT_PATH:
             return await handle_report(self, method, body)
         connections = self.net.held()
-        if self.connection_budget.is_exhausted(connections) and path != wire.READY:
+        if self.connection_budget.is_exhausted(connections) and path != wire.READY_PATH:
             return Answer(503, {"error": "no connections left"}, dict(OVERLOADED))
         answer = await self.users.handle(method, path, body)
         if self.connection_budget.closes_after_response(connections):
@@ -219,13 +219,13 @@
 
     # --- heartbeats -------------------------------------------------------------------------
 
-    def answer_heartbeat(self, report: wire.Report) -> dict[str, Any] | None:
+    def answer_heartbeat(self, report: wire.Heartbeat) -> dict[str, Any] | None:
         """The answer, or None if this node is not entitled to give one."""
         if self.leader is not None:
             return self.leader.answer_heartbeat(report)
         if not self.lease_proxy.may_answer(report):
             return None
-        return wire.report_answer(report.token, [])  # it lives on; nothing starts, stops or is forgotten
+        return wire.heartbeat_response(report.fencing_token, [])  # it lives on; nothing starts, stops or is forgotten
 
     def leader_name(self) -> str | None:
         """Which node a worker should report to."""
--- a/oatport/service/orphaned_job_lookup.py
+++ b/oatport/service/orphaned_job_lookup.py
@@ -32,7 +32,7 @@
     async def read(self, job_id: str) -> None:
         """Read one record, and go on with the others."""
         try:
-            found = await self._leader.state.get(job_key(job_id)) if wire.valid_ref(job_id) else None
+            found = await self._leader.state.get(job_key(job_id)) if wire.is_job_id(job_id) else None
         except (NoResponseError, RequestRefusedError):
             return  # asked again by the maintenance loop
         finally:
