--- a/oatport/service/job_watch.py
+++ b/oatport/service/job_watch.py
@@ -63,7 +63,11 @@
         leader.wake()
 
     def _is_known(self, job_id: str) -> bool:
-        """It is at work, or its terminal state is recorded, which the watch has not told yet."""
+        """It is at work, or its terminal state is recorded, which the watch has not told yet.
+
+        Taken up again from an older change, a job that is over cost the leadership: its bindings fail on keys that
+        are gone.
+        """
         cluster = self._leader.cluster
         return job_id in cluster.jobs or job_id in cluster.blocked_jobs or job_id in cluster.terminal_revisions
 
--- a/oatport/service/leader.py
+++ b/oatport/service/leader.py
@@ -88,7 +88,7 @@
         self.heartbeats = HeartbeatController(
             self, self.command_sender, self.orphaned_job_lookup, self.cloud_controller.failure_detector.probe
         )
-        self.planning_loop = PlanningLoop(self, self.cloud_controller.capacity_planner)
+        self.planning_loop = PlanningLoop(self, self.cloud_controller.capacity_planner.availability)
         self.job_progress_publisher = JobProgressPublisher(self)
         self.maintenance = MaintenanceLoop(
             self, net, self.command_sender, self.orphaned_job_lookup, self.cloud_controller.capacity_planner
--- a/oatport/service/network.py
+++ b/oatport/service/network.py
@@ -33,7 +33,7 @@
 
 
 class Network(Connector, Protocol):
-    """A node's network; `oatport.lab.world` has another one, in memory."""
+    """A node's network; `oatport.simulation` has another one, in memory."""
 
     def open(self) -> None:
         """To be called in the event loop before anything else."""
--- a/oatport/service/planning_loop.py
+++ b/oatport/service/planning_loop.py
@@ -1,4 +1,4 @@
-"""The planning loop: estimates queues and places pending work."""
+"""The planning loop: routes and places pending work."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 import contextlib
 
 from oatport.control.placement.placer import Placer
-from oatport.control.queueing.queue_estimator import QueueEstimator
-from oatport.control.scaling.capacity_planner import CapacityPlanner
+from oatport.control.queueing.pending_job_router import PendingJobRouter
+from oatport.control.scaling.cloud_availability import CloudAvailability
 from oatport.service.leader_context import LeaderContext
 from oatport.times import MS, seconds, steady, time_of_day
 
@@ -20,16 +20,16 @@
 class PlanningLoop:
     """Places work whenever there is something to place."""
 
-    def __init__(self, leader: LeaderContext, capacity_planner: CapacityPlanner) -> None:
+    def __init__(self, leader: LeaderContext, availability: CloudAvailability) -> None:
         self._leader = leader
-        self._capacity_planner = capacity_planner
+        self._availability = availability
         self.placer = Placer(leader.cluster)
         self.wanted = asyncio.Event()
 
     async def loop(self) -> None:
         """Make planning passes, with rests between them."""
         leader = self._leader
-        queue_estimator = QueueEstimator(leader.cluster, self._capacity_planner)
+        router = PendingJobRouter(leader.cluster, self._availability)
         while not leader.stopped:
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(MAX_WAIT_S):
@@ -41,7 +41,7 @@
                 # preempted for it would be lost.
                 await asyncio.sleep(PAUSED_INTERVAL_S)
                 continue
-            queue_estimator.step(now, wall)
+            router.step(now, wall)
             if self.placer.due(now):
                 self.placer.plan(now)
                 leader.wake()
--- a/tests/test_service.py
+++ b/tests/test_node_failures.py
@@ -16,7 +16,6 @@
 from oatport.control.scaling.cloud_availability import ScaleOutRequest
 from oatport.control.storage.recovery import UnknownMachineTypeError, load, types_recorded
 from oatport.control.storage.write_buffer import CATALOG_KEY, LEADER_KEY, WriteBatch
-from oatport.lab.world.state import KeyStore
 from oatport.peer_messages import PeerArray, PeerMessage, any_reply, decode_reply
 from oatport.service.background_tasks import BackgroundTasks
 from oatport.service.leader import Leader
@@ -24,8 +23,9 @@
 from oatport.service.node import Node
 from oatport.service.reachability import PeerSurvey
 from oatport.settings import Tuning
+from oatport.simulation.state_service import KeyStore
 from oatport.times import SECOND, steady, time_of_day
-from tests.world import TYPES, FakeStateClient, Unplugged, node_settings
+from tests.cluster_fixture import TYPES, FakeStateClient, Unplugged, node_settings
 
 
 class Body:
