--- a/oatport/api/job_api.py
+++ b/oatport/api/job_api.py
@@ -36,8 +36,8 @@
     job_progress: dict[str, tuple[int, int]]
 
     def ready(self) -> bool: ...
-    def tell_accepted(self, ref: str, record: dict[str, Any], revision: int) -> None: ...
-    def tell_cancelled(self, ref: str, revision: int = 0) -> None: ...
+    def notify_accepted(self, ref: str, record: dict[str, Any], revision: int) -> None: ...
+    def notify_cancelled(self, ref: str, revision: int = 0) -> None: ...
 
 
 class JobApi:
@@ -90,7 +90,7 @@
         outage, was in no list, and the tasks ran on.
         """
         if isinstance(answer.value, dict) and answer.value.get("status") == wire.JobStatus.CANCELLED:
-            self._backstage.tell_cancelled(str(answer.value["ref"]))
+            self._backstage.notify_cancelled(str(answer.value["ref"]))
         return answer
 
     # --- submit -----------------------------------------------------------------------------
@@ -165,7 +165,7 @@
         outcome, revision = await self._intake.add(job.job_id, record, idle)
         if outcome == CREATED:
             self._view.created(job.job_id, record, revision, mark)
-            self._backstage.tell_accepted(job.job_id, record, revision)
+            self._backstage.notify_accepted(job.job_id, record, revision)
             if job.dependencies:
                 log.info("job %s waits for %s", job.job_id, named(job.dependencies))
             return Answer(201, {"ref": job.job_id, "status": wire.JobStatus.QUEUED})
@@ -238,7 +238,7 @@
                 return later()
             if isinstance(result, Applied):
                 self._view.learn(ref, cancelled, result.revision, mark)
-                self._backstage.tell_cancelled(ref, result.revision)
+                self._backstage.notify_cancelled(ref, result.revision)
                 return Answer(200, {"ref": ref, "status": wire.JobStatus.CANCELLED})
         known = self._view.known(ref)
         return (
--- a/oatport/peer_messages.py
+++ b/oatport/peer_messages.py
@@ -84,6 +84,11 @@
             raise ValueError(f"not {cls.tag()!r}")
         return cls.decode(reply)
 
+    @classmethod
+    def decode_if_known(cls, reply: PeerArray) -> Self | None:
+        """Take a reply apart; None if it has another tag, as from a node that does not know."""
+        return cls.decode(reply) if reply[0] == cls.tag() else None
+
 
 def decode_reply(reply: PeerArray, decode: Callable[[PeerArray], ReplyT]) -> ReplyT:
     """Decode a reply. Raises MalformedReplyError."""
@@ -319,11 +324,6 @@
         return cls(int(message[1]), int(message[2]))
 
 
-def decode_watermark(reply: PeerArray) -> CancellationWatermark | None:
-    """Decoder for the reply to `CancellationWatermarkRequest`; None from a node that does not lead."""
-    return CancellationWatermark.decode(reply) if reply[0] == CancellationWatermark.tag() else None
-
-
 class LeaseProxyStateRequest(PeerMessage, frozen=True, tag="kept"):
     """What does the receiver go by as a lease proxy? Versions before 0.8 don't know the question."""
 
@@ -347,11 +347,6 @@
         return cls(int(token), int(watermark_age_us), int(contact_age_us), answering is True)
 
 
-def decode_lease_proxy_state(reply: PeerArray) -> LeaseProxyState | None:
-    """Decoder for the reply to `LeaseProxyStateRequest`; None from a node that knows nothing to go by."""
-    return LeaseProxyState.decode(reply) if reply[0] == LeaseProxyState.tag() else None
-
-
 class ConfirmedCancellationsRequest(PeerMessage, frozen=True, tag="told"):
     """Which cancellations did the receiver confirm to users, within so long before the question was sent?"""
 
--- a/oatport/service/catalog.py
+++ b/oatport/service/catalog.py
@@ -5,6 +5,7 @@
 import asyncio
 import contextlib
 from collections.abc import Iterable
+from dataclasses import dataclass
 from typing import Any, Protocol
 
 import msgspec
@@ -20,11 +21,21 @@
 READ_RETRY = 500 * MS  # while no types are known
 ROW_OVERHEAD_BYTES = 32
 
+ONE_VALUE = 1 << 30  # bytes: the limit while some node may not read several values
+
 Types = dict[str, wire.MachineType]
 
 
-async def read_types(state: StateClient) -> tuple[Types, int] | None:
-    """The types, and the version of the first value; None if there is none.
+@dataclass(frozen=True, slots=True)
+class RecordedCatalog:
+    """The types, and the version of the first value; 0 if there is none."""
+
+    types: Types
+    version: int
+
+
+async def read_types(state: StateClient) -> RecordedCatalog | None:
+    """The recorded types; None if there are none.
 
     Raises NoResponseError or RequestRefusedError.
     """
@@ -37,7 +48,7 @@
         if part is None:
             raise NoResponseError("a part of the catalog is missing")  # it was written before the first value
         types |= wire.decode_catalog(part[0])
-    return types, found[1]
+    return RecordedCatalog(types, found[1])
 
 
 def type_values(types: Iterable[wire.MachineType], limit: int) -> list[dict[str, Any]]:
@@ -53,17 +64,17 @@
     return values
 
 
-async def write_types(state: StateClient, token: int, version: int, types: Types, limit: int, parts: bool) -> None:
-    """Record them for a leader. `parts`: all nodes read several values.
+async def write_types(state: StateClient, token: int, catalog: RecordedCatalog, limit: int) -> None:
+    """Record them for a leader, in values of at most `limit` bytes; `catalog.version` is that of the record before.
 
     Raises NoResponseError or RequestRefusedError.
     """
-    values = type_values(types.values(), limit if parts else 1 << 30)
+    values = type_values(catalog.types.values(), limit)
     for number in range(1, len(values)):  # the first value, which tells of the others, comes last
         result = await state.commit({LEADER_KEY: token}, {f"{CATALOG_KEY}/{number}": values[number]})
         if not isinstance(result, Applied):
             return
-    await state.commit({LEADER_KEY: token, CATALOG_KEY: version}, {CATALOG_KEY: values[0]})
+    await state.commit({LEADER_KEY: token, CATALOG_KEY: catalog.version}, {CATALOG_KEY: values[0]})
 
 
 class CatalogNode(Protocol):
@@ -85,5 +96,5 @@
             with contextlib.suppress(NoResponseError, RequestRefusedError):
                 found = await read_types(self._node.state)
                 if found is not None:
-                    self._node.types = found[0]
+                    self._node.types = found.types
             await asyncio.sleep(jitter(REREAD_INTERVAL if self._node.types else READ_RETRY))
--- a/oatport/service/cloud_controller.py
+++ b/oatport/service/cloud_controller.py
@@ -11,7 +11,7 @@
 from oatport.control.scaling.capacity_planner import CapacityPlanner
 from oatport.control.scaling.cloud_availability import ScaleOutRequest
 from oatport.control.state.machine import Machine
-from oatport.service.catalog import read_types, write_types
+from oatport.service.catalog import ONE_VALUE, RecordedCatalog, read_types, write_types
 from oatport.service.failure_detector import FailureDetector
 from oatport.service.leader_context import LeaderContext
 from oatport.service.machine_list_controller import MachineListController
@@ -60,10 +60,11 @@
         if not types.keys() <= self.cluster.types.keys():
             found = await read_types(leader.state)
             # What the cloud does not tell any more stays recorded: there may be machines of it.
-            recorded, version = found or ({}, 0)
+            recorded = found or RecordedCatalog({}, 0)
             leader.node.types = types
             layout = self.cluster.layout
-            await write_types(leader.state, leader.token, version, {**recorded, **types}, layout.limit, layout.parts)
+            merged = RecordedCatalog({**recorded.types, **types}, recorded.version)
+            await write_types(leader.state, leader.token, merged, layout.limit if layout.parts else ONE_VALUE)
         self.cluster.update_catalog(types)
 
     # --- rent -------------------------------------------------------------------------------
--- a/oatport/service/leader.py
+++ b/oatport/service/leader.py
@@ -95,13 +95,18 @@
         )
         self.dependency_controller = DependencyController(self)
         self.schema_version_controller = SchemaVersionController(self)
-        self.window_controller: WindowController | None = None
-        if windows is not None and windows.on:
-            from oatport.service.window_controller import WindowController
+        self.window_controller = self._make_window_controller(windows)
 
-            self.window_controller = WindowController(self, net, windows)
-            self.cluster.on_released = self.window_controller.on_job_admitted
-            self.job_watch.on_admitted = self.window_controller.on_job_admitted
+    def _make_window_controller(self, windows: WindowSettings | None) -> WindowController | None:
+        """Imported only where it is configured."""
+        if windows is None or not windows.on:
+            return None
+        from oatport.service.window_controller import WindowController
+
+        controller = WindowController(self, self._net, windows)
+        self.cluster.on_released = controller.on_job_admitted
+        self.job_watch.on_admitted = controller.on_job_admitted
+        return controller
 
     # --- lifecycle --------------------------------------------------------------------------
 
@@ -149,7 +154,7 @@
         if not types or not needed <= types.keys():
             found = await read_types(self.state)
             if found is not None:
-                self.cluster.update_catalog({**types, **found[0]})
+                self.cluster.update_catalog({**types, **found.types})
         if not types or not needed <= types.keys():
             await self.cloud_controller.refresh_catalog()
 
--- a/oatport/service/lease_proxy_service.py
+++ b/oatport/service/lease_proxy_service.py
@@ -21,8 +21,6 @@
     LeaseProxyStateRequest,
     MalformedReplyError,
     No,
-    decode_lease_proxy_state,
-    decode_watermark,
 )
 from oatport.service.leader import Leader
 from oatport.settings import ClusterSettings
@@ -90,7 +88,7 @@
     async def refresh_from_leader(self, peer: PeerClient) -> None:
         """Ask the leader. Raises NoResponseError or MalformedReplyError."""
         asked_at = steady()
-        watermark = await peer.ask(CancellationWatermarkRequest(), decode_watermark)
+        watermark = await peer.ask(CancellationWatermarkRequest(), CancellationWatermark.decode_if_known)
         if watermark is not None:
             self.proxy.update(watermark.fencing_token, asked_at, watermark.age_us)
 
@@ -100,7 +98,7 @@
         asked_at = steady()
         try:
             # A node of an earlier version answers 400.
-            state = await peer.ask(LeaseProxyStateRequest(), decode_lease_proxy_state)
+            state = await peer.ask(LeaseProxyStateRequest(), LeaseProxyState.decode_if_known)
         except (NoResponseError, MalformedReplyError):
             return
         if state is None:
--- a/oatport/service/node.py
+++ b/oatport/service/node.py
@@ -246,10 +246,10 @@
             return False
         return not self.peer_status.any_reaches_state_service(steady())
 
-    def tell_accepted(self, ref: str, record: dict[str, Any], revision: int) -> None:
+    def notify_accepted(self, job_id: str, record: dict[str, Any], revision: int) -> None:
         """A job was accepted; called before its user is answered."""
-        self.peer_notifier.notify_accepted(ref, record, revision)
+        self.peer_notifier.notify_accepted(job_id, record, revision)
 
-    def tell_cancelled(self, ref: str, revision: int = 0) -> None:
+    def notify_cancelled(self, job_id: str, revision: int = 0) -> None:
         """A cancellation is about to be confirmed to a user."""
-        self.peer_notifier.notify_cancelled(ref, revision)
+        self.peer_notifier.notify_cancelled(job_id, revision)
--- a/oatport/service/partition_controller.py
+++ b/oatport/service/partition_controller.py
@@ -53,7 +53,7 @@
         leaving = still_partitioned[:MACHINES_PER_RELEASE]
         if leaving:
             log.info("releasing partitioned machines machines=%s", ",".join(m.name for m in leaving))
-            await self._release(leaving, "cut off")
+            await self._release(leaving, "partitioned")
 
     def _machines_to_release(self, now: int) -> list[Machine]:
         leader, cluster = self._leader, self._leader.cluster
--- a/oatport/simulation/mutations.py
+++ b/oatport/simulation/mutations.py
@@ -91,7 +91,7 @@
     release = CloudController.release
 
     async def judged(self: CloudController, machines: Any, reason: str) -> None:
-        if reason not in ("silent", "cut off"):
+        if reason not in ("silent", "partitioned"):
             await release(self, machines, reason)
             return
         for machine in machines:
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -258,7 +258,7 @@
     other.peer_notifier.confirmed_cancellations = told(began=steady() - 600 * SECOND)
     other.peers = {"n1": FakePeer(None)}  # type: ignore[dict-item]
     other.election.leader_name = "n1"
-    other.tell_cancelled("j-000001", 7)
+    other.notify_cancelled("j-000001", 7)
     node, lead = await blind(state)
     running(lead, state)
 
@@ -283,7 +283,7 @@
     node.peer_notifier.confirmed_cancellations = told(began=steady() - 600 * SECOND)
     ping = ["ping", "n1", None, 0, True]
     assert (await peer_reply(node, ping))[5] >= 600 * SECOND
-    node.tell_cancelled("j-000001")  # in whichever way it knew
+    node.notify_cancelled("j-000001")  # in whichever way it knew
     assert (await peer_reply(node, ping))[5] < SECOND
     assert len(await peer_reply(node, ping)) == 6
 
--- a/tests/test_client_consistency.py
+++ b/tests/test_client_consistency.py
@@ -24,10 +24,10 @@
     def ready(self) -> bool:
         return True
 
-    def tell_accepted(self, ref: str, record: dict[str, Any], revision: int) -> None:
+    def notify_accepted(self, ref: str, record: dict[str, Any], revision: int) -> None:
         self.told.append(ref)
 
-    def tell_cancelled(self, ref: str, revision: int = 0) -> None:
+    def notify_cancelled(self, ref: str, revision: int = 0) -> None:
         self.told.append("x" + ref)
 
 
--- a/tests/test_connection_budget.py
+++ b/tests/test_connection_budget.py
@@ -20,7 +20,7 @@
 
 
 @pytest.mark.parametrize(("sockets", "machines"), [(2044, 929), (1515, 836), (1208, 929), (1087, 836), (600, 28)])
-def test_a_leader_keeps_room_for_all_workers_and_for_users_at_any_size(sockets: int, machines: int) -> None:
+def test_a_leader_keeps_connections_free_for_all_workers_and_for_users_at_any_size(sockets: int, machines: int) -> None:
     """1,873 of 2,044 were held at 929 machines: one for the reports of each, and one kept for 30 s after a command."""
     budget = ConnectionBudget(sockets)
     for a_second in (0.0, 3.0, 30.0, 300.0):
@@ -33,7 +33,7 @@
     assert not budget.closes_after_response(machines)
 
 
-async def test_a_node_at_its_bound_takes_reports_and_refuses_users_at_once() -> None:
+async def test_a_node_at_its_connection_limit_takes_heartbeats_and_refuses_users_at_once() -> None:
     node = Node(node_settings(), Tuning())
     asked: list[str] = []
 
@@ -70,7 +70,7 @@
     assert (await node.handle("POST", wire.HEARTBEAT_PATH, Body(report))).status == 421  # type: ignore[arg-type]
 
 
-async def test_connections_to_workers_are_kept_for_as_long_as_there_is_room() -> None:
+async def test_idle_connections_to_workers_are_kept_while_the_budget_allows() -> None:
     async def handle(method: str, path: str, body: BodyReader) -> Answer:
         return Answer(200, {"path": path})
 
--- a/tests/test_node_failures.py
+++ b/tests/test_node_failures.py
@@ -90,7 +90,7 @@
     return KeyStore(lambda: 0)
 
 
-async def test_a_handover_is_taken_only_by_a_node_that_is_served_right_now(state: KeyStore) -> None:
+async def test_a_handover_is_accepted_only_while_the_state_service_answers(state: KeyStore) -> None:
     """At the start of an outage for all, a leader once gave up to a node that was refused too."""
     node = Node(node_settings(), Tuning())
     client = FakeStateClient(state)
@@ -132,7 +132,7 @@
     return await lead.cloud_controller.failure_detector.reachability.survey_peers([])
 
 
-async def test_nobody_is_judged_without_contact(state: KeyStore) -> None:
+async def test_no_machine_is_judged_without_contact_to_the_state_service_and_most_peers(state: KeyStore) -> None:
     """A cut may hold a release and deliver it minutes later, onto another leader's machines."""
     lead, client, home = leader(state)
     client.faults = ["refuse", "lose"]
@@ -147,7 +147,7 @@
     assert await survey(lead) == PeerSurvey(None, True)
 
 
-async def test_a_node_in_a_dark_zone_does_not_hold_the_verdict_back(state: KeyStore) -> None:
+async def test_a_node_in_a_partitioned_zone_does_not_delay_the_verdict(state: KeyStore) -> None:
     """A zone was cut off with its node: for two minutes its machines' tasks were replaced nowhere."""
     lead, _, home = leader(state)
     blind, silent, sees = FakePeer(["seen", 0, True]), FakePeer(None), FakePeer(["seen", 1, True])
@@ -173,7 +173,7 @@
     assert lead.answer_heartbeat(report) is None
 
 
-async def test_reports_go_to_the_leader_and_bad_ones_hurt_nobody(state: KeyStore) -> None:
+async def test_heartbeats_are_redirected_to_the_leader_and_malformed_ones_refused(state: KeyStore) -> None:
     node = Node(node_settings(), Tuning())
     node.state = FakeStateClient(state)  # type: ignore[assignment]
     node.election.leader_name = "n1"
@@ -221,7 +221,7 @@
     assert "one bad message" in caplog.text
 
 
-async def test_what_is_closed_before_its_first_step_leaves_nothing_behind() -> None:
+async def test_a_background_task_closed_before_its_first_step_leaves_no_coroutine_behind() -> None:
     """A deposed leader dropped coroutines that never ran; the warning is an error here."""
     group, ran = BackgroundTasks(), []
 
@@ -235,7 +235,9 @@
     assert ran == []
 
 
-async def test_a_rental_without_an_answer_is_repeated_under_its_name_which_is_never_reused(state: KeyStore) -> None:
+async def test_a_rental_without_an_answer_is_repeated_under_its_request_id_which_is_never_reused(
+    state: KeyStore,
+) -> None:
     lead, _, _ = leader(state)
     asked: list[str] = []
 
@@ -255,7 +257,7 @@
     assert sorted(lead.cluster.machines) == ["vm-000002", "vm-000003"]
 
 
-async def test_a_machine_that_is_to_be_returned_is_told_to_stop_what_it_runs(state: KeyStore) -> None:
+async def test_a_machine_to_be_released_is_sent_stops_for_what_it_runs(state: KeyStore) -> None:
     """Its release may stay unanswered for as long as the cloud is away; its leases lived on, and no stop went out."""
     lead, _, _ = leader(state)
     lead.lease_renewal_limit.known_at = lead.leader_lease.renewal_requested_at = steady()
@@ -268,7 +270,7 @@
     assert [(order["orderKind"], order["leg"]) for order in answer["orders"]] == [("stop", "j-000001/0")]
 
 
-async def test_a_leader_without_a_catalog_reads_the_recorded_one_and_takes_no_machine_for_gone(state: KeyStore) -> None:
+async def test_a_leader_without_a_catalog_reads_the_recorded_one_and_loses_no_machine(state: KeyStore) -> None:
     """Back within a blink and leading at once, the cloud down: all that ran was started again elsewhere."""
     types = {"berthKinds": [msgspec.to_builtins(kind) for kind in TYPES.values()]}
     state.commit({"if": [], "then": [{"set": CATALOG_KEY, "value": types}]})
--- a/tests/test_peer_messages.py
+++ b/tests/test_peer_messages.py
@@ -39,8 +39,6 @@
     SchemaVersionReply,
     SchemaVersionRequest,
     decode_explanation,
-    decode_lease_proxy_state,
-    decode_watermark,
     is_ok,
 )
 from oatport.service.node import Node
@@ -161,9 +159,9 @@
 def test_replies_of_several_kinds_are_told_apart() -> None:
     assert decode_explanation(["explained", {"held": True}]) == JobExplanation({"held": True})
     assert decode_explanation(["no", "ask again"]) == No("ask again")
-    assert decode_watermark(["carried out", 7, 5, "more"]) == CancellationWatermark(7, 5)
-    assert decode_watermark(["no"]) is None
-    assert decode_lease_proxy_state(["kept", 7, 1, 2, 1, "more"]) == LeaseProxyState(7, 1, 2, False)
-    assert decode_lease_proxy_state(["no"]) is None
+    assert CancellationWatermark.decode_if_known(["carried out", 7, 5, "more"]) == CancellationWatermark(7, 5)
+    assert CancellationWatermark.decode_if_known(["no"]) is None
+    assert LeaseProxyState.decode_if_known(["kept", 7, 1, 2, 1, "more"]) == LeaseProxyState(7, 1, 2, False)
+    assert LeaseProxyState.decode_if_known(["no"]) is None
     assert is_ok(["ok", "more"])
     assert not is_ok(["no"])
--- a/tests/test_process_pauses.py
+++ b/tests/test_process_pauses.py
@@ -67,12 +67,12 @@
     assert lease.is_held(4 * SECOND + HANDOVER_UNDECIDED_FOR)
 
 
-def test_a_gap_is_noticed_once() -> None:
+def test_a_process_pause_is_noticed_once() -> None:
     detector = PauseDetector(0)
     assert [detector.check(at * SECOND) for at in (1, 2, 9, 10)] == [0, 0, 7 * SECOND, 0]
 
 
-async def test_a_leader_that_wakes_starts_rents_and_returns_nothing(state: KeyStore, clock: Clock) -> None:
+async def test_a_leader_after_a_pause_starts_rents_and_releases_nothing(state: KeyStore, clock: Clock) -> None:
     """Those machines may be at work for another leader: the cloud knows no tokens."""
     lead, _, home = leader(state)
     lead.leader_lease.renewal_requested_at = clock.at
@@ -97,7 +97,9 @@
     assert home.lost == []  # whether it still leads is for the state service to say
 
 
-async def test_a_rental_under_way_in_a_freeze_is_not_repeated_unentitled(state: KeyStore, clock: Clock) -> None:
+async def test_a_rental_under_way_during_a_pause_is_not_repeated_without_the_lease(
+    state: KeyStore, clock: Clock
+) -> None:
     lead, _, _ = leader(state)
     lead.leader_lease.renewal_requested_at = clock.at
     asked: list[str] = []
@@ -117,7 +119,9 @@
     assert lead.cloud_controller.capacity_planner.availability.requests_in_flight == []
 
 
-async def test_tasks_outlive_a_short_freeze_but_none_starts_before_proof(state: KeyStore, clock: Clock) -> None:
+async def test_tasks_outlive_a_short_pause_but_none_starts_before_the_lease_is_renewed(
+    state: KeyStore, clock: Clock
+) -> None:
     lead, _, _ = leader(state)
     lead.leader_lease.renewal_requested_at = lead.lease_renewal_limit.known_at = clock.at
     report = wire.Heartbeat("vm-000001", "h:1", "m8", "a", False, 1, 1, lead.token, [])
@@ -130,7 +134,7 @@
     assert lead.answer_heartbeat(wire.Heartbeat("vm-000001", "h:1", "m8", "a", False, 1, 3, lead.token, [])) is None
 
 
-def test_a_freeze_makes_no_machine_silent_or_idle() -> None:
+def test_a_pause_makes_no_machine_silent_or_idle() -> None:
     world = World()
     for number in (1, 2, 3):
         world.machine(number)
@@ -151,7 +155,7 @@
     assert all(machine.rented_at < world.now - gap for machine in machines)
 
 
-def test_a_leader_that_hears_nobody_sees_that_before_it_judges_anybody() -> None:
+def test_a_leader_that_hears_from_no_machine_judges_none() -> None:
     """Cut off from workers, a leader once released the machines that passed the mark first."""
     world = World()
     for number in range(1, 7):
@@ -172,7 +176,7 @@
     assert cut_off(len(quiet), machines)
 
 
-async def test_a_handover_whose_answer_is_lost_leaves_the_leader_in_doubt(state: KeyStore) -> None:
+async def test_a_handover_whose_answer_is_lost_suspends_the_lease(state: KeyStore) -> None:
     """The other node may replace the key while this one's lease is renewed."""
     lead, _, _ = leader(state)
     node = Node(node_settings(), Tuning())
@@ -188,7 +192,7 @@
     assert lead.holds_lease()
 
 
-async def test_a_handover_agreed_to_before_a_freeze_is_off_after_it(state: KeyStore) -> None:
+async def test_a_handover_agreed_to_before_a_pause_is_off_after_it(state: KeyStore) -> None:
     node = Node(node_settings(), Tuning())
     client = FakeStateClient(state)
     node.state = client  # type: ignore[assignment]
@@ -201,7 +205,7 @@
     await asyncio.sleep(0)
 
 
-async def test_a_node_that_others_can_better_lets_them_go_first(state: KeyStore) -> None:
+async def test_a_worse_placed_candidate_backs_off(state: KeyStore) -> None:
     """Frozen leader, next node down: workers waited for both in turn until their leases had ended.
 
     And one that was cut off from workers took the lead again and again while another could reach them.
@@ -232,7 +236,7 @@
     assert await node.election.backoff() == 0  # the cut is over, that is not asked again
 
 
-async def test_the_lead_is_left_to_a_node_after_which_workers_try_another_zone() -> None:
+async def test_election_priority_prefers_nodes_whose_successor_is_in_another_zone() -> None:
     """A zone with two of three nodes was cut off, its leader with it: workers outside waited for both in turn."""
 
     def node(name: str, **zones: str) -> Node:
@@ -252,7 +256,7 @@
     assert [await node(name, n0="a", n1="a", n2="a").election.backoff() for name in ("n0", "n1", "n2")] == [0, 0, 0]
 
 
-async def test_a_leader_knows_no_cancellation_told_while_it_read_the_records(
+async def test_cancellations_confirmed_during_failover_are_not_taken_as_known(
     state: KeyStore, clock: Clock, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """In an outage that begins just then, leases were kept for as long as it had taken to read, beyond the bound."""
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -72,13 +72,13 @@
     assert limit.refused == 0
 
 
-def test_a_node_that_serves_alone_goes_up_to_what_there_is() -> None:
+def test_a_node_that_serves_alone_goes_up_to_the_limit() -> None:
     limit = Limit(120.0)
     assert crowd(3, 1, 490, limit)[-1] < 30 * SECOND  # its share is a third at first
     assert limit.refused == 0
 
 
-def test_what_the_leader_takes_of_the_limit_keeps_no_node_below_its_part() -> None:
+def test_the_leaders_writes_keep_no_node_below_its_share() -> None:
     """On a day with a swarm of guests refusals had every node at a tenth: 0.716 of all others' jobs were in time."""
     limit = Limit(60.0)
     assert crowd(3, 3, 200, limit, others=35.0)[-1] < 20 * SECOND  # 25 a second are left: 16 s at best
@@ -93,7 +93,7 @@
         assert not limiter.wait_us(second * SECOND, ACCEPT_KEYS)
 
 
-def test_those_sent_away_come_back_one_after_the_other_and_never_late() -> None:
+def test_retry_times_are_spread_and_never_late() -> None:
     limiter = AdaptiveRateLimiter(60.0, 3)
     told = [limiter.retry_after_s(0, ACCEPT_KEYS) for _ in range(400)]
     assert told[0] == 1
--- a/tests/test_rolling_upgrade.py
+++ b/tests/test_rolling_upgrade.py
@@ -90,6 +90,6 @@
     assert pipelines > 0
 
 
-def test_new_formats_before_all_read_them_are_noticed() -> None:
+def test_a_new_schema_version_before_all_nodes_read_it_is_noticed() -> None:
     asked = RunRequest(scenario="rolling-upgrade", disabled_check="feature-gate")
     assert any("gate" in row for seed in range(1, 9) for row in run_scenario(asked, seed).violations)
--- a/tests/test_schema_versions.py
+++ b/tests/test_schema_versions.py
@@ -16,7 +16,7 @@
 from oatport.control.storage.schema_version import FORMATS_KEY, READS, Gate, answer
 from oatport.control.storage.write_buffer import FLEET, LIVE, WriteBatch, live_key, waits_key
 from oatport.peer_messages import SchemaVersionRequest, undecoded
-from oatport.service.catalog import read_types, type_values, write_types
+from oatport.service.catalog import RecordedCatalog, read_types, type_values, write_types
 from oatport.service.leader import Leader
 from oatport.settings import NextLimits, StateLimits, Team
 from oatport.simulation.state_service import KeyStore
@@ -210,10 +210,10 @@
     state = KeyStore(lambda: 0, 2048, 4)
     token = state.commit({"if": [], "then": [{"set": "leader", "value": {}}]})[1]["ledgerRev"]
     client: Any = FakeStateClient(state)
-    await write_types(client, token, 0, kinds, 2048, parts=True)
+    await write_types(client, token, RecordedCatalog(kinds, 0), 2048)
     found = await read_types(client)
     assert found is not None
-    assert found[0] == kinds
+    assert found.types == kinds
 
 
 # --- the gate ---------------------------------------------------------------------------------------
--- a/tests/test_zone_partitions.py
+++ b/tests/test_zone_partitions.py
@@ -42,7 +42,7 @@
     return proxy
 
 
-def test_a_node_out_of_touch_answers_in_the_leaders_name_until_a_lease_could_outlast_a_cancellation() -> None:
+def test_an_isolated_node_is_a_lease_proxy_until_a_lease_could_outlast_a_cancellation() -> None:
     proxy, lost = lease_proxy(), 103 * SECOND
     assert proxy.may_answer(7, lost, 100 * SECOND, 102 * SECOND)
     # A job cancelled just after the leader last told must be gone 35 s later, 10 s of which are the lease.
@@ -55,7 +55,7 @@
     assert not LeaseProxy.create(SETTINGS).may_answer(0, lost, 0, lost)  # it was never told anything
 
 
-def test_what_is_not_carried_out_yet_shortens_what_a_lease_proxy_may_do() -> None:
+def test_an_older_cancellation_watermark_ends_a_lease_proxy_earlier() -> None:
     at_once, late = lease_proxy(), lease_proxy(age=9 * SECOND)
     assert at_once.valid_until() - late.valid_until() >= 9 * SECOND
     late.update(7, 101 * SECOND, -1)  # nothing is known
@@ -64,7 +64,7 @@
     assert at_once.valid_until() == lease_proxy().valid_until()
 
 
-def test_a_cancellation_counts_until_its_tasks_are_proven_gone() -> None:
+def test_the_cancellation_watermark_waits_until_tasks_are_proven_gone() -> None:
     world = World()
     worker = world.machine(1)
     ref = world.submit(rig="standing", legs=1, driftwood=False)
@@ -84,7 +84,7 @@
     assert world.cluster.cancellation_watermark(world.now) == 0
 
 
-async def test_a_zones_node_keeps_its_workers_leases_and_starts_nothing(state: KeyStore) -> None:
+async def test_a_lease_proxy_renews_leases_and_starts_nothing(state: KeyStore) -> None:
     """Half of all tasks were once killed by their leases while a node stood beside them."""
     node = Node(node_settings(), Tuning())
     node.state = client = FakeStateClient(state)  # type: ignore[assignment]
@@ -105,7 +105,7 @@
     assert (await peer_reply(node, ["carried out"])) == ["no"]  # only the leader knows
 
 
-async def test_a_node_that_was_started_again_learns_from_another_what_leases_are_kept_by(state: KeyStore) -> None:
+async def test_a_restarted_node_learns_the_watermark_from_another_lease_proxy(state: KeyStore) -> None:
     """A zone was lost though its second node never ended: the first one back sent its workers into the cut."""
     old, new = Node(node_settings(), Tuning()), Node(node_settings(), Tuning())
     for node in (old, new):
@@ -130,7 +130,7 @@
     assert 0 < old.lease_proxy.proxy.valid_until() - new.lease_proxy.proxy.valid_until() < SECOND // 10
 
 
-def test_what_is_passed_on_in_a_circle_only_gets_less() -> None:
+def test_a_watermark_that_is_passed_on_in_a_circle_never_gets_later() -> None:
     nodes = [lease_proxy(), LeaseProxy.create(SETTINGS)]
     ends = nodes[0].valid_until()
     for now in range(101, 112):
@@ -184,7 +184,7 @@
     assert {name for names in world.live(ref).values() for name in names} >= with_replicas
 
 
-def test_replicas_that_may_run_elsewhere_leave_before_their_lease_can_end() -> None:
+def test_replicas_that_may_run_elsewhere_are_moved_before_their_lease_can_expire() -> None:
     world = World()
     for number in range(1, 7):
         world.machine(number, "a" if number < 4 else "b")
@@ -200,7 +200,7 @@
     assert all(t.job.job_id != array for m in there if m.name in movable for t in m.tasks)
 
 
-def test_only_so_many_replicas_are_missed_at_a_time() -> None:
+def test_few_replicas_are_missed_at_a_time_during_evacuation() -> None:
     world = World([Team("crew")])
     for number in range(1, 31):
         world.machine(number, "a")
@@ -215,7 +215,7 @@
     assert 0 < replicas <= MAX_REPLICAS_MOVING < sum(len(m.tasks) for m in there)
 
 
-def test_a_machine_whose_work_is_done_goes_if_its_like_is_to_be_had_elsewhere() -> None:
+def test_a_machine_whose_work_is_done_is_released_if_a_replacement_is_available() -> None:
     world = World([Team("crew")])
     for number in range(1, 7):
         world.machine(number, "a" if number < 4 else "b")
@@ -230,7 +230,7 @@
     assert leaving(world, True) == [m.name for m in there]
 
 
-def test_a_zone_known_to_be_cut_off_outlives_the_leader_that_found_out() -> None:
+def test_a_partitioned_zone_is_recorded_for_the_next_leader() -> None:
     """The next one began anew: five seconds more until the verdict, and rentals in the zone meanwhile."""
     world = World()
     for number in range(1, 7):
@@ -250,7 +250,7 @@
     assert world.state.items[DARK_KEY][0] == {"zones": {}}
 
 
-def test_that_a_node_keeps_a_dark_zone_outlives_the_leader_that_knew() -> None:
+def test_a_zone_with_a_lease_proxy_is_recorded_for_the_next_leader() -> None:
     """All nodes ended; the next leader took the zone for dead after one lease: 300 replicas left at once."""
     world = World()
     for number in range(1, 7):
@@ -267,7 +267,7 @@
     assert world.state.items[DARK_KEY][0] == {"zones": {}}
 
 
-def test_nothing_is_placed_in_a_dark_zone_though_it_was_heard_a_moment_ago() -> None:
+def test_nothing_is_placed_in_a_partitioned_zone_though_it_was_heard_from_a_moment_ago() -> None:
     world = World()
     world.machine(1, "b")
     world.settle()
@@ -310,7 +310,7 @@
     return FailureDetector(lead, None, release, lead.cloud_controller.capacity_planner), lead, home, released  # type: ignore[arg-type]
 
 
-async def test_machines_that_are_heard_last_after_a_cut_are_not_taken_for_lost(state: KeyStore) -> None:
+async def test_machines_that_are_heard_from_last_after_a_partition_are_not_taken_for_lost(state: KeyStore) -> None:
     """A leader that could not judge a zone alone released what was not heard yet in the second after the cut."""
     detector, lead, home, released = watched(state, 12, 20 * SECOND)
     home.peers = {"n1": FakePeer(None), "n2": FakePeer(None)}
@@ -325,7 +325,7 @@
     assert released == [m.name for m in machines[9:]]
 
 
-async def test_a_dark_zone_is_kept_and_judged_again_before_anything_is_released(state: KeyStore) -> None:
+async def test_a_partitioned_zone_is_confirmed_again_before_anything_is_released(state: KeyStore) -> None:
     detector, lead, home, released = watched(state, 6, 6 * SECOND)
     home.peers = {"n1": FakePeer(["seen", 0, True]), "n2": FakePeer(None)}
     await detector.step()
