--- a/tests/test_process_pauses.py
+++ b/tests/test_process_pauses.py
@@ -12,11 +12,13 @@
 from oatport.clients import token_bucket
 from oatport.clients.cloud import CloudClient
 from oatport.clients.http import NoResponseError, RequestNotSentError
-from oatport.control.leadership.leader_lease import DOUBT, LeaderLease, PauseDetector
+from oatport.control.leadership.leader_lease import HANDOVER_UNDECIDED_FOR, LeaderLease, PauseDetector
 from oatport.control.scaling.cloud_availability import ScaleOutRequest
 from oatport.control.storage.recovery import command_unreachable, cut_off, silent
+from oatport.service import heartbeat_controller
 from oatport.service import leader as lead_module
 from oatport.service.node import Node
+from oatport.service.peer_status import StateServiceStatus
 from oatport.settings import Peer, Tuning
 from oatport.simulation.state_service import KeyStore
 from oatport.times import MS, SECOND
@@ -27,7 +29,7 @@
 class Clock:
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.at = 1_000 * SECOND
-        for module in (lead_module, token_bucket):
+        for module in (lead_module, heartbeat_controller, token_bucket):
             monkeypatch.setattr(module, "steady", lambda: self.at)
 
 
@@ -52,28 +54,28 @@
         return 200, {"berths": []}
 
 
-def test_a_mandate_counts_from_when_the_proof_was_asked_for() -> None:
-    mandate = LeaderLease(3 * SECOND, asked_at=0)
-    assert mandate.holds(2_700 * MS)
-    assert not mandate.holds(2_800 * MS)  # clocks drift, and a request takes a moment to go out
-    mandate.proven(2 * SECOND)
-    mandate.proven(1 * SECOND)  # an older answer that came late
-    assert mandate.holds(4_700 * MS)
-    mandate.doubt(4 * SECOND)  # another node was asked to take over: the lease says nothing about the key
-    assert not mandate.holds(4_100 * MS)
-    mandate.proven(4 * SECOND + DOUBT)
-    assert mandate.holds(4 * SECOND + DOUBT)
+def test_a_lease_counts_from_when_its_renewal_was_requested() -> None:
+    lease = LeaderLease(3 * SECOND, renewal_requested_at=0)
+    assert lease.is_held(2_700 * MS)
+    assert not lease.is_held(2_800 * MS)  # clocks drift, and a request takes a moment to go out
+    lease.renewed(2 * SECOND)
+    lease.renewed(1 * SECOND)  # an older answer that came late
+    assert lease.is_held(4_700 * MS)
+    lease.handover_requested(4 * SECOND)  # another node was asked to take over: the lease says nothing about the key
+    assert not lease.is_held(4_100 * MS)
+    lease.renewed(4 * SECOND + HANDOVER_UNDECIDED_FOR)
+    assert lease.is_held(4 * SECOND + HANDOVER_UNDECIDED_FOR)
 
 
-def test_a_gap_is_noticed_once() -> None:
-    pulse = PauseDetector(0)
-    assert [pulse.beat(at * SECOND) for at in (1, 2, 9, 10)] == [0, 0, 7 * SECOND, 0]
+def test_a_process_pause_is_noticed_once() -> None:
+    detector = PauseDetector(0)
+    assert [detector.check(at * SECOND) for at in (1, 2, 9, 10)] == [0, 0, 7 * SECOND, 0]
 
 
-async def test_a_leader_that_wakes_starts_rents_and_returns_nothing(state: KeyStore, clock: Clock) -> None:
+async def test_a_leader_after_a_pause_starts_rents_and_releases_nothing(state: KeyStore, clock: Clock) -> None:
     """Those machines may be at work for another leader: the cloud knows no tokens."""
     lead, _, home = leader(state)
-    lead.leader_lease.asked_at = clock.at
+    lead.leader_lease.renewal_requested_at = clock.at
     http_client = Asked()
     cloud = CloudClient(Unplugged(), "h:1", 5.0, lead.holds_lease)  # type: ignore[arg-type]
     cloud._http = http_client  # type: ignore[assignment]
@@ -89,15 +91,17 @@
     machine = lead.cluster.add_machine("vm-000003", "m8", "a", False, "h:1", clock.at, 0)
     assert machine is not None
     await lead.cloud_controller.release([machine], "returned")
-    await lead._send(machine)
+    await lead.command_sender.send(machine)
     assert http_client.paths == [wire.RELEASE_PATH]
     assert not machine.removed  # it is there until proven gone
     assert home.lost == []  # whether it still leads is for the state service to say
 
 
-async def test_a_rental_under_way_in_a_freeze_is_not_repeated_unentitled(state: KeyStore, clock: Clock) -> None:
+async def test_a_rental_under_way_during_a_pause_is_not_repeated_without_the_lease(
+    state: KeyStore, clock: Clock
+) -> None:
     lead, _, _ = leader(state)
-    lead.leader_lease.asked_at = clock.at
+    lead.leader_lease.renewal_requested_at = clock.at
     asked: list[str] = []
 
     class Cloud:
@@ -109,15 +113,17 @@
 
     lead.cloud_controller.cloud = Cloud()  # type: ignore[assignment]
     rental = ScaleOutRequest("m8", "a", True, 1)
-    lead.cloud_controller.fleet.availability.requests_in_flight.append(rental)
+    lead.cloud_controller.capacity_planner.availability.requests_in_flight.append(rental)
     await lead.cloud_controller.rent(rental)
     assert asked == [f"r-{lead.token}-1"]
-    assert lead.cloud_controller.fleet.availability.requests_in_flight == []
+    assert lead.cloud_controller.capacity_planner.availability.requests_in_flight == []
 
 
-async def test_tasks_outlive_a_short_freeze_but_none_starts_before_proof(state: KeyStore, clock: Clock) -> None:
+async def test_tasks_outlive_a_short_pause_but_none_starts_before_the_lease_is_renewed(
+    state: KeyStore, clock: Clock
+) -> None:
     lead, _, _ = leader(state)
-    lead.leader_lease.asked_at = lead.lease_renewal_limit.known_at = clock.at
+    lead.leader_lease.renewal_requested_at = lead.lease_renewal_limit.known_at = clock.at
     report = wire.Heartbeat("vm-000001", "h:1", "m8", "a", False, 1, 1, lead.token, [])
     assert lead.answer_heartbeat(report) is not None
     clock.at += 7 * SECOND
@@ -128,7 +134,7 @@
     assert lead.answer_heartbeat(wire.Heartbeat("vm-000001", "h:1", "m8", "a", False, 1, 3, lead.token, [])) is None
 
 
-def test_a_freeze_makes_no_machine_silent_or_idle() -> None:
+def test_a_pause_makes_no_machine_silent_or_idle() -> None:
     world = World()
     for number in (1, 2, 3):
         world.machine(number)
@@ -149,7 +155,7 @@
     assert all(machine.rented_at < world.now - gap for machine in machines)
 
 
-def test_a_leader_that_hears_nobody_sees_that_before_it_judges_anybody() -> None:
+def test_a_leader_that_hears_from_no_machine_judges_none() -> None:
     """Cut off from workers, a leader once released the machines that passed the mark first."""
     world = World()
     for number in range(1, 7):
@@ -170,36 +176,36 @@
     assert cut_off(len(quiet), machines)
 
 
-async def test_a_handover_whose_answer_is_lost_leaves_the_leader_in_doubt(state: KeyStore) -> None:
+async def test_a_handover_whose_answer_is_lost_suspends_the_lease(state: KeyStore) -> None:
     """The other node may replace the key while this one's lease is renewed."""
     lead, _, _ = leader(state)
     node = Node(node_settings(), Tuning())
-    node.leader = lead
+    node.election.leader = lead
     peer = FakePeer(None)
     peer.name = "n1"  # type: ignore[attr-defined]
     assert lead.holds_lease()
     with pytest.raises(NoResponseError):
-        await node._hand_over(lead, peer, "")  # type: ignore[arg-type]
+        await node.handover.hand_over(lead, peer, "")  # type: ignore[arg-type]
     assert not lead.holds_lease()
     peer.answer = ["no"]
-    await node._hand_over(lead, peer, "")  # type: ignore[arg-type]
+    await node.handover.hand_over(lead, peer, "")  # type: ignore[arg-type]
     assert lead.holds_lease()
 
 
-async def test_a_handover_agreed_to_before_a_freeze_is_off_after_it(state: KeyStore) -> None:
+async def test_a_handover_agreed_to_before_a_pause_is_off_after_it(state: KeyStore) -> None:
     node = Node(node_settings(), Tuning())
     client = FakeStateClient(state)
     node.state = client  # type: ignore[assignment]
     state.commit({"if": [], "then": [{"set": "leader", "value": {"node": "n1", "boot": "x", "lease": 1}}]})
     assert await peer_reply(node, ["handover", state.revision]) == ["ok"]
-    node._handover_until -= 10 * SECOND  # it stood still before it came to that
-    await node._run_for_leader()
+    node.election.handover_until -= 10 * SECOND  # it stood still before it came to that
+    await node.election._run_for_leader()
     assert node.leader is None
     assert state.get("leader")[1]["value"]["node"] == "n1"
     await asyncio.sleep(0)
 
 
-async def test_a_node_that_others_can_better_lets_them_go_first(state: KeyStore) -> None:
+async def test_a_worse_placed_candidate_backs_off(state: KeyStore) -> None:
     """Frozen leader, next node down: workers waited for both in turn until their leases had ended.
 
     And one that was cut off from workers took the lead again and again while another could reach them.
@@ -210,25 +216,27 @@
     async def reaches(addresses: list[str]) -> int:
         return len(reached)
 
-    node._reaches = reaches  # type: ignore[method-assign]
+    node.election._count_reached = reaches  # type: ignore[method-assign]
     node.peers = {"n1": FakePeer(None), "n2": FakePeer(None)}  # type: ignore[dict-item]
-    node._peer_state_service_answers = {"n2": (True, 0)}
-    alone = await node._election_backoff()  # n1 comes after n0, and does not answer
-    assert node._better_placed() is None  # maybe just for a moment
-    node._successor_answered_at -= 5 * SECOND
-    assert node._better_placed() is node.peers["n2"]  # after which n0 comes
-    node._peer_state_service_answers = {"n1": (True, 0)}
-    assert await node._election_backoff() == 0 < alone
-    assert node._better_placed() is None
+    answering = node.peer_status.state_service_answers
+    answering["n2"] = StateServiceStatus(True, 0)
+    alone = await node.election.backoff()  # n1 comes after n0, and does not answer
+    assert node.handover.better_placed_peer() is None  # maybe just for a moment
+    node.peer_status.successor_answered_at -= 5 * SECOND
+    assert node.handover.better_placed_peer() is node.peers["n2"]  # after which n0 comes
+    answering.clear()
+    answering["n1"] = StateServiceStatus(True, 0)
+    assert await node.election.backoff() == 0 < alone
+    assert node.handover.better_placed_peer() is None
     node.mark_workers_unreachable(["h:1"])
-    assert await node._election_backoff() > alone
+    assert await node.election.backoff() > alone
     reached.append("h:1")
-    assert await node._election_backoff() == 0
+    assert await node.election.backoff() == 0
     reached.clear()
-    assert await node._election_backoff() == 0  # the cut is over, that is not asked again
+    assert await node.election.backoff() == 0  # the cut is over, that is not asked again
 
 
-async def test_the_lead_is_left_to_a_node_after_which_workers_try_another_zone() -> None:
+async def test_election_priority_prefers_nodes_whose_successor_is_in_another_zone() -> None:
     """A zone with two of three nodes was cut off, its leader with it: workers outside waited for both in turn."""
 
     def node(name: str, **zones: str) -> Node:
@@ -240,15 +248,15 @@
         )
         found = Node(settings, Tuning())
         found.peers = {peer.node_name: FakePeer(None) for peer in settings.peers}  # type: ignore[misc]
-        found._peer_state_service_answers = dict.fromkeys(found.peers, (True, 0))
+        found.peer_status.state_service_answers = dict.fromkeys(found.peers, StateServiceStatus(True, 0))
         return found
 
-    two = [await node(name, n0="a", n1="b", n2="a")._election_backoff() for name in ("n0", "n1", "n2")]
+    two = [await node(name, n0="a", n1="b", n2="a").election.backoff() for name in ("n0", "n1", "n2")]
     assert two[0] == two[1] == 0 < two[2]
-    assert [await node(name, n0="a", n1="a", n2="a")._election_backoff() for name in ("n0", "n1", "n2")] == [0, 0, 0]
+    assert [await node(name, n0="a", n1="a", n2="a").election.backoff() for name in ("n0", "n1", "n2")] == [0, 0, 0]
 
 
-async def test_a_leader_knows_no_cancellation_told_while_it_read_the_records(
+async def test_cancellations_confirmed_during_failover_are_not_taken_as_known(
     state: KeyStore, clock: Clock, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """In an outage that begins just then, leases were kept for as long as it had taken to read, beyond the bound."""
@@ -260,7 +268,6 @@
         return [], 0
 
     monkeypatch.setattr(lead_module, "read_records", slow)
-    for group in (lead.background, lead.cloud_controller.group):
-        monkeypatch.setattr(group, "keep", lambda *_: None)  # none of its loops is what is looked at
+    monkeypatch.setattr(lead.background, "keep", lambda *_: None)  # none of its loops is what is looked at
     await lead.fail_over()
     assert lead.lease_renewal_limit.known_at == began
