--- a/emulators/serve.py
+++ b/emulators/serve.py
@@ -18,7 +18,7 @@
 
 from oatport import wire
 from oatport.clients.http import HttpClient, NoResponseError, make_session
-from oatport.simulation.cloud_service import Registry
+from oatport.simulation.cloud_service import MachineRegistry
 from oatport.simulation.state_service import KeyStore
 from oatport.simulation.worker import Worker
 
@@ -59,7 +59,7 @@
 class Emulators:
     def __init__(self, state_address: str, cloud_address: str, nodes: dict[str, str], report_s: float = 0.5) -> None:
         self.state = KeyStore(clock)
-        self.cloud = Registry(TYPES)
+        self.cloud = MachineRegistry(TYPES)
         self.cloud.on_rent = self._boot
         self.cloud.on_release = self._gone
         self.nodes = nodes
@@ -98,9 +98,9 @@
         if path == wire.COMMIT_PATH:
             return _answer(*self.state.commit(body))
         if path == wire.LEASES_PATH:
-            return _answer(*self.state.hold(int(body["lifeMs"])))
+            return _answer(*self.state.grant_lease(int(body["lifeMs"])))
         if path.startswith(wire.LEASES_PATH):
-            return _answer(*self.state.touch(int(path.split("/")[2])))
+            return _answer(*self.state.renew_lease(int(path.split("/")[2])))
         if path == wire.WATCH_PATH:
             until = clock() + int(query.get("waitMs", "0")) * 1000
             while True:
--- a/oatport/lab/queues.py
+++ b/oatport/lab/queues.py
@@ -109,13 +109,13 @@
     def _released(self, name: str) -> None:
         worker = self._emulators.workers.get(name)
         if worker is not None:
-            self.starts.update(task for task, _ in worker.starts)
+            self.starts.update(task for task, _ in worker.started_attempts)
         self._emulators._gone(name)
 
     def runs(self) -> Counter[str]:
         total = Counter(self.starts)
         for worker in self._emulators.workers.values():
-            total.update(task for task, _ in worker.starts)
+            total.update(task for task, _ in worker.started_attempts)
         return total
 
     def start_node(self, name: str) -> None:
--- a/oatport/simulation/cloud_service.py
+++ b/oatport/simulation/cloud_service.py
@@ -18,7 +18,7 @@
 Sort = tuple[str, str, bool]
 
 
-class Registry:
+class MachineRegistry:
     """Machines and requests: the rules alone, on no clock of its own."""
 
     def __init__(self, types: list[dict[str, Any]], capacity: int | dict[Sort, int] = 20) -> None:
@@ -28,12 +28,12 @@
         self.requests: dict[str, list[str]] = {}
         self.on_rent: Callable[[dict[str, Any]], None] = lambda machine: None
         self.on_release: Callable[[str], None] = lambda name: None
-        self.rented = 0
+        self.rented_count = 0
 
     def catalog(self) -> dict[str, Any]:
         return {"berthKinds": self.types}
 
-    def _left(self, sort: Sort) -> int:
+    def _available(self, sort: Sort) -> int:
         if isinstance(self.capacity, int):
             return self.capacity - len(self.machines)
         there = sum((m["berthKind"], m["harbor"], m["driftwood"]) == sort for m in self.machines.values())
@@ -43,15 +43,15 @@
         if body["charter"] in self.requests:
             return 200, {"berths": self.requests[body["charter"]]}
         sort = (body["berthKind"], body["harbor"], body["driftwood"])
-        names = [self.add(*sort) for _ in range(max(0, min(body["howMany"], self._left(sort))))]
+        names = [self.add(*sort) for _ in range(max(0, min(body["howMany"], self._available(sort))))]
         if not names:
             return 503, {"error": "no capacity"}
         self.requests[body["charter"]] = names
         return 200, {"berths": names}
 
     def add(self, kind: str, zone: str, spot: bool) -> str:
-        name = f"vm-{self.rented:06d}"
-        self.rented += 1
+        name = f"vm-{self.rented_count:06d}"
+        self.rented_count += 1
         self.machines[name] = {
             "ref": name,
             "address": "",
@@ -80,54 +80,60 @@
 
     host: Host
     rng: random.Random
-    registry: Registry
+    registry: MachineRegistry
     rps: float
     lag_s: float
     down: bool = False
-    asked: Counter[str] = field(default_factory=Counter)
-    born: dict[str, float] = field(default_factory=dict)
-    _level: float = 0.0
-    _at: float = 0.0
-    _lists: deque[tuple[float, list[dict[str, Any]]]] = field(default_factory=deque)
+    request_counts: Counter[str] = field(default_factory=Counter)
+    rented_at: dict[str, float] = field(default_factory=dict)
+    _tokens: float = 0.0
+    _tokens_as_of: float = 0.0
+    _snapshots: deque[tuple[float, list[dict[str, Any]]]] = field(default_factory=deque)
 
-    def picture(self) -> None:
+    def snapshot(self) -> None:
         """Remember what a list says from a while later on; to be called every second."""
         now = self.host.loop.time()
-        self._lists.append(
-            (now, [dict(m, ageS=now - self.born.get(name, now)) for name, m in sorted(self.registry.machines.items())])
+        self._snapshots.append(
+            (
+                now,
+                [
+                    dict(m, ageS=now - self.rented_at.get(name, now))
+                    for name, m in sorted(self.registry.machines.items())
+                ],
+            )
         )
-        while len(self._lists) > 2 and self._lists[1][0] < now - 2 * self.lag_s:
-            self._lists.popleft()
+        while len(self._snapshots) > 2 and self._snapshots[1][0] < now - 2 * self.lag_s:
+            self._snapshots.popleft()
 
     async def serve(self, method: str, target: str, body: Any) -> Answer:
-        self.asked["requests"] += 1
+        self.request_counts["requests"] += 1
         await asyncio.sleep(seconds(20 * MS + self.rng.randrange(60 * MS)))
         now = self.host.loop.time()
-        self._level = min(2 * self.rps, self._level + (now - self._at) * self.rps)
-        self._at = now
+        self._tokens = min(2 * self.rps, self._tokens + (now - self._tokens_as_of) * self.rps)
+        self._tokens_as_of = now
         if self.down:
             return 503, {"error": "trouble"}
-        if self._level < 1:
-            self.asked["429"] += 1
+        if self._tokens < 1:
+            self.request_counts["429"] += 1
             return 429, None
-        self._level -= 1
+        self._tokens -= 1
         path, _, query = target.partition("?")
         if path == wire.CATALOG_PATH:
             return 200, self.registry.catalog()
         if path == wire.MACHINES_PATH and method == "POST":
-            self.asked["rentals"] += 1
+            self.request_counts["rentals"] += 1
             return self.registry.rent(body)
         if path == wire.RELEASE_PATH:
             return self.registry.release(body)
         asked = {key: values[0] for key, values in parse_qs(query).items()}
         old = now - self.lag_s * self.rng.uniform(1.0, 2.0)
-        seen: list[dict[str, Any]] = next((rows for at, rows in reversed(self._lists) if at <= old), [])
+        seen: list[dict[str, Any]] = next((rows for at, rows in reversed(self._snapshots) if at <= old), [])
         rows = [row for row in seen if row["ref"] > asked.get("from", "")]
         page = min(int(asked.get("page", 500)), 500)
         return 200, {"berths": rows[:page], "hasNext": len(rows) > page}
 
 
-def boot_us(rng: random.Random, startup_s: float) -> int:
+def draw_boot_us(rng: random.Random, startup_s: float) -> int:
     """Usually 0.6 to 1.5 times the nominal time; some take several times as long."""
     times = rng.uniform(0.6, 1.5)
     if rng.random() < 0.03:
--- a/oatport/simulation/deployment.py
+++ b/oatport/simulation/deployment.py
@@ -153,13 +153,13 @@
         SubmittedJob(_job(rng, "serve", plan), begins + rng.uniform(0, 1))
         for _ in range(round(SERVICES_AT_START * plan.machines))
     ]
-    asks.sort(key=lambda ask: ask.at)
+    asks.sort(key=lambda ask: ask.submit_at)
     for number, ask in enumerate(asks):
         ask.body["ref"] = f"j-{number + 1:06d}"
-        ask.mistaken = ask.body["rig"] != "standing" and rng.random() < 0.04
+        ask.always_fails = ask.body["rig"] != "standing" and rng.random() < 0.04
         single = ask.body["rig"] == "array" and ask.body["legs"] == 1
-        if ask.mistaken or rng.random() < (0.25 if single else 0.12):
-            ask.cancel_at = ask.at + rng.uniform(2, 50)
+        if ask.always_fails or rng.random() < (0.25 if single else 0.12):
+            ask.cancel_at = ask.submit_at + rng.uniform(2, 50)
     return asks
 
 
@@ -182,7 +182,7 @@
         if at >= plan.for_s:
             break
         stages: list[SubmittedJob] = []
-        earlier = [ask for ask in asks if ask.last and rng.random() < 0.1][:1]  # some need what is long over
+        earlier = [ask for ask in asks if ask.ends_pipeline and rng.random() < 0.1][:1]  # some need what is long over
         for number, (name, team, urgency, tasks, run, needs) in enumerate(STAGES):
             mean = rng.uniform(*run)
             job = _job(rng, "local", plan) | {
@@ -203,12 +203,12 @@
                 job |= {"rig": "gang", "samePlace": True, "driftwood": False, "mooringS": 4.0, "stowS": 1.0}
             needed = [stages[i] for i in needs] + (earlier if not needs else [])
             if needed:
-                job["waitsOn"] = [ask.ref for ask in needed]
-            ask = SubmittedJob(job, begins + at, needs=needed)
+                job["waitsOn"] = [ask.job_id for ask in needed]
+            ask = SubmittedJob(job, begins + at, dependencies=needed)
             stages.append(ask)
         last = stages[-1]
         last.body["tideS"] = 75.0
-        last.last, last.late = True, rng.random() < 0.15
+        last.ends_pipeline, last.submitted_after_dependencies = True, rng.random() < 0.15
         if rng.random() < 0.2:
             rng.choice(stages).cancel_at = begins + at + rng.uniform(0.5, 45)
         asks += stages
--- a/oatport/simulation/fault_plan.py
+++ b/oatport/simulation/fault_plan.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 # kind -> the fields that it takes beside `at_s` and `for_s`
-KINDS: dict[str, tuple[str, ...]] = {
+FAULT_FIELDS: dict[str, tuple[str, ...]] = {
     "node_cut": ("node", "what", "mode", "way"),  # what: all, state, workers, nodes
     "node_refused": ("node",),  # by the state service alone
     "peers_refuse": (),
@@ -52,9 +52,9 @@
     "quick_boots": (),  # new machines are up within two seconds
     "late_repeats": ("amount",),  # requests that were carried out arrive once more, up to so many seconds later
 }
-WHAT = ("all", "state", "workers", "nodes")
-WAYS = ("both", "to", "from")
-MODES = ("hold", "lost")
+NODE_CUT_TARGETS = ("all", "state", "workers", "nodes")
+CUT_DIRECTIONS = ("both", "to", "from")
+CUT_MODES = ("hold", "lost")
 LEADER = "leader"  # as a node's name: whoever leads then
 ALL = "all"  # as the name of nodes that end: each of them
 LEAST_END = 0.05  # seconds: no process is back sooner
@@ -81,7 +81,8 @@
     name: str = ""
 
     def toml(self) -> str:
-        named = ("kind", "at_s", "for_s", *KINDS[self.kind])
+        """The fault as a row of a plan file."""
+        named = ("kind", "at_s", "for_s", *FAULT_FIELDS[self.kind])
         rows = []
         for key in named:
             value = getattr(self, key)
@@ -137,7 +138,7 @@
     return parse(table)
 
 
-LIMITS = {
+FIELD_RANGES = {
     "for_s": (1, 100_000),
     "nodes": (1, 7),
     "machines": (1, 5000),
@@ -160,8 +161,8 @@
             if not isinstance(value, bool):
                 raise InvalidPlanError(f"{key}: must be true or false, not {value!r}")
             values[key] = value
-        elif key in LIMITS:
-            found = reader.number(table, key, *LIMITS[key])
+        elif key in FIELD_RANGES:
+            found = reader.number(table, key, *FIELD_RANGES[key])
             values[key] = int(found) if key in ("nodes", "machines") else found
         else:
             raise InvalidPlanError(f"{key}: no such field")
@@ -172,19 +173,21 @@
     reader = _Reader(f"faults[{number}].")
     if not isinstance(row, dict) or "kind" not in row or "at_s" not in row:
         raise InvalidPlanError(f"faults[{number}]: needs a kind and at_s")
-    kind = reader.choice(row, "kind", tuple(KINDS))
+    kind = reader.choice(row, "kind", tuple(FAULT_FIELDS))
     values: dict[str, Any] = {"kind": kind}
     for key in row:
         if key == "kind":
             continue
-        if key not in ("at_s", "for_s", *KINDS[kind]):
+        if key not in ("at_s", "for_s", *FAULT_FIELDS[kind]):
             raise InvalidPlanError(f"faults[{number}].{key}: no field of {kind}")
         if key in ("at_s", "for_s", "amount"):
             values[key] = reader.number(row, key, 0, 100_000)
         elif key == "count":
             values[key] = int(reader.number(row, key, 1, 5000))
         elif key in ("what", "mode", "way"):
-            values[key] = reader.choice(row, key, {"what": WHAT, "mode": MODES, "way": WAYS}[key])
+            values[key] = reader.choice(
+                row, key, {"what": NODE_CUT_TARGETS, "mode": CUT_MODES, "way": CUT_DIRECTIONS}[key]
+            )
         elif isinstance(row[key], str) and row[key]:
             values[key] = row[key]
         else:
--- /dev/null
+++ b/oatport/simulation/faults/network.py
@@ -0,0 +1,150 @@
+"""Faults of the network: cut, slow and lossy links, partitions of nodes, machines and zones, duplicated messages."""
+
+from __future__ import annotations
+
+from oatport.simulation import deployment
+from oatport.simulation.fault_plan import Fault
+from oatport.simulation.faults import EndFault, Handlers, end_all
+from oatport.simulation.network import ANY_HOST, LinkRule
+from oatport.simulation.simulated_deployment import SimulatedDeployment
+
+# `what` of a node_cut -> the tag of the hosts that the node is cut off from
+CUT_TAGS = {"all": ANY_HOST, "state": "state", "workers": "worker", "nodes": "node"}
+
+
+class NetworkFaults:
+    """Rules on links between hosts, for as long as a fault lasts."""
+
+    def __init__(self, deployed: SimulatedDeployment) -> None:
+        self._deployed = deployed
+        self._net, self._machines = deployed.net, deployed.machines
+        self.handlers: Handlers = {
+            "node_cut": self.cut_node,
+            "node_refused": self.deny_state_service,
+            "peers_refuse": self.refuse_peer_connections,
+            "node_alone": self.isolate_node,
+            "machine_cut": self.cut_machines,
+            "machine_deaf": self.block_commands,
+            "machine_mute": self.block_heartbeats,
+            "zone_cut": self.partition_zone,
+            "links_cut": self.cut_links,
+            "links_slow": self.slow_links,
+            "links_lossy": self.lossy_links,
+            "report_copies": self.duplicate_heartbeats,
+            "late_repeats": self.duplicate_requests,
+            "copies_for_next": self.keep_heartbeats_for_next_leader,
+        }
+
+    def _apply(self, *rules: LinkRule) -> EndFault:
+        for rule in rules:
+            self._net.add(rule)
+
+        def end() -> None:
+            for rule in rules:
+                self._net.remove(rule)
+
+        return end
+
+    def _cut(self, one: str, other: str, mode: str, way: str = "both", unless: str = "") -> EndFault:
+        rules = []
+        if way in ("both", "to"):
+            rules.append(LinkRule(one, other, mode, unless))
+        if way in ("both", "from"):
+            rules.append(LinkRule(other, one, mode, unless))
+        return self._apply(*rules)
+
+    # --- nodes ---------------------------------------------------------------------------------
+
+    def cut_node(self, fault: Fault) -> EndFault:
+        """A node is cut off from other hosts, both ways or one."""
+        return self._cut(self._deployed.target_node(fault), CUT_TAGS[fault.what], fault.mode, fault.way)
+
+    def deny_state_service(self, fault: Fault) -> EndFault:
+        """The state service answers 503 to one node alone."""
+        route = (self._deployed.target_node(fault), deployment.STATE)
+        self._net.denied_routes.append(route)
+        return lambda: self._net.denied_routes.remove(route)
+
+    def refuse_peer_connections(self, fault: Fault) -> EndFault:
+        """Nodes refuse connections of one another."""
+        return self._apply(LinkRule("node", "node", "refuse"))
+
+    def isolate_node(self, fault: Fault) -> EndFault:
+        """A node without the state service and the other nodes, but with workers and users."""
+        name = self._deployed.target_node(fault)
+        return end_all([self._cut(name, other, fault.mode, unless="worker") for other in ("state", "node")])
+
+    # --- machines ------------------------------------------------------------------------------
+
+    def cut_machines(self, fault: Fault) -> EndFault:
+        """Some machines are cut off from everything."""
+        return self._apply(
+            *(
+                LinkRule(*ends, fault.mode)
+                for machine in self._machines.sample(fault.count)
+                for ends in ((machine.host.name, ANY_HOST), (ANY_HOST, machine.host.name))
+            )
+        )
+
+    def block_commands(self, fault: Fault) -> EndFault:
+        """One-way partition: heartbeats of machines arrive, while answers and commands don't reach them."""
+        return self._apply(*(LinkRule("node", name, "deaf") for name in self._affected_machines(fault)))
+
+    def block_heartbeats(self, fault: Fault) -> EndFault:
+        """One-way partition: heartbeats of machines reach nobody, while commands arrive, and are answered."""
+        return self._apply(*(LinkRule(name, "node", "mute") for name in self._affected_machines(fault)))
+
+    def _affected_machines(self, fault: Fault) -> list[str]:
+        """So many machines, that share of all, or those of a zone."""
+        count = round(fault.amount * len(self._machines.machines)) if fault.amount else fault.count
+        machines = self._machines.sample(10**6 if fault.zone else count)
+        return sorted({m.host.name for m in machines if not fault.zone or m.worker.zone == fault.zone})
+
+    # --- links ---------------------------------------------------------------------------------
+
+    def partition_zone(self, fault: Fault) -> EndFault:
+        """A zone is cut off from everything outside it."""
+        tag = f"zone:{fault.zone}"
+        return self._cut(tag, ANY_HOST, fault.mode, unless=tag)
+
+    def cut_links(self, fault: Fault) -> EndFault:
+        """Nothing travels from some hosts to others."""
+        return self._cut(fault.source, fault.target, fault.mode, "to")
+
+    def slow_links(self, fault: Fault) -> EndFault:
+        """Messages between hosts take so many seconds longer, both ways."""
+        return self._both_ways(fault, "slow")
+
+    def lossy_links(self, fault: Fault) -> EndFault:
+        """That share of packets between hosts has to be sent again, both ways."""
+        return self._both_ways(fault, "lossy")
+
+    def _both_ways(self, fault: Fault, effect: str) -> EndFault:
+        return self._apply(
+            LinkRule(fault.source, fault.target, effect, amount=fault.amount),
+            LinkRule(fault.target, fault.source, effect, amount=fault.amount),
+        )
+
+    # --- duplicated messages -------------------------------------------------------------------
+
+    def duplicate_heartbeats(self, fault: Fault) -> EndFault:
+        """Copies of heartbeats arrive again, up to so many seconds later, at any node."""
+        return self._duplicate("reports", fault)
+
+    def duplicate_requests(self, fault: Fault) -> EndFault:
+        """Requests that were carried out arrive once more, up to so many seconds later."""
+        return self._duplicate("requests", fault)
+
+    def _duplicate(self, kind: str, fault: Fault) -> EndFault:
+        row = (kind, fault.amount, self._deployed.nodes.user_addresses)
+        self._net.duplications.append(row)
+        return lambda: self._net.duplications.remove(row)
+
+    def keep_heartbeats_for_next_leader(self, fault: Fault) -> EndFault:
+        """Of that share of heartbeats a copy is kept, and arrives at the next leader just as it begins."""
+        self._net.duplicate_for_next_leader_share += fault.amount
+
+        def end() -> None:
+            self._net.duplicate_for_next_leader_share -= fault.amount
+
+        return end
--- a/oatport/simulation/machine_host.py
+++ b/oatport/simulation/machine_host.py
@@ -15,8 +15,8 @@
 from oatport.simulation.worker import Worker
 from oatport.times import MS, SECOND, micros, seconds
 
-REPORT_WITHIN = 4 * SECOND
-LEAST_GAP = 500 * MS
+HEARTBEAT_TIMEOUT = 4 * SECOND
+MIN_HEARTBEAT_GAP = 500 * MS
 
 
 class MachineHost:
@@ -25,42 +25,42 @@
     ) -> None:
         self._net, self.host, self.worker, self._rng = net, host, worker, rng
         self._names, self._addresses = list(nodes), list(nodes.values())
-        self._at = rng.randrange(len(nodes))
-        self._report_us = micros(timing.report_s)
+        self._node_index = rng.randrange(len(nodes))
+        self._heartbeat_us = micros(timing.report_s)
         self._half_lease = micros(timing.lease_s) // 2
         self._changed = asyncio.Event()
-        self._told: tuple[Any, ...] = ()
-        self._token_told_at = -self._half_lease
+        self._reported_signature: tuple[Any, ...] = ()
+        self._token_reported_at = -self._half_lease
         self._timer: asyncio.TimerHandle | None = None
-        worker.stirred = self._soon
+        worker.on_change = self._wake_soon
         # A node answered a report: which, and what was in it.
-        self.on_answered: Callable[[str, list[dict[str, Any]]], None] = lambda node, legs: None
+        self.on_heartbeat_answered: Callable[[str, list[dict[str, Any]]], None] = lambda node, legs: None
         net.listen(worker.address, host, self._serve)
 
     def start(self) -> None:
-        self.host.loop.create_task(self.run(), context=self.host.context)
-        self._soon()
+        self.host.loop.create_task(self._heartbeat_loop(), context=self.host.context)
+        self._wake_soon()
 
-    def end(self, why: str) -> None:
+    def terminate(self, why: str) -> None:
         """The machine and all on it are gone."""
         self.worker.kill(why)
         self._net.unplugged(self.worker.address)
         self.host.end()
 
-    def _soon(self) -> None:
+    def _wake_soon(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        self._timer = self.host.loop.later(0, self.host, self._wake)
+        self._timer = self.host.loop.call_later_us(0, self.host, self._wake)
 
     def _wake(self) -> None:
         """Let what is due happen, report what changed, and come back when the next thing is due."""
         self.worker.advance()
-        if self._signature() != self._told:
+        if self._signature() != self._reported_signature:
             self._changed.set()
-        delay = max(self.worker.next_at() - self.host.steady(), 0) + MS
+        delay = max(self.worker.next_event_at() - self.host.steady(), 0) + MS
         if self._timer is not None:
             self._timer.cancel()
-        self._timer = self.host.loop.later(delay, self.host, self._wake)
+        self._timer = self.host.loop.call_later_us(delay, self.host, self._wake)
 
     def _signature(self) -> tuple[Any, ...]:
         worker = self.worker
@@ -71,55 +71,55 @@
             return 200, self.worker.report()
         token = self.worker.token
         answer = self.worker.commands(body)
-        self._soon()
+        self._wake_soon()
         self._token_changed(token)
         return answer
 
     def _token_changed(self, before: int) -> None:
         """A higher token counts as a change at most once in half of the lease."""
         now = self.host.steady()
-        if self.worker.token > before and now - self._token_told_at >= self._half_lease:
-            self._token_told_at = now
+        if self.worker.token > before and now - self._token_reported_at >= self._half_lease:
+            self._token_reported_at = now
             self._changed.set()
 
-    async def run(self) -> None:
+    async def _heartbeat_loop(self) -> None:
         host = self.host
         sent = -SECOND
-        due = host.steady() + self._rng.randrange(self._report_us)
+        due = host.steady() + self._rng.randrange(self._heartbeat_us)
         while True:
             try:
                 async with asyncio.timeout(max(0.0, seconds(due - host.steady()))):
                     await self._changed.wait()
             except TimeoutError:
                 pass
-            gap = sent + LEAST_GAP - host.steady()
+            gap = sent + MIN_HEARTBEAT_GAP - host.steady()
             if gap > 0:
                 await asyncio.sleep(seconds(gap))
             self._changed.clear()
             self.worker.advance()
             sent = host.steady()
-            due = await self._report(sent)
-            self._soon()
+            due = await self._send_heartbeat(sent)
+            self._wake_soon()
 
-    async def _report(self, sent: int) -> int:
+    async def _send_heartbeat(self, sent: int) -> int:
         """Send one; when the next is due."""
         worker, host = self.worker, self.host
         body, session, token = worker.report(), worker.session, worker.token
-        self._told = self._signature()
+        self._reported_signature = self._signature()
         try:
             status, value = await self._net.request(
-                host, self._addresses[self._at], "POST", wire.HEARTBEAT_PATH, body, REPORT_WITHIN, ""
+                host, self._addresses[self._node_index], "POST", wire.HEARTBEAT_PATH, body, HEARTBEAT_TIMEOUT, ""
             )
         except NoResponseError:
             status, value = 0, None
         if status == 200:
-            self.on_answered(self._names[self._at], body["legs"])
+            self.on_heartbeat_answered(self._names[self._node_index], body["legs"])
             worker.answer(sent, session, value)
             self._token_changed(token)
-            return sent + round(self._report_us * self._rng.uniform(0.75, 1.25))
+            return sent + round(self._heartbeat_us * self._rng.uniform(0.75, 1.25))
         named = value.get("harbormaster") if status == 421 and isinstance(value, dict) else None
-        if named in self._names and self._names.index(named) != self._at:
-            self._at = self._names.index(named)
-            return host.steady() + self._rng.randrange(LEAST_GAP)
-        self._at = (self._at + 1) % len(self._names)
+        if named in self._names and self._names.index(named) != self._node_index:
+            self._node_index = self._names.index(named)
+            return host.steady() + self._rng.randrange(MIN_HEARTBEAT_GAP)
+        self._node_index = (self._node_index + 1) % len(self._names)
         return host.steady() + SECOND
--- a/oatport/simulation/network.py
+++ b/oatport/simulation/network.py
@@ -25,26 +25,27 @@
 from oatport.simulation.virtual_time import Host, VirtualLoop
 from oatport.times import MS, SECOND
 
-LATENCY = MS // 2
-KEPT = 30 * SECOND  # an idle connection is closed after this
-RESENT = 200 * MS  # a lost packet comes again
-LATE, LATE_MOST = 300 * MS, 12 * SECOND  # after a cut, until a connection tries again
-KNOCK = SECOND  # so is a connection attempt
-MESSAGES_KEPT = 6_000
-REPEATED = frozenset((wire.COMMIT_PATH, wire.MACHINES_PATH, wire.RELEASE_PATH, wire.SUBMISSIONS_PATH))
+ANY_HOST = "any"  # a tag that all hosts have
+LATENCY_US = MS // 2
+IDLE_CONNECTION_US = 30 * SECOND  # an idle connection is closed after this
+RETRANSMIT_US = 200 * MS  # a lost packet comes again
+RECONNECT_US, RECONNECT_MAX_US = 300 * MS, 12 * SECOND  # after a cut, until a connection tries again
+CONNECT_RETRY_US = SECOND  # so is a connection attempt
+MAX_KEPT_MESSAGES = 6_000
+DUPLICABLE_PATHS = frozenset((wire.COMMIT_PATH, wire.MACHINES_PATH, wire.RELEASE_PATH, wire.SUBMISSIONS_PATH))
 
 Serve = Callable[[str, str, Any], Any]  # method, path and body to (status, value), now or awaited
 
 
 @dataclass(frozen=True)
-class Rule:
+class LinkRule:
     """What the network does to messages from hosts with one tag to hosts with another."""
 
     source: str
     target: str
     # hold, lost, refuse (connections), slow, lossy, deaf (nothing arrives, what is sent back is sent), mute (no request
     # arrives, answers do)
-    what: str
+    effect: str
     unless: str = ""  # not between two hosts that both have this tag
     amount: float = 0.0  # seconds more, or the share lost
 
@@ -66,7 +67,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Wait:
+class PendingRequest:
     """One request under way, as its sender sees it."""
 
     future: asyncio.Future[tuple[int, bytes]]
@@ -80,13 +81,13 @@
         self._served: dict[str, tuple[Host, Serve]] = {}
         self._hosts: dict[str, Host] = {}  # by address, also of those that do not listen
         self._idle: dict[tuple[Host, str], deque[float]] = {}  # until when kept-alive connections are usable
-        self._serving: dict[Host, dict[Wait, Host]] = {}
-        self.rules: list[Rule] = []
-        self.repeats: list[tuple[str, float, list[str]]] = []  # what comes again, up to when (s), and where
-        self.kept_share = 0.0  # of reports: a copy is kept for the next leader
-        self._kept: list[tuple[Host, str, str, bytes | None]] = []  # from whom, and what
-        self.denied: list[tuple[str, str]] = []  # (host's name, address): answered 503, and nothing else
-        self.messages: deque[str] = deque(maxlen=MESSAGES_KEPT)
+        self._serving: dict[Host, dict[PendingRequest, Host]] = {}
+        self.rules: list[LinkRule] = []
+        self.duplications: list[tuple[str, float, list[str]]] = []  # what comes again, up to when (s), and where
+        self.duplicate_for_next_leader_share = 0.0  # of reports: a copy is kept for the next leader
+        self._kept_duplicates: list[tuple[Host, str, str, bytes | None]] = []  # from whom, and what
+        self.denied_routes: list[tuple[str, str]] = []  # (host's name, address): answered 503, and nothing else
+        self.messages: deque[str] = deque(maxlen=MAX_KEPT_MESSAGES)
         self.sent = 0
         self.keeps_bodies = False  # messages are kept with what they say
         self.closed = False  # the run is over: nobody is reached any more
@@ -109,7 +110,7 @@
         for key in [k for k in self._idle if k[0] is host or self._hosts.get(k[1]) is host]:
             del self._idle[key]
         for wait, caller in self._serving.pop(host, {}).items():
-            self._travel(host, caller, lambda wait=wait: self._fail(wait, NoResponseError("reset")))  # type: ignore[misc]
+            self._travel(host, caller, lambda wait=wait: self._fail_request(wait, NoResponseError("reset")))  # type: ignore[misc]
 
     def unplugged(self, address: str) -> None:
         """A machine is gone: connections to it hang."""
@@ -120,45 +121,45 @@
 
     # --- links ------------------------------------------------------------------------------
 
-    def add(self, rule: Rule) -> None:
+    def add(self, rule: LinkRule) -> None:
         self.rules.append(rule)
-        if rule.what == "lost":  # such a cut resets what is open
+        if rule.effect == "lost":  # such a cut resets what is open
             for key in list(self._idle):
                 target = self._hosts.get(key[1])
                 if target is not None and (rule.covers(key[0], target) or rule.covers(target, key[0])):
                     del self._idle[key]
 
-    def remove(self, rule: Rule) -> None:
+    def remove(self, rule: LinkRule) -> None:
         self.rules.remove(rule)
         for link in list(self._links.values()):
-            if link.held and not self._cut(link.source, link.target):
+            if link.held and not self._cut_mode(link.source, link.target):
                 held, link.held = link.held, deque()
                 for host, call in held:
                     slow = self._rng.random() < 0.25
-                    self._arrive(link, host, call, self._rng.randrange(LATE_MOST if slow else LATE))
+                    self._arrive(link, host, call, self._rng.randrange(RECONNECT_MAX_US if slow else RECONNECT_US))
 
-    def _what(self, source: Host, target: Host, what: str) -> float | None:
+    def _rule_amount(self, source: Host, target: Host, what: str) -> float | None:
         """What rules of a kind add up to on a link; None: there is none."""
-        found = [rule.amount for rule in self.rules if rule.what == what and rule.covers(source, target)]
+        found = [rule.amount for rule in self.rules if rule.effect == what and rule.covers(source, target)]
         return sum(found) if found else None
 
-    def _cut(self, source: Host, target: Host) -> str:
+    def _cut_mode(self, source: Host, target: Host) -> str:
         for rule in self.rules:
-            if rule.what in ("hold", "lost") and rule.covers(source, target):
-                return rule.what
+            if rule.effect in ("hold", "lost") and rule.covers(source, target):
+                return rule.effect
         return ""
 
     def carries(self, source: Host, target: Host) -> bool:
         """What is sent now arrives, at once or slowly."""
-        return not self._cut(source, target) and self._what(source, target, "deaf") is None
+        return not self._cut_mode(source, target) and self._rule_amount(source, target, "deaf") is None
 
     def _travel(self, source: Host, target: Host, call: Callable[[], None]) -> None:
         """Bring a message over: `call` happens on the target when it arrives."""
         link = self._links.get((source, target))
         if link is None:
             link = self._links[source, target] = Link(source, target)
-        cut = self._cut(source, target) if self.rules else ""
-        if cut == "lost" or (self.rules and self._what(source, target, "deaf") is not None):
+        cut = self._cut_mode(source, target) if self.rules else ""
+        if cut == "lost" or (self.rules and self._rule_amount(source, target, "deaf") is not None):
             return
         if cut:
             link.held.append((target, call))
@@ -166,11 +167,11 @@
         self._arrive(link, target, call)
 
     def _arrive(self, link: Link, host: Host, call: Callable[[], None], late: int = 0) -> None:
-        delay = LATENCY + self._rng.randrange(LATENCY)
+        delay = LATENCY_US + self._rng.randrange(LATENCY_US)
         if self.rules:
-            delay += round((self._what(link.source, host, "slow") or 0.0) * SECOND)
-            if self._rng.random() < (self._what(link.source, host, "lossy") or 0.0):
-                delay += RESENT
+            delay += round((self._rule_amount(link.source, host, "slow") or 0.0) * SECOND)
+            if self._rng.random() < (self._rule_amount(link.source, host, "lossy") or 0.0):
+                delay += RETRANSMIT_US
         self.loop.call_at(self.loop.time() + (delay + late) / SECOND, call, context=host.context)
 
     # --- requests ---------------------------------------------------------------------------
@@ -181,56 +182,64 @@
         if self.closed:
             raise RequestNotSentError("the run is over")
         data = None if body is None else wire.encode(body)
-        wait = Wait(self.loop.create_future())
-        timer = self.loop.later(timeout_us, source, self._fail, wait, NoResponseError("timeout"))
+        wait = PendingRequest(self.loop.create_future())
+        timer = self.loop.call_later_us(timeout_us, source, self._fail_request, wait, NoResponseError("timeout"))
         target = f"{path}?{query}" if query else path
         try:
             await self._connect(source, address, wait)
-            self._note(source, address, method, target, data)
+            self._record(source, address, method, target, data)
             host = self._hosts[address]
-            if self.repeats:
-                self._repeat(source, address, method, target, data)
-            if path == wire.HEARTBEAT_PATH and self.kept_share and self._rng.random() < self.kept_share:
-                self._kept.append((source, method, target, data))
+            if self.duplications:
+                self._duplicate(source, address, method, target, data)
+            if (
+                path == wire.HEARTBEAT_PATH
+                and self.duplicate_for_next_leader_share
+                and self._rng.random() < self.duplicate_for_next_leader_share
+            ):
+                self._kept_duplicates.append((source, method, target, data))
             self._travel(source, host, lambda: self._serve(source, host, address, method, target, data, wait))
             status, raw = await wait.future
         finally:
             timer.cancel()
-        self._idle.setdefault((source, address), deque()).append(self.loop.time() + KEPT / SECOND)
+        self._idle.setdefault((source, address), deque()).append(self.loop.time() + IDLE_CONNECTION_US / SECOND)
         return status, wire.decode(raw) if raw else None
 
-    async def _connect(self, source: Host, address: str, wait: Wait) -> None:
+    async def _connect(self, source: Host, address: str, wait: PendingRequest) -> None:
         idle = self._idle.get((source, address))
         while idle:
-            if idle.pop() > self.loop.time() and not self._mute(source, address):
+            if idle.pop() > self.loop.time() and not self._is_mute(source, address):
                 return
         while not wait.future.done():
             host = self._hosts.get(address)
-            mute = host is not None and (self._mute(source, address) or self._what(source, host, "deaf") is not None)
-            if host is not None and not mute and not (self._cut(source, host) or self._cut(host, source)):
-                if self._what(source, host, "refuse") is not None or (address not in self._served and not host.dead):
+            mute = host is not None and (
+                self._is_mute(source, address) or self._rule_amount(source, host, "deaf") is not None
+            )
+            if host is not None and not mute and not (self._cut_mode(source, host) or self._cut_mode(host, source)):
+                if self._rule_amount(source, host, "refuse") is not None or (
+                    address not in self._served and not host.dead
+                ):
                     raise RequestNotSentError("refused")
                 if address in self._served:
-                    await asyncio.sleep(2 * LATENCY / SECOND)
-                    if not (self._cut(source, host) or self._cut(host, source)):
+                    await asyncio.sleep(2 * LATENCY_US / SECOND)
+                    if not (self._cut_mode(source, host) or self._cut_mode(host, source)):
                         return
                 elif "node" in host.tags:
                     raise RequestNotSentError("refused")  # its machine is up, the process is not
             # Nobody answers: knocked again until the caller gives up.
-            await asyncio.wait([wait.future], timeout=KNOCK / SECOND)
+            await asyncio.wait([wait.future], timeout=CONNECT_RETRY_US / SECOND)
         await wait.future
 
-    def _mute(self, source: Host, address: str) -> bool:
+    def _is_mute(self, source: Host, address: str) -> bool:
         host = self._hosts.get(address)
-        return bool(self.rules) and host is not None and self._what(source, host, "mute") is not None
+        return bool(self.rules) and host is not None and self._rule_amount(source, host, "mute") is not None
 
     def _serve(
-        self, source: Host, host: Host, address: str, method: str, target: str, data: bytes | None, wait: Wait
+        self, source: Host, host: Host, address: str, method: str, target: str, data: bytes | None, wait: PendingRequest
     ) -> None:
         served = self._served.get(address)
         if served is None or served[0] is not host:
             return
-        if self.denied and (source.name, address) in self.denied:
+        if self.denied_routes and (source.name, address) in self.denied_routes:
             self._reply(host, source, (503, None), wait)
             return
         try:
@@ -244,43 +253,45 @@
             return
         self._reply(host, source, value, wait)
 
-    def _repeat(self, source: Host, address: str, method: str, target: str, data: bytes | None) -> None:
+    def _duplicate(self, source: Host, address: str, method: str, target: str, data: bytes | None) -> None:
         """A copy of what was just sent comes again later: a report at any node, other requests where they went.
 
         Commands come as they are sent, and no more: none is executed twice once its first was answered (PROTOCOL speaks
         of copies of reports, and of requests that their sender repeats).
         """
         path = target.split("?")[0]
-        for kind, most_s, addresses in self.repeats:
+        for kind, most_s, addresses in self.duplications:
             report = path == wire.HEARTBEAT_PATH
-            if (kind == "reports") != report or (not report and (method != "POST" or path not in REPEATED)):
+            if (kind == "reports") != report or (not report and (method != "POST" or path not in DUPLICABLE_PATHS)):
                 continue
             if self._rng.random() > (0.2 if report else 0.1):
                 continue
             there = self._rng.choice(addresses) if report else address
             delay = round(self._rng.uniform(0.05, most_s) * SECOND)
-            self.loop.later(delay, None, self._copy, source, there, method, target, data)
+            self.loop.call_later_us(delay, None, self._send_copy, source, there, method, target, data)
 
-    def deliver_kept(self, address: str) -> None:
+    def deliver_kept_duplicates(self, address: str) -> None:
         """What was kept for the next leader arrives there, within the second in which it begins."""
-        for source, method, target, data in self._kept:
-            self.loop.later(self._rng.randrange(SECOND), None, self._copy, source, address, method, target, data)
-        self._kept.clear()
+        for source, method, target, data in self._kept_duplicates:
+            self.loop.call_later_us(
+                self._rng.randrange(SECOND), None, self._send_copy, source, address, method, target, data
+            )
+        self._kept_duplicates.clear()
 
-    def _copy(self, source: Host, address: str, method: str, target: str, data: bytes | None) -> None:
+    def _send_copy(self, source: Host, address: str, method: str, target: str, data: bytes | None) -> None:
         host = self._hosts.get(address)
         if host is None or self.closed:
             return
-        wait = Wait(self.loop.create_future())  # nobody reads the answer
+        wait = PendingRequest(self.loop.create_future())  # nobody reads the answer
         self._travel(source, host, lambda: self._serve(source, host, address, method, target, data, wait))
 
-    async def _answer(self, host: Host, source: Host, value: Any, wait: Wait) -> None:
+    async def _answer(self, host: Host, source: Host, value: Any, wait: PendingRequest) -> None:
         try:
             self._reply(host, source, await value, wait)
         finally:
             self._serving.get(host, {}).pop(wait, None)
 
-    def _reply(self, host: Host, source: Host, value: tuple[int, Any], wait: Wait) -> None:
+    def _reply(self, host: Host, source: Host, value: tuple[int, Any], wait: PendingRequest) -> None:
         raw = b"" if value[1] is None else wire.encode(value[1])
 
         def come() -> None:
@@ -290,11 +301,11 @@
         self._travel(host, source, come)
 
     @staticmethod
-    def _fail(wait: Wait, error: Exception) -> None:
+    def _fail_request(wait: PendingRequest, error: Exception) -> None:
         if not wait.future.done():
             wait.future.set_exception(error)
 
-    def _note(self, source: Host, address: str, method: str, target: str, data: bytes | None) -> None:
+    def _record(self, source: Host, address: str, method: str, target: str, data: bytes | None) -> None:
         self.sent += 1
         line = f"{self.loop.time() - 1000:10.4f} {source.name} -> {self._hosts[address].name} {method} {target}"
         self.digest = zlib.crc32(line.encode(), self.digest)
--- /dev/null
+++ b/oatport/simulation/node_processes.py
@@ -0,0 +1,82 @@
+"""The processes of the controller nodes in a simulated deployment: started, crashed, restarted and upgraded."""
+
+from __future__ import annotations
+
+import random
+from typing import Any
+
+from oatport.service.node import Node
+from oatport.settings import ClusterSettings, Tuning
+from oatport.simulation import deployment, production_build
+from oatport.simulation.fault_plan import Plan
+from oatport.simulation.network import ANY_HOST, Net, NodeNetwork
+from oatport.simulation.virtual_time import Host, VirtualLoop
+
+
+class NodeProcesses:
+    """The nodes that run now, of this version or of the version in production."""
+
+    def __init__(
+        self,
+        loop: VirtualLoop,
+        net: Net,
+        plan: Plan,
+        settings: ClusterSettings,
+        tuning: Tuning,
+        rng: random.Random,
+    ) -> None:
+        self._loop, self._net, self._plan, self._settings, self._tuning = loop, net, plan, settings, tuning
+        self._rng = rng
+        self.addresses = deployment.node_addresses(plan)
+        self.nodes: dict[str, Any] = {}  # of this version or of that in production
+        self.hosts: dict[str, Host] = {}
+        self.upgraded: set[str] = set() if plan.old_nodes else set(self.addresses)  # names of nodes of this version
+        self._start_counts = dict.fromkeys(self.addresses, 0)
+
+    @property
+    def names(self) -> list[str]:
+        """All nodes, whether their processes run or not."""
+        return list(self.addresses)
+
+    @property
+    def user_addresses(self) -> list[str]:
+        """Where the nodes serve users and workers."""
+        return [user_address for user_address, _ in self.addresses.values()]
+
+    def start(self, name: str) -> None:
+        """Start a node's process on a host of its own, whose clocks run a little off."""
+        host = Host(
+            self._loop,
+            name,
+            ANY_HOST,
+            "node",
+            f"zone:{deployment.node_zone(name)}",
+            drift=self._rng.uniform(0, 0.0005),
+            clock_offset_us=self._rng.randrange(-4000, 4000),
+        )
+        self._start_counts[name] += 1
+        settings = deployment.node_settings(self._plan, name, self._settings)
+        for address in (settings.bind, settings.internal_addr):
+            self._net.at(address, host)
+        boot = f"{name}-{self._start_counts[name]}"
+        # By its host's clocks: by the machine's, when a process began depended on for how long that had been up.
+        if name in self.upgraded:
+            network = NodeNetwork(self._net, host)
+            node: Any = host.context.run(Node, settings, self._tuning, net=network, boot=boot)
+        else:
+            node = production_build.production().make_node(settings, self._net, host, boot)
+        self.nodes[name], self.hosts[name] = node, host
+        self._loop.create_task(node.run(), context=host.context)
+
+    def crash(self, name: str) -> None:
+        """End a node's process at once, if it runs."""
+        host = self.hosts.pop(name, None)
+        if host is not None:
+            del self.nodes[name]
+            host.end()
+            self._net.ended(host)
+
+    def ensure_started(self, name: str) -> None:
+        """Start a node unless the end of another fault was faster."""
+        if name not in self.hosts:
+            self.start(name)
--- a/oatport/simulation/quota_scenarios.py
+++ b/oatport/simulation/quota_scenarios.py
@@ -14,11 +14,11 @@
 class QuotaScenario(ScenarioBuilder):
     """What meets, each by itself; a plan has several in a row."""
 
-    def _lead_changes(self, at: float) -> None:
+    def _change_leader(self, at: float) -> None:
         """One way or another, or twice."""
         ways: list[Callable[[float], None]] = [
-            lambda when: self.add("node_crash", when, self.end()),
-            lambda when: self.add("node_crash", when, self.end(), node=ALL),
+            lambda when: self.add("node_crash", when, self.restart_after_s()),
+            lambda when: self.add("node_crash", when, self.restart_after_s(), node=ALL),
             lambda when: self.add("node_refused", when, self.rng.uniform(2.2, 9)),
             lambda when: self.add("node_freeze", when, self.rng.uniform(3, LEASE_S)),
             lambda when: self.add("node_alone", when, self.rng.uniform(3, CANCEL_S - LEASE_S)),
@@ -28,13 +28,13 @@
             self.rng.choice(ways)(at)
             at += self.rng.uniform(1.0, 6.0)
 
-    def _not_reached(self, at: float) -> None:
+    def _make_machines_unreachable(self, at: float) -> None:
         """Machines hang, are cut off, don't hear or aren't heard, for around a lease."""
-        span, many = LEASE_S * self.rng.uniform(0.3, 2.2), self.few * self.rng.choice([1, 3])
+        span, many = LEASE_S * self.rng.uniform(0.3, 2.2), self.small_machine_count * self.rng.choice([1, 3])
         kind = self.rng.choice(["machine_hang", "machine_cut", "machine_deaf", "machine_mute"])
         self.add(kind, at, span, count=many)
 
-    def _lag(self, at: float) -> None:
+    def _delay_writes(self, at: float) -> None:
         """What is written is late, or unsure; reports come again."""
         for kind, span, amounts in (
             ("late_writes", self.rng.uniform(2, 12), (0.2, 0.5, 0.8)),
@@ -45,19 +45,19 @@
             if self.rng.random() < 0.4:
                 self.add(kind, max(5.0, at - span * self.rng.random()), span, amount=self.rng.choice(amounts))
 
-    def cancelled(self, at: float) -> None:
+    def cancelled_running_jobs(self, at: float) -> None:
         """Jobs that run are cancelled, some of their machines hang, and the leader changes."""
         self.add(
             "cancel_now",
             at,
-            count=self.few * self.rng.choice([2, 6]),
+            count=self.small_machine_count * self.rng.choice([2, 6]),
             amount=self.rng.choice([0.0, LEASE_S * self.rng.uniform(0.2, 2.0)]),
         )
-        self._not_reached(at + self.rng.uniform(-2, 2))
-        self._lag(at)
-        self._lead_changes(at + self.rng.uniform(-1.5, 4))
+        self._make_machines_unreachable(at + self.rng.uniform(-2, 2))
+        self._delay_writes(at)
+        self._change_leader(at + self.rng.uniform(-1.5, 4))
 
-    def ended(self, at: float) -> None:
+    def completions_in_failover(self, at: float) -> None:
         """Tasks end all the time, and machines are taken back or returned, when the leader changes."""
         self.add(
             "rush",
@@ -70,44 +70,49 @@
             self.add(
                 "machines_taken",
                 at - self.rng.uniform(0, 8),
-                count=self.few * 3,
+                count=self.small_machine_count * 3,
                 amount=self.rng.choice([0.0, 4.0, 15.0]),
             )
         if self.rng.random() < 0.5:
-            self.add("machine_die", at - self.rng.uniform(0, 3), count=self.few)
-        self._lag(at)
-        self._lead_changes(at + self.rng.uniform(-1.0, 1.5))
+            self.add("machine_die", at - self.rng.uniform(0, 3), count=self.small_machine_count)
+        self._delay_writes(at)
+        self._change_leader(at + self.rng.uniform(-1.0, 1.5))
 
     def new_machines(self, at: float) -> None:
         """Machines come up at once and get work while writes lag."""
         self.add("quick_boots", at - 6, 14.0)
-        self.add("machine_die", at - 5, count=self.few * 2)
+        self.add("machine_die", at - 5, count=self.small_machine_count * 2)
         self.add("rush", max(1.0, at - 5), 6.0, name="batch", amount=self.rng.uniform(2, 6))
-        self._lag(at)
-        self._lead_changes(at + self.rng.uniform(-1, 3))
+        self._delay_writes(at)
+        self._change_leader(at + self.rng.uniform(-1, 3))
 
-    def given_up(self, at: float) -> None:
+    def lost_machines_with_completions(self, at: float) -> None:
         """What ended is not written, its machines are given up meanwhile, and then all nodes end."""
         self.add("late_writes", at, 9.0, amount=0.9)
-        self.add("machine_hang", at + self.rng.uniform(0.8, 2.0), LEASE_S - 2, count=self.few * 4)
-        self.add("node_crash", at + self.rng.uniform(7.2, 8.5), self.end(), node=ALL)
+        self.add("machine_hang", at + self.rng.uniform(0.8, 2.0), LEASE_S - 2, count=self.small_machine_count * 4)
+        self.add("node_crash", at + self.rng.uniform(7.2, 8.5), self.restart_after_s(), node=ALL)
 
-    def gangs_end(self, at: float) -> None:
+    def gang_completions(self, at: float) -> None:
         """Gangs complete, and one of their machines dies in that moment; the leader changes."""
         self.add("rush", max(1.0, at - 10), 10.0, name="train", amount=self.rng.uniform(10, 25))
         self.add("die_at_end", max(2.0, at - 6), 40.0, amount=0.5)
-        self._lag(at)
-        self._lead_changes(at + self.rng.uniform(1, 12))
+        self._delay_writes(at)
+        self._change_leader(at + self.rng.uniform(1, 12))
 
-    def away(self, at: float) -> None:
+    def long_controller_outage(self, at: float) -> None:
         """All controllers are away for longer than a lease, or the state service is, with jobs cancelled before."""
-        self.add("cancel_now", at - self.rng.uniform(0, 3), count=self.few * 4, amount=self.rng.choice([0.0, LEASE_S]))
+        self.add(
+            "cancel_now",
+            at - self.rng.uniform(0, 3),
+            count=self.small_machine_count * 4,
+            amount=self.rng.choice([0.0, LEASE_S]),
+        )
         if self.rng.random() < 0.5:
             self.add("node_crash", at, LEASE_S + self.rng.uniform(-3, 4), node=ALL)
         else:
             self.add("state_down", at, LEASE_S * self.rng.uniform(0.5, 2.5))
-            self._lead_changes(at + self.rng.uniform(1, 8))
-        self._lag(at)
+            self._change_leader(at + self.rng.uniform(1, 8))
+        self._delay_writes(at)
 
 
 def quota_plan(
@@ -116,7 +121,14 @@
     """All teams at their limits, and three rounds of what meets there."""
     plan = QuotaScenario(seed, nodes, machines, zones, for_s)
     rng = plan.rng
-    meetings = (plan.cancelled, plan.ended, plan.new_machines, plan.away, plan.given_up, plan.gangs_end)
+    meetings = (
+        plan.cancelled_running_jobs,
+        plan.completions_in_failover,
+        plan.new_machines,
+        plan.long_controller_outage,
+        plan.lost_machines_with_completions,
+        plan.gang_completions,
+    )
     at = rng.uniform(18, 28)
     for turn in range(3):
         meetings[(seed + turn) % len(meetings)](at)
--- a/oatport/simulation/runner.py
+++ b/oatport/simulation/runner.py
@@ -66,7 +66,7 @@
     try:
         with mutated(request.disabled_check):
             simulation = Simulation(plan or request.plan_of(seed), seed)
-            simulation.net.keeps_bodies = keep_bodies
+            simulation.deployed.net.keeps_bodies = keep_bodies
             return simulation.run()
     finally:
         logging.disable(logging.NOTSET)
--- a/oatport/simulation/scenario_generator.py
+++ b/oatport/simulation/scenario_generator.py
@@ -9,7 +9,7 @@
 import random
 from collections.abc import Callable
 
-from oatport.simulation.fault_plan import ALL, LEADER, MODES, WAYS, WHAT, Fault, Plan
+from oatport.simulation.fault_plan import ALL, CUT_DIRECTIONS, CUT_MODES, LEADER, NODE_CUT_TARGETS, Fault, Plan
 
 PIPELINES = 5.0  # a minute
 
@@ -20,47 +20,47 @@
     def __init__(self, seed: int, nodes: int, machines: int, zones: tuple[str, ...], for_s: float) -> None:
         self.rng = random.Random(f"plan {seed}")
         self.names = [f"n{number}" for number in range(nodes)]
-        self.few = max(1, machines // 10)
+        self.small_machine_count = max(1, machines // 10)
         self.zones, self.for_s = zones, for_s
         self.faults: list[Fault] = []
 
     def add(self, kind: str, at: float, for_s: float = 0.0, **more: object) -> None:
         self.faults.append(Fault(kind, at, for_s, **more))  # type: ignore[arg-type]
 
-    def node(self) -> str:
+    def random_node(self) -> str:
         return self.rng.choice([LEADER] * 3 + self.names)
 
-    def end(self) -> float:
+    def restart_after_s(self) -> float:
         """How long a process is away: back within a blink, or after seconds."""
         return self.rng.uniform(0.05, 0.6) if self.rng.random() < 0.6 else self.rng.uniform(0.6, 6.0)
 
-    def moment(self, before_end: float = 30.0) -> float:
+    def random_time_s(self, before_end: float = 30.0) -> float:
         return self.rng.uniform(12, max(13.0, self.for_s - before_end))
 
     # --- ends of processes ------------------------------------------------------------------
 
-    def in_flight(self) -> None:
+    def crash_with_starts_in_flight(self) -> None:
         """Starts are on their way when the leader ends; they arrive after the next process of that name has begun."""
-        for at in self._rounds():
-            self._late_starts(at, 1.0, self.rng.uniform(2.0, 3.5))
+        for at in self._wave_times():
+            self._delayed_starts(at, 1.0, self.rng.uniform(2.0, 3.5))
             self.add("node_crash", at + self.rng.uniform(0.7, 1.0), self.rng.uniform(0.05, 0.4))
 
-    def _rounds(self) -> list[float]:
+    def _wave_times(self) -> list[float]:
         """Moments close enough that the room of one swarm still stands by for the next."""
         first = self.rng.uniform(9, 14)
         return [first + number * self.rng.uniform(17, 20) for number in range(self.rng.randint(4, 5))]
 
-    def _late_starts(self, at: float, window: float, late: float, name: str = "guest") -> None:
+    def _delayed_starts(self, at: float, window: float, late: float, name: str = "guest") -> None:
         """A swarm of tasks; the commands that go out within the window arrive so late."""
-        self._swarm(at, name)
+        self._task_burst(at, name)
         self.add("links_slow", at, window, source="node", target="worker", amount=late)
 
-    def _swarm(self, at: float, name: str = "guest") -> None:
+    def _task_burst(self, at: float, name: str = "guest") -> None:
         self.add("rush", at - 1, 2.2, name=name, amount=self.rng.uniform(36, 60))
 
-    def slow_requests(self) -> None:
+    def crash_with_slow_requests(self) -> None:
         """So are transactions, rentals and releases."""
-        at, target = self.moment(), self.rng.choice(["state", "cloud"])
+        at, target = self.random_time_s(), self.rng.choice(["state", "cloud"])
         self.add(
             "links_slow",
             at,
@@ -69,85 +69,95 @@
             target=target,
             amount=self.rng.uniform(0.2, 0.5) if target == "state" else self.rng.uniform(0.5, 3),
         )
-        self.add("node_crash", at + self.rng.uniform(0.8, 3), self.end())
+        self.add("node_crash", at + self.rng.uniform(0.8, 3), self.restart_after_s())
 
-    def lost_commit(self) -> None:
+    def crash_with_lost_commit(self) -> None:
         """The leader ends while what it wrote is lost on the way, and a zone that might tell what runs is not heard."""
-        for at in self._rounds():
+        for at in self._wave_times():
             zone = f"zone:{self.rng.choice(self.zones)}"
-            self._swarm(at)
+            self._task_burst(at)
             self.add("node_cut", at, self.rng.uniform(1, 1.3), what="state", mode="lost", way="to")
             self.add("node_crash", at + 0.8, self.rng.uniform(0.05, 0.3))
             self.add("links_cut", at + 0.8, self.rng.uniform(3, 4.5), source=zone, target="node")
 
-    def all_at_once(self) -> None:
-        self.add("node_crash", self.moment(), self.end(), node=ALL)
+    def crash_all_nodes(self) -> None:
+        self.add("node_crash", self.random_time_s(), self.restart_after_s(), node=ALL)
 
-    def in_a_row(self) -> None:
-        at = self.moment()
+    def rolling_crashes(self) -> None:
+        at = self.random_time_s()
         for name in self.rng.sample(self.names, len(self.names)):
-            self.add("node_crash", at, self.end(), node=name)
+            self.add("node_crash", at, self.restart_after_s(), node=name)
             at += self.rng.uniform(0.3, 20 / len(self.names))
 
-    def in_an_outage(self) -> None:
-        at, long = self.moment(40), self.rng.uniform(4, 25)
+    def crashes_in_state_outage(self) -> None:
+        at, long = self.random_time_s(40), self.rng.uniform(4, 25)
         self.add("state_down", at, long)
         for _ in range(self.rng.randint(1, 2)):
-            self.add("node_crash", at + self.rng.uniform(0, long + 1), self.end(), node=self.rng.choice([ALL, LEADER]))
-
-    def in_a_cut(self) -> None:
-        at, long = self.moment(45), self.rng.uniform(8, 40)
+            self.add(
+                "node_crash",
+                at + self.rng.uniform(0, long + 1),
+                self.restart_after_s(),
+                node=self.rng.choice([ALL, LEADER]),
+            )
+
+    def crashes_in_zone_partition(self) -> None:
+        at, long = self.random_time_s(45), self.rng.uniform(8, 40)
         self.add("zone_cut", at, long, zone=self.rng.choice(self.zones), mode=self.rng.choice(["hold", "lost"]))
         for _ in range(self.rng.randint(1, 3)):
-            self.add("node_crash", at + self.rng.uniform(0, long), self.end(), node=self.rng.choice([ALL, *self.names]))
-
-    def in_a_takeover(self) -> None:
-        at = self.moment()
+            self.add(
+                "node_crash",
+                at + self.rng.uniform(0, long),
+                self.restart_after_s(),
+                node=self.rng.choice([ALL, *self.names]),
+            )
+
+    def crash_in_takeover(self) -> None:
+        at = self.random_time_s()
         self.add("node_crash", at, self.rng.uniform(3.5, 6))
-        self.add("node_crash", at + self.rng.uniform(2.9, 4.2), self.end())
+        self.add("node_crash", at + self.rng.uniform(2.9, 4.2), self.restart_after_s())
 
-    def in_a_handover(self) -> None:
-        at = self.moment()
+    def crash_in_handover(self) -> None:
+        at = self.random_time_s()
         self.add("node_refused", at, self.rng.uniform(4, 12))
-        self.add("node_crash", at + self.rng.uniform(2, 3.5), self.end(), node=self.rng.choice(self.names))
+        self.add("node_crash", at + self.rng.uniform(2, 3.5), self.restart_after_s(), node=self.rng.choice(self.names))
 
     # --- starts, commits and cancellations that are overtaken -----------------------------------
 
     def overtaken_starts(self) -> None:
         """Starts are late, so they are sent again; what they started is stopped and runs elsewhere when they land."""
-        for at in self._rounds():
-            self._late_starts(at, 1.2, self.rng.uniform(4, 6))
-            self.add("machines_taken", at + self.rng.uniform(2.2, 2.8), count=self.few, amount=4.0)
+        for at in self._wave_times():
+            self._delayed_starts(at, 1.2, self.rng.uniform(4, 6))
+            self.add("machines_taken", at + self.rng.uniform(2.2, 2.8), count=self.small_machine_count, amount=4.0)
 
-    def late_commit(self) -> None:
+    def pause_with_commit_in_flight(self) -> None:
         """A commit is under way when the leader stands still, for longer than its lease."""
-        at = self.moment(40)
+        at = self.random_time_s(40)
         self.add("state_slow", at, self.rng.uniform(3, 8), amount=self.rng.uniform(0.4, 0.9))
         self.add("node_freeze", at + self.rng.uniform(1, 3), self.rng.uniform(5, 15))
 
-    def long_cut(self) -> None:
+    def long_zone_partition(self) -> None:
         """A leader and its zone are cut off for longer than a cancellation may take."""
         at = self.rng.uniform(10, max(11.0, self.for_s - 75))
         self.add("zone_cut", at, self.rng.uniform(46, 60), zone=self.rng.choice(self.zones), mode="hold")
-        self.add("users_cancel", at + self.rng.uniform(0, 3), count=self.few * 2)
+        self.add("users_cancel", at + self.rng.uniform(0, 3), count=self.small_machine_count * 2)
 
 
 # Each plan has one of these, by weight. What starts that are overtaken hit is seldom, and hidden by other troubles.
 AIMED = {
     ScenarioBuilder.overtaken_starts: 10,
-    ScenarioBuilder.in_flight: 7,
-    ScenarioBuilder.long_cut: 4,
-    ScenarioBuilder.lost_commit: 2,
+    ScenarioBuilder.crash_with_starts_in_flight: 7,
+    ScenarioBuilder.long_zone_partition: 4,
+    ScenarioBuilder.crash_with_lost_commit: 2,
 }
 OTHERS = (
-    ScenarioBuilder.slow_requests,
-    ScenarioBuilder.all_at_once,
-    ScenarioBuilder.in_a_row,
-    ScenarioBuilder.in_an_outage,
-    ScenarioBuilder.in_a_cut,
-    ScenarioBuilder.in_a_takeover,
-    ScenarioBuilder.in_a_handover,
-    ScenarioBuilder.late_commit,
+    ScenarioBuilder.crash_with_slow_requests,
+    ScenarioBuilder.crash_all_nodes,
+    ScenarioBuilder.rolling_crashes,
+    ScenarioBuilder.crashes_in_state_outage,
+    ScenarioBuilder.crashes_in_zone_partition,
+    ScenarioBuilder.crash_in_takeover,
+    ScenarioBuilder.crash_in_handover,
+    ScenarioBuilder.pause_with_commit_in_flight,
 )
 
 
@@ -156,27 +166,27 @@
 ) -> Plan:
     """Some faults of all kinds by chance, one aimed pattern, and up to two others."""
     plan = ScenarioBuilder(seed, nodes, machines, zones, for_s)
-    rng, few, node, end = plan.rng, plan.few, plan.node, plan.end
+    rng, few, node, end = plan.rng, plan.small_machine_count, plan.random_node, plan.restart_after_s
     makers: list[Callable[[float], Fault]] = [
         lambda at: Fault(
             "node_cut",
             at,
             rng.uniform(3, 35),
             node=node(),
-            what=rng.choice(WHAT),
-            mode=rng.choice(MODES),
-            way=rng.choice(WAYS),
+            what=rng.choice(NODE_CUT_TARGETS),
+            mode=rng.choice(CUT_MODES),
+            way=rng.choice(CUT_DIRECTIONS),
         ),
         lambda at: Fault("node_refused", at, rng.uniform(3, 30), node=node()),
         lambda at: Fault("peers_refuse", at, rng.uniform(5, 30)),
         lambda at: Fault("node_freeze", at, rng.uniform(1, 25), node=node()),
         lambda at: Fault("node_crash", at, end(), node=node()),
         lambda at: Fault("node_slow", at, rng.uniform(5, 20), node=node(), amount=rng.uniform(2, 10)),
-        lambda at: Fault("machine_cut", at, rng.uniform(3, 40), count=rng.randint(1, few), mode=rng.choice(MODES)),
+        lambda at: Fault("machine_cut", at, rng.uniform(3, 40), count=rng.randint(1, few), mode=rng.choice(CUT_MODES)),
         lambda at: Fault("machine_hang", at, rng.uniform(3, 30), count=rng.randint(1, few)),
         lambda at: Fault("machine_die", at, count=rng.randint(1, few)),
         lambda at: Fault("machines_taken", at, count=rng.randint(1, few), amount=rng.choice([0.0, 15.0])),
-        lambda at: Fault("zone_cut", at, rng.uniform(5, 40), zone=rng.choice(zones), mode=rng.choice(MODES)),
+        lambda at: Fault("zone_cut", at, rng.uniform(5, 40), zone=rng.choice(zones), mode=rng.choice(CUT_MODES)),
         lambda at: Fault(
             "links_slow",
             at,
@@ -199,7 +209,7 @@
         lambda at: Fault("state_slow", at, rng.uniform(5, 20), amount=rng.uniform(0.1, 0.6)),
         lambda at: Fault("cloud_down", at, rng.uniform(5, 30)),
         lambda at: Fault("no_capacity", at, rng.uniform(10, 60)),
-        *_end_of_day(rng, few, zones, node),
+        *_unreachable_machine_faults(rng, few, zones, node),
     ]
     aimed = rng.choices(list(AIMED), list(AIMED.values()))[0]
     alone = aimed is ScenarioBuilder.overtaken_starts
@@ -218,7 +228,7 @@
     )
 
 
-def _end_of_day(
+def _unreachable_machine_faults(
     rng: random.Random, few: int, zones: tuple[str, ...], node: Callable[[], str]
 ) -> list[Callable[[float], Fault]]:
     """Machines that aren't reached, copies, a node that is alone with its workers, ends within a blink."""
@@ -227,7 +237,7 @@
         lambda at: Fault("machine_deaf", at, rng.uniform(5, 30), zone=rng.choice(zones)),
         lambda at: Fault("report_copies", at, rng.uniform(20, 60), amount=rng.choice([3.0, 20.0, 50.0])),
         lambda at: Fault("late_repeats", at, rng.uniform(20, 60), amount=rng.choice([1.0, 20.0])),
-        lambda at: Fault("node_alone", at, rng.uniform(2, 50), node=node(), mode=rng.choice(MODES)),
+        lambda at: Fault("node_alone", at, rng.uniform(2, 50), node=node(), mode=rng.choice(CUT_MODES)),
         lambda at: Fault("machine_blink", at, count=rng.choice([1, few]), amount=rng.choice([0.0, 1.0])),
     ]
 
@@ -238,24 +248,24 @@
     """One or two of the troubles at the end of a day, beside others; then time to answer everything."""
     plan = ScenarioBuilder(seed, nodes, machines, zones, for_s)
     rng = plan.rng
-    kinds = _end_of_day(rng, plan.few, zones, plan.node)
+    kinds = _unreachable_machine_faults(rng, plan.small_machine_count, zones, plan.random_node)
     plan.faults += [rng.choice(kinds)(rng.uniform(10, 50)) for _ in range(rng.randint(1, 2))]
     if rng.random() < 0.5:
-        plan.add("node_crash", rng.uniform(12, 60), plan.end(), node=rng.choice([ALL, LEADER, LEADER]))
+        plan.add("node_crash", rng.uniform(12, 60), plan.restart_after_s(), node=rng.choice([ALL, LEADER, LEADER]))
     if rng.random() < 0.5:
-        plan.add("users_cancel", rng.uniform(12, 50), count=plan.few)
+        plan.add("users_cancel", rng.uniform(12, 50), count=plan.small_machine_count)
     if rng.random() < 0.3:
         plan.add(
             "node_cut",
             rng.uniform(12, 50),
             rng.uniform(2, 30),
-            node=plan.node(),
-            what=rng.choice(WHAT),
-            mode=rng.choice(MODES),
-            way=rng.choice(WAYS),
+            node=plan.random_node(),
+            what=rng.choice(NODE_CUT_TARGETS),
+            mode=rng.choice(CUT_MODES),
+            way=rng.choice(CUT_DIRECTIONS),
         )
     if rng.random() < 0.3:
-        plan.add("machines_taken", rng.uniform(12, 50), count=plan.few, amount=rng.choice([0.0, 15.0]))
+        plan.add("machines_taken", rng.uniform(12, 50), count=plan.small_machine_count, amount=rng.choice([0.0, 15.0]))
     faults = tuple(sorted(plan.faults, key=lambda f: f.at_s))
     return Plan(faults, for_s, nodes, machines, machines / 2, PIPELINES)
 
@@ -275,26 +285,30 @@
     plan.add("upgrade", begins, away, count=count, amount=gap)
     over = begins + gap * -(-nodes // count) + away
     for _ in range(rng.randint(0, 2)):  # before its turn one comes back old
-        plan.add("node_crash", rng.uniform(6, over), plan.end(), node=plan.node())
+        plan.add("node_crash", rng.uniform(6, over), plan.restart_after_s(), node=plan.random_node())
     troubles = (
-        ScenarioBuilder.slow_requests,
-        ScenarioBuilder.in_a_row,
-        ScenarioBuilder.in_a_takeover,
-        ScenarioBuilder.late_commit,
-        ScenarioBuilder.in_a_handover,
+        ScenarioBuilder.crash_with_slow_requests,
+        ScenarioBuilder.rolling_crashes,
+        ScenarioBuilder.crash_in_takeover,
+        ScenarioBuilder.pause_with_commit_in_flight,
+        ScenarioBuilder.crash_in_handover,
     )
     if rng.random() < 0.5:
         rng.choice(troubles)(plan)
     if rng.random() < 0.3:
-        plan.add("zone_cut", rng.uniform(8, over), rng.uniform(3, 12), zone=rng.choice(zones), mode=rng.choice(MODES))
+        plan.add(
+            "zone_cut", rng.uniform(8, over), rng.uniform(3, 12), zone=rng.choice(zones), mode=rng.choice(CUT_MODES)
+        )
     if rng.random() < 0.3:
-        plan.add("machine_die", rng.uniform(8, over + 20), count=plan.few)
+        plan.add("machine_die", rng.uniform(8, over + 20), count=plan.small_machine_count)
     plan.add("state_limits", over + rng.uniform(8, 14))
     pipelines_from = over + rng.uniform(1, 4)
     plan.add("cancel_needed", pipelines_from + rng.uniform(4, 12), count=2)
     plan.add("cancel_at_end", pipelines_from + 5, 40.0)
     plan.add("state_slow", pipelines_from + rng.uniform(5, 20), rng.uniform(8, 20), amount=rng.uniform(0.3, 0.9))
     if rng.random() < 0.5:
-        plan.add("node_crash", pipelines_from + rng.uniform(2, 30), plan.end(), node=rng.choice([ALL, LEADER]))
+        plan.add(
+            "node_crash", pipelines_from + rng.uniform(2, 30), plan.restart_after_s(), node=rng.choice([ALL, LEADER])
+        )
     faults = tuple(sorted(plan.faults, key=lambda f: f.at_s))
     return Plan(faults, for_s, nodes, machines, machines / 3, 4 * PIPELINES, pipelines_from, old_nodes=True)
--- a/oatport/simulation/state_service.py
+++ b/oatport/simulation/state_service.py
@@ -17,8 +17,8 @@
 
 Answer = tuple[int, Any]
 
-CHANGES_KEPT = 10_000
-LATE_S = (2.0, 12.0)  # how late a transaction without an answer is carried out
+MAX_KEPT_CHANGES = 10_000
+COMMIT_DELAY_S = (2.0, 12.0)  # how late a transaction without an answer is carried out
 
 
 class KeyStore:
@@ -33,11 +33,11 @@
         self.log: list[tuple[int, str, Any]] = []
         self.revision = 0
         self._next_lease = 1
-        self._dropped = 0  # changes up to this revision are not kept any more
+        self._compacted_revision = 0  # changes up to this revision are not kept any more
         self.changed = asyncio.Event()
-        self.commits = 0
+        self.commit_count = 0
         self.down = False  # in an outage no lease ends
-        self.over_limit = 0  # transactions refused for their size, or that of a value
+        self.over_limit_count = 0  # transactions refused for their size, or that of a value
 
     def expire(self) -> None:
         if self.down:
@@ -67,9 +67,9 @@
             else:
                 self.items.pop(op["drop"], None)
                 self.log.append((self.revision, op["drop"], None))
-        if len(self.log) > 2 * CHANGES_KEPT:
-            self._dropped = self.log[-CHANGES_KEPT - 1][0]
-            del self.log[:-CHANGES_KEPT]
+        if len(self.log) > 2 * MAX_KEPT_CHANGES:
+            self._compacted_revision = self.log[-MAX_KEPT_CHANGES - 1][0]
+            del self.log[:-MAX_KEPT_CHANGES]
         self.changed.set()
         self.changed = asyncio.Event()
         return self.revision
@@ -89,16 +89,16 @@
 
     def commit(self, body: dict[str, Any]) -> Answer:
         self.expire()
-        self.commits += 1
+        self.commit_count += 1
         ops = body.get("then") or []
         if len(ops) > self.ops_limit or len(body.get("if") or []) > 4 * self.ops_limit:
-            self.over_limit += 1
+            self.over_limit_count += 1
             return 400, {"error": "too many"}
         for op in ops:
             if op.get("permit") is not None and op["permit"] not in self.leases:
                 return 400, {"error": "no such lease"}
             if "set" in op and json_size(op["value"]) > self.value_limit:
-                self.over_limit += 1
+                self.over_limit_count += 1
                 return 400, {"error": "too large"}
         failed = [
             c["path"]
@@ -109,12 +109,12 @@
             return 409, {"failed": failed, "ledgerRev": self.revision}
         return 200, {"ledgerRev": self._apply(ops)}
 
-    def hold(self, life_ms: int) -> Answer:
+    def grant_lease(self, life_ms: int) -> Answer:
         lease, self._next_lease = self._next_lease, self._next_lease + 1
         self.leases[lease] = (self._clock() + life_ms * 1000, life_ms * 1000)
         return 200, {"permit": lease}
 
-    def touch(self, lease: int) -> Answer:
+    def renew_lease(self, lease: int) -> Answer:
         self.expire()
         if lease not in self.leases:
             return 404, None
@@ -124,7 +124,7 @@
 
     def changes(self, under: str, after: int) -> Answer:
         self.expire()
-        if after < self._dropped:
+        if after < self._compacted_revision:
             return 410, None
         news: list[dict[str, Any]] = []
         for revision, key, value in self.log[bisect.bisect_right(self.log, after, key=lambda row: row[0]) :]:
@@ -145,9 +145,9 @@
         self._rates = {"requests": [rps, rps, 0.0], "changes": [write_rps, write_rps, 0.0]}  # rate, level, as of
         self.down = False
         self.slow_share = 0.01
-        self.late_share = 0.0  # of transactions: no answer, and carried out later
-        self.unanswered_share = 0.0  # of transactions: carried out at once, and no answer
-        self.asked: Counter[str] = Counter()
+        self.delayed_commit_share = 0.0  # of transactions: no answer, and carried out later
+        self.lost_answer_share = 0.0  # of transactions: carried out at once, and no answer
+        self.request_counts: Counter[str] = Counter()
 
     def set_down(self, down: bool) -> None:
         if self.down and not down:
@@ -169,7 +169,7 @@
         return allowed
 
     async def serve(self, method: str, target: str, body: Any) -> Answer:
-        self.asked["requests"] += 1
+        self.request_counts["requests"] += 1
         delay = 2 * MS + self._rng.randrange(6 * MS)
         if self._rng.random() < self.slow_share:
             delay = 100 * MS + self._rng.randrange(300 * MS)
@@ -177,26 +177,28 @@
         if self.down:
             return 503, None
         if not self._spend("requests", 1):
-            self.asked["429"] += 1
+            self.request_counts["429"] += 1
             return 429, None
         path, _, query = target.partition("?")
-        if path == wire.COMMIT_PATH and self._rng.random() < self.late_share:
-            self._host.loop.later(round(self._rng.uniform(*LATE_S) * SECOND), self._host, self._carry_out, body)
+        if path == wire.COMMIT_PATH and self._rng.random() < self.delayed_commit_share:
+            self._host.loop.call_later_us(
+                round(self._rng.uniform(*COMMIT_DELAY_S) * SECOND), self._host, self._commit_late, body
+            )
             await asyncio.Event().wait()
         if path == wire.COMMIT_PATH:
             count = len(body.get("then") or [])
-            self.asked["changes"] += count
+            self.request_counts["changes"] += count
             if not self._spend("changes", count):
-                self.asked["429"] += 1
+                self.request_counts["429"] += 1
                 return 429, None
             answer = self.store.commit(body)
-            if self._rng.random() < self.unanswered_share:
+            if self._rng.random() < self.lost_answer_share:
                 await asyncio.Event().wait()
             return answer
         if path == wire.LEASES_PATH:
-            return self.store.hold(body["lifeMs"])
+            return self.store.grant_lease(body["lifeMs"])
         if path.startswith(wire.LEASES_PATH):
-            return self.store.touch(int(path.split("/")[2]))
+            return self.store.renew_lease(int(path.split("/")[2]))
         asked = {key: values[0] for key, values in parse_qs(query).items()}
         if path == wire.WATCH_PATH:
             return await self._watch(asked["under"], int(asked["from"]), int(asked.get("waitMs", 0)))
@@ -204,9 +206,9 @@
             return self.store.list(asked["under"], asked.get("from", ""), min(int(asked.get("page", 1000)), 1000))
         return self.store.get(path[len(wire.STORE_PATH) + 1 :])
 
-    def _carry_out(self, body: Any) -> None:
+    def _commit_late(self, body: Any) -> None:
         if not self.down:
-            self.asked["late"] += 1
+            self.request_counts["late"] += 1
             self.store.commit(body)
 
     async def _watch(self, under: str, after: int, wait_ms: int) -> Answer:
--- a/oatport/simulation/users.py
+++ b/oatport/simulation/users.py
@@ -21,29 +21,31 @@
 
 
 @dataclass
-class Seen:
+class BackendNode:
     """A node as the balancer sees it."""
 
     address: str
     healthy: bool = False
-    ever: bool = False
-    good: int = 0
-    last: list[bool] = field(default_factory=list)
-    bad_until: float = 0.0
-    pause: float = 3.0
+    ever_healthy: bool = False
+    consecutive_successes: int = 0
+    recent_probes: list[bool] = field(default_factory=list)
+    excluded_until: float = 0.0
+    exclusion_s: float = 3.0
     removed_at: float = -1000.0
-    open: int = 0
-    given: int = 0  # of nodes with as few open connections the one that was given fewest: not always the first
+    open_connections: int = 0
+    connections_given: int = (
+        0  # of nodes with as few open connections the one that was given fewest: not always the first
+    )
 
 
-class Balancer:
+class LoadBalancer:
     """Chooses a healthy node for each new connection (PROTOCOL, "Users -> controller nodes")."""
 
     def __init__(self, loop: VirtualLoop, net: Net, host: Host, addresses: list[str]) -> None:
         self._loop, self._net, self._host = loop, net, host
-        self.nodes = [Seen(address) for address in addresses]
+        self.nodes = [BackendNode(address) for address in addresses]
 
-    async def probe(self, seen: Seen) -> None:
+    async def probe(self, seen: BackendNode) -> None:
         while True:
             await asyncio.sleep(PROBE_EVERY)
             try:
@@ -52,43 +54,47 @@
                 )
             except NoResponseError:
                 status = 0
-            self._judge(seen, status == 200)
+            self._on_probe_result(seen, status == 200)
 
-    def _judge(self, seen: Seen, good: bool) -> None:
+    def _on_probe_result(self, seen: BackendNode, good: bool) -> None:
         now = self._loop.time()
-        seen.last = [*seen.last[-5:], good]
-        seen.good = seen.good + 1 if good else 0
-        if seen.healthy and (seen.last[-2:] == [False, False] or seen.last.count(False) >= 3):
+        seen.recent_probes = [*seen.recent_probes[-5:], good]
+        seen.consecutive_successes = seen.consecutive_successes + 1 if good else 0
+        if seen.healthy and (seen.recent_probes[-2:] == [False, False] or seen.recent_probes.count(False) >= 3):
             seen.healthy = False
-            seen.pause = min(60.0, 2 * seen.pause) if now - seen.removed_at < 120 else 3.0
-            seen.removed_at, seen.bad_until = now, now + seen.pause
-            seen.last = []
-        elif not seen.healthy and good and (not seen.ever or (seen.good >= 2 and now >= seen.bad_until)):
-            seen.healthy = seen.ever = True
+            seen.exclusion_s = min(60.0, 2 * seen.exclusion_s) if now - seen.removed_at < 120 else 3.0
+            seen.removed_at, seen.excluded_until = now, now + seen.exclusion_s
+            seen.recent_probes = []
+        elif (
+            not seen.healthy
+            and good
+            and (not seen.ever_healthy or (seen.consecutive_successes >= 2 and now >= seen.excluded_until))
+        ):
+            seen.healthy = seen.ever_healthy = True
 
-    async def ask_at(
+    async def request_node(
         self, user: Host, address: str, method: str, path: str, body: Any, timeout_us: int
     ) -> tuple[int, Any]:
         """As if this node had been chosen. Raises NoAnswer."""
         return await self._net.request(user, address, method, path, body, timeout_us, "")
 
-    async def ask(self, user: Host, method: str, path: str, body: Any, timeout_us: int) -> tuple[int, Any]:
+    async def request(self, user: Host, method: str, path: str, body: Any, timeout_us: int) -> tuple[int, Any]:
         """One request on a connection of its own. Raises NoAnswer."""
-        tried: list[Seen] = []
+        tried: list[BackendNode] = []
         for _ in range(3):
             left = [seen for seen in self.nodes if seen.healthy and seen not in tried]
             if not left:
                 break
-            seen = min(left, key=lambda s: (s.open, s.given))
+            seen = min(left, key=lambda s: (s.open_connections, s.connections_given))
             tried.append(seen)
-            seen.open += 1
-            seen.given += 1
+            seen.open_connections += 1
+            seen.connections_given += 1
             try:
                 return await self._net.request(user, seen.address, method, path, body, timeout_us, "")
             except RequestNotSentError:
                 continue
             finally:
-                seen.open -= 1
+                seen.open_connections -= 1
         raise NoResponseError("no healthy node")
 
 
@@ -97,25 +103,30 @@
     """A job as its user has it: what is wanted, and what was told."""
 
     body: dict[str, Any]
-    at: float
+    submit_at: float
     cancel_at: float | None = None
     accepted_at: float | None = None
-    mistaken: bool = False  # it fails on every machine, until its user cancels it
-    refused: int = 0
+    always_fails: bool = False  # it fails on every machine, until its user cancels it
+    refusal_count: int = 0
     cancelled_at: float | None = None  # when it was told
     done_at: float | None = None
     gave_up: bool = False
     started_at: float | None = None  # the first task of it ran
     completed_at: float | None = None  # the last one did
-    completed: int = 0
-    up_us: int = 0  # time that replicas ran
-    needs: list[SubmittedJob] = field(default_factory=list)  # jobs that it names
-    last: bool = False  # of a pipeline
-    late: bool = False  # submitted when those that it needs are over
+    completed_tasks: int = 0
+    replica_uptime_us: int = 0  # time that replicas ran
+    dependencies: list[SubmittedJob] = field(default_factory=list)  # jobs that it names
+    ends_pipeline: bool = False  # of a pipeline
+    submitted_after_dependencies: bool = False  # submitted when those that it needs are over
     answered_at: float = 0.0  # when a question about it was last answered
 
     @property
-    def ref(self) -> str:
+    def is_cancellable(self) -> bool:
+        """It was accepted, is not known to be done, and nobody has cancelled it or is about to."""
+        return self.accepted_at is not None and self.done_at is None and self.cancel_at is None
+
+    @property
+    def job_id(self) -> str:
         return str(self.body["ref"])
 
 
@@ -124,104 +135,107 @@
 
     def __init__(
         self,
-        balancer: Balancer,
+        balancer: LoadBalancer,
         host: Host,
         ask: SubmittedJob,
         rng: random.Random,
         told: Callable[[SubmittedJob, str, int, Any], None],
     ) -> None:
-        self._balancer, self._host, self.ask, self._rng, self._told = balancer, host, ask, rng, told
-        self._one = asyncio.Lock()  # an answer under way when another came is no older answer
+        self._balancer, self._host, self.job, self._rng, self._on_answer = balancer, host, ask, rng, told
+        self._request_lock = asyncio.Lock()  # an answer under way when another came is no older answer
 
-    async def live(self) -> None:
-        loop, ask = self._host.loop, self.ask
-        await asyncio.sleep(max(0.0, ask.at - loop.time()))
+    async def run(self) -> None:
+        loop, ask = self._host.loop, self.job
+        await asyncio.sleep(max(0.0, ask.submit_at - loop.time()))
         while not all(
-            need.accepted_at is not None and (not ask.late or need.done_at or need.cancelled_at) for need in ask.needs
+            need.accepted_at is not None and (not ask.submitted_after_dependencies or need.done_at or need.cancelled_at)
+            for need in ask.dependencies
         ):
-            if any(need.gave_up for need in ask.needs):
+            if any(need.gave_up for need in ask.dependencies):
                 ask.gave_up = True
                 return
             await asyncio.sleep(0.2)
-        if ask.needs:
-            ask.at = loop.time()
-        if not await self._until("submit", "POST", wire.SUBMISSIONS_PATH, ask.body, (200, 201), (400, 422)):
+        if ask.dependencies:
+            ask.submit_at = loop.time()
+        if not await self._retry_until_answered(
+            "submit", "POST", wire.SUBMISSIONS_PATH, ask.body, (200, 201), (400, 422)
+        ):
             ask.gave_up = ask.accepted_at is None
             return
         ask.accepted_at = loop.time()
         if self._rng.random() < 0.1:  # a retry that comes late
-            loop.later(round(self._rng.uniform(1, 30) * SECOND), self._host, self._again)
+            loop.call_later_us(round(self._rng.uniform(1, 30) * SECOND), self._host, self._start_resubmission)
         while True:
             await asyncio.sleep(POLL_EVERY * self._rng.uniform(0.9, 1.1))
             is_due = ask.cancel_at is not None and loop.time() >= ask.cancel_at and ask.cancelled_at is None
             if is_due and await self.cancel():
                 await asyncio.sleep(self._rng.uniform(1, 20))
-                await self._once("poll", "GET", f"{wire.SUBMISSIONS_PATH}/{ask.ref}", None, POLL_WITHIN)
+                await self._request_once("poll", "GET", f"{wire.SUBMISSIONS_PATH}/{ask.job_id}", None, POLL_WITHIN)
                 return
-            await self._once("poll", "GET", f"{wire.SUBMISSIONS_PATH}/{ask.ref}", None, POLL_WITHIN)
+            await self._request_once("poll", "GET", f"{wire.SUBMISSIONS_PATH}/{ask.job_id}", None, POLL_WITHIN)
             if ask.done_at is not None:
                 await asyncio.sleep(self._rng.uniform(1, 40))
-                await self._once("poll", "GET", f"{wire.SUBMISSIONS_PATH}/{ask.ref}", None, POLL_WITHIN)
+                await self._request_once("poll", "GET", f"{wire.SUBMISSIONS_PATH}/{ask.job_id}", None, POLL_WITHIN)
                 return
 
     async def cancel(self) -> bool:
         """Ask until it is answered."""
-        path = f"{wire.SUBMISSIONS_PATH}/{self.ask.ref}/cancel"
-        return await self._until("cancel", "POST", path, None, (200,), ())
+        path = f"{wire.SUBMISSIONS_PATH}/{self.job.job_id}/cancel"
+        return await self._retry_until_answered("cancel", "POST", path, None, (200,), ())
 
-    async def look(self, addresses: list[str], cancels: bool) -> None:
+    async def query_all_nodes(self, addresses: list[str], cancels: bool) -> None:
         """Ask at all nodes, again and again, and repeat the submission; or cancel at once, and ask then."""
-        if cancels and self.ask.cancel_at is None and self.ask.done_at is None:
-            self.ask.cancel_at = self._host.loop.time()
+        if cancels and self.job.cancel_at is None and self.job.done_at is None:
+            self.job.cancel_at = self._host.loop.time()
             if not await self.cancel():
                 return
         for address in self._rng.sample(addresses, len(addresses)) * 2:
-            repeats = self._rng.random() < 0.3 and self.ask.cancelled_at is None
+            repeats = self._rng.random() < 0.3 and self.job.cancelled_at is None
             method, path = (
-                ("POST", wire.SUBMISSIONS_PATH) if repeats else ("GET", f"{wire.SUBMISSIONS_PATH}/{self.ask.ref}")
+                ("POST", wire.SUBMISSIONS_PATH) if repeats else ("GET", f"{wire.SUBMISSIONS_PATH}/{self.job.job_id}")
             )
-            async with self._one:
+            async with self._request_lock:
                 try:
-                    status, value = await self._balancer.ask_at(
-                        self._host, address, method, path, self.ask.body if repeats else None, POLL_WITHIN
+                    status, value = await self._balancer.request_node(
+                        self._host, address, method, path, self.job.body if repeats else None, POLL_WITHIN
                     )
                 except NoResponseError:
                     status, value = 0, None
-                self._told(self.ask, "submit" if repeats else "poll", status, value)
+                self._on_answer(self.job, "submit" if repeats else "poll", status, value)
 
-    def _again(self) -> None:
-        self._host.loop.create_task(self.repeat())
+    def _start_resubmission(self) -> None:
+        self._host.loop.create_task(self.resubmit())
 
-    async def repeat(self) -> None:
+    async def resubmit(self) -> None:
         """The submission once more, whatever has become of the job."""
-        await self._once("submit", "POST", wire.SUBMISSIONS_PATH, self.ask.body, SUBMIT_WITHIN)
+        await self._request_once("submit", "POST", wire.SUBMISSIONS_PATH, self.job.body, SUBMIT_WITHIN)
 
     async def submit_other(self, body: dict[str, Any]) -> int:
         """Another job, once; the status, 0 if there is no answer."""
         try:
-            return (await self._balancer.ask(self._host, "POST", wire.SUBMISSIONS_PATH, body, SUBMIT_WITHIN))[0]
+            return (await self._balancer.request(self._host, "POST", wire.SUBMISSIONS_PATH, body, SUBMIT_WITHIN))[0]
         except NoResponseError:
             return 0
 
-    async def _once(self, what: str, method: str, path: str, body: Any, within: int) -> tuple[int, Any]:
-        async with self._one:
+    async def _request_once(self, what: str, method: str, path: str, body: Any, within: int) -> tuple[int, Any]:
+        async with self._request_lock:
             try:
-                status, value = await self._balancer.ask(self._host, method, path, body, within)
+                status, value = await self._balancer.request(self._host, method, path, body, within)
             except NoResponseError:
                 status, value = 0, None
-            self._told(self.ask, what, status, value)
+            self._on_answer(self.job, what, status, value)
         return status, value
 
-    async def _until(
+    async def _retry_until_answered(
         self, what: str, method: str, path: str, body: Any, good: tuple[int, ...], final: tuple[int, ...]
     ) -> bool:
         loop = self._host.loop
         until = loop.time() + TRIED_FOR
         while loop.time() < until:
-            status, value = await self._once(what, method, path, body, SUBMIT_WITHIN)
+            status, value = await self._request_once(what, method, path, body, SUBMIT_WITHIN)
             if status in good or status in final:
                 return status in good
-            self.ask.refused += what == "submit"
+            self.job.refusal_count += what == "submit"
             after = value.get("retryAfter", 0) if isinstance(value, dict) else 0
             await asyncio.sleep(max(1.0, min(30.0, float(after))) + self._rng.random())
         return False
--- a/oatport/simulation/virtual_time.py
+++ b/oatport/simulation/virtual_time.py
@@ -25,10 +25,10 @@
 class Host:
     """A machine of the world: a node, a worker's machine, a service or a user."""
 
-    def __init__(self, loop: VirtualLoop, name: str, *tags: str, drift: float = 0.0, off_us: int = 0) -> None:
+    def __init__(self, loop: VirtualLoop, name: str, *tags: str, drift: float = 0.0, clock_offset_us: int = 0) -> None:
         self.loop, self.name = loop, name
         self.tags = frozenset((name, *tags))
-        self.drift, self.off_us = drift, off_us
+        self.drift, self.clock_offset_us = drift, clock_offset_us
         self.dead = False
         self.frozen = False
         self.step_us = 0  # what each callback takes, for one that computes slowly
@@ -45,7 +45,7 @@
         return round(self.loop.time() * (1 + self.drift) * SECOND)
 
     def time_of_day(self) -> int:
-        return self.loop.now() + self.off_us + 1_000_000 * SECOND
+        return self.loop.now() + self.clock_offset_us + 1_000_000 * SECOND
 
     def freeze(self) -> None:
         self.frozen = True
@@ -64,19 +64,19 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self._at = 1_000.0
-        self.turns = 0
+        self._now_s = 1_000.0
+        self.callback_count = 0
         self.hosts: list[Host] = []
         self.errors: list[str] = []
         self.set_task_factory(self._make_task)
         self.set_exception_handler(self._on_error)
 
     def time(self) -> float:
-        return self._at
+        return self._now_s
 
     def now(self) -> int:
         """Whole microseconds since the world began, plus a constant."""
-        return round(self._at * SECOND)
+        return round(self._now_s * SECOND)
 
     def _make_task(self, loop: Any, work: Any, **more: Any) -> asyncio.Task[Any]:
         task: asyncio.Task[Any] = asyncio.Task(work, loop=self, **more)
@@ -88,7 +88,7 @@
 
     _bare = contextvars.Context()
 
-    def dissolve(self) -> None:
+    def cancel_all_tasks(self) -> None:
         """A run is over: all that is under way on any host, also on those that ended, is cancelled and let go."""
         for host in self.hosts:
             host.dead, host.frozen, host.step_us = False, False, 0
@@ -122,8 +122,8 @@
             if not timers and not self._stopping:  # type: ignore[attr-defined]
                 raise SimulationStuckError("nothing is left to happen")
             if timers:
-                self._at = max(self._at, timers[0].when())
-        while timers and timers[0].when() <= self._at:
+                self._now_s = max(self._now_s, timers[0].when())
+        while timers and timers[0].when() <= self._now_s:
             handle = heapq.heappop(timers)
             handle._scheduled = False  # type: ignore[attr-defined]
             if not handle._cancelled:
@@ -138,12 +138,12 @@
                     host.parked.append(handle_)
                     continue
                 if host.step_us:
-                    if host.busy_until > self._at:
+                    if host.busy_until > self._now_s:
                         host.parked.append(handle_)
                         self.call_at(host.busy_until, self._go_on, host, context=self._bare)
                         continue
-                    host.busy_until = self._at + host.step_us / SECOND
-            self.turns += 1
+                    host.busy_until = self._now_s + host.step_us / SECOND
+            self.callback_count += 1
             handle_._run()
 
     def _go_on(self, host: Host) -> None:
@@ -153,7 +153,7 @@
         if host.parked:
             handle = host.parked.popleft()
             if not handle._cancelled:
-                host.busy_until = self._at + host.step_us / SECOND
+                host.busy_until = self._now_s + host.step_us / SECOND
                 handle._run()
             if host.parked:
                 if host.step_us:
@@ -167,7 +167,9 @@
     def _write_to_self(self) -> None:
         pass
 
-    def later(self, delay_us: int, host: Host | None, call: Callable[..., Any], *args: Any) -> asyncio.TimerHandle:
+    def call_later_us(
+        self, delay_us: int, host: Host | None, call: Callable[..., Any], *args: Any
+    ) -> asyncio.TimerHandle:
         """Call something on a host after a while."""
         context = host.context if host is not None else self._bare
-        return self.call_at(self._at + delay_us / SECOND, call, *args, context=context)
+        return self.call_at(self._now_s + delay_us / SECOND, call, *args, context=context)
--- a/tests/call_counts.py
+++ b/tests/call_counts.py
@@ -86,8 +86,8 @@
     world.now += 8_000_000
     for number, worker in enumerate(world.workers.values()):
         for task in worker.tasks.values():
-            if number % 2 and task.ends_at is not None:
-                task.ends_at = world.now
+            if number % 2 and task.completes_at is not None:
+                task.completes_at = world.now
         world.report(worker)
     world.commit()
     found.tasks = sum(job.on_machines for job in world.cluster.jobs.values())
--- a/tests/test_amqp_queues.py
+++ b/tests/test_amqp_queues.py
@@ -51,12 +51,12 @@
         return value["rows"], value["ledgerRev"]
 
     async def hold(self, life_us: int) -> int:
-        return int(self.state.hold(life_us // 1000)[1]["permit"])
+        return int(self.state.grant_lease(life_us // 1000)[1]["permit"])
 
     async def touch(self, lease: int, timeout_us: int) -> None:
         if self._fault():
             raise RequestRefusedError(503)
-        if self.state.touch(lease)[0] == 404:
+        if self.state.renew_lease(lease)[0] == 404:
             raise LeaseExpiredError
 
     async def commit(
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -426,9 +426,9 @@
 
 def told_by_others(plan: Plan) -> RunResult:
     world = Simulation(plan, 5)
-    world.users_at = {"n1", "n2"}  # n0 leads at first
+    world.users_reach = {"n1", "n2"}  # n0 leads at first
     result = world.run()
-    told = [ask for ask in world.checker.asks.values() if 1020 < (ask.cancelled_at or 0) < 1023]
+    told = [ask for ask in world.deployed.checker.jobs.values() if 1020 < (ask.cancelled_at or 0) < 1023]
     assert len(told) >= 3, "the meeting came about"
     return result
 
--- a/tests/test_client_consistency.py
+++ b/tests/test_client_consistency.py
@@ -274,11 +274,11 @@
         return await real(*args, **more)
 
     client.commit = slow  # type: ignore[method-assign]
-    before = state.commits
+    before = state.commit_count
     answers = await asyncio.gather(*(users.submit(job(f"j-{n:06d}")) for n in range(1, 8)))
     # The known one in a transaction does not hurt the others.
     assert sorted(a.status for a in answers) == [200] + [201] * 6
-    assert state.commits - before <= 6
+    assert state.commit_count - before <= 6
 
 
 async def test_idle_work_is_told_to_come_back_before_the_rest_is(state: KeyStore) -> None:
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -173,8 +173,8 @@
     world = world_of()
     first, last = chain(world, 2)
     world.settle()
-    worker = next(w for w in world.workers.values() if w.starts)
-    worker._end(*next(iter(worker.tasks.items())), "error")
+    worker = next(w for w in world.workers.values() if w.started_attempts)
+    worker._exit(*next(iter(worker.tasks.items())), "error")
     world.settle(3)
     assert last in world.cluster.blocked_jobs
     assert world.record(first) == wire.JobStatus.QUEUED
@@ -198,7 +198,7 @@
         assert not world.live(middle) or world.record(first) == wire.JobStatus.COMPLETED
         assert not world.live(last) or world.record(middle) == wire.JobStatus.COMPLETED
     assert world.record(last) == wire.JobStatus.COMPLETED
-    assert all(len(set(worker.starts)) == len(worker.starts) for worker in world.workers.values())
+    assert all(len(set(worker.started_attempts)) == len(worker.started_attempts) for worker in world.workers.values())
 
 
 def test_all_nodes_end_while_two_hundred_jobs_wait() -> None:
@@ -309,7 +309,7 @@
         world.submit(legs=1, waitsOn=[first])
     world.settle()
     world.cancel(first)
-    world.report(next(w for w in world.workers.values() if w.starts))
+    world.report(next(w for w in world.workers.values() if w.started_attempts))
     assert len(world.cluster.jobs_to_cancel) == 3000
     assert not world.cluster.blocked_jobs
     world.submit(ref="j-900000", legs=1)
--- a/tests/test_failure_attribution.py
+++ b/tests/test_failure_attribution.py
@@ -14,7 +14,7 @@
     for worker in world.workers.values():
         for (name, _), task in worker.tasks.items():
             if name.startswith(ref + "/") and task.status != "ended":
-                task.status, task.why = "ended", "error"
+                task.status, task.exit_reason = "ended", "error"
                 failed += 1
     return failed
 
@@ -82,7 +82,7 @@
         assert fail_all(world, ref) == 1
     good = world.machine(2)
     world.settle()
-    assert len(good.starts) == 2  # they run elsewhere at once
+    assert len(good.started_attempts) == 2  # they run elsewhere at once
     assert not world.cluster.machines[bad.name].draining  # not proven yet: it may be the jobs
     world.settle(32)
     assert world.cluster.machines[bad.name].draining
--- a/tests/test_fault_interactions.py
+++ b/tests/test_fault_interactions.py
@@ -31,14 +31,14 @@
 @pytest.mark.parametrize(
     ("disabled_check", "name", "rule"),
     [
-        ("read-freshness", "close_looks", "went_back"),  # an answer from what was heard a second ago
-        ("read-freshness", "at_the_last_task", "went_back"),
-        ("transaction-conditions", "answers_lost", "went_back"),
-        ("transaction-conditions", "hands_change", "ran_twice"),
-        ("transaction-conditions", "singles_swarm", "ran_twice"),
-        ("transaction-conditions", "bound_to_zones", "ran_twice"),
-        ("transaction-conditions", "at_the_last_task", "ran_twice"),
-        ("transaction-conditions", "no_room", "ran_twice"),
+        ("read-freshness", "reads_after_status_changes", "went_back"),  # an answer from what was heard a second ago
+        ("read-freshness", "requests_at_last_completion", "went_back"),
+        ("transaction-conditions", "lost_commit_answers", "went_back"),
+        ("transaction-conditions", "cancellations_in_failover", "ran_twice"),
+        ("transaction-conditions", "single_task_job_burst", "ran_twice"),
+        ("transaction-conditions", "zone_bound_jobs", "ran_twice"),
+        ("transaction-conditions", "requests_at_last_completion", "ran_twice"),
+        ("transaction-conditions", "overload_on_slow_links", "ran_twice"),
     ],
 )
 def test_a_disabled_check_is_caught_where_two_faults_interact(disabled_check: str, name: str, rule: str) -> None:
--- a/tests/test_limits_properties.py
+++ b/tests/test_limits_properties.py
@@ -55,8 +55,8 @@
 
     def _watch(self, worker: Worker) -> None:
         self.everybody.append(worker)
-        worker.results = self.results
-        worker.on_begin = self._began
+        worker.completed_tasks = self.results
+        worker.on_task_started = self._began
 
     def _began(self, worker: Worker, task: str, attempt: int) -> None:
         now = self.world.now
@@ -66,8 +66,8 @@
                 for (name, _), row in other.tasks.items()
                 if name == task
                 and row.status != "ended"
-                and (row.ends_at is None or row.ends_at > now)
-                and now - other.answered_at <= other.lease_us
+                and (row.completes_at is None or row.completes_at > now)
+                and now - other.lease_renewed_at <= other.lease_us
             ]
             if other is not worker and held:
                 self.broken.append(f"{task} attempt {attempt} starts on {worker.name}, and is on {other.name}")
@@ -211,7 +211,7 @@
             self._forget_results_lost_with_a_lease()
 
     def _forget_results_lost_with_a_lease(self) -> None:
-        lost = {task for worker in self.everybody for task, why in worker.results_lost.items() if why == "lease"}
+        lost = {task for worker in self.everybody for task, why in worker.lost_completions.items() if why == "lease"}
         self.known -= lost & self.untold
 
     @rule()
@@ -277,7 +277,7 @@
     def lease_ends(self, number: int) -> None:
         worker = self.world.workers.get(f"vm-{number:06d}")
         if worker is not None:
-            worker.answered_at = self.world.now - worker.lease_us - 1
+            worker.lease_renewed_at = self.world.now - worker.lease_us - 1
             worker.advance()
 
     @rule()
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -57,7 +57,9 @@
             name = sorted(world.workers)[rng.randrange(len(world.workers))]
             world.released(name)
         now = {
-            (worker.name, f"{task}/{attempt}") for worker in world.workers.values() for task, attempt in worker.starts
+            (worker.name, f"{task}/{attempt}")
+            for worker in world.workers.values()
+            for task, attempt in worker.started_attempts
         }
         started += sorted(now - seen)
         seen |= now
@@ -138,11 +140,11 @@
     second = world.submit(legs=1)
     world.plan()
     assert not world.placer.due(world.now)
-    worker.tasks[(f"{first}/0", 1)].ends_at = world.now
+    worker.tasks[(f"{first}/0", 1)].completes_at = world.now
     world.report(worker)
     assert world.placer.due(world.now)
     world.step()
-    assert (f"{second}/0", 1) in worker.starts
+    assert (f"{second}/0", 1) in worker.started_attempts
 
 
 def test_times_that_a_pass_noted_bring_the_next_one() -> None:
@@ -282,7 +284,7 @@
     world, machine, ref = calm_world()
     del world.workers[machine.name].tasks[(f"{ref}/0", 1)]
     world.settle()
-    assert [attempt for worker in world.workers.values() for _, attempt in worker.starts] == [1, 2]
+    assert [attempt for worker in world.workers.values() for _, attempt in worker.started_attempts] == [1, 2]
 
 
 def test_a_stray_on_a_calm_machine_is_seen() -> None:
@@ -306,9 +308,9 @@
 
 def test_a_lost_session_of_a_calm_machine_is_seen() -> None:
     world, machine, ref = calm_world()
-    world.workers[machine.name].answered_at = world.now - 60 * SECOND
+    world.workers[machine.name].lease_renewed_at = world.now - 60 * SECOND
     world.settle()
-    assert sum(len(worker.starts) for worker in world.workers.values()) == 2
+    assert sum(len(worker.started_attempts) for worker in world.workers.values()) == 2
     assert len(world.live(ref)) == 1
 
 
--- a/tests/test_retry_policy.py
+++ b/tests/test_retry_policy.py
@@ -47,7 +47,9 @@
     other = world.machine(7)
     for _ in range(8):
         world.step(1.0)
-    starts = [key for worker in [*world.workers.values(), *GONE] for key in worker.starts if key[0].startswith(ref)]
+    starts = [
+        key for worker in [*world.workers.values(), *GONE] for key in worker.started_attempts if key[0].startswith(ref)
+    ]
     assert other
     return world.record(ref), len(starts)
 
@@ -85,7 +87,7 @@
 
 def failed(world: World, worker: Worker) -> None:
     for task in worker.tasks.values():
-        task.status, task.why = "ended", wire.ExitReason.ERROR
+        task.status, task.exit_reason = "ended", wire.ExitReason.ERROR
     world.step(0.5)
 
 
@@ -178,7 +180,7 @@
     world, ref, worker = running(RetryPolicy.BEFORE_START, legs=4)
     other = world.machine(2)
     world.settle(2)
-    assert [key for key in other.starts if key[0].startswith(ref)]
+    assert [key for key in other.started_attempts if key[0].startswith(ref)]
     GONE.append(worker)
     world.released(worker.name)
     world.commit()
--- a/tests/test_rolling_upgrade.py
+++ b/tests/test_rolling_upgrade.py
@@ -65,20 +65,20 @@
         old_nodes=True,
     )
     world = Simulation(plan, seed)
-    world.upgraded_nodes, world.users_at = {"n1"}, {"n1"}
+    world.deployed.nodes.upgraded, world.users_reach = {"n1"}, {"n1"}
     led: set[str] = set()
-    look = world._look_for_leader
+    sample = world.leadership.sample
 
     def watch() -> None:
-        led.update(name for name, node in world.nodes.items() if leader_of(node) is not None)
-        look()
+        led.update(name for name, node in world.deployed.nodes.nodes.items() if leader_of(node) is not None)
+        sample()
 
-    world._look_for_leader = watch  # type: ignore[method-assign]
+    world.leadership.sample = watch  # type: ignore[method-assign]
     found = quiet(world)
     assert (found.violations, found.errors) == ([], [])
     assert led & {"n0", "n2"}
-    assert FORMATS_KEY not in world.store.items
-    assert any(key.startswith("jobs/j-7") for key in world.store.items)
+    assert FORMATS_KEY not in world.deployed.store.items
+    assert any(key.startswith("jobs/j-7") for key in world.deployed.store.items)
 
 
 def test_an_upgrade_among_troubles() -> None:
--- a/tests/test_safety_invariants.py
+++ b/tests/test_safety_invariants.py
@@ -29,10 +29,10 @@
     worker = world.machine(1)
     ref = world.submit(legs=2)
     world.settle()
-    worker.tasks[(f"{ref}/0", 1)].ends_at = world.now
+    worker.tasks[(f"{ref}/0", 1)].completes_at = world.now
     world.settle(3)
     assert world.record(ref) == wire.JobStatus.QUEUED
-    worker.tasks[(f"{ref}/1", 1)].ends_at = world.now
+    worker.tasks[(f"{ref}/1", 1)].completes_at = world.now
     world.settle(3)
     assert world.record(ref) == wire.JobStatus.COMPLETED
 
@@ -45,10 +45,10 @@
     world.plan()
     world.send()
     world.report(worker)
-    assert worker.starts == []  # claimed, not committed
+    assert worker.started_attempts == []  # claimed, not committed
     world.commit()
     world.send()  # directly, not with the next report
-    assert sorted(worker.starts) == [(f"{ref}/0", 1), (f"{ref}/1", 1)]
+    assert sorted(worker.started_attempts) == [(f"{ref}/0", 1), (f"{ref}/1", 1)]
     row = world.state.get(chunk_key(ref, 0))[1]["value"]["t"]
     assert row == [[1, worker.name], [1, worker.name]]
 
@@ -68,7 +68,7 @@
     world.cluster.restore_batch(batch)
     world.cluster.cancel_job(ref, 0)
     world.settle()
-    assert worker.starts == []
+    assert worker.started_attempts == []
 
 
 def test_a_cancelled_job_leaves_its_machines_and_records() -> None:
@@ -96,7 +96,7 @@
     world.cancel(ref)
     world.send()
     world.settle()
-    assert worker.starts == []
+    assert worker.started_attempts == []
 
 
 def test_silence_is_no_proof() -> None:
@@ -110,10 +110,10 @@
     world.refused.add(silent.name)
     for _ in range(20):
         world.step(5.0)
-    assert other.starts == []
+    assert other.started_attempts == []
     world.released(silent.name)
     world.settle()
-    assert other.starts == [(f"{ref}/0", 2)]
+    assert other.started_attempts == [(f"{ref}/0", 2)]
 
 
 def test_a_later_session_proves_the_tasks_gone() -> None:
@@ -121,10 +121,10 @@
     worker = world.machine(1)
     ref = world.submit(legs=1)
     world.settle()
-    worker.answered_at = world.now - 60 * SECOND  # its lease ran out meanwhile
+    worker.lease_renewed_at = world.now - 60 * SECOND  # its lease ran out meanwhile
     world.settle()
     assert worker.session == 2
-    assert worker.starts == [(f"{ref}/0", 1), (f"{ref}/0", 2)]
+    assert worker.started_attempts == [(f"{ref}/0", 1), (f"{ref}/0", 2)]
 
 
 def test_an_older_report_changes_nothing() -> None:
@@ -152,9 +152,9 @@
     world.refused.add(worker.name)
     world.send()  # lost on the way, as far as the leader knows
     world.refused.clear()
-    assert worker.starts == []
+    assert worker.started_attempts == []
     world.settle(2)
-    assert worker.starts == [(f"{ref}/0", 1)]
+    assert worker.started_attempts == [(f"{ref}/0", 1)]
     world.step(6.0)
     world.settle(3)
     assert world.record(ref) == wire.JobStatus.COMPLETED
@@ -162,7 +162,7 @@
     assert key in worker.tasks  # still listed as ended, so the late copy has no effect
     worker.commands(wire.command_request(world.cluster.token, worker.session, [wire.StartCommand(*key)]))
     assert worker.tasks[key].status == "ended"
-    assert worker.starts == [key]
+    assert worker.started_attempts == [key]
 
 
 def test_a_start_in_an_answer_on_its_way_is_not_forgotten_by_direct_commands() -> None:
@@ -193,7 +193,7 @@
     cluster.machines_to_command.add(machine)
     world.send()
     worker.commands(wire.command_request(cluster.token, 1, late))
-    assert worker.starts == [key]
+    assert worker.started_attempts == [key]
     world.report(worker)  # it reports again, so it has had that answer, or dropped it
     cluster.machines_to_command.add(machine)
     world.send()
@@ -206,7 +206,7 @@
     ref = world.submit(legs=2, voyageS=30.0)
     world.settle()
     key = (f"{ref}/0", 1)
-    worker.tasks[key].ends_at = world.now
+    worker.tasks[key].completes_at = world.now
     world.report(worker)
     assert key in worker.tasks
     world.report(worker)
@@ -250,7 +250,7 @@
     world.cluster.committed(batch, value["ledgerRev"], world.now)
     assert task.phase is TaskPhase.BINDING
     world.send()
-    assert second.starts == []
+    assert second.started_attempts == []
 
 
 def test_takeover_with_a_silent_machine() -> None:
@@ -264,7 +264,7 @@
     world.settle()
     more = world.submit(ref="j-000002", legs=1, voyageS=1.0)
     world.settle(40)
-    assert len([s for s in other.starts if s[0].startswith(ref)]) == 2
+    assert len([s for s in other.started_attempts if s[0].startswith(ref)]) == 2
     assert world.record(more) == wire.JobStatus.COMPLETED
     assert world.record(ref) == wire.JobStatus.QUEUED
     assert world.cluster.quotas["crew"].cpus == 8.0  # they count for the team's limit
@@ -284,7 +284,7 @@
     assert world.cluster.jobs[ref].tasks[0].phase is TaskPhase.BOUND
     worker.commands(late)  # lands before the new token does
     world.settle()
-    assert worker.starts == [(f"{ref}/0", 1)]  # taken over, not started again
+    assert worker.started_attempts == [(f"{ref}/0", 1)]  # taken over, not started again
     assert world.cluster.jobs[ref].tasks[0].start_acknowledged
 
 
@@ -298,7 +298,7 @@
     late = wire.command_request(world.cluster.token, worker.session, [wire.StartCommand(f"{ref}/0", 1)])
     world.fail_over()
     world.settle()
-    assert worker.starts == [(f"{ref}/0", 2)]
+    assert worker.started_attempts == [(f"{ref}/0", 2)]
     assert worker.commands(late)[0] == 409
 
 
@@ -369,7 +369,7 @@
     world.settle()
     assert len(world.live(ref)) == 2
     world.machine(2, "b")
-    first.tasks[(f"{ref}/0", 1)].status, first.tasks[(f"{ref}/0", 1)].why = "ended", "error"
+    first.tasks[(f"{ref}/0", 1)].status, first.tasks[(f"{ref}/0", 1)].exit_reason = "ended", "error"
     world.settle(2)
     world.refused.add(first.name)
     for _ in range(4):
@@ -386,7 +386,7 @@
     second = world.machine(2)
     world.settle()
     assert len(world.live(ref)) == 3
-    assert {attempt for _, attempt in first.starts + second.starts} == {1}
+    assert {attempt for _, attempt in first.started_attempts + second.started_attempts} == {1}
 
 
 def test_a_gang_that_lost_a_machine_starts_again_only_when_nothing_is_left() -> None:
@@ -398,9 +398,9 @@
     world.released(first.name)
     world.machine(3)
     world.settle()
-    assert all(attempt == 1 for _, attempt in second.starts)  # the rest still runs
+    assert all(attempt == 1 for _, attempt in second.started_attempts)  # the rest still runs
     for key in list(second.tasks):
-        second.tasks[key].status, second.tasks[key].why = "ended", "mates_gone"
+        second.tasks[key].status, second.tasks[key].exit_reason = "ended", "mates_gone"
     world.settle()
     assert len(world.live(ref)) == 4
     assert {a for w in world.workers.values() for (n, a), t in w.tasks.items() if t.status != "ended"} == {2}
@@ -415,7 +415,7 @@
     world.settle(3)
     assert len(world.live(high)) == 1
     assert len(world.live(low)) == 1
-    assert len(worker.starts) == 3
+    assert len(worker.started_attempts) == 3
     world.machine(2)
     world.settle()
     assert len(world.live(low)) == 2
@@ -456,11 +456,11 @@
     doomed = world.machine(1, spot=True)
     ref = world.submit(legs=1, voyageS=55.0)
     world.settle()
-    assert doomed.starts
+    assert doomed.started_attempts
     doomed.notice_s = 15.0
     other = world.machine(2)
     world.settle(3)
-    assert other.starts == [(f"{ref}/0", 2)]
+    assert other.started_attempts == [(f"{ref}/0", 2)]
     assert all(t.status == "ended" for t in doomed.tasks.values())
 
 
@@ -474,7 +474,7 @@
     world.report(worker)
     assert (f"{ref}/0", 7) not in worker.tasks or worker.tasks[(f"{ref}/0", 7)].status == "ended"
     world.settle()
-    assert worker.starts == [(f"{ref}/0", 7), (f"{ref}/0", 1)]
+    assert worker.started_attempts == [(f"{ref}/0", 7), (f"{ref}/0", 1)]
 
 
 def test_a_large_job_is_dropped_in_parts_and_never_comes_back() -> None:
@@ -483,7 +483,7 @@
     ref = world.submit(legs=2500, cores=0.001, voyageS=8.0, memoryGb=0.0)
     worker = world.machine(1)
     world.settle(3)
-    assert len(worker.starts) == 2500
+    assert len(worker.started_attempts) == 2500
     world.now += 9 * SECOND
     world.report(worker)
     for _ in range(20):
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -502,7 +502,7 @@
     world.step(0.1)
     world.step(0.1)
     assert world.live(second) == {f"{second}/0": [warm.name]}
-    assert cold.starts == [] or cold.starts[0][0].startswith("j-000002")
+    assert cold.started_attempts == [] or cold.started_attempts[0][0].startswith("j-000002")
 
 
 def test_a_lost_replica_is_replaced_where_its_image_is() -> None:
@@ -526,7 +526,7 @@
     for _ in range(4):
         world.step(0.1)
     assert world.live(ref) == {f"{ref}/0": [warm.name]}
-    assert all(not task.startswith(ref) for task, _ in cold.starts)
+    assert all(not task.startswith(ref) for task, _ in cold.started_attempts)
 
 
 def test_room_made_for_a_replica_is_not_taken_by_an_array() -> None:
@@ -558,7 +558,7 @@
     for _ in range(40):
         world.step(1.0)
     names = [m.name for m in world.fleet.scale_in.machines_to_release(world.now)]
-    assert names == [idle.name if busy.starts else busy.name]
+    assert names == [idle.name if busy.started_attempts else busy.name]
 
 
 def test_owned_machines_run_empty_when_spot_room_can_take_their_work() -> None:
@@ -566,7 +566,7 @@
     owned = world.machine(1)
     world.submit(legs=1, voyageS=30.0)
     world.settle()
-    assert owned.starts  # free owned room first
+    assert owned.started_attempts  # free owned room first
     world.machine(2, spot=True)
     world.settle(2)
     world.fleet.scale_in.update_cordons()
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -17,9 +17,9 @@
 from oatport.lab import SAFETY_CHECKS as NAMES
 from oatport.simulation.deployment import TYPES, cluster_settings
 from oatport.simulation.fault_plan import ALL, Fault, InvalidPlanError, Plan, parse, read
-from oatport.simulation.invariant_checker import Checker
+from oatport.simulation.invariant_checker import InvariantChecker
 from oatport.simulation.mutations import MUTATIONS
-from oatport.simulation.network import LATE_MOST, Net, Rule
+from oatport.simulation.network import RECONNECT_MAX_US, LinkRule, Net
 from oatport.simulation.runner import RunRequest, describe_failure, run_scenario, simulate
 from oatport.simulation.scenario_generator import random_plan
 from oatport.simulation.state_service import KeyStore
@@ -54,7 +54,7 @@
         try:
             return self.loop.run_until_complete(self.loop.create_task(work, context=self.a.context))
         finally:
-            self.loop.dissolve()
+            self.loop.cancel_all_tasks()
             asyncio.set_event_loop(None)
 
 
@@ -66,14 +66,14 @@
 
     async def story() -> None:
         assert await pair.ask("first") == (200, "first")  # leaves one connection open
-        cut = Rule("a", "b", "hold")
+        cut = LinkRule("a", "b", "hold")
         pair.net.add(cut)
         for body in ("on the connection", "would need another"):
             with pytest.raises(NoResponseError):
                 await pair.ask(body)
         assert len(pair.heard) == 1
         pair.net.remove(cut)
-        await asyncio.sleep(LATE_MOST / SECOND + 1)
+        await asyncio.sleep(RECONNECT_MAX_US / SECOND + 1)
 
     pair.run(story())
     assert [body for _, body in pair.heard] == ["first", "on the connection"]
@@ -84,7 +84,7 @@
 
     async def story() -> None:
         await pair.ask("first")
-        pair.net.add(Rule("b", "a", "hold"))
+        pair.net.add(LinkRule("b", "a", "hold"))
         with pytest.raises(NoResponseError):
             await pair.ask("executed")
 
@@ -97,12 +97,12 @@
 
     async def story() -> None:
         await pair.ask("first")
-        cut = Rule("a", "b", "lost")
+        cut = LinkRule("a", "b", "lost")
         pair.net.add(cut)
         with pytest.raises(NoResponseError):
             await pair.ask("lost")
         pair.net.remove(cut)
-        pair.net.add(Rule("a", "b", "refuse"))
+        pair.net.add(LinkRule("a", "b", "refuse"))
         with pytest.raises(RequestNotSentError):
             await pair.ask("refused")
 
@@ -145,7 +145,7 @@
 
     async def story() -> None:
         pair.net.listen("b:1", pair.b, slow)
-        pair.loop.later(SECOND, None, lambda: (pair.b.end(), pair.net.ended(pair.b)))
+        pair.loop.call_later_us(SECOND, None, lambda: (pair.b.end(), pair.net.ended(pair.b)))
         began = pair.loop.time()
         with pytest.raises(NoResponseError, match="reset"):
             await pair.ask("under way", 30 * SECOND)
@@ -162,7 +162,7 @@
 def test_leases_have_their_full_time_again_after_an_outage() -> None:
     now = [0]
     store = KeyStore(lambda: now[0])
-    lease = store.hold(3_000)[1]["permit"]
+    lease = store.grant_lease(3_000)[1]["permit"]
     store.commit({"if": [{"path": "k", "entryRev": 0}], "then": [{"set": "k", "value": 1, "permit": lease}]})
     now[0] = 2 * SECOND
     store.renew_all()
@@ -214,9 +214,9 @@
         while self.now < round(seconds * SECOND):
             self.now += SECOND // 2
             for worker in self.workers:
-                worker.answered_at = self.now
+                worker.lease_renewed_at = self.now
                 worker.advance()
-        return [(h.status, h.why) for worker in self.workers for h in worker.tasks.values()]
+        return [(h.status, h.exit_reason) for worker in self.workers for h in worker.tasks.values()]
 
 
 def test_a_gang_starts_together_and_completes_together() -> None:
@@ -267,7 +267,7 @@
     assert not worker.answer(0, 1, {"helm": 0, "orders": []})
     gang.now = 13 * SECOND
     worker.advance()
-    assert (worker.tasks, worker.session, worker.killed) == ({}, 2, 1)
+    assert (worker.tasks, worker.session, worker.lease_kill_count) == ({}, 2, 1)
     assert worker.commands({"helm": 1, "watch": 1, "orders": []})[0] == 409
 
 
@@ -277,45 +277,45 @@
 class Judged:
     def __init__(self, **changes: Any) -> None:
         self.loop = VirtualLoop()
-        self.checker = Checker(self.loop, cluster_settings(SMALL))
+        self.checker = InvariantChecker(self.loop, cluster_settings(SMALL))
         self.ask = SubmittedJob(job(**{"crew": "east", "legs": 2, **changes}), 1_000.0)
-        self.checker.asks[self.ask.ref] = self.ask
+        self.checker.jobs[self.ask.job_id] = self.ask
 
     def worker(self, number: int, **changes: Any) -> Worker:
         of = {"zone": "a", "spot": False, **changes}
         return Worker(lambda: 0, f"vm-{number}", f"h{number}", "m8", of["zone"], of["spot"], 8.0, lambda ref: None)
 
     def task(self, number: int) -> str:
-        return f"{self.ask.ref}/{number}"
+        return f"{self.ask.job_id}/{number}"
 
     def told(self, what: str, status: int, state: str = "") -> None:
-        self.checker.told(self.ask, what, status, {"status": state} if state else None)
+        self.checker.on_user_answer(self.ask, what, status, {"status": state} if state else None)
 
 
 def broke(judged: Judged) -> set[str]:
     judged.loop.close()
-    return judged.checker.rules
+    return judged.checker.broken_invariants
 
 
 def test_the_checker_sees_what_is_on_machines() -> None:
     twice = Judged()
-    twice.checker.began(twice.worker(1), twice.task(0), 1)
-    twice.checker.began(twice.worker(2), twice.task(0), 2)
+    twice.checker.on_task_started(twice.worker(1), twice.task(0), 1)
+    twice.checker.on_task_started(twice.worker(2), twice.task(0), 2)
     assert broke(twice) == {"ran_twice"}
     wrong = Judged(driftwood=False, spread=True)
-    wrong.checker.began(wrong.worker(1, spot=True), wrong.task(0), 1)
+    wrong.checker.on_task_started(wrong.worker(1, spot=True), wrong.task(0), 1)
     assert broke(wrong) == {"wrong_place"}
     spread = Judged(spread=True)
-    spread.checker.began(spread.worker(1), spread.task(0), 1)
-    spread.checker.began(spread.worker(2), spread.task(1), 1)
+    spread.checker.on_task_started(spread.worker(1), spread.task(0), 1)
+    spread.checker.on_task_started(spread.worker(2), spread.task(1), 1)
     assert broke(spread) == {"wrong_place"}
     quota = Judged(cores=8.0, legs=9)
     for number in range(9):
-        quota.checker.began(quota.worker(number), quota.task(number), 1)
+        quota.checker.on_task_started(quota.worker(number), quota.task(number), 1)
     assert broke(quota) == {"quota"}  # a quarter of 160 CPUs
     moved = Judged()
-    moved.checker.began(moved.worker(1), moved.task(0), 1)
-    moved.checker.ended(moved.worker(1), moved.task(0), 1, "lease")  # of another machine's: it stays
+    moved.checker.on_task_started(moved.worker(1), moved.task(0), 1)
+    moved.checker.on_task_stopped(moved.worker(1), moved.task(0), 1, "lease")  # of another machine's: it stays
     assert broke(moved) == set()
 
 
@@ -339,8 +339,8 @@
     nobodys.told("poll", 200, "aborted")
     assert broke(nobodys) == {"went_back"}
     ghost = Judged()
-    ghost.checker.stranger("j-900000", 200)
-    ghost.checker.close()
+    ghost.checker.on_unknown_job_poll("j-900000", 200)
+    ghost.checker.finish()
     assert broke(ghost) == {"invented", "nothing_ran"}
 
 
--- a/tests/test_task_locations.py
+++ b/tests/test_task_locations.py
@@ -172,7 +172,7 @@
     for _ in range(25):
         world.step(1.0)
     assert world.record(ref) == wire.JobStatus.COMPLETED
-    assert not any(task == f"{ref}/0" for w in world.workers.values() for task, _ in w.starts)
+    assert not any(task == f"{ref}/0" for w in world.workers.values() for task, _ in w.started_attempts)
 
 
 def test_told_ends_are_taken_for_pending_tasks_too_and_not_for_newer_attempts() -> None:
@@ -337,13 +337,13 @@
     world.settle(3)
     assert len(world.live(ref)) == 2
     _until_done(world, workers[0])
-    told = next(iter(workers[0].starts))[0]
+    told = next(iter(workers[0].started_attempts))[0]
     assert len(world.cluster.jobs[ref].completed) == 1
     world.released(workers[1].name)
     world.machine(3)
     world.settle(6)
     assert world.record(ref) == wire.JobStatus.COMPLETED
-    assert not world.workers["vm-000003"].starts
+    assert not world.workers["vm-000003"].started_attempts
     assert told.startswith(ref)
 
 
@@ -363,7 +363,7 @@
     world.machine(3)
     world.settle(6)
     assert world.record(ref) == wire.JobStatus.COMPLETED
-    assert not world.workers["vm-000003"].starts
+    assert not world.workers["vm-000003"].started_attempts
 
 
 # --- teams ----------------------------------------------------------------------------------------------
--- a/tests/test_windows.py
+++ b/tests/test_windows.py
@@ -175,7 +175,7 @@
         self.world.now = DAY
         for number in (1, 2):
             worker = self.world.machine(number)
-            worker.answered_at, worker.lease_us = DAY, 24 * HOUR  # steps are longer than a real lease
+            worker.lease_renewed_at, worker.lease_us = DAY, 24 * HOUR  # steps are longer than a real lease
         self.world.settle(2)
         self.settings = WindowSettings(
             on=True,
@@ -274,7 +274,7 @@
     night.fail_over()
     assert night.world.cluster.jobs[job.job_id].deferred in (0, 4)
     night.go(1800, 30)
-    started = [key for worker in night.world.workers.values() for key in worker.starts]
+    started = [key for worker in night.world.workers.values() for key in worker.started_attempts]
     assert sorted(started) == sorted({(f"{job.job_id}/{n}", 1) for n in range(4)})
     assert night.world.record(job.job_id) == "done"
 
--- a/tests/test_write_order.py
+++ b/tests/test_write_order.py
@@ -31,7 +31,7 @@
     assert world.cluster.jobs[ref].on_machines == 2
     world.settle()
     assert len(world.live(ref)) == 2
-    assert len(world.workers["vm-000001"].starts) == 2
+    assert len(world.workers["vm-000001"].started_attempts) == 2
     assert [row["path"] for row in world.state.list(live_key(ref))[1]["rows"]] == [live_key(ref)]
     world.settle(31)
     assert world.record(ref) == wire.JobStatus.COMPLETED
@@ -61,7 +61,7 @@
     for number in range(10, 30):
         world.submit(ref=f"j-{number:06d}", urgency="idle", legs=1, cores=0.25)
     world.now += 2 * SECOND
-    world.report(next(w for w in world.workers.values() if w.starts))
+    world.report(next(w for w in world.workers.values() if w.started_attempts))
     world.submit(ref="j-000002", urgency="production", rig="standing", legs=1)
     world.plan()
     batch = world.cluster.take_batch(4)
