--- a/oatport/control/scaling/gang_scale_out.py
+++ b/oatport/control/scaling/gang_scale_out.py
@@ -5,8 +5,9 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
+from oatport.control.scaling.capacity_slot import CapacitySlot
 from oatport.control.scaling.demand import Demand
-from oatport.control.scaling.incoming_capacity import CapacitySlot, IncomingCapacity
+from oatport.control.scaling.incoming_capacity import IncomingCapacity
 from oatport.control.scaling.offering_selector import OfferingSelector
 from oatport.control.state.capacity import task_slots_when_empty
 from oatport.control.state.cluster_state import ClusterState
@@ -102,11 +103,7 @@
 def _gpu_slot(machine: Machine) -> CapacitySlot:
     """What a machine has for work that needs its GPUs: array tasks that need none are stopped for it."""
     preemptible = [t.job.spec for t in machine.tasks if t.job.spec.gpus == 0 and t.job.kind is JobKind.ARRAY]
-    return CapacitySlot(
-        machine.type,
-        machine.zone,
-        machine.spot,
-        machine.free_cpus + sum(s.cpus for s in preemptible),
-        machine.free_gpus,
-        machine.free_memory_gb + sum(s.memory_gb for s in preemptible),
-    )
+    slot = CapacitySlot.free_on(machine)
+    slot.cpus += sum(s.cpus for s in preemptible)
+    slot.memory_gb += sum(s.memory_gb for s in preemptible)
+    return slot
--- a/oatport/control/scaling/incoming_capacity.py
+++ b/oatport/control/scaling/incoming_capacity.py
@@ -11,42 +11,12 @@
 from dataclasses import dataclass, field
 
 from oatport import wire
-from oatport.control.state.capacity import task_slots
+from oatport.control.scaling.capacity_slot import CapacitySlot
 
 # CPUs, GPUs, memory in GB, may it use spot machines, names of the preferred types.
 EquivalenceKey = tuple[float, float, float, bool, tuple[str, ...]]
 
 
-@dataclass(slots=True)
-class CapacitySlot:
-    """The capacity of one machine that is left for pending tasks while rentals are planned."""
-
-    type: wire.MachineType
-    zone: str
-    spot: bool
-    cpus: float
-    gpus: float
-    memory_gb: float
-    position: int = 0  # among all slots, in the order in which they are used
-
-    @classmethod
-    def of(cls, machine_type: wire.MachineType, zone: str, spot: bool) -> CapacitySlot:
-        """The slot of an empty machine."""
-        return cls(machine_type, zone, spot, machine_type.cpus, machine_type.gpus, machine_type.memory_gb)
-
-    def free_slots(self, spec: wire.Submission) -> int:
-        """How many more tasks of a job fit."""
-        return task_slots(spec, self.cpus, self.gpus, self.memory_gb)
-
-    def reserve(self, spec: wire.Submission, limit: int) -> int:
-        """Reserve capacity for up to `limit` tasks; returns for how many there was any."""
-        count = max(0, min(self.free_slots(spec), limit))
-        self.cpus -= count * spec.cpus
-        self.gpus -= count * spec.gpus
-        self.memory_gb -= count * spec.memory_gb
-        return count
-
-
 @dataclass(slots=True)
 class IncomingCapacity:
     """All slots that are on their way, in order; slots are only ever added, and capacity only reserved."""
--- a/oatport/control/scaling/offering_selector.py
+++ b/oatport/control/scaling/offering_selector.py
@@ -6,9 +6,9 @@
 from dataclasses import dataclass, field
 
 from oatport import wire
+from oatport.control.scaling.capacity_slot import CapacitySlot
 from oatport.control.scaling.cloud_availability import CloudAvailability, Offering
 from oatport.control.scaling.demand import Demand
-from oatport.control.scaling.incoming_capacity import CapacitySlot
 from oatport.control.state.capacity import task_slots_when_empty
 from oatport.control.state.cluster_state import ClusterState
 from oatport.control.state.job import Job, JobKind
--- a/oatport/control/scaling/rebalancing.py
+++ b/oatport/control/scaling/rebalancing.py
@@ -7,8 +7,9 @@
 
 from oatport.control.placement.image_fetch import image_fetch_time
 from oatport.control.queueing.tier_router import SPOT
+from oatport.control.scaling.capacity_slot import CapacitySlot
 from oatport.control.scaling.owned_capacity import free_owned_cpus, warm_cpus
-from oatport.control.state.capacity import task_slots, zone_cap
+from oatport.control.state.capacity import zone_cap
 from oatport.control.state.cluster_state import ClusterState
 from oatport.control.state.job import Job, JobKind
 from oatport.control.state.machine import Machine
@@ -20,8 +21,6 @@
 MOVE_DOWNTIME = SECOND // 4  # a replica is gone for that long even where its image is
 SETTLED_AFTER = 40 * SECOND
 
-FreeCapacity = tuple[float, float, float]  # CPUs, GPUs, memory in GB
-
 
 @dataclass(slots=True)
 class ReplicaRebalancer:
@@ -90,7 +89,7 @@
     def __init__(self, source: Machine, owned: list[Machine]) -> None:
         self._source = source
         self._owned = owned
-        self._free: dict[str, FreeCapacity] = {m.name: (m.free_cpus, m.free_gpus, m.free_memory_gb) for m in owned}
+        self._free = {m.name: CapacitySlot.free_on(m) for m in owned}
         self._moved: Counter[tuple[str, str]] = Counter()  # (job, zone) -> replicas that come from another zone
 
     def downtime(self) -> int | None:
@@ -122,7 +121,7 @@
         spec = job.spec
         if machine is self._source or machine.cordoned_for_scale_in or machine.service_cpus <= 0:
             return False
-        if task_slots(spec, *self._free[machine.name]) <= 0:
+        if self._free[machine.name].free_slots(spec) <= 0:
             return False
         if spec.machine_types is not None and machine.type.name not in spec.machine_types:
             return False
@@ -136,8 +135,6 @@
         )
 
     def _assign(self, job: Job, machine: Machine) -> None:
-        spec = job.spec
-        cpus, gpus, memory_gb = self._free[machine.name]
-        self._free[machine.name] = (cpus - spec.cpus, gpus - spec.gpus, memory_gb - spec.memory_gb)
+        self._free[machine.name].reserve(job.spec, 1)
         if machine.zone != self._source.zone:
             self._moved[job.job_id, machine.zone] += 1
--- a/oatport/control/scaling/scale_out.py
+++ b/oatport/control/scaling/scale_out.py
@@ -5,10 +5,11 @@
 from dataclasses import dataclass, field
 
 from oatport.control.queueing.tier_router import OWNED
+from oatport.control.scaling.capacity_slot import CapacitySlot
 from oatport.control.scaling.cloud_availability import CloudAvailability, Offering, ScaleOutRequest
 from oatport.control.scaling.demand import Demand
 from oatport.control.scaling.gang_scale_out import GangScaleOut
-from oatport.control.scaling.incoming_capacity import CapacitySlot, IncomingCapacity
+from oatport.control.scaling.incoming_capacity import IncomingCapacity
 from oatport.control.scaling.offering_selector import OfferingSelector, equivalence_key
 from oatport.control.state.capacity import task_slots_when_empty
 from oatport.control.state.cluster_state import ClusterState
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -11,8 +11,9 @@
 from oatport.control.queueing import pending_queue
 from oatport.control.queueing.pending_job_router import ROUTING_INTERVAL, ROUTING_INTERVAL_MAX, PendingJobRouter
 from oatport.control.queueing.pending_queue import PendingQueue, order_key
+from oatport.control.scaling.capacity_slot import CapacitySlot
 from oatport.control.scaling.cloud_availability import REFUSAL_BACKOFF, REFUSAL_BACKOFF_MAX, ScaleOutRequest
-from oatport.control.scaling.incoming_capacity import CapacitySlot, IncomingCapacity
+from oatport.control.scaling.incoming_capacity import IncomingCapacity
 from oatport.control.scaling.scale_out import MACHINES_PER_PASS
 from oatport.control.state.job import Job
 from oatport.control.state.machine import Machine
