--- a/oatport/simulation/simulation.py
+++ b/oatport/simulation/simulation.py
@@ -12,6 +12,7 @@
 from oatport.simulation import deployment, production_build
 from oatport.simulation.fault_injection import FaultInjector
 from oatport.simulation.fault_plan import Plan
+from oatport.simulation.service_statistics import ServiceStatistics
 from oatport.simulation.simulated_deployment import SimulatedDeployment
 from oatport.simulation.users import LoadBalancer, SubmittedJob, User
 from oatport.times import SECOND
@@ -100,8 +101,9 @@
         finally:
             errors = list(loop.errors)
             machines = self.deployed.machines.machines.values()
-            starved = checker.starved_groups([m.worker for m in machines if not m.host.frozen])
-            largest = checker.largest_job_figures()
+            statistics = self._statistics()
+            starved = statistics.starved_groups([m.worker for m in machines if not m.host.frozen])
+            largest = statistics.largest_job_figures()
             checker.finish()
             checker.closed = self.deployed.net.closed = True
             loop.cancel_all_tasks()
@@ -110,6 +112,7 @@
 
     def _result(self, errors: list[str], starved: list[str], largest: tuple[float, float]) -> RunResult:
         deployed, checker = self.deployed, self.deployed.checker
+        statistics = self._statistics()
         over_limit = deployed.store.over_limit_count
         if over_limit and FORMATS_KEY in deployed.store.items:
             checker.violations.append(f"over_limit: {over_limit} values or transactions were too large")
@@ -119,17 +122,21 @@
             errors,
             deployed.net.digest,
             deployed.net.sent,
-            self._counts(),
+            {**self._counts(), **statistics.pipeline_figures()},
             round(self.leadership.leaderless_s_max, 2),
-            checker.served_shares("cargo"),
-            checker.served_shares("crew"),
+            statistics.served_by_class(),
+            statistics.served_by_team(),
             self._last_messages,
             starved,
             checker.unanswered_s_max,
             *largest,
-            checker.at_limit(),
+            checker.usage.share_at_limit(),
         )
 
+    def _statistics(self) -> ServiceStatistics:
+        checker = self.deployed.checker
+        return ServiceStatistics(checker.jobs, checker.usage, self.deployed.loop.time())
+
     def _counts(self) -> dict[str, int]:
         deployed = self.deployed
         return {
@@ -142,7 +149,6 @@
             "turns": deployed.loop.callback_count,
             "over_limit": deployed.store.over_limit_count,
             "gate_early": self._gate_opened_early,
-            **deployed.checker.pipeline_figures(),
         }
 
     def _keep_last_messages(self) -> None:
@@ -170,7 +176,7 @@
                 next_snapshot = loop.time() + SNAPSHOT_S
             self.leadership.sample()
             self._check_feature_gate()
-            self.deployed.checker.sample_limits()
+            self.deployed.checker.usage.sample()
             await asyncio.sleep(SAMPLE_S)
 
     def _start_deployment(self) -> None:
--- a/oatport/simulation/users.py
+++ b/oatport/simulation/users.py
@@ -125,6 +125,41 @@
         """It was accepted, is not known to be done, and nobody has cancelled it or is about to."""
         return self.accepted_at is not None and self.done_at is None and self.cancel_at is None
 
+    @property
+    def releases_dependents(self) -> bool:
+        """All its tasks have ended, and its user was not told that it is cancelled."""
+        return self.completed_at is not None and self.cancelled_at is None
+
+    @property
+    def is_blocked(self) -> bool:
+        """It can't begin: a job before it isn't done, or is cancelled."""
+        return any(not dependency.releases_dependents for dependency in self.dependencies)
+
+    @property
+    def may_be_cancelled_with_others(self) -> bool:
+        """A user asked for the cancellation of a job before it."""
+        return any(job.cancel_at is not None or job.may_be_cancelled_with_others for job in self.dependencies)
+
+    @property
+    def dependency_cancelled_at(self) -> float | None:
+        """Since when a user knows that a job before it is cancelled; None: nobody was told so."""
+        times = [
+            job.cancelled_at if job.cancelled_at is not None else job.dependency_cancelled_at
+            for job in self.dependencies
+            if not job.releases_dependents
+        ]
+        return min((at for at in times if at is not None), default=None)
+
+    @property
+    def startable_at(self) -> float:
+        """When nothing kept it from being started any more."""
+        return max([self.accepted_at or self.submit_at, *(job.completed_at or 0.0 for job in self.dependencies)])
+
+    @property
+    def deadline_at(self) -> float:
+        """When it is due, from its submission on; only of jobs that have a deadline."""
+        return self.submit_at + float(self.body["tideS"])
+
     @property
     def job_id(self) -> str:
         return str(self.body["ref"])
