--- a/oatport/control/leadership/zone_partition.py
+++ b/oatport/control/leadership/zone_partition.py
@@ -50,7 +50,9 @@
 def elsewhere(cluster: ClusterState, job: Job) -> int:
     """How many more replicas of a service may run in zones that are heard from, its waiting ones counted."""
     spec = job.spec
-    zones = {zone for kind in cluster.preferred_types(job) for zone in kind.zones} - cluster.partitioned_zones.keys()
+    zones = {
+        zone for kind in cluster.catalog.preferred_types(job) for zone in kind.zones
+    } - cluster.zones.partitioned.keys()
     if spec.zone is not None:
         zones &= {spec.zone}
     if spec.one_zone and job.tasks_by_zone:
@@ -71,7 +73,7 @@
         """`kept`: zones in which a node answers the workers."""
         chosen: list[Machine] = []
         self._room.clear()
-        for zone, since in self.cluster.partitioned_zones.items():
+        for zone, since in self.cluster.zones.partitioned.items():
             alive = lives_until(self.cluster.settings, since, zone in kept)
             there = sorted(
                 (
--- a/oatport/control/placement/feasibility.py
+++ b/oatport/control/placement/feasibility.py
@@ -90,7 +90,7 @@
         index = job.next_pending()
         if job.kind is JobKind.SERVICE and index is not None and index in job.tasks and job.tasks[index].attempt > 0:
             return SECOND
-        return self.cluster.start_objectives.get(job.spec.job_class)
+        return self.cluster.objectives.start_within.get(job.spec.job_class)
 
     @staticmethod
     def _fetch(spec: wire.Submission, machine: Machine) -> int:
@@ -101,4 +101,4 @@
 
     def _elsewhere(self, job: Job) -> bool:
         """It needs no GPUs, and could run on a type without any."""
-        return job.spec.gpus == 0 and any(kind.gpus == 0 for kind in self.cluster.preferred_types(job))
+        return job.spec.gpus == 0 and any(kind.gpus == 0 for kind in self.cluster.catalog.preferred_types(job))
--- a/oatport/control/placement/placer.py
+++ b/oatport/control/placement/placer.py
@@ -74,7 +74,7 @@
                 self._make_quota(job, now)
                 # The rest of a line is of the same team, and wants as much.
                 line.over = line.plain and not any(use.rank_arrays[job.priority_rank + 1 :])
-            if job.priority_rank == IDLE_RANK and len(cluster.urgent_keys) > CLAIMS_AHEAD:
+            if job.priority_rank == IDLE_RANK and len(cluster.writes.urgent_keys) > CLAIMS_AHEAD:
                 self.look_by(now + CLAIMS_PAUSE)
                 line.over = line.plain
                 continue  # room claimed but not written down can't be given to anybody else
@@ -151,7 +151,7 @@
                 break
             if job.kind is JobKind.SERVICE and self._make_warm_room(job, machine, usable, now):
                 return got, machine
-            self.cluster.begin_binding(job, machine, now)
+            self.cluster.tasks.begin_binding(job, machine, now)
             self._claimed.append(machine)
             got += 1
         return got, None
@@ -247,7 +247,7 @@
             return 0
         job.gang_attempt = max([job.gang_attempt, *(t.attempt for t in job.tasks.values())]) + 1
         for machine in best:
-            self.cluster.begin_binding(job, machine, now, attempt=job.gang_attempt)
+            self.cluster.tasks.begin_binding(job, machine, now, attempt=job.gang_attempt)
         self._claimed += best
         return need
 
--- a/oatport/control/placement/preemption.py
+++ b/oatport/control/placement/preemption.py
@@ -37,7 +37,7 @@
             self.look_by(job.preempt_after)
             return
         # Idle work gives way at once; of others a few are stopped at a time.
-        idle = self.cluster.tasks_by_priority[IDLE_RANK] > 0 and not self._for_guarantee(job, now)
+        idle = self.cluster.tasks.bound_by_priority[IDLE_RANK] > 0 and not self._for_guarantee(job, now)
         wanted = 1 if job.kind is JobKind.GANG else min(job.pending, 64 if idle else 8)
         found = self._cheapest_victims(job, usable, wanted, now)
         only_idle = all(victim.job.priority_rank == IDLE_RANK for victim in found)
@@ -47,13 +47,13 @@
             mates = victim.job.tasks.values() if victim.job.kind is JobKind.GANG else (victim,)
             for mate in list(mates):
                 if mate.phase is TaskPhase.BOUND:
-                    self.cluster.stop(mate, victim.job.spec.grace_s)
+                    self.cluster.tasks.stop(mate, victim.job.spec.grace_s)
 
     def _may_stop(self, job: Job, now: int) -> bool:
         """Is there anybody at all whom it may stop? If only later, that is when to look again."""
-        if any(self.cluster.tasks_by_priority[job.priority_rank + 1 :]):
+        if any(self.cluster.tasks.bound_by_priority[job.priority_rank + 1 :]):
             return True
-        if not job.within_guarantee or not self.cluster.tasks_by_priority[job.priority_rank]:
+        if not job.within_guarantee or not self.cluster.tasks.bound_by_priority[job.priority_rank]:
             return False
         if self._for_guarantee(job, now):
             return True
@@ -97,7 +97,7 @@
             other = task.job.spec
             if task.stop_grace_s is None and ((cpus > 1e-9 and other.cpus > 0) or (gpus > 1e-9 and other.gpus > 0)):
                 cpus, gpus = cpus - other.cpus, gpus - other.gpus
-                self.cluster.stop(task, other.grace_s)
+                self.cluster.tasks.stop(task, other.grace_s)
 
     def _for_guarantee(self, job: Job, now: int) -> bool:
         """May it stop other teams' work of its own priority? Only after a moment: room may just come free."""
@@ -130,7 +130,7 @@
         spec = job.spec
         for_guarantee = self._for_guarantee(job, now)
         lowest = job.priority_rank if for_guarantee else job.priority_rank + 1
-        if not any(self.cluster.tasks_by_priority[lowest:]):
+        if not any(self.cluster.tasks.bound_by_priority[lowest:]):
             return []
         on_spot = self.cluster.may_use_free_spot(job)
         no_gpus = self._elsewhere(job)
--- a/oatport/control/queueing/dependency_tracker.py
+++ b/oatport/control/queueing/dependency_tracker.py
@@ -8,14 +8,16 @@
 
 import logging
 from collections.abc import Callable
+from typing import TYPE_CHECKING
 
 from oatport.control.queueing.dependency_graph import DependencyGraph, Known, Urgency, earliest
-from oatport.control.queueing.runtime_predictor import RuntimePredictor
 from oatport.control.state.job import NORMAL_RANK, PRIORITIES, Job, JobKind
-from oatport.control.storage.record_layout import RecordLayout, cancel_key, waits_key
-from oatport.control.storage.write_buffer import WriteBuffer
+from oatport.control.storage.record_layout import cancel_key, waits_key
 from oatport.times import SECOND
 
+if TYPE_CHECKING:
+    from oatport.control.state.cluster_state import ClusterState
+
 log = logging.getLogger(__name__)
 
 STEP = 2 * SECOND  # between a stage's last task and the next one's first: report, record, claim, command
@@ -23,42 +25,21 @@
 REMEMBERED_MOST = 10_000
 
 
-class DependencyTracker(WriteBuffer):
-    """The base of `Work`."""
+class DependencyTracker:
+    """Accepted jobs that wait for others, and what those that need them ask of the jobs before them."""
 
-    def __init__(self, predictor: RuntimePredictor, layout: RecordLayout) -> None:
-        super().__init__(predictor, layout)
-        self.dependency_graph = DependencyGraph()
+    def __init__(self, cluster: ClusterState) -> None:
+        self.cluster = cluster
+        self.graph = DependencyGraph()
         self.blocked_jobs: dict[str, Job] = {}  # jobs that wait for others
         self.on_released: Callable[[Job], None] = lambda job: None
         self.confirmed_cancellations: dict[str, int] = {}  # jobs not known here -> told after this (steady)
         self.inherited_urgency: dict[str, Urgency] = {}  # what is asked of waiting jobs by those that need them
 
-    # --- what `Work` has ----------------------------------------------------------------------
-
-    def admit(self, job: Job) -> None:
-        """It may start from now on."""
-        raise NotImplementedError
-
-    def on_accepted(self, job: Job) -> None:
-        """It was accepted."""
-        raise NotImplementedError
-
-    def image_fetch_us(self, job: Job) -> int:
-        """How long its image takes to get to a machine."""
-        raise NotImplementedError
-
-    def own_deadlines(self, job: Job) -> list[int]:
-        """Times of day by which its users look for its end."""
-        raise NotImplementedError
-
-    def set_urgency(self, job: Job, rank: int, dues: list[int]) -> None:
-        raise NotImplementedError
-
     # --- waiting and release ------------------------------------------------------------------
 
-    def dependency_state(self, ref: str) -> Known:
-        job = self.jobs.get(ref)
+    def state_of(self, ref: str) -> Known:
+        job = self.cluster.jobs.get(ref)
         if job is not None:
             return Known.CANCELLED if job.cancelled and not job.failure_reason else Known.OPEN
         if ref in self.blocked_jobs:
@@ -67,18 +48,22 @@
 
     def add_blocked(self, job: Job) -> None:
         """An accepted job that names others, no task of which was ever claimed."""
-        if job.job_id in self.jobs or job.job_id in self.blocked_jobs or job.job_id in self.jobs_to_cancel:
+        if (
+            job.job_id in self.cluster.jobs
+            or job.job_id in self.blocked_jobs
+            or job.job_id in self.cluster.writes.jobs_to_cancel
+        ):
             return
-        self.versions[waits_key(job.job_id)] = job.version
-        self.dependency_graph.seen(job.job_id)
-        self.on_accepted(job)
-        state = self.dependency_graph.add(job.job_id, job.dependencies, self.dependency_state)
+        self.cluster.writes.versions[waits_key(job.job_id)] = job.version
+        self.graph.seen(job.job_id)
+        self.cluster.job_lifecycle.on_accepted(job)
+        state = self.graph.add(job.job_id, job.dependencies, self.state_of)
         if job.job_id in self.confirmed_cancellations:
             self.blocked_jobs[job.job_id] = job
             self.cancel_blocked(job.job_id, 0)
         elif state is Known.OPEN:
             self.blocked_jobs[job.job_id] = job
-            log.info("job %s waits for %s", job.job_id, named(self.dependency_graph.waits(job.job_id)))
+            log.info("job %s waits for %s", job.job_id, named(self.graph.waits(job.job_id)))
         elif state is Known.CANCELLED:
             self._cancel_blocked(job)
         else:
@@ -87,13 +72,13 @@
     def _release(self, job: Job) -> None:
         log.info("job %s is released", job.job_id)
         self.inherited_urgency.pop(job.job_id, None)
-        self.jobs[job.job_id] = job
-        self.admit(job)
+        self.cluster.jobs[job.job_id] = job
+        self.cluster.job_lifecycle.admit(job)
         self.on_released(job)
 
     def on_completion_recorded(self, ref: str, at: int) -> None:
         """That it is done is recorded, since then (time of day)."""
-        after, released = self.dependency_graph.done(ref)
+        after, released = self.graph.done(ref)
         for name in after:
             job = self.blocked_jobs[name]
             job.eligible_at = max(job.eligible_at, at)
@@ -104,7 +89,7 @@
 
     def cancel_dependents(self, ref: str) -> None:
         """It was cancelled, and with it all that need it."""
-        for name in self.dependency_graph.cancelled(ref):
+        for name in self.graph.cancelled(ref):
             job = self.blocked_jobs.pop(name)
             log.info("job %s is cancelled with %s", name, ref)
             self._cancel_blocked(job)
@@ -112,7 +97,7 @@
     def _cancel_blocked(self, job: Job) -> None:
         job.cancelled = True
         self.inherited_urgency.pop(job.job_id, None)
-        self.jobs_to_cancel[job.job_id] = job
+        self.cluster.writes.jobs_to_cancel[job.job_id] = job
 
     def cancel_blocked(self, ref: str, mark_version: int) -> None:
         """Its own user cancelled it: that is recorded already, and what is left of it goes.
@@ -120,17 +105,17 @@
         Without the version of its mark (0) that is only told, and may as well follow from a needed job: it is recorded
         like a job whose needed one was cancelled, on the condition that it isn't recorded yet.
         """
-        job = self.blocked_jobs.pop(ref, None) or self.jobs_to_cancel.pop(ref, None)
+        job = self.blocked_jobs.pop(ref, None) or self.cluster.writes.jobs_to_cancel.pop(ref, None)
         if job is None:
             return
         if not mark_version:
-            self.dependency_graph.leave(ref)
+            self.graph.leave(ref)
             self._cancel_blocked(job)
             return
         job.cancelled = True
         self.inherited_urgency.pop(ref, None)
-        self.versions[cancel_key(ref)] = mark_version
-        self.jobs_to_delete[job] = None
+        self.cluster.writes.versions[cancel_key(ref)] = mark_version
+        self.cluster.writes.jobs_to_delete[job] = None
 
     def remember_cancelled(self, ref: str, told_after: int) -> None:
         """Its user was told so, and nothing is known of it here: accepted while the records could not be read, or over.
@@ -147,41 +132,45 @@
         """A waiting job's urgency, and the time that it takes: what `Pipelines.wanted` asks."""
         job = self.blocked_jobs[ref]
         asked = self.inherited_urgency.get(ref)
-        dues = tuple(self.own_deadlines(job))
+        dues = tuple(self.cluster.objectives.deadlines_of(job))
         rank = stage_rank(job)
         if asked is not None:
             rank = min(rank, asked.rank)
             dues = earliest(dues, asked.dues)
-        return Urgency(rank, dues), self.predictor.run_time(ref, job.spec) + self.image_fetch_us(job) + STEP
+        return Urgency(rank, dues), self.cluster.predictor.run_time(
+            ref, job.spec
+        ) + self.cluster.catalog.image_fetch_us(job) + STEP
 
     def propagate_urgency(self) -> None:
         """Carry deadlines and priorities back, where jobs came or went. Each job once, however many need it."""
-        stale = self.dependency_graph.stale
+        stale = self.graph.stale
         while stale:
             ref = next(iter(stale))
             del stale[ref]
-            job = self.blocked_jobs.get(ref) or self.jobs.get(ref)
+            job = self.blocked_jobs.get(ref) or self.cluster.jobs.get(ref)
             if job is None:
                 continue
-            asked = self.dependency_graph.wanted(ref, self._urgency)
+            asked = self.graph.wanted(ref, self._urgency)
             if ref in self.blocked_jobs:
                 if asked != self.inherited_urgency.get(ref):
                     if asked is None:
                         del self.inherited_urgency[ref]
                     else:
                         self.inherited_urgency[ref] = asked
-                    stale.update(dict.fromkeys(self.dependency_graph.waits(ref)))
+                    stale.update(dict.fromkeys(self.graph.waits(ref)))
                 continue
             own = stage_rank(job)
             rank = own if asked is None or job.kind is JobKind.SERVICE else min(own, asked.rank)
-            self.set_urgency(job, rank, list(asked.dues) if asked is not None else [])
+            self.cluster.job_lifecycle.set_urgency(job, rank, list(asked.dues) if asked is not None else [])
 
-    def explain_blocked(self, ref: str) -> str:
+    def explain(self, ref: str) -> str:
         """What a waiting job waits for, in words; empty if it doesn't wait for others."""
         lost = [
-            need for need in self.dependency_graph.waits(ref) if need in self.jobs and self.jobs[need].failure_reason
+            need
+            for need in self.graph.waits(ref)
+            if need in self.cluster.jobs and self.cluster.jobs[need].failure_reason
         ]
-        text = f"waits for {named(self.dependency_graph.waits(ref))}" if ref in self.blocked_jobs else ""
+        text = f"waits for {named(self.graph.waits(ref))}" if ref in self.blocked_jobs else ""
         return text + (f"; lost, so that it waits until it is cancelled: {named(lost)}" if lost else "")
 
 
--- a/oatport/control/queueing/queue_estimator.py
+++ b/oatport/control/queueing/queue_estimator.py
@@ -50,7 +50,7 @@
             or machine.releasing
             or machine.reclaimed_at
             or machine.command_unreachable
-            or machine.zone in cluster.partitioned_zones
+            or machine.zone in cluster.zones.partitioned
         ):
             continue
         cpus, left, idle = machine.type.cpus - machine.service_cpus, 0.0, 0.0
@@ -86,8 +86,10 @@
     """Times of day by which its end is looked for: its deadline, multiples of it, its class's aims at the end, and
     what is left for it by jobs that need it."""
     if job.deadlines is None:
-        times = cluster.own_deadlines(job)
-        times += [job.eligible_at + within for within in cluster.completion_objectives.get(job.spec.job_class, ())]
+        times = cluster.objectives.deadlines_of(job)
+        times += [
+            job.eligible_at + within for within in cluster.objectives.completion_within.get(job.spec.job_class, ())
+        ]
         job.deadlines = sorted(times + job.inherited_deadlines)
     return job.deadlines
 
@@ -97,7 +99,7 @@
 
     One without a deadline whose class should start by a certain time is due when it would end then.
     """
-    start = cluster.start_objectives.get(job.spec.job_class)
+    start = cluster.objectives.start_within.get(job.spec.job_class)
     usual = job.eligible_at + (NO_DEADLINE if start is None else min(start + run, NO_DEADLINE))
     job.deadline_at, job.deadline_missed = times[0] if times else usual, job.suspected_faulty
     if times and not job.suspected_faulty:
@@ -124,7 +126,7 @@
         job.predicted_runtime = cluster.predictor.run_time(job.job_id, job.spec)
         _set_target(cluster, job, times, job.predicted_runtime, wall)
         if times and not job.suspected_faulty:
-            queues.setdefault((job.priority_rank, cluster.preferred_type_names(job)), []).append((job, times))
+            queues.setdefault((job.priority_rank, cluster.catalog.preferred_type_names(job)), []).append((job, times))
     for (_, suited), jobs in queues.items():
         pool = _pool(by_type, suited)
         left = jobs if pool.total > 0 else []
@@ -193,7 +195,7 @@
             self._of(job).pool.left_total += cluster.predictor.run_time(job.job_id, job.spec) * job.spec.cpus * tasks
 
     def _of(self, job: Job) -> _Queue:
-        suited = self._cluster.preferred_type_names(job)
+        suited = self._cluster.catalog.preferred_type_names(job)
         queue = self._queues.get(suited)
         if queue is None:
             queue = self._queues[suited] = _Queue(_pool(self._by_type, suited))
@@ -258,7 +260,7 @@
     running = [
         now - t.running_since
         for m in cluster.machines.values()
-        if m.zone not in cluster.partitioned_zones
+        if m.zone not in cluster.zones.partitioned
         for t in m.finite_tasks
         if t.running_since and t.binding_at and not t.job.suspected_faulty and t.job.priority_rank < IDLE_RANK
     ]
@@ -282,13 +284,13 @@
 
     def pace(self) -> int:
         """How long until all waiting work is routed again, if something has changed meanwhile."""
-        size = A_JOB * len(self._cluster.pending) + sum(self._cluster.tasks_by_priority)
+        size = A_JOB * len(self._cluster.pending) + sum(self._cluster.tasks.bound_by_priority)
         return min(ROUTE_MOST, max(ROUTE_EVERY, size * SECOND // LOOKED_AT))
 
     def step(self, now: int, wall: int) -> None:
         cluster = self._cluster
-        cluster.propagate_urgency()
-        seen = (cluster.pending.version, cluster.binding_changes)
+        cluster.dependencies.propagate_urgency()
+        seen = (cluster.pending.version, cluster.tasks.binding_changes)
         since = now - self._routed_at
         if since >= ROUTE_LATEST or (since >= self.pace() and seen != self._seen) or self._queues is None:
             self.route_all(now, wall)
@@ -334,7 +336,7 @@
             job.tier = tier
             cluster.planning_needed = True
             if tier == OWNED or job.loss_count:
-                cluster.dirty_keys.setdefault(live_key(job.job_id), None)
+                cluster.writes.dirty_keys.setdefault(live_key(job.job_id), None)
 
 
 class _Rentable:
@@ -355,5 +357,5 @@
 
 def route_waiting(cluster: ClusterState, fleet: CapacityPlanner, now: int, wall: int) -> None:
     """Set the tier of every waiting job; a changed tier is recorded with its first chunk."""
-    cluster.propagate_urgency()
+    cluster.dependencies.propagate_urgency()
     QueueEstimator(cluster, fleet).route_all(now, wall)
--- a/oatport/control/scaling/scale_in.py
+++ b/oatport/control/scaling/scale_in.py
@@ -51,7 +51,7 @@
             and not m.draining
             and not m.releasing
             and m.type.gpus == 0
-            and m.zone not in cluster.partitioned_zones
+            and m.zone not in cluster.zones.partitioned
         ]
         room = 0.0
         loose: list[tuple[float, float, Machine]] = []
@@ -102,8 +102,12 @@
             movable.sort(key=lambda m: (m.service_cpus / m.price, m.name))
             for machine in movable[:MOVES_TRIED]:
                 missed = self._missed_by_moving(machine, owned)
-                if missed is not None and cluster.moved_us + missed <= cluster.replica_us * cluster.tuning.move_share:
-                    cluster.moved_us += missed
+                if (
+                    missed is not None
+                    and cluster.accounting.moved_us + missed
+                    <= cluster.accounting.replica_us * cluster.tuning.move_share
+                ):
+                    cluster.accounting.moved_us += missed
                     chosen = machine
                     break
         if chosen is None:
@@ -176,7 +180,7 @@
             if machine.command_unreachable and unheard and not machine.releasing:
                 continue  # it is rather this node that reaches none: others would be just as deaf to it
             if machine.releasing:
-                if not cluster.holds_unwritten_completions(machine):
+                if not cluster.completions.holds_unwritten(machine):
                     chosen.append(machine)  # asked before without an answer
                 continue
             if machine.tasks or machine.orphaned_attempts:
@@ -184,7 +188,7 @@
             if not machine.ready_at:
                 # In a zone that is cut off it may be up and unheard: charged all the same.
                 patience = micros(
-                    machine.type.boot_s * (2 if machine.zone in cluster.partitioned_zones else tuning.boot_patience)
+                    machine.type.boot_s * (2 if machine.zone in cluster.zones.partitioned else tuning.boot_patience)
                 )
                 if now - machine.rented_at < patience or (machine.was_ready and not machine.listed_by_cloud):
                     continue
@@ -203,7 +207,7 @@
                 continue
             # Asked only now: it has the ends that it finds written at once, and if it did so for all machines, none
             # would wait for others of their record any more.
-            if cluster.holds_unwritten_completions(machine):
+            if cluster.completions.holds_unwritten(machine):
                 continue
             machine.releasing = True
             chosen.append(machine)
--- a/oatport/control/scaling/scale_out.py
+++ b/oatport/control/scaling/scale_out.py
@@ -64,7 +64,7 @@
         return any(
             now - self.granted.get((machine.type.name, zone, machine.spot), -GRANTED_FOR) < GRANTED_FOR
             for zone in machine.type.zones
-            if zone not in self.cluster.partitioned_zones
+            if zone not in self.cluster.zones.partitioned
         )
 
     def _asked(self, type_name: str, zone: str, spot: bool) -> bool:
@@ -74,7 +74,7 @@
         """Some machine for this job is still to be had of this kind, as far as is known."""
         return any(
             self.refused.get((kind.name, zone, spot), 0) <= now
-            for kind in self.cluster.feasible_types(job)
+            for kind in self.cluster.catalog.feasible_types(job)
             for zone in kind.zones
             if job.spec.zone in (None, zone)
         )
@@ -93,7 +93,13 @@
     def _sight(self, now: int) -> tuple[object, ...]:
         cluster = self.cluster
         closed = sum(until > now for until in self.refused.values())
-        return cluster.pending.version, cluster.binding_changes, len(cluster.machines), len(self.under_way), closed
+        return (
+            cluster.pending.version,
+            cluster.tasks.binding_changes,
+            len(cluster.machines),
+            len(self.under_way),
+            closed,
+        )
 
     def wanted(self, now: int) -> list[ScaleOutRequest]:
         """Rentals that fit the waiting tasks of each tier, beyond what is coming already."""
@@ -116,7 +122,7 @@
             self._cover(job, coming, freeing, planned, now)
         rentals = []
         for (type_name, zone, spot), count in planned.items():
-            if zone in cluster.partitioned_zones:
+            if zone in cluster.zones.partitioned:
                 count = 1  # it finds out when the zone can be reached again
             while count > 0:
                 rentals.append(ScaleOutRequest(type_name, zone, spot, min(count, BATCH_MOST)))
@@ -127,13 +133,13 @@
         cluster = self.cluster
         rooms = IncomingCapacity()
         for machine in cluster.machines.values():
-            if machine.zone not in cluster.partitioned_zones and machine.coming(now, cluster.token):
+            if machine.zone not in cluster.zones.partitioned and machine.coming(now, cluster.token):
                 rooms.add(CapacitySlot.of(machine.type, machine.zone, machine.spot))
         for rental in self.under_way:
-            if rental.zone in cluster.partitioned_zones:
+            if rental.zone in cluster.zones.partitioned:
                 continue
             for _ in range(rental.count):
-                rooms.add(CapacitySlot.of(cluster.types[rental.type], rental.zone, rental.spot))
+                rooms.add(CapacitySlot.of(cluster.catalog.types[rental.type], rental.zone, rental.spot))
         return rooms
 
     @staticmethod
@@ -152,7 +158,7 @@
     def _freeing(self, now: int) -> list[float]:
         """CPUs that running tasks will free before a rented machine could be up, and those that idle work gives up."""
         cluster = self.cluster
-        boot = min((micros(t.boot_s) for t in cluster.types.values()), default=30 * SECOND)
+        boot = min((micros(t.boot_s) for t in cluster.catalog.types.values()), default=30 * SECOND)
         cpus = given_way = 0.0
         for machine in cluster.usable_machines:
             given_way += machine.cpus_by_priority[IDLE_RANK]
@@ -196,7 +202,7 @@
         zones = dict(job.tasks_by_zone)
         cap = zone_cap(spec)
         only_zone = next(iter(zones)) if spec.one_zone and zones else spec.zone
-        suited = cluster.preferred_type_names(job)
+        suited = cluster.catalog.preferred_type_names(job)
         while left > 0:
             open_zones = [only_zone] if only_zone else coming.zones()
             if spec.spread:
@@ -209,7 +215,7 @@
             zones[room.zone] = zones.get(room.zone, 0) + got
             if spec.one_zone:
                 only_zone = room.zone
-        most_held = max((task_slots_when_empty(kind, spec) for kind in cluster.feasible_types(job)), default=0)
+        most_held = max((task_slots_when_empty(kind, spec) for kind in cluster.catalog.feasible_types(job)), default=0)
         sought = (
             spec.cpus,
             spec.gpus,
@@ -248,7 +254,7 @@
     ) -> None:
         """Machines for a whole gang, in the zone that lacks the fewest; none where it can't be whole."""
         spec, spot = job.spec, job.tier == SPOT
-        zones = sorted({zone for kind in self.cluster.feasible_types(job) for zone in kind.zones})
+        zones = sorted({zone for kind in self.cluster.catalog.feasible_types(job) for zone in kind.zones})
         if spec.zone is not None:
             zones = [spec.zone]
         best: tuple[int, list[CapacitySlot], list[tuple[CapacitySlot, int]]] | None = None
@@ -294,7 +300,7 @@
 
     def _closed(self, zone: str, now: int) -> bool:
         """A zone that nothing is heard from: after a while one machine at a time is rented there, to find out."""
-        since = self.cluster.partitioned_zones.get(zone)
+        since = self.cluster.zones.partitioned.get(zone)
         if since is None:
             return False
         return (
@@ -312,7 +318,7 @@
         best: tuple[wire.MachineType, str] | None = None
         best_key: tuple[float, float] | None = None
         costs: dict[str, float] = {}
-        for kind in self.cluster.feasible_types(job):
+        for kind in self.cluster.catalog.feasible_types(job):
             count = min(task_slots_when_empty(kind, spec), left)
             # What the machine could hold counts for a part: later work fills the rest.
             useful = count + 0.7 * (task_slots_when_empty(kind, spec) - count)
--- /dev/null
+++ b/oatport/control/state/job_lifecycle.py
@@ -0,0 +1,192 @@
+"""Jobs in the leader's view: accepted, held back, cancelled, failed and removed."""
+
+from __future__ import annotations
+
+import logging
+from typing import TYPE_CHECKING
+
+from oatport import wire
+from oatport.control.placement.retry_policy import RetryPolicy
+from oatport.control.state.cancellations import answers_until
+from oatport.control.state.job import DeferredStart, Job, JobKind
+from oatport.control.state.task import Task, TaskPhase
+from oatport.control.storage.write_buffer import cancel_key, live_key
+
+if TYPE_CHECKING:
+    from oatport.control.state.cluster_state import ClusterState
+
+log = logging.getLogger(__name__)
+
+
+class JobLifecycle:
+    """The steps of a job as a whole, from its acceptance to the removal of its records."""
+
+    def __init__(self, cluster: ClusterState) -> None:
+        self.cluster = cluster
+
+    def add(self, ref: str, spec: wire.Submission, version: int, submitted_at: int) -> Job:
+        """An accepted job that waits for no other; the known one if it is known already."""
+        job = self.cluster.jobs.get(ref)
+        if job is None:
+            job = self.cluster.jobs[ref] = Job(ref, spec, version, submitted_at)
+            self.cluster.writes.versions[live_key(ref)] = version
+            self.admit(job)
+            self.on_accepted(job)
+            if ref in self.cluster.quotas.unknown:
+                self.cluster.orphans.resolve(ref, spec)
+            if ref in self.cluster.dependencies.confirmed_cancellations:
+                self.cancel(ref, 0, self.cluster.dependencies.confirmed_cancellations[ref])
+        return job
+
+    def admit(self, job: Job) -> None:
+        """It may start from now on."""
+        repeat = self.cluster.retry_policies.get(job.spec.job_class, RetryPolicy.ANY)
+        job.at_most_once = repeat is not RetryPolicy.ANY and job.kind is not JobKind.SERVICE
+        job.unplaced_since = self.cluster.now or 1
+        self.cluster.pending.add(job)
+        self.cluster.planning_needed = True
+        self.cluster.dependencies.graph.seen(job.job_id)
+        self.cluster.dependencies.graph.stale[job.job_id] = None
+
+    def on_accepted(self, job: Job) -> None:
+        """It was accepted."""
+        job.in_statistics = True
+        self.cluster.job_statistics.joined(job)
+
+    def set_urgency(self, job: Job, rank: int, dues: list[int]) -> None:
+        """What jobs that need it ask of it. Its tasks on machines count with its priority."""
+        if rank == job.priority_rank and dues == job.inherited_deadlines:
+            return
+        for task in job.tasks.values():
+            if task.machine is not None:
+                self.cluster.tasks.count_priority(task, task.machine, -1)
+        job.priority_rank = rank
+        for task in job.tasks.values():
+            if task.machine is not None:
+                self.cluster.tasks.count_priority(task, task.machine, 1)
+        job.inherited_deadlines, job.deadlines, job.deadline_at, job.attainable_deadline = dues, None, 0, 0
+        self.cluster.pending.urged(job)
+        self.cluster.planning_needed = True
+
+    def cancel(self, ref: str, mark_version: int, told_after: int = 0) -> None:
+        """Its user was told that it is cancelled: nothing starts any more, all its tasks must go.
+
+        So are all that need it. `mark_version`: of its mark under `live/`; 0: told, but not read in the records yet.
+        `told_after` (steady): not before that, as far as is known.
+        """
+        self.cluster.dependencies.cancel_dependents(ref)
+        job = self.cluster.jobs.get(ref)
+        if job is None:
+            self.cluster.dependencies.cancel_blocked(ref, mark_version)
+            return
+        if mark_version:
+            self.cluster.writes.versions[cancel_key(ref)] = mark_version
+        if job.failure_reason:  # its user was faster than the record of that
+            job.failure_reason, job.completing, job.cancelled_after = "", False, told_after
+            self.cluster.writes.jobs_to_complete.pop(job, None)
+        if job.cancelled:
+            self.delete_if_gone(job)
+            return
+        job.cancelled = True
+        job.cancelled_after = told_after
+        self.cluster.pending.discard(job)
+        self.cluster.writes.jobs_to_complete.pop(job, None)
+        self._cancel_tasks(job)
+
+    def cancel_confirmed(self, ref: str, mark_version: int, told_after: int) -> None:
+        """A node told its user that it is cancelled, which may not be known here."""
+        if (
+            ref not in self.cluster.jobs
+            and ref not in self.cluster.dependencies.blocked_jobs
+            and ref not in self.cluster.writes.jobs_to_cancel
+        ):
+            self.cluster.dependencies.remember_cancelled(ref, told_after)
+        self.cancel(ref, mark_version, told_after)
+
+    def _cancel_tasks(self, job: Job) -> None:
+        """No task of it starts any more, and those on machines leave."""
+        for task in list(job.tasks.values()):
+            if task.phase is TaskPhase.BINDING:
+                self.cluster.tasks.unbind(task)
+            elif task.phase is TaskPhase.BOUND:
+                self.cluster.tasks.stop(task, 0.0)
+        self.delete_if_gone(job)
+
+    def fail(self, task: Task, cause: str) -> None:
+        """A task may not run again, so the job ends as lost: the rest of it is stopped, then that is recorded.
+
+        The task's own row says so from its next record on, whatever leader reads it.
+        """
+        job = task.job
+        if task.machine is not None:
+            self.cluster.tasks.unbind(task)
+        task.retry_exhausted = True
+        self.cluster.writes.mark_dirty(task, urgent=True)
+        if job.cancelled or job.completing:
+            self.delete_if_gone(job)
+            return
+        log.info("job %s is lost: task %d: %s", job.job_id, task.index, cause)
+        job.failure_reason, job.cancelled = cause, True
+        self.cluster.pending.discard(job)
+        self._cancel_tasks(job)
+
+    def cancellation_watermark(self, known_at: int) -> int:
+        """The moment (steady) up to which cancellations told are known and their tasks proven gone; 0: none.
+
+        `known_at`: up to which they are known. Tasks that nobody knows may be of a cancelled job.
+        """
+        if any(machine.orphaned_attempts for machine in self.cluster.machines.values()):
+            return 0
+        left = [
+            job.cancelled_after
+            for job in self.cluster.jobs.values()
+            if job.cancelled and (job.on_machines or job.orphaned_attempt_count)
+        ]
+        return min([known_at, *left])
+
+    def defer(self, job: Job, opened: int, hold: DeferredStart) -> None:
+        """Of its tasks only the first `opened` may start; recorded, so that the next leader holds it as well."""
+        job.start_limit, job.deferral = opened, hold
+        if not job.pending:
+            self.cluster.pending.discard(job)
+        elif not (job.cancelled or job.completing):
+            self.cluster.pending.add(job)
+        self.cluster.planning_needed = True
+        hold.write_count += 1
+        self.cluster.writes.dirty_keys[live_key(job.job_id)] = None
+
+    def release_deferred(self, job: Job, count: int) -> None:
+        """So many more tasks of a held job may start. Not written by itself: the plan that is recorded says so."""
+        if job.start_limit < 0 or job.cancelled or job.completing:
+            return
+        job.start_limit = min(max(job.start_limit, job.next_untouched) + count, job.spec.tasks)
+        if job not in self.cluster.pending:
+            job.unplaced_since = self.cluster.now or 1
+        self.cluster.pending.add(job)
+        self.cluster.planning_needed = True
+
+    def delete_if_gone(self, job: Job) -> None:
+        """Have a cancelled job's records deleted, once none of its attempts is on a machine any more."""
+        if not job.cancelled or job.on_machines or job.orphaned_attempt_count:
+            return
+        if job.failure_reason:
+            job.completing = True
+            self.cluster.writes.jobs_to_complete[job] = None
+        elif self.cluster.writes.versions.get(cancel_key(job.job_id)):
+            # Without the mark's version its keys wait for the record: the mark goes with them.
+            self.cluster.writes.jobs_to_delete[job] = None
+
+    def lease_renewal_bound(self, job: Job) -> int:
+        """A cancelled job: until when (steady) a worker's lease may be renewed that might let a task of it run on."""
+        return answers_until(self.cluster.settings.workers, job.cancelled_after)
+
+    def remove(self, job: Job) -> None:
+        """Its completion, or the deletion of its records, is committed."""
+        self.cluster.jobs.pop(job.job_id, None)
+        if job.in_statistics:
+            job.in_statistics = False
+            self.cluster.job_statistics.over(job)
+        self.cluster.jobs_with_changed_counts.pop(job, None)
+        self.cluster.pending.discard(job)
+        self.cluster.predictor.forget_job(job.job_id)
+        self.cluster.writes.forget_job(job)
--- /dev/null
+++ b/oatport/control/state/unwritten_completions.py
@@ -0,0 +1,128 @@
+"""Completions of tasks that no record says yet: replicated to the other nodes, taken over from earlier leaders."""
+
+from __future__ import annotations
+
+import logging
+from typing import TYPE_CHECKING
+
+from oatport import wire
+from oatport.control.state.completions import ROWS_MOST, Completion
+from oatport.control.state.identifiers import split_task
+from oatport.control.state.job import Job, JobKind
+from oatport.control.state.machine import Machine
+from oatport.control.state.task import Task, TaskPhase
+
+if TYPE_CHECKING:
+    from oatport.control.state.cluster_state import ClusterState
+
+log = logging.getLogger(__name__)
+
+
+class UnwrittenCompletions:
+    """Completions that were reported and may be in no record yet."""
+
+    def __init__(self, cluster: ClusterState) -> None:
+        self.cluster = cluster
+        self.earlier_may_be_lost = False  # earlier leaders may have taken in ends that nobody tells of now
+        self.unwritten: dict[tuple[Job, int], int] = {}  # tasks that are done, and the attempt: maybe in no record
+        self.new: list[Completion] = []  # of these, what the other nodes were not told yet
+
+    def note(self, task: Task) -> None:
+        """A task was completed: to be replicated until it is recorded."""
+        self.unwritten[task.job, task.index] = task.attempt
+        if len(self.new) < ROWS_MOST:
+            self.new.append((task.job.job_id, task.index, task.attempt))
+
+    def _known_only_from(self, machine: Machine) -> list[tuple[Job, int]]:
+        """Tasks that are done, which no record says yet: this machine alone would tell the next leader so."""
+        found: list[tuple[Job, int]] = []
+        for name, _ in machine.terminated_attempts:
+            parts = split_task(name)
+            job = self.cluster.jobs.get(parts[0]) if parts else None
+            if job is None or parts is None or job.cancelled or parts[1] not in job.completed:
+                continue
+            if job.completing or self.cluster.writes.is_unwritten(job, parts[1]):
+                found.append((job, parts[1]))
+        return found
+
+    def to_replicate(self) -> list[Completion]:
+        """Ends that are in no record yet."""
+        for job, index in list(self.unwritten):
+            if (
+                self.cluster.jobs.get(job.job_id) is not job
+                or job.cancelled
+                or not (job.completing or self.cluster.writes.is_unwritten(job, index))
+            ):
+                del self.unwritten[job, index]
+        return [(job.job_id, index, attempt) for (job, index), attempt in self.unwritten.items()][:ROWS_MOST]
+
+    def take_new(self) -> list[Completion]:
+        """Those that came since this was last asked."""
+        new, self.new = self.new, []
+        return new
+
+    def apply(self, ends: list[Completion]) -> None:
+        """What earlier leaders took in and may not have recorded.
+
+        The attempt was reported as ended, so it is on no machine; one that began since is left to its own report.
+        """
+        for ref, index, attempt in ends:
+            job = self.cluster.jobs.get(ref)
+            task = job.tasks.get(index) if job is not None else None
+            if job is None or task is None or job.kind is JobKind.SERVICE or job.cancelled or task.retry_exhausted:
+                continue
+            if task.phase is TaskPhase.BOUND and (task.attempt != attempt or task.binding_at):
+                continue
+            log.info("task %s was done under an earlier leader", task.name)
+            if task.index in job.retry_queue:
+                job.retry_queue.remove(task.index)
+            self.cluster.tasks.complete(task, self.cluster.now, measured=False)
+            if not job.pending:
+                self.cluster.pending.discard(job)
+
+    def apply_late(self, machine: Machine, report: wire.Report) -> None:
+        """That an attempt was done is true in a message of any age.
+
+        The sessions of a machine that was back within a blink began anew: what it told after an old copy had come was
+        taken for older, and answered all the same.
+        """
+        done = {
+            (row.task, row.attempt) for row in report.tasks if row.status == wire.EXITED and row.why == wire.WHY_DONE
+        }
+        for task in [task for task in machine.tasks if (task.name, task.attempt) in done] if done else ():
+            if task.phase is TaskPhase.BOUND and task.job.kind is not JobKind.SERVICE:
+                self.cluster.tasks.complete(task, self.cluster.now, measured=False)
+
+    def may_report_unknown(self, machine: Machine, now: int, until: int) -> bool:
+        """A silent machine that may come back and tell of ends that nobody else knows any more.
+
+        All nodes ended in an outage, and with them what had been reported and not recorded; or the last leader was cut
+        off from the others as well as from the state service, and was still reported to. `until` (steady): by then
+        the leases have ended that an earlier leader gave, and with them what the machine could tell.
+        """
+        return (
+            self.earlier_may_be_lost
+            and now < until
+            and not machine.last_heartbeat_at
+            and any(not task.binding_at for task in machine.finite_tasks)
+        )
+
+    def holds_unwritten(self, machine: Machine) -> bool:
+        """It must not be returned or given up yet: it holds ends that are written nowhere else.
+
+        Machines that were drained, or silent for 5 s, were once returned between the report of an end and its record.
+        When that record was late and the leader ended, the next one found the task on a machine that was gone, and ran
+        it again.
+        """
+        found = self._known_only_from(machine)
+        self._expedite(found)
+        return bool(found)
+
+    def expedite(self, machine: Machine) -> None:
+        """What only this machine tells is written at once: it will soon tell nothing any more."""
+        self._expedite(self._known_only_from(machine))
+
+    def _expedite(self, ends: list[tuple[Job, int]]) -> None:
+        for job, index in ends:
+            for key in self.cluster.writes.task_record_keys(job, index):
+                self.cluster.writes.expedite(key)
--- a/oatport/control/state/utilization.py
+++ b/oatport/control/state/utilization.py
@@ -2,15 +2,19 @@
 
 from __future__ import annotations
 
+from collections import defaultdict
 from dataclasses import dataclass, field
+from typing import TYPE_CHECKING
 
-from oatport.control.state.task_lifecycle import TaskLifecycle
 from oatport.times import SECOND
 
+if TYPE_CHECKING:
+    from oatport.control.state.cluster_state import ClusterState
+
 
 @dataclass(slots=True)
 class FleetUtilization:
-    """Machines and waiting tasks as last counted (`Cluster.account`)."""
+    """Machines and waiting tasks as last counted (`FleetAccounting.update`)."""
 
     up: int = 0
     up_spot: int = 0
@@ -21,35 +25,48 @@
     waiting: dict[str, int] = field(default_factory=dict)  # tier -> tasks
 
 
-def account(work: TaskLifecycle, now: int, since: int) -> FleetUtilization:
-    """Add up what the time since then cost, by what machines did, and count them. `since` 0: the first call."""
-    hours = (now - since) / (3600 * SECOND) if since else 0.0
-    tally = FleetUtilization()
-    for job in work.pending:
-        tally.waiting[job.tier or "?"] = tally.waiting.get(job.tier or "?", 0) + job.pending
-    for machine in work.machines.values():
-        kind, money = machine.type, machine.price * hours
-        if not machine.ready_at:
-            tally.down += 1
-            work.cost_by_use["boot"] += money
-            continue
-        tally.up += 1
-        tally.cpus += kind.cpus
-        if machine.spot:
-            tally.up_spot += 1
-            tally.free_spot += machine.free_cpus
-        else:
-            tally.free_owned += machine.free_cpus
-        running = fetching = 0.0
-        for task in machine.tasks:
-            spec = task.job.spec
-            share = max(spec.cpus / kind.cpus, spec.gpus / kind.gpus if kind.gpus else 0.0)
-            if task.running_since:
-                running += share
+class FleetAccounting:
+    """Counts machines, and the money and time that they took, for the status line."""
+
+    def __init__(self, cluster: ClusterState) -> None:
+        self.cluster = cluster
+        self.utilization = FleetUtilization()
+        self.cost_by_use: defaultdict[str, float] = defaultdict(float)  # money by what machines did
+        self.accounted_at = 0
+        self.replica_us = 0  # time that replicas were on machines, all in all
+        self.moved_us = 0  # and what they missed by being moved
+
+    def update(self, now: int) -> None:
+        """Add up what the time since the last call cost, by what machines did, and count them."""
+        since = self.accounted_at
+        hours = (now - since) / (3600 * SECOND) if since else 0.0
+        tally = FleetUtilization()
+        for job in self.cluster.pending:
+            tally.waiting[job.tier or "?"] = tally.waiting.get(job.tier or "?", 0) + job.pending
+        for machine in self.cluster.machines.values():
+            kind, money = machine.type, machine.price * hours
+            if not machine.ready_at:
+                tally.down += 1
+                self.cost_by_use["boot"] += money
+                continue
+            tally.up += 1
+            tally.cpus += kind.cpus
+            if machine.spot:
+                tally.up_spot += 1
+                tally.free_spot += machine.free_cpus
             else:
-                fetching += share
-        work.cost_by_use["run"] += money * min(running, 1.0)
-        work.cost_by_use["fetch"] += money * fetching
-        idle = "idle gpu" if kind.gpus else "idle spot" if machine.spot else "idle owned"
-        work.cost_by_use[idle] += money * max(1.0 - running - fetching, 0.0)
-    return tally
+                tally.free_owned += machine.free_cpus
+            running = fetching = 0.0
+            for task in machine.tasks:
+                spec = task.job.spec
+                share = max(spec.cpus / kind.cpus, spec.gpus / kind.gpus if kind.gpus else 0.0)
+                if task.running_since:
+                    running += share
+                else:
+                    fetching += share
+            self.cost_by_use["run"] += money * min(running, 1.0)
+            self.cost_by_use["fetch"] += money * fetching
+            idle = "idle gpu" if kind.gpus else "idle spot" if machine.spot else "idle owned"
+            self.cost_by_use[idle] += money * max(1.0 - running - fetching, 0.0)
+        self.utilization = tally
+        self.accounted_at = now
--- a/oatport/control/storage/recovery.py
+++ b/oatport/control/storage/recovery.py
@@ -11,10 +11,11 @@
 
 from oatport import wire
 from oatport.control.state.cancellations import answers_until
-from oatport.control.state.cluster_state import DARK_LEAST, ClusterState
+from oatport.control.state.cluster_state import ClusterState
 from oatport.control.state.identifiers import number_in_name
 from oatport.control.state.job import DeferredStart, Job, JobKind
 from oatport.control.state.machine import Machine
+from oatport.control.state.partitioned_zones import DARK_LEAST
 from oatport.control.state.task import Task, TaskPhase
 from oatport.control.storage.overflow_records import note_slim
 from oatport.control.storage.record_layout import FLEET_CHUNK, group_of
@@ -76,7 +77,7 @@
     cancelled: dict[str, int] = {}
     waits: dict[str, tuple[Any, int]] = {}
     apart: dict[str, Any] = {}  # first chunks of before version 0.3, which did not lie with their jobs
-    cluster.layout.parts = any(row["path"] == FORMATS_KEY and reads_of(row["value"]) >= READS for row in rows)
+    cluster.writes.layout.parts = any(row["path"] == FORMATS_KEY and reads_of(row["value"]) >= READS for row in rows)
     for name, type_name, zone, spot, address, rented, was_up in machines_recorded(rows):
         machine = cluster.add_machine(name, type_name, zone, spot, address, now, wall, max(0, wall - rented))
         if machine is None:
@@ -87,17 +88,17 @@
         machine.known_since = now - cluster.tuning.us("silent_s") * 3 // 10
     for row in rows:
         key, value, version = row["path"], row["value"], row["entryRev"]
-        cluster.versions[key] = version
+        cluster.writes.versions[key] = version
         if key.startswith(MODEL_KEY):
             cluster.predictor.load(value)
         elif key == DARK_KEY:
             # What an earlier leader found out holds until one of the zone's machines is heard.
-            cluster.partitioned_zones = {
+            cluster.zones.partitioned = {
                 str(zone): now - max(0, wall - int(since)) for zone, since in value["zones"].items()
             }
-            cluster.lease_proxied_zones = {
+            cluster.zones.lease_proxied = {
                 str(zone) for zone in value.get("kept", ())
-            } & cluster.partitioned_zones.keys()
+            } & cluster.zones.partitioned.keys()
         elif key.startswith(WAITS):
             waits[key[len(WAITS) :]] = value, version
         elif key.startswith(LIVE):
@@ -105,30 +106,30 @@
             if not part:
                 spec, at, _ = read_job(value)
                 # As accepted, it has the revision of jobs/REF; from the first claim on it tells that one.
-                job = cluster.add_job(ref, spec, int(value.get("rev", version)), at)
+                job = cluster.job_lifecycle.add(ref, spec, int(value.get("rev", version)), at)
                 job.eligible_at = int(value.get("from", at))
                 note_slim(job, value)
-                cluster.versions[key] = version
+                cluster.writes.versions[key] = version
                 if "t" in value:
                     chunks.setdefault(ref, []).append((version, 0, value))
             elif part == CANCEL_MARK:
                 cancelled[ref] = version
             elif part == OLD_HEAD:
                 apart[ref] = value
-                cluster.orphaned_keys.append(key)
+                cluster.writes.orphaned_keys.append(key)
             else:
                 chunks.setdefault(ref, []).append((version, first_of(key)[1], value))
-    cluster.dirty_keys.clear()  # what was just read is not to be written back
+    cluster.writes.dirty_keys.clear()  # what was just read is not to be written back
     for ref, value in apart.items():
         if ref in cluster.jobs and not any(low == 0 for _, low, _ in chunks.get(ref, ())):
             chunks.setdefault(ref, []).append((0, 0, value))
-            cluster.dirty_keys[live_key(ref)] = None  # written before the old key is dropped
+            cluster.writes.dirty_keys[live_key(ref)] = None  # written before the old key is dropped
     for ref, parts in chunks.items():
         found = cluster.jobs.get(ref)
         if found is None:
             # Its head went with its end, which the keys outlived: a large job dropped in parts.
-            cluster.orphaned_keys += [
-                key for key in cluster.versions if key.startswith(f"{LIVE}{ref}/") and key != cancel_key(ref)
+            cluster.writes.orphaned_keys += [
+                key for key in cluster.writes.versions if key.startswith(f"{LIVE}{ref}/") and key != cancel_key(ref)
             ]
             continue
         job = found
@@ -138,10 +139,10 @@
             sorted(i for i, t in job.tasks.items() if t.phase is TaskPhase.PENDING and not t.retry_exhausted)
         )
     for row in rows:
-        cluster.note_record_width(row["path"], row["value"])
+        cluster.writes.note_record_width(row["path"], row["value"])
     for ref, (value, version) in waits.items():
         if ref in cluster.jobs:
-            cluster.orphaned_keys.append(
+            cluster.writes.orphaned_keys.append(
                 waits_key(ref)
             )  # it was claimed: dropped after that, where one transaction is small
             continue
@@ -149,32 +150,34 @@
         job = Job(ref, spec, version, at)
         note_slim(job, value)
         if ref in cancelled:
-            cluster.versions[waits_key(ref)] = version
+            cluster.writes.versions[waits_key(ref)] = version
             job.cancelled = True
-            cluster.jobs_to_delete[job] = None
+            cluster.writes.jobs_to_delete[job] = None
         else:
-            cluster.add_blocked(job)
+            cluster.dependencies.add_blocked(job)
     for ref, version in cancelled.items():
         if ref in cluster.jobs:
-            cluster.cancel_job(ref, version)
+            cluster.job_lifecycle.cancel(ref, version)
         else:
-            cluster.cancel_dependents(ref)
+            cluster.dependencies.cancel_dependents(ref)
             if ref not in waits:
-                cluster.orphaned_keys.append(cancel_key(ref))
+                cluster.writes.orphaned_keys.append(cancel_key(ref))
     for job in cluster.jobs.values():
         if job.completed:
             cluster.job_statistics.began(job)
         spent = next((task for task in job.tasks.values() if task.retry_exhausted), None) if job.at_most_once else None
         if spent is not None and not job.cancelled:
-            cluster.fail_job(spent, "a task was lost with its machine or with an earlier leader, and may not run again")
+            cluster.job_lifecycle.fail(
+                spent, "a task was lost with its machine or with an earlier leader, and may not run again"
+            )
         if job.kind is JobKind.GANG and job.completed and not job.cancelled:
-            cluster.complete_gang(job)
+            cluster.tasks.complete_gang(job)
         if not job.pending:
             cluster.pending.discard(job)
         if len(job.completed) >= job.spec.tasks and not job.cancelled:
             job.completing = True
-            cluster.jobs_to_complete[job] = None
-        assert live_key(job.job_id) in cluster.versions or waits_key(job.job_id) in cluster.versions
+            cluster.writes.jobs_to_complete[job] = None
+        assert live_key(job.job_id) in cluster.writes.versions or waits_key(job.job_id) in cluster.writes.versions
 
 
 def _load_tasks(cluster: ClusterState, job: Job, parts: list[tuple[int, int, Any]]) -> None:
@@ -208,10 +211,10 @@
                     # The fleet record is written no later than the first claim on a machine and kept
                     # until the machine is proven gone: so the task's machine is.
                     task.retry_exhausted = job.at_most_once  # and may have begun there
-                    cluster.mark_dirty(task)
+                    cluster.writes.mark_dirty(task)
                     continue
                 task.phase = TaskPhase.BOUND
-                cluster.bind(task, machine)
+                cluster.tasks.bind(task, machine)
                 machine.images.setdefault(job.spec.image, 1)  # it was sent there a while ago
 
 
--- a/oatport/control/storage/write_buffer.py
+++ b/oatport/control/storage/write_buffer.py
@@ -4,10 +4,9 @@
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from oatport import wire
-from oatport.control.queueing.runtime_predictor import RuntimePredictor
 from oatport.control.state.job import IDLE_RANK, Job, JobKind
 from oatport.control.state.machine import Machine
 from oatport.control.state.task import Task, TaskPhase
@@ -32,6 +31,9 @@
 )
 from oatport.sizes import json_size
 
+if TYPE_CHECKING:
+    from oatport.control.state.cluster_state import ClusterState
+
 ACCEPT_KEYS = 2  # written to accept a job: jobs/REF and live/REF, or waits/REF
 
 MODEL_KEY, CATALOG_KEY, LEADER_KEY, DARK_KEY = "model", "catalog", "leader", "dark"
@@ -77,28 +79,18 @@
 
 
 class WriteBuffer:
-    """What is written down of the leader's view, and what is still to be: the base of `Cluster`."""
+    """The records that are to be written, what is known of those that lie there, and the next transaction."""
 
-    def __init__(self, predictor: RuntimePredictor, layout: RecordLayout) -> None:
-        self.predictor = predictor
+    def __init__(self, cluster: ClusterState, layout: RecordLayout) -> None:
+        self.cluster = cluster
         self.layout = layout
-        self.now = 0  # the time of the last event or pass
-        self.wall_offset = 0  # the time of day less the steady clock, at the last report
         # Keys whose record tells of more tasks or machines than it would be written with now, and up to which task.
         self.oversized_records: dict[str, int] = {}
-        self.value_limit_lowered = (
-            False  # the limits have fallen and not all nodes read parts yet: what is larger is not written
-        )
+        # The limits have fallen and not all nodes read parts yet: what is larger is not written.
+        self.value_limit_lowered = False
         self._held_back: dict[str, None] = {}
         # Records that there is one of each, and what is to be written there.
-        self.singleton_records: dict[str, Callable[[], dict[str, Any]]] = {MODEL_KEY: predictor.record}
-        self.jobs: dict[str, Job] = {}
-        self.machines: dict[str, Machine] = {}
-        self.machines_to_command: set[Machine] = set()  # machines with commands that should not wait for a report
-        self.unacknowledged_tasks: set[Task] = (
-            set()
-        )  # placed by this leader, and not known to have reached their machines
-        self.planning_needed = True
+        self.singleton_records: dict[str, Callable[[], dict[str, Any]]] = {MODEL_KEY: cluster.predictor.record}
         self.versions: dict[str, int] = {}  # of the leader's own keys, as known
         self.urgent_keys: dict[str, int] = {}  # keys to write now: claims, with the rank of their job
         self.dirty_keys: dict[str, None] = {}  # keys to write soon: ends
@@ -108,17 +100,8 @@
         self.jobs_to_delete: dict[Job, None] = {}
         self.jobs_to_cancel: dict[str, Job] = {}
         self.orphaned_keys: list[str] = []  # left keys without a job
-        self.terminal_revisions: dict[
-            str, int
-        ] = {}  # jobs that were dropped -> the revision at which their end was recorded
-
-    def remove_job(self, job: Job) -> None:
-        """Its end, or the removal of what was left of it, is committed."""
-        raise NotImplementedError
-
-    def on_completion_recorded(self, ref: str, at: int) -> None:
-        """That it is done is recorded, since then (time of day)."""
-        raise NotImplementedError
+        # Jobs that were dropped -> the revision at which their end was recorded.
+        self.terminal_revisions: dict[str, int] = {}
 
     def mark_dirty(self, task: Task, *, urgent: bool = False) -> None:
         key = self.layout.task_key(task.job, task.index)
@@ -127,7 +110,7 @@
             self.urgent_keys[key] = task.job.priority_rank
         elif key not in self.urgent_keys:
             self.dirty_keys[key] = None
-            self._completions_since.setdefault(key, self.now)
+            self._completions_since.setdefault(key, self.cluster.now)
 
     def task_record_keys(self, job: Job, index: int) -> set[str]:
         """Under which a task lies, or lay before all nodes read parts."""
@@ -164,7 +147,7 @@
                     machine.rented_at_wall,
                     bool(machine.ready_at or machine.was_ready),
                 ]
-                for machine in self.machines.values()
+                for machine in self.cluster.machines.values()
                 if low <= machine.number < high
             ]
         }
@@ -172,7 +155,7 @@
             value["n"] = high - low
         return value
 
-    def _job_keys(self, job: Job) -> list[str]:
+    def job_keys(self, job: Job) -> list[str]:
         """All keys that job may have, that of a waiting one first, else the head."""
         heads = [waits_key(job.job_id), live_key(job.job_id), cancel_key(job.job_id)]
         chunks = (job.next_untouched + CHUNK_TASKS - 1) // CHUNK_TASKS if job.next_untouched else 0
@@ -181,6 +164,21 @@
             keys |= dict.fromkeys(self.layout.task_keys(job, 0, job.next_untouched))
         return list(keys)
 
+    def forget_job(self, job: Job) -> None:
+        """Its records are gone: nothing of it is to be written any more."""
+        left = set(self.orphaned_keys)  # their versions are still needed
+        for key in [k for k in self.job_keys(job) if k in self.versions and k not in left]:
+            self.versions.pop(key, None)
+            self.urgent_keys.pop(key, None)
+            self.dirty_keys.pop(key, None)
+            self._completions_since.pop(key, None)
+
+    def expedite(self, key: str) -> None:
+        """Write a record at once that was to be written soon."""
+        if key in self.dirty_keys:
+            del self.dirty_keys[key]
+            self.urgent_keys[key] = 0
+
     def note_record_width(self, key: str, value: Any) -> None:
         """A record as it lies there now: does it tell of more than it would be written with?"""
         if key.startswith(FLEET):
@@ -189,7 +187,7 @@
             upto = low + FLEET_CHUNK
         elif key.startswith(LIVE) and "t" in value:
             ref, low = first_of(key)
-            job = self.jobs.get(ref)
+            job = self.cluster.jobs.get(ref)
             upto = low + len(value["t"])
             is_wide = job is not None and upto > self.layout.task_span(job, key)[1]
         else:
@@ -207,7 +205,7 @@
         self._held_back.clear()
         self.value_limit_lowered = False
         self.layout.parts = True
-        for job in self.jobs.values():
+        for job in self.cluster.jobs.values():
             for low in range(0, job.next_untouched, CHUNK_TASKS):
                 key, upto = chunk_key(job.job_id, low // CHUNK_TASKS), min(low + CHUNK_TASKS, job.next_untouched)
                 if self.versions.get(key) and upto > self.layout.task_span(job, key)[1]:
@@ -232,7 +230,7 @@
         if not key.startswith(LIVE):
             return [key]
         ref, low = first_of(key)
-        job = self.jobs.get(ref)
+        job = self.cluster.jobs.get(ref)
         return [] if job is None else [key, *self.layout.task_keys(job, low, min(low + rows, job.next_untouched))]
 
     def has_writes(self) -> bool:
@@ -262,14 +260,14 @@
         # A swarm's claims wait for the ends of others' jobs, which their users are waiting to hear of.
         self._add_urgent(batch, max_ops, IDLE_RANK - 1)
         for job in list(self.jobs_to_complete):
-            keys = [k for k in self._job_keys(job) if self.versions.get(k)]
+            keys = [k for k in self.job_keys(job) if self.versions.get(k)]
             if batch.operation_count and batch.operation_count + 1 + len(keys) > max_ops:
                 break
             del self.jobs_to_complete[job]
             batch.conditions[job_key(job.job_id)] = job.version
             # Since when it is done: what needs it counts its times from then, also under another leader.
             batch.sets[job_key(job.job_id)] = job.record(wire.LOST if job.failure_reason else wire.DONE) | {
-                "ended": self.now + self.wall_offset
+                "ended": self.cluster.now + self.cluster.wall_offset
             }
             self._add_deletes(batch, keys, max_ops)
             batch.completed_jobs.append(job)
@@ -279,7 +277,7 @@
             left_urgent = len(self.urgent_keys) + len(self.jobs_to_complete)
             max_ops = min(max_ops, max(batch.operation_count, budget - left_urgent))
         for job in list(self.jobs_to_delete):
-            keys = [k for k in self._job_keys(job) if self.versions.get(k)]
+            keys = [k for k in self.job_keys(job) if self.versions.get(k)]
             # Whole, or at least with all of a transaction: the mark must not go before the job that it cancels.
             if batch.operation_count + len(keys) > max_ops and not (batch.operation_count == 0 and max_ops == most):
                 break
@@ -294,7 +292,7 @@
         for key in list(self.dirty_keys):
             if batch.operation_count >= max_ops:
                 break
-            if ripe_us and self.now - self._completions_since.get(key, -ripe_us) < ripe_us:
+            if ripe_us and self.cluster.now - self._completions_since.get(key, -ripe_us) < ripe_us:
                 continue
             if key in self.dirty_keys and not self._add_record(batch, key, max_ops):
                 break
@@ -341,12 +339,12 @@
         if key.startswith(FLEET):
             if key not in self.oversized_records:
                 return []
-            there = {self.layout.fleet_key(machine.number) for machine in self.machines.values()}
+            there = {self.layout.fleet_key(machine.number) for machine in self.cluster.machines.values()}
             return [k for k in self.layout.fleet_keys(key) if k != key and k in there and not self.versions.get(k)]
         if not key.startswith(LIVE):
             return []
         ref, _ = first_of(key)
-        job, head = self.jobs.get(ref), live_key(ref)
+        job, head = self.cluster.jobs.get(ref), live_key(ref)
         if job is None:
             return []
         if key != head and not self.versions.get(head):
@@ -383,7 +381,7 @@
             else:
                 return
         elif key.startswith(MODEL_KEY):
-            parts = self.predictor.parts(self.layout.limit)
+            parts = self.cluster.predictor.parts(self.layout.limit)
             number = int(key[len(MODEL_KEY) + 1 :] or 0)
             if number < len(parts):
                 batch.sets[key] = parts[number]
@@ -397,7 +395,7 @@
             batch.sets[key] = self.singleton_records[key]()
         else:
             ref, _ = first_of(key)
-            job = self.jobs.get(ref)
+            job = self.cluster.jobs.get(ref)
             if job is None or (job.cancelled and not job.failure_reason) or job.completing:
                 return  # its keys go with the job
             low, high = self.layout.task_span(job, key)
@@ -429,24 +427,26 @@
             self.note_record_width(key, value)
             if key.startswith(FLEET):
                 for row in value["m"]:
-                    machine = self.machines.get(row[0])
+                    machine = self.cluster.machines.get(row[0])
                     if machine is not None and not machine.persisted:
                         machine.persisted = True
-                        self.planning_needed = True
+                        self.cluster.planning_needed = True
         for task, attempt, machine in batch.bindings:
             # A claim withdrawn and made anew meanwhile is not the one that was written.
             if task.phase is TaskPhase.BINDING and task.attempt == attempt and task.machine is machine:
                 task.phase = TaskPhase.BOUND
-                self.unacknowledged_tasks.add(task)
-                self.machines_to_command.add(machine)
+                self.cluster.unacknowledged_tasks.add(task)
+                self.cluster.machines_to_command.add(machine)
                 if task.job.kind is JobKind.GANG:
-                    self.machines_to_command.update(t.machine for t in task.job.tasks.values() if t.machine)
+                    self.cluster.machines_to_command.update(t.machine for t in task.job.tasks.values() if t.machine)
         for job in (*batch.completed_jobs, *batch.deleted_jobs, *batch.cancelled_jobs):
-            self.remove_job(job)
+            self.cluster.job_lifecycle.remove(job)
             self.terminal_revisions[job.job_id] = revision
         for job in batch.completed_jobs:
             if not job.failure_reason:
-                self.on_completion_recorded(job.job_id, int(batch.sets[job_key(job.job_id)]["ended"]))
+                self.cluster.dependencies.on_completion_recorded(
+                    job.job_id, int(batch.sets[job_key(job.job_id)]["ended"])
+                )
 
     def restore_batch(self, batch: WriteBatch) -> None:
         """The transaction was refused or given up for good: its contents are to be written anew."""
@@ -458,9 +458,7 @@
         for job in batch.cancelled_jobs:
             self.jobs_to_cancel[job.job_id] = job
         finished_keys = {
-            k
-            for job in (*batch.completed_jobs, *batch.deleted_jobs, *batch.cancelled_jobs)
-            for k in self._job_keys(job)
+            k for job in (*batch.completed_jobs, *batch.deleted_jobs, *batch.cancelled_jobs) for k in self.job_keys(job)
         }
         claimed = {self.layout.task_key(t.job, t.index): t.job.priority_rank for t, _, _ in batch.bindings}
         written = [(key, len(value.get("t", ()))) for key, value in batch.sets.items() if not key.startswith(JOBS)]
@@ -474,5 +472,5 @@
         for key in batch.deletes:
             if key.startswith((FLEET, MODEL_KEY)):
                 self.dirty_keys[key] = None
-            elif key not in finished_keys and not (key.startswith(WAITS) and key[len(WAITS) :] in self.jobs):
+            elif key not in finished_keys and not (key.startswith(WAITS) and key[len(WAITS) :] in self.cluster.jobs):
                 self.orphaned_keys.append(key)  # waits/REF goes with the next try of the first claim
--- a/oatport/lab/windows.py
+++ b/oatport/lab/windows.py
@@ -153,17 +153,17 @@
                 book.learn(series, now, now)
         while coming and coming[-1].at <= now:
             job = coming.pop()
-            held = cluster.add_job(job.ref, job.spec, 1, job.at)
+            held = cluster.job_lifecycle.add(job.ref, job.spec, 1, job.at)
             opened[job.ref] = 0
             _timed(outcome, holder.joined, held, now)
         _timed(outcome, holder.tick, now)
         for ref, took in room.until(now, before):
             held = cluster.jobs[ref]
-            cluster.on_runtime_measured(held, took)
+            cluster.tasks.on_runtime_measured(held, took)
             cluster.predictor.finished(ref, held.spec, took)
             held.completed.add(len(held.completed))
             if len(held.completed) == held.spec.tasks:
-                cluster.remove_job(held)
+                cluster.job_lifecycle.remove(held)
         for ref, count in opened.items():
             if ref in cluster.jobs:
                 may = _may(cluster.jobs[ref])
--- a/oatport/lab/world/breaks.py
+++ b/oatport/lab/world/breaks.py
@@ -17,10 +17,11 @@
 from oatport.control.queueing.dependency_graph import DependencyGraph
 from oatport.control.queueing.dependency_tracker import DependencyTracker
 from oatport.control.state.cancellations import CancellationLog
-from oatport.control.state.cluster_state import ClusterState
-from oatport.control.state.orphaned_attempts import OrphanedAttempts
+from oatport.control.state.heartbeats import HeartbeatReceiver
+from oatport.control.state.machine_commands import MachineCommands
 from oatport.control.state.task import TaskPhase
 from oatport.control.state.task_lifecycle import TaskLifecycle
+from oatport.control.state.unwritten_completions import UnwrittenCompletions
 from oatport.control.storage.record_layout import CHUNK_TASKS, FLEET_CHUNK, RecordLayout
 from oatport.control.storage.recovery import LeaseRenewalLimit
 from oatport.control.storage.schema_version import Gate
@@ -73,8 +74,8 @@
         task = claim(self, *args, **more)
         task.phase = TaskPhase.BOUND
         assert task.machine is not None
-        self.unacknowledged_tasks.add(task)
-        self.machines_to_command.add(task.machine)
+        self.cluster.unacknowledged_tasks.add(task)
+        self.cluster.machines_to_command.add(task.machine)
         return task
 
     return [patch.object(TaskLifecycle, "begin_binding", claim_and_send)]
@@ -82,7 +83,7 @@
 
 def _forget() -> list[Any]:
     """Ended attempts are forgotten while a start of theirs may be in flight."""
-    return [patch.object(ClusterState, "_may_forget", lambda self, machine, name, attempt: True)]
+    return [patch.object(MachineCommands, "_may_forget", lambda self, machine, name, attempt: True)]
 
 
 def _unproven() -> list[Any]:
@@ -115,14 +116,14 @@
 
 def _early() -> list[Any]:
     """A job's end releases others before it is recorded."""
-    finish = TaskLifecycle.complete_task
+    finish = TaskLifecycle.complete
 
     def ends(self: TaskLifecycle, task: Any, now: int, **more: Any) -> None:
         finish(self, task, now, **more)
         if task.job.completing:
-            self.on_completion_recorded(task.job.job_id, now + self.wall_offset)
+            self.cluster.dependencies.on_completion_recorded(task.job.job_id, now + self.cluster.wall_offset)
 
-    return [patch.object(TaskLifecycle, "complete_task", ends)]
+    return [patch.object(TaskLifecycle, "complete", ends)]
 
 
 def _orphan() -> list[Any]:
@@ -143,12 +144,12 @@
         return await with_needed(self, ref, known, fresh)
 
     def unseen(self: DependencyTracker, ref: str) -> None:
-        for name in self.dependency_graph.cancelled(ref):
+        for name in self.graph.cancelled(ref):
             self._cancel_blocked(self.blocked_jobs.pop(name))
 
     def forgets(self: DependencyController, ref: str, state: str, ended: int) -> None:
         if state == "done":
-            self.cluster.on_completion_recorded(ref, ended)
+            self.cluster.dependencies.on_completion_recorded(ref, ended)
 
     return [
         patch.object(DependencyGraph, "cancelled", direct),
@@ -174,15 +175,15 @@
 
 def _copies() -> list[Any]:
     """Each report is taken for the newest, whenever it was sent."""
-    on_report = ClusterState.on_heartbeat
+    on_report = HeartbeatReceiver.receive
 
-    def newest(self: ClusterState, report: Any, now: int, wall: int) -> Any:
-        machine = self.machines.get(report.machine)
+    def newest(self: HeartbeatReceiver, report: Any, now: int, wall: int) -> Any:
+        machine = self.cluster.machines.get(report.machine)
         if machine is not None and (report.session, report.seq) < (machine.agent_epoch, machine.heartbeat_seq):
             machine.agent_epoch, machine.heartbeat_seq = 0, -1
         return on_report(self, report, now, wall)
 
-    return [patch.object(ClusterState, "on_heartbeat", newest)]
+    return [patch.object(HeartbeatReceiver, "receive", newest)]
 
 
 def _conditions() -> list[Any]:
@@ -199,12 +200,12 @@
 def _ends() -> list[Any]:
     """An ended attempt is forgotten before its end is recorded."""
 
-    def at_once(self: ClusterState, machine: Any, name: str, attempt: int) -> bool:
+    def at_once(self: MachineCommands, machine: Any, name: str, attempt: int) -> bool:
         return (
             not machine.unacknowledged_starts.get((name, attempt)) and (name, attempt) not in machine.starts_in_response
         )
 
-    return [patch.object(ClusterState, "_may_forget", at_once)]
+    return [patch.object(MachineCommands, "_may_forget", at_once)]
 
 
 def _told() -> list[Any]:
@@ -215,8 +216,8 @@
 def _returned() -> list[Any]:
     """Machines are returned, or given up, though they alone tell of an end."""
     return [
-        patch.object(OrphanedAttempts, "holds_unwritten_completions", lambda self, machine: False),
-        patch.object(OrphanedAttempts, "expedite_completions", lambda self, machine: None),
+        patch.object(UnwrittenCompletions, "holds_unwritten", lambda self, machine: False),
+        patch.object(UnwrittenCompletions, "expedite", lambda self, machine: None),
     ]
 
 
@@ -272,7 +273,7 @@
         found = await self._sure(key)
         if key in batch.sets and (found is None or found[0] != batch.sets[key]):
             return False
-        self.cluster.committed(batch, found[1] if found else 0, steady())
+        self.cluster.writes.committed(batch, found[1] if found else 0, steady())
         return True
 
     return [patch.object(GroupCommit, "_was_applied", first)]
--- a/oatport/service/cloud_controller.py
+++ b/oatport/service/cloud_controller.py
@@ -46,7 +46,7 @@
 
     def status(self, now: int) -> str:
         """One line that says how things stand; all of it was counted on other occasions."""
-        fleet = self.cluster.utilization
+        fleet = self.cluster.accounting.utilization
         return (
             f"machines {fleet.up} up ({fleet.up_spot} spot), {fleet.down} not up; "
             f"cpus {fleet.cpus:.0f} of which free {fleet.free_owned:.0f} owned {fleet.free_spot:.0f} spot; "
@@ -54,7 +54,7 @@
             f"threshold {seconds(self.cluster.router.threshold):.0f} s; "
             f"rentals under way {len(self.fleet.under_way)}, "
             f"refused {sum(1 for until in self.fleet.refused.values() if until > now)}; spent "
-            + " ".join(f"{what} {money:.2f}" for what, money in sorted(self.cluster.cost_by_use.items()))
+            + " ".join(f"{what} {money:.2f}" for what, money in sorted(self.cluster.accounting.cost_by_use.items()))
         )
 
     async def catalog(self) -> None:
@@ -64,14 +64,14 @@
         except (NoResponseError, RequestRefusedError, wire.InvalidMessageError) as error:
             log.info("catalog: %s", error)
             return
-        if not types.keys() <= self.cluster.types.keys():
+        if not types.keys() <= self.cluster.catalog.types.keys():
             found = await read_types(self.state)
             # What the cloud does not tell any more stays recorded: there may be machines of it.
             recorded, version = found or ({}, 0)
             self.home.types = types
-            layout = self.cluster.layout
+            layout = self.cluster.writes.layout
             await write_types(self.state, self._helm.token, version, {**recorded, **types}, layout.limit, layout.parts)
-        self.cluster.update_catalog(types)
+        self.cluster.catalog.update(types)
 
     async def rent_loop(self) -> None:
         catalog_at = moved_at = 0
@@ -79,7 +79,7 @@
         while not self._helm.stopped:
             await asyncio.sleep(0.3)
             now = self._helm.now()
-            if now - catalog_at > (30 * SECOND if self.cluster.types else SECOND):
+            if now - catalog_at > (30 * SECOND if self.cluster.catalog.types else SECOND):
                 catalog_at = now
                 self.group.once("catalog", self.catalog())
             if self._settled(now) and not self._helm.decisions_paused(now):
@@ -91,10 +91,10 @@
                     self.cluster.planning_needed = self.cluster.planning_needed or reopened
                 if now - moved_at > SECOND:
                     replicas = sum(j.on_machines for j in self.cluster.jobs.values() if j.kind is JobKind.SERVICE)
-                    self.cluster.replica_us += replicas * (now - moved_at) if moved_at else 0
+                    self.cluster.accounting.replica_us += replicas * (now - moved_at) if moved_at else 0
                     moved_at = now
                     for task in self.fleet.to_move(now):
-                        self.cluster.stop(task, 0.0)
+                        self.cluster.tasks.stop(task, 0.0)
                     self._helm.wake()
                 # Few at a time: a queue of requests that the cloud will refuse holds up those it would
                 # fill, and by the time they get there nobody wants them.
@@ -154,7 +154,7 @@
 
         Not those that alone tell of an end: they are asked for again once that is recorded.
         """
-        machines = [m for m in machines if not self.cluster.holds_unwritten_completions(m)]
+        machines = [m for m in machines if not self.cluster.completions.holds_unwritten(m)]
         if not machines:
             self._helm.wake()
             return
--- a/oatport/service/dependency_controller.py
+++ b/oatport/service/dependency_controller.py
@@ -35,7 +35,7 @@
         """Read how needed jobs stand of which no record is known: some together, one request at a time."""
         while not self._helm.stopped:
             await asyncio.sleep(LOOK_S)
-            unknown = sorted(self.cluster.dependency_graph.unknown)
+            unknown = sorted(self.cluster.dependencies.graph.unknown)
             while unknown and not self._helm.stopped:
                 try:
                     found, asked = await self.state.some(JOBS, unknown)
@@ -48,23 +48,23 @@
                 unknown = unknown[len(asked) :]
                 self._helm.wake()
                 await asyncio.sleep(LOOK_S / 4)
-            if self.cluster.dependency_graph.unknown:
+            if self.cluster.dependencies.graph.unknown:
                 await asyncio.sleep(AGAIN_S)  # accepted a moment ago: the watch brings it
 
     def _take(self, ref: str, state: str, ended: int) -> None:
         """Its record says so: an end holds for good, anything else may have changed since."""
         if state == wire.DONE:
-            self.cluster.on_completion_recorded(ref, ended)
+            self.cluster.dependencies.on_completion_recorded(ref, ended)
         elif state == wire.CANCELLED:
-            self.cluster.cancel_dependents(ref)
+            self.cluster.dependencies.cancel_dependents(ref)
         elif state == wire.LOST or ref in self.cluster.jobs:
-            self.cluster.dependency_graph.seen(ref)
+            self.cluster.dependencies.graph.seen(ref)
 
     async def formats_loop(self) -> None:
         """Until all nodes are known to read what this version writes, ask them. Recorded, so that it is asked once."""
         home = self._helm.node
         gate = schema_version.Gate([home.node_name, *home.peers])
-        while not self._helm.stopped and not self.cluster.layout.parts:
+        while not self._helm.stopped and not self.cluster.writes.layout.parts:
             answers = await asyncio.gather(
                 *(peer.ask("formats") for peer in home.peers.values()), return_exceptions=True
             )
@@ -84,5 +84,5 @@
             if found is None or schema_version.reads_of(found[0]) < schema_version.READS:
                 return
         log.info("all nodes read formats up to %d", schema_version.READS)
-        self.cluster.enable_record_parts()
+        self.cluster.writes.enable_record_parts()
         self._helm.wake()
--- a/oatport/service/failover.py
+++ b/oatport/service/failover.py
@@ -68,7 +68,7 @@
             return
         try:
             report = await client.show()
-            helm.cluster.on_contact(machine)
+            helm.cluster.commands.on_contact(machine)
             helm.receive_heartbeat(report, steady())
             if report.token < helm.token:
                 helm.receive_heartbeat(await client.commands(helm.token, report.session, []), steady())
--- a/oatport/service/failure_detector.py
+++ b/oatport/service/failure_detector.py
@@ -54,7 +54,7 @@
     async def loop(self) -> None:
         """Machines not heard of: ask them, ask the other nodes, and release the lost ones."""
         while not self._helm.stopped:
-            await asyncio.sleep(DARK_STEP if self.cluster.partitioned_zones else STEP)
+            await asyncio.sleep(DARK_STEP if self.cluster.zones.partitioned else STEP)
             await self.step()
 
     async def step(self) -> None:
@@ -62,7 +62,7 @@
         silent_us = self.tuning.us("silent_s")
         machines = list(cluster.machines.values())
         self._ask_zones_back(machines)
-        lit = [m for m in machines if m.zone not in cluster.partitioned_zones]
+        lit = [m for m in machines if m.zone not in cluster.zones.partitioned]
         quiet = silent(lit, now, silent_us // 2)
         self.ask(quiet, now)
         mute = [m for m in lit if m.command_unreachable]
@@ -70,16 +70,16 @@
         if cut_off(len(mute), lit) and now - self._mute_asked_at > silent_us:
             self._mute_asked_at = now
             self.group.once("unreached", self._unreached(mute))
-        self._ask_dark([m for m in machines if m.zone in cluster.partitioned_zones], now)
+        self._ask_dark([m for m in machines if m.zone in cluster.zones.partitioned], now)
         unheard = command_unreachable(machines, now, cluster.heartbeat_us, self._helm.led_since)
         if unheard and now - self._asked_at > silent_us // 2:
             self._asked_at = now
             await self._gives_way(unheard)
             return
-        dark = [m for m in dark_suspects(machines, now, silent_us) if m.zone not in cluster.partitioned_zones]
+        dark = [m for m in dark_suspects(machines, now, silent_us) if m.zone not in cluster.zones.partitioned]
         leases_over = self._helm.led_since + cluster.lease_us
         lost = dark or [
-            m for m in silent(quiet, now, silent_us) if not cluster.may_report_unknown_completions(m, now, leases_over)
+            m for m in silent(quiet, now, silent_us) if not cluster.completions.may_report_unknown(m, now, leases_over)
         ]
         if not lost or now - self._helm.led_since < silent_us * (3 if dark else 7) // 10:
             await self._leave_dark(now)
@@ -101,7 +101,7 @@
         still = silent(lost, self._helm.now(), silent_us // 2 if dark else silent_us)
         lost = [m for m in still if m.probed_at > 0 and not m.removed]
         # A zone that is cut off as a whole is left bit by bit; others that fell silent are gone.
-        left = cluster.mark_partitioned(lost, steady())
+        left = cluster.zones.mark_partitioned(lost, steady())
         self._confirmed_at = steady()
         lost = [m for m in lost if m.zone not in left][:RELEASE_MOST]
         if lost:
@@ -126,7 +126,7 @@
 
         Their own reports would come over seconds: each may just have begun to wait for a node in vain.
         """
-        back, self.cluster.recovered_zones = self.cluster.recovered_zones, set()
+        back, self.cluster.zones.recovered = self.cluster.zones.recovered, set()
         there = [m for m in machines if m.zone in back and m.address and not m.removed]
         for machine in sorted(there, key=lambda m: -m.service_cpus):
             self.group.once("introduce", introduce(self._helm, self._net, machine))
@@ -136,10 +136,10 @@
 
         See `control/leadership/zone_partition.py`.
         """
-        leaving = self._leaving.now(now, self._kept()) if self.cluster.partitioned_zones else []
+        leaving = self._leaving.now(now, self._kept()) if self.cluster.zones.partitioned else []
         # A leader that was cut off along answers for so long, and nobody can ask it what it was told.
         answered_until = self._helm.led_since + micros(self._helm.settings.cluster.workers.cancel_s)
-        leaving = [m for m in leaving if not self.cluster.may_report_unknown_completions(m, now, answered_until)]
+        leaving = [m for m in leaving if not self.cluster.completions.may_report_unknown(m, now, answered_until)]
         if not leaving or self._helm.decisions_paused(now):
             return
         if now - self._confirmed_at > CONFIRMED:
@@ -149,7 +149,7 @@
             self._confirmed_at = steady()
         if not await self._may_judge():
             return
-        leaving = [m for m in leaving if m.zone in self.cluster.partitioned_zones and not m.removed][:RELEASE_MOST]
+        leaving = [m for m in leaving if m.zone in self.cluster.zones.partitioned and not m.removed][:RELEASE_MOST]
         if leaving:
             log.info("cut off, releasing: %s", " ".join(m.name for m in leaving))
             await self._release(leaving, "cut off")
@@ -157,12 +157,12 @@
     def _kept(self) -> frozenset[str]:
         """Dark zones with a node that was cut off along with them: it answers their workers."""
         heard = self.home.peer_contact_times()
-        self.cluster.mark_lease_proxied(
+        self.cluster.zones.mark_lease_proxied(
             zone
-            for zone, since in self.cluster.partitioned_zones.items()
+            for zone, since in self.cluster.zones.partitioned.items()
             if any(abs(at - since) < NODE_LOST_WITHIN for at in heard.get(zone, ()))
         )
-        return frozenset(self.cluster.lease_proxied_zones)
+        return frozenset(self.cluster.zones.lease_proxied)
 
     async def _may_judge(self) -> bool:
         """A node without contact judges nobody.
@@ -235,7 +235,7 @@
     async def _probe(self, machine: Machine) -> None:
         try:
             report = await WorkerClient(self._net, machine.address, Keep.ONCE).show()
-            self.cluster.on_contact(machine)
+            self.cluster.commands.on_contact(machine)
             self._helm.receive_heartbeat(report, steady())
         except NoResponseError:
             pass
--- a/oatport/service/group_commit.py
+++ b/oatport/service/group_commit.py
@@ -50,22 +50,22 @@
         while not self._helm.stopped:
             await self.wanted.wait()
             self.wanted.clear()
-            while self.cluster.has_writes() and not self._helm.stopped:
-                if not self.cluster.has_urgent_writes():
-                    await asyncio.sleep(seconds(END_DELAY) if not self.cluster.has_urgent_writes() else 0)
+            while self.cluster.writes.has_writes() and not self._helm.stopped:
+                if not self.cluster.writes.has_urgent_writes():
+                    await asyncio.sleep(seconds(END_DELAY) if not self.cluster.writes.has_urgent_writes() else 0)
                 # What can wait leaves half a second's worth to claims, and to users' requests.
                 now = steady()
                 budget = int(self._budget.available() - self._budget.rate / 2)
                 if now - bulk_at > BULK_WAIT:
                     budget = self._txn_ops
                 ripe = END_RIPE if now - bulk_at <= BULK_WAIT else 0
-                batch = self.cluster.take_batch(self._txn_ops, max(budget, 0), ripe)
-                if not self.cluster.dirty_keys or batch.operation_count > 1:
+                batch = self.cluster.writes.take_batch(self._txn_ops, max(budget, 0), ripe)
+                if not self.cluster.writes.dirty_keys or batch.operation_count > 1:
                     bulk_at = now
                 if not batch.operation_count:
                     for job in batch.deleted_jobs + batch.completed_jobs + batch.cancelled_jobs:
-                        self.cluster.remove_job(job)
-                    self.cluster.in_flight_keys = set()
+                        self.cluster.job_lifecycle.remove(job)
+                    self.cluster.writes.in_flight_keys = set()
                     await asyncio.sleep(0.04)
                     continue
                 await self._budget.spend(batch.operation_count)
@@ -92,13 +92,13 @@
                     # The first sign that the limits have fallen; until then their full rate is used.
                     self._budget.rate = min(self._budget.rate, self._later_rate)
                 if isinstance(error, RequestRefusedError) and error.status < 429:
-                    if not self.cluster.layout.parts and not self.cluster.value_limit_lowered:
+                    if not self.cluster.writes.layout.parts and not self.cluster.writes.value_limit_lowered:
                         # The limits have fallen while a node was away, so that it isn't known whether it reads parts:
                         # what is too large waits for that, and the rest goes on.
                         log.error("a transaction was refused: records that may be too large are not written for now")
                         self._trying_since = 0
-                        self.cluster.value_limit_lowered = True
-                        self.cluster.restore_batch(batch)
+                        self.cluster.writes.value_limit_lowered = True
+                        self.cluster.writes.restore_batch(batch)
                         return
                     self._helm.step_down("the state service calls a transaction malformed")
                     return
@@ -106,7 +106,7 @@
                 continue
             self._trying_since = 0
             if isinstance(result, Applied):
-                self.cluster.committed(batch, result.revision, steady())
+                self.cluster.writes.committed(batch, result.revision, steady())
                 return
             await self._conflict(batch, result.failed, tries)
             return
@@ -124,15 +124,17 @@
             self._helm.step_down("records differ from what was expected")
             return
         cancelled = {key: await self._reread(key[len(JOBS) :]) for key in failed}
-        self.cluster.restore_batch(batch)
+        self.cluster.writes.restore_batch(batch)
         for key, version in cancelled.items():
             if version:
-                self.cluster.cancel_blocked(key[len(JOBS) :], version)  # its user was faster than its needed job's
+                self.cluster.dependencies.cancel_blocked(
+                    key[len(JOBS) :], version
+                )  # its user was faster than its needed job's
             job = self.cluster.jobs.get(key[len(JOBS) :])
             if job is not None and job.cancelled:
                 job.completing = False
-                self.cluster.jobs_to_complete.pop(job, None)
-                self.cluster.cancel_job(job.job_id, 0, self._helm.lease_renewal_limit.known_at)
+                self.cluster.writes.jobs_to_complete.pop(job, None)
+                self.cluster.job_lifecycle.cancel(job.job_id, 0, self._helm.lease_renewal_limit.known_at)
 
     async def _was_applied(self, batch: WriteBatch) -> bool:
         """After an unsure try: did it get through? All that it wrote then has the revision of the commit.
@@ -155,7 +157,7 @@
                 revisions.add(found[1])
         if len(revisions) > 1:
             return False
-        self.cluster.committed(batch, revisions.pop() if revisions else 0, steady())
+        self.cluster.writes.committed(batch, revisions.pop() if revisions else 0, steady())
         return True
 
     async def _sure(self, key: str) -> tuple[Any, int] | None:
@@ -173,13 +175,13 @@
         job = self.cluster.jobs.get(ref)
         state = None if found is None else found[0].get("state")
         if found is not None and state == wire.CANCELLED:
-            self.cluster.cancel_job(ref, found[1], self._helm.lease_renewal_limit.known_at)
+            self.cluster.job_lifecycle.cancel(ref, found[1], self._helm.lease_renewal_limit.known_at)
             return found[1]
         if found is not None and state in wire.OVER and job is not None:
-            self.cluster.remove_job(job)
-            self.cluster.terminal_revisions[ref] = found[1]
+            self.cluster.job_lifecycle.remove(job)
+            self.cluster.writes.terminal_revisions[ref] = found[1]
             if state == wire.DONE:
-                self.cluster.on_completion_recorded(ref, int(found[0].get("ended", 0)))
+                self.cluster.dependencies.on_completion_recorded(ref, int(found[0].get("ended", 0)))
         return 0
 
 
--- a/oatport/service/leader.py
+++ b/oatport/service/leader.py
@@ -93,7 +93,7 @@
             from oatport.service.window_controller import WindowController
 
             self.window_controller = WindowController(self, net, windows)
-            self.cluster.on_released = self.window_controller.joined
+            self.cluster.dependencies.on_released = self.window_controller.joined
         self._plan_wanted = asyncio.Event()
         self._send_wanted = asyncio.Event()
         self._sending: set[Machine] = set()
@@ -113,8 +113,8 @@
         await self._know_types(types_recorded(rows))
         load(self.cluster, rows, steady(), time_of_day())
         self.cluster.now = steady()
-        self.cluster.apply_completions(ended)
-        self.cluster.completions_unknown = not complete
+        self.cluster.completions.apply(ended)
+        self.cluster.completions.earlier_may_be_lost = not complete
         if self.window_controller is not None:
             await self.window_controller.fail_over()
         self._watch_from = revision
@@ -152,11 +152,11 @@
         A process that leads at once may not have read them yet. Without them it took every machine for gone while
         the cloud was down, and started all that ran there again.
         """
-        types = self.cluster.types  # changed in place by what is learnt
+        types = self.cluster.catalog.types  # changed in place by what is learnt
         if not types or not needed <= types.keys():
             found = await read_types(self.state)
             if found is not None:
-                self.cluster.update_catalog({**types, **found[0]})
+                self.cluster.catalog.update({**types, **found[0]})
         if not types or not needed <= types.keys():
             await self.cloud_controller.catalog()
 
@@ -184,9 +184,14 @@
 
     def explain(self, ref: str) -> dict[str, Any]:
         """Why a job waits or is held, for operators."""
-        waits = self.cluster.explain_blocked(ref)
+        waits = self.cluster.dependencies.explain(ref)
         if waits:
-            return {"job": ref, "held": False, "why": waits, "waitsOn": self.cluster.dependency_graph.waits(ref)[:100]}
+            return {
+                "job": ref,
+                "held": False,
+                "why": waits,
+                "waitsOn": self.cluster.dependencies.graph.waits(ref)[:100],
+            }
         if self.window_controller is not None:
             return self.window_controller.explain(ref)
         job = self.cluster.jobs.get(ref)
@@ -198,7 +203,7 @@
         cluster = self.cluster
         if cluster.planning_needed:
             self._plan_wanted.set()
-        if cluster.has_writes():
+        if cluster.writes.has_writes():
             self.commits.wanted.set()
         if cluster.machines_to_command:
             self._send_wanted.set()
@@ -214,7 +219,7 @@
 
     def _apply_job_hint(self, kind: str, ref: str, value: Any, revision: int) -> None:
         if kind == "cancelled":
-            self.cluster.cancel_confirmed(ref, revision, self.lease_renewal_limit.known_at)
+            self.cluster.job_lifecycle.cancel_confirmed(ref, revision, self.lease_renewal_limit.known_at)
         elif not self._knows_job(ref) and revision > self._watch_from and "more" not in value:
             # An older one was seen by the load or by the watch, and may be over already.
             self._admit(ref, value, revision)
@@ -225,17 +230,21 @@
 
         Taken up again from an older change, a job that is over cost the lead: its claims fail on keys that are gone.
         """
-        return ref in self.cluster.jobs or ref in self.cluster.blocked_jobs or ref in self.cluster.terminal_revisions
+        return (
+            ref in self.cluster.jobs
+            or ref in self.cluster.dependencies.blocked_jobs
+            or ref in self.cluster.writes.terminal_revisions
+        )
 
     def _admit(self, ref: str, value: Any, revision: int) -> None:
         spec, at, _ = read_job(value)
         if lies_apart(value):
             job = Job(ref, spec, revision, at)
             note_slim(job, value)
-            self.cluster.add_blocked(job)
+            self.cluster.dependencies.add_blocked(job)
             self.commits.joined()
             return
-        job = self.cluster.add_job(ref, spec, revision, at)
+        job = self.cluster.job_lifecycle.add(ref, spec, revision, at)
         if self.window_controller is not None:
             self.window_controller.joined(job)
         self.commits.joined()
@@ -266,21 +275,21 @@
             for key, item in last.items():
                 ref, state = key[len(JOBS) :], str(item["value"]["state"])
                 if state == wire.CANCELLED:
-                    self.cluster.cancel_job(ref, int(item["entryRev"]), self.lease_renewal_limit.known_at)
+                    self.cluster.job_lifecycle.cancel(ref, int(item["entryRev"]), self.lease_renewal_limit.known_at)
                 elif state == wire.DONE:
-                    self.cluster.on_completion_recorded(ref, int(item["value"].get("ended", 0)))
+                    self.cluster.dependencies.on_completion_recorded(ref, int(item["value"].get("ended", 0)))
                 elif state not in wire.OVER and not self._knows_job(ref):
                     self._admit(ref, item["value"], int(item["entryRev"]))
             self._watch_from = max(self._watch_from, revision)
-            for ref in [ref for ref, at in self.cluster.terminal_revisions.items() if at <= self._watch_from]:
-                del self.cluster.terminal_revisions[ref]
+            for ref in [ref for ref, at in self.cluster.writes.terminal_revisions.items() if at <= self._watch_from]:
+                del self.cluster.writes.terminal_revisions[ref]
             self.lease_renewal_limit.known(asked)
             self.wake()
 
     def apply_completions(self, ends: list[Completion]) -> None:
         """An earlier leader tells what it did not record."""
         if self.loaded:
-            self.cluster.apply_completions(ends)
+            self.cluster.completions.apply(ends)
             self.wake()
 
     # --- reports ----------------------------------------------------------------------------
@@ -295,7 +304,7 @@
         What other nodes keep workers' leases by if they are cut off (`control/leadership/lease_proxy.py`).
         """
         done = (
-            self.cluster.cancellation_watermark(self.lease_renewal_limit.known_at)
+            self.cluster.job_lifecycle.cancellation_watermark(self.lease_renewal_limit.known_at)
             if self.loaded and not self.stopped
             else 0
         )
@@ -313,13 +322,13 @@
         machine = self.receive_heartbeat(report, now)
         if machine is None:
             return wire.report_answer(self.token, [])
-        self.cluster.on_heartbeat_delivered(machine, report)
+        self.cluster.commands.on_heartbeat_delivered(machine, report)
         if machine.command_unreachable:
             self.cloud_controller.watcher.ask([machine], now)
-        if self.cluster.must_let_lease_expire(machine, now):
+        if self.cluster.commands.must_let_lease_expire(machine, now):
             log.warning("machine %s is not answered: a start of a cancelled job may be on its way there", machine.name)
             return None
-        orders, starts = self.cluster.commands_for(machine, now, direct=False)
+        orders, starts = self.cluster.commands.for_machine(machine, now, direct=False)
         # A late copy of a report, or one that a command's answer overtook: where the answer goes isn't known, so that
         # no start in it counts as sent.
         if late or not self.holds_lease() or machine.releasing:
@@ -328,13 +337,13 @@
             # every answer lives the lease of a task whose job's user was told that it is cancelled.
             orders = [order for order in orders if order["orderKind"] != "start"]
             starts = []
-        self.cluster.on_commands_sent(machine, starts, now, direct=False)
+        self.cluster.commands.on_sent(machine, starts, now, direct=False)
         if machine not in self._sending:
             self.cluster.machines_to_command.discard(machine)
         return wire.report_answer(self.token, orders)
 
     def receive_heartbeat(self, report: wire.Report, now: int) -> Machine | None:
-        machine = self.cluster.on_heartbeat(report, now, time_of_day())
+        machine = self.cluster.heartbeats.receive(report, now, time_of_day())
         if self.cluster.quotas.unknown:
             self._read_orphaned_jobs()
         self.wake()
@@ -384,7 +393,7 @@
                 self.cluster.machines_to_command.discard(machine)
                 if not machine.address or not machine.agent_epoch:
                     continue
-                if self.cluster.commands_for(machine, now, direct=True)[
+                if self.cluster.commands.for_machine(machine, now, direct=True)[
                     0
                 ]:  # mostly what it is to be told is on its way
                     self._sending.add(machine)
@@ -396,17 +405,17 @@
             now = self.now()
             if not self.holds_lease() or machine.removed:
                 return  # reports' answers still carry the stops
-            orders, starts = cluster.commands_for(machine, now, direct=True)
+            orders, starts = cluster.commands.for_machine(machine, now, direct=True)
             if not orders:
                 return
-            cluster.on_commands_sent(machine, starts, now, direct=True)
+            cluster.commands.on_sent(machine, starts, now, direct=True)
             keys = [(task.name, task.attempt) for task in starts]
             session = machine.agent_epoch
             self._commanded += 1
             try:
                 report = await WorkerClient(self._net, machine.address).commands(self.token, session, orders)
             except RequestNotSentError:
-                cluster.on_commands_answered(machine, keys)  # no connection: it can't land later
+                cluster.commands.on_answered(machine, keys)  # no connection: it can't land later
                 return
             except NoResponseError as error:
                 log.debug("commands to %s: %s", machine.name, error)
@@ -414,8 +423,8 @@
             if report.token > self.token:
                 self.step_down(f"a worker has seen token {report.token}")
                 return
-            cluster.on_commands_answered(machine, keys)
-            cluster.on_contact(machine)
+            cluster.commands.on_answered(machine, keys)
+            cluster.commands.on_contact(machine)
             self.receive_heartbeat(report, steady())
         finally:
             self._sending.discard(machine)
@@ -434,15 +443,15 @@
                 accounted_at = now
                 self._net.expect(len(self.cluster.machines), busiest / TICK_S)
                 busiest = 0
-                self.cluster.account(now)
+                self.cluster.accounting.update(now)
             for task in self.cluster.unacknowledged_tasks:
                 if task.start_acknowledged is None and task.machine is not None and task.start_retry_at <= now:
                     self.cluster.machines_to_command.add(task.machine)
             self._read_orphaned_jobs()
-            self.cluster.completions_to_replicate()  # what is recorded by now is left out
+            self.cluster.completions.to_replicate()  # what is recorded by now is left out
             if now - recorded_at > 15 * SECOND and self.cluster.predictor.changed:
                 self.cluster.predictor.changed = False
-                self.cluster.dirty_keys[MODEL_KEY] = None
+                self.cluster.writes.dirty_keys[MODEL_KEY] = None
                 recorded_at = now
             self.wake()
             if now - told_at > 10 * SECOND:
@@ -465,7 +474,7 @@
             return  # asked again with the next tick
         finally:
             self._reading.discard(ref)
-        self.cluster.resolve_orphaned_attempts(ref, None if found is None else read_job(found[0])[0])
+        self.cluster.orphans.resolve(ref, None if found is None else read_job(found[0])[0])
         self._read_orphaned_jobs()
         self.wake()
 
--- a/oatport/service/peer_notifications.py
+++ b/oatport/service/peer_notifications.py
@@ -96,7 +96,7 @@
         while True:
             lead = self._here.leader
             if lead is not None and lead.loaded:
-                new = lead.cluster.take_new_completions()
+                new = lead.cluster.completions.take_new()
                 if new or lead.token != told:
                     told = lead.token
                     for peer in self._here.peers.values():
@@ -105,7 +105,7 @@
 
     def deposed(self, lead: Leader) -> None:
         """What it leaves unrecorded is told to the others, who may not be reached just now, and to whoever asks."""
-        left = lead.cluster.completions_to_replicate()
+        left = lead.cluster.completions.to_replicate()
         self.ends.note(lead.token, left)
         if left:
             for peer in self._here.peers.values():
--- a/oatport/service/window_controller.py
+++ b/oatport/service/window_controller.py
@@ -38,11 +38,11 @@
         """The last good series and what was learnt; then all jobs as recorded. Raises NoAnswer or Refused."""
         found = await self._helm.state.get(KEY)
         if found is not None:
-            self._helm.cluster.versions[KEY] = found[1]
+            self._helm.cluster.writes.versions[KEY] = found[1]
             if isinstance(found[0], dict):
                 self.book.load(found[0].get("book"), self.wall())
                 self.holder.set_up(found[0])
-        self._helm.cluster.singleton_records[KEY] = self.record
+        self._helm.cluster.writes.singleton_records[KEY] = self.record
         now = self.wall()
         for job in sorted(self._helm.cluster.jobs.values(), key=lambda job: (job.submitted_at, job.job_id)):
             self.holder.joined(job, now)
@@ -80,7 +80,7 @@
         now = steady()
         if self.book.version != self._written[0] or now - self._written[1] > WRITTEN_EVERY:
             if self.book.read_at or self.holder.margins:
-                self._helm.cluster.dirty_keys[KEY] = None
+                self._helm.cluster.writes.dirty_keys[KEY] = None
             self._written = self.book.version, now
         self._helm.wake()
 
--- a/oatport/windows/holding.py
+++ b/oatport/windows/holding.py
@@ -10,9 +10,9 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
+from oatport.control.state.cluster_state import ClusterState
 from oatport.control.state.job import DeferredStart, Job, JobKind
 from oatport.control.state.task import TaskPhase
-from oatport.control.state.task_lifecycle import TaskLifecycle
 from oatport.times import SECOND, micros, seconds
 from oatport.windows.margins import Margins
 from oatport.windows.planner import Need, Plan, Planner
@@ -68,7 +68,7 @@
 
 
 class Holder:
-    def __init__(self, cluster: TaskLifecycle, settings: WindowSettings, book: Book, wall: int) -> None:
+    def __init__(self, cluster: ClusterState, settings: WindowSettings, book: Book, wall: int) -> None:
         self.cluster = cluster
         self.settings = settings
         self.book = book
@@ -83,7 +83,7 @@
         self._rekeyed: dict[str, None] = {}
         self.anew = 0  # plans made anew: for the status, and for tests
         self.late = 0  # jobs let go after their latest safe start
-        cluster.on_runtime_measured = self.measured
+        cluster.tasks.on_runtime_measured = self.measured
         self._price(wall)
 
     # --- jobs that come and go ---------------------------------------------------------------------
@@ -128,7 +128,7 @@
 
     def _reserve(self, job: Job) -> int:
         """Time for what the plan knows nothing of: a machine to boot, once more if it never comes up, an image."""
-        kinds = self.cluster.preferred_types(job)
+        kinds = self.cluster.catalog.preferred_types(job)
         boot = max((micros(kind.boot_s) for kind in kinds), default=0)
         fetch = max((micros(job.spec.image_gb / max(kind.fetch_gb_per_s, 0.01)) for kind in kinds), default=0)
         return micros(self.settings.reserve_s) + 2 * boot + 2 * fetch
@@ -162,7 +162,7 @@
     def _write(self, job: Job, plan: Plan, opened: int) -> None:
         before = job.deferral or DeferredStart([], "")
         hold = DeferredStart(self._rows(job, plan), plan.why, before.write_count, 0, before.pause_count)
-        self.cluster.defer(job, opened, hold)
+        self.cluster.job_lifecycle.defer(job, opened, hold)
 
     @staticmethod
     def _tasks(job: Job, count: int) -> int:
@@ -190,7 +190,7 @@
     def _open_all(self, job: Job) -> None:
         self.planner.remove(job.job_id)
         if job.start_limit >= 0:
-            self.cluster.release_deferred(job, job.spec.tasks)
+            self.cluster.job_lifecycle.release_deferred(job, job.spec.tasks)
         if job.deferral is not None:
             job.deferral.plan = []
 
@@ -242,9 +242,9 @@
             tasks = self._tasks(job, count)
             if job.deferral is not None:
                 job.deferral.plan = [row for row in job.deferral.plan if row[0] > wall]
-            self.cluster.release_deferred(job, tasks)
+            self.cluster.job_lifecycle.release_deferred(job, tasks)
             if ref not in planner.plans:
-                self.cluster.release_deferred(job, job.spec.tasks)  # whatever rounding left
+                self.cluster.job_lifecycle.release_deferred(job, job.spec.tasks)  # whatever rounding left
             let_go += tasks
         if len(self._predicted) > 2 * len(self.cluster.jobs) + FORGET_OVER:
             self._predicted = {ref: run for ref, run in self._predicted.items() if ref in self.cluster.jobs}
@@ -303,9 +303,9 @@
                 continue
             until = min(plan.starts) * self.planner.step
             for task in running:
-                self.cluster.stop(task, job.spec.grace_s)
+                self.cluster.tasks.stop(task, job.spec.grace_s)
             job.retry_at = self.cluster.now + until - wall
-            self.cluster.defer(
+            self.cluster.job_lifecycle.defer(
                 job, -1, DeferredStart([], "paused for a cheaper hour", hold.write_count, until, hold.pause_count + 1)
             )
 
--- a/tests/scale.py
+++ b/tests/scale.py
@@ -101,8 +101,8 @@
     found.move = calls(lambda: world.fleet.to_move(world.now))
     world.now += 1_000_000
     reports = [wire.report(worker.report()) for worker in world.workers.values()]
-    found.report = calls(lambda: [world.cluster.on_heartbeat(r, world.now, world.now) for r in reports])
-    found.tick = calls(lambda: world.cluster.account(world.now))
+    found.report = calls(lambda: [world.cluster.heartbeats.receive(r, world.now, world.now) for r in reports])
+    found.tick = calls(lambda: world.cluster.accounting.update(world.now))
     for _ in range(machines // 2):
         submit(legs=1, cores=1.0, urgency="idle")
     submit(legs=20 * machines, cores=1.0, voyageS=100.0)
@@ -160,7 +160,7 @@
     submit(legs=max(1, room % 10), voyageS=3000.0, cargo="long", memoryGb=1.0)
     for _ in range(3):
         world.step(2.0)
-    for sort in [(kind, zone, spot) for kind in world.cluster.types for zone in "ab" for spot in (False, True)]:
+    for sort in [(kind, zone, spot) for kind in world.cluster.catalog.types for zone in "ab" for spot in (False, True)]:
         world.fleet.refused[sort] = world.now + 3600 * SECOND
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
@@ -200,20 +200,20 @@
     def ends() -> None:
         running = [t for m in cluster.machines.values() for t in m.tasks if t.job.spec.job_class == "long"]
         for task in running[:10]:
-            cluster.complete_task(task, world.now, measured=False)
+            cluster.tasks.complete(task, world.now, measured=False)
 
     ten_seconds(lambda: None)  # machines and routes settle
     found.longest = 0
     found.quiet = ten_seconds(lambda: None)
     found.comes = ten_seconds(lambda: submit(legs=12, voyageS=50.0, tideS=300.0, cargo="van"))
-    on_machines = sum(cluster.tasks_by_priority)
+    on_machines = sum(cluster.tasks.bound_by_priority)
     found.ends = ten_seconds(ends)
-    found.claims = sum(cluster.tasks_by_priority) - on_machines + 100
+    found.claims = sum(cluster.tasks.bound_by_priority) - on_machines + 100
     world.commit()
     world.send()
     world.settle(3)
     reports = [wire.report(worker.report()) for worker in world.workers.values()]
-    found.reports = calls(lambda: [cluster.on_heartbeat(r, world.now, world.now) for r in reports])
+    found.reports = calls(lambda: [cluster.heartbeats.receive(r, world.now, world.now) for r in reports])
     return found
 
 
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -192,7 +192,7 @@
 def running(lead: Any, world_state: KeyStore, ref: str = "j-000001") -> None:
     """The lead has a job whose task runs on a machine."""
     spec = wire.submission(job(ref))
-    lead.cluster.add_job(ref, spec, 1, 0)
+    lead.cluster.job_lifecycle.add(ref, spec, 1, 0)
 
 
 WHOLE = 600 * SECOND
@@ -308,10 +308,10 @@
     world = World()
     world.machine(1)
     world.step()
-    world.cluster.cancel_confirmed("j-000001", 0, world.now)
+    world.cluster.job_lifecycle.cancel_confirmed("j-000001", 0, world.now)
     told_at = world.now
     world.step(1.0)
-    world.cluster.cancel_confirmed("j-000001", 0, world.now)  # by another node, or by the same once more
+    world.cluster.job_lifecycle.cancel_confirmed("j-000001", 0, world.now)  # by another node, or by the same once more
     first = world.submit()
     assert world.cluster.jobs[first].cancelled_after == told_at  # it counts from when it was told first
     after = world.submit(waitsOn=[first])
@@ -319,11 +319,11 @@
     world.settle()
     assert world.live(first) == {}
     assert not world.cluster.jobs[first].tasks
-    assert after not in world.cluster.blocked_jobs  # it went with it
+    assert after not in world.cluster.dependencies.blocked_jobs  # it went with it
     assert world.record(after) == wire.CANCELLED
     # Its keys wait for the record: with an unknown version the mark would be left behind.
     assert cancel_key(first) in world.state.items
-    world.cluster.cancel_job(first, world.state.items[cancel_key(first)][1])
+    world.cluster.job_lifecycle.cancel(first, world.state.items[cancel_key(first)][1])
     world.settle()
     assert first not in world.cluster.jobs
     assert not [key for key in world.state.items if key.startswith("live/")]
@@ -336,8 +336,8 @@
     after, own = world.submit(waitsOn=[first]), world.submit(waitsOn=[first])
     world.cancel(own, tell=False)
     for ref in (after, own):
-        world.cluster.cancel_confirmed(ref, 0, world.now)
-    batch = world.cluster.take_batch(12)
+        world.cluster.job_lifecycle.cancel_confirmed(ref, 0, world.now)
+    batch = world.cluster.writes.take_batch(12)
     assert {job_key(after), job_key(own)} <= batch.sets.keys()
     # Its own user's was recorded first: the transaction fails by that, and the record's version tells of its mark.
     assert world.state.commit(world.transaction(batch))[1]["failed"] == [job_key(own)]
@@ -360,23 +360,23 @@
     worker = world.machine(1)
     ref, machine = unsure(world, worker)
     world.cancel(ref, tell=False)
-    world.cluster.cancel_confirmed(ref, 0, world.now)
+    world.cluster.job_lifecycle.cancel_confirmed(ref, 0, world.now)
 
     def orders() -> list[str]:
-        return [order["orderKind"] for order in world.cluster.commands_for(machine, world.now, direct=False)[0]]
+        return [order["orderKind"] for order in world.cluster.commands.for_machine(machine, world.now, direct=False)[0]]
 
     assert orders() == ["start", "stop"]  # so that the attempt is known there, whenever the first start lands
-    assert not world.cluster.must_let_lease_expire(machine, world.now)
+    assert not world.cluster.commands.must_let_lease_expire(machine, world.now)
     bound = answers_until(world.settings.workers, world.now)
     world.now = bound
     assert orders() == ["stop"]
     # It can't be told whether the first start will land: the machine's lease has to end, and with it the session.
-    assert world.cluster.must_let_lease_expire(machine, world.now)
+    assert world.cluster.commands.must_let_lease_expire(machine, world.now)
     world.now += round(world.settings.workers.lease_s * SECOND)
     worker.advance()
     world.refused.clear()
     world.settle()
-    assert not world.cluster.must_let_lease_expire(machine, world.now)
+    assert not world.cluster.commands.must_let_lease_expire(machine, world.now)
     assert not machine.tasks
     assert world.live(ref) == {}
 
@@ -385,15 +385,15 @@
     world = World()
     worker = world.machine(1)
     ref, machine = unsure(world, worker)
-    world.cluster.on_commands_answered(machine, [(f"{ref}/0", 1)])  # no connection came about
+    world.cluster.commands.on_answered(machine, [(f"{ref}/0", 1)])  # no connection came about
     assert not machine.unacknowledged_starts
     world.cancel(ref)
-    world.cluster.commands_for(machine, world.now, direct=False)
+    world.cluster.commands.for_machine(machine, world.now, direct=False)
     world.refused.clear()
     world.now += 30 * SECOND  # by the bound no start is repeated
     world.report(worker)
     assert not machine.tasks
-    assert ref in [held.job_id for held in world.cluster.jobs_to_delete]
+    assert ref in [held.job_id for held in world.cluster.writes.jobs_to_delete]
 
 
 async def test_a_machine_that_a_start_of_a_cancelled_job_may_still_reach_is_not_answered(state: KeyStore) -> None:
@@ -403,7 +403,7 @@
     worker.token = lead.token
     answer = lead.answer_heartbeat(wire.report(worker.report()))
     assert answer is not None
-    lead.cluster.must_let_lease_expire = lambda machine, now: True  # type: ignore[method-assign]
+    lead.cluster.commands.must_let_lease_expire = lambda machine, now: True  # type: ignore[method-assign]
     assert lead.answer_heartbeat(wire.report(worker.report())) is None
 
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -128,10 +128,10 @@
     lost = [m for m in cluster.machines.values() if m.zone == "a"]
     world.now += 6 * SECOND
     world.report(world.workers["vm-000005"])
-    cluster.mark_partitioned(lost, world.now)
+    cluster.zones.mark_partitioned(lost, world.now)
     for machine in lost:
         world.released(machine.name)
-    assert set(cluster.partitioned_zones) == {"a"}
+    assert set(cluster.zones.partitioned) == {"a"}
     world.submit(legs=20, cores=8.0)
     world.plan()
     assert {rental.zone for rental in world.fleet.wanted(world.now)} == {"b"}
@@ -142,7 +142,7 @@
     assert (probe.zone, probe.count) == ("a", 1)
     world.machine(9, "a")
     world.settle(1)
-    assert not cluster.partitioned_zones  # heard from again
+    assert not cluster.zones.partitioned  # heard from again
 
 
 GANG = {"rig": "gang", "urgency": "high", "cores": 14.0, "accelerators": 4.0, "samePlace": True, "voyageS": 150.0}
@@ -307,9 +307,9 @@
     world.settle(2)
     world.submit(legs=1, voyageS=900.0)
     world.settle(3)
-    world.cluster.account(world.now)
-    world.cluster.account(world.now + 3600 * SECOND)
-    spent = world.cluster.cost_by_use
+    world.cluster.accounting.update(world.now)
+    world.cluster.accounting.update(world.now + 3600 * SECOND)
+    spent = world.cluster.accounting.cost_by_use
     assert (spent["boot"], spent["run"], spent["idle owned"]) == (3.0, 0.5, 0.5)
 
 
@@ -323,16 +323,16 @@
         world.submit(ref=f"j-{number:06d}", legs=1)
     world.settle(3)
     for number in range(10, 16):
-        world.cluster.dirty_keys[f"live/j-{number:06d}"] = None
+        world.cluster.writes.dirty_keys[f"live/j-{number:06d}"] = None
     world.submit(ref="j-000020", rig="standing", urgency="production", legs=1)
     world.plan()
-    batch = world.cluster.take_batch(12, budget=2)
+    batch = world.cluster.writes.take_batch(12, budget=2)
     assert next(iter(batch.sets)) == "live/j-000020"
     assert batch.operation_count == 2
-    world.cluster.committed(batch, 1, world.now)
+    world.cluster.writes.committed(batch, 1, world.now)
     # A batch of ends that the budget does not hold would have the next claim wait until it does.
-    assert world.cluster.take_batch(12, budget=0).operation_count == 0
-    assert world.cluster.take_batch(12, budget=12).operation_count == 5
+    assert world.cluster.writes.take_batch(12, budget=0).operation_count == 0
+    assert world.cluster.writes.take_batch(12, budget=12).operation_count == 5
 
 
 def test_two_replicas_of_a_spread_job_move_within_their_zone() -> None:
@@ -350,7 +350,7 @@
     world.submit(ref="j-000002", legs=6, **service)
     world.settle(60)
     assert sorted(names[0] for names in world.live(moving).values())[:2] == ["vm-000001"] * 2
-    world.cluster.replica_us = 10_000 * SECOND
+    world.cluster.accounting.replica_us = 10_000 * SECOND
     assert len(world.fleet.to_move(world.now)) == 2
 
 
@@ -365,9 +365,9 @@
     moving = world.submit(ref="j-000002", legs=1, rig="standing", urgency="production", cores=2.0, hull="img-2")
     world.settle(60)
     assert world.live(moving) == {f"{moving}/0": ["vm-000002"]}
-    world.cluster.replica_us = 100 * SECOND
+    world.cluster.accounting.replica_us = 100 * SECOND
     assert world.fleet.to_move(world.now) == []  # a fetch of 1 s would be 1 %
-    world.cluster.replica_us = 100_000 * SECOND
+    world.cluster.accounting.replica_us = 100_000 * SECOND
     assert [task.name for task in world.fleet.to_move(world.now)] == [f"{moving}/0"]
 
 
@@ -433,10 +433,10 @@
     used = {name for job in (service, other) for names in world.live(job).values() for name in names}
     assert len(used) == 2
     assert world.fleet.to_move(world.now) == []  # too few replicas, for too short a time, for one to be missed
-    world.cluster.replica_us = 10_000 * SECOND
+    world.cluster.accounting.replica_us = 10_000 * SECOND
     for _ in range(6):
         for task in world.fleet.to_move(world.now):
-            world.cluster.stop(task, 0.0)
+            world.cluster.tasks.stop(task, 0.0)
         world.send()
         world.step(0.5)
     assert len(world.live(service)) == 2
--- a/tests/test_dark.py
+++ b/tests/test_dark.py
@@ -65,18 +65,18 @@
     ref = world.submit(rig="standing", legs=1, driftwood=False)
     world.settle()
     known_at = world.now
-    assert world.cluster.cancellation_watermark(known_at) == known_at
+    assert world.cluster.job_lifecycle.cancellation_watermark(known_at) == known_at
     world.cancel(ref, tell=False)
-    world.cluster.cancel_job(ref, 0, known_at - SECOND)
+    world.cluster.job_lifecycle.cancel(ref, 0, known_at - SECOND)
     world.refused.add(worker.name)
     world.step(3.0)
-    assert world.cluster.cancellation_watermark(world.now) == known_at - SECOND  # its machine is silent
+    assert world.cluster.job_lifecycle.cancellation_watermark(world.now) == known_at - SECOND  # its machine is silent
     world.refused.clear()
     world.settle()
-    assert world.cluster.cancellation_watermark(world.now) == world.now
+    assert world.cluster.job_lifecycle.cancellation_watermark(world.now) == world.now
     held = world.cluster.machines[worker.name]
     held.orphaned_attempts[("j-999999/0", 1)] = (0.0, 0.0, 0.0)  # whose task is that? Perhaps of a cancelled job
-    assert world.cluster.cancellation_watermark(world.now) == 0
+    assert world.cluster.job_lifecycle.cancellation_watermark(world.now) == 0
 
 
 async def test_a_zones_node_keeps_its_workers_leases_and_starts_nothing(state: KeyStore) -> None:
@@ -143,7 +143,7 @@
             world.refused.add(worker.name)
     world.step(3.0)
     there = [m for m in world.cluster.machines.values() if m.zone == zone]
-    assert world.cluster.mark_partitioned(there, world.now) == {zone}
+    assert world.cluster.zones.mark_partitioned(there, world.now) == {zone}
     world.commit()
     return there
 
@@ -163,7 +163,7 @@
     there = cut(world, "b")
     with_replicas = {m.name for m in there if m.tasks}
     assert sum(len(m.tasks) for m in there) == 2
-    alive = lives_until(SETTINGS, world.cluster.partitioned_zones["b"], True)
+    alive = lives_until(SETTINGS, world.cluster.zones.partitioned["b"], True)
     world.now = alive + SECOND
     assert leaving(world, True) == []
     world.now += 31 * SECOND  # a machine without replicas would have booted twice by now
@@ -173,7 +173,7 @@
     world.refused.clear()  # back: new sessions, and the replicas return to where their image is
     world.now = alive + 10 * SECOND
     world.settle()
-    assert not world.cluster.partitioned_zones
+    assert not world.cluster.zones.partitioned
     assert {name for names in world.live(ref).values() for name in names} >= with_replicas
 
 
@@ -230,16 +230,16 @@
         world.machine(number, "a" if number < 4 else "b")
     world.settle()
     cut(world, "b")
-    since = world.cluster.partitioned_zones["b"]
+    since = world.cluster.zones.partitioned["b"]
     world.now += 5 * SECOND
     world.fail_over()
-    assert abs(world.cluster.partitioned_zones["b"] - since) < SECOND // 10
+    assert abs(world.cluster.zones.partitioned["b"] - since) < SECOND // 10
     world.submit(rig="standing", legs=2, driftwood=False)
     world.settle()
     assert all(rental.zone == "a" for rental in world.fleet.wanted(world.now))
     world.refused.clear()
     world.settle()
-    assert not world.cluster.partitioned_zones
+    assert not world.cluster.zones.partitioned
     assert world.state.items[DARK_KEY][0] == {"zones": {}}
 
 
@@ -250,13 +250,13 @@
         world.machine(number, "a" if number < 4 else "b")
     world.settle()
     cut(world, "b")
-    world.cluster.mark_lease_proxied(["b"])
+    world.cluster.zones.mark_lease_proxied(["b"])
     world.commit()
     world.fail_over()
-    assert world.cluster.lease_proxied_zones == {"b"}
+    assert world.cluster.zones.lease_proxied == {"b"}
     world.refused.clear()
     world.settle()
-    assert world.cluster.lease_proxied_zones == set()
+    assert world.cluster.zones.lease_proxied == set()
     assert world.state.items[DARK_KEY][0] == {"zones": {}}
 
 
@@ -264,7 +264,7 @@
     world = World()
     world.machine(1, "b")
     world.settle()
-    world.cluster.partitioned_zones["b"] = world.now
+    world.cluster.zones.partitioned["b"] = world.now
     ref = world.submit(legs=2)
     world.plan()
     assert world.cluster.jobs[ref].on_machines == 0
@@ -322,9 +322,9 @@
     watcher, lead, home, released = watched(state, 6, 6 * SECOND)
     home.peers = {"n1": FakePeer(["seen", 0, True]), "n2": FakePeer(None)}
     await watcher.step()
-    assert "b" in lead.cluster.partitioned_zones
+    assert "b" in lead.cluster.zones.partitioned
     assert released == []
-    lead.cluster.partitioned_zones["b"] -= 60 * SECOND  # dead by any reckoning: now they go
+    lead.cluster.zones.partitioned["b"] -= 60 * SECOND  # dead by any reckoning: now they go
     for machine in lead.cluster.machines.values():
         if machine.zone == "b":
             machine.last_heartbeat_at -= 60 * SECOND
--- a/tests/test_evening.py
+++ b/tests/test_evening.py
@@ -66,17 +66,17 @@
     lead, _, _ = leader(state)
     world = World()
     worker = world.machine(1)
-    lead.cluster.types.update(world.cluster.types)
+    lead.cluster.catalog.types.update(world.cluster.catalog.types)
     old = wire.report(worker.report())
     worker.token = lead.token
-    lead.cluster.on_heartbeat(wire.report(worker.report()), steady(), time_of_day())
+    lead.cluster.heartbeats.receive(wire.report(worker.report()), steady(), time_of_day())
     machine = lead.cluster.machines[worker.name]
     machine.persisted = True
     spec = wire.submission(job(legs=1))
-    waiting = lead.cluster.add_job(spec.ref, spec, 5, time_of_day())
-    task = lead.cluster.begin_binding(waiting, machine, steady())
-    batch = lead.cluster.take_batch(12)
-    lead.cluster.committed(batch, 9, steady())
+    waiting = lead.cluster.job_lifecycle.add(spec.ref, spec, 5, time_of_day())
+    task = lead.cluster.tasks.begin_binding(waiting, machine, steady())
+    batch = lead.cluster.writes.take_batch(12)
+    lead.cluster.writes.committed(batch, 9, steady())
     before = (machine.agent_epoch, machine.heartbeat_seq, machine.last_heartbeat_at)
     answer = lead.answer_heartbeat(old)
     assert answer == {"helm": lead.token, "orders": []}
--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -47,7 +47,7 @@
 def opens(world: World) -> None:
     """All nodes have answered; then the limits fall."""
     world.state.commit({"if": [], "then": [{"set": FORMATS_KEY, "value": {"reads": READS}}]})
-    world.cluster.enable_record_parts()
+    world.cluster.writes.enable_record_parts()
     fall(world)
 
 
@@ -111,14 +111,14 @@
         for ref in refs:
             for task in list(world.cluster.jobs[ref].tasks.values()) if ref in world.cluster.jobs else []:
                 if rng.random() < 0.05 and task.phase is TaskPhase.BOUND:
-                    world.cluster.stop(task, 0.0)
+                    world.cluster.tasks.stop(task, 0.0)
         world.plan()
-        if world.cluster.has_writes():
-            batch = world.cluster.take_batch(rng.choice([2, 3, 4]))
+        if world.cluster.writes.has_writes():
+            batch = world.cluster.writes.take_batch(rng.choice([2, 3, 4]))
             if batch.operation_count:
                 status, value = world.state.commit(world.transaction(batch))
                 assert status == 200, value
-                world.cluster.committed(batch, value["ledgerRev"], world.now)
+                world.cluster.writes.committed(batch, value["ledgerRev"], world.now)
         before = {
             ref: {
                 i: row
@@ -255,19 +255,19 @@
     home.peers["n1"] = FakePeer(answer("n1", "b"))
     await rounds(lead, 1)
     assert FORMATS_KEY not in state.items
-    assert not lead.cluster.layout.parts
+    assert not lead.cluster.writes.layout.parts
     client.faults = ["lose"]
     with pytest.raises(Exception, match="lose"):
         await rounds(lead, 2)  # unsure: not taken for open
-    assert not lead.cluster.layout.parts
+    assert not lead.cluster.writes.layout.parts
     await rounds(lead, 2)
-    assert lead.cluster.layout.parts
+    assert lead.cluster.writes.layout.parts
     assert state.items[FORMATS_KEY][0]["reads"] == READS
     second, _, other = leader(state)
     other.peers["n1"] = FakePeer(answer("n1", "b"))
     await rounds(lead, 2)  # it leads no more, and finds what is recorded
     await rounds(second, 2)
-    assert second.cluster.layout.parts
+    assert second.cluster.writes.layout.parts
 
 
 async def test_a_refusal_for_size_before_the_gate_opens_is_not_tried_again() -> None:
@@ -283,21 +283,21 @@
     lead, _, home = leader(world.state)
     lead.cluster = lead.commits.cluster = world.cluster
     world.cluster.token = lead.token
-    refused = world.cluster.take_batch(4)
+    refused = world.cluster.writes.take_batch(4)
     assert max(json_size(value) for value in refused.sets.values()) > 2048
     world.state.commit = _counted(world.state.commit)  # type: ignore[method-assign]
     await lead.commits.commit(refused)
     assert not home.lost
-    assert world.cluster.value_limit_lowered
+    assert world.cluster.writes.value_limit_lowered
     for _ in range(20):
-        batch = world.cluster.take_batch(4)
+        batch = world.cluster.writes.take_batch(4)
         if batch.operation_count:
             await lead.commits.commit(batch)
     assert not home.lost
     assert live_key(small) in world.state.items
     assert "t" in world.state.items[live_key(small)][0]
     assert "t" not in world.state.items[live_key(ref)][0]
-    world.cluster.enable_record_parts()
+    world.cluster.writes.enable_record_parts()
     world.commit()
     assert len(world.state.items[live_key(ref)][0]["t"]) < 100
     assert any(key.startswith(f"{LIVE}{ref}/0000.") for key in world.state.items)
@@ -319,20 +319,20 @@
     world = world_of(60, opened=False)
     world.submit(legs=100, voyageS=50.0)
     world.settle(3)
-    world.cluster.enable_record_parts()
+    world.cluster.writes.enable_record_parts()
     job_ = next(iter(world.cluster.jobs.values()))
     for index in (5, 95):
         task = job_.tasks[index]
-        world.cluster.requeue(task, lost=True)
+        world.cluster.tasks.requeue(task, lost=True)
     world.plan()
     batch = WriteBatch()
-    while world.cluster.has_urgent_writes():
-        batch = world.cluster.take_batch(4)
+    while world.cluster.writes.has_urgent_writes():
+        batch = world.cluster.writes.take_batch(4)
         held = {key for key in batch.sets if key.startswith(LIVE)}
-        assert {world.cluster.layout.task_key(t.job, t.index) for t, _, _ in batch.bindings} <= held
+        assert {world.cluster.writes.layout.task_key(t.job, t.index) for t, _, _ in batch.bindings} <= held
         status, value = world.state.commit(world.transaction(batch))
         assert status == 200, value
-        world.cluster.committed(batch, value["ledgerRev"], world.now)
+        world.cluster.writes.committed(batch, value["ledgerRev"], world.now)
     assert all(job_.tasks[i].phase is TaskPhase.BOUND for i in (5, 95))
 
 
@@ -348,6 +348,6 @@
     taken = lead.cluster.jobs["j-000001"]
     assert taken.spec == spec
     assert taken in lead.cluster.pending
-    assert lead.cluster.versions[waits_key("j-000001")] == 7
-    assert live_key("j-000001") not in lead.cluster.versions
+    assert lead.cluster.writes.versions[waits_key("j-000001")] == 7
+    assert live_key("j-000001") not in lead.cluster.writes.versions
     assert taken.record(wire.DONE)["job"] == record["job"]
--- a/tests/test_guests.py
+++ b/tests/test_guests.py
@@ -143,7 +143,7 @@
     world.plan()
     world.machine(50, spot=True)
     world.report(world.workers["vm-000050"])
-    batch = world.cluster.take_batch(4)
+    batch = world.cluster.writes.take_batch(4)
     assert next(iter(batch.sets)).startswith("fleet/")
 
 
--- a/tests/test_limits_properties.py
+++ b/tests/test_limits_properties.py
@@ -101,7 +101,7 @@
             self.world.cancel(ref, tell=tell)
             self.cancelled.add(ref)
             if not tell:  # the leader learns it from the records a moment later
-                self.world.cluster.cancel_job(ref, self.world.state.revision)
+                self.world.cluster.job_lifecycle.cancel(ref, self.world.state.revision)
 
     # --- the leader ---------------------------------------------------------------------------
 
@@ -129,11 +129,11 @@
     def commit(self, fate: str) -> None:
         """The next transaction, or the unsure one again."""
         cluster = self.world.cluster
-        batch = self.unsure or cluster.take_batch(self.world.ops)
+        batch = self.unsure or cluster.writes.take_batch(self.world.ops)
         if not batch.operation_count:
             for ended in (*batch.completed_jobs, *batch.deleted_jobs, *batch.cancelled_jobs):
-                cluster.remove_job(ended)
-            cluster.in_flight_keys = set()
+                cluster.job_lifecycle.remove(ended)
+            cluster.writes.in_flight_keys = set()
             return
         body = self.world.transaction(batch)
         if fate == "late":
@@ -147,12 +147,12 @@
             return
         self.unsure = None
         if status == 200:
-            cluster.committed(batch, value["ledgerRev"], self.world.now)
+            cluster.writes.committed(batch, value["ledgerRev"], self.world.now)
         elif self._was_applied(batch):
-            cluster.committed(batch, self.world.state.revision, self.world.now)
+            cluster.writes.committed(batch, self.world.state.revision, self.world.now)
             self.fail_over()  # which revision its keys have is for the next leader to read
         else:
-            cluster.restore_batch(batch)
+            cluster.writes.restore_batch(batch)
             self.fail_over()
 
     def _was_applied(self, batch: WriteBatch) -> bool:
@@ -175,15 +175,15 @@
         cluster = self.world.cluster
         for machine in list(cluster.machines_to_command):
             cluster.machines_to_command.discard(machine)
-            orders, starts = cluster.commands_for(machine, self.world.now, direct=True)
+            orders, starts = cluster.commands.for_machine(machine, self.world.now, direct=True)
             if not orders or not machine.agent_epoch:
                 continue
-            cluster.on_commands_sent(machine, starts, self.world.now, direct=True)
+            cluster.commands.on_sent(machine, starts, self.world.now, direct=True)
             body = wire.commands_body(cluster.token, machine.agent_epoch, orders)
             if sent and machine.name in self.world.workers:
                 _, report = self.world.workers[machine.name].commands(body)
-                cluster.on_commands_answered(machine, [(t.name, t.attempt) for t in starts])
-                cluster.on_heartbeat(wire.report(report), self.world.now, self.world.now)
+                cluster.commands.on_answered(machine, [(t.name, t.attempt) for t in starts])
+                cluster.heartbeats.receive(wire.report(report), self.world.now, self.world.now)
             else:
                 self.commands.append((machine.name, body))
 
@@ -199,14 +199,14 @@
     def fail_over(self, heard: bool = True) -> None:
         """The next leader; what the one before told the others is known, or that nothing is."""
         self.unsure = None
-        ends = self.world.cluster.completions_to_replicate()
+        ends = self.world.cluster.completions.to_replicate()
         self.world.fail_over()
         self.world.cluster.now = self.led_since = self.world.now
         self.untold = set()
         if heard:
-            self.world.cluster.apply_completions(ends)
+            self.world.cluster.completions.apply(ends)
         else:  # only their machines tell of them, if they still can
-            self.world.cluster.completions_unknown = True
+            self.world.cluster.completions.earlier_may_be_lost = True
             self.untold = {f"{ref}/{index}" for ref, index, _ in ends}
             self._forget_results_lost_with_a_lease()
 
@@ -227,7 +227,7 @@
         self.fail_over(True)
         mine = [report for report in self.reports if report.machine == f"vm-{number:06d}"]
         if mine:
-            self.world.cluster.on_heartbeat(mine[-1 - pick % len(mine)], self.world.now, self.world.now)
+            self.world.cluster.heartbeats.receive(mine[-1 - pick % len(mine)], self.world.now, self.world.now)
         self.world.plan()
         self.world.commit()
         self.send(True)
@@ -244,13 +244,13 @@
         report = wire.report(worker.report())
         self.reports.append(report)
         cluster = self.world.cluster
-        machine = cluster.on_heartbeat(report, self.world.now, self.world.now)
+        machine = cluster.heartbeats.receive(report, self.world.now, self.world.now)
         self._learn()
         if machine is None or report.token > cluster.token:
             return
-        cluster.on_heartbeat_delivered(machine, report)
-        orders, starts = cluster.commands_for(machine, self.world.now, direct=False)
-        cluster.on_commands_sent(machine, starts, self.world.now, direct=False)
+        cluster.commands.on_heartbeat_delivered(machine, report)
+        orders, starts = cluster.commands.for_machine(machine, self.world.now, direct=False)
+        cluster.commands.on_sent(machine, starts, self.world.now, direct=False)
         worker.answer(sent, session, wire.report_answer(cluster.token, orders))
 
     def _reports(self) -> None:
@@ -271,7 +271,7 @@
         """Of any age, at whoever leads now."""
         report = self.reports[-1 - pick % len(self.reports)]
         if report.token <= self.world.cluster.token:
-            self.world.cluster.on_heartbeat(report, self.world.now, self.world.now)
+            self.world.cluster.heartbeats.receive(report, self.world.now, self.world.now)
 
     @rule(number=PLACES)
     def lease_ends(self, number: int) -> None:
@@ -297,9 +297,9 @@
         """As silent: not if it alone tells of an end, nor while it may be the only one that can."""
         cluster = self.world.cluster
         machine = cluster.machines.get(f"vm-{number:06d}")
-        if machine is None or cluster.holds_unwritten_completions(machine):
+        if machine is None or cluster.completions.holds_unwritten(machine):
             return
-        if cluster.may_report_unknown_completions(machine, self.world.now, self.led_since + cluster.lease_us):
+        if cluster.completions.may_report_unknown(machine, self.world.now, self.led_since + cluster.lease_us):
             return
         for worker in self.world.workers.values():
             worker.advance()
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -46,7 +46,7 @@
     left = world.submit(legs=2, voyageS=3.0, waitsOn=[first, first], crew="other")
     right = world.submit(legs=1, voyageS=9.0, waitsOn=[first])
     last = world.submit(legs=1, voyageS=3.0, waitsOn=[left, right])
-    assert world.cluster.explain_blocked(last) == f"waits for {left}, {right}"
+    assert world.cluster.dependencies.explain(last) == f"waits for {left}, {right}"
     for _ in range(40):
         world.step(1.0)
         for ref in (left, right):
@@ -66,18 +66,18 @@
         world.report(worker)
     assert world.cluster.jobs[first].completing  # its end is about to be committed
     world.plan()
-    assert last in world.cluster.blocked_jobs
-    assert not world.cluster.blocked_jobs[last].tasks
-    batch = world.cluster.take_batch(12)
+    assert last in world.cluster.dependencies.blocked_jobs
+    assert not world.cluster.dependencies.blocked_jobs[last].tasks
+    batch = world.cluster.writes.take_batch(12)
     world.cancel(first, tell=False)  # at another node, a moment before that commit
     status, answer = world.state.commit(world.transaction(batch))
     assert status == 409
     assert answer["failed"] == [f"jobs/{first}"]
-    world.cluster.restore_batch(batch)
+    world.cluster.writes.restore_batch(batch)
     job = world.cluster.jobs[first]
     job.completing = False
-    world.cluster.jobs_to_complete.pop(job, None)
-    world.cluster.cancel_job(first, 0)
+    world.cluster.writes.jobs_to_complete.pop(job, None)
+    world.cluster.job_lifecycle.cancel(first, 0)
     world.settle()
     assert world.record(last) == wire.CANCELLED
     assert not world.live(last)
@@ -96,7 +96,7 @@
     assert (len(world.cluster.pending), world.cluster.pending.version) == before
     assert world.placer.looked_at == looked
     assert set(world.cluster.jobs) == {first}
-    assert not world.cluster.has_writes()
+    assert not world.cluster.writes.has_writes()
 
 
 def test_a_dependent_job_costs_one_change_more() -> None:
@@ -129,7 +129,7 @@
     first = world.submit(legs=1, voyageS=5.0)
     last = world.submit(legs=1, voyageS=5.0, waitsOn=[first])
     for_gpus = world.submit(legs=1, accelerators=1.0, waitsOn=[first])  # there is no room for it
-    while last in world.cluster.blocked_jobs:
+    while last in world.cluster.dependencies.blocked_jobs:
         world.step(1.0)
     released = world.cluster.jobs[last].eligible_at
     assert world.now - 2 * SECOND <= released <= world.now
@@ -137,7 +137,7 @@
     world.fail_over()
     assert world.cluster.jobs[last].eligible_at == released  # recorded with its claim
     assert (
-        for_gpus in world.cluster.blocked_jobs
+        for_gpus in world.cluster.dependencies.blocked_jobs
     )  # needed jobs that ended are not among live work: their records are read
     world.look_up()
     assert world.cluster.jobs[for_gpus].eligible_at == released
@@ -158,11 +158,11 @@
     first, last = chain(world, 2)
     world.settle()
     task = world.cluster.jobs[first].tasks[0]
-    world.cluster.fail_job(task, "it may have begun")
-    assert "lost" in world.cluster.explain_blocked(last)
+    world.cluster.job_lifecycle.fail(task, "it may have begun")
+    assert "lost" in world.cluster.dependencies.explain(last)
     world.settle()
     assert world.record(first) == wire.LOST
-    assert last in world.cluster.blocked_jobs
+    assert last in world.cluster.dependencies.blocked_jobs
     world.cancel(last)
     world.settle()
     assert world.record(last) == wire.CANCELLED
@@ -176,7 +176,7 @@
     worker = next(w for w in world.workers.values() if w.starts)
     worker._end(*next(iter(worker.tasks.items())), "error")
     world.settle(3)
-    assert last in world.cluster.blocked_jobs
+    assert last in world.cluster.dependencies.blocked_jobs
     assert world.record(first) == wire.QUEUED
     world.settle(30)
     assert world.record(last) == wire.DONE
@@ -207,7 +207,7 @@
     refs = [world.submit(legs=1, voyageS=1.0, cores=0.5, waitsOn=[first]) for _ in range(200)]
     world.settle(2)
     world.fail_over()
-    assert len(world.cluster.blocked_jobs) == 200
+    assert len(world.cluster.dependencies.blocked_jobs) == 200
     world.settle(60)
     assert {world.record(ref) for ref in refs} == {wire.DONE}
 
@@ -222,7 +222,7 @@
     world.state.commit({"if": [], "then": [{"set": waits_key(last), "value": world.state.items[live_key(last)][0]}]})
     world.fail_over()
     assert last in world.cluster.jobs
-    assert last not in world.cluster.blocked_jobs
+    assert last not in world.cluster.dependencies.blocked_jobs
     world.settle(20)
     assert world.record(last) == wire.DONE
     assert waits_key(last) not in keys(world)
@@ -250,7 +250,7 @@
     refs = chain(world, 4)
     world.settle()
     world.cancel(refs[0])
-    batch = world.cluster.take_batch(2)
+    batch = world.cluster.writes.take_batch(2)
     assert [job.job_id for job in batch.cancelled_jobs] == [refs[1]]
     assert world.state.commit(world.transaction(batch))[0] == 200
     world.fail_over()
@@ -264,10 +264,10 @@
     world.settle()
     world.cancel(first)
     world.cancel(last, tell=False)
-    batch = world.cluster.take_batch(12)
+    batch = world.cluster.writes.take_batch(12)
     assert world.state.commit(world.transaction(batch))[0] == 409
-    world.cluster.restore_batch(batch)
-    world.cluster.cancel_blocked(last, world.state.items[f"jobs/{last}"][1])
+    world.cluster.writes.restore_batch(batch)
+    world.cluster.dependencies.cancel_blocked(last, world.state.items[f"jobs/{last}"][1])
     world.settle()
     assert world.record(last) == wire.CANCELLED
     assert cancel_key(last) not in keys(world)
@@ -293,10 +293,10 @@
     world.settle()
     world.cancel(first)
     after = world.submit(legs=1, waitsOn=[first])
-    job = world.cluster.jobs_to_cancel[after]
+    job = world.cluster.writes.jobs_to_cancel[after]
     counted = world.cluster.job_statistics.classes["train"].accepted
-    world.cluster.add_blocked(Job(after, job.spec, job.version, world.now))
-    assert list(world.cluster.jobs_to_cancel.values()) == [job]
+    world.cluster.dependencies.add_blocked(Job(after, job.spec, job.version, world.now))
+    assert list(world.cluster.writes.jobs_to_cancel.values()) == [job]
     assert world.cluster.job_statistics.classes["train"].accepted == counted
 
 
@@ -308,11 +308,11 @@
     world.settle()
     world.cancel(first)
     world.report(next(w for w in world.workers.values() if w.starts))
-    assert len(world.cluster.jobs_to_cancel) == 3000
-    assert not world.cluster.blocked_jobs
+    assert len(world.cluster.writes.jobs_to_cancel) == 3000
+    assert not world.cluster.dependencies.blocked_jobs
     world.submit(ref="j-900000", legs=1)
     world.plan()
-    batch = world.cluster.take_batch(12)
+    batch = world.cluster.writes.take_batch(12)
     assert live_key("j-900000") in batch.sets
     assert len(batch.cancelled_jobs) == 3
 
@@ -348,10 +348,10 @@
     """Some users submit the last only when the others are over: until then a stage waited behind everything else."""
     world = world_of(0)
     first = world.submit(legs=1, voyageS=1.0, urgency="idle")
-    world.cluster.on_completion_recorded(first, world.now)
+    world.cluster.dependencies.on_completion_recorded(first, world.now)
     stage = world.submit(legs=1, urgency="idle", waitsOn=[first])
     alone = world.submit(legs=1, urgency="idle")
-    world.cluster.on_completion_recorded(first, world.now)
+    world.cluster.dependencies.on_completion_recorded(first, world.now)
     world.plan()
     assert world.cluster.jobs[stage].priority_rank == 2
     assert world.cluster.jobs[alone].priority_rank == 3
@@ -364,11 +364,11 @@
     world.submit(legs=1, voyageS=1.0, urgency="high", waitsOn=[first])
     world.settle(12)
     assert world.record(first) == wire.DONE
-    assert world.cluster.tasks_by_priority == [0, 0, 0, 0] or sum(world.cluster.tasks_by_priority) == len(
+    assert world.cluster.tasks.bound_by_priority == [0, 0, 0, 0] or sum(world.cluster.tasks.bound_by_priority) == len(
         [t for job in world.cluster.jobs.values() for t in job.tasks.values() if t.machine]
     )
     world.settle(12)
-    assert world.cluster.tasks_by_priority == [0, 0, 0, 0]
+    assert world.cluster.tasks.bound_by_priority == [0, 0, 0, 0]
     assert all(abs(sum(m.cpus_by_priority)) < 1e-9 for m in world.cluster.machines.values())
 
 
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -64,7 +64,7 @@
     world.report(next(w for w in world.workers.values() if w.starts))
     world.submit(ref="j-000002", urgency="production", rig="standing", legs=1)
     world.plan()
-    batch = world.cluster.take_batch(4)
+    batch = world.cluster.writes.take_batch(4)
     assert next(iter(batch.sets)) == live_key("j-000002")
     assert [job.job_id for job in batch.completed_jobs] == [ended]
 
@@ -78,14 +78,14 @@
     world.cancel(ref)
     world.report(world.workers["vm-000001"])
     world.report(world.workers["vm-000001"])
-    assert world.cluster.jobs_to_delete
+    assert world.cluster.writes.jobs_to_delete
     for budget in (0, 1):
-        batch = world.cluster.take_batch(12, budget=budget)
+        batch = world.cluster.writes.take_batch(12, budget=budget)
         assert not any(key.startswith(live_key(ref)) for key in batch.deletes)
         assert not batch.deleted_jobs
-        world.cluster.restore_batch(batch)
-    assert not world.cluster.orphaned_keys
-    batch = world.cluster.take_batch(12, budget=12)
+        world.cluster.writes.restore_batch(batch)
+    assert not world.cluster.writes.orphaned_keys
+    batch = world.cluster.writes.take_batch(12, budget=12)
     assert {live_key(ref), live_key(ref) + "/x"} <= set(batch.deletes)
 
 
@@ -103,20 +103,24 @@
     for task in tasks[:8]:
         world.now += SECOND // 5
         world.cluster.now = world.now
-        world.cluster.complete_task(task, world.now)
-        batch = world.cluster.take_batch(12, 12, ripe)
+        world.cluster.tasks.complete(task, world.now)
+        batch = world.cluster.writes.take_batch(12, 12, ripe)
         written += len(batch.sets)
         if batch.operation_count:
-            world.cluster.committed(batch, world.state.commit(world.transaction(batch))[1]["ledgerRev"], world.now)
+            world.cluster.writes.committed(
+                batch, world.state.commit(world.transaction(batch))[1]["ledgerRev"], world.now
+            )
     assert written <= 1
-    assert not world.cluster._may_forget(next(iter(world.cluster.machines.values())), f"{ref}/{tasks[7].index}", 1)
+    assert not world.cluster.commands._may_forget(
+        next(iter(world.cluster.machines.values())), f"{ref}/{tasks[7].index}", 1
+    )
     world.now += 2 * SECOND
     world.cluster.now = world.now
-    batch = world.cluster.take_batch(12, 12, ripe)
+    batch = world.cluster.writes.take_batch(12, 12, ripe)
     assert list(batch.sets) == [live_key(ref)]
-    world.cluster.restore_batch(batch)
+    world.cluster.writes.restore_batch(batch)
     for task in tasks[8:]:
-        world.cluster.complete_task(task, world.now)
-    batch = world.cluster.take_batch(12, 12, ripe)
+        world.cluster.tasks.complete(task, world.now)
+    batch = world.cluster.writes.take_batch(12, 12, ripe)
     assert [job.job_id for job in batch.completed_jobs] == [ref]
     assert set(batch.sets) == {f"jobs/{ref}"}
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -163,10 +163,10 @@
         world.released(worker.name)
         assert world.cluster.jobs[ref].failure_reason
         if committed:
-            batch = world.cluster.take_batch(12)
+            batch = world.cluster.writes.take_batch(12)
             status, value = world.state.commit(world.transaction(batch))
             assert status == 200
-            world.cluster.committed(batch, value["ledgerRev"], world.now)
+            world.cluster.writes.committed(batch, value["ledgerRev"], world.now)
         world.fail_over()
         if not committed:  # the new leader finds the machine silent, and releases it once more
             world.cluster.on_machine_removed(world.cluster.machines[worker.name], world.now, "silent")
@@ -213,7 +213,7 @@
     client = FakeStateClient(world.state)
 
     class Back:
-        types = world.cluster.types
+        types = world.cluster.catalog.types
         job_progress: dict[str, tuple[int, int]] = {}  # noqa: RUF012
 
         def ready(self) -> bool:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -61,12 +61,12 @@
     ref = world.submit()
     world.plan()
     world.cancel(ref, tell=False)  # another node commits it, the leader has not heard
-    batch = world.cluster.take_batch(12)
+    batch = world.cluster.writes.take_batch(12)
     status, value = world.state.commit(world.transaction(batch))
     assert status == 409
     assert value["failed"] == [f"jobs/{ref}"]
-    world.cluster.restore_batch(batch)
-    world.cluster.cancel_job(ref, 0)
+    world.cluster.writes.restore_batch(batch)
+    world.cluster.job_lifecycle.cancel(ref, 0)
     world.settle()
     assert worker.starts == []
 
@@ -136,7 +136,7 @@
     ref = world.submit(legs=1)
     world.settle()
     task = world.cluster.jobs[ref].tasks[0]
-    world.cluster.on_heartbeat(old, world.now, world.now)
+    world.cluster.heartbeats.receive(old, world.now, world.now)
     assert task.phase is TaskPhase.BOUND
     assert task.attempt == 1
 
@@ -175,21 +175,21 @@
     world.commit()
     cluster, key = world.cluster, (f"{ref}/0", 1)
     report = wire.report(worker.report())
-    machine = cluster.on_heartbeat(report, world.now, world.now)
+    machine = cluster.heartbeats.receive(report, world.now, world.now)
     assert machine is not None
-    cluster.on_heartbeat_delivered(machine, report)
-    late, starts = cluster.commands_for(machine, world.now, direct=False)
-    cluster.on_commands_sent(machine, starts, world.now, direct=False)  # on its way
+    cluster.commands.on_heartbeat_delivered(machine, report)
+    late, starts = cluster.commands.for_machine(machine, world.now, direct=False)
+    cluster.commands.on_sent(machine, starts, world.now, direct=False)  # on its way
     cluster.machines_to_command.add(machine)
     world.send()
-    cluster.stop(cluster.jobs[ref].tasks[0], 0.0)
+    cluster.tasks.stop(cluster.jobs[ref].tasks[0], 0.0)
     world.send()
     world.commit()
     assert worker.tasks[key].status == "ended"
     assert cluster.jobs[ref].on_machines == 0  # it may run elsewhere
     cluster.machines_to_command.add(machine)
     world.send()
-    cluster.on_heartbeat_delivered(machine, report)  # held by a cut, that report comes once more
+    cluster.commands.on_heartbeat_delivered(machine, report)  # held by a cut, that report comes once more
     cluster.machines_to_command.add(machine)
     world.send()
     worker.commands({"helm": cluster.token, "watch": 1, "orders": late})
@@ -223,7 +223,7 @@
     world.settle()
     world.submit()
     world.plan()
-    late = world.transaction(world.cluster.take_batch(12))
+    late = world.transaction(world.cluster.writes.take_batch(12))
     world.fail_over()
     status, value = world.state.commit(late)
     assert status == 409
@@ -237,7 +237,7 @@
     world.settle()
     ref = world.submit(legs=1)
     world.plan()
-    batch = world.cluster.take_batch(12)
+    batch = world.cluster.writes.take_batch(12)
     _, value = world.state.commit(world.transaction(batch))
     world.released("vm-000001")
     second = world.machine(2)
@@ -247,7 +247,7 @@
     world.plan()
     task = world.cluster.jobs[ref].tasks[0]
     assert task.machine is world.cluster.machines[second.name]
-    world.cluster.committed(batch, value["ledgerRev"], world.now)
+    world.cluster.writes.committed(batch, value["ledgerRev"], world.now)
     assert task.phase is TaskPhase.BINDING
     world.send()
     assert second.starts == []
@@ -280,7 +280,7 @@
     world.commit()  # the old leader dies here; its start is under way
     late = wire.commands_body(world.cluster.token, worker.session, [wire.start(f"{ref}/0", 1)])
     world.fail_over()
-    world.cluster.on_heartbeat(wire.report(worker.report()), world.now, world.now)
+    world.cluster.heartbeats.receive(wire.report(worker.report()), world.now, world.now)
     assert world.cluster.jobs[ref].tasks[0].phase is TaskPhase.BOUND
     worker.commands(late)  # lands before the new token does
     world.settle()
@@ -487,12 +487,12 @@
     world.now += 9 * SECOND
     world.report(worker)
     for _ in range(20):
-        batch = world.cluster.take_batch(12)
+        batch = world.cluster.writes.take_batch(12)
         status, value = world.state.commit(world.transaction(batch))
         assert status == 200
         if f"jobs/{ref}" in batch.sets:
             break  # the leader dies here
-        world.cluster.committed(batch, value["ledgerRev"], world.now)
+        world.cluster.writes.committed(batch, value["ledgerRev"], world.now)
     assert world.record(ref) == wire.DONE
     assert world.state.list(live_key(ref))[1]["rows"]
     world.fail_over()
--- a/tests/test_rush.py
+++ b/tests/test_rush.py
@@ -273,7 +273,7 @@
     world, machine, _ = calm_world()
     report = wire.report(world.workers[machine.name].report())
     world.now += SECOND
-    assert calls(lambda: world.cluster.on_heartbeat(report, world.now, world.now)) < 10
+    assert calls(lambda: world.cluster.heartbeats.receive(report, world.now, world.now)) < 10
     assert machine.last_heartbeat_at == world.now
 
 
@@ -292,7 +292,7 @@
         wire.commands_body(world.cluster.token, machine.agent_epoch, [wire.start(f"{other}/0", 7)])
     )
     report = wire.report(world.workers[machine.name].report())
-    world.cluster.on_heartbeat(report, world.now, world.now)
+    world.cluster.heartbeats.receive(report, world.now, world.now)
     assert (f"{other}/0", 7) in machine.orphaned_attempts
 
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -97,7 +97,7 @@
     batch = WriteBatch(conditions={"live/j-1/0000": 0}, sets={"live/j-1/0000": {"t": [[1]]}})
     await lead.commits.commit(batch)
     assert home.lost == []
-    assert lead.cluster.versions["live/j-1/0000"] == state.revision
+    assert lead.cluster.writes.versions["live/j-1/0000"] == state.revision
 
 
 async def test_a_late_leader_commit_cannot_be_applied_twice(state: KeyStore) -> None:
@@ -266,7 +266,7 @@
     state.commit({"if": [], "then": [{"set": CATALOG_KEY, "value": types}]})
     rows = [{"path": "fleet/000000", "entryRev": 1, "value": {"m": [["vm-000001", "m8", "a", False, "h:1", 1, True]]}}]
     lead, _, home = leader(state)
-    lead.cluster.types.clear()
+    lead.cluster.catalog.types.clear()
     home.types = {}
     with pytest.raises(UnknownMachineTypeError, match="vm-000001 is of type m8"):
         load(lead.cluster, rows, steady(), time_of_day())
--- a/tests/test_whereabouts.py
+++ b/tests/test_whereabouts.py
@@ -62,7 +62,7 @@
     machine = world.cluster.machines[worker.name]
     machine.draining = True
     assert world.fleet.to_release(world.now) == []
-    assert live_key(ref) in world.cluster.urgent_keys  # and it is written at once
+    assert live_key(ref) in world.cluster.writes.urgent_keys  # and it is written at once
     world.commit()
     assert world.fleet.to_release(world.now) == [machine]
 
@@ -86,8 +86,8 @@
     world = World()
     ref, worker = _done_unwritten(world)
     assert world.fleet.to_release(world.now) == []
-    assert live_key(ref) in world.cluster.dirty_keys
-    assert live_key(ref) not in world.cluster.urgent_keys
+    assert live_key(ref) in world.cluster.writes.dirty_keys
+    assert live_key(ref) not in world.cluster.writes.urgent_keys
     assert not world.cluster.machines[worker.name].releasing
 
 
@@ -95,10 +95,10 @@
     world = World()
     ref, worker = _done_unwritten(world)
     world.cluster.machines[worker.name].draining = True
-    batch = world.cluster.take_batch(world.ops)
+    batch = world.cluster.writes.take_batch(world.ops)
     assert live_key(ref) in batch.sets
     assert world.fleet.to_release(world.now) == []
-    world.cluster.restore_batch(batch)
+    world.cluster.writes.restore_batch(batch)
     assert world.fleet.to_release(world.now) == []
     world.commit()
     assert len(world.fleet.to_release(world.now)) == 1
@@ -108,15 +108,15 @@
     """Records that are too large are not written for a while: such an end counted as written, and was forgotten."""
     world = World()
     ref, worker = _done_unwritten(world)
-    world.cluster.value_limit_lowered = True
-    world.cluster.layout.limit = 10
-    batch = world.cluster.take_batch(world.ops)
+    world.cluster.writes.value_limit_lowered = True
+    world.cluster.writes.layout.limit = 10
+    batch = world.cluster.writes.take_batch(world.ops)
     assert live_key(ref) not in batch.sets
-    world.cluster.in_flight_keys = set()
+    world.cluster.writes.in_flight_keys = set()
     machine = world.cluster.machines[worker.name]
-    orders, _ = world.cluster.commands_for(machine, world.now, direct=True)
+    orders, _ = world.cluster.commands.for_machine(machine, world.now, direct=True)
     assert not [order for order in orders if order["orderKind"] == "forget"]
-    assert world.cluster.holds_unwritten_completions(machine)
+    assert world.cluster.completions.holds_unwritten(machine)
 
 
 async def test_nothing_that_alone_tells_of_an_end_is_given_up(state: KeyStore) -> None:
@@ -152,19 +152,19 @@
     world.report(workers[0])
     world.commit()
     _until_done(world, workers[0])
-    assert live_key(ref) in world.cluster.urgent_keys
+    assert live_key(ref) in world.cluster.writes.urgent_keys
 
 
 def test_the_next_leader_goes_by_ends_that_it_is_told() -> None:
     """The machine hung after its report and was given up: the task is not started again."""
     world = World()
     ref, worker = _done_unwritten(world)
-    ends = world.cluster.completions_to_replicate()
+    ends = world.cluster.completions.to_replicate()
     assert [end[:2] for end in ends] == [(ref, 0)]
     world.refused.add(worker.name)  # it is not heard any more
     world.fail_over()
     assert world.cluster.jobs[ref].tasks[0].phase is TaskPhase.BOUND  # as recorded
-    world.cluster.apply_completions(ends)
+    world.cluster.completions.apply(ends)
     assert world.cluster.jobs[ref].completed == {0}
     world.released(worker.name)
     for _ in range(25):
@@ -176,22 +176,22 @@
 def test_told_ends_are_taken_for_pending_tasks_too_and_not_for_newer_attempts() -> None:
     world = World()
     ref, worker = _done_unwritten(world)
-    ends = world.cluster.completions_to_replicate()
+    ends = world.cluster.completions.to_replicate()
     world.refused.add(worker.name)
     world.fail_over()
     world.released(worker.name)
     task = world.cluster.jobs[ref].tasks[0]
     assert task.phase is TaskPhase.PENDING
     assert world.cluster.jobs[ref].pending == 1
-    world.cluster.apply_completions(ends)
+    world.cluster.completions.apply(ends)
     assert world.cluster.jobs[ref].completed == {0}
     assert not world.cluster.jobs[ref].pending
-    world.cluster.apply_completions(ends)  # told again
+    world.cluster.completions.apply(ends)  # told again
     other = world.submit(legs=1, cores=1.0, voyageS=50.0)
     world.settle(3)
     placed = world.cluster.jobs[other].tasks[0]
     assert placed.phase is TaskPhase.BOUND
-    world.cluster.apply_completions([(other, 0, placed.attempt), (other, 0, 7), (other, 5, 1), ("j-999999", 0, 1)])
+    world.cluster.completions.apply([(other, 0, placed.attempt), (other, 0, 7), (other, 5, 1), ("j-999999", 0, 1)])
     assert placed.phase is TaskPhase.BOUND
     assert not world.cluster.jobs[other].completed
 
@@ -199,10 +199,10 @@
 def test_ends_are_told_until_they_are_recorded() -> None:
     world = World()
     ref, _ = _done_unwritten(world)
-    assert world.cluster.completions_to_replicate()
+    assert world.cluster.completions.to_replicate()
     world.commit()
-    assert world.cluster.completions_to_replicate() == []
-    assert not world.cluster.unwritten_completions
+    assert world.cluster.completions.to_replicate() == []
+    assert not world.cluster.completions.unwritten
     assert world.cluster.jobs[ref].completed == {0}
 
 
@@ -212,13 +212,13 @@
     world.refused |= set(world.workers)
     cluster = world.fail_over()
     machine, until = cluster.machines[worker.name], world.now + cluster.lease_us
-    assert not cluster.may_report_unknown_completions(machine, world.now, until)
-    cluster.completions_unknown = True
-    assert cluster.may_report_unknown_completions(machine, world.now, until)
-    assert not cluster.may_report_unknown_completions(machine, until, until)
+    assert not cluster.completions.may_report_unknown(machine, world.now, until)
+    cluster.completions.earlier_may_be_lost = True
+    assert cluster.completions.may_report_unknown(machine, world.now, until)
+    assert not cluster.completions.may_report_unknown(machine, until, until)
     world.refused.clear()
     world.report(worker)
-    assert not cluster.may_report_unknown_completions(machine, world.now, until)  # it has told
+    assert not cluster.completions.may_report_unknown(machine, world.now, until)  # it has told
 
 
 def test_a_node_keeps_what_the_newest_leaders_told() -> None:
@@ -372,7 +372,7 @@
             "orders": [{"orderKind": "start", "leg": f"{ref}/{index}", "sailing": attempt}],
         }
     )
-    world.cluster.on_heartbeat(wire.report(worker.report()), world.now, world.now)
+    world.cluster.heartbeats.receive(wire.report(worker.report()), world.now, world.now)
 
 
 def test_attempts_that_no_record_knows_count_for_their_team_and_zone() -> None:
@@ -407,7 +407,7 @@
     world.plan()
     assert world.cluster.quotas.unknown == {"j-000777": 1}
     assert not world.cluster.jobs[ref].on_machines
-    world.cluster.resolve_orphaned_attempts("j-000777", None)  # nobody ever submitted it
+    world.cluster.orphans.resolve("j-000777", None)  # nobody ever submitted it
     world.plan()
     assert world.cluster.jobs[ref].on_machines == 1
     world.settle(2)
@@ -421,7 +421,7 @@
     spec = wire.submission(job("j-000777", cores=6.0))
     world.jobs["j-000777"] = job("j-000777", cores=6.0)
     _start_behind_its_back(world, worker, "j-000777")
-    world.cluster.add_job("j-000777", spec, 1, world.now)
+    world.cluster.job_lifecycle.add("j-000777", spec, 1, world.now)
     assert not world.cluster.quotas.unknown
     assert world.cluster.quotas["crew"].cpus == 6.0
     assert world.cluster.jobs["j-000777"].orphaned_attempt_count == 1
@@ -482,7 +482,7 @@
     world.commit()
     world.send()
     other = world.machine(2)
-    world.cluster.on_heartbeat(wire.report(other.report()), world.now, world.now)
+    world.cluster.heartbeats.receive(wire.report(other.report()), world.now, world.now)
     assert world.cluster.jobs[ref].orphaned_attempt_count == 1
     world.plan()
     assert not world.cluster.jobs[ref].on_machines
@@ -540,7 +540,7 @@
     lead._apply_job_hint("accepted", "j-000001", record, 50)
     found = lead.cluster.jobs["j-000001"]
     batch = WriteBatch(deleted_jobs=[found])
-    lead.cluster.committed(batch, 60, steady())
+    lead.cluster.writes.committed(batch, 60, steady())
     assert not lead.cluster.jobs
     lead._apply_job_hint("accepted", "j-000001", record, 50)
     assert not lead.cluster.jobs
--- a/tests/test_windows.py
+++ b/tests/test_windows.py
@@ -413,8 +413,8 @@
     keeper.holder.margins.load({"train": [1.0] * 30})
     await keeper.fail_over()
     keeper.step()
-    assert KEY in lead.cluster.dirty_keys
-    await lead.commits.commit(lead.cluster.take_batch(12))
+    assert KEY in lead.cluster.writes.dirty_keys
+    await lead.commits.commit(lead.cluster.writes.take_batch(12))
     later, _, _ = leader(state)
     later.state = client  # type: ignore[assignment]
     heir = WindowController(later, Unplugged(), settings)  # type: ignore[arg-type]
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -13,7 +13,7 @@
 from oatport import wire
 from oatport.clients.http import NoResponseError, RequestNotSentError
 from oatport.control.state.job import Job
-from oatport.control.state.task_lifecycle import TaskLifecycle
+from oatport.control.state.job_lifecycle import JobLifecycle
 from oatport.lab import GUARDS as NAMES
 from oatport.lab.world.breaks import GUARDS
 from oatport.lab.world.checker import Checker
@@ -454,14 +454,14 @@
     plan = Plan((rush, Fault("node_crash", 20.0, 0.1, node=ALL)), 60.0, 3, 24, 20.0)
     served = play(Asked(plan=plan), 2)
     assert (served.violations, served.errors, served.starved) == ([], [], [])
-    add = TaskLifecycle.add_job
+    add = JobLifecycle.add
 
-    def passes_over(self: TaskLifecycle, ref: str, spec: wire.Submission, version: int, at: int) -> Job:
+    def passes_over(self: JobLifecycle, ref: str, spec: wire.Submission, version: int, at: int) -> Job:
         job = add(self, ref, spec, version, at)
         if spec.job_class == "batch":
-            self.pending.discard(job)
+            self.cluster.pending.discard(job)
         return job
 
-    monkeypatch.setattr(TaskLifecycle, "add_job", passes_over)
+    monkeypatch.setattr(JobLifecycle, "add", passes_over)
     starved = play(Asked(plan=Plan((), 60.0, 3, 24, 20.0)), 6).starved
     assert [row.split(":")[0] for row in starved] == ["batch", "south"]
--- a/tests/world.py
+++ b/tests/world.py
@@ -167,17 +167,17 @@
 
     def commit(self) -> None:
         for _ in range(500):
-            if not self.cluster.has_writes():
+            if not self.cluster.writes.has_writes():
                 return
-            batch = self.cluster.take_batch(self.ops)
+            batch = self.cluster.writes.take_batch(self.ops)
             if not batch.operation_count:
                 for done in (*batch.completed_jobs, *batch.deleted_jobs, *batch.cancelled_jobs):
-                    self.cluster.remove_job(done)
-                self.cluster.in_flight_keys = set()
+                    self.cluster.job_lifecycle.remove(done)
+                self.cluster.writes.in_flight_keys = set()
                 continue
             status, value = self.state.commit(self.transaction(batch))
             assert status == 200, value
-            self.cluster.committed(batch, value["ledgerRev"], self.now)
+            self.cluster.writes.committed(batch, value["ledgerRev"], self.now)
         raise AssertionError("there is always more to write")
 
     def plan(self) -> None:
@@ -188,28 +188,28 @@
         """Direct commands; a refused machine's are lost without an answer."""
         for machine in list(self.cluster.machines_to_command):
             self.cluster.machines_to_command.discard(machine)
-            orders, starts = self.cluster.commands_for(machine, self.now, direct=True)
+            orders, starts = self.cluster.commands.for_machine(machine, self.now, direct=True)
             if not orders:
                 continue
-            self.cluster.on_commands_sent(machine, starts, self.now, direct=True)
+            self.cluster.commands.on_sent(machine, starts, self.now, direct=True)
             if machine.name in self.refused | self.mute or machine.name not in self.workers:
                 continue
             body = wire.commands_body(self.cluster.token, machine.agent_epoch, orders)
             _, report = self.workers[machine.name].commands(body)
-            self.cluster.on_commands_answered(machine, [(t.name, t.attempt) for t in starts])
-            self.cluster.on_heartbeat(wire.report(report), self.now, self.now)
+            self.cluster.commands.on_answered(machine, [(t.name, t.attempt) for t in starts])
+            self.cluster.heartbeats.receive(wire.report(report), self.now, self.now)
 
     def report(self, worker: Worker) -> None:
         sent, session = self.now, worker.session
         report = wire.report(worker.report())
-        machine = self.cluster.on_heartbeat(report, self.now, self.now)
+        machine = self.cluster.heartbeats.receive(report, self.now, self.now)
         orders: list[wire.Command] = []
         if machine is not None and worker.name not in self.mute:
-            self.cluster.on_contact(machine)  # asked at once, if it is doubted that it hears
+            self.cluster.commands.on_contact(machine)  # asked at once, if it is doubted that it hears
         if machine is not None and not machine.releasing:
-            self.cluster.on_heartbeat_delivered(machine, report)
-            orders, starts = self.cluster.commands_for(machine, self.now, direct=False)
-            self.cluster.on_commands_sent(machine, starts, self.now, direct=False)
+            self.cluster.commands.on_heartbeat_delivered(machine, report)
+            orders, starts = self.cluster.commands.for_machine(machine, self.now, direct=False)
+            self.cluster.commands.on_sent(machine, starts, self.now, direct=False)
         if worker.name not in self.mute:
             worker.answer(sent, session, wire.report_answer(self.cluster.token, orders))
 
@@ -227,13 +227,13 @@
 
     def look_up(self) -> None:
         """The leader reads how needed jobs stand of which it has no record."""
-        for ref in list(self.cluster.dependency_graph.unknown):
+        for ref in list(self.cluster.dependencies.graph.unknown):
             found = self.state.items.get(job_key(ref))
             record = found[0] if found else {}
             if record.get("state") == wire.DONE:
-                self.cluster.on_completion_recorded(ref, int(record.get("ended", 0)))
+                self.cluster.dependencies.on_completion_recorded(ref, int(record.get("ended", 0)))
             elif record.get("state") == wire.CANCELLED:
-                self.cluster.cancel_dependents(ref)
+                self.cluster.dependencies.cancel_dependents(ref)
 
     def settle(self, rounds: int = 4) -> None:
         for _ in range(rounds):
@@ -259,9 +259,9 @@
         assert status == 200
         self.jobs[spec.ref] = msgspec.to_builtins(spec)
         if spec.needs:
-            self.cluster.add_blocked(Job(spec.ref, spec, value["ledgerRev"], self.now))
+            self.cluster.dependencies.add_blocked(Job(spec.ref, spec, value["ledgerRev"], self.now))
             return spec.ref
-        self.cluster.add_job(spec.ref, spec, value["ledgerRev"], self.now)
+        self.cluster.job_lifecycle.add(spec.ref, spec, value["ledgerRev"], self.now)
         return spec.ref
 
     def cancel(self, ref: str, *, tell: bool = True) -> None:
@@ -277,7 +277,7 @@
         )
         assert status == 200
         if tell:
-            self.cluster.cancel_job(ref, value["ledgerRev"])
+            self.cluster.job_lifecycle.cancel(ref, value["ledgerRev"])
 
     def machine(self, number: int, zone: str = "a", *, spot: bool = False, kind: str = "m8") -> Worker:
         name = f"vm-{number:06d}"
