--- a/oatport/api/peer_api.py
+++ b/oatport/api/peer_api.py
@@ -28,7 +28,7 @@
 
     async def handle(self, method: str, path: str, body: BodyReader) -> Answer:
         """Answer one request. Raises wire.InvalidMessageError, which the server answers with 400."""
-        if path != wire.PEER:
+        if path != wire.PEER_PATH:
             return Answer(404, {"error": "no such path"})
         if method != "POST":
             return Answer(405, {"error": "wrong method"}, {"Allow": "POST"})
--- a/oatport/control/placement/image_fetch.py
+++ b/oatport/control/placement/image_fetch.py
@@ -13,4 +13,4 @@
     """Time until a machine has the image; 0 if it has it already, or fetches it."""
     if spec.image in machine.images:
         return 0
-    return micros(spec.image_gb / max(machine.type.fetch_gb_per_s, FETCH_RATE_MIN))
+    return micros(spec.image_size_gb / max(machine.type.image_fetch_gb_per_s, FETCH_RATE_MIN))
--- a/oatport/control/scaling/gang_scale_out.py
+++ b/oatport/control/scaling/gang_scale_out.py
@@ -61,7 +61,7 @@
 
     def _candidate_zones(self, job: Job) -> list[str] | list[str | None]:
         """Zones to try one by one; None stands for any, or all together."""
-        if job.spec.zone is not None or not job.spec.one_zone:
+        if job.spec.zone is not None or not job.spec.single_zone:
             return [job.spec.zone]
         return sorted(
             {zone for machine_type in self.cluster.catalog.feasible_types(job) for zone in machine_type.zones}
@@ -88,7 +88,7 @@
         for slot in self._existing_slots(demand, incoming):
             if demand.only_zone and slot.zone != demand.only_zone:
                 continue
-            if spec.types is not None and slot.type.name not in spec.types:
+            if spec.machine_types is not None and slot.type.name not in spec.machine_types:
                 continue
             count = min(slot.free_slots(spec), demand.limit_in(slot.zone))
             if count > 0:
--- a/oatport/control/state/cluster_state.py
+++ b/oatport/control/state/cluster_state.py
@@ -142,7 +142,12 @@
         if job.tier in (SPOT, ""):
             return True
         spec = job.spec
-        return spec.spot and spec.checkpoint_s > 0 and spec.gpus > 0 and spec.job_class in self.objectives.start_within
+        return (
+            spec.spot
+            and spec.checkpoint_interval_s > 0
+            and spec.gpus > 0
+            and spec.job_class in self.objectives.start_within
+        )
 
     def add_machine(
         self, name: str, type_name: str, zone: str, spot: bool, address: str, now: int, wall: int, age: int = 0
--- a/oatport/control/state/heartbeats.py
+++ b/oatport/control/state/heartbeats.py
@@ -28,18 +28,18 @@
     def __init__(self, cluster: ClusterState) -> None:
         self.cluster = cluster
 
-    def receive(self, report: wire.Report, now: int, wall: int) -> Machine | None:
+    def receive(self, report: wire.Heartbeat, now: int, wall: int) -> Machine | None:
         """Take in a worker's report, an answer of /commands or of /show; None: not a usable machine."""
         machine = self.cluster.add_machine(
-            report.machine, report.type, report.zone, report.spot, report.address, now, wall
+            report.machine_name, report.machine_type, report.zone, report.spot, report.address, now, wall
         )
         if machine is None:
             return None
-        if (report.session, report.seq) <= (machine.agent_epoch, machine.heartbeat_seq):
+        if (report.agent_epoch, report.heartbeat_seq) <= (machine.agent_epoch, machine.heartbeat_seq):
             self.cluster.now = now
             self.cluster.completions.apply_late(machine, report)
             return machine  # an older message that came late: of all the rest it tells nothing
-        new_session = report.session != machine.agent_epoch
+        new_session = report.agent_epoch != machine.agent_epoch
         if now - machine.last_heartbeat_at > self.cluster.heartbeat_fresh_us:
             self.cluster.planning_needed = True  # its free room counts again
         machine.last_heartbeat_at = self.cluster.now = now
@@ -54,7 +54,7 @@
                 machine, urgent=not machine.persisted
             )  # nothing is placed on it before
             self.cluster.planning_needed = True
-        if machine.fencing_token != report.token or new_session:
+        if machine.fencing_token != report.fencing_token or new_session:
             self.cluster.planning_needed = True
         if new_session:
             if machine.agent_epoch:
@@ -70,19 +70,23 @@
             machine.images = {image: at for image, at in machine.images.items() if at == 1}
         elif machine.command_unreachable and now - machine.agent_epoch_since > self.cluster.lease_us:
             machine.command_unreachable = False  # else its session would have ended
-        machine.agent_epoch, machine.heartbeat_seq, machine.fencing_token = report.session, report.seq, report.token
-        if report.notice_s is None:
+        machine.agent_epoch, machine.heartbeat_seq, machine.fencing_token = (
+            report.agent_epoch,
+            report.heartbeat_seq,
+            report.fencing_token,
+        )
+        if report.reclamation_notice_s is None:
             self.cluster.planning_needed = self.cluster.planning_needed or machine.reclaimed_at > 0
             machine.reclaimed_at = 0
         else:
-            reclaimed_at = now + micros(max(report.notice_s, 0.0))
+            reclaimed_at = now + micros(max(report.reclamation_notice_s, 0.0))
             if not machine.reclaimed_at:
                 machine.reclaimed_at = reclaimed_at
-                self._on_reclamation_notice(machine, report.notice_s, now)
+                self._on_reclamation_notice(machine, report.reclamation_notice_s, now)
             machine.reclaimed_at = min(machine.reclaimed_at, reclaimed_at)
         if machine.settled_heartbeat is not None and not new_session and machine.settled_heartbeat == report.tasks:
             return machine  # what it runs is as it was told before, and as it should be
-        listed = {(row.task, row.attempt): row for row in report.tasks}
+        listed = {(row.task_name, row.attempt): row for row in report.tasks}
         for task in list(machine.tasks):
             if task.phase is not TaskPhase.BOUND:
                 continue
@@ -119,15 +123,15 @@
             )
         )
 
-    def _on_listed(self, task: Task, machine: Machine, row: wire.TaskReport, report: wire.Report, now: int) -> None:
-        if task.start_acknowledged is None and task.start_epoch == report.session:
+    def _on_listed(self, task: Task, machine: Machine, row: wire.TaskReport, report: wire.Heartbeat, now: int) -> None:
+        if task.start_acknowledged is None and task.start_epoch == report.agent_epoch:
             machine.command_unreachable = False
-        task.start_acknowledged = (report.session, report.seq)
+        task.start_acknowledged = (report.agent_epoch, report.heartbeat_seq)
         self.cluster.unacknowledged_tasks.discard(task)
-        if row.status != wire.EXITED:
-            if row.status != wire.FETCHING:
+        if row.status != wire.TaskStatus.EXITED:
+            if row.status != wire.TaskStatus.FETCHING_IMAGE:
                 machine.images[task.job.spec.image] = 1  # it has it
-            if row.status == wire.RUNNING and not task.running_since:
+            if row.status == wire.TaskStatus.RUNNING and not task.running_since:
                 task.running_since = now
                 self.cluster.job_statistics.began(task.job)
                 if task.binding_at:
@@ -150,34 +154,36 @@
         self._on_exit(task, machine, row, now)
 
     def _on_exit(self, task: Task, machine: Machine, row: wire.TaskReport, now: int) -> None:
-        job, why = task.job, row.why
+        job, why = task.job, row.exit_reason
         log.debug("task %s attempt %d on %s ended: %s", task.name, task.attempt, machine.name, why)
-        if why == wire.WHY_DONE and job.kind is not JobKind.SERVICE:
+        if why == wire.ExitReason.COMPLETED and job.kind is not JobKind.SERVICE:
             self.cluster.tasks.complete(task, now)
             return
         wanted = task.stop_grace_s is not None
-        if why == wire.WHY_ERROR:
+        if why == wire.ExitReason.ERROR:
             if failure_attribution.job_failed(job, machine, self.cluster.machines, task.attempt, now):
                 self.cluster.writes.dirty_keys.setdefault(live_key(job.job_id), None)  # for the next leader
-        elif why == wire.WHY_NO_ROOM:
+        elif why == wire.ExitReason.INSUFFICIENT_CAPACITY:
             machine.cordoned_until = now + 3 * SECOND
-        elif why == wire.WHY_UNKNOWN:
+        elif why == wire.ExitReason.UNKNOWN_TASK:
             job.retry_at = now + 2 * SECOND
-        elif why == wire.WHY_BUSY:
+        elif why == wire.ExitReason.OTHER_ATTEMPT_PRESENT:
             machine.cordoned_until = now + SECOND
         self.cluster.tasks.requeue(
-            task, lost=not wanted and why in (wire.WHY_PEERS, wire.WHY_STOPPED), unexecuted=why in REFUSED
+            task,
+            lost=not wanted and why in (wire.ExitReason.GANG_MEMBER_LOST, wire.ExitReason.STOPPED),
+            unexecuted=why in REFUSED,
         )
 
-    def _on_absent(self, task: Task, machine: Machine, report: wire.Report, now: int) -> None:
+    def _on_absent(self, task: Task, machine: Machine, report: wire.Heartbeat, now: int) -> None:
         """A placed task that the newest report does not list: gone only if nothing can still bring it."""
-        if report.token != self.cluster.token:
+        if report.fencing_token != self.cluster.token:
             return  # a start of an earlier leader may still land
         key = (task.name, task.attempt)
         if task.binding_at and not task.start_epoch:
             self.cluster.machines_to_command.add(machine)  # placed by this leader, its first start is just due
             return
-        if task.start_epoch and report.session <= task.start_epoch:
+        if task.start_epoch and report.agent_epoch <= task.start_epoch:
             if (
                 task.job.cancelled
                 and task.start_acknowledged is None
@@ -193,7 +199,7 @@
         # In the session in which it was claimed, and never seen by this leader: no start of it was executed.
         unexecuted = (
             task.start_acknowledged is None
-            and report.session == task.binding_epoch
+            and report.agent_epoch == task.binding_epoch
             and not machine.unacknowledged_starts.get(key)
         )
         self.cluster.tasks.requeue(task, lost=bool(task.start_epoch), unexecuted=unexecuted)
@@ -204,8 +210,8 @@
         strays: dict[tuple[str, int], None] = {}
         here = {(t.name, t.attempt) for t in machine.tasks if t.phase is not TaskPhase.PENDING}
         for row in rows:
-            key = (row.task, row.attempt)
-            if row.status == wire.EXITED:
+            key = (row.task_name, row.attempt)
+            if row.status == wire.TaskStatus.EXITED:
                 ended.add(key)
                 continue
             if key not in here:
--- a/oatport/control/state/job_lifecycle.py
+++ b/oatport/control/state/job_lifecycle.py
@@ -159,7 +159,7 @@
         """So many more tasks of a held job may start. Not written by itself: the plan that is recorded says so."""
         if job.start_limit < 0 or job.cancelled or job.completing:
             return
-        job.start_limit = min(max(job.start_limit, job.next_untouched) + count, job.spec.tasks)
+        job.start_limit = min(max(job.start_limit, job.next_untouched) + count, job.spec.task_count)
         if job not in self.cluster.pending:
             job.unplaced_since = self.cluster.now or 1
         self.cluster.pending.add(job)
--- a/oatport/control/state/machine_commands.py
+++ b/oatport/control/state/machine_commands.py
@@ -34,20 +34,20 @@
             if never_sent and (not confirmed or task.binding_at == 0):
                 # Of an earlier leader's: its first report under our token tells whether it is there.
                 if task.stop_grace_s is not None:
-                    orders.append(wire.stop(task.name, task.attempt, task.stop_grace_s))
+                    orders.append(wire.StopCommand(task.name, task.attempt, task.stop_grace_s))
                 continue
             waits_for_retry = direct and task.start_retry_at > now
             if task.start_acknowledged is None and not waits_for_retry and self._may_start(task, now):
-                orders.append(wire.start(task.name, task.attempt))
+                orders.append(wire.StartCommand(task.name, task.attempt))
                 starts.append(task)
             if task.stop_grace_s is not None:
-                orders.append(wire.stop(task.name, task.attempt, task.stop_grace_s))
+                orders.append(wire.StopCommand(task.name, task.attempt, task.stop_grace_s))
         for name, attempt in machine.orphaned_attempts:
-            orders.append(wire.stop(name, attempt, 0.0))
+            orders.append(wire.StopCommand(name, attempt, 0.0))
         if confirmed:
             for name, attempt in machine.terminated_attempts:
                 if self._may_forget(machine, name, attempt):
-                    orders.append(wire.forget(name, attempt))
+                    orders.append(wire.ForgetCommand(name, attempt))
         return orders, starts
 
     def _may_start(self, task: Task, now: int) -> bool:
@@ -96,10 +96,10 @@
             return False
         return not self.cluster.writes.is_unwritten(job, parts[1])
 
-    def on_heartbeat_delivered(self, machine: Machine, report: wire.Report) -> None:
+    def on_heartbeat_delivered(self, machine: Machine, report: wire.Heartbeat) -> None:
         """A report that is about to be answered. A worker has one in flight at a time: what the answer to an earlier
         one told it has been executed by now, or is dropped (PROTOCOL, "Workers -> controller nodes")."""
-        number = (report.session, report.seq)
+        number = (report.agent_epoch, report.heartbeat_seq)
         if number > machine.answered_heartbeat:  # not one that a cut held
             machine.answered_heartbeat = number
             machine.starts_in_response.clear()
--- a/oatport/control/state/machine_types.py
+++ b/oatport/control/state/machine_types.py
@@ -46,5 +46,5 @@
 
     def image_fetch_us(self, job: Job) -> int:
         """How long its image takes to get to a machine of the types that suit it."""
-        rates = [kind.fetch_gb_per_s for kind in self.preferred_types(job) if kind.fetch_gb_per_s > 0]
-        return micros(job.spec.image_gb / min(rates)) if rates else 0
+        rates = [kind.image_fetch_gb_per_s for kind in self.preferred_types(job) if kind.image_fetch_gb_per_s > 0]
+        return micros(job.spec.image_size_gb / min(rates)) if rates else 0
--- a/oatport/control/state/task_lifecycle.py
+++ b/oatport/control/state/task_lifecycle.py
@@ -137,7 +137,11 @@
         Running tasks exit with `mates_gone` by themselves and a stopped one would do no harm.
         """
         for task in list(job.tasks.values()):
-            if task.phase is TaskPhase.BOUND and task.status in ("", wire.FETCHING, wire.WAITING):
+            if task.phase is TaskPhase.BOUND and task.status in (
+                "",
+                wire.TaskStatus.FETCHING_IMAGE,
+                wire.TaskStatus.WAITING_FOR_GANG,
+            ):
                 self.stop(task, 0.0)
 
     def stop(self, task: Task, grace_s: float) -> None:
@@ -173,7 +177,7 @@
             remaining = max(self.cluster.predictor.run_time(job.job_id, spec) - ran, 0)
             if task.running_since and remaining < left * 3 // 4:
                 return  # it will be done before
-        grace = spec.grace_s
+        grace = spec.stop_grace_s
         if micros(grace) > left:
             grace = 0.0
         if job.kind is JobKind.GANG:
@@ -212,7 +216,7 @@
             self.complete_gang(job)
         if job.cancelled:
             self.cluster.job_lifecycle.delete_if_gone(job)
-        elif len(job.completed) >= job.spec.tasks and not job.completing:
+        elif len(job.completed) >= job.spec.task_count and not job.completing:
             job.completing = True
             self.cluster.pending.discard(job)
             self.cluster.writes.jobs_to_complete[job] = None
@@ -233,8 +237,8 @@
             self.cluster.completions.note(task)
             self.cluster.writes.mark_dirty(task)
         job.retry_queue.clear()
-        job.completed.update(range(job.next_untouched, job.spec.tasks))
-        job.next_untouched = job.spec.tasks
+        job.completed.update(range(job.next_untouched, job.spec.task_count))
+        job.next_untouched = job.spec.task_count
         self.cluster.pending.discard(job)
 
     @staticmethod
--- a/oatport/control/storage/recovery.py
+++ b/oatport/control/storage/recovery.py
@@ -174,7 +174,7 @@
             cluster.tasks.complete_gang(job)
         if not job.pending:
             cluster.pending.discard(job)
-        if len(job.completed) >= job.spec.tasks and not job.cancelled:
+        if len(job.completed) >= job.spec.task_count and not job.cancelled:
             job.completing = True
             cluster.writes.jobs_to_complete[job] = None
         assert live_key(job.job_id) in cluster.writes.versions or waits_key(job.job_id) in cluster.writes.versions
