--- a/oatport/control/state/cluster_state.py
+++ b/oatport/control/state/cluster_state.py
@@ -84,7 +84,7 @@
             tuning.threshold_percentile,
             tail_factor=tuning.tail_factor,
         )
-        self.router.start_aims = self.objectives.start_within
+        self.router.start_objectives = self.objectives.start_within
         self.quotas = TeamQuotas(settings.teams)
         self.job_statistics = JobStatistics()
         self.catalog = MachineTypeCatalog(types)
@@ -179,7 +179,7 @@
         self.machines_to_command.discard(machine)
         self.writes.mark_machine_dirty(machine)
         if machine.spot and machine.ready_at:
-            self.predictor.spot_held(now - machine.rented_at, why == "taken" or bool(machine.reclaimed_at))
+            self.predictor.spot_machine_ended(now - machine.rented_at, why == "taken" or bool(machine.reclaimed_at))
         self.completions.expedite(machine)
         for key in list(machine.orphaned_attempts):
             self.orphans.remove(machine, key)
--- a/oatport/control/state/heartbeats.py
+++ b/oatport/control/state/heartbeats.py
@@ -7,7 +7,7 @@
 
 from oatport import wire
 from oatport.control.placement import failure_attribution
-from oatport.control.placement.retry_policy import REFUSED
+from oatport.control.placement.retry_policy import REFUSAL_REASONS
 from oatport.control.state.job import JobKind
 from oatport.control.state.machine import Machine
 from oatport.control.state.task import Task, TaskPhase
@@ -146,8 +146,8 @@
             if task.status != row.status:
                 task.status = row.status
                 self.cluster.jobs_with_changed_counts[job] = None
-            if job.suspected_faulty and job.kind is JobKind.SERVICE and failure_attribution.works(job, now):
-                failure_attribution.task_done(job, machine, self.cluster.machines, now)
+            if job.suspected_faulty and job.kind is JobKind.SERVICE and failure_attribution.has_succeeded(job, now):
+                failure_attribution.record_success(job, machine, self.cluster.machines, now)
             if task.job.cancelled and task.stop_grace_s is None:
                 self.cluster.tasks.stop(task, 0.0)
             return
@@ -161,7 +161,7 @@
             return
         wanted = task.stop_grace_s is not None
         if why == wire.ExitReason.ERROR:
-            if failure_attribution.job_failed(job, machine, self.cluster.machines, task.attempt, now):
+            if failure_attribution.record_failure(job, machine, self.cluster.machines, task.attempt, now):
                 self.cluster.writes.dirty_keys.setdefault(live_key(job.job_id), None)  # for the next leader
         elif why == wire.ExitReason.INSUFFICIENT_CAPACITY:
             machine.cordoned_until = now + 3 * SECOND
@@ -172,7 +172,7 @@
         self.cluster.tasks.requeue(
             task,
             lost=not wanted and why in (wire.ExitReason.GANG_MEMBER_LOST, wire.ExitReason.STOPPED),
-            unexecuted=why in REFUSED,
+            unexecuted=why in REFUSAL_REASONS,
         )
 
     def _on_absent(self, task: Task, machine: Machine, report: wire.Heartbeat, now: int) -> None:
--- a/oatport/control/state/job_lifecycle.py
+++ b/oatport/control/state/job_lifecycle.py
@@ -65,7 +65,7 @@
             if task.machine is not None:
                 self.cluster.tasks.count_priority(task, task.machine, 1)
         job.inherited_deadlines, job.deadlines, job.deadline_at, job.attainable_deadline = dues, None, 0, 0
-        self.cluster.pending.urged(job)
+        self.cluster.pending.reroute(job)
         self.cluster.planning_needed = True
 
     def cancel(self, ref: str, mark_version: int, told_after: int = 0) -> None:
--- a/oatport/control/state/task_lifecycle.py
+++ b/oatport/control/state/task_lifecycle.py
@@ -8,7 +8,7 @@
 
 from oatport import wire
 from oatport.control.placement import failure_attribution
-from oatport.control.placement.retry_policy import RetryPolicy, may_repeat, never_sent
+from oatport.control.placement.retry_policy import RetryPolicy, may_retry, never_sent
 from oatport.control.state.job import PRIORITIES, Job, JobKind
 from oatport.control.state.machine import Machine
 from oatport.control.state.task import Task, TaskPhase
@@ -111,7 +111,7 @@
             self.complete(task, self.cluster.now, measured=False)  # one of them is done, so it is as well
             return
         repeat = self.cluster.retry_policies.get(job.spec.job_class, RetryPolicy.ANY)
-        if not job.cancelled and not may_repeat(repeat, task, unexecuted):
+        if not job.cancelled and not may_retry(repeat, task, unexecuted):
             self.cluster.job_lifecycle.fail(task, "a task may have begun and may not run again")
             return
         if task.machine is not None:
@@ -203,9 +203,9 @@
             if machine is not None:
                 self._learn_speed(machine, took, self.cluster.predictor.run_time(job.job_id, job.spec))
             self.on_runtime_measured(job, took)
-            self.cluster.predictor.finished(job.job_id, job.spec, took)
+            self.cluster.predictor.task_completed(job.job_id, job.spec, took)
         if machine is not None:
-            failure_attribution.task_done(job, machine, self.cluster.machines, now)
+            failure_attribution.record_success(job, machine, self.cluster.machines, now)
             self.unbind(task)
         job.tasks.pop(task.index, None)
         job.completed.add(task.index)
