--- a/oatport/control/scaling/gang_scale_out.py
+++ b/oatport/control/scaling/gang_scale_out.py
@@ -68,7 +68,7 @@
         )
 
     def _plan_in(self, zone: str | None, job: Job, incoming: IncomingCapacity, now: int) -> GangPlan | None:
-        demand, plan = Demand(job, job.pending, zone), GangPlan()
+        demand, plan = Demand.of_gang(job, zone), GangPlan()
         self._use_existing(demand, incoming, plan)
         while demand.remaining > 0:
             slot = self.selector.choose(demand, now)
