--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -258,7 +258,7 @@
     other.peer_notifier.confirmed_cancellations = told(began=steady() - 600 * SECOND)
     other.peers = {"n1": FakePeer(None)}  # type: ignore[dict-item]
     other.election.leader_name = "n1"
-    other.tell_cancelled("j-000001", 7)
+    other.notify_cancelled("j-000001", 7)
     node, lead = await blind(state)
     running(lead, state)
 
@@ -283,7 +283,7 @@
     node.peer_notifier.confirmed_cancellations = told(began=steady() - 600 * SECOND)
     ping = ["ping", "n1", None, 0, True]
     assert (await peer_reply(node, ping))[5] >= 600 * SECOND
-    node.tell_cancelled("j-000001")  # in whichever way it knew
+    node.notify_cancelled("j-000001")  # in whichever way it knew
     assert (await peer_reply(node, ping))[5] < SECOND
     assert len(await peer_reply(node, ping)) == 6
 
@@ -428,9 +428,9 @@
 
 def told_by_others(plan: Plan) -> RunResult:
     world = Simulation(plan, 5)
-    world.users_at = {"n1", "n2"}  # n0 leads at first
+    world.users_reach = {"n1", "n2"}  # n0 leads at first
     result = world.run()
-    told = [ask for ask in world.checker.asks.values() if 1020 < (ask.cancelled_at or 0) < 1023]
+    told = [ask for ask in world.deployed.checker.jobs.values() if 1020 < (ask.cancelled_at or 0) < 1023]
     assert len(told) >= 3, "the meeting came about"
     return result
 
