--- a/oatport/control/leadership/zone_partition.py
+++ b/oatport/control/leadership/zone_partition.py
@@ -50,7 +50,9 @@
 def placeable_elsewhere(cluster: ClusterState, job: Job) -> int:
     """How many more replicas of a service may run in zones without a partition, beside those that are pending."""
     spec = job.spec
-    zones = {zone for kind in cluster.preferred_types(job) for zone in kind.zones} - cluster.partitioned_zones.keys()
+    zones = {
+        zone for kind in cluster.catalog.preferred_types(job) for zone in kind.zones
+    } - cluster.zones.partitioned.keys()
     if spec.zone is not None:
         zones &= {spec.zone}
     if spec.single_zone and job.tasks_by_zone:
@@ -71,7 +73,7 @@
         """`zones_with_proxy`: those in which a node is a lease proxy for the workers."""
         chosen: list[Machine] = []
         self._placeable.clear()
-        for zone, since in self.cluster.partitioned_zones.items():
+        for zone, since in self.cluster.zones.partitioned.items():
             alive_until = tasks_alive_until(self.cluster.settings, since, zone in zones_with_proxy)
             silent = self._silent_machines(zone, since)
             movable = self._movable_machines(silent)
--- a/oatport/control/placement/gang_placement.py
+++ b/oatport/control/placement/gang_placement.py
@@ -39,7 +39,7 @@
         if chosen:
             job.gang_attempt = max([job.gang_attempt, *(t.attempt for t in job.tasks.values())]) + 1
         for machine in chosen:
-            self._cluster.begin_binding(job, machine, now, attempt=job.gang_attempt)
+            self._cluster.tasks.begin_binding(job, machine, now, attempt=job.gang_attempt)
         return chosen
 
     def _cheapest_zone(self, job: Job, machines: list[Machine]) -> list[Machine]:
--- a/oatport/control/placement/placer.py
+++ b/oatport/control/placement/placer.py
@@ -149,7 +149,7 @@
         if job.orphaned_attempt_count:
             return 0
         startable = self._within_quota(job, equivalence_class, current.now)
-        if job.priority_rank == IDLE_RANK and len(self._cluster.urgent_keys) > UNWRITTEN_BINDINGS_MAX:
+        if job.priority_rank == IDLE_RANK and len(self._cluster.writes.urgent_keys) > UNWRITTEN_BINDINGS_MAX:
             # Capacity that is bound but not written down can't be given to anybody else.
             self._wakeup.no_later_than(current.now + UNWRITTEN_BINDINGS_PAUSE)
             equivalence_class.exhausted = equivalence_class.interchangeable
@@ -238,7 +238,7 @@
                 break
             if job.kind is JobKind.SERVICE and self._warm_starts.should_wait(job, machine, current.usable, current.now):
                 return TaskPlacement(bound_count, machine)
-            self._cluster.begin_binding(job, machine, current.now)
+            self._cluster.tasks.begin_binding(job, machine, current.now)
             self.candidates.bound.append(machine)
             bound_count += 1
         return TaskPlacement(bound_count)
--- a/oatport/control/placement/scoring.py
+++ b/oatport/control/placement/scoring.py
@@ -64,7 +64,7 @@
         index = job.next_pending()
         if job.kind is JobKind.SERVICE and index is not None and index in job.tasks and job.tasks[index].attempt > 0:
             return REPLACEMENT_START
-        return self._cluster.start_objectives.get(job.spec.job_class)
+        return self._cluster.objectives.start_within.get(job.spec.job_class)
 
 
 def with_zone_balance(score: Score, replicas_in_zone: int) -> Score:
--- a/oatport/control/queueing/pending_job_router.py
+++ b/oatport/control/queueing/pending_job_router.py
@@ -44,14 +44,14 @@
 
     def interval(self) -> int:
         """How long until all pending jobs are routed again, if something has changed meanwhile."""
-        size = TASKS_PER_PENDING_JOB * len(self._cluster.pending) + sum(self._cluster.tasks_by_priority)
+        size = TASKS_PER_PENDING_JOB * len(self._cluster.pending) + sum(self._cluster.tasks.bound_by_priority)
         return min(ROUTING_INTERVAL_MAX, max(ROUTING_INTERVAL, size * SECOND // TASKS_EXAMINED_PER_SECOND))
 
     def step(self, now: int, wall: int) -> None:
         """Route what is due: all, what is new, or nothing."""
         cluster = self._cluster
-        cluster.propagate_urgency()
-        version = (cluster.pending.version, cluster.binding_changes)
+        cluster.dependencies.propagate_urgency()
+        version = (cluster.pending.version, cluster.tasks.binding_changes)
         elapsed = now - self._routed_at
         changed = version != self._routed_version
         if elapsed >= ROUTING_INTERVAL_UNCHANGED or (changed and elapsed >= self.interval()) or self._waits is None:
@@ -103,7 +103,7 @@
             job.tier = tier
             cluster.planning_needed = True
             if tier == OWNED or job.loss_count:
-                cluster.dirty_keys.setdefault(live_key(job.job_id), None)
+                cluster.writes.dirty_keys.setdefault(live_key(job.job_id), None)
 
 
 class _Rentable:
@@ -134,7 +134,7 @@
     run_times = [
         now - t.running_since
         for m in cluster.machines.values()
-        if m.zone not in cluster.partitioned_zones
+        if m.zone not in cluster.zones.partitioned
         for t in m.finite_tasks
         if t.running_since and t.binding_at and not t.job.suspected_faulty and t.job.priority_rank < IDLE_RANK
     ]
@@ -143,5 +143,5 @@
 
 def route_pending(cluster: ClusterState, availability: CloudAvailability, now: int, wall: int) -> None:
     """Set the tier of every pending job at once, with nothing kept for the next time."""
-    cluster.propagate_urgency()
+    cluster.dependencies.propagate_urgency()
     PendingJobRouter(cluster, availability).route_all(now, wall)
--- a/oatport/control/scaling/gang_scale_out.py
+++ b/oatport/control/scaling/gang_scale_out.py
@@ -64,7 +64,9 @@
         """Zones to try one by one; None stands for any, or all together."""
         if job.spec.zone is not None or not job.spec.single_zone:
             return [job.spec.zone]
-        return sorted({zone for machine_type in self.cluster.feasible_types(job) for zone in machine_type.zones})
+        return sorted(
+            {zone for machine_type in self.cluster.catalog.feasible_types(job) for zone in machine_type.zones}
+        )
 
     def _plan_in(self, zone: str | None, job: Job, incoming: IncomingCapacity, now: int) -> GangPlan | None:
         demand, plan = Demand.of_gang(job, zone), GangPlan()
--- a/oatport/control/scaling/rebalancing.py
+++ b/oatport/control/scaling/rebalancing.py
@@ -66,8 +66,11 @@
         movable.sort(key=lambda m: (m.service_cpus / m.price, m.name))
         for machine in movable[:MACHINES_TRIED]:
             downtime = MovePlan(machine, owned).downtime()
-            if downtime is not None and cluster.moved_us + downtime <= cluster.replica_us * cluster.tuning.move_share:
-                cluster.moved_us += downtime
+            if (
+                downtime is not None
+                and cluster.accounting.moved_us + downtime <= cluster.accounting.replica_us * cluster.tuning.move_share
+            ):
+                cluster.accounting.moved_us += downtime
                 return machine
         return None
 
--- a/oatport/control/scaling/scale_in.py
+++ b/oatport/control/scaling/scale_in.py
@@ -99,7 +99,7 @@
             and not m.draining
             and not m.releasing
             and m.type.gpus == 0
-            and m.zone not in self.cluster.partitioned_zones
+            and m.zone not in self.cluster.zones.partitioned
         ]
 
     @staticmethod
@@ -155,7 +155,7 @@
                     continue
             # Asked only now: it has the completions that it finds written at once, and if it did so for all machines,
             # none would wait for others of their record any more.
-            if cluster.holds_unwritten_completions(machine):
+            if cluster.completions.holds_unwritten(machine):
                 continue
             machine.releasing = True
             chosen.append(machine)
@@ -178,7 +178,7 @@
 
     def _boot_failed(self, machine: Machine, now: int) -> bool:
         # In a partitioned zone it may be up though no heartbeat arrives: charged all the same.
-        partitioned = machine.zone in self.cluster.partitioned_zones
+        partitioned = machine.zone in self.cluster.zones.partitioned
         boot_times = PARTITIONED_BOOT_PATIENCE if partitioned else self.cluster.tuning.boot_patience
         overdue = now - machine.rented_at >= micros(machine.type.boot_time_s * boot_times)
         return overdue and (not machine.was_ready or machine.listed_by_cloud)
--- a/oatport/control/scaling/scale_out.py
+++ b/oatport/control/scaling/scale_out.py
@@ -90,7 +90,7 @@
         cluster = self.cluster
         return (
             cluster.pending.version,
-            cluster.binding_changes,
+            cluster.tasks.binding_changes,
             len(cluster.machines),
             len(self.availability.requests_in_flight),
             self.availability.refused_count(now),
@@ -117,7 +117,7 @@
         requests = []
         for (type_name, zone, spot), planned_count in planned.items():
             # One machine finds out whether a partitioned zone can be reached again.
-            remaining = 1 if zone in self.cluster.partitioned_zones else planned_count
+            remaining = 1 if zone in self.cluster.zones.partitioned else planned_count
             while remaining > 0:
                 requests.append(ScaleOutRequest(type_name, zone, spot, min(remaining, MACHINES_PER_REQUEST)))
                 remaining -= MACHINES_PER_REQUEST
@@ -128,18 +128,18 @@
         cluster = self.cluster
         incoming = IncomingCapacity()
         for machine in cluster.machines.values():
-            if machine.zone not in cluster.partitioned_zones and machine.coming(now, cluster.token):
+            if machine.zone not in cluster.zones.partitioned and machine.coming(now, cluster.token):
                 incoming.add(CapacitySlot.of(machine.type, machine.zone, machine.spot))
         for request in self.availability.requests_in_flight:
-            if request.zone in cluster.partitioned_zones:
+            if request.zone in cluster.zones.partitioned:
                 continue
             for _ in range(request.count):
-                incoming.add(CapacitySlot.of(cluster.types[request.type], request.zone, request.spot))
+                incoming.add(CapacitySlot.of(cluster.catalog.types[request.type], request.zone, request.spot))
         return incoming
 
     def _released_cpus(self, now: int) -> ReleasedCpus:
         """CPUs that running tasks free before a rented machine could be up, and those of best-effort tasks."""
-        boot_time = min((micros(t.boot_time_s) for t in self.cluster.types.values()), default=DEFAULT_BOOT_TIME)
+        boot_time = min((micros(t.boot_time_s) for t in self.cluster.catalog.types.values()), default=DEFAULT_BOOT_TIME)
         released = ReleasedCpus()
         for machine in self.cluster.usable_machines:
             released.by_best_effort += machine.cpus_by_priority[IDLE_RANK]
@@ -175,7 +175,7 @@
 
     def _use_incoming(self, demand: Demand, incoming: IncomingCapacity) -> None:
         spec = demand.job.spec
-        preferred_types = self.cluster.preferred_type_names(demand.job)
+        preferred_types = self.cluster.catalog.preferred_type_names(demand.job)
         while demand.remaining > 0:
             zones = [demand.only_zone] if demand.only_zone else incoming.zones()
             if spec.spread:
@@ -187,7 +187,7 @@
 
     def _rent_for(self, demand: Demand, current: ScaleOutPass) -> None:
         job = demand.job
-        feasible_types = self.cluster.feasible_types(job)
+        feasible_types = self.cluster.catalog.feasible_types(job)
         slots_max = max((task_slots_when_empty(machine_type, job.spec) for machine_type in feasible_types), default=0)
         equivalence = equivalence_key(job, demand.spot)
         while demand.remaining > 0:
--- a/oatport/service/command_sender.py
+++ b/oatport/service/command_sender.py
@@ -54,7 +54,7 @@
             cluster.machines_to_command.discard(machine)
             if not machine.address or not machine.agent_epoch:
                 continue
-            commands, _ = cluster.commands_for(machine, now, direct=True)
+            commands, _ = cluster.commands.for_machine(machine, now, direct=True)
             if commands:  # there are mostly none: they are on their way already
                 self._sending.add(machine)
                 self._leader.background.once("send", self.send(machine))
@@ -74,17 +74,17 @@
         now = leader.now()
         if not leader.holds_lease() or machine.removed:
             return  # reports' answers still carry the stops
-        commands, starts = cluster.commands_for(machine, now, direct=True)
+        commands, starts = cluster.commands.for_machine(machine, now, direct=True)
         if not commands:
             return
-        cluster.on_commands_sent(machine, starts, now, direct=True)
+        cluster.commands.on_sent(machine, starts, now, direct=True)
         sent_starts = [(task.name, task.attempt) for task in starts]
         self._requests += 1
         try:
             client = WorkerClient(self._net, machine.address)
             report = await client.commands(leader.token, machine.agent_epoch, commands)
         except RequestNotSentError:
-            cluster.on_commands_answered(machine, sent_starts)  # no connection: it can't land later
+            cluster.commands.on_answered(machine, sent_starts)  # no connection: it can't land later
             return
         except NoResponseError as error:
             log.debug('commands got no response machine=%s error="%s"', machine.name, error)
@@ -92,6 +92,6 @@
         if report.fencing_token > leader.token:
             leader.step_down(f"a worker has seen token {report.fencing_token}")
             return
-        cluster.on_commands_answered(machine, sent_starts)
-        cluster.on_contact(machine)
+        cluster.commands.on_answered(machine, sent_starts)
+        cluster.commands.on_contact(machine)
         leader.receive_heartbeat(report, steady())
--- a/oatport/service/failover.py
+++ b/oatport/service/failover.py
@@ -72,7 +72,7 @@
             return
         try:
             report = await client.show()
-            leader.cluster.on_contact(machine)
+            leader.cluster.commands.on_contact(machine)
             leader.receive_heartbeat(report, steady())
             if report.fencing_token < leader.token:
                 leader.receive_heartbeat(await client.commands(leader.token, report.agent_epoch, []), steady())
--- a/oatport/service/failure_detector.py
+++ b/oatport/service/failure_detector.py
@@ -43,7 +43,7 @@
     async def loop(self) -> None:
         """Machines not heard from: probe them, ask the other nodes, and release the lost ones."""
         while not self._leader.stopped:
-            partitioned = bool(self._leader.cluster.partitioned_zones)
+            partitioned = bool(self._leader.cluster.zones.partitioned)
             await asyncio.sleep(INTERVAL_PARTITIONED_S if partitioned else INTERVAL_S)
             await self.step()
 
@@ -52,18 +52,18 @@
         now, cluster = self._leader.now(), self._leader.cluster
         machines = list(cluster.machines.values())
         self._introduce_to_recovered_zones(machines)
-        connected = [m for m in machines if m.zone not in cluster.partitioned_zones]
+        connected = [m for m in machines if m.zone not in cluster.zones.partitioned]
         quiet = silent(connected, now, self._silent_us // 2)
         self.probe(quiet, now)
         self._check_commands(connected, now)
-        self._probe_partitioned([m for m in machines if m.zone in cluster.partitioned_zones], now)
+        self._probe_partitioned([m for m in machines if m.zone in cluster.zones.partitioned], now)
         unheard = command_unreachable(machines, now, cluster.heartbeat_us, self._leader.led_since)
         if unheard and now - self._peers_asked_at > self._silent_us // 2:
             self._peers_asked_at = now
             await self.reachability.step_down_if_reached_by_peer(unheard)
             return
         suspects = dark_suspects(machines, now, self._silent_us)
-        partitioned = [m for m in suspects if m.zone not in cluster.partitioned_zones]
+        partitioned = [m for m in suspects if m.zone not in cluster.zones.partitioned]
         lost = partitioned or self._lost_one_by_one(quiet, now)
         grace = self._silent_us * (3 if partitioned else 7) // 10
         if not lost or now - self._leader.led_since < grace:
@@ -91,7 +91,7 @@
         return [
             machine
             for machine in silent(quiet, now, self._silent_us)
-            if not leader.cluster.may_report_unknown_completions(machine, now, leases_expired_at)
+            if not leader.cluster.completions.may_report_unknown(machine, now, leases_expired_at)
         ]
 
     async def _judge(self, suspects: list[Machine], *, zones_suspected: bool) -> None:
@@ -100,7 +100,7 @@
         still_silent = silent(suspects, self._leader.now(), silent_us)
         lost = [m for m in still_silent if m.probed_at > 0 and not m.removed]
         # A zone that is partitioned as a whole is evacuated bit by bit; others that fell silent are gone.
-        partitioned_zones = self._leader.cluster.mark_partitioned(lost, steady())
+        partitioned_zones = self._leader.cluster.zones.mark_partitioned(lost, steady())
         self.partitions.confirmed_at = steady()
         lost = [m for m in lost if m.zone not in partitioned_zones][:MACHINES_PER_RELEASE]
         if lost:
@@ -135,7 +135,7 @@
         Their own reports would come over seconds: each may just have begun to wait for a node in vain.
         """
         cluster = self._leader.cluster
-        recovered, cluster.recovered_zones = cluster.recovered_zones, set()
+        recovered, cluster.zones.recovered = cluster.zones.recovered, set()
         there = [m for m in machines if m.zone in recovered and m.address and not m.removed]
         for machine in sorted(there, key=lambda m: -m.service_cpus):
             self._leader.background.once("introduce", introduce(self._leader, self._net, machine))
--- a/oatport/service/group_commit.py
+++ b/oatport/service/group_commit.py
@@ -59,8 +59,8 @@
         while not self._leader.stopped:
             await self.wanted.wait()
             self.wanted.clear()
-            while self.cluster.has_writes() and not self._leader.stopped:
-                if not self.cluster.has_urgent_writes():
+            while self.cluster.writes.has_writes() and not self._leader.stopped:
+                if not self.cluster.writes.has_urgent_writes():
                     await asyncio.sleep(seconds(BATCHING_WINDOW))
                 await self._write_batch()
 
@@ -68,8 +68,8 @@
         batch = self._take_batch(steady())
         if not batch.operation_count:
             for job in batch.deleted_jobs + batch.completed_jobs + batch.cancelled_jobs:
-                self.cluster.remove_job(job)
-            self.cluster.in_flight_keys = set()
+                self.cluster.job_lifecycle.remove(job)
+            self.cluster.writes.in_flight_keys = set()
             await asyncio.sleep(EMPTY_BATCH_INTERVAL_S)
             return
         await self._budget.spend(batch.operation_count)
@@ -81,8 +81,8 @@
         budget, completions_wait = int(self._budget.available() - self._budget.rate / 2), COMPLETIONS_WAIT
         if now - self._deferrable_at > DEFERRABLE_WAIT:
             budget, completions_wait = self._transaction_operations, 0
-        batch = self.cluster.take_batch(self._transaction_operations, max(budget, 0), completions_wait)
-        if not self.cluster.dirty_keys or batch.operation_count > 1:
+        batch = self.cluster.writes.take_batch(self._transaction_operations, max(budget, 0), completions_wait)
+        if not self.cluster.writes.dirty_keys or batch.operation_count > 1:
             self._deferrable_at = now
         return batch
 
@@ -109,7 +109,7 @@
             else:
                 self._trying_since = 0
                 if isinstance(result, Applied):
-                    self.cluster.committed(batch, result.revision, steady())
+                    self.cluster.writes.committed(batch, result.revision, steady())
                 else:
                     await self._on_conflict(batch, result.failed, tries)
                 return
@@ -124,15 +124,15 @@
             log.info('commit was refused fencing_token=%d error="%s"', self._leader.token, error)
 
     def _on_malformed(self, batch: WriteBatch) -> None:
-        if self.cluster.layout.parts or self.cluster.value_limit_lowered:
+        if self.cluster.writes.layout.parts or self.cluster.writes.value_limit_lowered:
             self._leader.step_down("the state service calls a transaction malformed")
             return
         # The limits have fallen while a node was away, so that it isn't known whether it reads parts:
         # what is too large waits for that, and the rest goes on.
         log.error("transaction refused as malformed, large records are held back operations=%d", batch.operation_count)
         self._trying_since = 0
-        self.cluster.value_limit_lowered = True
-        self.cluster.restore_batch(batch)
+        self.cluster.writes.value_limit_lowered = True
+        self.cluster.writes.restore_batch(batch)
 
     async def _on_conflict(self, batch: WriteBatch, failed: tuple[str, ...], tries: int) -> None:
         if LEADER_KEY in failed:
@@ -147,16 +147,18 @@
             self._leader.step_down("records differ from what was expected")
             return
         cancelled = {key: await self._refresh_job(key[len(JOBS) :]) for key in failed}
-        self.cluster.restore_batch(batch)
+        self.cluster.writes.restore_batch(batch)
         for key, version in cancelled.items():
             job_id = key[len(JOBS) :]
             if version:
-                self.cluster.cancel_blocked(job_id, version)  # its user was faster than the job that it depends on
+                self.cluster.dependencies.cancel_blocked(
+                    job_id, version
+                )  # its user was faster than the job that it depends on
             job = self.cluster.jobs.get(job_id)
             if job is not None and job.cancelled:
                 job.completing = False
-                self.cluster.jobs_to_complete.pop(job, None)
-                self.cluster.cancel_job(job.job_id, 0, self._leader.lease_renewal_limit.known_at)
+                self.cluster.writes.jobs_to_complete.pop(job, None)
+                self.cluster.job_lifecycle.cancel(job.job_id, 0, self._leader.lease_renewal_limit.known_at)
 
     async def _was_applied(self, batch: WriteBatch) -> bool:
         """After a try with unknown outcome: did it get through? All that it wrote then has the commit's revision.
@@ -179,7 +181,7 @@
                 revisions.add(found[1])
         if len(revisions) > 1:
             return False
-        self.cluster.committed(batch, revisions.pop() if revisions else 0, steady())
+        self.cluster.writes.committed(batch, revisions.pop() if revisions else 0, steady())
         return True
 
     async def read_until_answered(self, key: str) -> tuple[Any, int] | None:
@@ -197,13 +199,13 @@
         job = self.cluster.jobs.get(job_id)
         state = None if found is None else found[0].get("state")
         if found is not None and state == wire.JobStatus.CANCELLED:
-            self.cluster.cancel_job(job_id, found[1], self._leader.lease_renewal_limit.known_at)
+            self.cluster.job_lifecycle.cancel(job_id, found[1], self._leader.lease_renewal_limit.known_at)
             return found[1]
         if found is not None and state in wire.TERMINAL_STATUSES and job is not None:
-            self.cluster.remove_job(job)
-            self.cluster.terminal_revisions[job_id] = found[1]
+            self.cluster.job_lifecycle.remove(job)
+            self.cluster.writes.terminal_revisions[job_id] = found[1]
             if state == wire.JobStatus.COMPLETED:
-                self.cluster.on_completion_recorded(job_id, int(found[0].get("ended", 0)))
+                self.cluster.dependencies.on_completion_recorded(job_id, int(found[0].get("ended", 0)))
         return 0
 
 
--- a/oatport/service/job_watch.py
+++ b/oatport/service/job_watch.py
@@ -56,7 +56,9 @@
         """Take a hint in, once the records are loaded."""
         leader = self._leader
         if isinstance(hint, JobCancelled):
-            leader.cluster.cancel_confirmed(hint.job_id, hint.revision, leader.lease_renewal_limit.known_at)
+            leader.cluster.job_lifecycle.cancel_confirmed(
+                hint.job_id, hint.revision, leader.lease_renewal_limit.known_at
+            )
         elif not self._is_known(hint.job_id) and hint.revision > self.revision and "more" not in hint.record:
             # An older one was seen by the load or by the watch, and may be over already.
             self.admit(hint.job_id, hint.record, hint.revision)
@@ -69,7 +71,11 @@
         are gone.
         """
         cluster = self._leader.cluster
-        return job_id in cluster.jobs or job_id in cluster.blocked_jobs or job_id in cluster.terminal_revisions
+        return (
+            job_id in cluster.jobs
+            or job_id in cluster.dependencies.blocked_jobs
+            or job_id in cluster.writes.terminal_revisions
+        )
 
     def admit(self, job_id: str, record: Any, revision: int) -> None:
         """Take a job in from its whole record."""
@@ -78,10 +84,10 @@
         if lies_apart(record):
             job = Job(job_id, spec, revision, submitted_at_wall)
             note_slim(job, record)
-            cluster.add_blocked(job)
+            cluster.dependencies.add_blocked(job)
             self._commits.charge_acceptance()
             return
-        job = cluster.add_job(job_id, spec, revision, submitted_at_wall)
+        job = cluster.job_lifecycle.add(job_id, spec, revision, submitted_at_wall)
         if self.on_admitted is not None:
             self.on_admitted(job)
         self._commits.charge_acceptance()
@@ -125,14 +131,14 @@
     def _apply_change(self, job_id: str, record: Any, revision: int) -> None:
         cluster, state = self._leader.cluster, str(record["state"])
         if state == wire.JobStatus.CANCELLED:
-            cluster.cancel_job(job_id, revision, self._leader.lease_renewal_limit.known_at)
+            cluster.job_lifecycle.cancel(job_id, revision, self._leader.lease_renewal_limit.known_at)
         elif state == wire.JobStatus.COMPLETED:
-            cluster.on_completion_recorded(job_id, int(record.get("ended", 0)))
+            cluster.dependencies.on_completion_recorded(job_id, int(record.get("ended", 0)))
         elif state not in wire.TERMINAL_STATUSES and not self._is_known(job_id):
             self.admit(job_id, record, revision)
 
     def _advance(self, revision: int) -> None:
         self.revision = max(self.revision, revision)
-        terminal = self._leader.cluster.terminal_revisions
+        terminal = self._leader.cluster.writes.terminal_revisions
         for job_id in [job_id for job_id, at in terminal.items() if at <= self.revision]:
             del terminal[job_id]
--- a/oatport/service/maintenance.py
+++ b/oatport/service/maintenance.py
@@ -56,10 +56,10 @@
             self._account(now)
         self._retry_unanswered_starts(now)
         self._orphaned_job_lookup.look_up()
-        cluster.completions_to_replicate()  # what is recorded by now is left out
+        cluster.completions.to_replicate()  # what is recorded by now is left out
         if now - self._model_written_at > MODEL_WRITE_INTERVAL and cluster.predictor.changed:
             cluster.predictor.changed = False
-            cluster.dirty_keys[MODEL_KEY] = None
+            cluster.writes.dirty_keys[MODEL_KEY] = None
             self._model_written_at = now
         self._leader.wake()
         if now - self._status_logged_at > STATUS_INTERVAL:
@@ -71,7 +71,7 @@
         self._accounted_at = now
         self._net.expect(len(self._leader.cluster.machines), self._max_requests / INTERVAL_S)
         self._max_requests = 0
-        self._leader.cluster.account(now)
+        self._leader.cluster.accounting.update(now)
 
     def _retry_unanswered_starts(self, now: int) -> None:
         cluster = self._leader.cluster
--- a/oatport/service/schema_version_controller.py
+++ b/oatport/service/schema_version_controller.py
@@ -33,7 +33,7 @@
         """Until all nodes are known to read what this version writes, ask them. Recorded, so that it is asked once."""
         leader, node = self._leader, self._leader.node
         gate = schema_version.Gate([node.node_name, *node.peers])
-        while not leader.stopped and not leader.cluster.layout.parts:
+        while not leader.stopped and not leader.cluster.writes.layout.parts:
             replies = await asyncio.gather(
                 *(peer.ask(SchemaVersionRequest(), undecoded) for peer in node.peers.values()),
                 return_exceptions=True,
@@ -54,5 +54,5 @@
             if found is None or schema_version.reads_of(found[0]) < schema_version.READS:
                 return
         log.info("schema version enabled version=%d", schema_version.READS)
-        leader.cluster.enable_record_parts()
+        leader.cluster.writes.enable_record_parts()
         leader.wake()
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -279,7 +279,7 @@
     world, machine, _ = settled_world()
     report = wire.decode_heartbeat(world.workers[machine.name].report())
     world.now += SECOND
-    assert calls(lambda: world.cluster.on_heartbeat(report, world.now, world.now)) < 10
+    assert calls(lambda: world.cluster.heartbeats.receive(report, world.now, world.now)) < 10
     assert machine.last_heartbeat_at == world.now
 
 
@@ -298,7 +298,7 @@
         wire.command_request(world.cluster.token, machine.agent_epoch, [wire.StartCommand(f"{other}/0", 7)])
     )
     report = wire.decode_heartbeat(world.workers[machine.name].report())
-    world.cluster.on_heartbeat(report, world.now, world.now)
+    world.cluster.heartbeats.receive(report, world.now, world.now)
     assert (f"{other}/0", 7) in machine.orphaned_attempts
 
 
