--- a/oatport/control/placement/victim_selection.py
+++ b/oatport/control/placement/victim_selection.py
@@ -76,7 +76,7 @@
 
     def cheapest(self, search: VictimSearch, usable: list[Machine]) -> list[Task]:
         """Whom to stop so that up to `wanted` tasks find capacity."""
-        if not any(self._cluster.tasks_by_priority[search.first_preemptible_rank :]):
+        if not any(self._cluster.tasks.bound_by_priority[search.first_preemptible_rank :]):
             return []
         options = self._options(search, usable)
         if search.wanted <= 0:
--- a/oatport/control/queueing/capacity_pools.py
+++ b/oatport/control/queueing/capacity_pools.py
@@ -44,7 +44,7 @@
             or machine.releasing
             or machine.reclaimed_at
             or machine.command_unreachable
-            or machine.zone in cluster.partitioned_zones
+            or machine.zone in cluster.zones.partitioned
         ):
             continue
         pool = pools.get(machine.type.name)
--- a/oatport/control/queueing/queue_wait.py
+++ b/oatport/control/queueing/queue_wait.py
@@ -59,7 +59,7 @@
             self._queue_of(job).pool.work += runtime * job.spec.cpus * tasks
 
     def _queue_of(self, job: Job) -> _TypeQueue:
-        type_names = self._cluster.preferred_type_names(job)
+        type_names = self._cluster.catalog.preferred_type_names(job)
         queue = self._queues.get(type_names)
         if queue is None:
             queue = self._queues[type_names] = _TypeQueue(joint_pool(self._pools, type_names))
--- a/oatport/control/scaling/gang_scale_out.py
+++ b/oatport/control/scaling/gang_scale_out.py
@@ -5,8 +5,9 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
+from oatport.control.scaling.capacity_slot import CapacitySlot
 from oatport.control.scaling.demand import Demand
-from oatport.control.scaling.incoming_capacity import CapacitySlot, IncomingCapacity
+from oatport.control.scaling.incoming_capacity import IncomingCapacity
 from oatport.control.scaling.offering_selector import OfferingSelector
 from oatport.control.state.capacity import task_slots_when_empty
 from oatport.control.state.cluster_state import ClusterState
@@ -63,7 +64,9 @@
         """Zones to try one by one; None stands for any, or all together."""
         if job.spec.zone is not None or not job.spec.single_zone:
             return [job.spec.zone]
-        return sorted({zone for machine_type in self.cluster.feasible_types(job) for zone in machine_type.zones})
+        return sorted(
+            {zone for machine_type in self.cluster.catalog.feasible_types(job) for zone in machine_type.zones}
+        )
 
     def _plan_in(self, zone: str | None, job: Job, incoming: IncomingCapacity, now: int) -> GangPlan | None:
         demand, plan = Demand.of_gang(job, zone), GangPlan()
@@ -102,11 +105,7 @@
 def _gpu_slot(machine: Machine) -> CapacitySlot:
     """What a machine has for work that needs its GPUs: array tasks that need none are stopped for it."""
     preemptible = [t.job.spec for t in machine.tasks if t.job.spec.gpus == 0 and t.job.kind is JobKind.ARRAY]
-    return CapacitySlot(
-        machine.type,
-        machine.zone,
-        machine.spot,
-        machine.free_cpus + sum(s.cpus for s in preemptible),
-        machine.free_gpus,
-        machine.free_memory_gb + sum(s.memory_gb for s in preemptible),
-    )
+    slot = CapacitySlot.free_on(machine)
+    slot.cpus += sum(s.cpus for s in preemptible)
+    slot.memory_gb += sum(s.memory_gb for s in preemptible)
+    return slot
--- a/oatport/service/cloud_controller.py
+++ b/oatport/service/cloud_controller.py
@@ -57,15 +57,15 @@
         except (NoResponseError, RequestRefusedError, wire.InvalidMessageError) as error:
             log.info('catalog request failed error="%s"', error)
             return
-        if not types.keys() <= self.cluster.types.keys():
+        if not types.keys() <= self.cluster.catalog.types.keys():
             found = await read_types(leader.state)
             # What the cloud does not tell any more stays recorded: there may be machines of it.
             recorded = found or RecordedCatalog({}, 0)
             leader.node.types = types
-            layout = self.cluster.layout
+            layout = self.cluster.writes.layout
             merged = RecordedCatalog({**recorded.types, **types}, recorded.version)
             await write_types(leader.state, leader.token, merged, layout.limit if layout.parts else ONE_VALUE)
-        self.cluster.update_catalog(types)
+        self.cluster.catalog.update(types)
 
     # --- rent -------------------------------------------------------------------------------
 
@@ -122,7 +122,7 @@
 
         Not those that alone know of a completion: they are asked for again once that is recorded.
         """
-        machines = [m for m in machines if not self.cluster.holds_unwritten_completions(m)]
+        machines = [m for m in machines if not self.cluster.completions.holds_unwritten(m)]
         if not machines:
             self._leader.wake()
             return
--- a/oatport/service/failover.py
+++ b/oatport/service/failover.py
@@ -74,7 +74,7 @@
             return
         try:
             report = await client.fetch_status()
-            leader.cluster.on_contact(machine)
+            leader.cluster.commands.on_contact(machine)
             leader.receive_heartbeat(report, steady())
             if report.fencing_token < leader.token:
                 leader.receive_heartbeat(await client.send_commands(leader.token, report.agent_epoch, []), steady())
--- a/oatport/service/leader.py
+++ b/oatport/service/leader.py
@@ -104,7 +104,7 @@
         from oatport.service.window_controller import WindowController
 
         controller = WindowController(self, self._net, windows)
-        self.cluster.on_released = controller.on_job_admitted
+        self.cluster.dependencies.on_released = controller.on_job_admitted
         self.job_watch.on_admitted = controller.on_job_admitted
         return controller
 
@@ -136,8 +136,8 @@
         await self._load_machine_types(types_recorded(rows))
         load(self.cluster, rows, steady(), time_of_day())
         self.cluster.now = steady()
-        self.cluster.apply_completions(earlier.completions)
-        self.cluster.completions_unknown = not earlier.complete
+        self.cluster.completions.apply(earlier.completions)
+        self.cluster.completions.earlier_may_be_lost = not earlier.complete
         if self.window_controller is not None:
             await self.window_controller.fail_over()
         self.lease_renewal_limit.known(asked_at)
@@ -150,11 +150,11 @@
         A process that leads at once may not have read them yet. Without them it took every machine for gone while
         the cloud was down, and started all that ran there again.
         """
-        types = self.cluster.types  # changed in place by what is learnt
+        types = self.cluster.catalog.types  # changed in place by what is learnt
         if not types or not needed <= types.keys():
             found = await read_types(self.state)
             if found is not None:
-                self.cluster.update_catalog({**types, **found.types})
+                self.cluster.catalog.update({**types, **found.types})
         if not types or not needed <= types.keys():
             await self.cloud_controller.refresh_catalog()
 
@@ -213,7 +213,7 @@
         cluster = self.cluster
         if cluster.planning_needed:
             self.planning_loop.wanted.set()
-        if cluster.has_writes():
+        if cluster.writes.has_writes():
             self.commits.wanted.set()
         if cluster.machines_to_command:
             self.command_sender.wanted.set()
@@ -227,7 +227,7 @@
     def apply_completions(self, completions: list[Completion]) -> None:
         """An earlier leader tells what it did not record."""
         if self.loaded:
-            self.cluster.apply_completions(completions)
+            self.cluster.completions.apply(completions)
             self.wake()
 
     def answer_heartbeat(self, report: wire.Heartbeat) -> dict[str, Any] | None:
@@ -244,14 +244,16 @@
         Lease proxies on other nodes go by it (`control/leadership/lease_proxy.py`).
         """
         is_known = self.loaded and not self.stopped
-        watermark = self.cluster.cancellation_watermark(self.lease_renewal_limit.known_at) if is_known else 0
+        watermark = (
+            self.cluster.job_lifecycle.cancellation_watermark(self.lease_renewal_limit.known_at) if is_known else 0
+        )
         return steady() - watermark if watermark > 0 else -1
 
     def explain(self, job_id: str) -> dict[str, Any]:
         """Why a job waits, for operators."""
-        waits = self.cluster.explain_blocked(job_id)
+        waits = self.cluster.dependencies.explain(job_id)
         if waits:
-            waits_on = self.cluster.dependency_graph.waits(job_id)[:100]
+            waits_on = self.cluster.dependencies.graph.waits(job_id)[:100]
             return {"job": job_id, "held": False, "why": waits, "waitsOn": waits_on}
         if self.window_controller is not None:
             return self.window_controller.explain(job_id)
--- a/oatport/service/partition_controller.py
+++ b/oatport/service/partition_controller.py
@@ -49,7 +49,7 @@
             self.confirmed_at = steady()
         if not await self._reachability.may_judge():
             return
-        still_partitioned = [m for m in leaving if m.zone in leader.cluster.partitioned_zones and not m.removed]
+        still_partitioned = [m for m in leaving if m.zone in leader.cluster.zones.partitioned and not m.removed]
         leaving = still_partitioned[:MACHINES_PER_RELEASE]
         if leaving:
             log.info("releasing partitioned machines machines=%s", ",".join(m.name for m in leaving))
@@ -57,20 +57,20 @@
 
     def _machines_to_release(self, now: int) -> list[Machine]:
         leader, cluster = self._leader, self._leader.cluster
-        if not cluster.partitioned_zones:
+        if not cluster.zones.partitioned:
             return []
         leaving = self._evacuation.machines_to_release(now, self._zones_with_proxy())
         # A leader that was partitioned along answers for so long, and nobody can ask it what it was told.
         answered_until = leader.led_since + micros(leader.settings.cluster.workers.cancel_s)
-        return [m for m in leaving if not cluster.may_report_unknown_completions(m, now, answered_until)]
+        return [m for m in leaving if not cluster.completions.may_report_unknown(m, now, answered_until)]
 
     def _zones_with_proxy(self) -> frozenset[str]:
         """Partitioned zones with a node that was partitioned along with them: it is a lease proxy for their workers."""
         contact_times = self._leader.node.peer_contact_times()
         cluster = self._leader.cluster
-        cluster.mark_lease_proxied(
+        cluster.zones.mark_lease_proxied(
             zone
-            for zone, since in cluster.partitioned_zones.items()
+            for zone, since in cluster.zones.partitioned.items()
             if any(abs(at - since) < NODE_LOST_WITHIN for at in contact_times.get(zone, ()))
         )
-        return frozenset(cluster.lease_proxied_zones)
+        return frozenset(cluster.zones.lease_proxied)
--- a/tests/test_best_effort_jobs.py
+++ b/tests/test_best_effort_jobs.py
@@ -145,7 +145,7 @@
     world.plan()
     world.machine(50, spot=True)
     world.report(world.workers["vm-000050"])
-    batch = world.cluster.take_batch(4)
+    batch = world.cluster.writes.take_batch(4)
     assert next(iter(batch.sets)).startswith("fleet/")
 
 
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -11,8 +11,9 @@
 from oatport.control.queueing import pending_queue
 from oatport.control.queueing.pending_job_router import ROUTING_INTERVAL, ROUTING_INTERVAL_MAX, PendingJobRouter
 from oatport.control.queueing.pending_queue import PendingQueue, order_key
+from oatport.control.scaling.capacity_slot import CapacitySlot
 from oatport.control.scaling.cloud_availability import REFUSAL_BACKOFF, REFUSAL_BACKOFF_MAX, ScaleOutRequest
-from oatport.control.scaling.incoming_capacity import CapacitySlot, IncomingCapacity
+from oatport.control.scaling.incoming_capacity import IncomingCapacity
 from oatport.control.scaling.scale_out import MACHINES_PER_PASS
 from oatport.control.state.job import Job
 from oatport.control.state.machine import Machine
@@ -57,7 +58,9 @@
             name = sorted(world.workers)[rng.randrange(len(world.workers))]
             world.released(name)
         now = {
-            (worker.name, f"{task}/{attempt}") for worker in world.workers.values() for task, attempt in worker.starts
+            (worker.name, f"{task}/{attempt}")
+            for worker in world.workers.values()
+            for task, attempt in worker.started_attempts
         }
         started += sorted(now - seen)
         seen |= now
@@ -140,11 +143,11 @@
     second = world.submit(legs=1)
     world.plan()
     assert not world.placer.due(world.now)
-    worker.tasks[(f"{first}/0", 1)].ends_at = world.now
+    worker.tasks[(f"{first}/0", 1)].completes_at = world.now
     world.report(worker)
     assert world.placer.due(world.now)
     world.step()
-    assert (f"{second}/0", 1) in worker.starts
+    assert (f"{second}/0", 1) in worker.started_attempts
 
 
 def test_wakeups_that_a_pass_noted_bring_the_next_one() -> None:
@@ -276,7 +279,7 @@
     world, machine, _ = settled_world()
     report = wire.decode_heartbeat(world.workers[machine.name].report())
     world.now += SECOND
-    assert calls(lambda: world.cluster.on_heartbeat(report, world.now, world.now)) < 10
+    assert calls(lambda: world.cluster.heartbeats.receive(report, world.now, world.now)) < 10
     assert machine.last_heartbeat_at == world.now
 
 
@@ -284,7 +287,7 @@
     world, machine, ref = settled_world()
     del world.workers[machine.name].tasks[(f"{ref}/0", 1)]
     world.settle()
-    assert [attempt for worker in world.workers.values() for _, attempt in worker.starts] == [1, 2]
+    assert [attempt for worker in world.workers.values() for _, attempt in worker.started_attempts] == [1, 2]
 
 
 def test_an_orphaned_attempt_on_a_settled_machine_is_noticed() -> None:
@@ -295,7 +298,7 @@
         wire.command_request(world.cluster.token, machine.agent_epoch, [wire.StartCommand(f"{other}/0", 7)])
     )
     report = wire.decode_heartbeat(world.workers[machine.name].report())
-    world.cluster.on_heartbeat(report, world.now, world.now)
+    world.cluster.heartbeats.receive(report, world.now, world.now)
     assert (f"{other}/0", 7) in machine.orphaned_attempts
 
 
@@ -308,9 +311,9 @@
 
 def test_a_new_agent_epoch_of_a_settled_machine_is_noticed() -> None:
     world, machine, ref = settled_world()
-    world.workers[machine.name].answered_at = world.now - 60 * SECOND
+    world.workers[machine.name].lease_renewed_at = world.now - 60 * SECOND
     world.settle()
-    assert sum(len(worker.starts) for worker in world.workers.values()) == 2
+    assert sum(len(worker.started_attempts) for worker in world.workers.values()) == 2
     assert len(world.live(ref)) == 1
 
 
