--- a/oatport/api/job_status_cache.py
+++ b/oatport/api/job_status_cache.py
@@ -16,8 +16,8 @@
 from oatport.api.concurrency_limit import ConcurrencyLimit, OverloadedError
 from oatport.clients.http import NoResponseError, RequestRefusedError
 from oatport.clients.state import StateClient
-from oatport.control.storage.overflow_records import more_key, whole_lists
-from oatport.control.storage.write_buffer import JOBS
+from oatport.control.storage.keys import JOBS, overflow_key
+from oatport.control.storage.overflow_records import with_overflow
 from oatport.times import MS, SECOND, seconds, steady
 
 KNOWN_MOST = 20_000
@@ -190,11 +190,11 @@
         parts = []
         for number in range(known.more):
             async with self._slots.one():
-                found = await self._state.get(more_key(ref, number), timeout_us=WITHIN)
+                found = await self._state.get(overflow_key(ref, number), timeout_us=WITHIN)
             if found is None:
                 raise NoResponseError("a part of a list is missing")
             parts.append(found[0])
-        needs = whole_lists({"job": {}}, parts)["job"].get(wire.DEPENDENCIES_FIELD, ())
+        needs = with_overflow({"job": {}}, parts)["job"].get(wire.DEPENDENCIES_FIELD, ())
         known = known._replace(needs=tuple(needs), more=0)
         if ref in self._known:
             self._known[ref] = known
--- a/oatport/api/submission_batcher.py
+++ b/oatport/api/submission_batcher.py
@@ -9,8 +9,8 @@
 from oatport.clients.http import Bucket, NoResponseError, RequestRefusedError
 from oatport.clients.state import Applied, StateClient
 from oatport.control.limits.rate_limiter import AdaptiveRateLimiter
-from oatport.control.storage.overflow_records import lies_apart, more_key
-from oatport.control.storage.write_buffer import ACCEPT_KEYS, job_key, live_key, waits_key
+from oatport.control.storage.keys import ACCEPT_KEYS, blocked_key, job_key, live_key, overflow_key
+from oatport.control.storage.overflow_records import is_accepted_as_blocked
 from oatport.times import MS, seconds, steady
 
 TRIES = (700 * MS, 400 * MS)  # the state service mostly takes 10 ms, at times a few hundred
@@ -62,7 +62,7 @@
             await asyncio.sleep(seconds(wait))
             self._limiter.consume(steady(), 1)
             try:
-                result = await self._state.commit({job_key(ref): 0}, {more_key(ref, number): part})
+                result = await self._state.commit({job_key(ref): 0}, {overflow_key(ref, number): part})
             except (NoResponseError, RequestRefusedError):
                 return False
             if not isinstance(result, Applied):
@@ -127,7 +127,9 @@
                 sets: dict[str, Any] = {}
                 for ref, record in left.items():
                     # One that names others is not laid under live/, where an earlier version would start it.
-                    sets[job_key(ref)] = sets[(waits_key if lies_apart(record) else live_key)(ref)] = record
+                    sets[job_key(ref)] = sets[(blocked_key if is_accepted_as_blocked(record) else live_key)(ref)] = (
+                        record
+                    )
                 try:
                     result = await self._state.commit({job_key(ref): 0 for ref in left}, sets, timeout_us=timeout_us)
                 except NoResponseError:
--- a/oatport/control/leadership/lease_proxy.py
+++ b/oatport/control/leadership/lease_proxy.py
@@ -18,7 +18,7 @@
 
 from dataclasses import dataclass
 
-from oatport.control.storage.recovery import LeaseRenewalLimit
+from oatport.control.leadership.lease_renewal import LeaseRenewalLimit
 from oatport.settings import ClusterSettings
 from oatport.times import MS, SECOND
 
--- a/oatport/control/leadership/zone_partition.py
+++ b/oatport/control/leadership/zone_partition.py
@@ -21,13 +21,13 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
+from oatport.control.leadership.lease_renewal import LeaseRenewalLimit
 from oatport.control.scaling.capacity_planner import CapacityPlanner
 from oatport.control.state.capacity import zone_cap
 from oatport.control.state.cluster_state import ClusterState
 from oatport.control.state.job import Job, JobKind
 from oatport.control.state.machine import Machine
 from oatport.control.state.task import TaskPhase
-from oatport.control.storage.recovery import LeaseRenewalLimit
 from oatport.settings import ClusterSettings
 from oatport.times import SECOND, micros
 
--- a/oatport/control/queueing/dependency_tracker.py
+++ b/oatport/control/queueing/dependency_tracker.py
@@ -12,7 +12,7 @@
 
 from oatport.control.queueing.dependency_graph import DependencyGraph, Known, Urgency, earliest
 from oatport.control.state.job import NORMAL_RANK, PRIORITIES, Job, JobKind
-from oatport.control.storage.record_layout import cancel_key, waits_key
+from oatport.control.storage.keys import blocked_key, cancel_key
 from oatport.times import SECOND
 
 if TYPE_CHECKING:
@@ -54,7 +54,7 @@
             or job.job_id in self.cluster.writes.jobs_to_cancel
         ):
             return
-        self.cluster.writes.versions[waits_key(job.job_id)] = job.version
+        self.cluster.writes.versions[blocked_key(job.job_id)] = job.version
         self.graph.seen(job.job_id)
         self.cluster.job_lifecycle.on_accepted(job)
         state = self.graph.add(job.job_id, job.dependencies, self.state_of)
--- a/oatport/control/queueing/pending_job_router.py
+++ b/oatport/control/queueing/pending_job_router.py
@@ -11,7 +11,7 @@
 from oatport.control.scaling.cloud_availability import CloudAvailability
 from oatport.control.state.cluster_state import ClusterState
 from oatport.control.state.job import IDLE_RANK, Job
-from oatport.control.storage.write_buffer import live_key
+from oatport.control.storage.keys import live_key
 from oatport.times import MS, SECOND
 
 ROUTING_INTERVAL = 400 * MS
--- a/oatport/control/scaling/scale_in.py
+++ b/oatport/control/scaling/scale_in.py
@@ -4,12 +4,12 @@
 
 from dataclasses import dataclass
 
+from oatport.control.leadership.failure_detection import is_isolated
 from oatport.control.queueing.tier_router import SPOT
 from oatport.control.scaling.owned_capacity import free_owned_cpus, warm_cpus
 from oatport.control.state.cluster_state import ClusterState
 from oatport.control.state.job import IDLE_RANK
 from oatport.control.state.machine import Machine
-from oatport.control.storage.recovery import cut_off
 from oatport.times import micros
 
 MACHINES_PER_RELEASE = 100
@@ -144,7 +144,7 @@
         machines = cluster.machines.values()
         chosen: list[Machine] = []
         budget = ReleaseBudget(free_owned_cpus(cluster), warm_cpus(cluster))
-        commands_cut_off = cut_off(sum(m.command_unreachable for m in machines), list(machines))
+        commands_cut_off = is_isolated(sum(m.command_unreachable for m in machines), list(machines))
         for machine in machines:
             if not machine.releasing:  # else it was asked before without an answer
                 if machine.tasks or machine.orphaned_attempts:
--- a/oatport/control/state/cluster_state.py
+++ b/oatport/control/state/cluster_state.py
@@ -29,8 +29,9 @@
 from oatport.control.state.task_lifecycle import TaskLifecycle
 from oatport.control.state.unwritten_completions import UnwrittenCompletions
 from oatport.control.state.utilization import FleetAccounting
+from oatport.control.storage.keys import PARTITIONED_ZONES_KEY
 from oatport.control.storage.record_layout import RecordLayout
-from oatport.control.storage.write_buffer import DARK_KEY, WriteBuffer
+from oatport.control.storage.write_buffer import WriteBuffer
 from oatport.settings import ClusterSettings, Tuning
 from oatport.times import SECOND, micros
 
@@ -97,7 +98,7 @@
         self.orphans = OrphanedAttempts(self)
         self.completions = UnwrittenCompletions(self)
         self.zones = PartitionedZones(self)
-        self.writes.singleton_records[DARK_KEY] = self.zones.record
+        self.writes.singleton_records[PARTITIONED_ZONES_KEY] = self.zones.record
         self.heartbeats = HeartbeatReceiver(self)
         self.commands = MachineCommands(self)
 
--- a/oatport/control/state/heartbeats.py
+++ b/oatport/control/state/heartbeats.py
@@ -11,7 +11,7 @@
 from oatport.control.state.job import JobKind
 from oatport.control.state.machine import Machine
 from oatport.control.state.task import Task, TaskPhase
-from oatport.control.storage.write_buffer import live_key
+from oatport.control.storage.keys import live_key
 from oatport.times import MS, SECOND, micros
 
 if TYPE_CHECKING:
--- a/oatport/control/state/job_lifecycle.py
+++ b/oatport/control/state/job_lifecycle.py
@@ -10,7 +10,7 @@
 from oatport.control.state.cancellations import answers_until
 from oatport.control.state.job import DeferredStart, Job, JobKind
 from oatport.control.state.task import Task, TaskPhase
-from oatport.control.storage.write_buffer import cancel_key, live_key
+from oatport.control.storage.keys import cancel_key, live_key
 
 if TYPE_CHECKING:
     from oatport.control.state.cluster_state import ClusterState
--- a/oatport/control/state/partitioned_zones.py
+++ b/oatport/control/state/partitioned_zones.py
@@ -6,16 +6,15 @@
 from collections.abc import Iterable
 from typing import TYPE_CHECKING, Any
 
+from oatport.control.leadership.failure_detection import MIN_PARTITION_MACHINES
 from oatport.control.state.machine import Machine
-from oatport.control.storage.write_buffer import DARK_KEY
+from oatport.control.storage.keys import PARTITIONED_ZONES_KEY
 
 if TYPE_CHECKING:
     from oatport.control.state.cluster_state import ClusterState
 
 log = logging.getLogger(__name__)
 
-DARK_LEAST = 3  # silent machines that make a zone a dark one
-
 
 class PartitionedZones:
     """The zones that are cut off, and those of them where a node renews the workers' leases."""
@@ -41,13 +40,13 @@
         for zone in {m.zone for m in silent}:
             last = max(m.last_heartbeat_at for m in self.cluster.machines.values() if m.zone == zone)
             heard = last > now - self.cluster.tuning.us("silent_s") // 2
-            if not heard and sum(m.zone == zone for m in silent) >= DARK_LEAST:
+            if not heard and sum(m.zone == zone for m in silent) >= MIN_PARTITION_MACHINES:
                 found.add(zone)
                 if zone not in self.partitioned:
                     log.warning("zone %s is taken to be cut off", zone)
                     # Not heard of since this leader began: then it was cut off before.
                     self.partitioned[zone] = last or min(m.known_since for m in silent if m.zone == zone)
-                    self.cluster.writes.dirty_keys[DARK_KEY] = None
+                    self.cluster.writes.dirty_keys[PARTITIONED_ZONES_KEY] = None
                     self.cluster.planning_needed = True
         return found
 
@@ -60,7 +59,7 @@
         new = set(zones) - self.lease_proxied
         if new:
             self.lease_proxied |= new
-            self.cluster.writes.dirty_keys[DARK_KEY] = None
+            self.cluster.writes.dirty_keys[PARTITIONED_ZONES_KEY] = None
 
     def on_recovered(self, zone: str, now: int) -> None:
         """A zone is back: its machines were silent for its sake, and have a moment to be heard of."""
@@ -68,7 +67,7 @@
         del self.partitioned[zone]
         self.lease_proxied.discard(zone)
         self.recovered.add(zone)
-        self.cluster.writes.dirty_keys[DARK_KEY] = None
+        self.cluster.writes.dirty_keys[PARTITIONED_ZONES_KEY] = None
         for machine in self.cluster.machines.values():
             if machine.zone == zone:
                 machine.known_since = now
--- a/oatport/control/storage/overflow_records.py
+++ b/oatport/control/storage/overflow_records.py
@@ -10,13 +10,13 @@
 
 from oatport import wire
 from oatport.control.state.job import Job
-from oatport.control.storage.record_layout import HEAD_FRAME, MORE
+from oatport.control.storage.record_layout import HEAD_FRAME
 from oatport.sizes import json_size
 
 LONG_LISTS = (wire.DEPENDENCIES_FIELD, wire.MACHINE_TYPES_FIELD)
 
 
-def lies_apart(record: Any) -> bool:
+def is_accepted_as_blocked(record: Any) -> bool:
     """Is it accepted under `waits/` instead of `live/`?
 
     It names others, or an earlier version, which knows no `more`, would read it without its lists.
@@ -24,11 +24,7 @@
     return wire.DEPENDENCIES_FIELD in record["job"] or "more" in record
 
 
-def more_key(ref: str, number: int) -> str:
-    return f"{MORE}{ref}/{number:04d}"
-
-
-def whole_lists(value: Any, parts: list[Any]) -> Any:
+def with_overflow(value: Any, parts: list[Any]) -> Any:
     """The record of a job with the lists that lie in records of their own (`more/`), in order."""
     lists: dict[str, list[Any]] = {}
     for part in parts:
@@ -37,7 +33,7 @@
     return {**value, "job": {**value["job"], **lists}}
 
 
-def slimmed(value: Any, limit: int) -> tuple[Any, list[Any]]:
+def split_overflow(value: Any, limit: int) -> tuple[Any, list[Any]]:
     """The record of a job without the lists that make it larger than `limit` (bytes as JSON), and these in parts.
 
     `more` in the record then tells how many parts there are, and of which lists.
@@ -58,7 +54,7 @@
     return {**value, "job": slim, "more": [len(parts), names]}, parts
 
 
-def note_slim(job: Job, value: Any) -> None:
+def note_compact_spec(job: Job, value: Any) -> None:
     """Lists of its description lie in records of their own: it is recorded without them again."""
     if "more" in value:
         names = value["more"][1]
--- a/oatport/control/storage/record_layout.py
+++ b/oatport/control/storage/record_layout.py
@@ -16,64 +16,29 @@
 from dataclasses import dataclass
 
 from oatport.control.state.job import Job
+from oatport.control.storage.keys import (
+    CHUNK_TASKS,
+    GROUP_MACHINES,
+    LIVE,
+    chunk_key,
+    first_machine,
+    first_task,
+    group_key,
+    live_key,
+)
 from oatport.sizes import json_size
 
-JOBS, LIVE, WAITS, MORE, FLEET = "jobs/", "live/", "waits/", "more/", "fleet/"
-CANCEL_MARK = "x"  # live/REF/x: the job was cancelled, so that a takeover sees it among live work
-FLEET_CHUNK = 40  # machines in one fleet record, where that fits
 FRAME = 96  # bytes of a record beside its rows
-HEAD_FRAME = 288  # of a job's first record, beside its description and rows; a hold for cheaper hours is in it
-TASK_ROW = 28  # [attempt, machine, session]
+HEAD_FRAME = 288  # of a job's first record, beside its description and rows; a deferred start is in it
+TASK_ROW = 28  # [attempt, machine, epoch]
 MACHINE_ROW = 110  # beside the longest name of a zone
 
-CHUNK_TASKS = 100  # tasks in one record, where that fits
 
-
-def fitting(limit: int, frame: int, row: int, most: int) -> int:
-    """How many rows a value holds; 1 at least."""
+def rows_that_fit(limit: int, frame: int, row: int, most: int) -> int:
+    """How many rows of so many bytes a value of `limit` bytes holds beside its frame; 1 at least, `most` at most."""
     return min(most, max(1, (limit - frame) // row))
 
 
-def job_key(ref: str) -> str:
-    return JOBS + ref
-
-
-def live_key(ref: str) -> str:
-    return LIVE + ref
-
-
-def waits_key(ref: str) -> str:
-    """The record of a job that no task of was claimed yet, and that waits (or waited) for others to be done."""
-    return WAITS + ref
-
-
-def cancel_key(ref: str) -> str:
-    return f"{LIVE}{ref}/{CANCEL_MARK}"
-
-
-def chunk_key(ref: str, chunk: int) -> str:
-    """The record of so many tasks; the first lies with the job, so that a small job has one key."""
-    return f"{LIVE}{ref}/{chunk:04d}" if chunk else live_key(ref)
-
-
-def first_of(key: str) -> tuple[str, int]:
-    """The job, and the first task, of a record of tasks."""
-    ref, _, part = key[len(LIVE) :].partition("/")
-    chunk, _, offset = part.partition(".")
-    return ref, int(chunk or 0) * CHUNK_TASKS + int(offset or 0)
-
-
-def group_key(group: int, offset: int = 0) -> str:
-    return f"{FLEET}{group:06d}" + (f".{offset:02d}" if offset else "")
-
-
-def group_of(key: str) -> tuple[int, int]:
-    """The first machine number of a fleet record, and of its group."""
-    group, _, offset = key[len(FLEET) :].partition(".")
-    low = int(group) * FLEET_CHUNK
-    return low + int(offset or 0), low
-
-
 @dataclass(slots=True)
 class RecordLayout:
     """Where tasks and machines lie. `parts`: all nodes read more keys than one a chunk."""
@@ -84,11 +49,15 @@
 
     @property
     def part_tasks(self) -> int:
-        return fitting(self.limit, FRAME, TASK_ROW, CHUNK_TASKS) if self.parts else CHUNK_TASKS
+        return rows_that_fit(self.limit, FRAME, TASK_ROW, CHUNK_TASKS) if self.parts else CHUNK_TASKS
 
     @property
     def part_machines(self) -> int:
-        return fitting(self.limit, FRAME, MACHINE_ROW + self.zone_chars, FLEET_CHUNK) if self.parts else FLEET_CHUNK
+        return (
+            rows_that_fit(self.limit, FRAME, MACHINE_ROW + self.zone_chars, GROUP_MACHINES)
+            if self.parts
+            else GROUP_MACHINES
+        )
 
     def head_tasks(self, job: Job) -> int:
         """How many of a job's tasks lie with it in one record."""
@@ -110,7 +79,7 @@
 
     def task_span(self, job: Job, key: str) -> tuple[int, int]:
         """The tasks of a record: from, up to."""
-        _, low = first_of(key)
+        _, low = first_task(key)
         chunk = low // CHUNK_TASKS
         size = self.head_tasks(job) if key == live_key(job.job_id) else self.part_tasks
         return low, min(low + size, (chunk + 1) * CHUNK_TASKS)
@@ -125,15 +94,15 @@
 
     def fleet_key(self, number: int) -> str:
         """The record that the machine of this number lies in."""
-        group, offset = divmod(number, FLEET_CHUNK)
+        group, offset = divmod(number, GROUP_MACHINES)
         size = self.part_machines
         return group_key(group, offset // size * size)
 
     def fleet_span(self, key: str) -> tuple[int, int]:
-        low, group = group_of(key)
-        return low, min(low + self.part_machines, group + FLEET_CHUNK)
+        low, group = first_machine(key)
+        return low, min(low + self.part_machines, group + GROUP_MACHINES)
 
     def fleet_keys(self, key: str) -> Iterator[str]:
         """All records of a group."""
-        _, low = group_of(key)
-        yield from (self.fleet_key(n) for n in range(low, low + FLEET_CHUNK, self.part_machines))
+        _, low = first_machine(key)
+        yield from (self.fleet_key(n) for n in range(low, low + GROUP_MACHINES, self.part_machines))
--- a/oatport/control/storage/recovery.py
+++ b/oatport/control/storage/recovery.py
@@ -4,35 +4,32 @@
 
 import logging
 from collections import deque
-from dataclasses import dataclass
 from typing import Any
 
 import msgspec
 
 from oatport import wire
-from oatport.control.state.cancellations import answers_until
 from oatport.control.state.cluster_state import ClusterState
 from oatport.control.state.identifiers import number_in_name
 from oatport.control.state.job import DeferredStart, Job, JobKind
-from oatport.control.state.machine import Machine
-from oatport.control.state.partitioned_zones import DARK_LEAST
 from oatport.control.state.task import Task, TaskPhase
-from oatport.control.storage.overflow_records import note_slim
-from oatport.control.storage.record_layout import FLEET_CHUNK, group_of
-from oatport.control.storage.schema_version import FORMATS_KEY, READS, reads_of
-from oatport.control.storage.write_buffer import (
+from oatport.control.storage.keys import (
+    BLOCKED,
     CANCEL_MARK,
-    DARK_KEY,
     FLEET,
+    GROUP_MACHINES,
     LIVE,
     MODEL_KEY,
-    WAITS,
+    PARTITIONED_ZONES_KEY,
+    SCHEMA_VERSION_KEY,
+    blocked_key,
     cancel_key,
-    first_of,
+    first_machine,
+    first_task,
     live_key,
-    waits_key,
 )
-from oatport.settings import ClusterSettings
+from oatport.control.storage.overflow_records import note_compact_spec
+from oatport.control.storage.schema_version import SCHEMA_VERSION, recorded_version
 
 log = logging.getLogger(__name__)
 
@@ -49,24 +46,24 @@
     """A recorded machine is of a type that no catalog tells: what is on it can't be taken in."""
 
 
-def machines_recorded(rows: list[dict[str, Any]]) -> list[list[Any]]:
+def recorded_machines(rows: list[dict[str, Any]]) -> list[list[Any]]:
     """The machines of all fleet records. Where two tell of the same numbers, the one written last is right."""
     known: dict[int, list[Any]] = {}
     for found in sorted((r for r in rows if r["path"].startswith(FLEET)), key=lambda r: int(r["entryRev"])):
-        low, _ = group_of(found["path"])
-        span = range(low, low + int(found["value"].get("n", FLEET_CHUNK)))
+        low, _ = first_machine(found["path"])
+        span = range(low, low + int(found["value"].get("n", GROUP_MACHINES)))
         for number in [n for n in known if n in span]:
             del known[number]
         known |= {number_in_name(row[0]): row for row in found["value"]["m"]}
     return [known[number] for number in sorted(known)]
 
 
-def types_recorded(rows: list[dict[str, Any]]) -> set[str]:
+def recorded_machine_types(rows: list[dict[str, Any]]) -> set[str]:
     """The types of all recorded machines."""
-    return {str(row[1]) for row in machines_recorded(rows)}
+    return {str(row[1]) for row in recorded_machines(rows)}
 
 
-def load(cluster: ClusterState, rows: list[dict[str, Any]], now: int, wall: int) -> None:
+def load_cluster(cluster: ClusterState, rows: list[dict[str, Any]], now: int, wall: int) -> None:
     """Fill a new leader's view from the records under live/ and fleet/, and the model.
 
     What a record says is on a machine is taken as there, whatever the machine itself says later
@@ -77,8 +74,10 @@
     cancelled: dict[str, int] = {}
     waits: dict[str, tuple[Any, int]] = {}
     apart: dict[str, Any] = {}  # first chunks of before version 0.3, which did not lie with their jobs
-    cluster.writes.layout.parts = any(row["path"] == FORMATS_KEY and reads_of(row["value"]) >= READS for row in rows)
-    for name, type_name, zone, spot, address, rented, was_up in machines_recorded(rows):
+    cluster.writes.layout.parts = any(
+        row["path"] == SCHEMA_VERSION_KEY and recorded_version(row["value"]) >= SCHEMA_VERSION for row in rows
+    )
+    for name, type_name, zone, spot, address, rented, was_up in recorded_machines(rows):
         machine = cluster.add_machine(name, type_name, zone, spot, address, now, wall, max(0, wall - rented))
         if machine is None:
             # Left out, it would be taken for gone, and all that runs on it would be started again elsewhere.
@@ -91,7 +90,7 @@
         cluster.writes.versions[key] = version
         if key.startswith(MODEL_KEY):
             cluster.predictor.load(value)
-        elif key == DARK_KEY:
+        elif key == PARTITIONED_ZONES_KEY:
             # What an earlier leader found out holds until one of the zone's machines is heard.
             cluster.zones.partitioned = {
                 str(zone): now - max(0, wall - int(since)) for zone, since in value["zones"].items()
@@ -99,8 +98,8 @@
             cluster.zones.lease_proxied = {
                 str(zone) for zone in value.get("kept", ())
             } & cluster.zones.partitioned.keys()
-        elif key.startswith(WAITS):
-            waits[key[len(WAITS) :]] = value, version
+        elif key.startswith(BLOCKED):
+            waits[key[len(BLOCKED) :]] = value, version
         elif key.startswith(LIVE):
             ref, _, part = key[len(LIVE) :].partition("/")
             if not part:
@@ -108,7 +107,7 @@
                 # As accepted, it has the revision of jobs/REF; from the first claim on it tells that one.
                 job = cluster.job_lifecycle.add(ref, spec, int(value.get("rev", version)), at)
                 job.eligible_at = int(value.get("from", at))
-                note_slim(job, value)
+                note_compact_spec(job, value)
                 cluster.writes.versions[key] = version
                 if "t" in value:
                     chunks.setdefault(ref, []).append((version, 0, value))
@@ -118,7 +117,7 @@
                 apart[ref] = value
                 cluster.writes.orphaned_keys.append(key)
             else:
-                chunks.setdefault(ref, []).append((version, first_of(key)[1], value))
+                chunks.setdefault(ref, []).append((version, first_task(key)[1], value))
     cluster.writes.dirty_keys.clear()  # what was just read is not to be written back
     for ref, value in apart.items():
         if ref in cluster.jobs and not any(low == 0 for _, low, _ in chunks.get(ref, ())):
@@ -143,14 +142,14 @@
     for ref, (value, version) in waits.items():
         if ref in cluster.jobs:
             cluster.writes.orphaned_keys.append(
-                waits_key(ref)
+                blocked_key(ref)
             )  # it was claimed: dropped after that, where one transaction is small
             continue
         spec, at, _ = read_job(value)
         job = Job(ref, spec, version, at)
-        note_slim(job, value)
+        note_compact_spec(job, value)
         if ref in cancelled:
-            cluster.writes.versions[waits_key(ref)] = version
+            cluster.writes.versions[blocked_key(ref)] = version
             job.cancelled = True
             cluster.writes.jobs_to_delete[job] = None
         else:
@@ -177,7 +176,7 @@
         if len(job.completed) >= job.spec.task_count and not job.cancelled:
             job.completing = True
             cluster.writes.jobs_to_complete[job] = None
-        assert live_key(job.job_id) in cluster.writes.versions or waits_key(job.job_id) in cluster.writes.versions
+        assert live_key(job.job_id) in cluster.writes.versions or blocked_key(job.job_id) in cluster.writes.versions
 
 
 def _load_tasks(cluster: ClusterState, job: Job, parts: list[tuple[int, int, Any]]) -> None:
@@ -216,64 +215,3 @@
                 task.phase = TaskPhase.BOUND
                 cluster.tasks.bind(task, machine)
                 machine.images.setdefault(job.spec.image, 1)  # it was sent there a while ago
-
-
-@dataclass(slots=True)
-class LeaseRenewalLimit:
-    """How long a leader cut off from the state service may keep its workers' leases alive (`answers_until`)."""
-
-    settings: ClusterSettings
-    known_at: int  # all cancellations told up to then are known here (steady): when that was *asked for*
-
-    @property
-    def until(self) -> int:
-        """Reports are answered up to here."""
-        return answers_until(self.settings.workers, self.known_at)
-
-    def known(self, asked_at: int) -> None:
-        self.known_at = max(self.known_at, asked_at)
-
-
-def silent(machines: list[Machine], now: int, silent_us: int) -> list[Machine]:
-    """Machines that were up and have not been heard of for a while."""
-    return [
-        m
-        for m in machines
-        if not m.releasing and (m.ready_at or m.was_ready) and now - max(m.last_heartbeat_at, m.known_since) > silent_us
-    ]
-
-
-def command_unreachable(machines: list[Machine], now: int, report_us: int, began: int) -> list[Machine]:
-    """All machines, if none of several was heard for longer than the time between two reports of any of them.
-
-    With many machines that takes a moment to see: a leader cut off from workers need not wait as long as for one.
-    One that has just begun asks them all at once.
-    """
-    up = [m for m in machines if (m.ready_at or m.was_ready) and not m.releasing]
-    if len(up) < DARK_LEAST or any(now - max(m.last_heartbeat_at, began) <= report_us * 3 // 2 for m in up):
-        return []
-    return up
-
-
-def dark_suspects(machines: list[Machine], now: int, silent_us: int) -> list[Machine]:
-    """Machines of zones that went silent as a whole, while most of the others are heard.
-
-    Half the time is enough for them: machines fail one by one, but a cut takes a zone at once. That
-    it is not this node that is cut off is for the others to confirm.
-    """
-    zones: dict[str, list[Machine]] = {}
-    for machine in machines:
-        if not machine.releasing and (machine.ready_at or machine.was_ready):
-            zones.setdefault(machine.zone, []).append(machine)
-    quiet = {zone: silent(there, now, silent_us // 2) for zone, there in zones.items()}
-    dark = [zone for zone, there in zones.items() if len(quiet[zone]) == len(there) >= DARK_LEAST]
-    others = [zone for zone in zones if zone not in dark]
-    if not others or any(len(quiet[zone]) * 2 > len(zones[zone]) for zone in others):
-        return []
-    return [machine for zone in dark for machine in quiet[zone]]
-
-
-def cut_off(silent_count: int, machines: list[Machine]) -> bool:
-    """Many silent at once: it is rather I who am cut off."""
-    up = sum(1 for m in machines if m.ready_at or m.was_ready)
-    return silent_count >= 3 and silent_count * 3 >= up
--- a/oatport/control/storage/schema_version.py
+++ b/oatport/control/storage/schema_version.py
@@ -13,15 +13,14 @@
 
 # 1: before 0.7; 2: parts of chunks and groups (`control/storage/record_layout.py`),
 # lists of a job in records of their own
-READS = 2
-FORMATS_KEY = "formats"
+SCHEMA_VERSION = 2
 
 
 def answer(name: str, boot: str) -> list[Any]:
-    return ["formats", name, boot, READS]
+    return ["formats", name, boot, SCHEMA_VERSION]
 
 
-def reads_of(value: Any) -> int:
+def recorded_version(value: Any) -> int:
     """What the record says that all nodes read; 1 if there is none."""
     try:
         return int(value["reads"])
@@ -30,13 +29,13 @@
 
 
 @dataclass(slots=True)
-class Gate:
+class SchemaVersionGate:
     """Opens when all configured nodes answered twice in a row, with the same boots, that they read `READS`."""
 
     nodes: Collection[str]
     _before: dict[str, str] = field(default_factory=dict)
 
-    def heard(self, answers: Collection[Any]) -> bool:
+    def on_replies(self, answers: Collection[Any]) -> bool:
         """The answers of one round, one's own among them; what is none does not count."""
         boots: dict[str, str] = {}
         for row in answers:
@@ -45,7 +44,7 @@
                 and len(row) >= 4
                 and row[0] == "formats"
                 and isinstance(row[3], int)
-                and row[3] >= READS
+                and row[3] >= SCHEMA_VERSION
             ):
                 boots[str(row[1])] = str(row[2])
         complete = boots.keys() == set(self.nodes)
@@ -54,4 +53,4 @@
         return opens
 
     def record(self) -> dict[str, Any]:
-        return {"reads": READS, "boots": self._before}
+        return {"reads": SCHEMA_VERSION, "boots": self._before}
--- a/oatport/control/storage/write_buffer.py
+++ b/oatport/control/storage/write_buffer.py
@@ -10,56 +10,29 @@
 from oatport.control.state.job import IDLE_RANK, Job, JobKind
 from oatport.control.state.machine import Machine
 from oatport.control.state.task import Task, TaskPhase
-from oatport.control.storage.record_layout import (
-    CANCEL_MARK,
+from oatport.control.storage.keys import (
+    BLOCKED,
     CHUNK_TASKS,
     FLEET,
-    FLEET_CHUNK,
+    GROUP_MACHINES,
     JOBS,
     LIVE,
-    MORE,
-    WAITS,
-    RecordLayout,
+    MODEL_KEY,
+    blocked_key,
     cancel_key,
     chunk_key,
-    first_of,
+    first_machine,
+    first_task,
     group_key,
-    group_of,
     job_key,
     live_key,
-    waits_key,
 )
+from oatport.control.storage.record_layout import RecordLayout
 from oatport.sizes import json_size
 
 if TYPE_CHECKING:
     from oatport.control.state.cluster_state import ClusterState
 
-ACCEPT_KEYS = 2  # written to accept a job: jobs/REF and live/REF, or waits/REF
-
-MODEL_KEY, CATALOG_KEY, LEADER_KEY, DARK_KEY = "model", "catalog", "leader", "dark"
-
-__all__ = [
-    "ACCEPT_KEYS",
-    "CANCEL_MARK",
-    "CATALOG_KEY",
-    "DARK_KEY",
-    "FLEET",
-    "JOBS",
-    "LEADER_KEY",
-    "LIVE",
-    "MODEL_KEY",
-    "MORE",
-    "WAITS",
-    "WriteBatch",
-    "WriteBuffer",
-    "cancel_key",
-    "chunk_key",
-    "first_of",
-    "job_key",
-    "live_key",
-    "waits_key",
-]
-
 
 @dataclass(slots=True)
 class WriteBatch:
@@ -130,7 +103,7 @@
             self.urgent_keys[key] = 0
         else:
             self.dirty_keys[key] = None
-        main = group_key(machine.number // FLEET_CHUNK)
+        main = group_key(machine.number // GROUP_MACHINES)
         if main in self.oversized_records:
             self.dirty_keys[main] = None  # else a machine that is gone would stay in it
 
@@ -151,13 +124,13 @@
                 if low <= machine.number < high
             ]
         }
-        if high - low < FLEET_CHUNK:
+        if high - low < GROUP_MACHINES:
             value["n"] = high - low
         return value
 
     def job_keys(self, job: Job) -> list[str]:
         """All keys that job may have, that of a waiting one first, else the head."""
-        heads = [waits_key(job.job_id), live_key(job.job_id), cancel_key(job.job_id)]
+        heads = [blocked_key(job.job_id), live_key(job.job_id), cancel_key(job.job_id)]
         chunks = (job.next_untouched + CHUNK_TASKS - 1) // CHUNK_TASKS if job.next_untouched else 0
         keys = dict.fromkeys([*heads, *(chunk_key(job.job_id, c) for c in range(1, chunks))])
         if self.layout.parts:
@@ -183,10 +156,10 @@
         """A record as it lies there now: does it tell of more than it would be written with?"""
         if key.startswith(FLEET):
             low, high = self.layout.fleet_span(key)
-            is_wide = int(value.get("n", FLEET_CHUNK)) > high - low
-            upto = low + FLEET_CHUNK
+            is_wide = int(value.get("n", GROUP_MACHINES)) > high - low
+            upto = low + GROUP_MACHINES
         elif key.startswith(LIVE) and "t" in value:
-            ref, low = first_of(key)
+            ref, low = first_task(key)
             job = self.cluster.jobs.get(ref)
             upto = low + len(value["t"])
             is_wide = job is not None and upto > self.layout.task_span(job, key)[1]
@@ -210,9 +183,9 @@
                 key, upto = chunk_key(job.job_id, low // CHUNK_TASKS), min(low + CHUNK_TASKS, job.next_untouched)
                 if self.versions.get(key) and upto > self.layout.task_span(job, key)[1]:
                     self.oversized_records[key] = upto
-        if self.layout.part_machines < FLEET_CHUNK:
+        if self.layout.part_machines < GROUP_MACHINES:
             self.oversized_records |= {
-                key: group_of(key)[1] + FLEET_CHUNK for key in self.versions if key.startswith(FLEET)
+                key: first_machine(key)[1] + GROUP_MACHINES for key in self.versions if key.startswith(FLEET)
             }
         for key, rank in old.items():
             for part in self._parts_of(key):
@@ -229,7 +202,7 @@
             return list(self.layout.fleet_keys(key))
         if not key.startswith(LIVE):
             return [key]
-        ref, low = first_of(key)
+        ref, low = first_task(key)
         job = self.cluster.jobs.get(ref)
         return [] if job is None else [key, *self.layout.task_keys(job, low, min(low + rows, job.next_untouched))]
 
@@ -320,7 +293,7 @@
             del self.jobs_to_cancel[ref]
             batch.conditions[job_key(job.job_id)] = job.version
             batch.sets[job_key(job.job_id)] = job.record(wire.JobStatus.CANCELLED)
-            self._add_deletes(batch, [waits_key(job.job_id)], max_ops)
+            self._add_deletes(batch, [blocked_key(job.job_id)], max_ops)
             batch.cancelled_jobs.append(job)
 
     def _add_deletes(self, batch: WriteBatch, keys: list[str], max_ops: int) -> None:
@@ -343,7 +316,7 @@
             return [k for k in self.layout.fleet_keys(key) if k != key and k in there and not self.versions.get(k)]
         if not key.startswith(LIVE):
             return []
-        ref, _ = first_of(key)
+        ref, _ = first_task(key)
         job, head = self.cluster.jobs.get(ref), live_key(ref)
         if job is None:
             return []
@@ -357,7 +330,9 @@
     def _add_record(self, batch: WriteBatch, key: str, max_ops: int) -> bool:
         """False: there is no room for it with what must come along; it stays to be written."""
         ahead = [k for k in self._prerequisite_keys(key) if k not in batch.sets]
-        swaps = sum(bool(k.startswith(LIVE) and self.versions.get(waits_key(first_of(k)[0]))) for k in (key, *ahead))
+        swaps = sum(
+            bool(k.startswith(LIVE) and self.versions.get(blocked_key(first_task(k)[0]))) for k in (key, *ahead)
+        )
         if batch.operation_count and batch.operation_count + 1 + len(ahead) + min(swaps, 1) > max_ops:
             return False
         split = len(ahead) + 1 > max_ops  # more than a transaction holds: first what must be there before
@@ -394,7 +369,7 @@
         elif key in self.singleton_records:
             batch.sets[key] = self.singleton_records[key]()
         else:
-            ref, _ = first_of(key)
+            ref, _ = first_task(key)
             job = self.cluster.jobs.get(ref)
             if job is None or (job.cancelled and not job.failure_reason) or job.completing:
                 return  # its keys go with the job
@@ -405,7 +380,7 @@
                 return
             batch.sets[key] = value
             batch.conditions[job_key(ref)] = job.version
-            waits = waits_key(ref)
+            waits = blocked_key(ref)
             if key == live_key(ref) and self.versions.get(waits):
                 # From now on an earlier version may know of the job: it waits for nobody.
                 self._add_deletes(batch, [waits], max_ops)
@@ -472,5 +447,7 @@
         for key in batch.deletes:
             if key.startswith((FLEET, MODEL_KEY)):
                 self.dirty_keys[key] = None
-            elif key not in finished_keys and not (key.startswith(WAITS) and key[len(WAITS) :] in self.cluster.jobs):
+            elif key not in finished_keys and not (
+                key.startswith(BLOCKED) and key[len(BLOCKED) :] in self.cluster.jobs
+            ):
                 self.orphaned_keys.append(key)  # waits/REF goes with the next try of the first claim
--- a/oatport/peer_messages.py
+++ b/oatport/peer_messages.py
@@ -297,7 +297,7 @@
 class SchemaVersionReply(PeerMessage, frozen=True, tag="formats"):
     """The schema version that a process reads; `boot_id` tells it from earlier processes of the same node.
 
-    It is checked by `control.storage.schema_version.Gate`.
+    It is checked by `control.storage.schema_version.SchemaVersionGate`.
     """
 
     node_name: str
--- a/oatport/queues/gateway.py
+++ b/oatport/queues/gateway.py
@@ -12,7 +12,7 @@
 from oatport.clients.http import NoResponseError, RequestRefusedError, jitter
 from oatport.clients.state import Applied, LeaseExpiredError, StateClient
 from oatport.control.leadership.leader_lease import LeaderLease
-from oatport.control.storage.write_buffer import JOBS
+from oatport.control.storage.keys import JOBS
 from oatport.queues.core import Core
 from oatport.queues.intake import SubmissionBatcher
 from oatport.queues.members import parts_for
--- a/oatport/service/catalog.py
+++ b/oatport/service/catalog.py
@@ -13,7 +13,7 @@
 from oatport import wire
 from oatport.clients.http import NoResponseError, RequestRefusedError, jitter
 from oatport.clients.state import Applied, StateClient
-from oatport.control.storage.write_buffer import CATALOG_KEY, LEADER_KEY
+from oatport.control.storage.keys import CATALOG_KEY, LEADER_KEY
 from oatport.sizes import json_size
 from oatport.times import MS, SECOND
 
--- a/oatport/service/dependency_controller.py
+++ b/oatport/service/dependency_controller.py
@@ -6,7 +6,7 @@
 
 from oatport import wire
 from oatport.clients.http import NoResponseError, RequestRefusedError, jitter
-from oatport.control.storage.write_buffer import JOBS
+from oatport.control.storage.keys import JOBS
 from oatport.service.leader_context import LeaderContext
 from oatport.times import SECOND
 
--- a/oatport/service/election.py
+++ b/oatport/service/election.py
@@ -12,8 +12,8 @@
 from oatport.clients.state import Applied, LeaseExpiredError
 from oatport.clients.worker import count_reached
 from oatport.control.leadership.election_priority import ElectionPriority
+from oatport.control.storage.keys import LEADER_KEY
 from oatport.control.storage.recovery import UnknownMachineTypeError
-from oatport.control.storage.write_buffer import LEADER_KEY
 from oatport.peer_messages import Handover, No, Ok
 from oatport.service.leader import Leader
 from oatport.service.network import Network
--- a/oatport/service/failover.py
+++ b/oatport/service/failover.py
@@ -10,9 +10,16 @@
 from oatport.clients.state import StateClient
 from oatport.clients.worker import WorkerClient
 from oatport.control.state.machine import Machine
-from oatport.control.storage.overflow_records import more_key, whole_lists
-from oatport.control.storage.schema_version import FORMATS_KEY
-from oatport.control.storage.write_buffer import DARK_KEY, FLEET, LIVE, MODEL_KEY, WAITS
+from oatport.control.storage.keys import (
+    BLOCKED,
+    FLEET,
+    LIVE,
+    MODEL_KEY,
+    PARTITIONED_ZONES_KEY,
+    SCHEMA_VERSION_KEY,
+    overflow_key,
+)
+from oatport.control.storage.overflow_records import with_overflow
 from oatport.service.leader_context import LeaderContext
 from oatport.service.network import Network
 from oatport.times import SECOND, steady
@@ -30,10 +37,10 @@
     """
     live, revision = await state.list_all(LIVE)
     # After `live/`: only a leader moves a job from here to there, and no other one can any more.
-    waits, _ = await state.list_all(WAITS)
+    waits, _ = await state.list_all(BLOCKED)
     fleet, _ = await state.list_all(FLEET)
     rows, _ = await state.list_all(MODEL_KEY)
-    for key in (DARK_KEY, FORMATS_KEY):
+    for key in (PARTITIONED_ZONES_KEY, SCHEMA_VERSION_KEY):
         found = await state.get(key)
         if found is not None:
             rows.append({"path": key, "value": found[0], "entryRev": found[1]})
@@ -48,13 +55,13 @@
     count, job_id = int(value["more"][0]), str(value["job"]["ref"])
     parts = []
     for number in range(count):
-        found = await state.get(more_key(job_id, number))
+        found = await state.get(overflow_key(job_id, number))
         if found is None:
             raise NoResponseError(
-                f"{more_key(job_id, number)} is missing"
+                f"{overflow_key(job_id, number)} is missing"
             )  # it was written before its job was accepted
         parts.append(found[0])
-    return whole_lists(value, parts)
+    return with_overflow(value, parts)
 
 
 def introduce_all(leader: LeaderContext, net: Network) -> None:
--- a/oatport/service/failure_detector.py
+++ b/oatport/service/failure_detector.py
@@ -5,10 +5,15 @@
 import asyncio
 import logging
 
+from oatport.control.leadership.failure_detection import (
+    all_silent_machines,
+    is_isolated,
+    partition_suspects,
+    silent_machines,
+)
 from oatport.control.scaling.capacity_planner import CapacityPlanner
 from oatport.control.scaling.scale_in import MACHINES_PER_RELEASE
 from oatport.control.state.machine import Machine
-from oatport.control.storage.recovery import command_unreachable, cut_off, dark_suspects, silent
 from oatport.service.failover import introduce
 from oatport.service.leader_context import LeaderContext
 from oatport.service.network import Network
@@ -53,16 +58,16 @@
         machines = list(cluster.machines.values())
         self._introduce_to_recovered_zones(machines)
         connected = [m for m in machines if m.zone not in cluster.zones.partitioned]
-        quiet = silent(connected, now, self._silent_us // 2)
+        quiet = silent_machines(connected, now, self._silent_us // 2)
         self.probe(quiet, now)
         self._check_commands(connected, now)
         self._probe_partitioned([m for m in machines if m.zone in cluster.zones.partitioned], now)
-        unheard = command_unreachable(machines, now, cluster.heartbeat_us, self._leader.led_since)
+        unheard = all_silent_machines(machines, now, cluster.heartbeat_us, self._leader.led_since)
         if unheard and now - self._peers_asked_at > self._silent_us // 2:
             self._peers_asked_at = now
             await self.reachability.step_down_if_reached_by_peer(unheard)
             return
-        suspects = dark_suspects(machines, now, self._silent_us)
+        suspects = partition_suspects(machines, now, self._silent_us)
         partitioned = [m for m in suspects if m.zone not in cluster.zones.partitioned]
         lost = partitioned or self._lost_one_by_one(quiet, now)
         grace = self._silent_us * (3 if partitioned else 7) // 10
@@ -71,7 +76,7 @@
             return
         # Judged by all that are quiet: one by one they pass the mark, and those that came first were once
         # released by a leader that was cut off.
-        if partitioned or cut_off(len(quiet), connected):
+        if partitioned or is_isolated(len(quiet), connected):
             survey = await self.reachability.step_down_if_reached_by_peer(lost)
             if survey.reached_by is not None or not survey.most_reach_none:
                 self._node_suspected_at = now
@@ -90,14 +95,14 @@
         leases_expired_at = leader.led_since + leader.cluster.lease_us
         return [
             machine
-            for machine in silent(quiet, now, self._silent_us)
+            for machine in silent_machines(quiet, now, self._silent_us)
             if not leader.cluster.completions.may_report_unknown(machine, now, leases_expired_at)
         ]
 
     async def _judge(self, suspects: list[Machine], *, zones_suspected: bool) -> None:
         """Release machines that are still silent, but those of a zone that is partitioned as a whole."""
         silent_us = self._silent_us // 2 if zones_suspected else self._silent_us
-        still_silent = silent(suspects, self._leader.now(), silent_us)
+        still_silent = silent_machines(suspects, self._leader.now(), silent_us)
         lost = [m for m in still_silent if m.probed_at > 0 and not m.removed]
         # A zone that is partitioned as a whole is evacuated bit by bit; others that fell silent are gone.
         partitioned_zones = self._leader.cluster.zones.mark_partitioned(lost, steady())
@@ -119,7 +124,7 @@
         unreachable = [m for m in connected if m.command_unreachable]
         self.probe(unreachable[:PROBES_PER_STEP], now)
         asked_recently = now - self._peers_asked_about_commands_at <= self._silent_us
-        if cut_off(len(unreachable), connected) and not asked_recently:
+        if is_isolated(len(unreachable), connected) and not asked_recently:
             self._peers_asked_about_commands_at = now
             check = self.reachability.step_down_if_commands_reach_from_peer(unreachable)
             self._leader.background.once("commands unreachable", check)
--- a/oatport/service/group_commit.py
+++ b/oatport/service/group_commit.py
@@ -9,7 +9,8 @@
 from oatport import wire
 from oatport.clients.http import Bucket, NoResponseError, RequestRefusedError, jitter
 from oatport.clients.state import Applied
-from oatport.control.storage.write_buffer import ACCEPT_KEYS, JOBS, LEADER_KEY, WriteBatch, job_key
+from oatport.control.storage.keys import ACCEPT_KEYS, JOBS, LEADER_KEY, job_key
+from oatport.control.storage.write_buffer import WriteBatch
 from oatport.service.leader_context import LeaderContext
 from oatport.times import MS, SECOND, seconds, steady
 
--- a/oatport/service/job_watch.py
+++ b/oatport/service/job_watch.py
@@ -10,9 +10,9 @@
 from oatport import wire
 from oatport.clients.http import NoResponseError, RequestRefusedError, jitter
 from oatport.control.state.job import Job
-from oatport.control.storage.overflow_records import lies_apart, note_slim
+from oatport.control.storage.keys import JOBS
+from oatport.control.storage.overflow_records import is_accepted_as_blocked, note_compact_spec
 from oatport.control.storage.recovery import read_job
-from oatport.control.storage.write_buffer import JOBS
 from oatport.peer_messages import JobAccepted, JobCancelled
 from oatport.service.failover import read_whole
 from oatport.service.group_commit import GroupCommit
@@ -81,9 +81,9 @@
         """Take a job in from its whole record."""
         cluster = self._leader.cluster
         spec, submitted_at_wall, _ = read_job(record)
-        if lies_apart(record):
+        if is_accepted_as_blocked(record):
             job = Job(job_id, spec, revision, submitted_at_wall)
-            note_slim(job, record)
+            note_compact_spec(job, record)
             cluster.dependencies.add_blocked(job)
             self._commits.charge_acceptance()
             return
--- a/oatport/service/leader.py
+++ b/oatport/service/leader.py
@@ -12,12 +12,13 @@
 from oatport import wire
 from oatport.clients.state import StateClient
 from oatport.control.leadership.leader_lease import LeaderLease, PauseDetector
+from oatport.control.leadership.lease_renewal import LeaseRenewalLimit
 from oatport.control.placement.retry_policy import RetryPolicies
 from oatport.control.queueing.runtime_predictor import RuntimePredictor
 from oatport.control.state.cluster_state import ClusterState
 from oatport.control.state.completions import Completion
 from oatport.control.state.machine import Machine
-from oatport.control.storage.recovery import LeaseRenewalLimit, load, types_recorded
+from oatport.control.storage.recovery import load_cluster, recorded_machine_types
 from oatport.peer_messages import JobAccepted, JobCancelled
 from oatport.service.background_tasks import BackgroundTasks
 from oatport.service.catalog import read_types
@@ -133,8 +134,8 @@
         (rows, revision), earlier = await asyncio.gather(
             read_records(self.state), self.node.completions_before(self.token)
         )
-        await self._load_machine_types(types_recorded(rows))
-        load(self.cluster, rows, steady(), time_of_day())
+        await self._load_machine_types(recorded_machine_types(rows))
+        load_cluster(self.cluster, rows, steady(), time_of_day())
         self.cluster.now = steady()
         self.cluster.completions.apply(earlier.completions)
         self.cluster.completions.earlier_may_be_lost = not earlier.complete
--- a/oatport/service/leader_context.py
+++ b/oatport/service/leader_context.py
@@ -8,10 +8,10 @@
 from oatport import wire
 from oatport.clients.peer import PeerClient
 from oatport.clients.state import StateClient
+from oatport.control.leadership.lease_renewal import LeaseRenewalLimit
 from oatport.control.state.cluster_state import ClusterState
 from oatport.control.state.completions import Completion
 from oatport.control.state.machine import Machine
-from oatport.control.storage.recovery import LeaseRenewalLimit
 from oatport.service.background_tasks import BackgroundTasks
 from oatport.settings import Settings, Tuning
 
--- a/oatport/service/maintenance.py
+++ b/oatport/service/maintenance.py
@@ -6,7 +6,7 @@
 import logging
 
 from oatport.control.scaling.capacity_planner import CapacityPlanner
-from oatport.control.storage.write_buffer import MODEL_KEY
+from oatport.control.storage.keys import MODEL_KEY
 from oatport.service.cluster_status import status_line
 from oatport.service.command_sender import CommandSender
 from oatport.service.leader_context import LeaderContext
--- a/oatport/service/orphaned_job_lookup.py
+++ b/oatport/service/orphaned_job_lookup.py
@@ -7,8 +7,8 @@
 
 from oatport import wire
 from oatport.clients.http import NoResponseError, RequestRefusedError
+from oatport.control.storage.keys import job_key
 from oatport.control.storage.recovery import read_job
-from oatport.control.storage.write_buffer import job_key
 from oatport.service.leader_context import LeaderContext
 
 MAX_CONCURRENT_LOOKUPS = 4
--- a/oatport/service/peer_contact.py
+++ b/oatport/service/peer_contact.py
@@ -7,7 +7,7 @@
 from oatport.clients.http import NoResponseError, jitter
 from oatport.clients.peer import PeerClient
 from oatport.clients.worker import count_reached
-from oatport.control.storage.schema_version import READS
+from oatport.control.storage.schema_version import SCHEMA_VERSION
 from oatport.peer_messages import (
     ExplainJob,
     JobExplanation,
@@ -120,4 +120,4 @@
 
     async def on_schema_version(self, request: SchemaVersionRequest) -> SchemaVersionReply:
         """What this process reads of what is stored."""
-        return SchemaVersionReply(self._node.node_name, self._node.boot_id, READS)
+        return SchemaVersionReply(self._node.node_name, self._node.boot_id, SCHEMA_VERSION)
--- a/oatport/service/reachability.py
+++ b/oatport/service/reachability.py
@@ -8,9 +8,9 @@
 
 from oatport.clients.http import Keep, NoResponseError, RequestRefusedError
 from oatport.clients.worker import WorkerClient
+from oatport.control.leadership.failure_detection import is_isolated
 from oatport.control.state.machine import Machine
-from oatport.control.storage.recovery import cut_off
-from oatport.control.storage.write_buffer import LEADER_KEY
+from oatport.control.storage.keys import LEADER_KEY
 from oatport.peer_messages import ProbeResult, ProbeWorkers
 from oatport.service.leader_context import LeaderContext
 from oatport.service.network import Network
@@ -101,7 +101,7 @@
         """Many machines are heard and commands don't reach them: another node that reaches them should rather lead."""
         survey = await self.survey_peers(machines)
         unreachable = sum(machine.command_unreachable for machine in machines)
-        if survey.reached_by is not None and cut_off(unreachable, machines):
+        if survey.reached_by is not None and is_isolated(unreachable, machines):
             log.warning(
                 "commands of this node do not reach machines machines=%d peer=%s", len(machines), survey.reached_by
             )
--- a/oatport/service/schema_version_controller.py
+++ b/oatport/service/schema_version_controller.py
@@ -9,7 +9,7 @@
 from oatport.clients.http import NoResponseError, RequestRefusedError, jitter
 from oatport.clients.state import Applied
 from oatport.control.storage import schema_version
-from oatport.control.storage.write_buffer import LEADER_KEY
+from oatport.control.storage.keys import LEADER_KEY, SCHEMA_VERSION_KEY
 from oatport.peer_messages import SchemaVersionRequest, undecoded
 from oatport.service.leader_context import LeaderContext
 from oatport.times import SECOND
@@ -32,27 +32,27 @@
     async def loop(self) -> None:
         """Until all nodes are known to read what this version writes, ask them. Recorded, so that it is asked once."""
         leader, node = self._leader, self._leader.node
-        gate = schema_version.Gate([node.node_name, *node.peers])
+        gate = schema_version.SchemaVersionGate([node.node_name, *node.peers])
         while not leader.stopped and not leader.cluster.writes.layout.parts:
             replies = await asyncio.gather(
                 *(peer.ask(SchemaVersionRequest(), undecoded) for peer in node.peers.values()),
                 return_exceptions=True,
             )
             own = schema_version.answer(node.node_name, node.boot_id)
-            if gate.heard([own, *(reply for reply in replies if not isinstance(reply, BaseException))]):
+            if gate.on_replies([own, *(reply for reply in replies if not isinstance(reply, BaseException))]):
                 # Outcome unknown: the next round finds what is recorded.
                 with contextlib.suppress(NoResponseError, RequestRefusedError):
                     await self.open_gate(gate)
             await asyncio.sleep(jitter(ASK_INTERVAL))
 
-    async def open_gate(self, gate: schema_version.Gate) -> None:
+    async def open_gate(self, gate: schema_version.SchemaVersionGate) -> None:
         """Record that all nodes read this version. Raises NoResponseError or RequestRefusedError."""
-        leader, key = self._leader, schema_version.FORMATS_KEY
+        leader, key = self._leader, SCHEMA_VERSION_KEY
         result = await leader.state.commit({LEADER_KEY: leader.token, key: 0}, {key: gate.record()})
         if not isinstance(result, Applied):
             found = await leader.state.get(key)
-            if found is None or schema_version.reads_of(found[0]) < schema_version.READS:
+            if found is None or schema_version.recorded_version(found[0]) < schema_version.SCHEMA_VERSION:
                 return
-        log.info("schema version enabled version=%d", schema_version.READS)
+        log.info("schema version enabled version=%d", schema_version.SCHEMA_VERSION)
         leader.cluster.writes.enable_record_parts()
         leader.wake()
--- a/oatport/service/state_service_contact.py
+++ b/oatport/service/state_service_contact.py
@@ -7,7 +7,7 @@
 
 from oatport.clients.http import NoResponseError, RequestRefusedError, jitter
 from oatport.clients.state import LeaseExpiredError
-from oatport.control.storage.write_buffer import LEADER_KEY
+from oatport.control.storage.keys import LEADER_KEY
 from oatport.service.election import Election
 from oatport.service.handover import LeadershipHandover
 from oatport.service.leader import Leader
--- a/oatport/simulation/mutations.py
+++ b/oatport/simulation/mutations.py
@@ -14,6 +14,7 @@
 from oatport.clients.state import StateClient
 from oatport.clients.worker import WorkerClient
 from oatport.control.leadership.leader_lease import LeaderLease
+from oatport.control.leadership.lease_renewal import LeaseRenewalLimit
 from oatport.control.queueing.dependency_graph import DependencyGraph
 from oatport.control.queueing.dependency_tracker import DependencyTracker
 from oatport.control.state.cancellations import CancellationLog
@@ -22,10 +23,9 @@
 from oatport.control.state.task import TaskPhase
 from oatport.control.state.task_lifecycle import TaskLifecycle
 from oatport.control.state.unwritten_completions import UnwrittenCompletions
-from oatport.control.storage.record_layout import CHUNK_TASKS, FLEET_CHUNK, RecordLayout
-from oatport.control.storage.recovery import LeaseRenewalLimit
-from oatport.control.storage.schema_version import Gate
-from oatport.control.storage.write_buffer import LEADER_KEY
+from oatport.control.storage.keys import CHUNK_TASKS, GROUP_MACHINES, LEADER_KEY
+from oatport.control.storage.record_layout import RecordLayout
+from oatport.control.storage.schema_version import SchemaVersionGate
 from oatport.service.cloud_controller import CloudController
 from oatport.service.completion_replication import CompletionReplicator
 from oatport.service.dependency_controller import DependencyController
@@ -162,7 +162,7 @@
 
 def _feature_gate() -> list[Any]:
     """New formats are written before all nodes are known to read them."""
-    return [patch.object(Gate, "heard", lambda self, answers: True)]
+    return [patch.object(SchemaVersionGate, "on_replies", lambda self, answers: True)]
 
 
 def _record_size() -> list[Any]:
@@ -170,7 +170,7 @@
     return [
         patch.object(RecordLayout, "part_tasks", property(lambda self: CHUNK_TASKS)),
         patch.object(RecordLayout, "head_tasks", lambda self, job: CHUNK_TASKS),
-        patch.object(RecordLayout, "part_machines", property(lambda self: FLEET_CHUNK)),
+        patch.object(RecordLayout, "part_machines", property(lambda self: GROUP_MACHINES)),
     ]
 
 
--- a/oatport/simulation/simulation.py
+++ b/oatport/simulation/simulation.py
@@ -7,7 +7,7 @@
 from contextvars import Context
 from dataclasses import dataclass, field
 
-from oatport.control.storage.schema_version import FORMATS_KEY
+from oatport.control.storage.keys import SCHEMA_VERSION_KEY
 from oatport.settings import Tuning
 from oatport.simulation import deployment, production_build
 from oatport.simulation.fault_injection import FaultInjector
@@ -111,7 +111,7 @@
     def _result(self, errors: list[str], starved: list[str], largest: tuple[float, float]) -> RunResult:
         deployed, checker = self.deployed, self.deployed.checker
         over_limit = deployed.store.over_limit_count
-        if over_limit and FORMATS_KEY in deployed.store.items:
+        if over_limit and SCHEMA_VERSION_KEY in deployed.store.items:
             checker.violations.append(f"over_limit: {over_limit} values or transactions were too large")
         return RunResult(
             self.seed,
@@ -209,7 +209,7 @@
     def _check_feature_gate(self) -> None:
         nodes = self.deployed.nodes
         if (
-            FORMATS_KEY in self.deployed.store.items
+            SCHEMA_VERSION_KEY in self.deployed.store.items
             and not self._gate_opened_early
             and nodes.upgraded < set(nodes.names)
         ):
--- a/tests/cluster_fixture.py
+++ b/tests/cluster_fixture.py
@@ -18,21 +18,21 @@
 from oatport.control.scaling.capacity_planner import CapacityPlanner
 from oatport.control.state.cluster_state import ClusterState
 from oatport.control.state.job import Job, job_record
-from oatport.control.storage.recovery import load
-from oatport.control.storage.schema_version import FORMATS_KEY
-from oatport.control.storage.write_buffer import (
+from oatport.control.storage.keys import (
+    BLOCKED,
     CATALOG_KEY,
-    DARK_KEY,
     FLEET,
     LEADER_KEY,
     LIVE,
-    WAITS,
-    WriteBatch,
+    PARTITIONED_ZONES_KEY,
+    SCHEMA_VERSION_KEY,
+    blocked_key,
     cancel_key,
     job_key,
     live_key,
-    waits_key,
 )
+from oatport.control.storage.recovery import load_cluster
+from oatport.control.storage.write_buffer import WriteBatch
 from oatport.settings import (
     CloudLimits,
     ClusterSettings,
@@ -151,9 +151,9 @@
         assert status == 200
         self.cluster = ClusterState(value["ledgerRev"], self.settings, Tuning(), dict(TYPES), RuntimePredictor())
         self.cluster.retry_policies = self.repeats
-        prefixes = (DARK_KEY, FORMATS_KEY, FLEET, LIVE, WAITS)
+        prefixes = (PARTITIONED_ZONES_KEY, SCHEMA_VERSION_KEY, FLEET, LIVE, BLOCKED)
         rows = [row for prefix in prefixes for row in self.state.list(prefix)[1]["rows"]]
-        load(self.cluster, rows, self.now, self.now)
+        load_cluster(self.cluster, rows, self.now, self.now)
         self.placer = Placer(self.cluster)
         self.fleet = CapacityPlanner(self.cluster)
         return self.cluster
@@ -252,7 +252,7 @@
                 "if": [{"path": job_key(spec.job_id), "entryRev": 0}],
                 "then": [
                     {"set": job_key(spec.job_id), "value": record},
-                    {"set": (waits_key if spec.dependencies else live_key)(spec.job_id), "value": record},
+                    {"set": (blocked_key if spec.dependencies else live_key)(spec.job_id), "value": record},
                 ],
             }
         )
--- a/tests/test_client_consistency.py
+++ b/tests/test_client_consistency.py
@@ -9,7 +9,7 @@
 
 from oatport import wire
 from oatport.api.job_api import JobApi
-from oatport.control.storage.write_buffer import job_key
+from oatport.control.storage.keys import job_key
 from oatport.simulation.state_service import KeyStore
 from tests.cluster_fixture import TYPES, FakeStateClient, node_settings
 from tests.cluster_fixture import job as body_of
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -12,7 +12,7 @@
 from oatport import wire
 from oatport.control.queueing.dependency_graph import DependencyGraph, Known, Urgency
 from oatport.control.state.job import Job
-from oatport.control.storage.write_buffer import cancel_key, live_key, waits_key
+from oatport.control.storage.keys import blocked_key, cancel_key, live_key
 from oatport.settings import Team
 from oatport.times import SECOND
 from tests.cluster_fixture import World
@@ -118,9 +118,9 @@
         world.step(1.0)
         if live_key(last) in recorded_keys(world):
             break
-        assert waits_key(last) in recorded_keys(world)
-    revisions = {key: revision for revision, key, _ in world.state.log if key in (live_key(last), waits_key(last))}
-    assert revisions[live_key(last)] == revisions[waits_key(last)]
+        assert blocked_key(last) in recorded_keys(world)
+    revisions = {key: revision for revision, key, _ in world.state.log if key in (live_key(last), blocked_key(last))}
+    assert revisions[live_key(last)] == revisions[blocked_key(last)]
     assert world.record(first) == wire.JobStatus.COMPLETED
 
 
@@ -166,7 +166,7 @@
     world.cancel(last)
     world.settle()
     assert world.record(last) == wire.JobStatus.CANCELLED
-    assert waits_key(last) not in recorded_keys(world)
+    assert blocked_key(last) not in recorded_keys(world)
 
 
 def test_a_job_that_failed_and_was_retried_releases_its_dependents() -> None:
@@ -219,13 +219,13 @@
     _, last = dependency_chain(world, 2)
     while live_key(last) not in recorded_keys(world):
         world.step(1.0)
-    world.state.commit({"if": [], "then": [{"set": waits_key(last), "value": world.state.items[live_key(last)][0]}]})
+    world.state.commit({"if": [], "then": [{"set": blocked_key(last), "value": world.state.items[live_key(last)][0]}]})
     world.fail_over()
     assert last in world.cluster.jobs
     assert last not in world.cluster.dependencies.blocked_jobs
     world.settle(20)
     assert world.record(last) == wire.JobStatus.COMPLETED
-    assert waits_key(last) not in recorded_keys(world)
+    assert blocked_key(last) not in recorded_keys(world)
 
 
 # --- cancellation -----------------------------------------------------------------------------------
@@ -273,7 +273,7 @@
     world.settle()
     assert world.record(last) == wire.JobStatus.CANCELLED
     assert cancel_key(last) not in recorded_keys(world)
-    assert waits_key(last) not in recorded_keys(world)
+    assert blocked_key(last) not in recorded_keys(world)
 
 
 def test_a_job_that_depends_on_a_cancelled_one_is_cancelled() -> None:
--- a/tests/test_dependency_submissions.py
+++ b/tests/test_dependency_submissions.py
@@ -10,7 +10,7 @@
 
 from oatport import wire
 from oatport.api.job_api import JobApi
-from oatport.control.storage.write_buffer import cancel_key, job_key, live_key, waits_key
+from oatport.control.storage.keys import blocked_key, cancel_key, job_key, live_key
 from oatport.settings import NextLimits, SettingsError, StateLimits, check
 from oatport.simulation.state_service import KeyStore
 from tests.cluster_fixture import FakeStateClient, node_settings
@@ -68,7 +68,7 @@
     users, _, _ = node(state)
     assert (await users.submit(job("j-000001"))).status == 201
     assert (await users.submit(job("j-000002", waitsOn=["j-000001"]))).status == 201
-    assert waits_key("j-000002") in state.items
+    assert blocked_key("j-000002") in state.items
     assert live_key("j-000002") not in state.items
     shown = (await users.show("j-000002")).value
     assert shown["status"] == "queued"
--- a/tests/test_node_failures.py
+++ b/tests/test_node_failures.py
@@ -14,8 +14,9 @@
 from oatport.api.heartbeat_api import handle_report
 from oatport.clients.http import NoResponseError
 from oatport.control.scaling.cloud_availability import ScaleOutRequest
-from oatport.control.storage.recovery import UnknownMachineTypeError, load, types_recorded
-from oatport.control.storage.write_buffer import CATALOG_KEY, LEADER_KEY, WriteBatch
+from oatport.control.storage.keys import CATALOG_KEY, LEADER_KEY
+from oatport.control.storage.recovery import UnknownMachineTypeError, load_cluster, recorded_machine_types
+from oatport.control.storage.write_buffer import WriteBatch
 from oatport.peer_messages import PeerArray, PeerMessage, any_reply, decode_reply
 from oatport.service.background_tasks import BackgroundTasks
 from oatport.service.leader import Leader
@@ -279,9 +280,9 @@
     lead.cluster.catalog.types.clear()
     home.types = {}
     with pytest.raises(UnknownMachineTypeError, match="vm-000001 is of type m8"):
-        load(lead.cluster, rows, steady(), time_of_day())
-    await lead._load_machine_types(types_recorded(rows))
-    load(lead.cluster, rows, steady(), time_of_day())
+        load_cluster(lead.cluster, rows, steady(), time_of_day())
+    await lead._load_machine_types(recorded_machine_types(rows))
+    load_cluster(lead.cluster, rows, steady(), time_of_day())
     assert "vm-000001" in lead.cluster.machines
 
     # What the cloud does not tell any more stays recorded.
--- a/tests/test_process_pauses.py
+++ b/tests/test_process_pauses.py
@@ -12,9 +12,9 @@
 from oatport.clients import http
 from oatport.clients.cloud import CloudClient
 from oatport.clients.http import NoResponseError, RequestNotSentError
+from oatport.control.leadership.failure_detection import all_silent_machines, is_isolated, silent_machines
 from oatport.control.leadership.leader_lease import HANDOVER_UNDECIDED_FOR, LeaderLease, PauseDetector
 from oatport.control.scaling.cloud_availability import ScaleOutRequest
-from oatport.control.storage.recovery import command_unreachable, cut_off, silent
 from oatport.service import heartbeat_controller
 from oatport.service import leader as lead_module
 from oatport.service.node import Node
@@ -142,14 +142,14 @@
     machines = list(world.cluster.machines.values())
     gap = 20 * SECOND
     world.now += gap
-    assert len(silent(machines, world.now, 5 * SECOND)) == 3  # as it would look
+    assert len(silent_machines(machines, world.now, 5 * SECOND)) == 3  # as it would look
     assert world.fleet.scale_in.machines_to_release(world.now)
     for machine in machines:
         machine.releasing = False
     machines[0].last_heartbeat_at = world.now  # its answer was read first
     world.cluster.on_process_pause(gap, world.now)
     assert machines[0].last_heartbeat_at == world.now
-    assert silent(machines, world.now, 5 * SECOND) == []
+    assert silent_machines(machines, world.now, 5 * SECOND) == []
     assert world.fleet.scale_in.machines_to_release(world.now) == []
     # What really passes meanwhile is not moved: a spot notice, a boot.
     assert all(machine.rented_at < world.now - gap for machine in machines)
@@ -163,17 +163,17 @@
     world.settle(3)
     machines = list(world.cluster.machines.values())
     report_us = SECOND
-    assert command_unreachable(machines, world.now + 1_400 * MS, report_us, 0) == []
-    assert len(command_unreachable(machines, world.now + 1_600 * MS, report_us, 0)) == 6
+    assert all_silent_machines(machines, world.now + 1_400 * MS, report_us, 0) == []
+    assert len(all_silent_machines(machines, world.now + 1_600 * MS, report_us, 0)) == 6
     assert (
-        command_unreachable(machines, world.now + 1_600 * MS, report_us, world.now + SECOND) == []
+        all_silent_machines(machines, world.now + 1_600 * MS, report_us, world.now + SECOND) == []
     )  # it has just begun
     machines[0].last_heartbeat_at = world.now + 1_000 * MS
-    assert command_unreachable(machines, world.now + 1_600 * MS, report_us, 0) == []
+    assert all_silent_machines(machines, world.now + 1_600 * MS, report_us, 0) == []
     now = world.now + 4 * SECOND
-    quiet = silent(machines, now, 5 * SECOND // 2)
-    assert silent(machines, now, 5 * SECOND) == []
-    assert cut_off(len(quiet), machines)
+    quiet = silent_machines(machines, now, 5 * SECOND // 2)
+    assert silent_machines(machines, now, 5 * SECOND) == []
+    assert is_isolated(len(quiet), machines)
 
 
 async def test_a_handover_whose_answer_is_lost_suspends_the_lease(state: KeyStore) -> None:
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -12,7 +12,7 @@
 from oatport.clients.http import RequestRefusedError
 from oatport.clients.state import Applied
 from oatport.control.limits.rate_limiter import MAX_RETRY_AFTER_S, AdaptiveRateLimiter
-from oatport.control.storage.write_buffer import ACCEPT_KEYS
+from oatport.control.storage.keys import ACCEPT_KEYS
 from oatport.times import MS, SECOND
 
 
--- a/tests/test_rolling_upgrade.py
+++ b/tests/test_rolling_upgrade.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from oatport.control.storage.schema_version import FORMATS_KEY
+from oatport.control.storage.keys import SCHEMA_VERSION_KEY
 from oatport.service.node import Node
 from oatport.simulation.fault_plan import Fault, Plan
 from oatport.simulation.production_build import (
@@ -77,7 +77,7 @@
     found = quiet(world)
     assert (found.violations, found.errors) == ([], [])
     assert led & {"n0", "n2"}
-    assert FORMATS_KEY not in world.deployed.store.items
+    assert SCHEMA_VERSION_KEY not in world.deployed.store.items
     assert any(key.startswith("jobs/j-7") for key in world.deployed.store.items)
 
 
--- a/tests/test_safety_invariants.py
+++ b/tests/test_safety_invariants.py
@@ -3,10 +3,10 @@
 from __future__ import annotations
 
 from oatport import wire
+from oatport.control.leadership.failure_detection import silent_machines
 from oatport.control.placement.feasibility import machine_allowed
 from oatport.control.state.task import TaskPhase
-from oatport.control.storage.recovery import silent
-from oatport.control.storage.write_buffer import LEADER_KEY, chunk_key, live_key
+from oatport.control.storage.keys import LEADER_KEY, chunk_key, live_key
 from oatport.settings import Team
 from oatport.times import SECOND
 from tests.cluster_fixture import World
@@ -324,8 +324,8 @@
     world.report(other)
     gone = world.cluster.machines[worker.name]
     machines = list(world.cluster.machines.values())
-    assert silent(machines, world.now + 3 * SECOND, 5 * SECOND) == []
-    assert silent(machines, world.now + 4 * SECOND, 5 * SECOND) == [gone]
+    assert silent_machines(machines, world.now + 3 * SECOND, 5 * SECOND) == []
+    assert silent_machines(machines, world.now + 4 * SECOND, 5 * SECOND) == [gone]
 
 
 def test_quota_counts_what_is_not_proven_gone() -> None:
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -10,11 +10,12 @@
 from emulators import smoke_test
 from oatport import wire
 from oatport.cli import main
+from oatport.control.leadership.failure_detection import is_isolated, partition_suspects, silent_machines
+from oatport.control.leadership.lease_renewal import LeaseRenewalLimit
 from oatport.control.queueing.pending_job_router import jobs_in_order as order_of
 from oatport.control.queueing.runtime_predictor import RuntimePredictor
 from oatport.control.queueing.tier_router import ON_DEMAND, OWNED, SPOT, TierAvailability, TierRouter
 from oatport.control.scaling.cloud_availability import ScaleOutRequest
-from oatport.control.storage.recovery import LeaseRenewalLimit, cut_off, dark_suspects, silent
 from oatport.settings import Objective, SettingsError, Team, load, load_tuning
 from oatport.times import SECOND, micros
 from tests.cluster_fixture import World, cluster_settings, job
@@ -593,11 +594,11 @@
         world.machine(number)
     world.settle(2)
     machines = list(world.cluster.machines.values())
-    assert silent(machines, world.now + 2 * SECOND, 5 * SECOND) == []
-    gone = silent(machines, world.now + 9 * SECOND, 5 * SECOND)
+    assert silent_machines(machines, world.now + 2 * SECOND, 5 * SECOND) == []
+    gone = silent_machines(machines, world.now + 9 * SECOND, 5 * SECOND)
     assert len(gone) == 6
-    assert cut_off(len(gone), machines)
-    assert not cut_off(1, machines)
+    assert is_isolated(len(gone), machines)
+    assert not is_isolated(1, machines)
 
 
 def test_a_zone_that_goes_silent_as_a_whole_is_suspected_sooner() -> None:
@@ -615,13 +616,13 @@
 
     world.now += 3 * SECOND
     hear("b")
-    assert {m.zone for m in dark_suspects(machines, world.now, 5 * SECOND)} == {"a"}
+    assert {m.zone for m in partition_suspects(machines, world.now, 5 * SECOND)} == {"a"}
     hear("a")
     world.now += 3 * SECOND
-    assert dark_suspects(machines, world.now, 5 * SECOND) == []  # all silent: it is I who hear nothing
+    assert partition_suspects(machines, world.now, 5 * SECOND) == []  # all silent: it is I who hear nothing
     hear("b")
     world.report(next(w for w in world.workers.values() if w.zone == "a"))
-    assert dark_suspects(machines, world.now, 5 * SECOND) == []  # one is heard: no cut
+    assert partition_suspects(machines, world.now, 5 * SECOND) == []  # one is heard: no cut
 
 
 def test_settings_name_the_broken_field(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
--- a/tests/test_schema_versions.py
+++ b/tests/test_schema_versions.py
@@ -11,10 +11,11 @@
 from oatport.control.queueing.runtime_predictor import RuntimePredictor
 from oatport.control.state.job import Job, job_record
 from oatport.control.state.task import TaskPhase
-from oatport.control.storage.overflow_records import lies_apart, slimmed, whole_lists
+from oatport.control.storage.keys import FLEET, LIVE, SCHEMA_VERSION_KEY, blocked_key, live_key
+from oatport.control.storage.overflow_records import is_accepted_as_blocked, split_overflow, with_overflow
 from oatport.control.storage.record_layout import RecordLayout
-from oatport.control.storage.schema_version import FORMATS_KEY, READS, Gate, answer
-from oatport.control.storage.write_buffer import FLEET, LIVE, WriteBatch, live_key, waits_key
+from oatport.control.storage.schema_version import SCHEMA_VERSION, SchemaVersionGate, answer
+from oatport.control.storage.write_buffer import WriteBatch
 from oatport.peer_messages import SchemaVersionRequest, undecoded
 from oatport.service.catalog import RecordedCatalog, read_types, type_values, write_types
 from oatport.service.leader import Leader
@@ -32,7 +33,7 @@
 def world_of(machines: int, *, opened: bool) -> World:
     world = World(NO_LIMITS, SMALL)
     if opened:
-        world.state.commit({"if": [], "then": [{"set": FORMATS_KEY, "value": {"reads": READS}}]})
+        world.state.commit({"if": [], "then": [{"set": SCHEMA_VERSION_KEY, "value": {"reads": SCHEMA_VERSION}}]})
         world.fail_over()
     for number in range(1, machines + 1):
         world.machine(number, zone="ab"[number % 2])
@@ -47,7 +48,7 @@
 
 def opens(world: World) -> None:
     """All nodes have answered; then the limits fall."""
-    world.state.commit({"if": [], "then": [{"set": FORMATS_KEY, "value": {"reads": READS}}]})
+    world.state.commit({"if": [], "then": [{"set": SCHEMA_VERSION_KEY, "value": {"reads": SCHEMA_VERSION}}]})
     world.cluster.writes.enable_record_parts()
     fall(world)
 
@@ -162,11 +163,11 @@
 
 def test_long_lists_lie_in_records_of_their_own() -> None:
     spec = wire.decode_submission(job("j-1", waitsOn=[f"j-{i:06d}" for i in range(2, 1002)]))
-    record, parts = slimmed(job_record(spec, 5, wire.JobStatus.QUEUED), 2048)
+    record, parts = split_overflow(job_record(spec, 5, wire.JobStatus.QUEUED), 2048)
     assert json_size(record) <= 2048 - 300
     assert all(json_size(part) <= 2048 for part in parts)
-    assert whole_lists(record, parts)["job"]["waitsOn"] == spec.dependencies
-    assert slimmed(job_record(spec, 5, wire.JobStatus.QUEUED), 32 * 1024)[1] == []
+    assert with_overflow(record, parts)["job"]["waitsOn"] == spec.dependencies
+    assert split_overflow(job_record(spec, 5, wire.JobStatus.QUEUED), 32 * 1024)[1] == []
 
 
 def test_the_predictor_is_recorded_in_parts_that_can_be_read_alone() -> None:
@@ -220,11 +221,11 @@
 
 
 def test_the_gate_opens_when_the_same_processes_of_all_nodes_answered_twice() -> None:
-    gate = Gate(["n0", "n1"])
+    gate = SchemaVersionGate(["n0", "n1"])
     both = [answer("n0", "a"), answer("n1", "b")]
-    assert not gate.heard(both)
-    assert gate.heard(both)
-    assert not Gate(["n0", "n1"]).heard([*both, answer("n0", "a")])
+    assert not gate.on_replies(both)
+    assert gate.on_replies(both)
+    assert not SchemaVersionGate(["n0", "n1"]).on_replies([*both, answer("n0", "a")])
 
 
 @pytest.mark.parametrize(
@@ -238,17 +239,17 @@
     ],
 )
 def test_the_gate_stays_shut(second: list[Any]) -> None:
-    gate = Gate(["n0", "n1"])
-    gate.heard([answer("n0", "a"), answer("n1", "b")])
-    assert not gate.heard(second)
-    assert not gate.heard([answer("n0", "a"), answer("n1", "c")]) or second[-1][2] == "c"
+    gate = SchemaVersionGate(["n0", "n1"])
+    gate.on_replies([answer("n0", "a"), answer("n1", "b")])
+    assert not gate.on_replies(second)
+    assert not gate.on_replies([answer("n0", "a"), answer("n1", "c")]) or second[-1][2] == "c"
 
 
 async def rounds(lead: Leader, times: int) -> None:
-    gate = Gate([lead.node.node_name, *lead.node.peers])
+    gate = SchemaVersionGate([lead.node.node_name, *lead.node.peers])
     for _ in range(times):
         rows = [await peer.ask(SchemaVersionRequest(), undecoded) for peer in lead.node.peers.values()]
-        if gate.heard([answer(lead.node.node_name, lead.node.boot_id), *rows]):
+        if gate.on_replies([answer(lead.node.node_name, lead.node.boot_id), *rows]):
             await lead.schema_version_controller.open_gate(gate)
 
 
@@ -257,7 +258,7 @@
     lead, client, home = leader(state)
     home.peers["n1"] = FakePeer(answer("n1", "b"))
     await rounds(lead, 1)
-    assert FORMATS_KEY not in state.items
+    assert SCHEMA_VERSION_KEY not in state.items
     assert not lead.cluster.writes.layout.parts
     client.faults = ["lose"]
     with pytest.raises(Exception, match="lose"):
@@ -265,7 +266,7 @@
     assert not lead.cluster.writes.layout.parts
     await rounds(lead, 2)
     assert lead.cluster.writes.layout.parts
-    assert state.items[FORMATS_KEY][0]["reads"] == READS
+    assert state.items[SCHEMA_VERSION_KEY][0]["reads"] == SCHEMA_VERSION
     second, _, other = leader(state)
     other.peers["n1"] = FakePeer(answer("n1", "b"))
     await rounds(lead, 2)  # it leads no more, and finds what is recorded
@@ -342,15 +343,15 @@
 async def test_a_job_whose_types_lie_apart_is_taken_up_from_where_it_was_accepted() -> None:
     """It names nobody, and lies under waits/ all the same: taken as lying under live/, its claim failed for ever."""
     spec = wire.decode_submission(job("j-000001", berthKinds=["m8", *(f"kind-{number:050d}" for number in range(40))]))
-    record, parts = slimmed(job_record(spec, 5, wire.JobStatus.QUEUED), 2048)
+    record, parts = split_overflow(job_record(spec, 5, wire.JobStatus.QUEUED), 2048)
     assert parts
-    assert lies_apart(record)
-    assert not lies_apart(job_record(wire.decode_submission(job()), 5, wire.JobStatus.QUEUED))
+    assert is_accepted_as_blocked(record)
+    assert not is_accepted_as_blocked(job_record(wire.decode_submission(job()), 5, wire.JobStatus.QUEUED))
     lead, _, _ = leader(KeyStore(lambda: 0))
-    lead.job_watch.admit("j-000001", whole_lists(record, parts), 7)
+    lead.job_watch.admit("j-000001", with_overflow(record, parts), 7)
     taken = lead.cluster.jobs["j-000001"]
     assert taken.spec == spec
     assert taken in lead.cluster.pending
-    assert lead.cluster.writes.versions[waits_key("j-000001")] == 7
+    assert lead.cluster.writes.versions[blocked_key("j-000001")] == 7
     assert live_key("j-000001") not in lead.cluster.writes.versions
     assert taken.record(wire.JobStatus.COMPLETED)["job"] == record["job"]
--- a/tests/test_task_locations.py
+++ b/tests/test_task_locations.py
@@ -13,7 +13,8 @@
 from oatport.clients.peer import UnexpectedReplyError
 from oatport.control.state.completions import LEADS_MOST, ROWS_MOST, CompletionLog, parse
 from oatport.control.state.task import TaskPhase
-from oatport.control.storage.write_buffer import WriteBatch, job_key, live_key, waits_key
+from oatport.control.storage.keys import blocked_key, job_key, live_key
+from oatport.control.storage.write_buffer import WriteBatch
 from oatport.peer_messages import JobAccepted, PeerArray, PeerMessage, any_reply, decode_reply
 from oatport.service.leader_context import EarlierCompletions
 from oatport.service.node import Node
@@ -514,7 +515,7 @@
             "if": [],
             "then": [
                 {"set": job_key(waiting), "value": record},
-                {"set": waits_key(waiting), "value": record},
+                {"set": blocked_key(waiting), "value": record},
                 {"set": job_key(claimed), "value": {"state": "queued"}},
                 {"set": live_key(claimed), "value": {}},
             ],
--- a/tests/test_write_order.py
+++ b/tests/test_write_order.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from oatport import wire
-from oatport.control.storage.write_buffer import live_key
+from oatport.control.storage.keys import live_key
 from oatport.settings import Team
 from oatport.times import SECOND
 from tests.cluster_fixture import World
--- a/tests/test_zone_partitions.py
+++ b/tests/test_zone_partitions.py
@@ -16,7 +16,7 @@
 )
 from oatport.control.scaling.cloud_availability import ScaleOutRequest
 from oatport.control.state.machine import Machine
-from oatport.control.storage.write_buffer import DARK_KEY
+from oatport.control.storage.keys import PARTITIONED_ZONES_KEY
 from oatport.service.failure_detector import FailureDetector
 from oatport.service.leader import Leader
 from oatport.service.node import Node
@@ -247,7 +247,7 @@
     world.refused.clear()
     world.settle()
     assert not world.cluster.zones.partitioned
-    assert world.state.items[DARK_KEY][0] == {"zones": {}}
+    assert world.state.items[PARTITIONED_ZONES_KEY][0] == {"zones": {}}
 
 
 def test_a_zone_with_a_lease_proxy_is_recorded_for_the_next_leader() -> None:
@@ -264,7 +264,7 @@
     world.refused.clear()
     world.settle()
     assert world.cluster.zones.lease_proxied == set()
-    assert world.state.items[DARK_KEY][0] == {"zones": {}}
+    assert world.state.items[PARTITIONED_ZONES_KEY][0] == {"zones": {}}
 
 
 def test_nothing_is_placed_in_a_partitioned_zone_though_it_was_heard_from_a_moment_ago() -> None:
