--- a/oatport/control/queueing/dependency_graph.py
+++ b/oatport/control/queueing/dependency_graph.py
@@ -1,8 +1,8 @@
-"""Who needs whom: which jobs wait for others, are released, are cancelled with them, and how soon they are wanted.
+"""Which jobs depend on which: who is blocked, released, cancelled with others, and how soon each is wanted.
 
-Pure, and about ids only: what is known of a job's state is told, never guessed. Needed jobs are done when that is
-*recorded*: a job whose tasks have all ended may still lose to a cancellation. All that is kept here follows from
-records (`waits/REF`, `live/REF`, and the states under `jobs/`), so any leader finds the same.
+Pure, and about ids only: what is known of a job's state is passed in, never guessed. A dependency is met when its
+completion is *recorded*: a job whose tasks have all ended may still lose to a cancellation. All that is kept here
+follows from records (`waits/REF`, `live/REF`, and the states under `jobs/`), so any leader finds the same.
 """
 
 from __future__ import annotations
@@ -11,120 +11,139 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
+LOWEST_RANK = 1 << 30  # below all priority ranks
 
-class Known(StrEnum):
-    """What is known of a needed job."""
 
-    OPEN = "open"  # neither done nor cancelled
-    DONE = "done"
+class DependencyState(StrEnum):
+    """What is known of a job that others depend on."""
+
+    OPEN = "open"  # neither completed nor cancelled
+    COMPLETED = "completed"
     CANCELLED = "cancelled"
     UNKNOWN = "unknown"  # its record has to be read
 
 
-def earliest(one: tuple[int, ...], other: tuple[int, ...]) -> tuple[int, ...]:
-    """Of two lists of times the one that begins first; none is later than any."""
+def earlier(one: tuple[int, ...], other: tuple[int, ...]) -> tuple[int, ...]:
+    """Of two lists of deadlines the one that begins first; an empty one is no deadline at all."""
     return min(one, other) if one and other else one or other
 
 
 @dataclass(frozen=True, slots=True)
 class Urgency:
-    """How soon a job is wanted. `rank`: 0 is the highest priority; `dues`: times by which it should be done."""
+    """How soon a job is wanted: 0 is the highest priority; deadlines are times of day, in order."""
+
+    priority_rank: int
+    deadlines: tuple[int, ...] = ()
+
+
+@dataclass(frozen=True, slots=True)
+class CompletionOutcome:
+    """What a job's completion means for those that depend on it."""
 
-    rank: int
-    dues: tuple[int, ...] = ()
+    dependents: list[str]
+    released: list[str]  # those of them that depend on nothing else any more
 
 
 @dataclass(slots=True)
 class DependencyGraph:
-    """`unmet`: waiting job -> jobs that it needs and that are not known to be done. A released job is not in it."""
-
-    unmet: dict[str, dict[str, None]] = field(default_factory=dict)
-    unknown: dict[str, None] = field(default_factory=dict)  # needed jobs whose records have to be read
-    stale: dict[str, None] = field(default_factory=dict)  # jobs whose urgency may have changed
-    _after: dict[str, dict[str, None]] = field(default_factory=dict)  # job -> waiting jobs that name it
-
-    def add(self, ref: str, needs: Iterable[str], known: Callable[[str], Known]) -> Known:
-        """A job that names others. OPEN: it waits; DONE: for nobody; CANCELLED: one of them is."""
-        states = {need: known(need) for need in needs}
-        if Known.CANCELLED in states.values():
-            return Known.CANCELLED
-        left = {need: None for need, state in states.items() if state is not Known.DONE}
-        if not left:
-            return Known.DONE
-        self.unmet[ref] = left
-        if ref in self._after:
-            self.stale[ref] = None  # told of out of order
-        for need in left:
-            self._after.setdefault(need, {})[ref] = None
-            self.stale[need] = None
-            if states[need] is Known.UNKNOWN:
-                self.unknown[need] = None
-        return Known.OPEN
-
-    def seen(self, ref: str) -> None:
+    """Blocked jobs and the jobs that they depend on; a released job is not in it."""
+
+    unmet_dependencies: dict[str, dict[str, None]] = field(default_factory=dict)  # by blocked job
+    unresolved: dict[str, None] = field(default_factory=dict)  # dependencies whose records have to be read
+    dirty: dict[str, None] = field(default_factory=dict)  # jobs whose urgency may have changed
+    _dependents: dict[str, dict[str, None]] = field(default_factory=dict)  # job -> blocked jobs that depend on it
+
+    def add(
+        self, job_id: str, dependencies: Iterable[str], state_of: Callable[[str], DependencyState]
+    ) -> DependencyState:
+        """Add a job that depends on others.
+
+        OPEN: it is blocked; COMPLETED: all its dependencies are met; CANCELLED: one of them is cancelled.
+        """
+        states = {dependency: state_of(dependency) for dependency in dependencies}
+        if DependencyState.CANCELLED in states.values():
+            return DependencyState.CANCELLED
+        unmet = {dependency: None for dependency, state in states.items() if state is not DependencyState.COMPLETED}
+        if not unmet:
+            return DependencyState.COMPLETED
+        self.unmet_dependencies[job_id] = unmet
+        if job_id in self._dependents:
+            self.dirty[job_id] = None  # jobs that depend on it were added before it
+        for dependency in unmet:
+            self._dependents.setdefault(dependency, {})[job_id] = None
+            self.dirty[dependency] = None
+            if states[dependency] is DependencyState.UNKNOWN:
+                self.unresolved[dependency] = None
+        return DependencyState.OPEN
+
+    def mark_resolved(self, job_id: str) -> None:
         """It is among the unfinished jobs: its record need not be read."""
-        self.unknown.pop(ref, None)
+        self.unresolved.pop(job_id, None)
 
-    def waits(self, ref: str) -> list[str]:
-        """The jobs that it waits for."""
-        return list(self.unmet.get(ref, ()))
+    def dependencies_of(self, job_id: str) -> list[str]:
+        """The unmet dependencies of a job."""
+        return list(self.unmet_dependencies.get(job_id, ()))
 
-    def after(self, ref: str) -> list[str]:
-        """Waiting jobs that name it."""
-        return list(self._after.get(ref, ()))
+    def dependents_of(self, job_id: str) -> list[str]:
+        """The blocked jobs that depend on a job."""
+        return list(self._dependents.get(job_id, ()))
 
-    def done(self, ref: str) -> tuple[list[str], list[str]]:
-        """Its end is recorded: the jobs that named it, and those of them that wait for nobody now."""
-        self.unknown.pop(ref, None)
-        named = list(self._after.pop(ref, ()))
+    def complete(self, job_id: str) -> CompletionOutcome:
+        """The job's completion is recorded."""
+        self.unresolved.pop(job_id, None)
+        dependents = list(self._dependents.pop(job_id, ()))
         released = []
-        for after in named:
-            left = self.unmet[after]
-            del left[ref]
-            if not left:
-                del self.unmet[after]
-                released.append(after)
-        return named, released
-
-    def cancelled(self, ref: str) -> list[str]:
-        """It is cancelled: all that need it, directly or through others, each after those that it needs of them."""
-        self.unknown.pop(ref, None)
+        for dependent in dependents:
+            unmet = self.unmet_dependencies[dependent]
+            del unmet[job_id]
+            if not unmet:
+                del self.unmet_dependencies[dependent]
+                released.append(dependent)
+        return CompletionOutcome(dependents, released)
+
+    def cancel(self, job_id: str) -> list[str]:
+        """The job is cancelled, and with it all that depend on it, directly or through others.
+
+        Returns those, each after the ones of them that it depends on.
+        """
+        self.unresolved.pop(job_id, None)
         found: dict[str, None] = {}
-        left = [ref]
-        while left:
-            for after in self._after.get(left.pop(), ()):
-                if after not in found:
-                    found[after] = None
-                    left.append(after)
-        for after in found:
-            self.leave(after)
-        self.leave(ref)
-        self._after.pop(ref, None)
+        to_visit = [job_id]
+        while to_visit:
+            for dependent in self._dependents.get(to_visit.pop(), ()):
+                if dependent not in found:
+                    found[dependent] = None
+                    to_visit.append(dependent)
+        for dependent in found:
+            self.remove(dependent)
+        self.remove(job_id)
+        self._dependents.pop(job_id, None)
         return list(found)
 
-    def leave(self, ref: str) -> None:
-        """It waits no more: it was cancelled."""
-        for need in self.unmet.pop(ref, ()):
-            named = self._after.get(need)
-            if named is not None:
-                named.pop(ref, None)
-                self.stale[need] = None  # what it gave is taken back
-                if not named:
-                    del self._after[need]
-                    self.unknown.pop(need, None)
-
-    def wanted(self, ref: str, of: Callable[[str], tuple[Urgency, int]]) -> Urgency | None:
-        """What the jobs that name it ask of it; None if there is none.
-
-        `of`: a waiting job's own urgency, with what was asked of it, and the time that it will take once released.
+    def remove(self, job_id: str) -> None:
+        """The job is blocked no more: it was cancelled."""
+        for dependency in self.unmet_dependencies.pop(job_id, ()):
+            dependents = self._dependents.get(dependency)
+            if dependents is not None:
+                dependents.pop(job_id, None)
+                self.dirty[dependency] = None  # the urgency that it gave is revoked
+                if not dependents:
+                    del self._dependents[dependency]
+                    self.unresolved.pop(dependency, None)
+
+    def inherited_urgency(self, job_id: str, urgency_of: Callable[[str], tuple[Urgency, int]]) -> Urgency | None:
+        """The urgency that a job inherits from those that depend on it; None if there is none.
+
+        `urgency_of`: a blocked job's own urgency joined with what it inherits, and the time that it will take once
+        released.
         """
-        named = self._after.get(ref)
-        if not named:
+        dependents = self._dependents.get(job_id)
+        if not dependents:
             return None
-        rank = 1 << 30
-        dues: tuple[int, ...] = ()
-        for after in named:
-            urgency, span = of(after)
-            rank = min(rank, urgency.rank)
-            dues = earliest(dues, tuple(due - span for due in urgency.dues))
-        return Urgency(rank, dues)
+        rank = LOWEST_RANK
+        deadlines: tuple[int, ...] = ()
+        for dependent in dependents:
+            urgency, duration = urgency_of(dependent)
+            rank = min(rank, urgency.priority_rank)
+            deadlines = earlier(deadlines, tuple(deadline - duration for deadline in urgency.deadlines))
+        return Urgency(rank, deadlines)
--- a/oatport/control/queueing/dependency_tracker.py
+++ b/oatport/control/queueing/dependency_tracker.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from oatport.control.queueing.dependency_graph import DependencyGraph, Known, Urgency, earliest
+from oatport.control.queueing.dependency_graph import DependencyGraph, DependencyState, Urgency, earlier
 from oatport.control.state.job import NORMAL_RANK, PRIORITIES, Job, JobKind
 from oatport.control.storage.record_layout import cancel_key, waits_key
 from oatport.times import SECOND
@@ -38,13 +38,13 @@
 
     # --- waiting and release ------------------------------------------------------------------
 
-    def state_of(self, ref: str) -> Known:
+    def state_of(self, ref: str) -> DependencyState:
         job = self.cluster.jobs.get(ref)
         if job is not None:
-            return Known.CANCELLED if job.cancelled and not job.failure_reason else Known.OPEN
+            return DependencyState.CANCELLED if job.cancelled and not job.failure_reason else DependencyState.OPEN
         if ref in self.blocked_jobs:
-            return Known.OPEN
-        return Known.CANCELLED if ref in self.confirmed_cancellations else Known.UNKNOWN
+            return DependencyState.OPEN
+        return DependencyState.CANCELLED if ref in self.confirmed_cancellations else DependencyState.UNKNOWN
 
     def add_blocked(self, job: Job) -> None:
         """An accepted job that names others, no task of which was ever claimed."""
@@ -55,16 +55,16 @@
         ):
             return
         self.cluster.writes.versions[waits_key(job.job_id)] = job.version
-        self.graph.seen(job.job_id)
+        self.graph.mark_resolved(job.job_id)
         self.cluster.job_lifecycle.on_accepted(job)
         state = self.graph.add(job.job_id, job.dependencies, self.state_of)
         if job.job_id in self.confirmed_cancellations:
             self.blocked_jobs[job.job_id] = job
             self.cancel_blocked(job.job_id, 0)
-        elif state is Known.OPEN:
+        elif state is DependencyState.OPEN:
             self.blocked_jobs[job.job_id] = job
-            log.info("job %s waits for %s", job.job_id, named(self.graph.waits(job.job_id)))
-        elif state is Known.CANCELLED:
+            log.info("job %s waits for %s", job.job_id, named(self.graph.dependencies_of(job.job_id)))
+        elif state is DependencyState.CANCELLED:
             self._cancel_blocked(job)
         else:
             self._release(job)
@@ -78,18 +78,18 @@
 
     def on_completion_recorded(self, ref: str, at: int) -> None:
         """That it is done is recorded, since then (time of day)."""
-        after, released = self.graph.done(ref)
-        for name in after:
+        outcome = self.graph.complete(ref)
+        for name in outcome.dependents:
             job = self.blocked_jobs[name]
             job.eligible_at = max(job.eligible_at, at)
-        for name in released:
+        for name in outcome.released:
             self._release(self.blocked_jobs.pop(name))
 
     # --- cancellation -------------------------------------------------------------------------
 
     def cancel_dependents(self, ref: str) -> None:
         """It was cancelled, and with it all that need it."""
-        for name in self.graph.cancelled(ref):
+        for name in self.graph.cancel(ref):
             job = self.blocked_jobs.pop(name)
             log.info("job %s is cancelled with %s", name, ref)
             self._cancel_blocked(job)
@@ -109,7 +109,7 @@
         if job is None:
             return
         if not mark_version:
-            self.graph.leave(ref)
+            self.graph.remove(ref)
             self._cancel_blocked(job)
             return
         job.cancelled = True
@@ -135,42 +135,42 @@
         dues = tuple(self.cluster.objectives.deadlines_of(job))
         rank = stage_rank(job)
         if asked is not None:
-            rank = min(rank, asked.rank)
-            dues = earliest(dues, asked.dues)
+            rank = min(rank, asked.priority_rank)
+            dues = earlier(dues, asked.deadlines)
         return Urgency(rank, dues), self.cluster.predictor.run_time(
             ref, job.spec
         ) + self.cluster.catalog.image_fetch_us(job) + STEP
 
     def propagate_urgency(self) -> None:
         """Carry deadlines and priorities back, where jobs came or went. Each job once, however many need it."""
-        stale = self.graph.stale
+        stale = self.graph.dirty
         while stale:
             ref = next(iter(stale))
             del stale[ref]
             job = self.blocked_jobs.get(ref) or self.cluster.jobs.get(ref)
             if job is None:
                 continue
-            asked = self.graph.wanted(ref, self._urgency)
+            asked = self.graph.inherited_urgency(ref, self._urgency)
             if ref in self.blocked_jobs:
                 if asked != self.inherited_urgency.get(ref):
                     if asked is None:
                         del self.inherited_urgency[ref]
                     else:
                         self.inherited_urgency[ref] = asked
-                    stale.update(dict.fromkeys(self.graph.waits(ref)))
+                    stale.update(dict.fromkeys(self.graph.dependencies_of(ref)))
                 continue
             own = stage_rank(job)
-            rank = own if asked is None or job.kind is JobKind.SERVICE else min(own, asked.rank)
-            self.cluster.job_lifecycle.set_urgency(job, rank, list(asked.dues) if asked is not None else [])
+            rank = own if asked is None or job.kind is JobKind.SERVICE else min(own, asked.priority_rank)
+            self.cluster.job_lifecycle.set_urgency(job, rank, list(asked.deadlines) if asked is not None else [])
 
     def explain(self, ref: str) -> str:
         """What a waiting job waits for, in words; empty if it doesn't wait for others."""
         lost = [
             need
-            for need in self.graph.waits(ref)
+            for need in self.graph.dependencies_of(ref)
             if need in self.cluster.jobs and self.cluster.jobs[need].failure_reason
         ]
-        text = f"waits for {named(self.graph.waits(ref))}" if ref in self.blocked_jobs else ""
+        text = f"waits for {named(self.graph.dependencies_of(ref))}" if ref in self.blocked_jobs else ""
         return text + (f"; lost, so that it waits until it is cancelled: {named(lost)}" if lost else "")
 
 
--- a/oatport/control/state/job_lifecycle.py
+++ b/oatport/control/state/job_lifecycle.py
@@ -45,8 +45,8 @@
         job.unplaced_since = self.cluster.now or 1
         self.cluster.pending.add(job)
         self.cluster.planning_needed = True
-        self.cluster.dependencies.graph.seen(job.job_id)
-        self.cluster.dependencies.graph.stale[job.job_id] = None
+        self.cluster.dependencies.graph.mark_resolved(job.job_id)
+        self.cluster.dependencies.graph.dirty[job.job_id] = None
 
     def on_accepted(self, job: Job) -> None:
         """It was accepted."""
--- a/oatport/service/dependency_controller.py
+++ b/oatport/service/dependency_controller.py
@@ -32,8 +32,8 @@
         """Read unknown dependencies until the leader stops."""
         while not self._leader.stopped:
             await asyncio.sleep(INTERVAL_S)
-            await self._read(sorted(self.cluster.dependencies.graph.unknown))
-            if self.cluster.dependencies.graph.unknown:
+            await self._read(sorted(self.cluster.dependencies.graph.unresolved))
+            if self.cluster.dependencies.graph.unresolved:
                 await asyncio.sleep(REREAD_INTERVAL_S)  # accepted a moment ago: the watch brings it
 
     async def _read(self, unknown: list[str]) -> None:
@@ -58,4 +58,4 @@
         elif state == wire.JobStatus.CANCELLED:
             self.cluster.dependencies.cancel_dependents(job_id)
         elif state == wire.JobStatus.FAILED or job_id in self.cluster.jobs:
-            self.cluster.dependencies.graph.seen(job_id)
+            self.cluster.dependencies.graph.mark_resolved(job_id)
--- a/oatport/service/leader.py
+++ b/oatport/service/leader.py
@@ -250,7 +250,7 @@
         """Why a job waits, for operators."""
         waits = self.cluster.dependencies.explain(job_id)
         if waits:
-            waits_on = self.cluster.dependencies.graph.waits(job_id)[:100]
+            waits_on = self.cluster.dependencies.graph.dependencies_of(job_id)[:100]
             return {"job": job_id, "held": False, "why": waits, "waitsOn": waits_on}
         if self.window_controller is not None:
             return self.window_controller.explain(job_id)
--- a/oatport/simulation/mutations.py
+++ b/oatport/simulation/mutations.py
@@ -132,10 +132,10 @@
     with_needed = JobStatusCache._with_needed
 
     def direct(self: DependencyGraph, ref: str) -> list[str]:
-        found = self.after(ref)
+        found = self.dependents_of(ref)
         for after in found:
-            self.leave(after)
-        self._after.pop(ref, None)
+            self.remove(after)
+        self._dependents.pop(ref, None)
         return found
 
     async def one_step(self: JobStatusCache, ref: str, known: Any, fresh: bool) -> Any:
@@ -145,7 +145,7 @@
         return await with_needed(self, ref, known, fresh)
 
     def unseen(self: DependencyTracker, ref: str) -> None:
-        for name in self.graph.cancelled(ref):
+        for name in self.graph.cancel(ref):
             self._cancel_blocked(self.blocked_jobs.pop(name))
 
     def forgets(self: DependencyController, ref: str, state: str, ended: int) -> None:
@@ -153,7 +153,7 @@
             self.cluster.dependencies.on_completion_recorded(ref, ended)
 
     return [
-        patch.object(DependencyGraph, "cancelled", direct),
+        patch.object(DependencyGraph, "cancel", direct),
         patch.object(JobStatusCache, "_with_needed", one_step),
         patch.object(DependencyTracker, "cancel_dependents", unseen),
         patch.object(DependencyController, "_apply_state", forgets),
--- a/tests/cluster_fixture.py
+++ b/tests/cluster_fixture.py
@@ -227,7 +227,7 @@
 
     def look_up(self) -> None:
         """The leader reads how needed jobs stand of which it has no record."""
-        for ref in list(self.cluster.dependencies.graph.unknown):
+        for ref in list(self.cluster.dependencies.graph.unresolved):
             found = self.state.items.get(job_key(ref))
             record = found[0] if found else {}
             if record.get("state") == wire.JobStatus.COMPLETED:
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -10,7 +10,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from oatport import wire
-from oatport.control.queueing.dependency_graph import DependencyGraph, Known, Urgency
+from oatport.control.queueing.dependency_graph import DependencyGraph, DependencyState, Urgency
 from oatport.control.state.job import Job
 from oatport.control.storage.write_buffer import cancel_key, live_key, waits_key
 from oatport.settings import Team
@@ -379,18 +379,18 @@
     evaluated = 0
     graph = DependencyGraph()
     for number in range(3000):
-        graph.add(f"j-{number + 2}", ["j-1"], lambda ref: Known.OPEN)
-    graph.stale.clear()
+        graph.add(f"j-{number + 2}", ["j-1"], lambda ref: DependencyState.OPEN)
+    graph.dirty.clear()
     for number in range(1000):
-        graph.leave(f"j-{number + 2}")
-    assert list(graph.stale) == ["j-1"]
+        graph.remove(f"j-{number + 2}")
+    assert list(graph.dirty) == ["j-1"]
 
     def urgency_of(ref: str) -> Any:
         nonlocal evaluated
         evaluated += 1
         return Urgency(1, (5,)), 1
 
-    graph.wanted("j-1", urgency_of)
+    graph.inherited_urgency("j-1", urgency_of)
     assert evaluated == 2000
 
 
@@ -406,10 +406,13 @@
         self.dependencies: dict[str, list[str]] = {}
         self.state: dict[str, str] = {}  # waits, runs, done, cancelled
 
-    def known(self, ref: str) -> Known:
-        return {"waits": Known.OPEN, "runs": Known.OPEN, "done": Known.DONE, "cancelled": Known.CANCELLED}[
-            self.state[ref]
-        ]
+    def known(self, ref: str) -> DependencyState:
+        return {
+            "waits": DependencyState.OPEN,
+            "runs": DependencyState.OPEN,
+            "done": DependencyState.COMPLETED,
+            "cancelled": DependencyState.CANCELLED,
+        }[self.state[ref]]
 
     def cancelled(self, ref: str) -> bool:
         return self.state[ref] == "cancelled" or any(
@@ -428,15 +431,18 @@
             self.state[ref] = "runs"
             return
         outcome = self.graph.add(ref, self.dependencies[ref], self.known)
-        self.state[ref] = {Known.OPEN: "waits", Known.DONE: "runs", Known.CANCELLED: "cancelled"}[outcome]
+        self.state[ref] = {
+            DependencyState.OPEN: "waits",
+            DependencyState.COMPLETED: "runs",
+            DependencyState.CANCELLED: "cancelled",
+        }[outcome]
 
     @precondition(lambda self: "runs" in self.state.values())
     @rule(data=st.data())
     def end(self, data: st.DataObject) -> None:
         ref = data.draw(st.sampled_from([r for r, state in self.state.items() if state == "runs"]))
         self.state[ref] = "done"
-        _, released = self.graph.done(ref)
-        for name in released:
+        for name in self.graph.complete(ref).released:
             assert self.state[name] == "waits"
             self.state[name] = "runs"
 
@@ -445,7 +451,7 @@
     def cancel(self, data: st.DataObject) -> None:
         ref = data.draw(st.sampled_from([r for r, s in self.state.items() if s in ("runs", "waits")]))
         self.state[ref] = "cancelled"
-        for name in self.graph.cancelled(ref):
+        for name in self.graph.cancel(ref):
             assert self.state[name] == "waits"
             self.state[name] = "cancelled"
 
@@ -456,11 +462,13 @@
                 assert state == "cancelled"
             elif state == "waits":
                 assert not self.ready(ref)
-                assert set(self.graph.waits(ref)) == {n for n in self.dependencies[ref] if self.state[n] != "done"}
+                assert set(self.graph.dependencies_of(ref)) == {
+                    n for n in self.dependencies[ref] if self.state[n] != "done"
+                }
             else:
                 assert self.ready(ref)
-        assert set(self.graph.unmet) == {ref for ref, state in self.state.items() if state == "waits"}
-        assert not self.graph.unknown
+        assert set(self.graph.unmet_dependencies) == {ref for ref, state in self.state.items() if state == "waits"}
+        assert not self.graph.unresolved
 
 
 Model.TestCase.settings = hypothesis_settings(max_examples=60, stateful_step_count=30, deadline=None)
