--- a/oatport/simulation/runner.py
+++ b/oatport/simulation/runner.py
@@ -15,12 +15,13 @@
 from typing import Any
 
 from oatport.simulation import fault_plan
-from oatport.simulation.fault_interactions import fault_interaction_plan, state_outage_plan
+from oatport.simulation.fault_interactions import fault_interaction_plan
 from oatport.simulation.fault_plan import Plan
 from oatport.simulation.mutations import mutated
 from oatport.simulation.quota_scenarios import quota_plan
 from oatport.simulation.scenario_generator import random_plan, rolling_upgrade_plan, unreachable_machines_plan
 from oatport.simulation.simulation import RunResult, Simulation
+from oatport.simulation.state_outage_scenario import state_outage_plan
 
 AT_LIMIT_SHARE = 0.3  # of the time: a run in which no team was at its limit for so long says little of limits
 SHRINK_RUNS_MAX = 40  # runs to make a failing plan smaller
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -24,10 +24,10 @@
 from oatport.service.node import Node
 from oatport.service.peer_notifications import RECORDS_ARE_STALE
 from oatport.settings import Tuning
-from oatport.simulation.fault_interactions import state_outage_plan
 from oatport.simulation.fault_plan import Fault, Plan
 from oatport.simulation.mutations import mutated
 from oatport.simulation.simulation import RunResult, Simulation
+from oatport.simulation.state_outage_scenario import state_outage_plan
 from oatport.simulation.state_service import KeyStore
 from oatport.simulation.worker import Worker
 from oatport.times import SECOND, steady, with_drift
