--- a/oatport/service/background_tasks.py
+++ b/oatport/service/background_tasks.py
@@ -1,4 +1,4 @@
-"""Supervised background tasks: no failure goes unseen, and a failure of one task does not end the others.
+"""Supervised background tasks: no failure goes unnoticed, and a failure of one task does not end the others.
 
 This is no `asyncio.TaskGroup`: that cancels all its tasks when one of them fails, and waits for them where it is left.
 Here a loop that fails is logged and started again, since a leader that goes on without one of its loops for half a
--- a/oatport/service/cloud_controller.py
+++ b/oatport/service/cloud_controller.py
@@ -131,7 +131,7 @@
         try:
             await self.cloud.release([m.name for m in machines])
         except (NoResponseError, RequestRefusedError) as error:
-            log.info('release failed machines=%d error="%s"', len(machines), error)
+            log.info('release failed count=%d error="%s"', len(machines), error)
             return
         now = steady()
         for machine in machines:
--- a/oatport/service/command_sender.py
+++ b/oatport/service/command_sender.py
@@ -18,7 +18,7 @@
 
 
 class CommandSender:
-    """Sends what machines in `machines_to_command` are to be told, one request to each at a time."""
+    """Sends commands to the machines in `machines_to_command`, one request to each at a time."""
 
     def __init__(self, leader: LeaderContext, net: Network) -> None:
         self._leader = leader
--- a/oatport/service/completion_replication.py
+++ b/oatport/service/completion_replication.py
@@ -1,6 +1,6 @@
 """Replication of completions that no record has yet: from the leader to the other nodes, and to the next leader.
 
-A leader that ends loses what it received and did not record; what it told the other nodes is not lost
+A leader that ends loses what it received and did not record, but not what it replicated to the other nodes
 (`control/state/completions.py`).
 """
 
--- a/oatport/service/failover.py
+++ b/oatport/service/failover.py
@@ -4,6 +4,7 @@
 
 import asyncio
 import logging
+from dataclasses import dataclass
 from typing import Any
 
 from oatport.clients.http import NoResponseError, jitter
@@ -23,8 +24,16 @@
 INTRODUCTION_RETRY = SECOND
 
 
-async def read_records(state: StateClient) -> tuple[list[dict[str, Any]], int]:
-    """All that an earlier leader left: rows for `recovery.load`, and the revision to watch jobs from.
+@dataclass(frozen=True, slots=True)
+class RecordSnapshot:
+    """All that earlier leaders left: rows for `recovery.load`, and the revision to watch jobs from."""
+
+    rows: list[dict[str, Any]]
+    revision: int
+
+
+async def read_records(state: StateClient) -> RecordSnapshot:
+    """Read all records that a leader goes by.
 
     Raises NoResponseError or RequestRefusedError.
     """
@@ -40,7 +49,7 @@
     for row in (*live, *waits):
         if "more" in row["value"]:
             row["value"] = await read_whole(state, row["value"])
-    return rows + fleet + live + waits, revision
+    return RecordSnapshot(rows + fleet + live + waits, revision)
 
 
 async def read_whole(state: StateClient, value: Any) -> Any:
--- a/oatport/service/failure_detector.py
+++ b/oatport/service/failure_detector.py
@@ -1,4 +1,4 @@
-"""The failure detector: which machines are silent, whether it is they or this node that is cut off, and the verdict."""
+"""The failure detector: which machines are silent, whether they or this node are partitioned, and the verdict."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
         self._silent_us = leader.tuning.us("silent_s")
         self._peers_asked_at = 0  # about machines that were all silent at once
         self._peers_asked_about_commands_at = 0
-        self._node_suspected_at = NEVER  # when many were silent, and it was rather this node that was cut off
+        self._node_suspected_at = NEVER  # when many were silent, and it was rather this node that was partitioned
 
     async def loop(self) -> None:
         """Machines not heard from: probe them, ask the other nodes, and release the lost ones."""
@@ -70,7 +70,7 @@
             await self.partitions.step(now)
             return
         # Judged by all that are quiet: one by one they pass the mark, and those that came first were once
-        # released by a leader that was cut off.
+        # released by a leader that was partitioned itself.
         if partitioned or cut_off(len(quiet), connected):
             survey = await self.reachability.step_down_if_reached_by_peer(lost)
             if survey.reached_by is not None or not survey.most_reach_none:
@@ -104,7 +104,8 @@
         self.partitions.confirmed_at = steady()
         lost = [m for m in lost if m.zone not in partitioned_zones][:MACHINES_PER_RELEASE]
         if lost:
-            log.info("releasing silent machines machines=%s", ",".join(m.name for m in lost))
+            names = ",".join(machine.name for machine in lost)
+            log.info("releasing silent machines count=%d names=%s", len(lost), names)
             await self._release(lost, "silent")
         self._leader.wake()
 
--- a/oatport/service/heartbeat_controller.py
+++ b/oatport/service/heartbeat_controller.py
@@ -62,8 +62,8 @@
         # no start in it counts as sent.
         if is_outdated or not leader.holds_lease() or machine.releasing:
             # Tasks live on, but nothing starts while the state service can't be reached, or after a pause. What
-            # is to be returned is still told to stop: without the cloud's answer it may go on for long, and with
-            # every answer lives the lease of a task whose job's user was told that it is cancelled.
+            # is to be released is still sent stops: without the cloud's answer it may go on for long, and with
+            # every answer lives the lease of a task whose cancellation was confirmed to its user.
             commands = [command for command in commands if not isinstance(command, wire.StartCommand)]
             starts = []
         cluster.on_commands_sent(machine, starts, now, direct=False)
--- a/oatport/service/leader.py
+++ b/oatport/service/leader.py
@@ -130,11 +130,9 @@
 
     async def _load(self) -> None:
         asked_at = steady()  # cancellations confirmed while the records are read may not be among them
-        (rows, revision), earlier = await asyncio.gather(
-            read_records(self.state), self.node.completions_before(self.token)
-        )
-        await self._load_machine_types(types_recorded(rows))
-        load(self.cluster, rows, steady(), time_of_day())
+        snapshot, earlier = await asyncio.gather(read_records(self.state), self.node.completions_before(self.token))
+        await self._load_machine_types(types_recorded(snapshot.rows))
+        load(self.cluster, snapshot.rows, steady(), time_of_day())
         self.cluster.now = steady()
         self.cluster.apply_completions(earlier.completions)
         self.cluster.completions_unknown = not earlier.complete
@@ -142,7 +140,7 @@
             await self.window_controller.fail_over()
         self.lease_renewal_limit.known(asked_at)
         self.loaded = True
-        self.job_watch.begin(revision)
+        self.job_watch.begin(snapshot.revision)
 
     async def _load_machine_types(self, needed: set[str]) -> None:
         """The machine types: known to this node, recorded, or from the cloud.
--- a/oatport/service/network.py
+++ b/oatport/service/network.py
@@ -45,7 +45,7 @@
     def expect(self, machines: int, commands_per_s: float) -> None:
         """There are so many machines, and so many commands a second to them."""
 
-    def held(self) -> int:
+    def open_connections(self) -> int:
         """Connections that users, workers and other nodes hold."""
 
     def server(self, address: str, handler: Handler, body_limit: int = wire.MAX_BODY_BYTES) -> Listener:
@@ -64,7 +64,7 @@
         self._idle_timeout_us = MAX_IDLE_TIMEOUT
         self._replaced: set[asyncio.Task[None]] = set()
         self._servers: list[Server] = []
-        self._held, self._counted_at = 0, -COUNT_IS_VALID
+        self._open_connections, self._counted_at = 0, -COUNT_IS_VALID
 
     def open(self) -> None:
         """To be called in the event loop before anything else."""
@@ -106,13 +106,13 @@
             except Exception:
                 log.exception("closing connections to workers failed")
 
-    def held(self) -> int:
+    def open_connections(self) -> int:
         """Connections that users, workers and other nodes hold."""
         # Counting takes as long as there are connections, and every user's request asks.
         now = steady()
         if now - self._counted_at > COUNT_IS_VALID:
-            self._held, self._counted_at = sum(server.held for server in self._servers), now
-        return self._held
+            self._open_connections, self._counted_at = sum(server.held for server in self._servers), now
+        return self._open_connections
 
     def server(self, address: str, handler: Handler, body_limit: int = wire.MAX_BODY_BYTES) -> Listener:
         """A listener that is yet to be started."""
--- a/oatport/service/node.py
+++ b/oatport/service/node.py
@@ -163,7 +163,7 @@
         """Answer a request of a worker or a user."""
         if path == wire.HEARTBEAT_PATH:
             return await handle_report(self, method, body)
-        connections = self.net.held()
+        connections = self.net.open_connections()
         if self.connection_budget.is_exhausted(connections) and path != wire.READY_PATH:
             return Answer(503, {"error": "no connections left"}, dict(OVERLOADED))
         answer = await self.users.handle(method, path, body)
--- a/oatport/service/partition_controller.py
+++ b/oatport/service/partition_controller.py
@@ -52,7 +52,8 @@
         still_partitioned = [m for m in leaving if m.zone in leader.cluster.partitioned_zones and not m.removed]
         leaving = still_partitioned[:MACHINES_PER_RELEASE]
         if leaving:
-            log.info("releasing partitioned machines machines=%s", ",".join(m.name for m in leaving))
+            names = ",".join(machine.name for machine in leaving)
+            log.info("releasing partitioned machines count=%d names=%s", len(leaving), names)
             await self._release(leaving, "partitioned")
 
     def _machines_to_release(self, now: int) -> list[Machine]:
@@ -60,7 +61,7 @@
         if not cluster.partitioned_zones:
             return []
         leaving = self._evacuation.machines_to_release(now, self._zones_with_proxy())
-        # A leader that was partitioned along answers for so long, and nobody can ask it what it was told.
+        # A leader that was partitioned along with them answers for so long, and nobody can ask what it received.
         answered_until = leader.led_since + micros(leader.settings.cluster.workers.cancel_s)
         return [m for m in leaving if not cluster.may_report_unknown_completions(m, now, answered_until)]
 
--- a/oatport/service/reachability.py
+++ b/oatport/service/reachability.py
@@ -93,19 +93,19 @@
         if any(m.last_heartbeat_at >= asked_at for m in machines):
             return PeerSurvey(None, survey.most_reach_none)
         if survey.reached_by is not None:
-            log.warning("machines are silent to this node only machines=%d peer=%s", len(machines), survey.reached_by)
-            self._step_down(machines, f"cut off from workers; {survey.reached_by} sees them")
+            log.warning("machines are silent to this node only count=%d peer=%s", len(machines), survey.reached_by)
+            self._step_down(machines, f"workers are silent to this node, {survey.reached_by} reaches them")
         return survey
 
     async def step_down_if_commands_reach_from_peer(self, machines: list[Machine]) -> None:
-        """Many machines are heard and commands don't reach them: another node that reaches them should rather lead."""
+        """Step down if another node reaches these machines, which are heard from and which commands do not reach."""
         survey = await self.survey_peers(machines)
         unreachable = sum(machine.command_unreachable for machine in machines)
         if survey.reached_by is not None and cut_off(unreachable, machines):
             log.warning(
-                "commands of this node do not reach machines machines=%d peer=%s", len(machines), survey.reached_by
+                "commands of this node do not reach machines count=%d peer=%s", len(machines), survey.reached_by
             )
-            self._step_down(machines, f"workers don't hear this node; {survey.reached_by} reaches them")
+            self._step_down(machines, f"commands of this node do not reach workers, {survey.reached_by} reaches them")
 
     def _step_down(self, machines: list[Machine], reason: str) -> None:
         node = self._leader.node
--- a/oatport/service/state_service_contact.py
+++ b/oatport/service/state_service_contact.py
@@ -23,7 +23,7 @@
 
 
 class StateServiceContact:
-    """Renews the leader lease, and knows whether the state service answers."""
+    """Renews the leader lease, and tells whether the state service answers."""
 
     def __init__(self, node: NodeContext, election: Election, handover: LeadershipHandover) -> None:
         self._node = node
@@ -49,7 +49,7 @@
                 if leader is self._election.leader:
                     self._election.step_down("the lease expired")
             except (NoResponseError, RequestRefusedError) as error:
-                log.debug("state service does not answer error=%s", error)
+                log.debug('state service does not answer error="%s"', error)
                 await asyncio.sleep(jitter(RETRY_INTERVAL))
                 continue
             interval = self._lease_us // RENEWALS_PER_LEASE if leader is not None else CHECK_INTERVAL
--- a/oatport/simulation/network.py
+++ b/oatport/simulation/network.py
@@ -346,7 +346,7 @@
     def expect(self, machines: int, a_second: float) -> None:
         pass  # connections are not counted here
 
-    def held(self) -> int:
+    def open_connections(self) -> int:
         return 0
 
     def server(self, address: str, handler: Handler, body_limit: int = wire.MAX_BODY_BYTES) -> _Listener:
--- a/tests/test_connection_budget.py
+++ b/tests/test_connection_budget.py
@@ -46,7 +46,7 @@
     node.state = FakeStateClient(KeyStore(lambda: 0))  # type: ignore[assignment]
     most = node.settings.cluster.resources.sockets
     held = 0
-    node.net.held = lambda: held  # type: ignore[method-assign]
+    node.net.open_connections = lambda: held  # type: ignore[method-assign]
     poll = ("GET", f"{wire.SUBMISSIONS_PATH}/j-000001", Body(None))
     assert (await node.handle(*poll)).headers == {}  # type: ignore[arg-type]
     held = most - node.connection_budget.concurrent_calls - 10
--- a/tests/test_process_pauses.py
+++ b/tests/test_process_pauses.py
@@ -17,6 +17,7 @@
 from oatport.control.storage.recovery import command_unreachable, cut_off, silent
 from oatport.service import heartbeat_controller
 from oatport.service import leader as lead_module
+from oatport.service.failover import RecordSnapshot
 from oatport.service.node import Node
 from oatport.service.peer_status import StateServiceStatus
 from oatport.settings import Peer, Tuning
@@ -263,9 +264,9 @@
     lead, _, _ = leader(state)
     began = clock.at
 
-    async def slow(*_: Any) -> tuple[list[dict[str, Any]], int]:
+    async def slow(*_: Any) -> RecordSnapshot:
         clock.at += 4 * SECOND
-        return [], 0
+        return RecordSnapshot([], 0)
 
     monkeypatch.setattr(lead_module, "read_records", slow)
     monkeypatch.setattr(lead.background, "keep", lambda *_: None)  # none of its loops is what is looked at
