--- a/oatport/control/placement/preemption.py
+++ b/oatport/control/placement/preemption.py
@@ -88,7 +88,7 @@
         """Best-effort tasks give way at once; of others a few are stopped at a time."""
         if job.kind is JobKind.GANG:
             return 1
-        best_effort = self._cluster.tasks_by_priority[IDLE_RANK] > 0 and not for_guarantee
+        best_effort = self._cluster.tasks.bound_by_priority[IDLE_RANK] > 0 and not for_guarantee
         return min(job.pending, TASKS_PER_BEST_EFFORT_ROUND if best_effort else TASKS_PER_ROUND)
 
     def _stop(self, victim: Task) -> None:
@@ -96,11 +96,11 @@
         stopped = victim.job.tasks.values() if victim.job.kind is JobKind.GANG else (victim,)
         for task in list(stopped):
             if task.phase is TaskPhase.BOUND:
-                self._cluster.stop(task, victim.job.spec.stop_grace_s)
+                self._cluster.tasks.stop(task, victim.job.spec.stop_grace_s)
 
     def _may_preempt(self, job: Job, now: int) -> bool:
         """Is there anybody at all whom it may stop? If only later, that is when to look again."""
-        tasks_by_priority = self._cluster.tasks_by_priority
+        tasks_by_priority = self._cluster.tasks.bound_by_priority
         if any(tasks_by_priority[job.priority_rank + 1 :]):
             return True
         if not job.within_guarantee or not tasks_by_priority[job.priority_rank]:
@@ -140,7 +140,7 @@
         for task in sorted(lower, key=lambda t: (-t.job.priority_rank, now - (t.running_since or now), t.name)):
             if task.stop_grace_s is None and shortfall.is_reduced_by(task):
                 shortfall.subtract([task])
-                self._cluster.stop(task, task.job.spec.stop_grace_s)
+                self._cluster.tasks.stop(task, task.job.spec.stop_grace_s)
 
     def _lower_tasks_of_team(self, job: Job) -> list[Task]:
         """Array tasks of the team with a lower priority that may be stopped."""
--- a/oatport/control/queueing/deadlines.py
+++ b/oatport/control/queueing/deadlines.py
@@ -25,8 +25,8 @@
     Its deadline, multiples of it, its class's completion objectives, and what jobs that depend on it leave for it.
     """
     if job.deadlines is None:
-        times = cluster.own_deadlines(job)
-        objectives = cluster.completion_objectives.get(job.spec.job_class, ())
+        times = cluster.objectives.deadlines_of(job)
+        objectives = cluster.objectives.completion_within.get(job.spec.job_class, ())
         times += [job.eligible_at + within for within in objectives]
         job.deadlines = sorted(times + job.inherited_deadlines)
     return job.deadlines
@@ -39,7 +39,7 @@
 
     One without a deadline whose class should start by a certain time is wanted when it would end then.
     """
-    start = cluster.start_objectives.get(job.spec.job_class)
+    start = cluster.objectives.start_within.get(job.spec.job_class)
     within = DEFAULT_DEADLINE if start is None else min(start + predicted_runtime, DEFAULT_DEADLINE)
     job.deadline_at = deadlines[0] if deadlines else job.eligible_at + within
     job.deadline_missed = job.suspected_faulty
@@ -70,7 +70,7 @@
         job.predicted_runtime = cluster.predictor.run_time(job.job_id, job.spec)
         set_attainable_deadline(cluster, job, deadlines, job.predicted_runtime, wall)
         if deadlines and not job.suspected_faulty:
-            group = (job.priority_rank, cluster.preferred_type_names(job))
+            group = (job.priority_rank, cluster.catalog.preferred_type_names(job))
             groups.setdefault(group, []).append(DeadlineCandidate(job, deadlines))
     for (_, type_names), candidates in groups.items():
         pool = joint_pool(pools, type_names)
--- a/oatport/control/scaling/offering_selector.py
+++ b/oatport/control/scaling/offering_selector.py
@@ -6,9 +6,9 @@
 from dataclasses import dataclass, field
 
 from oatport import wire
+from oatport.control.scaling.capacity_slot import CapacitySlot
 from oatport.control.scaling.cloud_availability import CloudAvailability, Offering
 from oatport.control.scaling.demand import Demand
-from oatport.control.scaling.incoming_capacity import CapacitySlot
 from oatport.control.state.capacity import task_slots_when_empty
 from oatport.control.state.cluster_state import ClusterState
 from oatport.control.state.job import Job, JobKind
@@ -61,7 +61,7 @@
         best: tuple[wire.MachineType, str] | None = None
         best_key: tuple[float, float] | None = None
         costs: dict[str, float] = {}
-        for machine_type in self.cluster.feasible_types(job):
+        for machine_type in self.cluster.catalog.feasible_types(job):
             cost = costs[machine_type.name] = self._cost_per_task(machine_type, demand, runtime)
             for zone in machine_type.zones:
                 if not self._can_rent(demand, machine_type, zone, now):
@@ -95,7 +95,7 @@
 
     def _is_unreachable(self, zone: str, now: int) -> bool:
         """A partitioned zone: after a while one machine at a time is rented there, to find out."""
-        since = self.cluster.partitioned_zones.get(zone)
+        since = self.cluster.zones.partitioned.get(zone)
         if since is None:
             return False
         return (
--- a/oatport/service/cluster_status.py
+++ b/oatport/service/cluster_status.py
@@ -9,7 +9,7 @@
 
 def status_line(cluster: ClusterState, capacity_planner: CapacityPlanner, now: int) -> str:
     """How things stand; all of it was counted on other occasions."""
-    utilization, availability = cluster.utilization, capacity_planner.availability
+    utilization, availability = cluster.accounting.utilization, capacity_planner.availability
     values = {
         "machines_up": utilization.up,
         "spot_machines_up": utilization.up_spot,
@@ -23,5 +23,5 @@
         "rent_requests_in_flight": len(availability.requests_in_flight),
         "offerings_refused": availability.refused_count(now),
     }
-    values |= {f"cost_{use}": f"{cost:.2f}" for use, cost in sorted(cluster.cost_by_use.items())}
+    values |= {f"cost_{use}": f"{cost:.2f}" for use, cost in sorted(cluster.accounting.cost_by_use.items())}
     return " ".join(f"{name}={value}" for name, value in values.items())
--- a/oatport/service/completion_replication.py
+++ b/oatport/service/completion_replication.py
@@ -65,7 +65,7 @@
         while True:
             leader = self._node.leader
             if leader is not None and leader.loaded:
-                new = leader.cluster.take_new_completions()
+                new = leader.cluster.completions.take_new()
                 if new or leader.token != announced_token:
                     announced_token = leader.token
                     message = ReplicateCompletions(leader.token, new)
@@ -75,7 +75,7 @@
 
     def on_deposed(self, leader: Leader) -> None:
         """Send what a leader leaves unrecorded to the others, who may not be reached just now."""
-        unrecorded = leader.cluster.completions_to_replicate()
+        unrecorded = leader.cluster.completions.to_replicate()
         self.log.note(leader.token, unrecorded)
         if unrecorded:
             message = ReplicateCompletions(leader.token, unrecorded)
--- a/oatport/service/dependency_controller.py
+++ b/oatport/service/dependency_controller.py
@@ -32,8 +32,8 @@
         """Read unknown dependencies until the leader stops."""
         while not self._leader.stopped:
             await asyncio.sleep(INTERVAL_S)
-            await self._read(sorted(self.cluster.dependency_graph.unknown))
-            if self.cluster.dependency_graph.unknown:
+            await self._read(sorted(self.cluster.dependencies.graph.unknown))
+            if self.cluster.dependencies.graph.unknown:
                 await asyncio.sleep(REREAD_INTERVAL_S)  # accepted a moment ago: the watch brings it
 
     async def _read(self, unknown: list[str]) -> None:
@@ -54,8 +54,8 @@
     def _apply_state(self, job_id: str, state: str, ended: int) -> None:
         """Its record says so: a terminal state holds for good, anything else may have changed since."""
         if state == wire.JobStatus.COMPLETED:
-            self.cluster.on_completion_recorded(job_id, ended)
+            self.cluster.dependencies.on_completion_recorded(job_id, ended)
         elif state == wire.JobStatus.CANCELLED:
-            self.cluster.cancel_dependents(job_id)
+            self.cluster.dependencies.cancel_dependents(job_id)
         elif state == wire.JobStatus.FAILED or job_id in self.cluster.jobs:
-            self.cluster.dependency_graph.seen(job_id)
+            self.cluster.dependencies.graph.seen(job_id)
--- a/oatport/service/heartbeat_controller.py
+++ b/oatport/service/heartbeat_controller.py
@@ -50,14 +50,14 @@
         machine = self.receive(report, now)
         if machine is None:
             return wire.heartbeat_response(leader.token, [])
-        cluster.on_heartbeat_delivered(machine, report)
+        cluster.commands.on_heartbeat_delivered(machine, report)
         if machine.command_unreachable:
             self._probe([machine], now)
-        if cluster.must_let_lease_expire(machine, now):
+        if cluster.commands.must_let_lease_expire(machine, now):
             # A start of a cancelled job may be on its way there.
             log.warning("lease is left to expire machine=%s", machine.name)
             return None
-        commands, starts = cluster.commands_for(machine, now, direct=False)
+        commands, starts = cluster.commands.for_machine(machine, now, direct=False)
         # A late copy of a report, or one that a command's answer overtook: where the answer goes isn't known, so that
         # no start in it counts as sent.
         if is_outdated or not leader.holds_lease() or machine.releasing:
@@ -66,7 +66,7 @@
             # every answer lives the lease of a task whose cancellation was confirmed to its user.
             commands = [command for command in commands if not isinstance(command, wire.StartCommand)]
             starts = []
-        cluster.on_commands_sent(machine, starts, now, direct=False)
+        cluster.commands.on_sent(machine, starts, now, direct=False)
         if not self._command_sender.is_sending(machine):
             cluster.machines_to_command.discard(machine)
         return wire.heartbeat_response(leader.token, commands)
@@ -82,7 +82,7 @@
     def receive(self, report: wire.Heartbeat, now: int) -> Machine | None:
         """Take in what a machine reports; None if it is unknown and can't be added."""
         cluster = self._leader.cluster
-        machine = cluster.on_heartbeat(report, now, time_of_day())
+        machine = cluster.heartbeats.receive(report, now, time_of_day())
         if cluster.quotas.unknown:
             self._orphaned_job_lookup.look_up()
         self._leader.wake()
--- a/oatport/service/orphaned_job_lookup.py
+++ b/oatport/service/orphaned_job_lookup.py
@@ -38,6 +38,6 @@
         finally:
             self.in_flight.discard(job_id)
         spec = None if found is None else read_job(found[0])[0]
-        self._leader.cluster.resolve_orphaned_attempts(job_id, spec)
+        self._leader.cluster.orphans.resolve(job_id, spec)
         self.look_up()
         self._leader.wake()
--- a/oatport/service/reachability.py
+++ b/oatport/service/reachability.py
@@ -55,7 +55,7 @@
     async def _probe(self, machine: Machine) -> None:
         try:
             report = await WorkerClient(self._net, machine.address, Keep.ONCE).show()
-            self._leader.cluster.on_contact(machine)
+            self._leader.cluster.commands.on_contact(machine)
             self._leader.receive_heartbeat(report, steady())
         except NoResponseError:
             pass
--- a/oatport/service/scaling_controller.py
+++ b/oatport/service/scaling_controller.py
@@ -45,7 +45,7 @@
 
     async def _step(self, now: int) -> None:
         leader = self._leader
-        if now - self._catalog_at > (CATALOG_INTERVAL if leader.cluster.types else CATALOG_RETRY):
+        if now - self._catalog_at > (CATALOG_INTERVAL if leader.cluster.catalog.types else CATALOG_RETRY):
             self._catalog_at = now
             leader.background.once("catalog", self._cloud_controller.refresh_catalog())
         if self._view_is_complete(now) and not leader.decisions_paused(now):
@@ -75,10 +75,10 @@
     def _rebalance(self, now: int) -> None:
         cluster = self._leader.cluster
         replicas = sum(job.on_machines for job in cluster.jobs.values() if job.kind is JobKind.SERVICE)
-        cluster.replica_us += replicas * (now - self._rebalanced_at) if self._rebalanced_at else 0
+        cluster.accounting.replica_us += replicas * (now - self._rebalanced_at) if self._rebalanced_at else 0
         self._rebalanced_at = now
         for task in self._capacity_planner.rebalancer.replicas_to_move(now):
-            cluster.stop(task, 0.0)
+            cluster.tasks.stop(task, 0.0)
         self._leader.wake()
 
     def _view_is_complete(self, now: int) -> bool:
--- a/oatport/service/window_controller.py
+++ b/oatport/service/window_controller.py
@@ -45,11 +45,11 @@
         """
         found = await self._leader.state.get(KEY)
         if found is not None:
-            self._leader.cluster.versions[KEY] = found[1]
+            self._leader.cluster.writes.versions[KEY] = found[1]
             if isinstance(found[0], dict):
                 self.book.load(found[0].get("book"), self.wall())
                 self.holder.set_up(found[0])
-        self._leader.cluster.singleton_records[KEY] = self.record
+        self._leader.cluster.writes.singleton_records[KEY] = self.record
         now = self.wall()
         for job in sorted(self._leader.cluster.jobs.values(), key=lambda job: (job.submitted_at, job.job_id)):
             self.holder.joined(job, now)
@@ -91,7 +91,7 @@
         now = steady()
         if self.book.version != self._written[0] or now - self._written[1] > WRITE_INTERVAL:
             if self.book.read_at or self.holder.margins:
-                self._leader.cluster.dirty_keys[KEY] = None
+                self._leader.cluster.writes.dirty_keys[KEY] = None
             self._written = self.book.version, now
         self._leader.wake()
 
--- a/tests/test_retry_policy.py
+++ b/tests/test_retry_policy.py
@@ -47,7 +47,12 @@
     other = world.machine(7)
     for _ in range(8):
         world.step(1.0)
-    starts = [key for worker in [*world.workers.values(), *RELEASED] for key in worker.starts if key[0].startswith(ref)]
+    starts = [
+        key
+        for worker in [*world.workers.values(), *RELEASED]
+        for key in worker.started_attempts
+        if key[0].startswith(ref)
+    ]
     assert other
     return world.record(ref), len(starts)
 
@@ -85,7 +90,7 @@
 
 def failed(world: World, worker: Worker) -> None:
     for task in worker.tasks.values():
-        task.status, task.why = "ended", wire.ExitReason.ERROR
+        task.status, task.exit_reason = "ended", wire.ExitReason.ERROR
     world.step(0.5)
 
 
@@ -163,10 +168,10 @@
         world.released(worker.name)
         assert world.cluster.jobs[ref].failure_reason
         if committed:
-            batch = world.cluster.take_batch(12)
+            batch = world.cluster.writes.take_batch(12)
             status, value = world.state.commit(world.transaction(batch))
             assert status == 200
-            world.cluster.committed(batch, value["ledgerRev"], world.now)
+            world.cluster.writes.committed(batch, value["ledgerRev"], world.now)
         world.fail_over()
         if not committed:  # the new leader finds the machine silent, and releases it once more
             world.cluster.on_machine_removed(world.cluster.machines[worker.name], world.now, "silent")
@@ -178,7 +183,7 @@
     world, ref, worker = running(RetryPolicy.BEFORE_START, legs=4)
     other = world.machine(2)
     world.settle(2)
-    assert [key for key in other.starts if key[0].startswith(ref)]
+    assert [key for key in other.started_attempts if key[0].startswith(ref)]
     RELEASED.append(worker)
     world.released(worker.name)
     world.commit()
@@ -213,7 +218,7 @@
     client = FakeStateClient(world.state)
 
     class Back:
-        types = world.cluster.types
+        types = world.cluster.catalog.types
         job_progress: dict[str, tuple[int, int]] = {}  # noqa: RUF012
 
         def ready(self) -> bool:
