--- a/oatport/service/leader.py
+++ b/oatport/service/leader.py
@@ -131,11 +131,9 @@
 
     async def _load(self) -> None:
         asked_at = steady()  # cancellations confirmed while the records are read may not be among them
-        (rows, revision), earlier = await asyncio.gather(
-            read_records(self.state), self.node.completions_before(self.token)
-        )
-        await self._load_machine_types(recorded_machine_types(rows))
-        load_cluster(self.cluster, rows, steady(), time_of_day())
+        snapshot, earlier = await asyncio.gather(read_records(self.state), self.node.completions_before(self.token))
+        await self._load_machine_types(recorded_machine_types(snapshot.rows))
+        load_cluster(self.cluster, snapshot.rows, steady(), time_of_day())
         self.cluster.now = steady()
         self.cluster.completions.apply(earlier.completions)
         self.cluster.completions.earlier_may_be_lost = not earlier.complete
@@ -143,7 +141,7 @@
             await self.window_controller.fail_over()
         self.lease_renewal_limit.known(asked_at)
         self.loaded = True
-        self.job_watch.begin(revision)
+        self.job_watch.begin(snapshot.revision)
 
     async def _load_machine_types(self, needed: set[str]) -> None:
         """The machine types: known to this node, recorded, or from the cloud.
@@ -251,7 +249,7 @@
         """Why a job waits, for operators."""
         waits = self.cluster.dependencies.explain(job_id)
         if waits:
-            waits_on = self.cluster.dependencies.graph.waits(job_id)[:100]
+            waits_on = self.cluster.dependencies.graph.dependencies_of(job_id)[:100]
             return {"job": job_id, "held": False, "why": waits, "waitsOn": waits_on}
         if self.window_controller is not None:
             return self.window_controller.explain(job_id)
