--- a/oatport/control/state/job_lifecycle.py
+++ b/oatport/control/state/job_lifecycle.py
@@ -10,7 +10,7 @@
 from oatport.control.state.cancellations import answers_until
 from oatport.control.state.job import DeferredStart, Job, JobKind
 from oatport.control.state.task import Task, TaskPhase
-from oatport.control.storage.write_buffer import cancel_key, live_key
+from oatport.control.storage.keys import cancel_key, live_key
 
 if TYPE_CHECKING:
     from oatport.control.state.cluster_state import ClusterState
@@ -45,8 +45,8 @@
         job.unplaced_since = self.cluster.now or 1
         self.cluster.pending.add(job)
         self.cluster.planning_needed = True
-        self.cluster.dependencies.graph.seen(job.job_id)
-        self.cluster.dependencies.graph.stale[job.job_id] = None
+        self.cluster.dependencies.graph.mark_resolved(job.job_id)
+        self.cluster.dependencies.graph.dirty[job.job_id] = None
 
     def on_accepted(self, job: Job) -> None:
         """It was accepted."""
--- a/oatport/service/failover.py
+++ b/oatport/service/failover.py
@@ -4,6 +4,7 @@
 
 import asyncio
 import logging
+from dataclasses import dataclass
 from typing import Any
 
 from oatport import wire
@@ -11,9 +12,16 @@
 from oatport.clients.state import StateClient
 from oatport.clients.worker import WorkerClient
 from oatport.control.state.machine import Machine
-from oatport.control.storage.overflow_records import more_key, whole_lists
-from oatport.control.storage.schema_version import FORMATS_KEY
-from oatport.control.storage.write_buffer import DARK_KEY, FLEET, LIVE, MODEL_KEY, WAITS
+from oatport.control.storage.keys import (
+    BLOCKED,
+    FLEET,
+    LIVE,
+    MODEL_KEY,
+    PARTITIONED_ZONES_KEY,
+    SCHEMA_VERSION_KEY,
+    overflow_key,
+)
+from oatport.control.storage.overflow_records import with_overflow
 from oatport.service.leader_context import LeaderContext
 from oatport.service.network import Network
 from oatport.times import SECOND, steady
@@ -24,17 +32,25 @@
 INTRODUCTION_RETRY = SECOND
 
 
-async def read_records(state: StateClient) -> tuple[list[wire.StoredEntry], int]:
-    """All that an earlier leader left: rows for `recovery.load`, and the revision to watch jobs from.
+@dataclass(frozen=True, slots=True)
+class RecordSnapshot:
+    """All that earlier leaders left: rows for `recovery.load`, and the revision to watch jobs from."""
+
+    rows: list[wire.StoredEntry]
+    revision: int
+
+
+async def read_records(state: StateClient) -> RecordSnapshot:
+    """Read all records that a leader goes by.
 
     Raises NoResponseError or RequestRefusedError.
     """
     live, revision = await state.list_prefix(LIVE)
     # After `live/`: only a leader moves a job from here to there, and no other one can any more.
-    waits, _ = await state.list_prefix(WAITS)
+    waits, _ = await state.list_prefix(BLOCKED)
     fleet, _ = await state.list_prefix(FLEET)
     rows, _ = await state.list_prefix(MODEL_KEY)
-    for key in (DARK_KEY, FORMATS_KEY):
+    for key in (PARTITIONED_ZONES_KEY, SCHEMA_VERSION_KEY):
         found = await state.get(key)
         if found is not None:
             rows.append(wire.StoredEntry(key, *found))
@@ -42,7 +58,7 @@
         for number, entry in enumerate(entries):
             if "more" in entry.value:
                 entries[number] = entry._replace(value=await read_whole(state, entry.value))
-    return rows + fleet + live + waits, revision
+    return RecordSnapshot(rows + fleet + live + waits, revision)
 
 
 async def read_whole(state: StateClient, value: Any) -> Any:
@@ -50,13 +66,13 @@
     count, job_id = int(value["more"][0]), str(value["job"]["ref"])
     parts = []
     for number in range(count):
-        found = await state.get(more_key(job_id, number))
+        found = await state.get(overflow_key(job_id, number))
         if found is None:
             raise NoResponseError(
-                f"{more_key(job_id, number)} is missing"
+                f"{overflow_key(job_id, number)} is missing"
             )  # it was written before its job was accepted
         parts.append(found[0])
-    return whole_lists(value, parts)
+    return with_overflow(value, parts)
 
 
 def introduce_all(leader: LeaderContext, net: Network) -> None:
--- a/oatport/service/reachability.py
+++ b/oatport/service/reachability.py
@@ -8,9 +8,9 @@
 
 from oatport.clients.http import ConnectionReuse, NoResponseError, RequestRefusedError
 from oatport.clients.worker import WorkerClient
+from oatport.control.leadership.failure_detection import is_isolated
 from oatport.control.state.machine import Machine
-from oatport.control.storage.recovery import cut_off
-from oatport.control.storage.write_buffer import LEADER_KEY
+from oatport.control.storage.keys import LEADER_KEY
 from oatport.peer_messages import ProbeResult, ProbeWorkers
 from oatport.service.leader_context import LeaderContext
 from oatport.service.network import Network
@@ -93,19 +93,19 @@
         if any(m.last_heartbeat_at >= asked_at for m in machines):
             return PeerSurvey(None, survey.most_reach_none)
         if survey.reached_by is not None:
-            log.warning("machines are silent to this node only machines=%d peer=%s", len(machines), survey.reached_by)
-            self._step_down(machines, f"cut off from workers; {survey.reached_by} sees them")
+            log.warning("machines are silent to this node only count=%d peer=%s", len(machines), survey.reached_by)
+            self._step_down(machines, f"workers are silent to this node, {survey.reached_by} reaches them")
         return survey
 
     async def step_down_if_commands_reach_from_peer(self, machines: list[Machine]) -> None:
-        """Many machines are heard and commands don't reach them: another node that reaches them should rather lead."""
+        """Step down if another node reaches these machines, which are heard from and which commands do not reach."""
         survey = await self.survey_peers(machines)
         unreachable = sum(machine.command_unreachable for machine in machines)
-        if survey.reached_by is not None and cut_off(unreachable, machines):
+        if survey.reached_by is not None and is_isolated(unreachable, machines):
             log.warning(
-                "commands of this node do not reach machines machines=%d peer=%s", len(machines), survey.reached_by
+                "commands of this node do not reach machines count=%d peer=%s", len(machines), survey.reached_by
             )
-            self._step_down(machines, f"workers don't hear this node; {survey.reached_by} reaches them")
+            self._step_down(machines, f"commands of this node do not reach workers, {survey.reached_by} reaches them")
 
     def _step_down(self, machines: list[Machine], reason: str) -> None:
         node = self._leader.node
--- a/oatport/service/state_service_contact.py
+++ b/oatport/service/state_service_contact.py
@@ -7,7 +7,7 @@
 
 from oatport.clients.http import NoResponseError, RequestRefusedError, jitter
 from oatport.clients.state import LeaseExpiredError
-from oatport.control.storage.write_buffer import LEADER_KEY
+from oatport.control.storage.keys import LEADER_KEY
 from oatport.service.election import Election
 from oatport.service.handover import LeadershipHandover
 from oatport.service.leader import Leader
@@ -23,7 +23,7 @@
 
 
 class StateServiceContact:
-    """Renews the leader lease, and knows whether the state service answers."""
+    """Renews the leader lease, and tells whether the state service answers."""
 
     def __init__(self, node: NodeContext, election: Election, handover: LeadershipHandover) -> None:
         self._node = node
@@ -51,7 +51,7 @@
                 if leader is self._election.leader:
                     self._election.step_down("the lease expired")
             except (NoResponseError, RequestRefusedError) as error:
-                log.debug("state service does not answer error=%s", error)
+                log.debug('state service does not answer error="%s"', error)
                 await asyncio.sleep(jitter(RETRY_INTERVAL))
                 continue
             interval = self._lease_us // RENEWALS_PER_LEASE if leader is not None else CHECK_INTERVAL
