--- a/oatport/api/concurrency_limit.py
+++ b/oatport/api/concurrency_limit.py
@@ -1,4 +1,4 @@
-"""How many calls of users' requests are under way at a time."""
+"""How many calls of users' requests on the state service are under way at a time."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from oatport.errors import OatportError
 from oatport.times import MS, seconds
 
-WITHIN = 150 * MS
+MAX_WAIT = 150 * MS  # for one of the calls
 
 
 class OverloadedError(OatportError):
@@ -17,17 +17,19 @@
 
 
 class ConcurrencyLimit:
-    def __init__(self, most: int) -> None:
-        self._free = asyncio.Semaphore(most)
+    """Lets a bounded number of calls run at a time; the others wait, but not for long."""
+
+    def __init__(self, max_calls: int) -> None:
+        self._free = asyncio.Semaphore(max_calls)
 
     @asynccontextmanager
-    async def one(self) -> AsyncIterator[None]:
-        """One of the calls; Busy if there is none soon."""
+    async def acquire(self) -> AsyncIterator[None]:
+        """Run the body as one of the calls. Raises OverloadedError if there is none soon."""
         try:
-            async with asyncio.timeout(seconds(WITHIN)):
+            async with asyncio.timeout(seconds(MAX_WAIT)):
                 await self._free.acquire()
-        except TimeoutError:
-            raise OverloadedError from None
+        except TimeoutError as error:
+            raise OverloadedError("too many calls are under way") from error
         try:
             yield
         finally:
--- a/oatport/api/heartbeat_api.py
+++ b/oatport/api/heartbeat_api.py
@@ -1,30 +1,32 @@
-"""Workers' reports: the leader answers them, the others name the leader."""
+"""Workers' heartbeats: the leader answers them, the others name the leader."""
 
 from __future__ import annotations
 
 from typing import Any, Protocol
 
 from oatport import wire
-from oatport.api.server import Answer, BodyReader
+from oatport.api.server import BodyReader, Response
 
 
-class HeartbeatReceiver(Protocol):
-    """What takes reports in."""
+class HeartbeatNode(Protocol):
+    """What the workers' interface needs of its node."""
 
     node_name: str
 
-    def answer_heartbeat(self, report: wire.Heartbeat) -> dict[str, Any] | None:
+    def answer_heartbeat(self, heartbeat: wire.Heartbeat) -> dict[str, Any] | None:
         """The answer, or None if this node is not entitled to give one."""
 
-    def leader_name(self) -> str | None: ...
+    def leader_name(self) -> str | None:
+        """The node that the worker is sent to; None if none is known."""
 
 
-async def handle_report(desk: HeartbeatReceiver, method: str, body: BodyReader) -> Answer:
+async def handle_heartbeat(node: HeartbeatNode, method: str, body: BodyReader) -> Response:
+    """Answer one heartbeat. Raises wire.InvalidMessageError and BodyTooLargeError, which the server answers."""
     if method != "POST":
-        return Answer(405, {"error": "wrong method"}, {"Allow": "POST"})
-    report = wire.decode_heartbeat(await body.read())
-    answer = desk.answer_heartbeat(report)
+        return Response(405, {"error": "wrong method"}, {"Allow": "POST"})
+    heartbeat = wire.decode_heartbeat(await body.read())
+    answer = node.answer_heartbeat(heartbeat)
     if answer is not None:
-        return Answer(200, answer)
-    leader = desk.leader_name()
-    return Answer(421, wire.leader_redirect(leader if leader != desk.node_name else None))
+        return Response(200, answer)
+    leader = node.leader_name()
+    return Response(421, wire.leader_redirect(leader if leader != node.node_name else None))
--- a/oatport/api/job_api.py
+++ b/oatport/api/job_api.py
@@ -7,9 +7,10 @@
 
 from oatport import wire
 from oatport.api.concurrency_limit import ConcurrencyLimit, OverloadedError
-from oatport.api.job_status_cache import WITHIN, JobStatusCache, Known
-from oatport.api.server import Answer, BodyReader, later
-from oatport.api.submission_batcher import CREATED, TRIES, UNSURE, Share, SubmissionBatcher
+from oatport.api.job_status import KnownJob
+from oatport.api.job_status_cache import READ_TIMEOUT, JobStatusCache
+from oatport.api.server import BodyReader, Response, retry_later
+from oatport.api.submission_batcher import COMMIT_TIMEOUTS, BestEffortShare, SubmissionBatcher, SubmitOutcome
 from oatport.clients.http import NoResponseError, RequestRefusedError
 from oatport.clients.state import Applied, StateClient
 from oatport.control.limits.rate_limiter import AdaptiveRateLimiter
@@ -23,226 +24,258 @@
 
 log = logging.getLogger(__name__)
 
-BUSY_LIMIT = 250
-IDLE, IDLE_LATER_S = "idle", 3
-NEEDS_SHOWN = 20
-SLOTS = 24  # calls of users' requests on the state service at a time
+MAX_REQUESTS = 250  # of users under way
+OVERLOADED_RETRY_S = 2
+BEST_EFFORT_PRIORITY = "idle"
+BEST_EFFORT_RETRY_S = 3
+MAX_DEPENDENCIES_SHOWN = 20
+MAX_STATE_CALLS = 24  # of users' requests at a time
+QUOTA_TOLERANCE = 1e-9
+
+NO_STATE_SERVICE = (NoResponseError, RequestRefusedError, OverloadedError)
 
 
 class ControllerNode(Protocol):
     """What the users' interface needs of its node."""
 
     types: dict[str, wire.MachineType]
-    job_progress: dict[str, tuple[int, int]]
+    job_progress: dict[str, tuple[int, int]]  # completed and running tasks, as far as the leader has told
+
+    def ready(self) -> bool:
+        """Whether the node can serve users."""
+
+    def notify_accepted(self, job_id: str, record: dict[str, Any], revision: int) -> None:
+        """A job was accepted here: let the leader know."""
 
-    def ready(self) -> bool: ...
-    def notify_accepted(self, ref: str, record: dict[str, Any], revision: int) -> None: ...
-    def notify_cancelled(self, ref: str, revision: int = 0) -> None: ...
+    def notify_cancelled(self, job_id: str, revision: int = 0) -> None:
+        """A user is about to be told that a job is cancelled: let the other nodes know."""
 
 
 class JobApi:
-    def __init__(self, settings: Settings, state: StateClient, backstage: ControllerNode) -> None:
+    """Answers users' requests."""
+
+    def __init__(self, settings: Settings, state: StateClient, node: ControllerNode) -> None:
         self._state = state
-        self._backstage = backstage
+        self._node = node
         self._teams = {team.name: team for team in settings.cluster.teams}
         self._zones = set(settings.cluster.zones)
         limits = settings.cluster.state
-        self._slots = ConcurrencyLimit(SLOTS)
-        self._view = JobStatusCache(state, self._slots, limits.least_rps)
+        self._state_calls = ConcurrencyLimit(MAX_STATE_CALLS)
+        self._jobs = JobStatusCache(state, self._state_calls, limits.least_rps)
         limiter = AdaptiveRateLimiter(limits.write_rps, settings.cluster.size, limits.least_write_rps)
-        self._intake = SubmissionBatcher(state, limits.least_txn_ops, limiter)
-        self._value_bytes = limits.least_value_bytes
-        self._idle_share = Share(limits.write_rps)
-        self._busy = 0
+        self._batcher = SubmissionBatcher(state, limits.least_txn_ops, limiter)
+        self._max_value_bytes = limits.least_value_bytes
+        self._best_effort_share = BestEffortShare(limits.write_rps)
+        self._requests = 0  # under way
 
-    async def handle(self, method: str, path: str, body: BodyReader) -> Answer:
+    async def handle(self, method: str, path: str, body: BodyReader) -> Response:
+        """Answer one request. Raises wire.InvalidMessageError and BodyTooLargeError, which the server answers."""
         if path == wire.READY_PATH:
-            if method not in ("GET", "HEAD"):
-                return Answer(405, None, {"Allow": "GET"})
-            return Answer(200, {"ready": True}) if self._backstage.ready() else later()
+            return self._ready(method)
         parts = path.strip("/").split("/")
         if "/" + parts[0] != wire.SUBMISSIONS_PATH or len(parts) > 3 or (len(parts) == 3 and parts[2] != "cancel"):
-            return Answer(404, {"error": "no such path"})
+            return Response(404, {"error": "no such path"})
         allowed = "GET" if len(parts) == 2 else "POST"
         if method != allowed:
-            return Answer(405, {"error": "wrong method"}, {"Allow": allowed})
+            return Response(405, {"error": "wrong method"}, {"Allow": allowed})
         # What can be told without the state service is told under full load too.
-        job = wire.decode_submission(await body.read()) if len(parts) == 1 else None
-        if job is None and not wire.is_job_id(parts[1]):
-            return Answer(404, {"error": "no such job"})
-        if self._busy >= BUSY_LIMIT:
-            return later(2)
-        self._busy += 1
+        submission = wire.decode_submission(await body.read()) if len(parts) == 1 else None
+        if submission is None and not wire.is_job_id(parts[1]):
+            return Response(404, {"error": "no such job"})
+        if self._requests >= MAX_REQUESTS:
+            return retry_later(OVERLOADED_RETRY_S)
+        self._requests += 1
         try:
-            if job is not None:
-                return self._gate(await self.submit(job))
-            if len(parts) == 2:
-                return self._gate(await self.show(parts[1]))
-            return self._gate(await self.cancel(parts[1]))
+            if submission is not None:
+                response = await self.submit(submission)
+            elif len(parts) == 2:
+                response = await self.show(parts[1])
+            else:
+                response = await self.cancel(parts[1])
+            return self._with_cancellation_noted(response)
         finally:
-            self._busy -= 1
+            self._requests -= 1
+
+    def _ready(self, method: str) -> Response:
+        if method not in ("GET", "HEAD"):
+            return Response(405, None, {"Allow": "GET"})
+        return Response(200, {"ready": True}) if self._node.ready() else retry_later()
 
-    def _gate(self, answer: Answer) -> Answer:
-        """All that users are told of a job goes through here. That it is cancelled is noted before it leaves, whichever
-        way this node knows: committed, read back, learnt by a poll, kept from before, or following from a needed job.
+    def _with_cancellation_noted(self, response: Response) -> Response:
+        """All that users are told of a job goes through here.
 
-        A leader that can't read the records counts on it: what another node had learnt, and told in the middle of an
-        outage, was in no list, and the tasks ran on.
+        That it is cancelled is noted before it leaves, whichever way this node knows: committed, read back, learnt by a
+        poll, kept from before, or following from a job that it depends on. A leader that can't read the records counts
+        on it: what another node had learnt, and told in the middle of an outage, was in no list, and the tasks ran on.
         """
-        if isinstance(answer.value, dict) and answer.value.get("status") == wire.JobStatus.CANCELLED:
-            self._backstage.notify_cancelled(str(answer.value["ref"]))
-        return answer
+        if isinstance(response.value, dict) and response.value.get("status") == wire.JobStatus.CANCELLED:
+            self._node.notify_cancelled(str(response.value["ref"]))
+        return response
 
     # --- submit -----------------------------------------------------------------------------
 
-    async def submit(self, job: wire.Submission) -> Answer:
-        if not self._backstage.types:
-            return later()  # the machine types are not known yet: it can't be judged
-        problem = self.never_runs(job)
-        if problem:
-            # A known job is never refused, whatever the types have become meanwhile (rule `forgotten`).
-            known = await self._read(job.job_id)
-            if known is None:
-                return later()
-            return Answer(200, known) if known else Answer(422, {"error": problem})
-        if job.dependencies and not self._view.known(job.job_id):
-            refused = await self._check_needs(job)
+    async def submit(self, submission: wire.Submission) -> Response:
+        """Answer POST /submissions."""
+        if not self._node.types:
+            return retry_later()  # the machine types are not known yet: it can't be judged
+        reason = self.why_infeasible(submission)
+        if reason is not None:
+            return await self._refuse_unless_known(submission.job_id, reason)
+        if submission.dependencies and not self._jobs.known(submission.job_id):
+            refused = await self._check_dependencies(submission, submission.dependencies)
             if refused is not None:
                 return refused
-        return await self._accept(job)
+        return await self._accept(submission)
 
-    async def _check_needs(self, job: wire.Submission) -> Answer | None:
-        """The answer to a submission that names jobs it can't wait for; None if it can wait for all of them."""
-        assert job.dependencies is not None
+    async def _refuse_unless_known(self, job_id: str, reason: str) -> Response:
+        """A known job is never refused, whatever the machine types have become meanwhile (rule `forgotten`)."""
+        value = await self._read(job_id)
+        if value is None:
+            return retry_later()
+        return Response(200, value) if value else Response(422, {"error": reason})
+
+    async def _check_dependencies(self, submission: wire.Submission, dependencies: list[str]) -> Response | None:
+        """The response to a submission that names jobs it can't depend on; None if it can depend on all of them."""
         try:
-            never, service = await self._view.named(job.dependencies)
-        except (NoResponseError, RequestRefusedError, OverloadedError):
-            return later()
-        if never is None and service is None:
+            unusable = await self._jobs.find_unusable(dependencies)
+        except NO_STATE_SERVICE:
+            return retry_later()
+        if unusable.never_accepted is not None:
+            reason = f"{unusable.never_accepted} was never accepted"
+        elif unusable.service is not None:
+            reason = f"{unusable.service} is a service, which is never done"
+        else:
             return None
-        # A known job is never refused.
-        known = await self._read(job.job_id)
-        if known is None:
-            return later()
-        if known:
-            return Answer(200, known)
-        return Answer(
-            422,
-            {
-                "error": f"{wire.DEPENDENCIES_FIELD}: {never} was never accepted"
-                if never is not None
-                else f"{wire.DEPENDENCIES_FIELD}: {service} is a service, which is never done"
-            },
-        )
+        return await self._refuse_unless_known(submission.job_id, f"{wire.DEPENDENCIES_FIELD}: {reason}")
 
-    def never_runs(self, job: wire.Submission) -> str | None:
-        team = self._teams.get(job.team)
+    def why_infeasible(self, submission: wire.Submission) -> str | None:
+        """Why the job could never run; None if it could."""
+        team = self._teams.get(submission.team)
         if team is None:
             return "unknown team"
-        if job.zone is not None and self._zones and job.zone not in self._zones:
+        if submission.zone is not None and self._zones and submission.zone not in self._zones:
             return "unknown zone"
-        if not feasible_machine_types(job, self._backstage.types):
+        if not feasible_machine_types(submission, self._node.types):
             return "a task fits no allowed machine type"
-        at_once = 1 if JobKind(job.kind) is JobKind.ARRAY else job.task_count
-        for need, most in ((job.cpus * at_once, team.cpus_max), (job.gpus * at_once, team.gpus_max)):
-            if most > 0 and need > most + 1e-9:
+        tasks_at_once = 1 if JobKind(submission.kind) is JobKind.ARRAY else submission.task_count
+        for demand, limit in (
+            (submission.cpus * tasks_at_once, team.cpus_max),
+            (submission.gpus * tasks_at_once, team.gpus_max),
+        ):
+            if limit > 0 and demand > limit + QUOTA_TOLERANCE:
                 return "the job needs more than its team's limit"
         return None
 
-    async def _accept(self, job: wire.Submission) -> Answer:
+    async def _accept(self, submission: wire.Submission) -> Response:
         """Commit the job, or say at once when to come back."""
-        if self._intake.full():
-            known = await self._read(job.job_id) if self._view.known(job.job_id) else None
-            return Answer(200, known) if known else later(self._intake.comes_back())
-        # What names others is part of a pipeline that somebody waits for, whatever its own priority.
-        idle = job.priority == IDLE and not job.dependencies and not self._view.known(job.job_id)
-        if idle and not (self._intake.spare() and self._idle_share.take()):
-            return later(IDLE_LATER_S)  # the others' submissions and the leader's claims go first
-        record, parts = split_overflow(job_record(job, time_of_day(), wire.JobStatus.QUEUED), self._value_bytes)
-        if parts and not await self._intake.ahead(job.job_id, parts):
-            return later()
-        mark = self._view.mark()
-        outcome, revision = await self._intake.add(job.job_id, record, idle)
-        if outcome == CREATED:
-            self._view.created(job.job_id, record, revision, mark)
-            self._backstage.notify_accepted(job.job_id, record, revision)
-            if job.dependencies:
-                log.info("job %s waits for %s", job.job_id, named(job.dependencies))
-            return Answer(201, {"ref": job.job_id, "status": wire.JobStatus.QUEUED})
-        known = None if outcome == UNSURE else await self._read(job.job_id)
-        return Answer(200, known) if known else later(self._intake.comes_back() if self._intake.short() else 1)
+        job_id = submission.job_id
+        if self._batcher.is_full():
+            value = await self._read(job_id) if self._jobs.known(job_id) else None
+            return Response(200, value) if value else retry_later(self._batcher.retry_after_s())
+        best_effort = self._is_best_effort(submission)
+        if best_effort and not (self._batcher.has_capacity_for_best_effort() and self._best_effort_share.try_acquire()):
+            return retry_later(BEST_EFFORT_RETRY_S)  # the others' submissions and the leader's bindings go first
+        record = job_record(submission, time_of_day(), wire.JobStatus.QUEUED)
+        record, overflow = split_overflow(record, self._max_value_bytes)
+        if overflow and not await self._batcher.write_overflow(job_id, overflow):
+            return retry_later()
+        mark = self._jobs.mark()
+        result = await self._batcher.submit(job_id, record, best_effort=best_effort)
+        if result.outcome is SubmitOutcome.CREATED:
+            self._jobs.on_created(job_id, record, result.revision, mark)
+            self._node.notify_accepted(job_id, record, result.revision)
+            if submission.dependencies:
+                log.info("job accepted as blocked job=%s dependencies=%s", job_id, named(submission.dependencies))
+            return Response(201, {"ref": job_id, "status": wire.JobStatus.QUEUED})
+        value = None if result.outcome is SubmitOutcome.UNKNOWN else await self._read(job_id)
+        if value:
+            return Response(200, value)
+        return retry_later(self._batcher.retry_after_s() if self._batcher.is_throttled() else 1)
+
+    def _is_best_effort(self, submission: wire.Submission) -> bool:
+        """What names others is part of a pipeline that somebody waits for, whatever its own priority."""
+        return (
+            submission.priority == BEST_EFFORT_PRIORITY
+            and not submission.dependencies
+            and not self._jobs.known(submission.job_id)
+        )
 
     # --- show -------------------------------------------------------------------------------
 
-    async def _read(self, ref: str) -> dict[str, Any] | None:
-        """The answer for a job as its record has it; {} if there is none, None if that can't be told."""
+    async def show(self, job_id: str) -> Response:
+        """Answer GET /submissions/ID."""
+        value = await self._read(job_id)
+        if value is None:
+            return retry_later()
+        return Response(200, value) if value else Response(404, {"error": "no such job"})
+
+    async def _read(self, job_id: str) -> dict[str, Any] | None:
+        """The response's value for a job as its record has it; {} if there is none, None if that can't be told."""
         try:
-            found = await self._view.find(ref)
-        except (NoResponseError, RequestRefusedError, OverloadedError):
+            known = await self._jobs.find(job_id)
+        except NO_STATE_SERVICE:
             return None
-        return self._shape(ref, found) if found else {}
-
-    def _shape(self, ref: str, known: Known) -> dict[str, Any]:
-        state, total = known.state, known.tasks
-        if state in wire.PUBLIC_TERMINAL_STATUSES:
-            return {
-                "ref": ref,
-                "status": state,
-                "done": total if state == wire.JobStatus.COMPLETED else 0,
-                "running": 0,
-            }
-        done, running = self._backstage.job_progress.get(ref, (0, 0))
+        return self._status_value(job_id, known) if known else {}
+
+    def _status_value(self, job_id: str, known: KnownJob) -> dict[str, Any]:
+        if known.terminal:
+            completed = known.task_count if known.state == wire.JobStatus.COMPLETED else 0
+            return {"ref": job_id, "status": known.state, "done": completed, "running": 0}
+        completed, running = self._node.job_progress.get(job_id, (0, 0))
         value: dict[str, Any] = {
-            "ref": ref,
+            "ref": job_id,
             "status": wire.JobStatus.RUNNING if running else wire.JobStatus.QUEUED,
-            "done": min(done, total),
+            "done": min(completed, known.task_count),
             "running": running,
         }
-        if known.needs and not (done or running):
-            value[wire.DEPENDENCIES_FIELD] = list(known.needs[:NEEDS_SHOWN])  # those that it still waits for
+        if known.dependencies and not (completed or running):
+            # Those that it still waits for.
+            value[wire.DEPENDENCIES_FIELD] = list(known.dependencies[:MAX_DEPENDENCIES_SHOWN])
         return value
 
-    async def show(self, ref: str) -> Answer:
-        value = await self._read(ref)
-        if value is None:
-            return later()
-        return Answer(200, value) if value else Answer(404, {"error": "no such job"})
-
     # --- cancel -----------------------------------------------------------------------------
 
-    async def cancel(self, ref: str) -> Answer:
-        # The second round settles an unsure commit by reading it back, or one that lost a race to another change.
-        for timeout_us in TRIES:
-            known = self._view.known(ref)
-            if known and known[0] in wire.PUBLIC_TERMINAL_STATUSES:
-                return Answer(200, {"ref": ref, "status": known[0]})
-            mark = self._view.mark()
+    async def cancel(self, job_id: str) -> Response:
+        """Answer POST /submissions/ID/cancel."""
+        # The second try settles a commit of unknown outcome by reading it back, or one that another change came before.
+        for timeout_us in COMMIT_TIMEOUTS:
+            terminal = self._terminal_response(job_id)
+            if terminal is not None:
+                return terminal
             try:
-                async with self._slots.one():
-                    found = await self._state.get(job_key(ref), timeout_us=WITHIN)
-                    if found is None:
-                        return Answer(404, {"error": "no such job"})
-                    record, version = found
-                    if self._view.learn(ref, record, version, mark)[0] in wire.PUBLIC_TERMINAL_STATUSES:
-                        continue
-                    # The mark tells a later leader of it among the live work.
-                    cancelled = {**record, "state": wire.JobStatus.CANCELLED}
-                    result = await self._state.commit(
-                        {job_key(ref): version, cancel_key(ref): 0},
-                        {job_key(ref): cancelled, cancel_key(ref): {"at": time_of_day()}},
-                        timeout_us=timeout_us,
-                    )
+                response = await self._try_cancel(job_id, timeout_us)
             except NoResponseError:
                 continue
             except (RequestRefusedError, OverloadedError):
-                return later()
-            if isinstance(result, Applied):
-                self._view.learn(ref, cancelled, result.revision, mark)
-                self._backstage.notify_cancelled(ref, result.revision)
-                return Answer(200, {"ref": ref, "status": wire.JobStatus.CANCELLED})
-        known = self._view.known(ref)
-        return (
-            Answer(200, {"ref": ref, "status": known[0]})
-            if known and known[0] in wire.PUBLIC_TERMINAL_STATUSES
-            else later()
-        )
+                return retry_later()
+            if response is not None:
+                return response
+        return self._terminal_response(job_id) or retry_later()
+
+    def _terminal_response(self, job_id: str) -> Response | None:
+        """The response for a job that is known to have terminated."""
+        known = self._jobs.known(job_id)
+        return Response(200, {"ref": job_id, "status": known.state}) if known and known.terminal else None
+
+    async def _try_cancel(self, job_id: str, timeout_us: int) -> Response | None:
+        """Commit the cancellation on the record as it is now; None if it has terminated or was changed meanwhile."""
+        mark = self._jobs.mark()
+        async with self._state_calls.acquire():
+            stored = await self._state.get(job_key(job_id), timeout_us=READ_TIMEOUT)
+            if stored is None:
+                return Response(404, {"error": "no such job"})
+            record, revision = stored
+            if self._jobs.learn(job_id, record, revision, mark).terminal:
+                return None
+            # The second key tells a later leader of it among the live jobs.
+            cancelled = {**record, "state": wire.JobStatus.CANCELLED}
+            result = await self._state.commit(
+                {job_key(job_id): revision, cancel_key(job_id): 0},
+                {job_key(job_id): cancelled, cancel_key(job_id): {"at": time_of_day()}},
+                timeout_us=timeout_us,
+            )
+        if not isinstance(result, Applied):
+            return None
+        self._jobs.learn(job_id, cancelled, result.revision, mark)
+        self._node.notify_cancelled(job_id, result.revision)
+        return Response(200, {"ref": job_id, "status": wire.JobStatus.CANCELLED})
--- a/oatport/api/job_status_cache.py
+++ b/oatport/api/job_status_cache.py
@@ -8,310 +8,253 @@
 from __future__ import annotations
 
 import asyncio
-import bisect
 from collections import OrderedDict
-from typing import Any, NamedTuple
+from dataclasses import dataclass, replace
+from typing import Any
 
 from oatport import wire
-from oatport.api.concurrency_limit import ConcurrencyLimit, OverloadedError
-from oatport.clients.http import NoResponseError, RequestRefusedError
+from oatport.api.concurrency_limit import ConcurrencyLimit
+from oatport.api.job_reader import JobReader, retrieve_exception
+from oatport.api.job_status import KnownJob
+from oatport.clients.http import NoResponseError
 from oatport.clients.state import StateClient
 from oatport.control.storage.keys import JOBS, overflow_key
 from oatport.control.storage.overflow_records import with_overflow
 from oatport.times import MS, SECOND, seconds, steady
 
-KNOWN_MOST = 20_000
-WITHIN = 800 * MS
-ROUNDS = 15  # gap between two refreshes: so many requests' worth of the state service's budget
+MAX_KNOWN_JOBS = 20_000
+READ_TIMEOUT = 800 * MS
+REFRESH_REQUESTS = 15  # interval of refreshes: so many requests' worth of the state service's budget
 # And no shorter than this: users wait 2 s for a poll's answer, while twenty refreshes a second at each node were two
 # thirds of all requests on the state service, and a fifth of a calm day's cost.
-GAP_LEAST = 250 * MS
+MIN_REFRESH_INTERVAL = 250 * MS
 
-READERS = 3  # at a time
-WAITING_MOST = 100  # for one job
-NAMES_MOST = 2_000  # looked for by one of them
 
+@dataclass(frozen=True, slots=True)
+class UnusableDependencies:
+    """Of the jobs that a submission names one that was never accepted, and one that is a service, if there are any."""
 
-class Known(NamedTuple):
-    """What a record says of a job. `needs`: jobs that it names, without those known to be done."""
-
-    state: str
-    tasks: int
-    version: int
-    needs: tuple[str, ...] = ()
-    more: int = 0  # so many records hold its long lists, which have not been read
-    service: bool = False
+    never_accepted: str | None
+    service: str | None
 
 
 class JobStatusCache:
-    def __init__(self, state: StateClient, slots: ConcurrencyLimit, rps: float) -> None:
+    """What one node knows of jobs, refreshed when users ask."""
+
+    def __init__(self, state: StateClient, calls: ConcurrencyLimit, rps: float) -> None:
         self._state = state
-        self._slots = slots
-        self._gap = max(GAP_LEAST, round(ROUNDS * SECOND / rps))
-        self._known: OrderedDict[str, Known] = OrderedDict()
+        self._calls = calls
+        self._reader = JobReader(state, self.mark, self._learn_stored)
+        self._refresh_interval = max(MIN_REFRESH_INTERVAL, round(REFRESH_REQUESTS * SECOND / rps))
+        self._known: OrderedDict[str, KnownJob] = OrderedDict()
         self._revision = 0  # all changes up to it are in
-        self._forgets = 0  # how often something was forgotten
-        self._asked_at = -SECOND
-        self._next: asyncio.Future[None] | None = None  # the refresh that has not been asked yet
-        self._running: asyncio.Task[None] | None = None
-        # Jobs to be read, the longest wanted first, and who waits for them.
-        self._wanted: dict[str, list[asyncio.Future[Known | None]]] = {}
-        self._under_way: set[str] = set()  # those of them that are being read
-        self._readers: set[asyncio.Task[None]] = set()
-
-    async def find(self, ref: str) -> Known | None:
-        """A job's state now; None if it has never been accepted. Raises NoAnswer, Refused or Busy."""
-        known = self._known.get(ref)
-        fresh = not self._revision or (known is not None and known.state not in wire.PUBLIC_TERMINAL_STATUSES)
+        self._evictions = 0  # how often something was forgotten
+        self._refreshed_at = -SECOND  # when the last refresh was asked
+        self._next_refresh: asyncio.Future[None] | None = None  # the refresh that has not been asked yet
+        self._refreshing: asyncio.Task[None] | None = None
+
+    # --- questions --------------------------------------------------------------------------
+
+    async def find(self, job_id: str) -> KnownJob | None:
+        """A job's state now; None if it has never been accepted.
+
+        Raises NoResponseError, RequestRefusedError or OverloadedError.
+        """
+        known = self._known.get(job_id)
+        fresh = not self._revision or (known is not None and not known.terminal)
         if fresh:
             await self._refresh()
-            known = self._known.get(ref)
+            known = self._known.get(job_id)
         if known is None:
-            known = await self._read(ref)
+            known = await self._reader.read(job_id)
             if known is None:
                 return None
             fresh = False
-        if known.state in wire.PUBLIC_TERMINAL_STATUSES or not (known.needs or known.more):
+        if known.terminal or not known.may_depend:
             return known
-        return await self._with_needed(ref, known, fresh)
+        return await self._with_dependencies(job_id, known, fresh)
 
-    async def _read(self, ref: str) -> Known | None:
-        """A job that this node knows nothing of, together with all that is asked about at the moment.
+    def known(self, job_id: str) -> KnownJob | None:
+        """What was last received of it; only a terminal state is sure to hold still."""
+        return self._known.get(job_id)
 
-        After all nodes ended, each asked for itself: with thousands of unfinished jobs most polls were sent away, by
-        chance the same ones again and again. Now the one that has waited longest is read next, and all near it with it;
-        who had to leave meanwhile finds it read on coming back. Raises NoAnswer, Refused or Busy.
+    async def find_unusable(self, job_ids: list[str]) -> UnusableDependencies:
+        """Of jobs named in a submission those that it can't depend on; read no earlier than now.
+
+        Jobs are never removed: one that is known was accepted. Raises NoResponseError, RequestRefusedError or
+        OverloadedError; what was read by then is kept, so that a repeated submission gets on.
         """
-        waiting = self._wanted.get(ref, [])
-        if len(self._wanted) >= KNOWN_MOST or len(waiting) >= WAITING_MOST:
-            raise OverloadedError
-        future: asyncio.Future[Known | None] = asyncio.get_running_loop().create_future()
-        future.add_done_callback(lambda done: done.cancelled() or done.exception())  # seen, if nobody waits
-        self._wanted.setdefault(ref, waiting).append(future)
-        if len(self._readers) < READERS:
-            task = asyncio.get_running_loop().create_task(self._read_wanted())
-            self._readers.add(task)
-            task.add_done_callback(self._readers.discard)
-        try:
-            async with asyncio.timeout(seconds(WITHIN)):
-                return await asyncio.shield(future)
-        except TimeoutError:
-            raise OverloadedError from None
-
-    async def _read_wanted(self) -> None:
-        while True:
-            left = [ref for ref in self._wanted if ref not in self._under_way]
-            if not left:
-                return
-            names = sorted(left)
-            names = names[bisect.bisect_left(names, left[0]) :][:NAMES_MOST]
-            self._under_way.update(names)
-            # Who comes from here on is answered by the next read: this one may be older than what they were told.
-            came = {ref: len(self._wanted[ref]) for ref in names}
-            mark = self.mark()
-            try:
-                rows, asked = await self._state.get_many(JOBS, names)
-            except Exception as error:
-                # All that wait are told at once: who comes back finds the state service there, or not.
-                for ref in names:
-                    for future in self._waited(ref, came[ref]):
-                        future.set_exception(error)
-                if isinstance(error, NoResponseError | RequestRefusedError):
-                    return
-                raise
-            finally:
-                self._under_way.difference_update(names)
-            for ref in asked:
-                row = rows.get(ref)
-                known = None if row is None else self.learn(ref, *row, mark)
-                for future in self._waited(ref, came[ref]):
-                    future.set_result(known)
-
-    def _waited(self, ref: str, count: int) -> list[asyncio.Future[Known | None]]:
-        """The first of those that wait for a job; they wait no more."""
-        waiting = self._wanted.pop(ref)
-        if waiting[count:]:
-            self._wanted[ref] = waiting[count:]
-        return waiting[:count]
-
-    async def _with_needed(self, ref: str, known: Known, fresh: bool) -> Known:
-        """Cancelled, if a job that it needs is, directly or through others.
+        found: dict[str, KnownJob] = {}
+        await self._learn_all(job_ids, found, self.mark())
+        return UnusableDependencies(
+            next((job_id for job_id in job_ids if job_id not in found), None),
+            next((job_id for job_id in job_ids if job_id in found and found[job_id].is_service), None),
+        )
+
+    # --- what is learnt ---------------------------------------------------------------------
+
+    def mark(self) -> int:
+        """To be taken before a read or a commit whose result is to be learnt."""
+        return self._evictions
+
+    def learn(self, job_id: str, record: dict[str, Any], revision: int, mark: int) -> KnownJob:
+        """What a read or a commit of this node's showed; later changes follow from the refreshes.
+
+        Not kept if something was forgotten since it was asked: a later change may have been among that, and
+        no refresh would bring it again.
+        """
+        known = self._known.get(job_id)
+        if known is not None and (
+            known.revision > revision
+            or (known.revision == revision and (known.terminal or len(known.dependencies) > 0))
+        ):
+            return known  # what was found out about the jobs that it names holds
+        known = KnownJob.from_record(record, revision)
+        if mark == self._evictions:
+            self._known[job_id] = known
+            if len(self._known) > MAX_KNOWN_JOBS:
+                self._known.popitem(last=False)
+                self._evictions += 1
+        return known
+
+    def _learn_stored(self, job_id: str, stored: wire.StoredValue, mark: int) -> KnownJob:
+        return self.learn(job_id, stored.value, stored.revision, mark)
+
+    def on_created(self, job_id: str, record: dict[str, Any], revision: int, mark: int) -> None:
+        """This node's own commit made the job."""
+        if not self._revision:
+            self._forget_unfinished(revision)
+            mark = self._evictions
+        self.learn(job_id, record, revision, mark)
+
+    def _forget_unfinished(self, revision: int) -> None:
+        """Follow the changes from here on; what is not terminal may have changed before."""
+        for job_id in [job_id for job_id, known in self._known.items() if not known.terminal]:
+            del self._known[job_id]
+        self._evictions += 1
+        self._revision = revision
+
+    # --- dependencies -----------------------------------------------------------------------
+
+    async def _with_dependencies(self, job_id: str, known: KnownJob, fresh: bool) -> KnownJob:
+        """Cancelled, if a job that it depends on is, directly or through others.
 
         That follows from their records, and holds as long as theirs: so whoever is asked after any node has told it
         tells the same, however long it takes the leader to record it. `fresh`: changes up to now are in.
         """
         if not fresh:
             await self._refresh()
-            known = self._known.get(ref, known)
-        seen = {ref}
-        left = [ref]
+            known = self._known.get(job_id, known)
+        seen = {job_id}
+        left = [job_id]
         mark = self.mark()
-        found = {ref: known}  # of this question, should the memory be full
+        found = {job_id: known}  # of this question, should the memory be full
         while left:
             here = left.pop()
-            row = await self._list_read(here, found[here])
-            await self._learn_all([need for need in row.needs if need not in seen], found, mark)
-            for need in row.needs:
-                other = found.get(need)
+            dependent = await self._with_list(here, found[here])
+            unseen = [dependency for dependency in dependent.dependencies if dependency not in seen]
+            await self._learn_all(unseen, found, mark)
+            for dependency in dependent.dependencies:
+                other = found.get(dependency)
                 if other is not None and other.state == wire.JobStatus.CANCELLED:
-                    return self._cut(ref, known)
-                if (
-                    other is not None
-                    and need not in seen
-                    and other.state != wire.JobStatus.COMPLETED
-                    and (other.needs or other.more)
-                ):
-                    left.append(need)
-                seen.add(need)
-            self._settle(here, [n for n in row.needs if n not in found or found[n].state != wire.JobStatus.COMPLETED])
-        return self._known.get(ref, known)
-
-    def _cut(self, ref: str, known: Known) -> Known:
-        cut = known._replace(state=wire.JobStatus.CANCELLED, needs=(), more=0)
-        if ref in self._known:
-            self._known[ref] = cut
-        return cut
-
-    def _settle(self, ref: str, left: list[str]) -> None:
-        """Of the jobs that it names only these are not done: the others need not be looked at again."""
-        known = self._known.get(ref)
-        if (
-            known is not None
-            and known.state not in wire.PUBLIC_TERMINAL_STATUSES
-            and not known.more
-            and len(left) < len(known.needs)
-        ):
-            self._known[ref] = known._replace(needs=tuple(left))
-
-    async def _list_read(self, ref: str, known: Known) -> Known:
+                    return self._note_cancelled(job_id, known)
+                if other is not None and dependency not in seen and _must_follow(other):
+                    left.append(dependency)
+                seen.add(dependency)
+            self._note_incomplete(here, [d for d in dependent.dependencies if not _is_completed(found.get(d))])
+        return self._known.get(job_id, known)
+
+    def _note_cancelled(self, job_id: str, known: KnownJob) -> KnownJob:
+        cancelled = replace(known, state=wire.JobStatus.CANCELLED, dependencies=(), overflow_records=0)
+        if job_id in self._known:
+            self._known[job_id] = cancelled
+        return cancelled
+
+    def _note_incomplete(self, job_id: str, left: list[str]) -> None:
+        """Of the jobs that it names only these are not completed: the others need not be looked at again."""
+        known = self._known.get(job_id)
+        if known is None or known.terminal or known.overflow_records:
+            return
+        if len(left) < len(known.dependencies):
+            self._known[job_id] = replace(known, dependencies=tuple(left))
+
+    async def _with_list(self, job_id: str, known: KnownJob) -> KnownJob:
         """With the list of the jobs that it names, if that lies in records of its own."""
-        if not known.more:
+        if not known.overflow_records:
             return known
         parts = []
-        for number in range(known.more):
-            async with self._slots.one():
-                found = await self._state.get(overflow_key(ref, number), timeout_us=WITHIN)
+        for number in range(known.overflow_records):
+            async with self._calls.acquire():
+                found = await self._state.get(overflow_key(job_id, number), timeout_us=READ_TIMEOUT)
             if found is None:
                 raise NoResponseError("a part of a list is missing")
-            parts.append(found[0])
-        needs = with_overflow({"job": {}}, parts)["job"].get(wire.DEPENDENCIES_FIELD, ())
-        known = known._replace(needs=tuple(needs), more=0)
-        if ref in self._known:
-            self._known[ref] = known
+            parts.append(found.value)
+        dependencies = with_overflow({"job": {}}, parts)["job"].get(wire.DEPENDENCIES_FIELD, ())
+        known = replace(known, dependencies=tuple(dependencies), overflow_records=0)
+        if job_id in self._known:
+            self._known[job_id] = known
         return known
 
-    async def _learn_all(self, refs: list[str], found: dict[str, Known], mark: int) -> None:
+    async def _learn_all(self, job_ids: list[str], found: dict[str, KnownJob], mark: int) -> None:
         """What is known of jobs into `found`; what is not is read, some together. Those never accepted are left out."""
         missing = []
-        for ref in refs:
-            known = self._known.get(ref)
+        for job_id in job_ids:
+            known = self._known.get(job_id)
             if known is not None:
-                found[ref] = known
+                found[job_id] = known
             else:
-                missing.append(ref)
+                missing.append(job_id)
         missing.sort()
         while missing:
-            async with self._slots.one():
-                rows, asked = await self._state.get_many(JOBS, missing)
-            for ref, (record, version) in rows.items():
-                found[ref] = self.learn(ref, record, version, mark)
-            missing = missing[len(asked) :]
-
-    async def named(self, refs: list[str]) -> tuple[str | None, str | None]:
-        """Of jobs named in a submission, one that was never accepted, and a service; read no earlier than now.
-
-        Jobs are never removed: one that is known was accepted. Raises NoAnswer, Refused or Busy; what was read by
-        then is kept, so that a repeated submission gets on.
-        """
-        found: dict[str, Known] = {}
-        await self._learn_all(refs, found, self.mark())
-        return (
-            next((ref for ref in refs if ref not in found), None),
-            next((ref for ref in refs if ref in found and found[ref].service), None),
-        )
-
-    def known(self, ref: str) -> Known | None:
-        """What was last heard of it; only a final state is sure to hold still."""
-        return self._known.get(ref)
+            async with self._calls.acquire():
+                page = await self._state.get_many(JOBS, missing)
+            for job_id, stored in page.found.items():
+                found[job_id] = self._learn_stored(job_id, stored, mark)
+            missing = missing[len(page.looked_up) :]
 
-    def created(self, ref: str, record: dict[str, Any], revision: int, mark: int) -> None:
-        """This node's own commit made the job."""
-        if not self._revision:
-            self._forget(revision)
-            mark = self._forgets
-        self.learn(ref, record, revision, mark)
-
-    def _forget(self, revision: int) -> None:
-        """Follow the changes from here on; what is not final may have changed before."""
-        for ref in [ref for ref, known in self._known.items() if known.state not in wire.PUBLIC_TERMINAL_STATUSES]:
-            del self._known[ref]
-        self._forgets += 1
-        self._revision = revision
-
-    def mark(self) -> int:
-        """To be taken before a read or a commit whose result is to be learnt."""
-        return self._forgets
-
-    def learn(self, ref: str, record: dict[str, Any], version: int, mark: int) -> Known:
-        """What a read or a commit of this node's showed; later changes follow from the refreshes.
-
-        Not kept if something was forgotten since it was asked: a later change may have been among that, and
-        no refresh would bring it again.
-        """
-        known = self._known.get(ref)
-        if known is not None and (
-            known.version > version
-            or (known.version == version and (known.state in wire.PUBLIC_TERMINAL_STATUSES or len(known.needs) > 0))
-        ):
-            return known  # what was found out about the jobs that it names holds
-        job = record["job"]
-        state = str(record["state"])
-        needs = (
-            () if state in wire.PUBLIC_TERMINAL_STATUSES else tuple(map(str, job.get(wire.DEPENDENCIES_FIELD) or ()))
-        )
-        more = int(record["more"][0]) if "more" in record and state not in wire.PUBLIC_TERMINAL_STATUSES else 0
-        known = Known(
-            state, int(job[wire.TASK_COUNT_FIELD]), version, needs, more, job.get(wire.KIND_FIELD) == wire.SERVICE_KIND
-        )
-        if mark == self._forgets:
-            self._known[ref] = known
-            if len(self._known) > KNOWN_MOST:
-                self._known.popitem(last=False)
-                self._forgets += 1
-        return known
+    # --- refreshes --------------------------------------------------------------------------
 
     async def _refresh(self) -> None:
         """Return once all changes up to now are in."""
-        if self._next is None:
-            self._next = asyncio.get_running_loop().create_future()
-            self._next.add_done_callback(lambda done: done.cancelled() or done.exception())  # seen, if nobody waits
-        waits = self._next
-        if self._running is None or self._running.done():
-            self._running = asyncio.get_running_loop().create_task(self._rounds())
-        await asyncio.shield(waits)
-
-    async def _rounds(self) -> None:
-        while self._next is not None:
-            pause = self._asked_at + self._gap - steady()
+        if self._next_refresh is None:
+            self._next_refresh = asyncio.get_running_loop().create_future()
+            self._next_refresh.add_done_callback(retrieve_exception)
+        refresh = self._next_refresh
+        if self._refreshing is None or self._refreshing.done():
+            self._refreshing = asyncio.get_running_loop().create_task(self._refresh_loop())
+        await asyncio.shield(refresh)
+
+    async def _refresh_loop(self) -> None:
+        while self._next_refresh is not None:
+            pause = self._refreshed_at + self._refresh_interval - steady()
             if pause > 0:
                 await asyncio.sleep(seconds(pause))
-            asked, self._next = self._next, None
-            self._asked_at = steady()
+            refresh, self._next_refresh = self._next_refresh, None
+            self._refreshed_at = steady()
             try:
                 await self._read_changes()
             except Exception as error:
-                asked.set_exception(error)
+                refresh.set_exception(error)
             else:
-                asked.set_result(None)
+                refresh.set_result(None)
 
     async def _read_changes(self) -> None:
         if self._revision:
-            found = await self._state.watch(JOBS, self._revision, 0, timeout_us=WITHIN)
+            found = await self._state.watch(JOBS, self._revision, 0, timeout_us=READ_TIMEOUT)
             if found is not None:
                 for change in found.changes:
                     if not change.deleted:
-                        self.learn(change.key[len(JOBS) :], change.value, change.revision, self._forgets)
+                        self.learn(change.key[len(JOBS) :], change.value, change.revision, self._evictions)
                 self._revision = max(self._revision, found.revision)
                 return
         # The first time, or too long ago: what is known may be out of date, and is read again job by job.
-        self._forget(await self._state.current_revision(JOBS, timeout_us=WITHIN))
+        self._forget_unfinished(await self._state.current_revision(JOBS, timeout_us=READ_TIMEOUT))
+
+
+def _is_completed(known: KnownJob | None) -> bool:
+    return known is not None and known.state == wire.JobStatus.COMPLETED
+
+
+def _must_follow(known: KnownJob) -> bool:
+    """A job whose own dependencies matter to those that depend on it."""
+    return known.may_depend and not _is_completed(known)
--- a/oatport/api/peer_api.py
+++ b/oatport/api/peer_api.py
@@ -6,7 +6,7 @@
 from typing import TypeVar
 
 from oatport import wire
-from oatport.api.server import Answer, BodyReader
+from oatport.api.server import BodyReader, Response
 from oatport.peer_messages import PeerArray, PeerMessage
 
 RequestT = TypeVar("RequestT", bound=PeerMessage)
@@ -26,12 +26,12 @@
 
         self._handlers[request_type.tag()] = decode_and_handle
 
-    async def handle(self, method: str, path: str, body: BodyReader) -> Answer:
+    async def handle(self, method: str, path: str, body: BodyReader) -> Response:
         """Answer one request. Raises wire.InvalidMessageError, which the server answers with 400."""
         if path != wire.PEER_PATH:
-            return Answer(404, {"error": "no such path"})
+            return Response(404, {"error": "no such path"})
         if method != "POST":
-            return Answer(405, {"error": "wrong method"}, {"Allow": "POST"})
+            return Response(405, {"error": "wrong method"}, {"Allow": "POST"})
         message = await body.read()
         if not isinstance(message, list) or not message or not isinstance(message[0], str):
             raise wire.InvalidMessageError("not a tagged tuple")
@@ -43,4 +43,4 @@
             reply = await handler(message)
         except (ValueError, TypeError, KeyError, IndexError) as error:
             raise wire.InvalidMessageError(f"{tag[:40]}: {type(error).__name__} {error}") from error
-        return Answer(200, reply.encode())
+        return Response(200, reply.encode())
--- a/oatport/api/server.py
+++ b/oatport/api/server.py
@@ -1,4 +1,4 @@
-"""The HTTP server: bounded bodies, CBOR answers, and no request that ends the process."""
+"""The HTTP server: bounded bodies, CBOR responses, and no request that ends the process."""
 
 from __future__ import annotations
 
@@ -15,26 +15,34 @@
 
 log = logging.getLogger(__name__)
 
-BODY_DEADLINE_S = 5.0
+BODY_TIMEOUT_S = 5.0
+KEEPALIVE_TIMEOUT_S = 75.0
+BACKLOG = 256  # connections that wait to be accepted
 
 
 @dataclass(slots=True)
-class Answer:
+class Response:
+    """What a handler answers; `value` is sent as CBOR, None as an empty body."""
+
     status: int
     value: Any = None
     headers: dict[str, str] = field(default_factory=dict)
 
 
-def later(after_s: int = 1) -> Answer:
+def retry_later(after_s: int = 1) -> Response:
     """Can't be decided now; tells the caller when to come back."""
-    return Answer(503, {"error": "try again later"}, {"Retry-After": str(after_s)})
+    return Response(503, {"error": "try again later"}, {"Retry-After": str(after_s)})
 
 
-Handler = Callable[[str, str, "BodyReader"], Awaitable[Answer]]
+Handler = Callable[[str, str, "BodyReader"], Awaitable[Response]]  # method, path, body
 
 
 class BodyTooLargeError(OatportError):
-    pass
+    """The body is larger than `limit` bytes; the sender gets 413."""
+
+    def __init__(self, limit: int | None = None) -> None:
+        super().__init__("body too large" if limit is None else f"body larger than {limit} bytes")
+        self.limit = limit
 
 
 class BodyReader:
@@ -45,24 +53,24 @@
         self._limit = limit
 
     async def read(self) -> Any:
-        """The decoded body. Raises BodyTooLarge or wire.BadMessage."""
+        """The decoded body. Raises BodyTooLargeError, wire.InvalidMessageError, or TimeoutError if it doesn't come."""
         length = self._request.content_length
         if length is not None and length > self._limit:
-            raise BodyTooLargeError
+            raise BodyTooLargeError(self._limit)
         content = self._request.content
         if content.is_eof():
             # All of it came along with the head, as nearly always: no timer, no wait.
             body = content.read_nowait()
             if len(body) > self._limit:
-                raise BodyTooLargeError
+                raise BodyTooLargeError(self._limit)
             return wire.decode(body)
         chunks: list[bytes] = []
         size = 0
-        async with asyncio.timeout(BODY_DEADLINE_S):
+        async with asyncio.timeout(BODY_TIMEOUT_S):
             async for chunk in content.iter_any():
                 size += len(chunk)
                 if size > self._limit:
-                    raise BodyTooLargeError
+                    raise BodyTooLargeError(self._limit)
                 chunks.append(chunk)
         return wire.decode(b"".join(chunks))
 
@@ -74,46 +82,53 @@
         host, _, port = address.rpartition(":")
         self._host, self._port = host, int(port)
         self._handler = handler
-        self._limit = body_limit
+        self._body_limit = body_limit
         self._runner: web.ServerRunner | None = None
 
     async def start(self) -> None:
-        server = web.Server(self._serve, access_log=None, keepalive_timeout=75.0)
+        """Listen. Raises OSError if the address can't be had."""
+        server = web.Server(self._serve, access_log=None, keepalive_timeout=KEEPALIVE_TIMEOUT_S)
         self._runner = web.ServerRunner(server, handle_signals=False)
         await self._runner.setup()
-        site = web.TCPSite(self._runner, self._host, self._port, backlog=256, reuse_address=True)
+        site = web.TCPSite(self._runner, self._host, self._port, backlog=BACKLOG, reuse_address=True)
         await site.start()
 
     @property
-    def held(self) -> int:
+    def connection_count(self) -> int:
         """Open connections."""
         server = self._runner.server if self._runner is not None else None
         return len(server.connections) if server is not None else 0
 
     async def close(self) -> None:
+        """Stop listening, and let requests under way end."""
         if self._runner is not None:
             await self._runner.cleanup()
 
     async def _serve(self, request: web.BaseRequest) -> web.Response:
+        answer = await self._handle(request)
+        body = b"" if answer.value is None else wire.encode(answer.value)
+        response = web.Response(
+            status=answer.status, body=body, headers=answer.headers, content_type=wire.CBOR_CONTENT_TYPE
+        )
+        if answer.headers.get("Connection") == "close":
+            response.force_close()
+        return response
+
+    async def _handle(self, request: web.BaseRequest) -> Response:
+        """The handler's response, or one for the error that it raised."""
         try:
-            answer = await self._handler(request.method, request.rel_url.raw_path, BodyReader(request, self._limit))
+            body = BodyReader(request, self._body_limit)
+            return await self._handler(request.method, request.rel_url.raw_path, body)
         except BodyTooLargeError:
-            answer = Answer(413, {"error": "body too large"}, {"Connection": "close"})
+            return Response(413, {"error": "body too large"}, {"Connection": "close"})
         except wire.InvalidMessageError as error:
-            log.info("%s %s: %s", request.method, request.path, error)
-            answer = Answer(400, {"error": str(error)})
+            log.info('invalid request method=%s path=%s error="%s"', request.method, request.path, error)
+            return Response(400, {"error": str(error)})
         except (TimeoutError, ConnectionError):
-            answer = Answer(408, {"error": "body did not come"}, {"Connection": "close"})
+            return Response(408, {"error": "body did not come"}, {"Connection": "close"})
         except asyncio.CancelledError:
             raise
         except Exception:
             # Guards against one strange request ending more than itself.
-            log.exception("%s %s failed", request.method, request.path)
-            answer = Answer(500, {"error": "internal error"}, {"Retry-After": "1"})
-        body = b"" if answer.value is None else wire.encode(answer.value)
-        response = web.Response(
-            status=answer.status, body=body, headers=answer.headers, content_type=wire.CBOR_CONTENT_TYPE
-        )
-        if answer.headers.get("Connection") == "close":
-            response.force_close()
-        return response
+            log.exception("request failed method=%s path=%s", request.method, request.path)
+            return Response(500, {"error": "internal error"}, {"Retry-After": "1"})
--- a/oatport/service/network.py
+++ b/oatport/service/network.py
@@ -111,7 +111,7 @@
         # Counting takes as long as there are connections, and every user's request asks.
         now = steady()
         if now - self._counted_at > COUNT_IS_VALID:
-            self._open_connections, self._counted_at = sum(server.held for server in self._servers), now
+            self._open_connections, self._counted_at = sum(server.connection_count for server in self._servers), now
         return self._open_connections
 
     def server(self, address: str, handler: Handler, body_limit: int = wire.MAX_BODY_BYTES) -> Listener:
--- a/oatport/service/node.py
+++ b/oatport/service/node.py
@@ -12,10 +12,10 @@
 from typing import TYPE_CHECKING, Any
 
 from oatport import wire
-from oatport.api.heartbeat_api import handle_report
+from oatport.api.heartbeat_api import handle_heartbeat
 from oatport.api.job_api import JobApi
 from oatport.api.peer_api import PeerApi
-from oatport.api.server import Answer, BodyReader
+from oatport.api.server import BodyReader, Response
 from oatport.clients.peer import PeerClient
 from oatport.clients.state import StateClient
 from oatport.control.leadership.election_priority import ElectionPriority
@@ -159,13 +159,13 @@
         api.on(CompletionsRequest, self.completion_replicator.on_request)
         return api
 
-    async def handle(self, method: str, path: str, body: BodyReader) -> Answer:
+    async def handle(self, method: str, path: str, body: BodyReader) -> Response:
         """Answer a request of a worker or a user."""
         if path == wire.HEARTBEAT_PATH:
-            return await handle_report(self, method, body)
+            return await handle_heartbeat(self, method, body)
         connections = self.net.open_connections()
         if self.connection_budget.is_exhausted(connections) and path != wire.READY_PATH:
-            return Answer(503, {"error": "no connections left"}, dict(OVERLOADED))
+            return Response(503, {"error": "no connections left"}, dict(OVERLOADED))
         answer = await self.users.handle(method, path, body)
         if self.connection_budget.closes_after_response(connections):
             answer.headers["Connection"] = "close"
--- a/oatport/simulation/mutations.py
+++ b/oatport/simulation/mutations.py
@@ -129,7 +129,7 @@
 
 def _transitive_cancellation() -> list[Any]:
     """Only jobs that name the cancelled one are cancelled with it, not those that need these."""
-    with_needed = JobStatusCache._with_needed
+    with_dependencies = JobStatusCache._with_dependencies
 
     def direct(self: DependencyGraph, ref: str) -> list[str]:
         found = self.dependents_of(ref)
@@ -139,10 +139,10 @@
         return found
 
     async def one_step(self: JobStatusCache, ref: str, known: Any, fresh: bool) -> Any:
-        needs = [self.known(need) for need in known.needs]
-        if any(need is not None and need.state == "queued" for need in needs) or not needs:
+        dependencies = [self.known(dependency) for dependency in known.dependencies]
+        if any(job is not None and job.state == "queued" for job in dependencies) or not dependencies:
             return known
-        return await with_needed(self, ref, known, fresh)
+        return await with_dependencies(self, ref, known, fresh)
 
     def unseen(self: DependencyTracker, ref: str) -> None:
         for name in self.graph.cancel(ref):
@@ -154,7 +154,7 @@
 
     return [
         patch.object(DependencyGraph, "cancel", direct),
-        patch.object(JobStatusCache, "_with_needed", one_step),
+        patch.object(JobStatusCache, "_with_dependencies", one_step),
         patch.object(DependencyTracker, "cancel_dependents", unseen),
         patch.object(DependencyController, "_apply_state", forgets),
     ]
@@ -263,7 +263,7 @@
     refresh = JobStatusCache._refresh
 
     async def once(self: JobStatusCache) -> None:
-        if not self._revision or steady() - self._asked_at > SECOND:
+        if not self._revision or steady() - self._refreshed_at > SECOND:
             await refresh(self)
 
     return [patch.object(JobStatusCache, "_refresh", once)]
--- a/oatport/simulation/network.py
+++ b/oatport/simulation/network.py
@@ -20,7 +20,7 @@
 import aiohttp
 
 from oatport import wire
-from oatport.api.server import Answer, BodyTooLargeError, Handler
+from oatport.api.server import BodyTooLargeError, Handler, Response
 from oatport.clients.http import ConnectionReuse, NoResponseError, RequestNotSentError
 from oatport.simulation.virtual_time import Host, VirtualLoop
 from oatport.times import MS, SECOND
@@ -381,14 +381,14 @@
         try:
             answer = await self._handler(method, path, _Body(body, self._limit))  # type: ignore[arg-type]
         except BodyTooLargeError:
-            answer = Answer(413)
+            answer = Response(413)
         except wire.InvalidMessageError as error:
-            answer = Answer(400, {"error": str(error)})
+            answer = Response(400, {"error": str(error)})
         except asyncio.CancelledError:
             raise
         except Exception as error:
             self._net.loop.errors.append(f"{self._host.name} {method} {path}: {error!r}")
-            answer = Answer(500)
+            answer = Response(500)
         value = answer.value
         after = answer.headers.get("Retry-After")
         if after is not None and isinstance(value, dict):
--- a/tests/test_client_consistency.py
+++ b/tests/test_client_consistency.py
@@ -257,7 +257,7 @@
 async def test_what_was_forgotten_meanwhile_is_not_learnt_from_an_older_read(state: KeyStore) -> None:
     users, _, _ = node(state)
     record = {"state": "queued", "job": {"legs": 1}}
-    view = users._view
+    view = users._jobs
     mark = view.mark()
     await users.show("j-000002")  # the first refresh forgets all
     view.learn("j-000001", record, 1, mark)
@@ -292,7 +292,7 @@
 
 async def test_bad_requests_are_told_so_under_full_load(state: KeyStore) -> None:
     users, _, _ = node(state)
-    users._busy = 10_000
+    users._requests = 10_000
 
     class Body:
         def __init__(self, value: Any) -> None:
--- a/tests/test_connection_budget.py
+++ b/tests/test_connection_budget.py
@@ -7,7 +7,7 @@
 import pytest
 
 from oatport import wire
-from oatport.api.server import Answer, BodyReader, Server
+from oatport.api.server import BodyReader, Response, Server
 from oatport.clients.http import ConnectionReuse, HttpClient, NoResponseError, make_session
 from oatport.control.limits.connection_budget import MAX_IDLE_TIMEOUT, MIN_IDLE_TIMEOUT, ConnectionBudget
 from oatport.service.network import HttpNetwork
@@ -38,9 +38,9 @@
     asked: list[str] = []
 
     class JobApi:
-        async def handle(self, method: str, path: str, body: Any) -> Answer:
+        async def handle(self, method: str, path: str, body: Any) -> Response:
             asked.append(path)
-            return Answer(200)
+            return Response(200)
 
     node.users = JobApi()  # type: ignore[assignment]
     node.state = FakeStateClient(KeyStore(lambda: 0))  # type: ignore[assignment]
@@ -71,8 +71,8 @@
 
 
 async def test_idle_connections_to_workers_are_kept_while_the_budget_allows() -> None:
-    async def handle(method: str, path: str, body: BodyReader) -> Answer:
-        return Answer(200, {"path": path})
+    async def handle(method: str, path: str, body: BodyReader) -> Response:
+        return Response(200, {"path": path})
 
     server = Server("127.0.0.1:0", handle)
     await server.start()
@@ -83,7 +83,7 @@
     try:
         for _ in range(3):
             await net.client(address, ConnectionReuse.NEVER).request("GET", "/show", timeout_us=SECOND)
-        assert server.held <= 1  # the last may just be closing
+        assert server.connection_count <= 1  # the last may just be closing
         for _ in range(3):
             await net.client(address, ConnectionReuse.WHILE_SPARE).request("GET", "/show", timeout_us=SECOND)
         before = net.client(address, ConnectionReuse.WHILE_SPARE)
--- a/tests/test_dependency_submissions.py
+++ b/tests/test_dependency_submissions.py
@@ -168,7 +168,7 @@
     for number in range(1, 1001):
         done(state, f"j-{number:06d}")
     await users.show("j-005000")
-    assert users._view.known("j-005000").needs == ()  # type: ignore[union-attr]  # not looked at again
+    assert users._jobs.known("j-005000").dependencies == ()  # type: ignore[union-attr]  # not looked at again
 
 
 def wire_of(spec: wire.Submission) -> dict[str, Any]:
--- a/tests/test_node_failures.py
+++ b/tests/test_node_failures.py
@@ -11,7 +11,7 @@
 from msgspec.structs import replace
 
 from oatport import wire
-from oatport.api.heartbeat_api import handle_report
+from oatport.api.heartbeat_api import handle_heartbeat
 from oatport.clients.http import NoResponseError
 from oatport.control.scaling.cloud_availability import ScaleOutRequest
 from oatport.control.storage.keys import CATALOG_KEY, LEADER_KEY
@@ -189,11 +189,11 @@
         "helm": 0,
         "legs": [],
     }
-    answer = await handle_report(node, "POST", Body(report))  # type: ignore[arg-type]
+    answer = await handle_heartbeat(node, "POST", Body(report))  # type: ignore[arg-type]
     assert (answer.status, answer.value) == (421, {"harbormaster": "n1"})
     for bad in ({}, [], {**report, "legs": [{"leg": 3}]}, {**report, "watch": "x"}):
         with pytest.raises(wire.InvalidMessageError):
-            await handle_report(node, "POST", Body(bad))  # type: ignore[arg-type]
+            await handle_heartbeat(node, "POST", Body(bad))  # type: ignore[arg-type]
 
 
 async def test_strange_peer_messages_are_400(state: KeyStore) -> None:
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -8,7 +8,7 @@
 import pytest
 
 from oatport.api import submission_batcher as intake_module
-from oatport.api.submission_batcher import CREATED, SubmissionBatcher
+from oatport.api.submission_batcher import SubmissionBatcher, SubmitOutcome
 from oatport.clients.http import RequestRefusedError
 from oatport.clients.state import Applied
 from oatport.control.limits.rate_limiter import MAX_RETRY_AFTER_S, AdaptiveRateLimiter
@@ -116,14 +116,14 @@
             return Applied(7)
 
     intake = SubmissionBatcher(State(), 12, AdaptiveRateLimiter(60.0, 3))  # type: ignore[arg-type]
-    assert not intake.full()
-    assert (await intake.add("j-000001", {"job": {}}))[0] != CREATED
-    assert intake.short()  # not the state service's fault: its user is told when there is room
-    assert intake.comes_back() >= 1
+    assert not intake.is_full()
+    assert (await intake.submit("j-000001", {"job": {}})).outcome is not SubmitOutcome.CREATED
+    assert intake.is_throttled()  # not the state service's fault: its user is told when there is room
+    assert intake.retry_after_s() >= 1
     assert asked == [ACCEPT_KEYS]
     now[0] += 2 * SECOND
-    assert not intake.short()
-    assert (await intake.add("j-000001", {"job": {}}))[0] == CREATED
+    assert not intake.is_throttled()
+    assert (await intake.submit("j-000001", {"job": {}})).outcome is SubmitOutcome.CREATED
 
 
 async def test_work_of_the_lowest_priority_that_waits_holds_up_nobody(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -140,13 +140,13 @@
     limiter = AdaptiveRateLimiter(60.0, 3)
     intake = SubmissionBatcher(State(), 12, limiter)  # type: ignore[arg-type]
     limiter.consume(now[0], 16)  # of 18
-    idle = [asyncio.create_task(intake.add(f"j-00000{n}", {"job": {}}, last=True)) for n in range(1, 6)]
+    idle = [asyncio.create_task(intake.submit(f"j-00000{n}", {"job": {}}, best_effort=True)) for n in range(1, 6)]
     await asyncio.sleep(0)
     await asyncio.sleep(0)
     assert len(sent[0]) == 1  # as much as there is room for
     now[0] += SECOND // 8
-    assert not intake.full()
-    assert (await intake.add("j-000009", {"job": {}}))[0] == CREATED
+    assert not intake.is_full()
+    assert (await intake.submit("j-000009", {"job": {}})).outcome is SubmitOutcome.CREATED
     assert sent[1] == ["j-000009"]
     now[0] += SECOND
     await asyncio.gather(*idle)
