--- a/oatport/simulation/invariant_checker.py
+++ b/oatport/simulation/invariant_checker.py
@@ -8,10 +8,11 @@
 from typing import Any
 
 from oatport.settings import ClusterSettings
+from oatport.simulation.attempt import EXIT_DONE
 from oatport.simulation.team_usage import EPSILON, TeamUsage
 from oatport.simulation.users import SubmittedJob
 from oatport.simulation.virtual_time import VirtualLoop
-from oatport.simulation.worker import EXIT_DONE, Worker
+from oatport.simulation.worker import Worker
 from oatport.times import SECOND
 
 UNANSWERED_MAX_S = 75.0  # a job about which no question is answered for so long is forgotten
--- a/oatport/simulation/machine_pool.py
+++ b/oatport/simulation/machine_pool.py
@@ -9,11 +9,12 @@
 from oatport.settings import ClusterSettings
 from oatport.simulation import deployment
 from oatport.simulation.cloud_service import CloudService, MachineRegistry, draw_boot_us
+from oatport.simulation.gang_coordinator import GangCoordinator
 from oatport.simulation.invariant_checker import InvariantChecker
 from oatport.simulation.machine_host import MachineHost
 from oatport.simulation.network import ANY_HOST, Net
 from oatport.simulation.virtual_time import Host, VirtualLoop
-from oatport.simulation.worker import GangCoordinator, Worker
+from oatport.simulation.worker import Worker
 from oatport.times import SECOND, micros
 
 FAILURE_LISTED_AFTER = 30 * SECOND  # a machine that died is listed as running for so long
--- a/oatport/simulation/simulated_deployment.py
+++ b/oatport/simulation/simulated_deployment.py
@@ -7,6 +7,7 @@
 
 from oatport.settings import Tuning
 from oatport.simulation import deployment, production_build
+from oatport.simulation.attempt import EXIT_DONE
 from oatport.simulation.cloud_service import CloudService, MachineRegistry
 from oatport.simulation.fault_plan import LEADER, Fault, Plan
 from oatport.simulation.invariant_checker import InvariantChecker
@@ -16,7 +17,7 @@
 from oatport.simulation.state_service import KeyStore, StateService, leader_of
 from oatport.simulation.users import User
 from oatport.simulation.virtual_time import Host, VirtualLoop
-from oatport.simulation.worker import EXIT_DONE, Worker
+from oatport.simulation.worker import Worker
 
 
 class SimulatedDeployment:
--- a/oatport/simulation/worker.py
+++ b/oatport/simulation/worker.py
@@ -3,83 +3,28 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import dataclass, field
 from typing import Any
 
 from oatport import wire
+from oatport.simulation.attempt import (
+    EXIT_DONE,
+    EXIT_GANG_INCOMPLETE,
+    EXIT_GANG_LOST,
+    EXIT_STOPPED,
+    Attempt,
+    AttemptKey,
+)
+from oatport.simulation.gang_coordinator import GangCoordinator
 from oatport.times import SECOND, micros
 
-AttemptKey = tuple[str, int]  # task and attempt
-
-EXIT_DONE, EXIT_STOPPED, EXIT_GANG_LOST, EXIT_GANG_INCOMPLETE = "done", "halted", "mates_gone", "incomplete"
-
-
-@dataclass(eq=False)
-class Attempt:
-    """A task on a machine, in the wire's own terms."""
-
-    status: str
-    exit_reason: str | None = None
-    completes_at: int | None = None  # when it completes, if it runs on
-    fails_at: int | None = None  # when it ends with an error, if it does
-    cores: float = 0.0
-    job: dict[str, Any] = field(default_factory=dict)
-    image_ready_at: int = 0  # when its image is there
-    started_at: int = 0
-    stopped_at: int | None = None  # its progress stops with the first stop
-    checkpoint_done_at: int = 0  # when what it saves is safe
-    checkpoint_stored: bool | None = None
-    on_machine: bool = False  # it has its image, and is on the machine as the rules count
-
-
-class GangCoordinator:
-    """What tasks of one attempt know of each other, wherever they are."""
-
-    def __init__(self, wait_us: int, peer_us: int) -> None:
-        self.wait_us, self.peer_us = wait_us, peer_us
-        self.members: dict[tuple[str, int], dict[str, tuple[Worker, Attempt]]] = {}
-        self.broken_at: dict[tuple[str, int], int] = {}  # since when a task of the attempt is gone
-        self.first_image_at: dict[tuple[str, int], int] = {}
-        self.on_completed: Callable[[list[Worker]], None] = lambda mates: None  # one is done; where the others are
-        self.stopping: set[tuple[str, int]] = set()  # attempts of which a task was told to stop: no progress since
-
-    def join(self, task: str, attempt: int, worker: Worker, held: Attempt) -> None:
-        key = (task.rsplit("/", 1)[0], attempt)
-        self.members.setdefault(key, {})[task] = (worker, held)
-
-    def ready(self, task: str, attempt: int, now: int) -> bool:
-        """All its tasks have their image: they start together."""
-        ref = task.rsplit("/", 1)[0]
-        there = self.members.get((ref, attempt), {})
-        self.first_image_at.setdefault((ref, attempt), now)
-        held = next(h for _, h in there.values())
-        whole = len(there) == int(held.job["legs"])
-        return whole and all(h.status in ("waiting", "running") for _, h in there.values())
-
-    def on_task_gone(self, task: str, attempt: int, now: int, *, done: bool) -> None:
-        key = (task.rsplit("/", 1)[0], attempt)
-        there = self.members.get(key, {})
-        there.pop(task, None)
-        if done:
-            # They complete together: if one is done, all are.
-            mates = [worker for worker, held in there.values() if held.status != "ended"]
-            for mate, (worker, held) in list(there.items()):
-                if held.status != "ended":
-                    worker.complete_with_gang((mate, attempt), held)
-            if mates:
-                self.on_completed(mates)
-        else:
-            self.broken_at.setdefault(key, now)
-            for worker, _ in there.values():
-                worker.on_change()
-
-    def has_stopped(self, task: str, attempt: int) -> bool:
-        """Its progress has stopped: a task of the attempt is gone, or was told to stop."""
-        key = (task.rsplit("/", 1)[0], attempt)
-        return key in self.broken_at or key in self.stopping
+EPSILON = 1e-9
 
 
 class Worker:
+    """The agent on one machine. Without `kind` images take no time, and CPUs alone are counted; without `gangs` tasks
+    of gangs run like others.
+    """
+
     def __init__(
         self,
         clock: Callable[[], int],
@@ -96,9 +41,7 @@
     ) -> None:
         self._clock = clock
         self.name, self.address, self.type, self.zone, self.spot = name, address, type_name, zone, spot
-        self.cores = cores
-        self.machine_type = kind
-        self.gang_coordinator = gangs
+        self.cores, self.machine_type, self.gang_coordinator = cores, kind, gangs
         self._job_of = job_of
         self.lease_us = lease_us
         self.session = 1
@@ -110,7 +53,7 @@
         self.cached_images: set[str] = set()
         self.images_ready_at: dict[str, int] = {}  # image -> when it is there
         self.completed_tasks: set[str] = set()  # tasks that completed: kept, shared by all machines
-        self.lost_completions: dict[str, str] = {}  # ends that it can't tell of any more, and why
+        self.lost_completions: dict[str, str] = {}  # completions that it can't report any more, and why
         self.progress: dict[str, int] = {}  # what tasks saved, shared by all machines (us of run time)
         self.speed = 1.0
         self.lease_renewed_at = clock()
@@ -122,7 +65,7 @@
         self.failure_delay_us: Callable[[str, dict[str, Any]], int | None] = lambda task, job: None
         self.runtime_us: Callable[[str, dict[str, Any]], int] = lambda task, job: micros(float(job["voyageS"]))
 
-    # --- time -------------------------------------------------------------------------------
+    # --- time ----------------------------------------------------------------------------------
 
     def advance(self) -> None:
         """Let what is due happen: the lease runs out, images arrive, tasks start, save and complete."""
@@ -134,63 +77,80 @@
         for image in [image for image, at in self.images_ready_at.items() if at <= now]:
             del self.images_ready_at[image]
             self.cached_images.add(image)
-        for key, held in list(self.tasks.items()):
-            if held.status == "pulling" and held.image_ready_at <= now:
-                self._on_image_ready(key, held, now)
-            if held.status == "waiting":
-                self._advance_waiting(key, held, now)
-            if held.status == "running" and held.job.get("rig") == "gang" and self._gang_lost(key, now):
-                self._exit(key, held, EXIT_GANG_LOST)
-            if held.status == "running" and held.fails_at is not None and now >= held.fails_at:
-                self._exit(key, held, "error")
-            if (
-                held.status == "running"
-                and held.completes_at is not None
-                and now >= held.completes_at
-                and not self._has_stopped(key, held)
-            ):
-                self._exit(key, held, EXIT_DONE)
-            if held.status == "flushing" and now >= held.checkpoint_done_at:
-                held.checkpoint_stored = True
-                self._exit(key, held, EXIT_STOPPED)
+        for key, attempt in list(self.tasks.items()):
+            if attempt.status == "pulling" and attempt.image_ready_at <= now:
+                self._on_image_ready(key, attempt, now)
+            if attempt.status == "waiting":
+                self._advance_waiting(key, attempt, now)
+            if attempt.status == "running":
+                self._advance_running(key, attempt, now)
+            if attempt.status == "flushing" and now >= attempt.checkpoint_done_at:
+                attempt.checkpoint_stored = True
+                self._exit(key, attempt, EXIT_STOPPED)
+
+    def _advance_waiting(self, key: AttemptKey, attempt: Attempt, now: int) -> None:
+        assert self.gang_coordinator is not None
+        gives_up_at = self.gang_coordinator.gives_up_at(key)
+        if gives_up_at is not None:
+            if now >= gives_up_at:
+                self._exit(key, attempt, EXIT_GANG_LOST)
+        elif self.gang_coordinator.is_ready(key, now):
+            self.gang_coordinator.start_all(key, now)
+        elif now >= self.gang_coordinator.waits_until(key, now):
+            self._exit(key, attempt, EXIT_GANG_INCOMPLETE)
+
+    def _advance_running(self, key: AttemptKey, attempt: Attempt, now: int) -> None:
+        gang = self._gang_of(attempt)
+        gives_up_at = gang.gives_up_at(key) if gang is not None else None
+        if gives_up_at is not None and now >= gives_up_at:
+            self._exit(key, attempt, EXIT_GANG_LOST)
+        elif attempt.fails_at is not None and now >= attempt.fails_at:
+            self._exit(key, attempt, "error")
+        else:
+            completes_at = self._completes_at(key, attempt)
+            if completes_at is not None and now >= completes_at:
+                self._exit(key, attempt, EXIT_DONE)
 
     def next_event_at(self) -> int:
         """When `advance` has something to do, if nothing else happens."""
         times = [self.lease_renewed_at + self.lease_us + 1, *self.images_ready_at.values()]
-        for key, held in self.tasks.items():
-            if held.status == "pulling":
-                times.append(held.image_ready_at)
-            elif held.status == "running":
-                ends_at = None if self._has_stopped(key, held) else held.completes_at
-                times += [at for at in (ends_at, held.fails_at) if at is not None]
-            elif held.status == "flushing":
-                times.append(held.checkpoint_done_at)
-            if (
-                self.gang_coordinator is not None
-                and held.job.get("rig") == "gang"
-                and held.status in ("waiting", "running")
-            ):
-                attempt = (key[0].rsplit("/", 1)[0], key[1])
-                if attempt in self.gang_coordinator.broken_at:
-                    times.append(self.gang_coordinator.broken_at[attempt] + self.gang_coordinator.peer_us)
-                if held.status == "waiting":
-                    times.append(self.gang_coordinator.first_image_at.get(attempt, 0) + self.gang_coordinator.wait_us)
+        for key, attempt in self.tasks.items():
+            if attempt.status == "pulling":
+                times.append(attempt.image_ready_at)
+            elif attempt.status == "running":
+                times += [at for at in (self._completes_at(key, attempt), attempt.fails_at) if at is not None]
+            elif attempt.status == "flushing":
+                times.append(attempt.checkpoint_done_at)
+            gang = self._gang_of(attempt)
+            if gang is not None and attempt.status in ("waiting", "running"):
+                times += [at for at in (gang.gives_up_at(key),) if at is not None]
+                if attempt.status == "waiting":
+                    times.append(gang.waits_until(key, 0))
         return min(times)
 
+    def _gang_of(self, attempt: Attempt) -> GangCoordinator | None:
+        """What coordinates this attempt with others; None: it runs by itself."""
+        return self.gang_coordinator if attempt.is_gang_member else None
+
+    def _completes_at(self, key: AttemptKey, attempt: Attempt) -> int | None:
+        """When a running attempt completes; None: never, or its gang makes no progress any more."""
+        gang = self._gang_of(attempt)
+        return None if gang is not None and gang.has_stopped(key) else attempt.completes_at
+
     def on_resumed_after_hang(self, for_us: int) -> None:
         """It executed nothing for a while."""
-        for held in self.tasks.values():
-            if held.status == "running" and held.completes_at is not None:
-                held.completes_at += for_us
+        for attempt in self.tasks.values():
+            if attempt.status == "running" and attempt.completes_at is not None:
+                attempt.completes_at += for_us
 
     def kill(self, why: str) -> None:
         """All tasks are gone at once: the lease ran out, or the machine is no more."""
-        for (task, attempt), held in list(self.tasks.items()):
-            if held.status != "ended":
+        for key, attempt in list(self.tasks.items()):
+            if not attempt.is_ended:
                 self.lease_kill_count += why == "lease"
-                self._remove(task, attempt, held, why)
-            elif held.exit_reason == EXIT_DONE:
-                self.lost_completions[task] = why
+                self._remove(key, attempt, why)
+            elif attempt.exit_reason == EXIT_DONE:
+                self.lost_completions[key[0]] = why
         self.tasks.clear()
         self.images_ready_at.clear()
 
@@ -204,93 +164,72 @@
         self.lease_renewed_at = self._clock()
         self.on_change()
 
-    def _on_image_ready(self, key: AttemptKey, held: Attempt, now: int) -> None:
-        held.on_machine = True
+    # --- life of an attempt --------------------------------------------------------------------
+
+    def _on_image_ready(self, key: AttemptKey, attempt: Attempt, now: int) -> None:
+        attempt.on_machine = True
         self.on_task_started(self, *key)
-        if key[0] in self.completed_tasks:
-            self._exit(key, held, EXIT_DONE)
-        elif held.job["rig"] == "gang" and self.gang_coordinator is not None:
-            held.status = "waiting"
-            self.gang_coordinator.first_image_at.setdefault((key[0].rsplit("/", 1)[0], key[1]), now)
-            for worker, _ in list(self.gang_coordinator.members.get((key[0].rsplit("/", 1)[0], key[1]), {}).values()):
-                worker.on_change()
+        gang = self._gang_of(attempt)
+        if key.task in self.completed_tasks:
+            self._exit(key, attempt, EXIT_DONE)
+        elif gang is not None:
+            attempt.status = "waiting"
+            gang.on_image_ready(key, now)
         else:
-            self._run(key, held, now)
-
-    def _run(self, key: AttemptKey, held: Attempt, now: int) -> None:
-        held.status, held.started_at = "running", now
-        fails = self.failure_delay_us(key[0], held.job)
-        held.fails_at = None if fails is None else now + fails
-        if held.job["rig"] != "standing":
-            left = self.runtime_us(key[0], held.job) - self.progress.get(key[0], 0)
-            held.completes_at = now + round(max(left, 0) / self.speed)
-
-    def _advance_waiting(self, key: AttemptKey, held: Attempt, now: int) -> None:
-        assert self.gang_coordinator is not None
-        attempt = (key[0].rsplit("/", 1)[0], key[1])
-        if attempt in self.gang_coordinator.broken_at:
-            if now >= self.gang_coordinator.broken_at[attempt] + self.gang_coordinator.peer_us:
-                self._exit(key, held, EXIT_GANG_LOST)
-        elif self.gang_coordinator.ready(key[0], key[1], now):
-            for mate, (worker, its) in list(self.gang_coordinator.members[attempt].items()):
-                if its.status == "waiting":
-                    worker._run((mate, key[1]), its, now)
-                    worker.on_change()
-        elif now >= self.gang_coordinator.first_image_at.get(attempt, now) + self.gang_coordinator.wait_us:
-            self._exit(key, held, EXIT_GANG_INCOMPLETE)
-
-    def _has_stopped(self, key: AttemptKey, held: Attempt) -> bool:
-        return (
-            held.job.get("rig") == "gang"
-            and self.gang_coordinator is not None
-            and self.gang_coordinator.has_stopped(*key)
-        )
-
-    def complete_with_gang(self, key: AttemptKey, held: Attempt) -> None:
-        """Its gang has completed."""
-        self._exit(key, held, EXIT_DONE)
+            self.run_attempt(key, attempt, now)
+
+    def run_attempt(self, key: AttemptKey, attempt: Attempt, now: int) -> None:
+        """The task starts to run, from its last checkpoint on."""
+        attempt.status, attempt.started_at = "running", now
+        failure_delay = self.failure_delay_us(key.task, attempt.job)
+        attempt.fails_at = None if failure_delay is None else now + failure_delay
+        if attempt.job["rig"] != "standing":
+            left = self.runtime_us(key.task, attempt.job) - self.progress.get(key.task, 0)
+            attempt.completes_at = now + round(max(left, 0) / self.speed)
+
+    def complete_with_gang(self, key: AttemptKey, attempt: Attempt) -> None:
+        """A task of its gang has completed, so this one has."""
+        self._exit(key, attempt, EXIT_DONE)
         self.on_change()
 
-    def _gang_lost(self, key: AttemptKey, now: int) -> bool:
-        since = (
-            self.gang_coordinator.broken_at.get((key[0].rsplit("/", 1)[0], key[1]))
-            if self.gang_coordinator is not None
-            else None
-        )
-        return since is not None and self.gang_coordinator is not None and now >= since + self.gang_coordinator.peer_us
-
-    def _exit(self, key: AttemptKey, held: Attempt, why: str) -> None:
-        if why == EXIT_DONE:
-            self.completed_tasks.add(key[0])
-        self._remove(*key, held, why)
-        held.status, held.exit_reason = "ended", why
-
-    def _remove(self, task: str, attempt: int, held: Attempt, why: str) -> None:
-        every = micros(float(held.job.get("mooringS") or 0.0))
-        if held.completes_at is not None and every and why != EXIT_DONE and held.status in ("running", "flushing"):
-            until = self._clock() if held.stopped_at is None else held.stopped_at
-            ran = round((until - held.started_at) * self.speed)
-            saved = self.progress.get(task, 0) + ran
-            self.progress[task] = (
-                saved if held.checkpoint_stored else max(self.progress.get(task, 0), saved // every * every)
-            )
-        if held.on_machine:
-            held.on_machine = False
-            self.on_task_stopped(self, task, attempt, why)
-        if held.job.get("rig") == "gang" and self.gang_coordinator is not None:
-            self.gang_coordinator.on_task_gone(task, attempt, self._clock(), done=why == EXIT_DONE)
-
-    # --- messages ---------------------------------------------------------------------------
+    def _exit(self, key: AttemptKey, attempt: Attempt, reason: str) -> None:
+        if reason == EXIT_DONE:
+            self.completed_tasks.add(key.task)
+        self._remove(key, attempt, reason)
+        attempt.status, attempt.exit_reason = "ended", reason
+
+    def _remove(self, key: AttemptKey, attempt: Attempt, reason: str) -> None:
+        """It is on the machine no more; what it saved is kept."""
+        if reason != EXIT_DONE:
+            self._keep_progress(key.task, attempt)
+        if attempt.on_machine:
+            attempt.on_machine = False
+            self.on_task_stopped(self, *key, reason)
+        gang = self._gang_of(attempt)
+        if gang is not None:
+            gang.on_task_gone(key, self._clock(), done=reason == EXIT_DONE)
+
+    def _keep_progress(self, task: str, attempt: Attempt) -> None:
+        interval = attempt.checkpoint_interval_us
+        if attempt.completes_at is None or not interval or attempt.status not in ("running", "flushing"):
+            return
+        until = self._clock() if attempt.stopped_at is None else attempt.stopped_at
+        before = self.progress.get(task, 0)
+        reached = before + round((until - attempt.started_at) * self.speed)
+        self.progress[task] = reached if attempt.checkpoint_stored else max(before, reached // interval * interval)
+
+    # --- messages ------------------------------------------------------------------------------
 
     def report(self) -> dict[str, Any]:
+        """A heartbeat: the machine and all attempts on it."""
         self.advance()
         self.seq += 1
         legs: list[dict[str, Any]] = []
-        for (name, attempt), held in self.tasks.items():
-            leg: dict[str, Any] = {"leg": name, "sailing": attempt, "status": held.status}
-            if held.exit_reason:
-                leg["wreckCause"] = held.exit_reason
-            if held.checkpoint_stored:
+        for (name, number), attempt in self.tasks.items():
+            leg: dict[str, Any] = {"leg": name, "sailing": number, "status": attempt.status}
+            if attempt.exit_reason:
+                leg["wreckCause"] = attempt.exit_reason
+            if attempt.checkpoint_stored:
                 leg["stored"] = True
             legs.append(leg)
         if self.reclaimed_at is not None:
@@ -309,7 +248,7 @@
         }
 
     def answer(self, sent_at: int, session: int, body: dict[str, Any]) -> bool:
-        """A 200 to a report; False if it is dropped."""
+        """A 200 to a heartbeat; False if it is dropped."""
         self.advance()
         if body.get("helm", -1) < self.token or session != self.session:
             return False
@@ -319,6 +258,7 @@
         return True
 
     def commands(self, body: dict[str, Any]) -> tuple[int, dict[str, Any]]:
+        """A leader's commands; status and answer. 409: of an older leader, or for an earlier session."""
         self.advance()
         if "helm" not in body or "watch" not in body:
             return 400, self.report()
@@ -330,69 +270,84 @@
 
     def _execute(self, orders: list[dict[str, Any]]) -> None:
         for order in orders:
-            key = (order["leg"], order["sailing"])
-            held = self.tasks.get(key)
+            key = AttemptKey(order["leg"], order["sailing"])
+            attempt = self.tasks.get(key)
             if order["orderKind"] == "start":
-                if held is None:
+                if attempt is None:
                     self._start(key)
-            elif held is None:
+            elif attempt is None:
                 continue
-            elif order["orderKind"] == "stop" and held.status != "ended":
-                self._stop(key, held, float(order.get("slackS") or 0.0))
-            elif order["orderKind"] == "forget" and held.status == "ended":
+            elif order["orderKind"] == "stop" and not attempt.is_ended:
+                self._stop(key, attempt, float(order.get("slackS") or 0.0))
+            elif order["orderKind"] == "forget" and attempt.is_ended:
                 del self.tasks[key]
-                if held.exit_reason == EXIT_DONE:
-                    self.lost_completions[key[0]] = "forgotten"
-
-    def _stop(self, key: AttemptKey, held: Attempt, slack_s: float) -> None:
-        if held.status == "running" and held.job.get("rig") == "gang" and self.gang_coordinator is not None:
-            self.gang_coordinator.stopping.add((key[0].rsplit("/", 1)[0], key[1]))
-        saves = float(held.job.get("mooringS") or 0.0) > 0 and slack_s >= float(held.job.get("stowS") or 0.0)
-        if held.status == "running" and saves:
-            held.status, held.stopped_at = "flushing", self._clock()
-            held.checkpoint_done_at = held.stopped_at + micros(float(held.job["stowS"]))
-        elif held.status != "flushing" or slack_s <= 0:
-            self._exit(key, held, EXIT_STOPPED)
-            image = str(held.job.get("hull"))
-            if not any(h.status == "pulling" and h.job.get("hull") == image for h in self.tasks.values()):
-                self.images_ready_at.pop(image, None)  # nobody waits for it any more
+                if attempt.exit_reason == EXIT_DONE:
+                    self.lost_completions[key.task] = "forgotten"
+
+    def _stop(self, key: AttemptKey, attempt: Attempt, grace_s: float) -> None:
+        """Stop a task; it saves its progress first if it runs, can do so, and the grace period is long enough."""
+        gang = self._gang_of(attempt)
+        if attempt.status == "running" and gang is not None:
+            gang.on_stop_ordered(key)
+        saves = attempt.checkpoint_interval_us > 0 and grace_s >= float(attempt.job.get("stowS") or 0.0)
+        if attempt.status == "running" and saves:
+            attempt.status, attempt.stopped_at = "flushing", self._clock()
+            attempt.checkpoint_done_at = attempt.stopped_at + micros(float(attempt.job["stowS"]))
+        elif attempt.status != "flushing" or grace_s <= 0:
+            self._exit(key, attempt, EXIT_STOPPED)
+            self._drop_unused_fetch(str(attempt.job.get("hull")))
+
+    def _drop_unused_fetch(self, image: str) -> None:
+        """An image that no task waits for any more is not fetched on."""
+        if not any(other.status == "pulling" and other.job.get("hull") == image for other in self.tasks.values()):
+            self.images_ready_at.pop(image, None)
 
     def _start(self, key: AttemptKey) -> None:
-        task = key[0]
-        job = self._job_of(task.rsplit("/", 1)[0])
-        if job is None:
-            self.tasks[key] = Attempt("ended", "unknown")
-            return
-        live = [(k, held) for k, held in self.tasks.items() if held.status != "ended"]
-        if any(k[0] == task for k, _ in live):
-            self.tasks[key] = Attempt("ended", "in_use")
-            return
-        if not self._has_room(job, [held for _, held in live]):
-            self.tasks[key] = Attempt("ended", "full")
+        job = self._job_of(key.job_id)
+        refusal = self._refusal(key, job)
+        if job is None or refusal:
+            self.tasks[key] = Attempt("ended", refusal)
             return
         self.started_attempts.append(key)
         now = self._clock()
-        image = str(job["hull"])
-        ready = now
-        if self.machine_type is not None and image not in self.cached_images:
-            fetch = micros(float(job["sizeGb"]) / max(self.machine_type.image_fetch_gb_per_s, 0.01))
-            ready = self.images_ready_at.setdefault(image, now + fetch * (1 + len(self.images_ready_at)))
-        held = self.tasks[key] = Attempt("pulling", cores=float(job["cores"]), job=job, image_ready_at=ready)
-        if job["rig"] == "gang" and self.gang_coordinator is not None:
-            self.gang_coordinator.join(task, key[1], self, held)
-        if ready <= now:
-            self._on_image_ready(key, held, now)
+        ready_at = self._image_ready_at(job, now)
+        attempt = Attempt("pulling", cores=float(job["cores"]), job=job, image_ready_at=ready_at)
+        self.tasks[key] = attempt
+        gang = self._gang_of(attempt)
+        if gang is not None:
+            gang.join(key, self, attempt)
+        if ready_at <= now:
+            self._on_image_ready(key, attempt, now)
         self.on_change()
 
+    def _refusal(self, key: AttemptKey, job: dict[str, Any] | None) -> str:
+        """The exit reason of a task that is not started; empty if it is."""
+        if job is None:
+            return "unknown"
+        live = [(other, attempt) for other, attempt in self.tasks.items() if not attempt.is_ended]
+        if any(other[0] == key.task for other, _ in live):
+            return "in_use"
+        return "" if self._has_capacity(job, [attempt for _, attempt in live]) else "full"
+
+    def _image_ready_at(self, job: dict[str, Any], now: int) -> int:
+        """When the job's image is there; images are fetched one after the other."""
+        image = str(job["hull"])
+        if self.machine_type is None or image in self.cached_images:
+            return now
+        fetch = micros(float(job["sizeGb"]) / max(self.machine_type.image_fetch_gb_per_s, 0.01))
+        return self.images_ready_at.setdefault(image, now + fetch * (1 + len(self.images_ready_at)))
+
+    # --- capacity ------------------------------------------------------------------------------
+
     def fits(self, job: dict[str, Any]) -> bool:
-        """A task of this job finds room here now."""
-        return self._has_room(job, [held for held in self.tasks.values() if held.status != "ended"])
+        """A task of this job finds capacity here now."""
+        return self._has_capacity(job, [attempt for attempt in self.tasks.values() if not attempt.is_ended])
 
-    def _has_room(self, job: dict[str, Any], live: list[Attempt]) -> bool:
-        if sum(h.cores for h in live) + float(job["cores"]) > self.cores + 1e-9:
+    def _has_capacity(self, job: dict[str, Any], live: list[Attempt]) -> bool:
+        if sum(attempt.cores for attempt in live) + float(job["cores"]) > self.cores + EPSILON:
             return False
         if self.machine_type is None:
             return True
-        gpus = sum(float(h.job["accelerators"]) for h in live) + float(job["accelerators"])
-        memory = sum(float(h.job["memoryGb"]) for h in live) + float(job["memoryGb"])
-        return gpus <= self.machine_type.gpus + 1e-9 and memory <= self.machine_type.memory_gb + 1e-9
+        gpus = sum(float(attempt.job["accelerators"]) for attempt in live) + float(job["accelerators"])
+        memory_gb = sum(float(attempt.job["memoryGb"]) for attempt in live) + float(job["memoryGb"])
+        return gpus <= self.machine_type.gpus + EPSILON and memory_gb <= self.machine_type.memory_gb + EPSILON
--- a/tests/test_retry_policy.py
+++ b/tests/test_retry_policy.py
@@ -13,7 +13,8 @@
 from oatport.control.placement.retry_policy import RetryPolicy, load_retry_policies
 from oatport.control.storage.recovery import read_job
 from oatport.settings import SettingsError
-from oatport.simulation.worker import Attempt, Worker
+from oatport.simulation.attempt import Attempt
+from oatport.simulation.worker import Worker
 from oatport.times import SECOND
 from tests.cluster_fixture import FakeStateClient, World, node_settings
 from tests.test_node_failures import leader
--- a/tests/test_safety_invariants.py
+++ b/tests/test_safety_invariants.py
@@ -8,6 +8,7 @@
 from oatport.control.storage.recovery import silent
 from oatport.control.storage.write_buffer import LEADER_KEY, chunk_key, live_key
 from oatport.settings import Team
+from oatport.simulation.attempt import AttemptKey
 from oatport.times import SECOND
 from tests.cluster_fixture import World
 
@@ -470,7 +471,7 @@
     worker = world.machine(1)
     world.settle()
     ref = world.submit(legs=1)
-    worker._start((f"{ref}/0", 7))
+    worker._start(AttemptKey(f"{ref}/0", 7))
     world.report(worker)
     assert (f"{ref}/0", 7) not in worker.tasks or worker.tasks[(f"{ref}/0", 7)].status == "ended"
     world.settle()
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -17,6 +17,7 @@
 from oatport.lab import SAFETY_CHECKS as NAMES
 from oatport.simulation.deployment import TYPES, cluster_settings
 from oatport.simulation.fault_plan import ALL, Fault, InvalidPlanError, Plan, parse, read
+from oatport.simulation.gang_coordinator import GangCoordinator
 from oatport.simulation.invariant_checker import InvariantChecker
 from oatport.simulation.mutations import MUTATIONS
 from oatport.simulation.network import RECONNECT_MAX_US, LinkRule, Net
@@ -25,7 +26,7 @@
 from oatport.simulation.state_service import KeyStore
 from oatport.simulation.users import SubmittedJob
 from oatport.simulation.virtual_time import Host, VirtualLoop
-from oatport.simulation.worker import GangCoordinator, Worker
+from oatport.simulation.worker import Worker
 from oatport.times import SECOND, steady
 from tests.cluster_fixture import job
 
