--- a/oatport/service/dependency_controller.py
+++ b/oatport/service/dependency_controller.py
@@ -6,7 +6,7 @@
 
 from oatport import wire
 from oatport.clients.http import NoResponseError, RequestRefusedError, jitter
-from oatport.control.storage.write_buffer import JOBS
+from oatport.control.storage.keys import JOBS
 from oatport.service.leader_context import LeaderContext
 from oatport.times import SECOND
 
@@ -32,15 +32,15 @@
         """Read unknown dependencies until the leader stops."""
         while not self._leader.stopped:
             await asyncio.sleep(INTERVAL_S)
-            await self._read(sorted(self.cluster.dependencies.graph.unknown))
-            if self.cluster.dependencies.graph.unknown:
+            await self._read(sorted(self.cluster.dependencies.graph.unresolved))
+            if self.cluster.dependencies.graph.unresolved:
                 await asyncio.sleep(REREAD_INTERVAL_S)  # accepted a moment ago: the watch brings it
 
     async def _read(self, unknown: list[str]) -> None:
         """Some together, one request at a time."""
         while unknown and not self._leader.stopped:
             try:
-                found, asked = await self.state.some(JOBS, unknown)
+                found, asked = await self.state.get_many(JOBS, unknown)
             except (NoResponseError, RequestRefusedError):
                 await asyncio.sleep(jitter(RETRY_INTERVAL))
                 return
@@ -58,4 +58,4 @@
         elif state == wire.JobStatus.CANCELLED:
             self.cluster.dependencies.cancel_dependents(job_id)
         elif state == wire.JobStatus.FAILED or job_id in self.cluster.jobs:
-            self.cluster.dependencies.graph.seen(job_id)
+            self.cluster.dependencies.graph.mark_resolved(job_id)
--- a/oatport/service/election.py
+++ b/oatport/service/election.py
@@ -6,14 +6,14 @@
 import contextlib
 import logging
 from collections.abc import Callable
-from typing import Any
 
+from oatport import wire
 from oatport.clients.http import NoResponseError, RequestRefusedError, jitter
 from oatport.clients.state import Applied, LeaseExpiredError
-from oatport.clients.worker import count_reached
+from oatport.clients.worker import count_reachable
 from oatport.control.leadership.election_priority import ElectionPriority
+from oatport.control.storage.keys import LEADER_KEY
 from oatport.control.storage.recovery import UnknownMachineTypeError
-from oatport.control.storage.write_buffer import LEADER_KEY
 from oatport.peer_messages import Handover, No, Ok
 from oatport.service.leader import Leader
 from oatport.service.network import Network
@@ -94,17 +94,16 @@
         found = await self._node.state.get(LEADER_KEY)
         revision = self._on_leader_record(found)
         while True:
-            result = await self._node.state.changes(LEADER_KEY, revision, WATCH_WAIT)
+            result = await self._node.state.watch(LEADER_KEY, revision, WATCH_WAIT)
             if result is None:
                 return
-            revision, changes = result
-            for item in changes:
-                if item.get("set") == LEADER_KEY:
-                    self._on_leader_record((item["value"], int(item["entryRev"])))
-                elif item.get("drop") == LEADER_KEY:
-                    self._on_leader_record(None)
-
-    def _on_leader_record(self, found: tuple[Any, int] | None) -> int:
+            revision = result.revision
+            for change in result.changes:
+                if change.key == LEADER_KEY:
+                    record = None if change.deleted else wire.StoredValue(change.value, change.revision)
+                    self._on_leader_record(record)
+
+    def _on_leader_record(self, found: wire.StoredValue | None) -> int:
         """Take in the leader record or its absence; its version, which is the fencing token."""
         if found is None:
             if self.leader is None:
@@ -162,7 +161,7 @@
         return self._priority.backoff(self._peer_status.state_service_answers)
 
     async def _count_reached(self, addresses: list[str]) -> int:
-        return await count_reached(self._net, addresses)
+        return await count_reachable(self._net, addresses)
 
     async def _run_for_leader(self) -> None:
         """Become the leader if there is none, or if the one there is handed over."""
@@ -177,7 +176,7 @@
                 return
             version = found[1]
         requested_at = steady()
-        lease = await self._node.state.hold(self._lease_us)
+        lease = await self._node.state.grant_lease(self._lease_us)
         token = await self._take_leader_key(version, lease)
         if token:
             await self._become_leader(token, lease, requested_at)
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -10,9 +10,9 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from oatport import wire
-from oatport.control.queueing.dependency_graph import DependencyGraph, Known, Urgency
+from oatport.control.queueing.dependency_graph import DependencyGraph, DependencyState, Urgency
 from oatport.control.state.job import Job
-from oatport.control.storage.write_buffer import cancel_key, live_key, waits_key
+from oatport.control.storage.keys import blocked_key, cancel_key, live_key
 from oatport.settings import Team
 from oatport.times import SECOND
 from tests.cluster_fixture import World
@@ -118,9 +118,9 @@
         world.step(1.0)
         if live_key(last) in recorded_keys(world):
             break
-        assert waits_key(last) in recorded_keys(world)
-    revisions = {key: revision for revision, key, _ in world.state.log if key in (live_key(last), waits_key(last))}
-    assert revisions[live_key(last)] == revisions[waits_key(last)]
+        assert blocked_key(last) in recorded_keys(world)
+    revisions = {key: revision for revision, key, _ in world.state.log if key in (live_key(last), blocked_key(last))}
+    assert revisions[live_key(last)] == revisions[blocked_key(last)]
     assert world.record(first) == wire.JobStatus.COMPLETED
 
 
@@ -166,7 +166,7 @@
     world.cancel(last)
     world.settle()
     assert world.record(last) == wire.JobStatus.CANCELLED
-    assert waits_key(last) not in recorded_keys(world)
+    assert blocked_key(last) not in recorded_keys(world)
 
 
 def test_a_job_that_failed_and_was_retried_releases_its_dependents() -> None:
@@ -219,13 +219,13 @@
     _, last = dependency_chain(world, 2)
     while live_key(last) not in recorded_keys(world):
         world.step(1.0)
-    world.state.commit({"if": [], "then": [{"set": waits_key(last), "value": world.state.items[live_key(last)][0]}]})
+    world.state.commit({"if": [], "then": [{"set": blocked_key(last), "value": world.state.items[live_key(last)][0]}]})
     world.fail_over()
     assert last in world.cluster.jobs
     assert last not in world.cluster.dependencies.blocked_jobs
     world.settle(20)
     assert world.record(last) == wire.JobStatus.COMPLETED
-    assert waits_key(last) not in recorded_keys(world)
+    assert blocked_key(last) not in recorded_keys(world)
 
 
 # --- cancellation -----------------------------------------------------------------------------------
@@ -273,7 +273,7 @@
     world.settle()
     assert world.record(last) == wire.JobStatus.CANCELLED
     assert cancel_key(last) not in recorded_keys(world)
-    assert waits_key(last) not in recorded_keys(world)
+    assert blocked_key(last) not in recorded_keys(world)
 
 
 def test_a_job_that_depends_on_a_cancelled_one_is_cancelled() -> None:
@@ -379,18 +379,18 @@
     evaluated = 0
     graph = DependencyGraph()
     for number in range(3000):
-        graph.add(f"j-{number + 2}", ["j-1"], lambda ref: Known.OPEN)
-    graph.stale.clear()
+        graph.add(f"j-{number + 2}", ["j-1"], lambda ref: DependencyState.OPEN)
+    graph.dirty.clear()
     for number in range(1000):
-        graph.leave(f"j-{number + 2}")
-    assert list(graph.stale) == ["j-1"]
+        graph.remove(f"j-{number + 2}")
+    assert list(graph.dirty) == ["j-1"]
 
     def urgency_of(ref: str) -> Any:
         nonlocal evaluated
         evaluated += 1
         return Urgency(1, (5,)), 1
 
-    graph.wanted("j-1", urgency_of)
+    graph.inherited_urgency("j-1", urgency_of)
     assert evaluated == 2000
 
 
@@ -406,10 +406,13 @@
         self.dependencies: dict[str, list[str]] = {}
         self.state: dict[str, str] = {}  # waits, runs, done, cancelled
 
-    def known(self, ref: str) -> Known:
-        return {"waits": Known.OPEN, "runs": Known.OPEN, "done": Known.DONE, "cancelled": Known.CANCELLED}[
-            self.state[ref]
-        ]
+    def known(self, ref: str) -> DependencyState:
+        return {
+            "waits": DependencyState.OPEN,
+            "runs": DependencyState.OPEN,
+            "done": DependencyState.COMPLETED,
+            "cancelled": DependencyState.CANCELLED,
+        }[self.state[ref]]
 
     def cancelled(self, ref: str) -> bool:
         return self.state[ref] == "cancelled" or any(
@@ -428,15 +431,18 @@
             self.state[ref] = "runs"
             return
         outcome = self.graph.add(ref, self.dependencies[ref], self.known)
-        self.state[ref] = {Known.OPEN: "waits", Known.DONE: "runs", Known.CANCELLED: "cancelled"}[outcome]
+        self.state[ref] = {
+            DependencyState.OPEN: "waits",
+            DependencyState.COMPLETED: "runs",
+            DependencyState.CANCELLED: "cancelled",
+        }[outcome]
 
     @precondition(lambda self: "runs" in self.state.values())
     @rule(data=st.data())
     def end(self, data: st.DataObject) -> None:
         ref = data.draw(st.sampled_from([r for r, state in self.state.items() if state == "runs"]))
         self.state[ref] = "done"
-        _, released = self.graph.done(ref)
-        for name in released:
+        for name in self.graph.complete(ref).released:
             assert self.state[name] == "waits"
             self.state[name] = "runs"
 
@@ -445,7 +451,7 @@
     def cancel(self, data: st.DataObject) -> None:
         ref = data.draw(st.sampled_from([r for r, s in self.state.items() if s in ("runs", "waits")]))
         self.state[ref] = "cancelled"
-        for name in self.graph.cancelled(ref):
+        for name in self.graph.cancel(ref):
             assert self.state[name] == "waits"
             self.state[name] = "cancelled"
 
@@ -456,11 +462,13 @@
                 assert state == "cancelled"
             elif state == "waits":
                 assert not self.ready(ref)
-                assert set(self.graph.waits(ref)) == {n for n in self.dependencies[ref] if self.state[n] != "done"}
+                assert set(self.graph.dependencies_of(ref)) == {
+                    n for n in self.dependencies[ref] if self.state[n] != "done"
+                }
             else:
                 assert self.ready(ref)
-        assert set(self.graph.unmet) == {ref for ref, state in self.state.items() if state == "waits"}
-        assert not self.graph.unknown
+        assert set(self.graph.unmet_dependencies) == {ref for ref, state in self.state.items() if state == "waits"}
+        assert not self.graph.unresolved
 
 
 Model.TestCase.settings = hypothesis_settings(max_examples=60, stateful_step_count=30, deadline=None)
--- a/tests/test_node_failures.py
+++ b/tests/test_node_failures.py
@@ -14,8 +14,9 @@
 from oatport.api.heartbeat_api import handle_report
 from oatport.clients.http import NoResponseError
 from oatport.control.scaling.cloud_availability import ScaleOutRequest
-from oatport.control.storage.recovery import UnknownMachineTypeError, load, types_recorded
-from oatport.control.storage.write_buffer import CATALOG_KEY, LEADER_KEY, WriteBatch
+from oatport.control.storage.keys import CATALOG_KEY, LEADER_KEY
+from oatport.control.storage.recovery import UnknownMachineTypeError, load_cluster, recorded_machine_types
+from oatport.control.storage.write_buffer import WriteBatch
 from oatport.peer_messages import PeerArray, PeerMessage, any_reply, decode_reply
 from oatport.service.background_tasks import BackgroundTasks
 from oatport.service.leader import Leader
@@ -162,7 +163,7 @@
 async def test_in_an_outage_tasks_live_but_nothing_starts(state: KeyStore) -> None:
     lead, client, _ = leader(state)
     now = steady()
-    client.ok_at, client.failed_at = now - 5 * SECOND, now
+    client.last_served_at, client.last_failed_at = now - 5 * SECOND, now
     lead.lease_renewal_limit.known_at = now - 5 * SECOND
     report = wire.Heartbeat("vm-000001", "h:1", "m8", "a", False, 1, 1, lead.token, [])
     answer = lead.answer_heartbeat(report)
@@ -274,14 +275,15 @@
     """Back within a blink and leading at once, the cloud down: all that ran was started again elsewhere."""
     types = {"berthKinds": [msgspec.to_builtins(kind) for kind in TYPES.values()]}
     state.commit({"if": [], "then": [{"set": CATALOG_KEY, "value": types}]})
-    rows = [{"path": "fleet/000000", "entryRev": 1, "value": {"m": [["vm-000001", "m8", "a", False, "h:1", 1, True]]}}]
+    machine = ["vm-000001", "m8", "a", False, "h:1", 1, True]
+    rows = [wire.StoredEntry("fleet/000000", {"m": [machine]}, 1)]
     lead, _, home = leader(state)
     lead.cluster.catalog.types.clear()
     home.types = {}
     with pytest.raises(UnknownMachineTypeError, match="vm-000001 is of type m8"):
-        load(lead.cluster, rows, steady(), time_of_day())
-    await lead._load_machine_types(types_recorded(rows))
-    load(lead.cluster, rows, steady(), time_of_day())
+        load_cluster(lead.cluster, rows, steady(), time_of_day())
+    await lead._load_machine_types(recorded_machine_types(rows))
+    load_cluster(lead.cluster, rows, steady(), time_of_day())
     assert "vm-000001" in lead.cluster.machines
 
     # What the cloud does not tell any more stays recorded.
