--- a/oatport/simulation/cloud_service.py
+++ b/oatport/simulation/cloud_service.py
@@ -1,4 +1,4 @@
-"""The cloud: rentals by name, capacity, boots, lists that lag, take-backs, and the time when its interface is down."""
+"""The cloud: rentals by name, capacity, boot times, lists that lag behind, and outages of its interface."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from oatport.times import MS, micros, seconds
 
 Answer = tuple[int, Any]
-Sort = tuple[str, str, bool]
+Sort = tuple[str, str, bool]  # machine type, zone, spot
 
 
 class MachineRegistry:
@@ -31,6 +31,7 @@
         self.rented_count = 0
 
     def catalog(self) -> dict[str, Any]:
+        """The machine types."""
         return {"berthKinds": self.types}
 
     def _available(self, sort: Sort) -> int:
@@ -40,6 +41,7 @@
         return self.capacity.get(sort, 0) - there
 
     def rent(self, body: dict[str, Any]) -> Answer:
+        """Rent machines; the same request again gives the same ones. 503 without capacity."""
         if body["charter"] in self.requests:
             return 200, {"berths": self.requests[body["charter"]]}
         sort = (body["berthKind"], body["harbor"], body["driftwood"])
@@ -50,6 +52,7 @@
         return 200, {"berths": names}
 
     def add(self, kind: str, zone: str, spot: bool) -> str:
+        """A new machine, booting; its name."""
         name = f"vm-{self.rented_count:06d}"
         self.rented_count += 1
         self.machines[name] = {
@@ -65,12 +68,14 @@
         return name
 
     def release(self, body: dict[str, Any]) -> Answer:
+        """Give machines back."""
         for name in body["berths"]:
             if self.machines.pop(name, None) is not None:
                 self.on_release(name)
         return 200, {}
 
     def list(self) -> Answer:
+        """All machines, as they are now."""
         return 200, {"berths": [self.machines[name] for name in sorted(self.machines)], "hasNext": False}
 
 
@@ -106,6 +111,7 @@
             self._snapshots.popleft()
 
     async def serve(self, method: str, target: str, body: Any) -> Answer:
+        """Answer one request, after a delay."""
         self.request_counts["requests"] += 1
         await asyncio.sleep(seconds(20 * MS + self.rng.randrange(60 * MS)))
         now = self.host.loop.time()
@@ -125,11 +131,15 @@
             return self.registry.rent(body)
         if path == wire.RELEASE_PATH:
             return self.registry.release(body)
-        asked = {key: values[0] for key, values in parse_qs(query).items()}
-        old = now - self.lag_s * self.rng.uniform(1.0, 2.0)
-        seen: list[dict[str, Any]] = next((rows for at, rows in reversed(self._snapshots) if at <= old), [])
-        rows = [row for row in seen if row["ref"] > asked.get("from", "")]
-        page = min(int(asked.get("page", 500)), 500)
+        return self._list(parse_qs(query), now)
+
+    def _list(self, options: dict[str, list[str]], now: float) -> Answer:
+        """A page of the machines as they were a while ago."""
+        as_of = now - self.lag_s * self.rng.uniform(1.0, 2.0)
+        seen: list[dict[str, Any]] = next((rows for at, rows in reversed(self._snapshots) if at <= as_of), [])
+        after = options.get("from", [""])[0]
+        rows = [row for row in seen if row["ref"] > after]
+        page = min(int(options.get("page", ["500"])[0]), 500)
         return 200, {"berths": rows[:page], "hasNext": len(rows) > page}
 
 
--- a/oatport/simulation/deployment.py
+++ b/oatport/simulation/deployment.py
@@ -19,7 +19,7 @@
     Workers,
 )
 from oatport.simulation.fault_plan import Plan
-from oatport.simulation.users import SubmittedJob
+from oatport.simulation.submitted_job import SubmittedJob
 
 ZONES = ("a", "b")
 STATE, CLOUD = "10.2.0.1:2379", "10.2.0.2:8443"
--- a/oatport/simulation/fault_plan.py
+++ b/oatport/simulation/fault_plan.py
@@ -1,4 +1,7 @@
-"""What befalls a world: faults at set times, from a TOML file or drawn from a seed."""
+"""Fault plans: which faults happen when in a run, read from a TOML file or drawn from a seed.
+
+The names of kinds and fields are those of the plan files; `faults` maps kinds to what they do.
+"""
 
 from __future__ import annotations
 
@@ -57,15 +60,18 @@
 CUT_MODES = ("hold", "lost")
 LEADER = "leader"  # as a node's name: whoever leads then
 ALL = "all"  # as the name of nodes that end: each of them
-LEAST_END = 0.05  # seconds: no process is back sooner
+FIELD_CHOICES = {"what": NODE_CUT_TARGETS, "mode": CUT_MODES, "way": CUT_DIRECTIONS}
+MIN_RESTART_S = 0.05  # seconds: no process is back sooner
 
 
 class InvalidPlanError(ValueError):
-    pass
+    """A plan or an option that can't be used: one line that names the field."""
 
 
 @dataclass(frozen=True)
 class Fault:
+    """One fault, `at_s` seconds after the run began, for `for_s` seconds; the other fields as its kind takes them."""
+
     kind: str
     at_s: float
     for_s: float = 0.0
@@ -92,6 +98,8 @@
 
 @dataclass(frozen=True)
 class Plan:
+    """A deployment, its load, and the faults of a run of `for_s` seconds."""
+
     faults: tuple[Fault, ...] = ()
     for_s: float = 120.0
     nodes: int = 3
@@ -104,9 +112,11 @@
 
     @property
     def limits_fall(self) -> bool:
+        """The state service's limits fall in the course of the run."""
         return any(fault.kind == "state_limits" for fault in self.faults)
 
     def toml(self) -> str:
+        """The plan as a file that `read` reads."""
         values = {f.name: getattr(self, f.name) for f in fields(self) if f.name != "faults"}
         rows = [f"{key} = {str(value).lower() if isinstance(value, bool) else value}" for key, value in values.items()]
         return "\n".join([*rows, "faults = [", *(fault.toml() for fault in self.faults), "]"])
@@ -130,7 +140,7 @@
 
 
 def read(path: Path) -> Plan:
-    """A plan from a TOML file. Raises BadPlan, which names the field."""
+    """A plan from a TOML file. Raises InvalidPlanError, which names the field."""
     try:
         table = tomllib.loads(path.read_text(encoding="utf-8"))
     except (OSError, UnicodeError, tomllib.TOMLDecodeError) as error:
@@ -150,6 +160,7 @@
 
 
 def parse(table: dict[str, Any]) -> Plan:
+    """A plan from a parsed TOML file. Raises InvalidPlanError, which names the field."""
     reader = _Reader("")
     values: dict[str, Any] = {}
     for key, value in table.items():
@@ -180,18 +191,19 @@
             continue
         if key not in ("at_s", "for_s", *FAULT_FIELDS[kind]):
             raise InvalidPlanError(f"faults[{number}].{key}: no field of {kind}")
-        if key in ("at_s", "for_s", "amount"):
-            values[key] = reader.number(row, key, 0, 100_000)
-        elif key == "count":
-            values[key] = int(reader.number(row, key, 1, 5000))
-        elif key in ("what", "mode", "way"):
-            values[key] = reader.choice(
-                row, key, {"what": NODE_CUT_TARGETS, "mode": CUT_MODES, "way": CUT_DIRECTIONS}[key]
-            )
-        elif isinstance(row[key], str) and row[key]:
-            values[key] = row[key]
-        else:
-            raise InvalidPlanError(f"faults[{number}].{key}: must be a name, not {row[key]!r}")
+        values[key] = _field(reader, row, key)
     if kind == "node_crash":
-        reader.number({"for_s": 0.0, **row}, "for_s", LEAST_END, 100_000)
+        reader.number({"for_s": 0.0, **row}, "for_s", MIN_RESTART_S, 100_000)
     return Fault(**values)
+
+
+def _field(reader: _Reader, row: dict[str, Any], key: str) -> Any:
+    if key in ("at_s", "for_s", "amount"):
+        return reader.number(row, key, 0, 100_000)
+    if key == "count":
+        return int(reader.number(row, key, 1, 5000))
+    if key in FIELD_CHOICES:
+        return reader.choice(row, key, FIELD_CHOICES[key])
+    if isinstance(row[key], str) and row[key]:
+        return row[key]
+    raise InvalidPlanError(f"{reader.where}{key}: must be a name, not {row[key]!r}")
--- a/oatport/simulation/faults/users.py
+++ b/oatport/simulation/faults/users.py
@@ -8,7 +8,7 @@
 from oatport.simulation.faults import EndFault, Handlers
 from oatport.simulation.faults.machines import MachineFaults
 from oatport.simulation.simulated_deployment import SimulatedDeployment
-from oatport.simulation.users import SubmittedJob
+from oatport.simulation.submitted_job import SubmittedJob
 from oatport.times import SECOND
 
 MACHINES_HUNG_MAX = 8  # machines, when jobs are cancelled at once
--- a/oatport/simulation/invariant_checker.py
+++ b/oatport/simulation/invariant_checker.py
@@ -9,8 +9,8 @@
 
 from oatport.settings import ClusterSettings
 from oatport.simulation.attempt import EXIT_DONE
+from oatport.simulation.submitted_job import SubmittedJob
 from oatport.simulation.team_usage import EPSILON, TeamUsage
-from oatport.simulation.users import SubmittedJob
 from oatport.simulation.virtual_time import VirtualLoop
 from oatport.simulation.worker import Worker
 from oatport.times import SECOND
--- a/oatport/simulation/machine_host.py
+++ b/oatport/simulation/machine_host.py
@@ -1,4 +1,4 @@
-"""A worker's machine on the network: when it reports, to whom, and how it is reached."""
+"""A worker's machine on the network: when it sends heartbeats, to which node, and how it is reached."""
 
 from __future__ import annotations
 
@@ -20,6 +20,8 @@
 
 
 class MachineHost:
+    """Sends a worker's heartbeats, and serves its address. `nodes`: name and address of each."""
+
     def __init__(
         self, net: Net, host: Host, worker: Worker, nodes: dict[str, str], timing: Workers, rng: random.Random
     ) -> None:
@@ -33,11 +35,12 @@
         self._token_reported_at = -self._half_lease
         self._timer: asyncio.TimerHandle | None = None
         worker.on_change = self._wake_soon
-        # A node answered a report: which, and what was in it.
+        # A node answered a heartbeat: the node's name, and the attempts that it listed.
         self.on_heartbeat_answered: Callable[[str, list[dict[str, Any]]], None] = lambda node, legs: None
         net.listen(worker.address, host, self._serve)
 
     def start(self) -> None:
+        """Begin to send heartbeats."""
         self.host.loop.create_task(self._heartbeat_loop(), context=self.host.context)
         self._wake_soon()
 
@@ -53,7 +56,7 @@
         self._timer = self.host.loop.call_later_us(0, self.host, self._wake)
 
     def _wake(self) -> None:
-        """Let what is due happen, report what changed, and come back when the next thing is due."""
+        """Let what is due happen, send a heartbeat if something changed, and wake again when the next thing is due."""
         self.worker.advance()
         if self._signature() != self._reported_signature:
             self._changed.set()
@@ -64,7 +67,11 @@
 
     def _signature(self) -> tuple[Any, ...]:
         worker = self.worker
-        return (worker.session, worker.reclaimed_at, tuple((key, held.status) for key, held in worker.tasks.items()))
+        return (
+            worker.session,
+            worker.reclaimed_at,
+            tuple((key, attempt.status) for key, attempt in worker.tasks.items()),
+        )
 
     def _serve(self, method: str, target: str, body: Any) -> tuple[int, Any]:
         if target == wire.WORKER_STATUS_PATH:
@@ -102,7 +109,7 @@
             self._wake_soon()
 
     async def _send_heartbeat(self, sent: int) -> int:
-        """Send one; when the next is due."""
+        """Send a heartbeat; returns when the next one is due. An answer of 421 names the leader."""
         worker, host = self.worker, self.host
         body, session, token = worker.report(), worker.session, worker.token
         self._reported_signature = self._signature()
--- a/oatport/simulation/service_statistics.py
+++ b/oatport/simulation/service_statistics.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
+from oatport.simulation.submitted_job import SubmittedJob
 from oatport.simulation.team_usage import TeamUsage
-from oatport.simulation.users import SubmittedJob
 from oatport.simulation.worker import Worker
 from oatport.times import SECOND
 
--- a/oatport/simulation/simulation.py
+++ b/oatport/simulation/simulation.py
@@ -12,9 +12,11 @@
 from oatport.simulation import deployment, production_build
 from oatport.simulation.fault_injection import FaultInjector
 from oatport.simulation.fault_plan import Plan
+from oatport.simulation.load_balancer import LoadBalancer
 from oatport.simulation.service_statistics import ServiceStatistics
 from oatport.simulation.simulated_deployment import SimulatedDeployment
-from oatport.simulation.users import LoadBalancer, SubmittedJob, User
+from oatport.simulation.submitted_job import SubmittedJob
+from oatport.simulation.users import User
 from oatport.times import SECOND
 
 SAMPLE_S = 0.25
--- a/oatport/simulation/state_service.py
+++ b/oatport/simulation/state_service.py
@@ -6,7 +6,7 @@
 import bisect
 import random
 from collections import Counter
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 from typing import Any
 from urllib.parse import parse_qs
 
@@ -22,7 +22,7 @@
 
 
 class KeyStore:
-    """Keys, versions, leases and changes."""
+    """Keys, versions, leases and changes. Answers are a status and a body in the wire's own terms."""
 
     def __init__(self, clock: Callable[[], int], value_limit: int = 32 * 1024, ops_limit: int = 16) -> None:
         self._clock = clock
@@ -40,6 +40,7 @@
         self.over_limit_count = 0  # transactions refused for their size, or that of a value
 
     def expire(self) -> None:
+        """End the leases that ran out; none ends in an outage."""
         if self.down:
             return
         now = self._clock()
@@ -47,6 +48,7 @@
             self.end_lease(lease)
 
     def end_lease(self, lease: int) -> None:
+        """Drop a lease and the keys that it owns."""
         self.leases.pop(lease, None)
         keys = [k for k, (_, _, owner) in self.items.items() if owner == lease]
         if keys:
@@ -75,6 +77,7 @@
         return self.revision
 
     def get(self, key: str) -> Answer:
+        """One key."""
         self.expire()
         if key not in self.items:
             return 404, {"ledgerRev": self.revision}
@@ -82,39 +85,49 @@
         return 200, {"path": key, "value": value, "entryRev": version, "permit": lease}
 
     def list(self, under: str, after: str = "", page: int = 1000) -> Answer:
+        """A page of the keys under a prefix, in order."""
         self.expire()
         keys = sorted(k for k in self.items if k.startswith(under) and k > after)
         rows = [{"path": k, "value": self.items[k][0], "entryRev": self.items[k][1]} for k in keys[:page]]
         return 200, {"rows": rows, "hasNext": len(keys) > page, "ledgerRev": self.revision}
 
     def commit(self, body: dict[str, Any]) -> Answer:
+        """A transaction: applied whole if all its conditions hold; 409 with those that don't."""
         self.expire()
         self.commit_count += 1
-        ops = body.get("then") or []
-        if len(ops) > self.ops_limit or len(body.get("if") or []) > 4 * self.ops_limit:
+        conditions, ops = body.get("if") or [], body.get("then") or []
+        error = self._refusal(conditions, ops)
+        if error:
+            return 400, {"error": error}
+        failed = [row["path"] for row in conditions if self._version(row["path"]) != row["entryRev"]]
+        if failed:
+            return 409, {"failed": failed, "ledgerRev": self.revision}
+        return 200, {"ledgerRev": self._apply(ops)}
+
+    def _version(self, key: str) -> int:
+        return self.items[key][1] if key in self.items else 0
+
+    def _refusal(self, conditions: Sequence[Any], ops: Sequence[dict[str, Any]]) -> str:
+        """Why a transaction is refused, whatever its conditions; empty if it is not."""
+        if len(ops) > self.ops_limit or len(conditions) > 4 * self.ops_limit:
             self.over_limit_count += 1
-            return 400, {"error": "too many"}
+            return "too many"
         for op in ops:
             if op.get("permit") is not None and op["permit"] not in self.leases:
-                return 400, {"error": "no such lease"}
+                return "no such lease"
             if "set" in op and json_size(op["value"]) > self.value_limit:
                 self.over_limit_count += 1
-                return 400, {"error": "too large"}
-        failed = [
-            c["path"]
-            for c in body.get("if") or []
-            if (self.items[c["path"]][1] if c["path"] in self.items else 0) != c["entryRev"]
-        ]
-        if failed:
-            return 409, {"failed": failed, "ledgerRev": self.revision}
-        return 200, {"ledgerRev": self._apply(ops)}
+                return "too large"
+        return ""
 
     def grant_lease(self, life_ms: int) -> Answer:
+        """A new lease."""
         lease, self._next_lease = self._next_lease, self._next_lease + 1
         self.leases[lease] = (self._clock() + life_ms * 1000, life_ms * 1000)
         return 200, {"permit": lease}
 
     def renew_lease(self, lease: int) -> Answer:
+        """A lease has its full time again; 404 if it has ended."""
         self.expire()
         if lease not in self.leases:
             return 404, None
@@ -123,6 +136,7 @@
         return 200, {"permit": lease}
 
     def changes(self, under: str, after: int) -> Answer:
+        """What changed under a prefix after a revision; 410 if that is not kept any more."""
         self.expire()
         if after < self._compacted_revision:
             return 410, None
@@ -150,6 +164,7 @@
         self.request_counts: Counter[str] = Counter()
 
     def set_down(self, down: bool) -> None:
+        """An outage begins or ends."""
         if self.down and not down:
             self.store.renew_all()
         self.down = self.store.down = down
@@ -169,6 +184,7 @@
         return allowed
 
     async def serve(self, method: str, target: str, body: Any) -> Answer:
+        """Answer one request, after a delay."""
         self.request_counts["requests"] += 1
         delay = 2 * MS + self._rng.randrange(6 * MS)
         if self._rng.random() < self.slow_share:
@@ -180,32 +196,35 @@
             self.request_counts["429"] += 1
             return 429, None
         path, _, query = target.partition("?")
-        if path == wire.COMMIT_PATH and self._rng.random() < self.delayed_commit_share:
-            self._host.loop.call_later_us(
-                round(self._rng.uniform(*COMMIT_DELAY_S) * SECOND), self._host, self._commit_late, body
-            )
-            await asyncio.Event().wait()
         if path == wire.COMMIT_PATH:
-            count = len(body.get("then") or [])
-            self.request_counts["changes"] += count
-            if not self._spend("changes", count):
-                self.request_counts["429"] += 1
-                return 429, None
-            answer = self.store.commit(body)
-            if self._rng.random() < self.lost_answer_share:
-                await asyncio.Event().wait()
-            return answer
+            return await self._commit(body)
         if path == wire.LEASES_PATH:
             return self.store.grant_lease(body["lifeMs"])
         if path.startswith(wire.LEASES_PATH):
             return self.store.renew_lease(int(path.split("/")[2]))
-        asked = {key: values[0] for key, values in parse_qs(query).items()}
+        options = {key: values[0] for key, values in parse_qs(query).items()}
         if path == wire.WATCH_PATH:
-            return await self._watch(asked["under"], int(asked["from"]), int(asked.get("waitMs", 0)))
+            return await self._watch(options["under"], int(options["from"]), int(options.get("waitMs", 0)))
         if path == wire.STORE_PATH:
-            return self.store.list(asked["under"], asked.get("from", ""), min(int(asked.get("page", 1000)), 1000))
+            page = min(int(options.get("page", 1000)), 1000)
+            return self.store.list(options["under"], options.get("from", ""), page)
         return self.store.get(path[len(wire.STORE_PATH) + 1 :])
 
+    async def _commit(self, body: Any) -> Answer:
+        if self._rng.random() < self.delayed_commit_share:
+            delay_us = round(self._rng.uniform(*COMMIT_DELAY_S) * SECOND)
+            self._host.loop.call_later_us(delay_us, self._host, self._commit_late, body)
+            await asyncio.Event().wait()
+        count = len(body.get("then") or [])
+        self.request_counts["changes"] += count
+        if not self._spend("changes", count):
+            self.request_counts["429"] += 1
+            return 429, None
+        answer = self.store.commit(body)
+        if self._rng.random() < self.lost_answer_share:
+            await asyncio.Event().wait()
+        return answer
+
     def _commit_late(self, body: Any) -> None:
         if not self.down:
             self.request_counts["late"] += 1
@@ -229,7 +248,7 @@
 
 
 def leader_of(store: KeyStore) -> str | None:
-    """Who holds the key of the lead, as the store has it now."""
+    """Which node holds the leader key now."""
     store.expire()
     found = store.items.get("leader")
     return str(found[0].get("node")) if found is not None and isinstance(found[0], dict) else None
--- a/oatport/simulation/virtual_time.py
+++ b/oatport/simulation/virtual_time.py
@@ -1,7 +1,7 @@
-"""An event loop in virtual time, and hosts that can stand still, slow down or end on it.
+"""An event loop in virtual time, and hosts that can be paused, slowed down or ended on it.
 
 Time passes only when nothing is left to do. Each callback belongs to the host in whose context it was made, so a host
-that stands still simply runs none of its own until it goes on, while its clocks (and everybody else) do.
+that is paused simply runs none of its own until it goes on, while its clocks (and everybody else) do.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class Host:
-    """A machine of the world: a node, a worker's machine, a service or a user."""
+    """A simulated computer: of a node, a worker, a service or the users. `tags`: what link rules name it by."""
 
     def __init__(self, loop: VirtualLoop, name: str, *tags: str, drift: float = 0.0, clock_offset_us: int = 0) -> None:
         self.loop, self.name = loop, name
@@ -45,12 +45,15 @@
         return round(self.loop.time() * (1 + self.drift) * SECOND)
 
     def time_of_day(self) -> int:
+        """Whole microseconds, off by `clock_offset_us`."""
         return self.loop.now() + self.clock_offset_us + 1_000_000 * SECOND
 
     def freeze(self) -> None:
+        """Pause: callbacks are kept back, clocks run on."""
         self.frozen = True
 
     def thaw(self) -> None:
+        """Go on after a pause."""
         self.frozen = False
         self.loop.unpark(self)
 
@@ -72,6 +75,7 @@
         self.set_exception_handler(self._on_error)
 
     def time(self) -> float:
+        """Seconds of virtual time; a run begins at 1000."""
         return self._now_s
 
     def now(self) -> int:
@@ -89,7 +93,7 @@
     _bare = contextvars.Context()
 
     def cancel_all_tasks(self) -> None:
-        """A run is over: all that is under way on any host, also on those that ended, is cancelled and let go."""
+        """At the end of a run: cancel all tasks of all hosts, also of those that ended, and close the loop."""
         for host in self.hosts:
             host.dead, host.frozen, host.step_us = False, False, 0
             self.unpark(host)
@@ -107,6 +111,7 @@
         self.close()
 
     def unpark(self, host: Host) -> None:
+        """Run what was kept back."""
         while host.parked:
             self._ready.append(host.parked.popleft())  # type: ignore[attr-defined]
 
@@ -114,52 +119,63 @@
         self.errors.append(f"{context.get('message')}: {context.get('exception')!r}")
 
     def _run_once(self) -> None:
+        """One pass of the event loop, in place of the base class's, which would wait on sockets and real clocks."""
         ready: deque[asyncio.Handle] = self._ready  # type: ignore[attr-defined]
-        timers: list[asyncio.TimerHandle] = self._scheduled  # type: ignore[attr-defined]
         if not ready:
-            while timers and timers[0]._cancelled:
-                heapq.heappop(timers)._scheduled = False  # type: ignore[attr-defined]
-            if not timers and not self._stopping:  # type: ignore[attr-defined]
-                raise SimulationStuckError("nothing is left to happen")
-            if timers:
-                self._now_s = max(self._now_s, timers[0].when())
+            self._advance_to_next_timer()
+        self._move_due_timers(ready)
+        for _ in range(len(ready)):
+            handle = ready.popleft()
+            if not handle._cancelled and not self._park(handle):
+                self.callback_count += 1
+                handle._run()
+
+    def _advance_to_next_timer(self) -> None:
+        timers: list[asyncio.TimerHandle] = self._scheduled  # type: ignore[attr-defined]
+        while timers and timers[0]._cancelled:
+            heapq.heappop(timers)._scheduled = False  # type: ignore[attr-defined]
+        if not timers and not self._stopping:  # type: ignore[attr-defined]
+            raise SimulationStuckError("nothing is left to happen")
+        if timers:
+            self._now_s = max(self._now_s, timers[0].when())
+
+    def _move_due_timers(self, ready: deque[asyncio.Handle]) -> None:
+        timers: list[asyncio.TimerHandle] = self._scheduled  # type: ignore[attr-defined]
         while timers and timers[0].when() <= self._now_s:
             handle = heapq.heappop(timers)
             handle._scheduled = False  # type: ignore[attr-defined]
             if not handle._cancelled:
                 ready.append(handle)
-        for _ in range(len(ready)):
-            handle_ = ready.popleft()
-            if handle_._cancelled:
-                continue
-            host = handle_._context.get(HOST)  # type: ignore[attr-defined]
-            if host is not None:
-                if host.dead or host.frozen or host.parked:
-                    host.parked.append(handle_)
-                    continue
-                if host.step_us:
-                    if host.busy_until > self._now_s:
-                        host.parked.append(handle_)
-                        self.call_at(host.busy_until, self._go_on, host, context=self._bare)
-                        continue
-                    host.busy_until = self._now_s + host.step_us / SECOND
-            self.callback_count += 1
-            handle_._run()
-
-    def _go_on(self, host: Host) -> None:
-        """A slow host takes up the next thing."""
-        if host.dead or host.frozen:
+
+    def _park(self, handle: asyncio.Handle) -> bool:
+        """Keep a callback back if its host is dead, paused, or busy; True if it was."""
+        host = handle._context.get(HOST)  # type: ignore[attr-defined]
+        if host is None:
+            return False
+        if host.dead or host.frozen or host.parked:
+            host.parked.append(handle)
+            return True
+        if host.step_us:
+            if host.busy_until > self._now_s:
+                host.parked.append(handle)
+                self.call_at(host.busy_until, self._run_parked, host, context=self._bare)
+                return True
+            host.busy_until = self._now_s + host.step_us / SECOND
+        return False
+
+    def _run_parked(self, host: Host) -> None:
+        """A slow host takes up the next callback."""
+        if host.dead or host.frozen or not host.parked:
             return
+        handle = host.parked.popleft()
+        if not handle._cancelled:
+            host.busy_until = self._now_s + host.step_us / SECOND
+            handle._run()
         if host.parked:
-            handle = host.parked.popleft()
-            if not handle._cancelled:
-                host.busy_until = self._now_s + host.step_us / SECOND
-                handle._run()
-            if host.parked:
-                if host.step_us:
-                    self.call_at(host.busy_until, self._go_on, host, context=self._bare)
-                else:
-                    self.unpark(host)
+            if host.step_us:
+                self.call_at(host.busy_until, self._run_parked, host, context=self._bare)
+            else:
+                self.unpark(host)
 
     def _process_events(self, events: Any) -> None:
         pass
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -24,7 +24,7 @@
 from oatport.simulation.runner import RunRequest, describe_failure, run_scenario, simulate
 from oatport.simulation.scenario_generator import random_plan
 from oatport.simulation.state_service import KeyStore
-from oatport.simulation.users import SubmittedJob
+from oatport.simulation.submitted_job import SubmittedJob
 from oatport.simulation.virtual_time import Host, VirtualLoop
 from oatport.simulation.worker import Worker
 from oatport.times import SECOND, steady
