--- a/oatport/api/submission_batcher.py
+++ b/oatport/api/submission_batcher.py
@@ -9,8 +9,8 @@
 from oatport.clients.http import Bucket, NoResponseError, RequestRefusedError
 from oatport.clients.state import Applied, StateClient
 from oatport.control.limits.rate_limiter import AdaptiveRateLimiter
-from oatport.control.storage.overflow_records import lies_apart, more_key
-from oatport.control.storage.write_buffer import ACCEPT_KEYS, job_key, live_key, waits_key
+from oatport.control.storage.keys import ACCEPT_KEYS, blocked_key, job_key, live_key, overflow_key
+from oatport.control.storage.overflow_records import is_accepted_as_blocked
 from oatport.times import MS, seconds, steady
 
 TRIES = (700 * MS, 400 * MS)  # the state service mostly takes 10 ms, at times a few hundred
@@ -28,10 +28,10 @@
 
 
 class SubmissionBatcher:
-    def __init__(self, state: StateClient, txn_ops: int, pace: AdaptiveRateLimiter) -> None:
+    def __init__(self, state: StateClient, txn_ops: int, limiter: AdaptiveRateLimiter) -> None:
         self._state = state
         self._most = max(1, txn_ops // ACCEPT_KEYS)
-        self._pace = pace
+        self._limiter = limiter
         self._waiting: dict[str, Entry] = {}
         self._running: set[asyncio.Task[None]] = set()
 
@@ -39,30 +39,30 @@
         """One more would wait in vain: it could not be sent soon. Work of the lowest priority goes last."""
         now = steady()
         ahead = (sum(not entry[3] for entry in self._waiting.values()) + 1) * ACCEPT_KEYS
-        if len(self._waiting) < WAITING_MOST and self._pace.wait(now, ahead) <= SENT_WITHIN:
+        if len(self._waiting) < WAITING_MOST and self._limiter.wait_us(now, ahead) <= SENT_WITHIN:
             return False
-        self._pace.wanting(now)
+        self._limiter.request_more(now)
         return True
 
     def spare(self) -> bool:
-        return self._pace.spare(steady(), (len(self._waiting) + 1) * ACCEPT_KEYS)
+        return self._limiter.available_to_best_effort(steady(), (len(self._waiting) + 1) * ACCEPT_KEYS)
 
     def short(self) -> bool:
         """Changes are short, rather than the state service away."""
-        return self._pace.short(steady())
+        return self._limiter.is_throttled(steady())
 
     def comes_back(self) -> int:
         """When somebody who was sent away finds room, in whole seconds."""
-        return self._pace.book(steady(), ACCEPT_KEYS)
+        return self._limiter.retry_after_s(steady(), ACCEPT_KEYS)
 
     async def ahead(self, ref: str, parts: list[Any]) -> bool:
         """Write long lists of a job ahead of its accept, which they count with. False: its user must come back."""
         for number, part in enumerate(parts):
-            wait = self._pace.wait(steady(), 1)
+            wait = self._limiter.wait_us(steady(), 1)
             await asyncio.sleep(seconds(wait))
-            self._pace.asked(steady(), 1)
+            self._limiter.consume(steady(), 1)
             try:
-                result = await self._state.commit({job_key(ref): 0}, {more_key(ref, number): part})
+                result = await self._state.commit({job_key(ref): 0}, {overflow_key(ref, number): part})
             except (NoResponseError, RequestRefusedError):
                 return False
             if not isinstance(result, Applied):
@@ -95,20 +95,20 @@
 
     async def _rounds(self) -> None:
         while self._waiting:
-            wait = self._pace.wait(steady(), ACCEPT_KEYS)
+            wait = self._limiter.wait_us(steady(), ACCEPT_KEYS)
             if wait:
                 await asyncio.sleep(seconds(wait))
                 continue
             batch: dict[str, Entry] = {}
             size = 0
-            most = min(self._most, max(1, self._pace.room(steady()) // ACCEPT_KEYS))
+            most = min(self._most, max(1, self._limiter.available(steady()) // ACCEPT_KEYS))
             for ref in sorted(self._waiting, key=lambda ref: self._waiting[ref][3]):
                 size += len(wire.encode(self._waiting[ref][0])) * ACCEPT_KEYS
                 if batch and (len(batch) >= most or size > BYTES_MOST):
                     break
                 batch[ref] = self._waiting.pop(ref)
                 batch[ref][2].set_result(None)
-            self._pace.asked(steady(), len(batch) * ACCEPT_KEYS)
+            self._limiter.consume(steady(), len(batch) * ACCEPT_KEYS)
             try:
                 outcomes = await self._commit({ref: record for ref, (record, *_) in batch.items()})
             except Exception:
@@ -127,14 +127,16 @@
                 sets: dict[str, Any] = {}
                 for ref, record in left.items():
                     # One that names others is not laid under live/, where an earlier version would start it.
-                    sets[job_key(ref)] = sets[(waits_key if lies_apart(record) else live_key)(ref)] = record
+                    sets[job_key(ref)] = sets[(blocked_key if is_accepted_as_blocked(record) else live_key)(ref)] = (
+                        record
+                    )
                 try:
                     result = await self._state.commit({job_key(ref): 0 for ref in left}, sets, timeout_us=timeout_us)
                 except NoResponseError:
                     break
                 except RequestRefusedError as error:
                     if error.status == 429:
-                        self._pace.refused(steady())
+                        self._limiter.on_throttled(steady())
                     return outcomes
                 if isinstance(result, Applied):
                     return outcomes | {ref: (CREATED, result.revision) for ref in left}
--- a/oatport/control/placement/feasibility.py
+++ b/oatport/control/placement/feasibility.py
@@ -62,4 +62,4 @@
 
     def avoids_gpus(self, job: Job) -> bool:
         """It needs no GPUs, and could run on a type without any."""
-        return job.spec.gpus == 0 and any(kind.gpus == 0 for kind in self._cluster.preferred_types(job))
+        return job.spec.gpus == 0 and any(kind.gpus == 0 for kind in self._cluster.catalog.preferred_types(job))
--- a/oatport/control/queueing/deadlines.py
+++ b/oatport/control/queueing/deadlines.py
@@ -18,10 +18,6 @@
     job: Job
     deadlines: list[int]
 
-    def without_first(self) -> DeadlineCandidate:
-        """It can't meet the first one."""
-        return DeadlineCandidate(self.job, self.deadlines[1:])
-
 
 def deadlines_of(cluster: ClusterState, job: Job) -> list[int]:
     """Times of day by which its completion is looked for, in order.
@@ -29,8 +25,8 @@
     Its deadline, multiples of it, its class's completion objectives, and what jobs that depend on it leave for it.
     """
     if job.deadlines is None:
-        times = cluster.own_deadlines(job)
-        objectives = cluster.completion_objectives.get(job.spec.job_class, ())
+        times = cluster.objectives.deadlines_of(job)
+        objectives = cluster.objectives.completion_within.get(job.spec.job_class, ())
         times += [job.eligible_at + within for within in objectives]
         job.deadlines = sorted(times + job.inherited_deadlines)
     return job.deadlines
@@ -43,14 +39,17 @@
 
     One without a deadline whose class should start by a certain time is wanted when it would end then.
     """
-    start = cluster.start_objectives.get(job.spec.job_class)
+    start = cluster.objectives.start_within.get(job.spec.job_class)
     within = DEFAULT_DEADLINE if start is None else min(start + predicted_runtime, DEFAULT_DEADLINE)
     job.deadline_at = deadlines[0] if deadlines else job.eligible_at + within
     job.deadline_missed = job.suspected_faulty
     if deadlines and not job.suspected_faulty:
         earliest_end = wall + predicted_runtime
-        attainable = (deadline for deadline in deadlines if deadline >= earliest_end)
-        job.attainable_deadline = next(attainable, wall + DEFAULT_DEADLINE)
+        if deadlines[0] >= earliest_end:
+            job.attainable_deadline = deadlines[0]
+        else:
+            later = (deadline for deadline in deadlines if deadline >= earliest_end)
+            job.attainable_deadline = next(later, wall + DEFAULT_DEADLINE)
 
 
 def mark_missed_deadlines(cluster: ClusterState, pools: PoolsByType, wall: int) -> None:
@@ -71,7 +70,7 @@
         job.predicted_runtime = cluster.predictor.run_time(job.job_id, job.spec)
         set_attainable_deadline(cluster, job, deadlines, job.predicted_runtime, wall)
         if deadlines and not job.suspected_faulty:
-            group = (job.priority_rank, cluster.preferred_type_names(job))
+            group = (job.priority_rank, cluster.catalog.preferred_type_names(job))
             groups.setdefault(group, []).append(DeadlineCandidate(job, deadlines))
     for (_, type_names), candidates in groups.items():
         pool = joint_pool(pools, type_names)
@@ -82,8 +81,9 @@
 def _mark_missed(pool: CapacityPool, candidates: list[DeadlineCandidate], wall: int) -> None:
     """Give every job that misses a deadline its next one, until none is left."""
     while candidates:
-        missed = [candidate.without_first() for candidate in _take_by_deadline(pool, candidates, wall)]
+        missed = _take_by_deadline(pool, candidates, wall)
         for candidate in missed:
+            candidate.deadlines = candidate.deadlines[1:]
             candidate.job.deadline_missed = not candidate.deadlines
         candidates = [candidate for candidate in missed if candidate.deadlines]
 
--- a/oatport/control/queueing/queue_wait.py
+++ b/oatport/control/queueing/queue_wait.py
@@ -5,6 +5,8 @@
 from bisect import bisect_left
 from dataclasses import dataclass, field
 
+import msgspec
+
 from oatport.control.queueing.capacity_pools import CapacityPool, PoolsByType, joint_pool
 from oatport.control.queueing.pending_queue import OrderKey, order_key
 from oatport.control.queueing.tier_router import SPOT
@@ -15,8 +17,7 @@
 WAIT_WITHOUT_MACHINES = 600 * SECOND
 
 
-@dataclass(frozen=True, slots=True)
-class QueueWait:
+class QueueWait(msgspec.Struct, frozen=True):
     """The predicted time until a job's last task starts."""
 
     any_machine: int
@@ -58,7 +59,7 @@
             self._queue_of(job).pool.work += runtime * job.spec.cpus * tasks
 
     def _queue_of(self, job: Job) -> _TypeQueue:
-        type_names = self._cluster.preferred_type_names(job)
+        type_names = self._cluster.catalog.preferred_type_names(job)
         queue = self._queues.get(type_names)
         if queue is None:
             queue = self._queues[type_names] = _TypeQueue(joint_pool(self._pools, type_names))
--- a/oatport/control/scaling/cloud_availability.py
+++ b/oatport/control/scaling/cloud_availability.py
@@ -79,14 +79,14 @@
         return any(
             now - self.granted_at.get((machine.type.name, zone, machine.spot), -GRANT_VALIDITY) < GRANT_VALIDITY
             for zone in machine.type.zones
-            if zone not in self.cluster.partitioned_zones
+            if zone not in self.cluster.zones.partitioned
         )
 
     def any_for(self, job: Job, spot: bool, now: int) -> bool:
         """As far as is known, some spot (or on-demand) machine that is feasible for this job can still be rented."""
         return any(
             self.refused_until.get((machine_type.name, zone, spot), 0) <= now
-            for machine_type in self.cluster.feasible_types(job)
+            for machine_type in self.cluster.catalog.feasible_types(job)
             for zone in machine_type.zones
             if job.spec.zone in (None, zone)
         )
--- a/oatport/control/scaling/scale_in.py
+++ b/oatport/control/scaling/scale_in.py
@@ -4,12 +4,12 @@
 
 from dataclasses import dataclass
 
+from oatport.control.leadership.failure_detection import is_isolated
 from oatport.control.queueing.tier_router import SPOT
 from oatport.control.scaling.owned_capacity import free_owned_cpus, warm_cpus
 from oatport.control.state.cluster_state import ClusterState
 from oatport.control.state.job import IDLE_RANK
 from oatport.control.state.machine import Machine
-from oatport.control.storage.recovery import cut_off
 from oatport.times import micros
 
 MACHINES_PER_RELEASE = 100
@@ -99,7 +99,7 @@
             and not m.draining
             and not m.releasing
             and m.type.gpus == 0
-            and m.zone not in self.cluster.partitioned_zones
+            and m.zone not in self.cluster.zones.partitioned
         ]
 
     @staticmethod
@@ -144,24 +144,25 @@
         machines = cluster.machines.values()
         chosen: list[Machine] = []
         budget = ReleaseBudget(free_owned_cpus(cluster), warm_cpus(cluster))
-        commands_cut_off = cut_off(sum(m.command_unreachable for m in machines), list(machines))
+        commands_cut_off = is_isolated(sum(m.command_unreachable for m in machines), list(machines))
         for machine in machines:
             if not machine.releasing:  # else it was asked before without an answer
+                if machine.tasks or machine.orphaned_attempts:
+                    continue
                 if machine.command_unreachable and commands_cut_off:
                     continue  # it is rather this node that reaches none: others would be just as unreachable
                 if not self._should_release(machine, budget, now):
                     continue
             # Asked only now: it has the completions that it finds written at once, and if it did so for all machines,
             # none would wait for others of their record any more.
-            if cluster.holds_unwritten_completions(machine):
+            if cluster.completions.holds_unwritten(machine):
                 continue
             machine.releasing = True
             chosen.append(machine)
         return chosen[:MACHINES_PER_RELEASE]
 
     def _should_release(self, machine: Machine, budget: ReleaseBudget, now: int) -> bool:
-        if machine.tasks or machine.orphaned_attempts:
-            return False
+        """Is a machine without tasks to be returned?"""
         if self._is_unwanted(machine, now):
             return True
         if not machine.ready_at or not self._is_idle(machine, now):
@@ -177,7 +178,7 @@
 
     def _boot_failed(self, machine: Machine, now: int) -> bool:
         # In a partitioned zone it may be up though no heartbeat arrives: charged all the same.
-        partitioned = machine.zone in self.cluster.partitioned_zones
+        partitioned = machine.zone in self.cluster.zones.partitioned
         boot_times = PARTITIONED_BOOT_PATIENCE if partitioned else self.cluster.tuning.boot_patience
         overdue = now - machine.rented_at >= micros(machine.type.boot_time_s * boot_times)
         return overdue and (not machine.was_ready or machine.listed_by_cloud)
--- a/oatport/control/scaling/scale_out.py
+++ b/oatport/control/scaling/scale_out.py
@@ -5,15 +5,15 @@
 from dataclasses import dataclass, field
 
 from oatport.control.queueing.tier_router import OWNED
+from oatport.control.scaling.capacity_slot import CapacitySlot
 from oatport.control.scaling.cloud_availability import CloudAvailability, Offering, ScaleOutRequest
 from oatport.control.scaling.demand import Demand
 from oatport.control.scaling.gang_scale_out import GangScaleOut
-from oatport.control.scaling.incoming_capacity import CapacitySlot, IncomingCapacity
+from oatport.control.scaling.incoming_capacity import IncomingCapacity
 from oatport.control.scaling.offering_selector import OfferingSelector, equivalence_key
 from oatport.control.state.capacity import task_slots_when_empty
 from oatport.control.state.cluster_state import ClusterState
 from oatport.control.state.job import IDLE_RANK, Job, JobKind
-from oatport.control.state.machine import Machine
 from oatport.times import MS, SECOND, micros
 
 MACHINES_PER_REQUEST = 50  # PROTOCOL, POST /hosts
@@ -31,19 +31,16 @@
     by_completions: float = 0.0  # of running tasks that end before a rented machine could be up
     by_best_effort: float = 0.0  # of best-effort tasks, which give way to all others
 
-    def absorb_completions(self, demand: Demand) -> None:
-        """Count tasks on the CPUs that completions will free."""
-        cpus = demand.job.spec.cpus
+    def absorb(self, demand: Demand) -> None:
+        """Count tasks on the CPUs that completions will free, then on those that best-effort tasks give up."""
+        job, cpus = demand.job, demand.job.spec.cpus
         absorbed = min(demand.remaining, int(self.by_completions // cpus))
         self.by_completions -= absorbed * cpus
         demand.remaining -= absorbed
-
-    def absorb_best_effort(self, demand: Demand) -> None:
-        """Count tasks on the CPUs that best-effort tasks give up."""
-        cpus = demand.job.spec.cpus
-        absorbed = min(demand.remaining, int(self.by_best_effort // cpus))
-        self.by_best_effort -= absorbed * cpus
-        demand.remaining -= absorbed
+        if job.priority_rank < IDLE_RANK and demand.spot:
+            absorbed = min(demand.remaining, int(self.by_best_effort // cpus))
+            self.by_best_effort -= absorbed * cpus
+            demand.remaining -= absorbed
 
 
 @dataclass(slots=True)
@@ -93,7 +90,7 @@
         cluster = self.cluster
         return (
             cluster.pending.version,
-            cluster.binding_changes,
+            cluster.tasks.binding_changes,
             len(cluster.machines),
             len(self.availability.requests_in_flight),
             self.availability.refused_count(now),
@@ -120,7 +117,7 @@
         requests = []
         for (type_name, zone, spot), planned_count in planned.items():
             # One machine finds out whether a partitioned zone can be reached again.
-            remaining = 1 if zone in self.cluster.partitioned_zones else planned_count
+            remaining = 1 if zone in self.cluster.zones.partitioned else planned_count
             while remaining > 0:
                 requests.append(ScaleOutRequest(type_name, zone, spot, min(remaining, MACHINES_PER_REQUEST)))
                 remaining -= MACHINES_PER_REQUEST
@@ -131,40 +128,37 @@
         cluster = self.cluster
         incoming = IncomingCapacity()
         for machine in cluster.machines.values():
-            if machine.zone not in cluster.partitioned_zones and machine.coming(now, cluster.token):
+            if machine.zone not in cluster.zones.partitioned and machine.coming(now, cluster.token):
                 incoming.add(CapacitySlot.of(machine.type, machine.zone, machine.spot))
         for request in self.availability.requests_in_flight:
-            if request.zone in cluster.partitioned_zones:
+            if request.zone in cluster.zones.partitioned:
                 continue
             for _ in range(request.count):
-                incoming.add(CapacitySlot.of(cluster.types[request.type], request.zone, request.spot))
+                incoming.add(CapacitySlot.of(cluster.catalog.types[request.type], request.zone, request.spot))
         return incoming
 
     def _released_cpus(self, now: int) -> ReleasedCpus:
         """CPUs that running tasks free before a rented machine could be up, and those of best-effort tasks."""
-        boot_time = min((micros(t.boot_time_s) for t in self.cluster.types.values()), default=DEFAULT_BOOT_TIME)
+        boot_time = min((micros(t.boot_time_s) for t in self.cluster.catalog.types.values()), default=DEFAULT_BOOT_TIME)
         released = ReleasedCpus()
         for machine in self.cluster.usable_machines:
-            self._add_released_by(machine, boot_time, released, now)
+            released.by_best_effort += machine.cpus_by_priority[IDLE_RANK]
+            for task in machine.finite_tasks:
+                job = task.job
+                if job.priority_rank == IDLE_RANK:
+                    released.by_best_effort -= job.spec.cpus if job.spec.gpus else 0.0
+                    continue
+                if not task.running_since or job.spec.gpus:
+                    continue
+                remaining = self.cluster.predictor.run_time(job.job_id, job.spec) - (now - task.running_since)
+                if remaining < boot_time:
+                    released.by_completions += job.spec.cpus
         return released
 
-    def _add_released_by(self, machine: Machine, boot_time: int, released: ReleasedCpus, now: int) -> None:
-        released.by_best_effort += machine.cpus_by_priority[IDLE_RANK]
-        for task in machine.finite_tasks:
-            job = task.job
-            if job.priority_rank == IDLE_RANK:
-                released.by_best_effort -= job.spec.cpus if job.spec.gpus else 0.0
-                continue
-            if not task.running_since or job.spec.gpus:
-                continue
-            remaining = self.cluster.predictor.run_time(job.job_id, job.spec) - (now - task.running_since)
-            if remaining < boot_time:
-                released.by_completions += job.spec.cpus
-
     def _plan_job(self, job: Job, current: ScaleOutPass) -> None:
         wanted = min(job.pending, self.cluster.quotas.room(job.spec))
         if job.kind is not JobKind.GANG:
-            self._plan_tasks(Demand.of_pending_tasks(job, wanted), current)
+            self._plan_tasks(Demand.of_tasks(job, wanted), current)
         elif wanted == job.pending and not job.on_machines:
             for slot in self._gangs.plan(job, current.incoming, current.now):
                 current.add(slot)
@@ -173,9 +167,7 @@
         """Machines for tasks that start one by one."""
         job = demand.job
         if job.kind is JobKind.ARRAY and not job.spec.gpus:
-            current.released.absorb_completions(demand)
-            if job.priority_rank < IDLE_RANK and demand.spot:
-                current.released.absorb_best_effort(demand)
+            current.released.absorb(demand)
         if demand.remaining <= 0:
             return
         self._use_incoming(demand, current.incoming)
@@ -183,7 +175,7 @@
 
     def _use_incoming(self, demand: Demand, incoming: IncomingCapacity) -> None:
         spec = demand.job.spec
-        preferred_types = self.cluster.preferred_type_names(demand.job)
+        preferred_types = self.cluster.catalog.preferred_type_names(demand.job)
         while demand.remaining > 0:
             zones = [demand.only_zone] if demand.only_zone else incoming.zones()
             if spec.spread:
@@ -195,7 +187,7 @@
 
     def _rent_for(self, demand: Demand, current: ScaleOutPass) -> None:
         job = demand.job
-        feasible_types = self.cluster.feasible_types(job)
+        feasible_types = self.cluster.catalog.feasible_types(job)
         slots_max = max((task_slots_when_empty(machine_type, job.spec) for machine_type in feasible_types), default=0)
         equivalence = equivalence_key(job, demand.spot)
         while demand.remaining > 0:
--- a/oatport/simulation/mutations.py
+++ b/oatport/simulation/mutations.py
@@ -14,29 +14,31 @@
 from oatport.clients.state import StateClient
 from oatport.clients.worker import WorkerClient
 from oatport.control.leadership.leader_lease import LeaderLease
+from oatport.control.leadership.lease_renewal import LeaseRenewalLimit
 from oatport.control.queueing.dependency_graph import DependencyGraph
 from oatport.control.queueing.dependency_tracker import DependencyTracker
 from oatport.control.state.cancellations import CancellationLog
-from oatport.control.state.cluster_state import ClusterState
-from oatport.control.state.orphaned_attempts import OrphanedAttempts
+from oatport.control.state.heartbeats import HeartbeatReceiver
+from oatport.control.state.machine_commands import MachineCommands
 from oatport.control.state.task import TaskPhase
 from oatport.control.state.task_lifecycle import TaskLifecycle
-from oatport.control.storage.record_layout import CHUNK_TASKS, FLEET_CHUNK, RecordLayout
-from oatport.control.storage.recovery import LeaseRenewalLimit
-from oatport.control.storage.schema_version import Gate
-from oatport.control.storage.write_buffer import LEADER_KEY
+from oatport.control.state.unwritten_completions import UnwrittenCompletions
+from oatport.control.storage.keys import CHUNK_TASKS, GROUP_MACHINES, LEADER_KEY
+from oatport.control.storage.record_layout import RecordLayout
+from oatport.control.storage.schema_version import SchemaVersionGate
 from oatport.service.cloud_controller import CloudController
+from oatport.service.completion_replication import CompletionReplicator
 from oatport.service.dependency_controller import DependencyController
+from oatport.service.election import Election
 from oatport.service.group_commit import GroupCommit
 from oatport.service.leader import Leader
-from oatport.service.node import Node
-from oatport.service.peer_notifications import PeerNotifier
+from oatport.service.leader_context import EarlierCompletions
 from oatport.times import SECOND, steady
 
 
 def _fencing() -> list[Any]:
     """A leader goes on whatever became of its lease and its key, and takes over whatever token a worker has seen."""
-    commit, commands, lost = StateClient.commit, WorkerClient.commands, Node.step_down
+    commit, commands, lost = StateClient.commit, WorkerClient.commands, Election.step_down
 
     async def unconditioned(self: StateClient, conditions: dict[str, int], sets: Any, *args: Any, **more: Any) -> Any:
         if LEADER_KEY in conditions and LEADER_KEY not in sets and len(conditions) > 1:
@@ -50,18 +52,18 @@
             return replace(report, fencing_token=token)
         return report
 
-    def keeps(self: Node, why: str) -> None:
-        if why == "shutting down":
-            lost(self, why)
+    def keeps(self: Election, reason: str) -> None:
+        if reason == "shutting down":
+            lost(self, reason)
 
     return [
-        patch.object(LeaderLease, "holds", lambda self, now: True),
+        patch.object(LeaderLease, "is_held", lambda self, now: True),
         patch.object(LeaseRenewalLimit, "until", property(lambda self: steady() + 10**12)),
         patch.object(StateClient, "commit", unconditioned),
         patch.object(WorkerClient, "commands", unfenced),
-        patch.object(Node, "step_down", keeps),
-        patch.object(Leader, "step_down", lambda self, why: None),
-        patch.object(GroupCommit, "stuck", lambda self, now: False),
+        patch.object(Election, "step_down", keeps),
+        patch.object(Leader, "step_down", lambda self, reason: None),
+        patch.object(GroupCommit, "is_stuck", lambda self, now: False),
     ]
 
 
@@ -73,8 +75,8 @@
         task = claim(self, *args, **more)
         task.phase = TaskPhase.BOUND
         assert task.machine is not None
-        self.unacknowledged_tasks.add(task)
-        self.machines_to_command.add(task.machine)
+        self.cluster.unacknowledged_tasks.add(task)
+        self.cluster.machines_to_command.add(task.machine)
         return task
 
     return [patch.object(TaskLifecycle, "begin_binding", claim_and_send)]
@@ -82,47 +84,47 @@
 
 def _start_in_flight() -> list[Any]:
     """Ended attempts are forgotten while a start of theirs may be in flight."""
-    return [patch.object(ClusterState, "_may_forget", lambda self, machine, name, attempt: True)]
+    return [patch.object(MachineCommands, "_may_forget", lambda self, machine, name, attempt: True)]
 
 
 def _failure_confirmation() -> list[Any]:
     """What is silent is taken to be gone, without the cloud's word for it."""
     release = CloudController.release
 
-    async def judged(self: CloudController, machines: Any, why: str) -> None:
-        if why not in ("silent", "cut off"):
-            await release(self, machines, why)
+    async def judged(self: CloudController, machines: Any, reason: str) -> None:
+        if reason not in ("silent", "partitioned"):
+            await release(self, machines, reason)
             return
         for machine in machines:
-            self.cluster.on_machine_removed(machine, steady(), why)
+            self.cluster.on_machine_removed(machine, steady(), reason)
 
     return [patch.object(CloudController, "release", judged)]
 
 
 def _process_identity() -> list[Any]:
     """A process takes itself for its predecessor of the same name: it goes on under its token and its lease."""
-    stand = Node._run_for_leader
+    stand = Election._run_for_leader
 
-    async def stands(self: Node) -> None:
-        found = await self.state.get(LEADER_KEY)
-        if found is not None and found[0].get("node") == self.node_name:
+    async def stands(self: Election) -> None:
+        found = await self._node.state.get(LEADER_KEY)
+        if found is not None and found[0].get("node") == self._node.node_name:
             await self._become_leader(found[1], int(found[0]["lease"]), steady())
         else:
             await stand(self)
 
-    return [patch.object(Node, "_run_for_leader", stands)]
+    return [patch.object(Election, "_run_for_leader", stands)]
 
 
 def _dependency_release() -> list[Any]:
     """A job's end releases others before it is recorded."""
-    finish = TaskLifecycle.complete_task
+    finish = TaskLifecycle.complete
 
     def ends(self: TaskLifecycle, task: Any, now: int, **more: Any) -> None:
         finish(self, task, now, **more)
         if task.job.completing:
-            self.on_completion_recorded(task.job.job_id, now + self.wall_offset)
+            self.cluster.dependencies.on_completion_recorded(task.job.job_id, now + self.cluster.wall_offset)
 
-    return [patch.object(TaskLifecycle, "complete_task", ends)]
+    return [patch.object(TaskLifecycle, "complete", ends)]
 
 
 def _transitive_cancellation() -> list[Any]:
@@ -130,10 +132,10 @@
     with_needed = JobStatusCache._with_needed
 
     def direct(self: DependencyGraph, ref: str) -> list[str]:
-        found = self.after(ref)
+        found = self.dependents_of(ref)
         for after in found:
-            self.leave(after)
-        self._after.pop(ref, None)
+            self.remove(after)
+        self._dependents.pop(ref, None)
         return found
 
     async def one_step(self: JobStatusCache, ref: str, known: Any, fresh: bool) -> Any:
@@ -143,24 +145,24 @@
         return await with_needed(self, ref, known, fresh)
 
     def unseen(self: DependencyTracker, ref: str) -> None:
-        for name in self.dependency_graph.cancelled(ref):
+        for name in self.graph.cancel(ref):
             self._cancel_blocked(self.blocked_jobs.pop(name))
 
     def forgets(self: DependencyController, ref: str, state: str, ended: int) -> None:
         if state == "done":
-            self.cluster.on_completion_recorded(ref, ended)
+            self.cluster.dependencies.on_completion_recorded(ref, ended)
 
     return [
-        patch.object(DependencyGraph, "cancelled", direct),
+        patch.object(DependencyGraph, "cancel", direct),
         patch.object(JobStatusCache, "_with_needed", one_step),
         patch.object(DependencyTracker, "cancel_dependents", unseen),
-        patch.object(DependencyController, "_take", forgets),
+        patch.object(DependencyController, "_apply_state", forgets),
     ]
 
 
 def _feature_gate() -> list[Any]:
     """New formats are written before all nodes are known to read them."""
-    return [patch.object(Gate, "heard", lambda self, answers: True)]
+    return [patch.object(SchemaVersionGate, "on_replies", lambda self, answers: True)]
 
 
 def _record_size() -> list[Any]:
@@ -168,16 +170,16 @@
     return [
         patch.object(RecordLayout, "part_tasks", property(lambda self: CHUNK_TASKS)),
         patch.object(RecordLayout, "head_tasks", lambda self, job: CHUNK_TASKS),
-        patch.object(RecordLayout, "part_machines", property(lambda self: FLEET_CHUNK)),
+        patch.object(RecordLayout, "part_machines", property(lambda self: GROUP_MACHINES)),
     ]
 
 
 def _heartbeat_order() -> list[Any]:
     """Each report is taken for the newest, whenever it was sent."""
-    on_report = ClusterState.on_heartbeat
+    on_report = HeartbeatReceiver.receive
 
-    def newest(self: ClusterState, report: Any, now: int, wall: int) -> Any:
-        machine = self.machines.get(report.machine_name)
+    def newest(self: HeartbeatReceiver, report: Any, now: int, wall: int) -> Any:
+        machine = self.cluster.machines.get(report.machine_name)
         if machine is not None and (report.agent_epoch, report.heartbeat_seq) < (
             machine.agent_epoch,
             machine.heartbeat_seq,
@@ -185,7 +187,7 @@
             machine.agent_epoch, machine.heartbeat_seq = 0, -1
         return on_report(self, report, now, wall)
 
-    return [patch.object(ClusterState, "on_heartbeat", newest)]
+    return [patch.object(HeartbeatReceiver, "receive", newest)]
 
 
 def _transaction_conditions() -> list[Any]:
@@ -202,12 +204,12 @@
 def _completion_record() -> list[Any]:
     """An ended attempt is forgotten before its end is recorded."""
 
-    def at_once(self: ClusterState, machine: Any, name: str, attempt: int) -> bool:
+    def at_once(self: MachineCommands, machine: Any, name: str, attempt: int) -> bool:
         return (
             not machine.unacknowledged_starts.get((name, attempt)) and (name, attempt) not in machine.starts_in_response
         )
 
-    return [patch.object(ClusterState, "_may_forget", at_once)]
+    return [patch.object(MachineCommands, "_may_forget", at_once)]
 
 
 def _cancellation_log() -> list[Any]:
@@ -218,24 +220,24 @@
 def _unwritten_completions() -> list[Any]:
     """Machines are returned, or given up, though they alone tell of an end."""
     return [
-        patch.object(OrphanedAttempts, "holds_unwritten_completions", lambda self, machine: False),
-        patch.object(OrphanedAttempts, "expedite_completions", lambda self, machine: None),
+        patch.object(UnwrittenCompletions, "holds_unwritten", lambda self, machine: False),
+        patch.object(UnwrittenCompletions, "expedite", lambda self, machine: None),
     ]
 
 
 def _completion_handover() -> list[Any]:
     """Ends that a leader took in and did not record go with it."""
 
-    async def idle(self: PeerNotifier) -> None:
+    async def idle(self: CompletionReplicator) -> None:
         await asyncio.Event().wait()
 
-    async def nothing(self: PeerNotifier, token: int) -> tuple[list[Any], bool]:
-        return [], True
+    async def nothing(self: CompletionReplicator, token: int) -> EarlierCompletions:
+        return EarlierCompletions([], complete=True)
 
     return [
-        patch.object(PeerNotifier, "ends_loop", idle),
-        patch.object(PeerNotifier, "deposed", lambda self, lead: None),
-        patch.object(PeerNotifier, "completions_before", nothing),
+        patch.object(CompletionReplicator, "loop", idle),
+        patch.object(CompletionReplicator, "on_deposed", lambda self, leader: None),
+        patch.object(CompletionReplicator, "completions_before", nothing),
     ]
 
 
@@ -272,10 +274,10 @@
 
     async def first(self: GroupCommit, batch: Any) -> bool:
         key = next(iter(batch.sets), None) or batch.deletes[0]
-        found = await self._sure(key)
+        found = await self.read_until_answered(key)
         if key in batch.sets and (found is None or found[0] != batch.sets[key]):
             return False
-        self.cluster.committed(batch, found[1] if found else 0, steady())
+        self.cluster.writes.committed(batch, found[1] if found else 0, steady())
         return True
 
     return [patch.object(GroupCommit, "_was_applied", first)]
--- a/tests/test_amqp_queues.py
+++ b/tests/test_amqp_queues.py
@@ -51,12 +51,12 @@
         return value["rows"], value["ledgerRev"]
 
     async def hold(self, life_us: int) -> int:
-        return int(self.state.hold(life_us // 1000)[1]["permit"])
+        return int(self.state.grant_lease(life_us // 1000)[1]["permit"])
 
     async def touch(self, lease: int, timeout_us: int) -> None:
         if self._fault():
             raise RequestRefusedError(503)
-        if self.state.touch(lease)[0] == 404:
+        if self.state.renew_lease(lease)[0] == 404:
             raise LeaseExpiredError
 
     async def commit(
@@ -368,7 +368,7 @@
     assert desk.outbox.ready
     await desk.settle()
     assert desk.published == []
-    assert LeaderLease(10 * SECOND, 0).holds(steady()) is (steady() < 9 * SECOND)
+    assert LeaderLease(10 * SECOND, 0).is_held(steady()) is (steady() < 9 * SECOND)
 
 
 async def test_what_an_earlier_owner_writes_is_refused_and_the_next_one_answers_once() -> None:
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -19,15 +19,15 @@
     answers_until,
 )
 from oatport.control.state.machine import Machine
-from oatport.control.storage.write_buffer import cancel_key, job_key
+from oatport.control.storage.keys import cancel_key, job_key
 from oatport.peer_messages import PeerArray, PeerMessage, decode_reply
 from oatport.service.node import Node
-from oatport.service.peer_notifications import STALE
+from oatport.service.peer_notifications import RECORDS_ARE_STALE
 from oatport.settings import Tuning
-from oatport.simulation.fault_interactions import state_outage_plan
 from oatport.simulation.fault_plan import Fault, Plan
 from oatport.simulation.mutations import mutated
 from oatport.simulation.simulation import RunResult, Simulation
+from oatport.simulation.state_outage_scenario import state_outage_plan
 from oatport.simulation.state_service import KeyStore
 from oatport.simulation.worker import Worker
 from oatport.times import SECOND, steady, with_drift
@@ -181,19 +181,19 @@
 async def blind(state: KeyStore) -> tuple[Node, Any]:
     """A leading node whose state service refuses it; what it knows is 20 s old."""
     node = Node(node_settings(), Tuning())
-    node.peer_notifier.cancellations = told(began=steady() - 600 * SECOND)
+    node.peer_notifier.confirmed_cancellations = told(began=steady() - 600 * SECOND)
     node.state = client = FakeStateClient(state)  # type: ignore[assignment]
     lead, _, _ = leader(state)
     client.faults = ["refuse"] * 1000
     lead.lease_renewal_limit.known_at = steady() - 20 * SECOND
-    node.leader = lead
+    node.election.leader = lead
     return node, lead
 
 
 def running(lead: Any, world_state: KeyStore, ref: str = "j-000001") -> None:
     """The lead has a job whose task runs on a machine."""
     spec = wire.decode_submission(job(ref))
-    lead.cluster.add_job(ref, spec, 1, 0)
+    lead.cluster.job_lifecycle.add(ref, spec, 1, 0)
 
 
 WHOLE = 600 * SECOND
@@ -227,10 +227,12 @@
     node, lead = await blind(state)
     running(lead, state)
     node.peers = {"n1": FakePeer(["told", WHOLE, []])}  # type: ignore[dict-item]
-    node.peer_notifier.cancellations.tell("j-000001", steady() - 5 * SECOND)
+    node.peer_notifier.confirmed_cancellations.tell("j-000001", steady() - 5 * SECOND)
     await node.peer_notifier.collect(lead)
     assert lead.cluster.jobs["j-000001"].cancelled
-    node.peer_notifier.cancellations = told(began=steady() - SECOND)  # it began only after what is asked about
+    node.peer_notifier.confirmed_cancellations = told(
+        began=steady() - SECOND
+    )  # it began only after what is asked about
     before = lead.lease_renewal_limit.known_at = steady() - 20 * SECOND
     await node.peer_notifier.collect(lead)
     assert lead.lease_renewal_limit.known_at == before
@@ -242,7 +244,7 @@
 
     class Slow(FakePeer):
         async def ask(self, request: PeerMessage, decode: Callable[[PeerArray], Any], *, timeout_us: int = 0) -> Any:
-            node.leader = None
+            node.election.leader = None
             return decode_reply(["told", WHOLE, []], decode)
 
     node.peers = {"n1": Slow(None)}  # type: ignore[dict-item]
@@ -253,10 +255,10 @@
 async def test_a_hint_that_is_lost_costs_a_moment(state: KeyStore) -> None:
     """It went out twice and was lost twice: the tasks ran on until their leases ended, as did all others."""
     other = Node(node_settings(), Tuning())
-    other.peer_notifier.cancellations = told(began=steady() - 600 * SECOND)
+    other.peer_notifier.confirmed_cancellations = told(began=steady() - 600 * SECOND)
     other.peers = {"n1": FakePeer(None)}  # type: ignore[dict-item]
-    other._leader_name = "n1"
-    other.tell_cancelled("j-000001", 7)
+    other.election.leader_name = "n1"
+    other.notify_cancelled("j-000001", 7)
     node, lead = await blind(state)
     running(lead, state)
 
@@ -268,8 +270,8 @@
     before = lead.lease_renewal_limit.known_at
     await node.peer_notifier.collect(lead)
     assert lead.cluster.jobs["j-000001"].cancelled
-    assert lead.lease_renewal_limit.known_at > before + STALE
-    other.group.close()
+    assert lead.lease_renewal_limit.known_at > before + RECORDS_ARE_STALE
+    other.background.close()
 
 
 async def test_a_malformed_question_gets_400_and_an_older_leader_sees_when_something_was_told(state: KeyStore) -> None:
@@ -278,10 +280,10 @@
     for question in (["told"], ["told", "1"], ["told", -1], ["told", True], ["told", None]):
         with pytest.raises((ValueError, IndexError)):
             await peer_reply(node, question)
-    node.peer_notifier.cancellations = told(began=steady() - 600 * SECOND)
+    node.peer_notifier.confirmed_cancellations = told(began=steady() - 600 * SECOND)
     ping = ["ping", "n1", None, 0, True]
     assert (await peer_reply(node, ping))[5] >= 600 * SECOND
-    node.tell_cancelled("j-000001")  # in whichever way it knew
+    node.notify_cancelled("j-000001")  # in whichever way it knew
     assert (await peer_reply(node, ping))[5] < SECOND
     assert len(await peer_reply(node, ping)) == 6
 
@@ -309,10 +311,10 @@
     world = World()
     world.machine(1)
     world.step()
-    world.cluster.cancel_confirmed("j-000001", 0, world.now)
+    world.cluster.job_lifecycle.cancel_confirmed("j-000001", 0, world.now)
     told_at = world.now
     world.step(1.0)
-    world.cluster.cancel_confirmed("j-000001", 0, world.now)  # by another node, or by the same once more
+    world.cluster.job_lifecycle.cancel_confirmed("j-000001", 0, world.now)  # by another node, or by the same once more
     first = world.submit()
     assert world.cluster.jobs[first].cancelled_after == told_at  # it counts from when it was told first
     after = world.submit(waitsOn=[first])
@@ -320,11 +322,11 @@
     world.settle()
     assert world.live(first) == {}
     assert not world.cluster.jobs[first].tasks
-    assert after not in world.cluster.blocked_jobs  # it went with it
+    assert after not in world.cluster.dependencies.blocked_jobs  # it went with it
     assert world.record(after) == wire.JobStatus.CANCELLED
     # Its keys wait for the record: with an unknown version the mark would be left behind.
     assert cancel_key(first) in world.state.items
-    world.cluster.cancel_job(first, world.state.items[cancel_key(first)][1])
+    world.cluster.job_lifecycle.cancel(first, world.state.items[cancel_key(first)][1])
     world.settle()
     assert first not in world.cluster.jobs
     assert not [key for key in world.state.items if key.startswith("live/")]
@@ -337,8 +339,8 @@
     after, own = world.submit(waitsOn=[first]), world.submit(waitsOn=[first])
     world.cancel(own, tell=False)
     for ref in (after, own):
-        world.cluster.cancel_confirmed(ref, 0, world.now)
-    batch = world.cluster.take_batch(12)
+        world.cluster.job_lifecycle.cancel_confirmed(ref, 0, world.now)
+    batch = world.cluster.writes.take_batch(12)
     assert {job_key(after), job_key(own)} <= batch.sets.keys()
     # Its own user's was recorded first: the transaction fails by that, and the record's version tells of its mark.
     assert world.state.commit(world.transaction(batch))[1]["failed"] == [job_key(own)]
@@ -361,24 +363,24 @@
     worker = world.machine(1)
     ref, machine = unsure(world, worker)
     world.cancel(ref, tell=False)
-    world.cluster.cancel_confirmed(ref, 0, world.now)
+    world.cluster.job_lifecycle.cancel_confirmed(ref, 0, world.now)
 
     def orders() -> list[str]:
-        commands, _ = world.cluster.commands_for(machine, world.now, direct=False)
+        commands, _ = world.cluster.commands.for_machine(machine, world.now, direct=False)
         return [order["orderKind"] for order in wire.heartbeat_response(0, commands)["orders"]]
 
     assert orders() == ["start", "stop"]  # so that the attempt is known there, whenever the first start lands
-    assert not world.cluster.must_let_lease_expire(machine, world.now)
+    assert not world.cluster.commands.must_let_lease_expire(machine, world.now)
     bound = answers_until(world.settings.workers, world.now)
     world.now = bound
     assert orders() == ["stop"]
     # It can't be told whether the first start will land: the machine's lease has to end, and with it the session.
-    assert world.cluster.must_let_lease_expire(machine, world.now)
+    assert world.cluster.commands.must_let_lease_expire(machine, world.now)
     world.now += round(world.settings.workers.lease_s * SECOND)
     worker.advance()
     world.refused.clear()
     world.settle()
-    assert not world.cluster.must_let_lease_expire(machine, world.now)
+    assert not world.cluster.commands.must_let_lease_expire(machine, world.now)
     assert not machine.tasks
     assert world.live(ref) == {}
 
@@ -387,15 +389,15 @@
     world = World()
     worker = world.machine(1)
     ref, machine = unsure(world, worker)
-    world.cluster.on_commands_answered(machine, [(f"{ref}/0", 1)])  # no connection came about
+    world.cluster.commands.on_answered(machine, [(f"{ref}/0", 1)])  # no connection came about
     assert not machine.unacknowledged_starts
     world.cancel(ref)
-    world.cluster.commands_for(machine, world.now, direct=False)
+    world.cluster.commands.for_machine(machine, world.now, direct=False)
     world.refused.clear()
     world.now += 30 * SECOND  # by the bound no start is repeated
     world.report(worker)
     assert not machine.tasks
-    assert ref in [held.job_id for held in world.cluster.jobs_to_delete]
+    assert ref in [held.job_id for held in world.cluster.writes.jobs_to_delete]
 
 
 async def test_a_machine_that_a_start_of_a_cancelled_job_may_still_reach_is_not_answered(state: KeyStore) -> None:
@@ -405,7 +407,7 @@
     worker.token = lead.token
     answer = lead.answer_heartbeat(wire.decode_heartbeat(worker.report()))
     assert answer is not None
-    lead.cluster.must_let_lease_expire = lambda machine, now: True  # type: ignore[method-assign]
+    lead.cluster.commands.must_let_lease_expire = lambda machine, now: True  # type: ignore[method-assign]
     assert lead.answer_heartbeat(wire.decode_heartbeat(worker.report())) is None
 
 
@@ -426,9 +428,9 @@
 
 def told_by_others(plan: Plan) -> RunResult:
     world = Simulation(plan, 5)
-    world.users_at = {"n1", "n2"}  # n0 leads at first
+    world.users_reach = {"n1", "n2"}  # n0 leads at first
     result = world.run()
-    told = [ask for ask in world.checker.asks.values() if 1020 < (ask.cancelled_at or 0) < 1023]
+    told = [ask for ask in world.deployed.checker.jobs.values() if 1020 < (ask.cancelled_at or 0) < 1023]
     assert len(told) >= 3, "the meeting came about"
     return result
 
--- a/tests/test_client_consistency.py
+++ b/tests/test_client_consistency.py
@@ -9,7 +9,7 @@
 
 from oatport import wire
 from oatport.api.job_api import JobApi
-from oatport.control.storage.write_buffer import job_key
+from oatport.control.storage.keys import job_key
 from oatport.simulation.state_service import KeyStore
 from tests.cluster_fixture import TYPES, FakeStateClient, node_settings
 from tests.cluster_fixture import job as body_of
@@ -24,10 +24,10 @@
     def ready(self) -> bool:
         return True
 
-    def tell_accepted(self, ref: str, record: dict[str, Any], revision: int) -> None:
+    def notify_accepted(self, ref: str, record: dict[str, Any], revision: int) -> None:
         self.told.append(ref)
 
-    def tell_cancelled(self, ref: str, revision: int = 0) -> None:
+    def notify_cancelled(self, ref: str, revision: int = 0) -> None:
         self.told.append("x" + ref)
 
 
@@ -274,11 +274,11 @@
         return await real(*args, **more)
 
     client.commit = slow  # type: ignore[method-assign]
-    before = state.commits
+    before = state.commit_count
     answers = await asyncio.gather(*(users.submit(job(f"j-{n:06d}")) for n in range(1, 8)))
     # The known one in a transaction does not hurt the others.
     assert sorted(a.status for a in answers) == [200] + [201] * 6
-    assert state.commits - before <= 6
+    assert state.commit_count - before <= 6
 
 
 async def test_idle_work_is_told_to_come_back_before_the_rest_is(state: KeyStore) -> None:
--- a/tests/test_node_failures.py
+++ b/tests/test_node_failures.py
@@ -14,13 +14,15 @@
 from oatport.api.heartbeat_api import handle_report
 from oatport.clients.http import NoResponseError
 from oatport.control.scaling.cloud_availability import ScaleOutRequest
-from oatport.control.state.completions import Completion
-from oatport.control.storage.recovery import UnknownMachineTypeError, load, types_recorded
-from oatport.control.storage.write_buffer import CATALOG_KEY, LEADER_KEY, WriteBatch
+from oatport.control.storage.keys import CATALOG_KEY, LEADER_KEY
+from oatport.control.storage.recovery import UnknownMachineTypeError, load_cluster, recorded_machine_types
+from oatport.control.storage.write_buffer import WriteBatch
 from oatport.peer_messages import PeerArray, PeerMessage, any_reply, decode_reply
 from oatport.service.background_tasks import BackgroundTasks
 from oatport.service.leader import Leader
+from oatport.service.leader_context import EarlierCompletions
 from oatport.service.node import Node
+from oatport.service.reachability import PeerSurvey
 from oatport.settings import Tuning
 from oatport.simulation.state_service import KeyStore
 from oatport.times import SECOND, steady, time_of_day
@@ -63,11 +65,11 @@
         self.node_name, self.boot_id = "n0", "boot"
         self.lost: list[str] = []
 
-    def step_down(self, why: str) -> None:
-        self.lost.append(why)
+    def step_down(self, reason: str) -> None:
+        self.lost.append(reason)
 
-    async def completions_before(self, token: int) -> tuple[list[Completion], bool]:
-        return [], True
+    async def completions_before(self, token: int) -> EarlierCompletions:
+        return EarlierCompletions([], complete=True)
 
     def peer_contact_times(self) -> dict[str, list[int]]:
         return {}
@@ -89,7 +91,7 @@
     return KeyStore(lambda: 0)
 
 
-async def test_a_handover_is_taken_only_by_a_node_that_is_served_right_now(state: KeyStore) -> None:
+async def test_a_handover_is_accepted_only_while_the_state_service_answers(state: KeyStore) -> None:
     """At the start of an outage for all, a leader once gave up to a node that was refused too."""
     node = Node(node_settings(), Tuning())
     client = FakeStateClient(state)
@@ -108,7 +110,7 @@
     batch = WriteBatch(conditions={"live/j-1/0000": 0}, sets={"live/j-1/0000": {"t": [[1]]}})
     await lead.commits.commit(batch)
     assert home.lost == []
-    assert lead.cluster.versions["live/j-1/0000"] == state.revision
+    assert lead.cluster.writes.versions["live/j-1/0000"] == state.revision
 
 
 async def test_a_late_leader_commit_cannot_be_applied_twice(state: KeyStore) -> None:
@@ -124,37 +126,38 @@
     state.commit({"if": [], "then": [{"set": LEADER_KEY, "value": {"node": "n1"}}]})
     await lead.commits.commit(WriteBatch(conditions={"fleet/000000": 0}, sets={"fleet/000000": {"m": []}}))
     assert home.lost
-    assert not lead.may_answer_heartbeats()
+    assert not lead.heartbeats.may_answer()
 
 
-async def test_nobody_is_judged_without_contact(state: KeyStore) -> None:
+async def survey(lead: Leader) -> PeerSurvey:
+    return await lead.cloud_controller.failure_detector.reachability.survey_peers([])
+
+
+async def test_no_machine_is_judged_without_contact_to_the_state_service_and_most_peers(state: KeyStore) -> None:
     """A cut may hold a release and deliver it minutes later, onto another leader's machines."""
     lead, client, home = leader(state)
     client.faults = ["refuse", "lose"]
-    assert not await lead.cloud_controller.watcher.still_leading()
-    assert not await lead.cloud_controller.watcher.still_leading()
-    assert await lead.cloud_controller.watcher.still_leading()
+    assert not await lead.cloud_controller.failure_detector.reachability.still_leading()
+    assert not await lead.cloud_controller.failure_detector.reachability.still_leading()
+    assert await lead.cloud_controller.failure_detector.reachability.still_leading()
     home.peers = {"n1": FakePeer(None)}
-    assert await lead.cloud_controller.watcher.ask_around([]) == (
-        None,
-        False,
-    )  # a peer that doesn't answer proves nothing
+    assert await survey(lead) == PeerSurvey(None, False)  # a peer that doesn't answer proves nothing
     home.peers = {"n1": FakePeer(["seen", 3, True])}
-    assert await lead.cloud_controller.watcher.ask_around([]) == (None, False)
+    assert await survey(lead) == PeerSurvey(None, False)
     home.peers = {"n1": FakePeer(["seen", 0, True])}
-    assert await lead.cloud_controller.watcher.ask_around([]) == (None, True)
+    assert await survey(lead) == PeerSurvey(None, True)
 
 
-async def test_a_node_in_a_dark_zone_does_not_hold_the_verdict_back(state: KeyStore) -> None:
+async def test_a_node_in_a_partitioned_zone_does_not_delay_the_verdict(state: KeyStore) -> None:
     """A zone was cut off with its node: for two minutes its machines' tasks were replaced nowhere."""
     lead, _, home = leader(state)
     blind, silent, sees = FakePeer(["seen", 0, True]), FakePeer(None), FakePeer(["seen", 1, True])
     home.peers = {"n1": blind, "n2": silent}
-    assert await lead.cloud_controller.watcher.ask_around([]) == (None, True)  # two of three nodes
+    assert await survey(lead) == PeerSurvey(None, True)  # two of three nodes
     home.peers = {"n1": silent, "n2": silent}
-    assert await lead.cloud_controller.watcher.ask_around([]) == (None, False)  # it is rather I who am cut off
+    assert await survey(lead) == PeerSurvey(None, False)  # it is rather I who am cut off
     home.peers = {"n1": blind, "n2": sees}
-    assert await lead.cloud_controller.watcher.ask_around([]) == (None, False)
+    assert await survey(lead) == PeerSurvey(None, False)
 
 
 async def test_in_an_outage_tasks_live_but_nothing_starts(state: KeyStore) -> None:
@@ -171,10 +174,10 @@
     assert lead.answer_heartbeat(report) is None
 
 
-async def test_reports_go_to_the_leader_and_bad_ones_hurt_nobody(state: KeyStore) -> None:
+async def test_heartbeats_are_redirected_to_the_leader_and_malformed_ones_refused(state: KeyStore) -> None:
     node = Node(node_settings(), Tuning())
     node.state = FakeStateClient(state)  # type: ignore[assignment]
-    node._leader_name = "n1"
+    node.election.leader_name = "n1"
     report = {
         "berth": "vm-1",
         "address": "h:1",
@@ -219,7 +222,7 @@
     assert "one bad message" in caplog.text
 
 
-async def test_what_is_closed_before_its_first_step_leaves_nothing_behind() -> None:
+async def test_a_background_task_closed_before_its_first_step_leaves_no_coroutine_behind() -> None:
     """A deposed leader dropped coroutines that never ran; the warning is an error here."""
     group, ran = BackgroundTasks(), []
 
@@ -233,7 +236,9 @@
     assert ran == []
 
 
-async def test_a_rental_without_an_answer_is_repeated_under_its_name_which_is_never_reused(state: KeyStore) -> None:
+async def test_a_rental_without_an_answer_is_repeated_under_its_request_id_which_is_never_reused(
+    state: KeyStore,
+) -> None:
     lead, _, _ = leader(state)
     asked: list[str] = []
 
@@ -247,16 +252,16 @@
     lead.cloud_controller.cloud = Cloud()  # type: ignore[assignment]
     for _ in range(2):
         rental = ScaleOutRequest("m8", "a", True, 1)
-        lead.cloud_controller.fleet.availability.requests_in_flight.append(rental)
+        lead.cloud_controller.capacity_planner.availability.requests_in_flight.append(rental)
         await lead.cloud_controller.rent(rental)
     assert asked == [f"r-{lead.token}-1", f"r-{lead.token}-1", f"r-{lead.token}-2"]
     assert sorted(lead.cluster.machines) == ["vm-000002", "vm-000003"]
 
 
-async def test_a_machine_that_is_to_be_returned_is_told_to_stop_what_it_runs(state: KeyStore) -> None:
+async def test_a_machine_to_be_released_is_sent_stops_for_what_it_runs(state: KeyStore) -> None:
     """Its release may stay unanswered for as long as the cloud is away; its leases lived on, and no stop went out."""
     lead, _, _ = leader(state)
-    lead.lease_renewal_limit.known_at = lead.leader_lease.asked_at = steady()
+    lead.lease_renewal_limit.known_at = lead.leader_lease.renewal_requested_at = steady()
     rows = [wire.TaskReport("j-000001/0", 1, wire.TaskStatus.RUNNING)]  # of a job that is cancelled and over, say
     report = wire.Heartbeat("vm-000001", "h:1", "m8", "a", False, 1, 1, lead.token, rows)
     assert lead.answer_heartbeat(report) is not None
@@ -266,18 +271,18 @@
     assert [(order["orderKind"], order["leg"]) for order in answer["orders"]] == [("stop", "j-000001/0")]
 
 
-async def test_a_leader_without_a_catalog_reads_the_recorded_one_and_takes_no_machine_for_gone(state: KeyStore) -> None:
+async def test_a_leader_without_a_catalog_reads_the_recorded_one_and_loses_no_machine(state: KeyStore) -> None:
     """Back within a blink and leading at once, the cloud down: all that ran was started again elsewhere."""
     types = {"berthKinds": [msgspec.to_builtins(kind) for kind in TYPES.values()]}
     state.commit({"if": [], "then": [{"set": CATALOG_KEY, "value": types}]})
     rows = [{"path": "fleet/000000", "entryRev": 1, "value": {"m": [["vm-000001", "m8", "a", False, "h:1", 1, True]]}}]
     lead, _, home = leader(state)
-    lead.cluster.types.clear()
+    lead.cluster.catalog.types.clear()
     home.types = {}
     with pytest.raises(UnknownMachineTypeError, match="vm-000001 is of type m8"):
-        load(lead.cluster, rows, steady(), time_of_day())
-    await lead._know_types(types_recorded(rows))
-    load(lead.cluster, rows, steady(), time_of_day())
+        load_cluster(lead.cluster, rows, steady(), time_of_day())
+    await lead._load_machine_types(recorded_machine_types(rows))
+    load_cluster(lead.cluster, rows, steady(), time_of_day())
     assert "vm-000001" in lead.cluster.machines
 
     # What the cloud does not tell any more stays recorded.
@@ -285,5 +290,5 @@
         return {"new": replace(TYPES["m8"], name="new")}
 
     lead.cloud_controller.cloud.catalog = cloud_tells  # type: ignore[method-assign]
-    await lead.cloud_controller.catalog()
+    await lead.cloud_controller.refresh_catalog()
     assert wire.decode_catalog(state.get(CATALOG_KEY)[1]["value"]).keys() == {"m8", "g16", "new"}
--- a/tests/test_rolling_upgrade.py
+++ b/tests/test_rolling_upgrade.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from oatport.control.storage.schema_version import FORMATS_KEY
+from oatport.control.storage.keys import SCHEMA_VERSION_KEY
 from oatport.service.node import Node
 from oatport.simulation.fault_plan import Fault, Plan
 from oatport.simulation.production_build import (
@@ -65,20 +65,20 @@
         old_nodes=True,
     )
     world = Simulation(plan, seed)
-    world.upgraded_nodes, world.users_at = {"n1"}, {"n1"}
+    world.deployed.nodes.upgraded, world.users_reach = {"n1"}, {"n1"}
     led: set[str] = set()
-    look = world._look_for_leader
+    sample = world.leadership.sample
 
     def watch() -> None:
-        led.update(name for name, node in world.nodes.items() if leader_of(node) is not None)
-        look()
+        led.update(name for name, node in world.deployed.nodes.nodes.items() if leader_of(node) is not None)
+        sample()
 
-    world._look_for_leader = watch  # type: ignore[method-assign]
+    world.leadership.sample = watch  # type: ignore[method-assign]
     found = quiet(world)
     assert (found.violations, found.errors) == ([], [])
     assert led & {"n0", "n2"}
-    assert FORMATS_KEY not in world.store.items
-    assert any(key.startswith("jobs/j-7") for key in world.store.items)
+    assert SCHEMA_VERSION_KEY not in world.deployed.store.items
+    assert any(key.startswith("jobs/j-7") for key in world.deployed.store.items)
 
 
 def test_an_upgrade_among_troubles() -> None:
@@ -90,6 +90,6 @@
     assert pipelines > 0
 
 
-def test_new_formats_before_all_read_them_are_noticed() -> None:
+def test_a_new_schema_version_before_all_nodes_read_it_is_noticed() -> None:
     asked = RunRequest(scenario="rolling-upgrade", disabled_check="feature-gate")
     assert any("gate" in row for seed in range(1, 9) for row in run_scenario(asked, seed).violations)
--- a/tests/test_schema_versions.py
+++ b/tests/test_schema_versions.py
@@ -11,12 +11,13 @@
 from oatport.control.queueing.runtime_predictor import RuntimePredictor
 from oatport.control.state.job import Job, job_record
 from oatport.control.state.task import TaskPhase
-from oatport.control.storage.overflow_records import lies_apart, slimmed, whole_lists
+from oatport.control.storage.keys import FLEET, LIVE, SCHEMA_VERSION_KEY, blocked_key, live_key
+from oatport.control.storage.overflow_records import is_accepted_as_blocked, split_overflow, with_overflow
 from oatport.control.storage.record_layout import RecordLayout
-from oatport.control.storage.schema_version import FORMATS_KEY, READS, Gate, answer
-from oatport.control.storage.write_buffer import FLEET, LIVE, WriteBatch, live_key, waits_key
+from oatport.control.storage.schema_version import SCHEMA_VERSION, SchemaVersionGate, answer
+from oatport.control.storage.write_buffer import WriteBatch
 from oatport.peer_messages import SchemaVersionRequest, undecoded
-from oatport.service.catalog import read_types, type_values, write_types
+from oatport.service.catalog import RecordedCatalog, read_types, type_values, write_types
 from oatport.service.leader import Leader
 from oatport.settings import NextLimits, StateLimits, Team
 from oatport.simulation.state_service import KeyStore
@@ -32,7 +33,7 @@
 def world_of(machines: int, *, opened: bool) -> World:
     world = World(NO_LIMITS, SMALL)
     if opened:
-        world.state.commit({"if": [], "then": [{"set": FORMATS_KEY, "value": {"reads": READS}}]})
+        world.state.commit({"if": [], "then": [{"set": SCHEMA_VERSION_KEY, "value": {"reads": SCHEMA_VERSION}}]})
         world.fail_over()
     for number in range(1, machines + 1):
         world.machine(number, zone="ab"[number % 2])
@@ -47,8 +48,8 @@
 
 def opens(world: World) -> None:
     """All nodes have answered; then the limits fall."""
-    world.state.commit({"if": [], "then": [{"set": FORMATS_KEY, "value": {"reads": READS}}]})
-    world.cluster.enable_record_parts()
+    world.state.commit({"if": [], "then": [{"set": SCHEMA_VERSION_KEY, "value": {"reads": SCHEMA_VERSION}}]})
+    world.cluster.writes.enable_record_parts()
     fall(world)
 
 
@@ -112,14 +113,14 @@
         for ref in refs:
             for task in list(world.cluster.jobs[ref].tasks.values()) if ref in world.cluster.jobs else []:
                 if rng.random() < 0.05 and task.phase is TaskPhase.BOUND:
-                    world.cluster.stop(task, 0.0)
+                    world.cluster.tasks.stop(task, 0.0)
         world.plan()
-        if world.cluster.has_writes():
-            batch = world.cluster.take_batch(rng.choice([2, 3, 4]))
+        if world.cluster.writes.has_writes():
+            batch = world.cluster.writes.take_batch(rng.choice([2, 3, 4]))
             if batch.operation_count:
                 status, value = world.state.commit(world.transaction(batch))
                 assert status == 200, value
-                world.cluster.committed(batch, value["ledgerRev"], world.now)
+                world.cluster.writes.committed(batch, value["ledgerRev"], world.now)
         before = {
             ref: {
                 i: row
@@ -162,11 +163,11 @@
 
 def test_long_lists_lie_in_records_of_their_own() -> None:
     spec = wire.decode_submission(job("j-1", waitsOn=[f"j-{i:06d}" for i in range(2, 1002)]))
-    record, parts = slimmed(job_record(spec, 5, wire.JobStatus.QUEUED), 2048)
+    record, parts = split_overflow(job_record(spec, 5, wire.JobStatus.QUEUED), 2048)
     assert json_size(record) <= 2048 - 300
     assert all(json_size(part) <= 2048 for part in parts)
-    assert whole_lists(record, parts)["job"]["waitsOn"] == spec.dependencies
-    assert slimmed(job_record(spec, 5, wire.JobStatus.QUEUED), 32 * 1024)[1] == []
+    assert with_overflow(record, parts)["job"]["waitsOn"] == spec.dependencies
+    assert split_overflow(job_record(spec, 5, wire.JobStatus.QUEUED), 32 * 1024)[1] == []
 
 
 def test_the_predictor_is_recorded_in_parts_that_can_be_read_alone() -> None:
@@ -210,21 +211,21 @@
     state = KeyStore(lambda: 0, 2048, 4)
     token = state.commit({"if": [], "then": [{"set": "leader", "value": {}}]})[1]["ledgerRev"]
     client: Any = FakeStateClient(state)
-    await write_types(client, token, 0, kinds, 2048, parts=True)
+    await write_types(client, token, RecordedCatalog(kinds, 0), 2048)
     found = await read_types(client)
     assert found is not None
-    assert found[0] == kinds
+    assert found.types == kinds
 
 
 # --- the gate ---------------------------------------------------------------------------------------
 
 
 def test_the_gate_opens_when_the_same_processes_of_all_nodes_answered_twice() -> None:
-    gate = Gate(["n0", "n1"])
+    gate = SchemaVersionGate(["n0", "n1"])
     both = [answer("n0", "a"), answer("n1", "b")]
-    assert not gate.heard(both)
-    assert gate.heard(both)
-    assert not Gate(["n0", "n1"]).heard([*both, answer("n0", "a")])
+    assert not gate.on_replies(both)
+    assert gate.on_replies(both)
+    assert not SchemaVersionGate(["n0", "n1"]).on_replies([*both, answer("n0", "a")])
 
 
 @pytest.mark.parametrize(
@@ -238,18 +239,18 @@
     ],
 )
 def test_the_gate_stays_shut(second: list[Any]) -> None:
-    gate = Gate(["n0", "n1"])
-    gate.heard([answer("n0", "a"), answer("n1", "b")])
-    assert not gate.heard(second)
-    assert not gate.heard([answer("n0", "a"), answer("n1", "c")]) or second[-1][2] == "c"
+    gate = SchemaVersionGate(["n0", "n1"])
+    gate.on_replies([answer("n0", "a"), answer("n1", "b")])
+    assert not gate.on_replies(second)
+    assert not gate.on_replies([answer("n0", "a"), answer("n1", "c")]) or second[-1][2] == "c"
 
 
 async def rounds(lead: Leader, times: int) -> None:
-    gate = Gate([lead.node.node_name, *lead.node.peers])
+    gate = SchemaVersionGate([lead.node.node_name, *lead.node.peers])
     for _ in range(times):
         rows = [await peer.ask(SchemaVersionRequest(), undecoded) for peer in lead.node.peers.values()]
-        if gate.heard([answer(lead.node.node_name, lead.node.boot_id), *rows]):
-            await lead.dependency_controller._open(gate)
+        if gate.on_replies([answer(lead.node.node_name, lead.node.boot_id), *rows]):
+            await lead.schema_version_controller.open_gate(gate)
 
 
 async def test_what_all_read_is_recorded_once_and_by_the_leader_alone() -> None:
@@ -257,20 +258,20 @@
     lead, client, home = leader(state)
     home.peers["n1"] = FakePeer(answer("n1", "b"))
     await rounds(lead, 1)
-    assert FORMATS_KEY not in state.items
-    assert not lead.cluster.layout.parts
+    assert SCHEMA_VERSION_KEY not in state.items
+    assert not lead.cluster.writes.layout.parts
     client.faults = ["lose"]
     with pytest.raises(Exception, match="lose"):
         await rounds(lead, 2)  # unsure: not taken for open
-    assert not lead.cluster.layout.parts
+    assert not lead.cluster.writes.layout.parts
     await rounds(lead, 2)
-    assert lead.cluster.layout.parts
-    assert state.items[FORMATS_KEY][0]["reads"] == READS
+    assert lead.cluster.writes.layout.parts
+    assert state.items[SCHEMA_VERSION_KEY][0]["reads"] == SCHEMA_VERSION
     second, _, other = leader(state)
     other.peers["n1"] = FakePeer(answer("n1", "b"))
     await rounds(lead, 2)  # it leads no more, and finds what is recorded
     await rounds(second, 2)
-    assert second.cluster.layout.parts
+    assert second.cluster.writes.layout.parts
 
 
 async def test_a_refusal_for_size_before_the_gate_opens_is_not_tried_again() -> None:
@@ -286,21 +287,21 @@
     lead, _, home = leader(world.state)
     lead.cluster = lead.commits.cluster = world.cluster
     world.cluster.token = lead.token
-    refused = world.cluster.take_batch(4)
+    refused = world.cluster.writes.take_batch(4)
     assert max(json_size(value) for value in refused.sets.values()) > 2048
     world.state.commit = _counted(world.state.commit)  # type: ignore[method-assign]
     await lead.commits.commit(refused)
     assert not home.lost
-    assert world.cluster.value_limit_lowered
+    assert world.cluster.writes.value_limit_lowered
     for _ in range(20):
-        batch = world.cluster.take_batch(4)
+        batch = world.cluster.writes.take_batch(4)
         if batch.operation_count:
             await lead.commits.commit(batch)
     assert not home.lost
     assert live_key(small) in world.state.items
     assert "t" in world.state.items[live_key(small)][0]
     assert "t" not in world.state.items[live_key(ref)][0]
-    world.cluster.enable_record_parts()
+    world.cluster.writes.enable_record_parts()
     world.commit()
     assert len(world.state.items[live_key(ref)][0]["t"]) < 100
     assert any(key.startswith(f"{LIVE}{ref}/0000.") for key in world.state.items)
@@ -322,35 +323,35 @@
     world = world_of(60, opened=False)
     world.submit(legs=100, voyageS=50.0)
     world.settle(3)
-    world.cluster.enable_record_parts()
+    world.cluster.writes.enable_record_parts()
     job_ = next(iter(world.cluster.jobs.values()))
     for index in (5, 95):
         task = job_.tasks[index]
-        world.cluster.requeue(task, lost=True)
+        world.cluster.tasks.requeue(task, lost=True)
     world.plan()
     batch = WriteBatch()
-    while world.cluster.has_urgent_writes():
-        batch = world.cluster.take_batch(4)
+    while world.cluster.writes.has_urgent_writes():
+        batch = world.cluster.writes.take_batch(4)
         held = {key for key in batch.sets if key.startswith(LIVE)}
-        assert {world.cluster.layout.task_key(t.job, t.index) for t, _, _ in batch.bindings} <= held
+        assert {world.cluster.writes.layout.task_key(t.job, t.index) for t, _, _ in batch.bindings} <= held
         status, value = world.state.commit(world.transaction(batch))
         assert status == 200, value
-        world.cluster.committed(batch, value["ledgerRev"], world.now)
+        world.cluster.writes.committed(batch, value["ledgerRev"], world.now)
     assert all(job_.tasks[i].phase is TaskPhase.BOUND for i in (5, 95))
 
 
 async def test_a_job_whose_types_lie_apart_is_taken_up_from_where_it_was_accepted() -> None:
     """It names nobody, and lies under waits/ all the same: taken as lying under live/, its claim failed for ever."""
     spec = wire.decode_submission(job("j-000001", berthKinds=["m8", *(f"kind-{number:050d}" for number in range(40))]))
-    record, parts = slimmed(job_record(spec, 5, wire.JobStatus.QUEUED), 2048)
+    record, parts = split_overflow(job_record(spec, 5, wire.JobStatus.QUEUED), 2048)
     assert parts
-    assert lies_apart(record)
-    assert not lies_apart(job_record(wire.decode_submission(job()), 5, wire.JobStatus.QUEUED))
+    assert is_accepted_as_blocked(record)
+    assert not is_accepted_as_blocked(job_record(wire.decode_submission(job()), 5, wire.JobStatus.QUEUED))
     lead, _, _ = leader(KeyStore(lambda: 0))
-    lead._admit("j-000001", whole_lists(record, parts), 7)
+    lead.job_watch.admit("j-000001", with_overflow(record, parts), 7)
     taken = lead.cluster.jobs["j-000001"]
     assert taken.spec == spec
     assert taken in lead.cluster.pending
-    assert lead.cluster.versions[waits_key("j-000001")] == 7
-    assert live_key("j-000001") not in lead.cluster.versions
+    assert lead.cluster.writes.versions[blocked_key("j-000001")] == 7
+    assert live_key("j-000001") not in lead.cluster.writes.versions
     assert taken.record(wire.JobStatus.COMPLETED)["job"] == record["job"]
--- a/tests/test_task_locations.py
+++ b/tests/test_task_locations.py
@@ -13,10 +13,12 @@
 from oatport.clients.peer import UnexpectedReplyError
 from oatport.control.state.completions import LEADS_MOST, ROWS_MOST, CompletionLog, parse
 from oatport.control.state.task import TaskPhase
-from oatport.control.storage.write_buffer import WriteBatch, job_key, live_key, waits_key
+from oatport.control.storage.keys import blocked_key, job_key, live_key
+from oatport.control.storage.write_buffer import WriteBatch
 from oatport.peer_messages import JobAccepted, PeerArray, PeerMessage, any_reply, decode_reply
-from oatport.service.leader import LOOKED_UP_MOST
+from oatport.service.leader_context import EarlierCompletions
 from oatport.service.node import Node
+from oatport.service.orphaned_job_lookup import MAX_CONCURRENT_LOOKUPS
 from oatport.settings import Team, Tuning
 from oatport.simulation.state_service import KeyStore
 from oatport.simulation.worker import Worker
@@ -64,7 +66,7 @@
     machine = world.cluster.machines[worker.name]
     machine.draining = True
     assert world.fleet.scale_in.machines_to_release(world.now) == []
-    assert live_key(ref) in world.cluster.urgent_keys  # and it is written at once
+    assert live_key(ref) in world.cluster.writes.urgent_keys  # and it is written at once
     world.commit()
     assert world.fleet.scale_in.machines_to_release(world.now) == [machine]
 
@@ -88,8 +90,8 @@
     world = World()
     ref, worker = _done_unwritten(world)
     assert world.fleet.scale_in.machines_to_release(world.now) == []
-    assert live_key(ref) in world.cluster.dirty_keys
-    assert live_key(ref) not in world.cluster.urgent_keys
+    assert live_key(ref) in world.cluster.writes.dirty_keys
+    assert live_key(ref) not in world.cluster.writes.urgent_keys
     assert not world.cluster.machines[worker.name].releasing
 
 
@@ -97,10 +99,10 @@
     world = World()
     ref, worker = _done_unwritten(world)
     world.cluster.machines[worker.name].draining = True
-    batch = world.cluster.take_batch(world.ops)
+    batch = world.cluster.writes.take_batch(world.ops)
     assert live_key(ref) in batch.sets
     assert world.fleet.scale_in.machines_to_release(world.now) == []
-    world.cluster.restore_batch(batch)
+    world.cluster.writes.restore_batch(batch)
     assert world.fleet.scale_in.machines_to_release(world.now) == []
     world.commit()
     assert len(world.fleet.scale_in.machines_to_release(world.now)) == 1
@@ -110,15 +112,15 @@
     """Records that are too large are not written for a while: such an end counted as written, and was forgotten."""
     world = World()
     ref, worker = _done_unwritten(world)
-    world.cluster.value_limit_lowered = True
-    world.cluster.layout.limit = 10
-    batch = world.cluster.take_batch(world.ops)
+    world.cluster.writes.value_limit_lowered = True
+    world.cluster.writes.layout.limit = 10
+    batch = world.cluster.writes.take_batch(world.ops)
     assert live_key(ref) not in batch.sets
-    world.cluster.in_flight_keys = set()
+    world.cluster.writes.in_flight_keys = set()
     machine = world.cluster.machines[worker.name]
-    orders, _ = world.cluster.commands_for(machine, world.now, direct=True)
+    orders, _ = world.cluster.commands.for_machine(machine, world.now, direct=True)
     assert not [order for order in orders if isinstance(order, wire.ForgetCommand)]
-    assert world.cluster.holds_unwritten_completions(machine)
+    assert world.cluster.completions.holds_unwritten(machine)
 
 
 async def test_nothing_that_alone_tells_of_an_end_is_given_up(state: KeyStore) -> None:
@@ -154,46 +156,46 @@
     world.report(workers[0])
     world.commit()
     _until_done(world, workers[0])
-    assert live_key(ref) in world.cluster.urgent_keys
+    assert live_key(ref) in world.cluster.writes.urgent_keys
 
 
 def test_the_next_leader_goes_by_ends_that_it_is_told() -> None:
     """The machine hung after its report and was given up: the task is not started again."""
     world = World()
     ref, worker = _done_unwritten(world)
-    ends = world.cluster.completions_to_replicate()
+    ends = world.cluster.completions.to_replicate()
     assert [end[:2] for end in ends] == [(ref, 0)]
     world.refused.add(worker.name)  # it is not heard any more
     world.fail_over()
     assert world.cluster.jobs[ref].tasks[0].phase is TaskPhase.BOUND  # as recorded
-    world.cluster.apply_completions(ends)
+    world.cluster.completions.apply(ends)
     assert world.cluster.jobs[ref].completed == {0}
     world.released(worker.name)
     for _ in range(25):
         world.step(1.0)
     assert world.record(ref) == wire.JobStatus.COMPLETED
-    assert not any(task == f"{ref}/0" for w in world.workers.values() for task, _ in w.starts)
+    assert not any(task == f"{ref}/0" for w in world.workers.values() for task, _ in w.started_attempts)
 
 
 def test_told_ends_are_taken_for_pending_tasks_too_and_not_for_newer_attempts() -> None:
     world = World()
     ref, worker = _done_unwritten(world)
-    ends = world.cluster.completions_to_replicate()
+    ends = world.cluster.completions.to_replicate()
     world.refused.add(worker.name)
     world.fail_over()
     world.released(worker.name)
     task = world.cluster.jobs[ref].tasks[0]
     assert task.phase is TaskPhase.PENDING
     assert world.cluster.jobs[ref].pending == 1
-    world.cluster.apply_completions(ends)
+    world.cluster.completions.apply(ends)
     assert world.cluster.jobs[ref].completed == {0}
     assert not world.cluster.jobs[ref].pending
-    world.cluster.apply_completions(ends)  # told again
+    world.cluster.completions.apply(ends)  # told again
     other = world.submit(legs=1, cores=1.0, voyageS=50.0)
     world.settle(3)
     placed = world.cluster.jobs[other].tasks[0]
     assert placed.phase is TaskPhase.BOUND
-    world.cluster.apply_completions([(other, 0, placed.attempt), (other, 0, 7), (other, 5, 1), ("j-999999", 0, 1)])
+    world.cluster.completions.apply([(other, 0, placed.attempt), (other, 0, 7), (other, 5, 1), ("j-999999", 0, 1)])
     assert placed.phase is TaskPhase.BOUND
     assert not world.cluster.jobs[other].completed
 
@@ -201,10 +203,10 @@
 def test_ends_are_told_until_they_are_recorded() -> None:
     world = World()
     ref, _ = _done_unwritten(world)
-    assert world.cluster.completions_to_replicate()
+    assert world.cluster.completions.to_replicate()
     world.commit()
-    assert world.cluster.completions_to_replicate() == []
-    assert not world.cluster.unwritten_completions
+    assert world.cluster.completions.to_replicate() == []
+    assert not world.cluster.completions.unwritten
     assert world.cluster.jobs[ref].completed == {0}
 
 
@@ -214,13 +216,13 @@
     world.refused |= set(world.workers)
     cluster = world.fail_over()
     machine, until = cluster.machines[worker.name], world.now + cluster.lease_us
-    assert not cluster.may_report_unknown_completions(machine, world.now, until)
-    cluster.completions_unknown = True
-    assert cluster.may_report_unknown_completions(machine, world.now, until)
-    assert not cluster.may_report_unknown_completions(machine, until, until)
+    assert not cluster.completions.may_report_unknown(machine, world.now, until)
+    cluster.completions.earlier_may_be_lost = True
+    assert cluster.completions.may_report_unknown(machine, world.now, until)
+    assert not cluster.completions.may_report_unknown(machine, until, until)
     world.refused.clear()
     world.report(worker)
-    assert not cluster.may_report_unknown_completions(machine, world.now, until)  # it has told
+    assert not cluster.completions.may_report_unknown(machine, world.now, until)  # it has told
 
 
 def test_a_node_keeps_what_the_newest_leaders_told() -> None:
@@ -287,22 +289,24 @@
             "down": RequestNotSentError("refused"),
         }.items()
     }
-    assert await node.peer_notifier.completions_before(9) == ([], False)
+    assert await node.completion_replicator.completions_before(9) == EarlierCompletions([], complete=False)
     node.peers["n3"] = Peer(["ended", [["j-000001", 2, 1]]])  # type: ignore[assignment]
-    assert await node.peer_notifier.completions_before(9) == ([("j-000001", 2, 1)], True)
+    assert await node.completion_replicator.completions_before(9) == EarlierCompletions(
+        [("j-000001", 2, 1)], complete=True
+    )
     assert await peer_reply(node, ["ends", 4, [["j-000002", 0, 1]]]) == ["ok"]
-    found, complete = await node.peer_notifier.completions_before(9)
-    assert set(found) == {("j-000001", 2, 1), ("j-000002", 0, 1)}
-    assert complete
+    earlier = await node.completion_replicator.completions_before(9)
+    assert set(earlier.completions) == {("j-000001", 2, 1), ("j-000002", 0, 1)}
+    assert earlier.complete
     node.peers["cut"] = Peer(NoResponseError("timeout"))  # type: ignore[assignment]
-    assert not (await node.peer_notifier.completions_before(9))[1]  # it may have led, and know more
-    node._learn_leader("n3", 8)
-    assert (await node.peer_notifier.completions_before(9))[1]
-    node._learn_leader("cut", 9)
-    node._learn_leader("n0", 10)  # this node itself
-    found, complete = await node.peer_notifier.completions_before(11)
-    assert not complete
-    assert len(found) == 2
+    assert not (await node.completion_replicator.completions_before(9)).complete  # it may have led, and know more
+    node.election.learn_leader("n3", 8)
+    assert (await node.completion_replicator.completions_before(9)).complete
+    node.election.learn_leader("cut", 9)
+    node.election.learn_leader("n0", 10)  # this node itself
+    earlier = await node.completion_replicator.completions_before(11)
+    assert not earlier.complete
+    assert len(earlier.completions) == 2
     assert await peer_reply(node, ["ended", 4]) == ["ended", None]
     assert await peer_reply(node, ["ended", 5]) == ["ended", [("j-000002", 0, 1)]]
     for message in (["ends", "4", []], ["ends", 4, [[]]], ["ended", None]):
@@ -318,11 +322,11 @@
     node = Node(node_settings(), Tuning())
     reached = Peer(["ok"])
     node.peers = {"n1": reached}  # type: ignore[dict-item]
-    node.peer_notifier.deposed(lead)
+    node.completion_replicator.on_deposed(lead)
     await asyncio.sleep(0.01)
     assert reached.asked == [["ends", lead.token, [(ref, 0, 1)]]]
-    assert node.peer_notifier.ends.before(lead.token + 1) == [(ref, 0, 1)]
-    node.group.close()
+    assert node.completion_replicator.log.before(lead.token + 1) == [(ref, 0, 1)]
+    node.background.close()
 
 
 # --- gangs ----------------------------------------------------------------------------------------------
@@ -337,13 +341,13 @@
     world.settle(3)
     assert len(world.live(ref)) == 2
     _until_done(world, workers[0])
-    told = next(iter(workers[0].starts))[0]
+    told = next(iter(workers[0].started_attempts))[0]
     assert len(world.cluster.jobs[ref].completed) == 1
     world.released(workers[1].name)
     world.machine(3)
     world.settle(6)
     assert world.record(ref) == wire.JobStatus.COMPLETED
-    assert not world.workers["vm-000003"].starts
+    assert not world.workers["vm-000003"].started_attempts
     assert told.startswith(ref)
 
 
@@ -363,7 +367,7 @@
     world.machine(3)
     world.settle(6)
     assert world.record(ref) == wire.JobStatus.COMPLETED
-    assert not world.workers["vm-000003"].starts
+    assert not world.workers["vm-000003"].started_attempts
 
 
 # --- teams ----------------------------------------------------------------------------------------------
@@ -377,7 +381,7 @@
             "orders": [{"orderKind": "start", "leg": f"{ref}/{index}", "sailing": attempt}],
         }
     )
-    world.cluster.on_heartbeat(wire.decode_heartbeat(worker.report()), world.now, world.now)
+    world.cluster.heartbeats.receive(wire.decode_heartbeat(worker.report()), world.now, world.now)
 
 
 def test_attempts_that_no_record_knows_count_for_their_team_and_zone() -> None:
@@ -412,7 +416,7 @@
     world.plan()
     assert world.cluster.quotas.unknown == {"j-000777": 1}
     assert not world.cluster.jobs[ref].on_machines
-    world.cluster.resolve_orphaned_attempts("j-000777", None)  # nobody ever submitted it
+    world.cluster.orphans.resolve("j-000777", None)  # nobody ever submitted it
     world.plan()
     assert world.cluster.jobs[ref].on_machines == 1
     world.settle(2)
@@ -426,7 +430,7 @@
     spec = wire.decode_submission(job("j-000777", cores=6.0))
     world.jobs["j-000777"] = job("j-000777", cores=6.0)
     _start_behind_its_back(world, worker, "j-000777")
-    world.cluster.add_job("j-000777", spec, 1, world.now)
+    world.cluster.job_lifecycle.add("j-000777", spec, 1, world.now)
     assert not world.cluster.quotas.unknown
     assert world.cluster.quotas["crew"].cpus == 6.0
     assert world.cluster.jobs["j-000777"].orphaned_attempt_count == 1
@@ -446,9 +450,9 @@
     state.commit({"if": [], "then": [{"set": job_key("j-000777"), "value": record}]})
     _start_behind_its_back(world, worker, "j-000777")
     client.faults = ["refuse"]
-    await lead._read_orphaned_job("j-000777")
+    await lead.orphaned_job_lookup.read("j-000777")
     assert world.cluster.quotas.unknown  # it is still not known
-    await lead._read_orphaned_job("j-000777")
+    await lead.orphaned_job_lookup.read("j-000777")
     assert not world.cluster.quotas.unknown
     assert world.cluster.quotas["crew"].cpus == 6.0
     world.released(worker.name)
@@ -466,12 +470,12 @@
         ref = f"j-{700 + number:06d}"
         world.jobs[ref] = job(ref, cores=0.1, memoryGb=0.1)
         _start_behind_its_back(world, worker, ref)
-    lead._read_orphaned_jobs()
-    assert len(lead._reading) == LOOKED_UP_MOST
+    lead.orphaned_job_lookup.look_up()
+    assert len(lead.orphaned_job_lookup.in_flight) == MAX_CONCURRENT_LOOKUPS
     await asyncio.sleep(0.05)
     assert not world.cluster.quotas.unknown
     assert client.reads == 20
-    assert not lead._reading
+    assert not lead.orphaned_job_lookup.in_flight
 
 
 def test_an_attempt_that_refuses_another_keeps_its_task_from_other_machines() -> None:
@@ -487,7 +491,7 @@
     world.commit()
     world.send()
     other = world.machine(2)
-    world.cluster.on_heartbeat(wire.decode_heartbeat(other.report()), world.now, world.now)
+    world.cluster.heartbeats.receive(wire.decode_heartbeat(other.report()), world.now, world.now)
     assert world.cluster.jobs[ref].orphaned_attempt_count == 1
     world.plan()
     assert not world.cluster.jobs[ref].on_machines
@@ -511,7 +515,7 @@
             "if": [],
             "then": [
                 {"set": job_key(waiting), "value": record},
-                {"set": waits_key(waiting), "value": record},
+                {"set": blocked_key(waiting), "value": record},
                 {"set": job_key(claimed), "value": {"state": "queued"}},
                 {"set": live_key(claimed), "value": {}},
             ],
@@ -542,10 +546,10 @@
     """Its claims failed on keys that were gone, which cost the lead."""
     lead, _, _ = leader(state)
     record = {"state": "queued", "at": 0, "job": job("j-000001")}
-    lead._apply_job_hint(JobAccepted("j-000001", record, 50))
+    lead.job_watch.apply_hint(JobAccepted("j-000001", record, 50))
     found = lead.cluster.jobs["j-000001"]
     batch = WriteBatch(deleted_jobs=[found])
-    lead.cluster.committed(batch, 60, steady())
+    lead.cluster.writes.committed(batch, 60, steady())
     assert not lead.cluster.jobs
-    lead._apply_job_hint(JobAccepted("j-000001", record, 50))
+    lead.job_watch.apply_hint(JobAccepted("j-000001", record, 50))
     assert not lead.cluster.jobs
--- a/tests/test_windows.py
+++ b/tests/test_windows.py
@@ -1,4 +1,4 @@
-"""Cheaper hours: what a feed may say, and held work through failures. The planner's properties: test_planner.py."""
+"""Cheaper hours: what a feed may say, and held work through failures. The planner: test_window_planner.py."""
 
 from __future__ import annotations
 
@@ -175,7 +175,7 @@
         self.world.now = DAY
         for number in (1, 2):
             worker = self.world.machine(number)
-            worker.answered_at, worker.lease_us = DAY, 24 * HOUR  # steps are longer than a real lease
+            worker.lease_renewed_at, worker.lease_us = DAY, 24 * HOUR  # steps are longer than a real lease
         self.world.settle(2)
         self.settings = WindowSettings(
             on=True,
@@ -274,7 +274,7 @@
     night.fail_over()
     assert night.world.cluster.jobs[job.job_id].deferred in (0, 4)
     night.go(1800, 30)
-    started = [key for worker in night.world.workers.values() for key in worker.starts]
+    started = [key for worker in night.world.workers.values() for key in worker.started_attempts]
     assert sorted(started) == sorted({(f"{job.job_id}/{n}", 1) for n in range(4)})
     assert night.world.record(job.job_id) == "done"
 
@@ -414,8 +414,8 @@
     keeper.holder.margins.load({"train": [1.0] * 30})
     await keeper.fail_over()
     keeper.step()
-    assert KEY in lead.cluster.dirty_keys
-    await lead.commits.commit(lead.cluster.take_batch(12))
+    assert KEY in lead.cluster.writes.dirty_keys
+    await lead.commits.commit(lead.cluster.writes.take_batch(12))
     later, _, _ = leader(state)
     later.state = client  # type: ignore[assignment]
     heir = WindowController(later, Unplugged(), settings)  # type: ignore[arg-type]
