--- a/oatport/control/scaling/rebalancing.py
+++ b/oatport/control/scaling/rebalancing.py
@@ -92,7 +92,7 @@
     def __init__(self, source: Machine, owned: list[Machine]) -> None:
         self._source = source
         self._owned = owned
-        self._free = {m.name: CapacitySlot.free_on(m) for m in owned}
+        self._targets: dict[str, CapacitySlot] = {}  # what is left of machines that get a replica
         self._moved: Counter[tuple[str, str]] = Counter()  # (job, zone) -> replicas that come from another zone
 
     def downtime(self) -> int | None:
@@ -124,13 +124,14 @@
         spec = job.spec
         if machine is self._source or machine.cordoned_for_scale_in or machine.service_cpus <= 0:
             return False
-        if self._free[machine.name].free_slots(spec) <= 0:
+        target = self._targets.get(machine.name)
+        if (machine.free_slots(spec) if target is None else target.free_slots(spec)) <= 0:
             return False
         if spec.machine_types is not None and machine.type.name not in spec.machine_types:
             return False
         if machine.zone == self._source.zone:
             return spec.zone in (None, machine.zone)  # within its zone a move changes nothing about the spread
-        replicas_there = job.tasks_by_zone.get(machine.zone, 0) + self._moved[job.job_id, machine.zone]
+        replicas_there = job.tasks_by_zone.get(machine.zone, 0) + self._moved.get((job.job_id, machine.zone), 0)
         return (
             not (spec.spread and replicas_there >= zone_cap(spec))
             and not spec.single_zone
@@ -138,6 +139,9 @@
         )
 
     def _assign(self, job: Job, machine: Machine) -> None:
-        self._free[machine.name].reserve(job.spec, 1)
+        target = self._targets.get(machine.name)
+        if target is None:
+            target = self._targets[machine.name] = CapacitySlot.free_on(machine)
+        target.reserve(job.spec, 1)
         if machine.zone != self._source.zone:
             self._moved[job.job_id, machine.zone] += 1
