--- a/oatport/control/state/job_lifecycle.py
+++ b/oatport/control/state/job_lifecycle.py
@@ -40,8 +40,8 @@
 
     def admit(self, job: Job) -> None:
         """It may start from now on."""
-        repeat = self.cluster.retry_policies.get(job.spec.job_class, RetryPolicy.ANY)
-        job.at_most_once = repeat is not RetryPolicy.ANY and job.kind is not JobKind.SERVICE
+        policy = self.cluster.retry_policies.get(job.spec.job_class, RetryPolicy.ANY)
+        job.at_most_once = policy is not RetryPolicy.ANY and job.kind is not JobKind.SERVICE
         job.unplaced_since = self.cluster.now or 1
         self.cluster.pending.add(job)
         self.cluster.planning_needed = True
--- a/oatport/control/state/task_lifecycle.py
+++ b/oatport/control/state/task_lifecycle.py
@@ -110,8 +110,8 @@
         if job.kind is JobKind.GANG and job.completed and not job.cancelled:
             self.complete(task, self.cluster.now, measured=False)  # one of them is done, so it is as well
             return
-        repeat = self.cluster.retry_policies.get(job.spec.job_class, RetryPolicy.ANY)
-        if not job.cancelled and not may_retry(repeat, task, unexecuted):
+        policy = self.cluster.retry_policies.get(job.spec.job_class, RetryPolicy.ANY)
+        if not job.cancelled and not may_retry(policy, task, unexecuted):
             self.cluster.job_lifecycle.fail(task, "a task may have begun and may not run again")
             return
         if task.machine is not None:
--- a/tests/cluster_fixture.py
+++ b/tests/cluster_fixture.py
@@ -137,7 +137,7 @@
         self.jobs: dict[str, dict[str, Any]] = {}
         self.refused: set[str] = set()
         self.mute: set[str] = set()  # machines whose reports arrive, and that hear nothing
-        self.repeats: RetryPolicies = {}
+        self.retry_policies: RetryPolicies = {}
         self.fail_over()
 
     # --- the leader ---------------------------------------------------------------------------
@@ -150,7 +150,7 @@
         )
         assert status == 200
         self.cluster = ClusterState(value["ledgerRev"], self.settings, Tuning(), dict(TYPES), RuntimePredictor())
-        self.cluster.retry_policies = self.repeats
+        self.cluster.retry_policies = self.retry_policies
         prefixes = (DARK_KEY, FORMATS_KEY, FLEET, LIVE, WAITS)
         rows = [row for prefix in prefixes for row in self.state.list(prefix)[1]["rows"]]
         load(self.cluster, rows, self.now, self.now)
--- a/tests/test_retry_policy.py
+++ b/tests/test_retry_policy.py
@@ -24,8 +24,8 @@
 def world_with(policy: RetryPolicy, **changes: Any) -> tuple[World, str, Worker]:
     """A job of one task; its binding is committed, nothing was sent yet."""
     world = World()
-    world.repeats["train"] = policy
-    world.cluster.retry_policies = world.repeats
+    world.retry_policies["train"] = policy
+    world.cluster.retry_policies = world.retry_policies
     worker = world.machine(1)
     world.settle(2)
     ref = world.submit(**{"legs": 1, "voyageS": 100.0, **changes})
