--- a/oatport/service/failover.py
+++ b/oatport/service/failover.py
@@ -7,6 +7,7 @@
 from dataclasses import dataclass
 from typing import Any
 
+from oatport import wire
 from oatport.clients.http import NoResponseError, jitter
 from oatport.clients.state import StateClient
 from oatport.clients.worker import WorkerClient
@@ -35,7 +36,7 @@
 class RecordSnapshot:
     """All that earlier leaders left: rows for `recovery.load`, and the revision to watch jobs from."""
 
-    rows: list[dict[str, Any]]
+    rows: list[wire.StoredEntry]
     revision: int
 
 
@@ -44,18 +45,19 @@
 
     Raises NoResponseError or RequestRefusedError.
     """
-    live, revision = await state.list_all(LIVE)
+    live, revision = await state.list_prefix(LIVE)
     # After `live/`: only a leader moves a job from here to there, and no other one can any more.
-    waits, _ = await state.list_all(BLOCKED)
-    fleet, _ = await state.list_all(FLEET)
-    rows, _ = await state.list_all(MODEL_KEY)
+    waits, _ = await state.list_prefix(BLOCKED)
+    fleet, _ = await state.list_prefix(FLEET)
+    rows, _ = await state.list_prefix(MODEL_KEY)
     for key in (PARTITIONED_ZONES_KEY, SCHEMA_VERSION_KEY):
         found = await state.get(key)
         if found is not None:
-            rows.append({"path": key, "value": found[0], "entryRev": found[1]})
-    for row in (*live, *waits):
-        if "more" in row["value"]:
-            row["value"] = await read_whole(state, row["value"])
+            rows.append(wire.StoredEntry(key, *found))
+    for entries in (live, waits):
+        for number, entry in enumerate(entries):
+            if "more" in entry.value:
+                entries[number] = entry._replace(value=await read_whole(state, entry.value))
     return RecordSnapshot(rows + fleet + live + waits, revision)
 
 
@@ -87,10 +89,10 @@
         if leader.stopped or machine.removed or machine.confirmed(leader.token):
             return
         try:
-            report = await client.show()
+            report = await client.fetch_status()
             leader.cluster.commands.on_contact(machine)
             leader.receive_heartbeat(report, steady())
             if report.fencing_token < leader.token:
-                leader.receive_heartbeat(await client.commands(leader.token, report.agent_epoch, []), steady())
+                leader.receive_heartbeat(await client.send_commands(leader.token, report.agent_epoch, []), steady())
         except NoResponseError:
             await asyncio.sleep(jitter(INTRODUCTION_RETRY))
--- a/oatport/service/group_commit.py
+++ b/oatport/service/group_commit.py
@@ -7,8 +7,9 @@
 from typing import Any
 
 from oatport import wire
-from oatport.clients.http import Bucket, NoResponseError, RequestRefusedError, jitter
+from oatport.clients.http import NoResponseError, RequestRefusedError, jitter
 from oatport.clients.state import Applied
+from oatport.clients.token_bucket import TokenBucket
 from oatport.control.storage.keys import ACCEPT_KEYS, JOBS, LEADER_KEY, job_key
 from oatport.control.storage.write_buffer import WriteBatch
 from oatport.service.leader_context import LeaderContext
@@ -35,7 +36,7 @@
         self.cluster = leader.cluster
         self.state = leader.state
         limits = leader.settings.cluster.state
-        self._budget = Bucket(limits.write_rps * WRITE_SHARE)
+        self._budget = TokenBucket(limits.write_rps * WRITE_SHARE)
         self._reduced_rate = limits.least_write_rps * WRITE_SHARE
         self._transaction_operations = limits.least_txn_ops
         self.wanted = asyncio.Event()
@@ -48,7 +49,7 @@
         But a swarm makes no debt that bindings wait for.
         """
         if self._budget.available() > 0:
-            self._budget.take(ACCEPT_KEYS)
+            self._budget.reserve(ACCEPT_KEYS)
 
     def is_stuck(self, now: int) -> bool:
         """The commit under way has been without an answer for long."""
@@ -73,13 +74,13 @@
             self.cluster.writes.in_flight_keys = set()
             await asyncio.sleep(EMPTY_BATCH_INTERVAL_S)
             return
-        await self._budget.spend(batch.operation_count)
+        await self._budget.acquire(batch.operation_count)
         await self.commit(batch)
         self._leader.wake()
 
     def _take_batch(self, now: int) -> WriteBatch:
         """What can wait leaves half a second's worth to bindings, and to users' requests."""
-        budget, completions_wait = int(self._budget.available() - self._budget.rate / 2), COMPLETIONS_WAIT
+        budget, completions_wait = int(self._budget.available() - self._budget.rate_per_s / 2), COMPLETIONS_WAIT
         if now - self._deferrable_at > DEFERRABLE_WAIT:
             budget, completions_wait = self._transaction_operations, 0
         batch = self.cluster.writes.take_batch(self._transaction_operations, max(budget, 0), completions_wait)
@@ -112,7 +113,7 @@
                 if isinstance(result, Applied):
                     self.cluster.writes.committed(batch, result.revision, steady())
                 else:
-                    await self._on_conflict(batch, result.failed, tries)
+                    await self._on_conflict(batch, result.failed_keys, tries)
                 return
             tries += 1
             await asyncio.sleep(jitter(min(RETRY_STEP * tries, MAX_RETRY)))
@@ -120,7 +121,7 @@
     def _on_refused(self, error: RequestRefusedError) -> None:
         if error.status == TOO_MANY_REQUESTS:
             # The first sign that the limits have fallen; until then their full rate is used.
-            self._budget.rate = min(self._budget.rate, self._reduced_rate)
+            self._budget.rate_per_s = min(self._budget.rate_per_s, self._reduced_rate)
         else:
             log.info('commit was refused fencing_token=%d error="%s"', self._leader.token, error)
 
--- a/oatport/service/machine_list_controller.py
+++ b/oatport/service/machine_list_controller.py
@@ -39,7 +39,7 @@
         while not self._leader.stopped:
             asked_at = steady()
             try:
-                rows = await self._cloud_controller.cloud.list_all()
+                rows = await self._cloud_controller.cloud.list_machines()
             except (NoResponseError, RequestRefusedError, wire.InvalidMessageError) as error:
                 log.info('machine list request failed error="%s"', error)
                 await asyncio.sleep(jitter(RETRY_INTERVAL))
--- a/oatport/service/network.py
+++ b/oatport/service/network.py
@@ -10,7 +10,7 @@
 
 from oatport import wire
 from oatport.api.server import Handler, Server
-from oatport.clients.http import Connector, HttpClient, Keep, Requester, make_session
+from oatport.clients.http import ConnectionReuse, Connector, HttpClient, Requester, make_session
 from oatport.control.limits.connection_budget import MAX_IDLE_TIMEOUT, ConnectionBudget
 from oatport.times import MS, SECOND, seconds, steady
 
@@ -60,7 +60,7 @@
 
     def __init__(self, connections: int) -> None:
         self._budget = ConnectionBudget(connections)
-        self._sessions: dict[Keep, aiohttp.ClientSession] = {}
+        self._sessions: dict[ConnectionReuse, aiohttp.ClientSession] = {}
         self._idle_timeout_us = MAX_IDLE_TIMEOUT
         self._replaced: set[asyncio.Task[None]] = set()
         self._servers: list[Server] = []
@@ -69,19 +69,19 @@
     def open(self) -> None:
         """To be called in the event loop before anything else."""
         self._sessions = {
-            Keep.LONG: make_session(self._budget.limit),
-            Keep.WORKER: make_session(self._budget.limit),
-            Keep.ONCE: make_session(self._budget.concurrent_calls * PROBE_CONNECTIONS, idle_us=0),
+            ConnectionReuse.KEEP_ALIVE: make_session(self._budget.limit),
+            ConnectionReuse.WHILE_SPARE: make_session(self._budget.limit),
+            ConnectionReuse.NEVER: make_session(self._budget.concurrent_calls * PROBE_CONNECTIONS, idle_us=0),
         }
 
     @property
     def session(self) -> aiohttp.ClientSession:
         """For what is no part of the cluster, such as a price feed."""
-        return self._sessions[Keep.LONG]
+        return self._sessions[ConnectionReuse.KEEP_ALIVE]
 
-    def client(self, address: str, keep: Keep = Keep.LONG) -> Requester:
+    def client(self, address: str, reuse: ConnectionReuse = ConnectionReuse.KEEP_ALIVE) -> Requester:
         """What to send requests to an address by."""
-        return HttpClient(self._sessions[keep], address)
+        return HttpClient(self._sessions[reuse], address)
 
     def expect(self, machines: int, commands_per_s: float) -> None:
         """Keep idle connections for as long as there are enough for so many machines and commands."""
@@ -90,8 +90,8 @@
         if 1 / IDLE_TIMEOUT_HYSTERESIS < ratio < IDLE_TIMEOUT_HYSTERESIS:
             return
         self._idle_timeout_us = idle_timeout_us
-        before = self._sessions[Keep.WORKER]
-        self._sessions[Keep.WORKER] = make_session(self._budget.limit, idle_us=idle_timeout_us)
+        before = self._sessions[ConnectionReuse.WHILE_SPARE]
+        self._sessions[ConnectionReuse.WHILE_SPARE] = make_session(self._budget.limit, idle_us=idle_timeout_us)
         task = asyncio.get_running_loop().create_task(self._close_later(before))
         self._replaced.add(task)
         task.add_done_callback(self._replaced.discard)
--- a/oatport/service/reachability.py
+++ b/oatport/service/reachability.py
@@ -6,7 +6,7 @@
 import logging
 from dataclasses import dataclass
 
-from oatport.clients.http import Keep, NoResponseError, RequestRefusedError
+from oatport.clients.http import ConnectionReuse, NoResponseError, RequestRefusedError
 from oatport.clients.worker import WorkerClient
 from oatport.control.leadership.failure_detection import is_isolated
 from oatport.control.state.machine import Machine
@@ -54,7 +54,7 @@
 
     async def _probe(self, machine: Machine) -> None:
         try:
-            report = await WorkerClient(self._net, machine.address, Keep.ONCE).show()
+            report = await WorkerClient(self._net, machine.address, ConnectionReuse.NEVER).fetch_status()
             self._leader.cluster.commands.on_contact(machine)
             self._leader.receive_heartbeat(report, steady())
         except NoResponseError:
--- a/oatport/simulation/mutations.py
+++ b/oatport/simulation/mutations.py
@@ -38,7 +38,7 @@
 
 def _fencing() -> list[Any]:
     """A leader goes on whatever became of its lease and its key, and takes over whatever token a worker has seen."""
-    commit, commands, lost = StateClient.commit, WorkerClient.commands, Election.step_down
+    commit, commands, lost = StateClient.commit, WorkerClient.send_commands, Election.step_down
 
     async def unconditioned(self: StateClient, conditions: dict[str, int], sets: Any, *args: Any, **more: Any) -> Any:
         if LEADER_KEY in conditions and LEADER_KEY not in sets and len(conditions) > 1:
--- a/tests/test_zone_partitions.py
+++ b/tests/test_zone_partitions.py
@@ -100,7 +100,7 @@
     assert (
         node.answer_heartbeat(wire.decode_heartbeat(report)) is None
     )  # it is not out of touch: the state service answers
-    client.ok_at, client.failed_at = steady() - 3 * SECOND, steady()
+    client.last_served_at, client.last_failed_at = steady() - 3 * SECOND, steady()
     assert node.answer_heartbeat(wire.decode_heartbeat(report)) == {"helm": lead.token, "orders": []}
     assert (await peer_reply(node, ["carried out"])) == ["no"]  # only the leader knows
 
@@ -110,7 +110,7 @@
     old, new = Node(node_settings(), Tuning()), Node(node_settings(), Tuning())
     for node in (old, new):
         node.state = FakeStateClient(state)  # type: ignore[assignment]
-        node.state.ok_at, node.state.failed_at = 0, steady()
+        node.state.last_served_at, node.state.last_failed_at = 0, steady()
         node.election.leader_name = "n1"  # outside the cut
     worker = Worker(lambda: 0, "vm-000001", "h:1", "m8", "a", False, 8.0, lambda ref: None)
     worker.token = 7
