--- a/oatport/service/dependency_controller.py
+++ b/oatport/service/dependency_controller.py
@@ -40,7 +40,7 @@
         """Some together, one request at a time."""
         while unknown and not self._leader.stopped:
             try:
-                found, asked = await self.state.some(JOBS, unknown)
+                found, asked = await self.state.get_many(JOBS, unknown)
             except (NoResponseError, RequestRefusedError):
                 await asyncio.sleep(jitter(RETRY_INTERVAL))
                 return
--- a/oatport/service/leader.py
+++ b/oatport/service/leader.py
@@ -202,7 +202,10 @@
 
     def state_service_down(self, now: int) -> bool:
         """The state service answers this node no more."""
-        return now - self.state.ok_at > STATE_SERVICE_DOWN_AFTER and self.state.failed_at > self.state.ok_at
+        return (
+            now - self.state.last_served_at > STATE_SERVICE_DOWN_AFTER
+            and self.state.last_failed_at > self.state.last_served_at
+        )
 
     def wake(self) -> None:
         """Start whatever there is to plan, to write and to send."""
--- a/oatport/service/lease_proxy_service.py
+++ b/oatport/service/lease_proxy_service.py
@@ -50,7 +50,7 @@
     def may_answer(self, report: wire.Heartbeat) -> bool:
         """May this report be answered in the leader's name?"""
         state = self._node.state
-        return self.proxy.may_answer(report.fencing_token, steady(), state.ok_at, state.failed_at)
+        return self.proxy.may_answer(report.fencing_token, steady(), state.last_served_at, state.last_failed_at)
 
     def redirect_target(self, leader: str | None) -> str | None:
         """Where to send a worker that can't be answered here: to another lease proxy, if the leader can't be reached.
@@ -65,7 +65,7 @@
 
     def _is_isolated(self, now: int) -> bool:
         state = self._node.state
-        return self.proxy.is_isolated(now, state.ok_at, state.failed_at)
+        return self.proxy.is_isolated(now, state.last_served_at, state.last_failed_at)
 
     # --- what nodes tell one another --------------------------------------------------------
 
--- a/oatport/service/peer_contact.py
+++ b/oatport/service/peer_contact.py
@@ -6,7 +6,7 @@
 
 from oatport.clients.http import NoResponseError, jitter
 from oatport.clients.peer import PeerClient
-from oatport.clients.worker import count_reached
+from oatport.clients.worker import count_reachable
 from oatport.control.storage.schema_version import SCHEMA_VERSION
 from oatport.peer_messages import (
     ExplainJob,
@@ -105,7 +105,7 @@
 
     async def on_probe(self, probe: ProbeWorkers) -> ProbeResult:
         """Which of these workers can this node reach? And does the state service answer it?"""
-        reached = await count_reached(self._net, probe.addresses)
+        reached = await count_reachable(self._net, probe.addresses)
         return ProbeResult(reached, self._node.state_service_answers())
 
     async def on_explain(self, question: ExplainJob) -> JobExplanation | No:
--- a/tests/test_process_pauses.py
+++ b/tests/test_process_pauses.py
@@ -9,7 +9,7 @@
 from msgspec.structs import replace
 
 from oatport import wire
-from oatport.clients import http
+from oatport.clients import token_bucket
 from oatport.clients.cloud import CloudClient
 from oatport.clients.http import NoResponseError, RequestNotSentError
 from oatport.control.leadership.failure_detection import all_silent_machines, is_isolated, silent_machines
@@ -30,7 +30,7 @@
 class Clock:
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.at = 1_000 * SECOND
-        for module in (lead_module, heartbeat_controller, http):
+        for module in (lead_module, heartbeat_controller, token_bucket):
             monkeypatch.setattr(module, "steady", lambda: self.at)
 
 
