--- a/tests/test_retry_policy.py
+++ b/tests/test_retry_policy.py
@@ -13,7 +13,8 @@
 from oatport.control.placement.retry_policy import RetryPolicy, load_retry_policies
 from oatport.control.storage.recovery import read_job
 from oatport.settings import SettingsError
-from oatport.simulation.worker import Attempt, Worker
+from oatport.simulation.attempt import Attempt
+from oatport.simulation.worker import Worker
 from oatport.times import SECOND
 from tests.cluster_fixture import FakeStateClient, World, node_settings
 from tests.test_node_failures import leader
@@ -24,8 +25,8 @@
 def world_with(policy: RetryPolicy, **changes: Any) -> tuple[World, str, Worker]:
     """A job of one task; its binding is committed, nothing was sent yet."""
     world = World()
-    world.repeats["train"] = policy
-    world.cluster.retry_policies = world.repeats
+    world.retry_policies["train"] = policy
+    world.cluster.retry_policies = world.retry_policies
     worker = world.machine(1)
     world.settle(2)
     ref = world.submit(**{"legs": 1, "voyageS": 100.0, **changes})
