--- a/oatport/api/peer_api.py
+++ b/oatport/api/peer_api.py
@@ -7,7 +7,7 @@
 
 from oatport import wire
 from oatport.api.server import Answer, BodyReader
-from oatport.peer_messages import PeerArray, PeerMessage
+from oatport.peer_codec import PeerArray, PeerMessage
 
 RequestT = TypeVar("RequestT", bound=PeerMessage)
 
--- a/oatport/clients/peer.py
+++ b/oatport/clients/peer.py
@@ -7,7 +7,7 @@
 
 from oatport import wire
 from oatport.clients.http import Connector, NoResponseError
-from oatport.peer_messages import PeerArray, PeerMessage, any_reply, decode_reply
+from oatport.peer_codec import PeerArray, PeerMessage, any_reply, decode_reply
 from oatport.times import MS
 
 TIMEOUT = 800 * MS
--- a/oatport/service/completion_replication.py
+++ b/oatport/service/completion_replication.py
@@ -12,7 +12,8 @@
 from oatport.clients.http import NoResponseError, RequestNotSentError, jitter
 from oatport.clients.peer import PeerClient, UnexpectedReplyError
 from oatport.control.state.completions import CompletionLog
-from oatport.peer_messages import CompletionsReply, CompletionsRequest, MalformedReplyError, Ok, ReplicateCompletions
+from oatport.peer_codec import MalformedReplyError
+from oatport.peer_messages import CompletionsReply, CompletionsRequest, Ok, ReplicateCompletions
 from oatport.service.background_tasks import BackgroundTasks
 from oatport.service.leader import Leader
 from oatport.service.leader_context import EarlierCompletions
--- a/oatport/service/lease_proxy_service.py
+++ b/oatport/service/lease_proxy_service.py
@@ -14,12 +14,12 @@
 from oatport.clients.peer import PeerClient
 from oatport.clients.state import StateClient
 from oatport.control.leadership.lease_proxy import LeaseProxy
+from oatport.peer_codec import MalformedReplyError
 from oatport.peer_messages import (
     CancellationWatermark,
     CancellationWatermarkRequest,
     LeaseProxyState,
     LeaseProxyStateRequest,
-    MalformedReplyError,
     No,
 )
 from oatport.service.leader import Leader
--- a/oatport/service/peer_contact.py
+++ b/oatport/service/peer_contact.py
@@ -8,11 +8,11 @@
 from oatport.clients.peer import PeerClient
 from oatport.clients.worker import count_reached
 from oatport.control.storage.schema_version import READS
+from oatport.peer_codec import MalformedReplyError
 from oatport.peer_messages import (
     ExplainJob,
     JobExplanation,
     JobProgressUpdate,
-    MalformedReplyError,
     No,
     Ok,
     Ping,
--- a/oatport/service/peer_notifications.py
+++ b/oatport/service/peer_notifications.py
@@ -13,14 +13,13 @@
 from oatport.clients.http import NoResponseError, jitter
 from oatport.clients.peer import PeerClient
 from oatport.control.state.cancellations import CancellationLog, ConfirmedCancellations
+from oatport.peer_codec import MalformedReplyError, PeerMessage
 from oatport.peer_messages import (
     ConfirmedCancellationsReply,
     ConfirmedCancellationsRequest,
     JobAccepted,
     JobCancelled,
-    MalformedReplyError,
     Ok,
-    PeerMessage,
 )
 from oatport.service.background_tasks import BackgroundTasks
 from oatport.service.leader import Leader
--- a/oatport/service/schema_version_controller.py
+++ b/oatport/service/schema_version_controller.py
@@ -10,7 +10,8 @@
 from oatport.clients.state import Applied
 from oatport.control.storage import schema_version
 from oatport.control.storage.write_buffer import LEADER_KEY
-from oatport.peer_messages import SchemaVersionRequest, undecoded
+from oatport.peer_codec import undecoded
+from oatport.peer_messages import SchemaVersionRequest
 from oatport.service.leader_context import LeaderContext
 from oatport.times import SECOND
 
--- a/tests/call_counts.py
+++ b/tests/call_counts.py
@@ -176,7 +176,7 @@
     tracemalloc.stop()
 
     def look() -> None:
-        """As the leader's loops do (`service/leader.py`, `service/cloud_controller.py`)."""
+        """As the leader's loops do (`service/planning_loop.py`, `service/scaling_controller.py`)."""
         router.step(world.now, world.now)
         if world.placer.due(world.now):
             world.placer.plan(world.now)
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -20,7 +20,7 @@
 )
 from oatport.control.state.machine import Machine
 from oatport.control.storage.write_buffer import cancel_key, job_key
-from oatport.peer_messages import PeerArray, PeerMessage, decode_reply
+from oatport.peer_codec import PeerArray, PeerMessage, decode_reply
 from oatport.service.node import Node
 from oatport.service.peer_notifications import RECORDS_ARE_STALE
 from oatport.settings import Tuning
--- a/tests/test_node_failures.py
+++ b/tests/test_node_failures.py
@@ -16,7 +16,7 @@
 from oatport.control.scaling.cloud_availability import ScaleOutRequest
 from oatport.control.storage.recovery import UnknownMachineTypeError, load, types_recorded
 from oatport.control.storage.write_buffer import CATALOG_KEY, LEADER_KEY, WriteBatch
-from oatport.peer_messages import PeerArray, PeerMessage, any_reply, decode_reply
+from oatport.peer_codec import PeerArray, PeerMessage, any_reply, decode_reply
 from oatport.service.background_tasks import BackgroundTasks
 from oatport.service.leader import Leader
 from oatport.service.leader_context import EarlierCompletions
--- a/tests/test_peer_messages.py
+++ b/tests/test_peer_messages.py
@@ -12,6 +12,7 @@
 from oatport.api.peer_api import PeerApi
 from oatport.clients.http import Keep
 from oatport.clients.peer import PeerClient, UnexpectedReplyError
+from oatport.peer_codec import MalformedReplyError, PeerMessage
 from oatport.peer_messages import (
     CancellationWatermark,
     CancellationWatermarkRequest,
@@ -27,10 +28,8 @@
     JobProgressUpdate,
     LeaseProxyState,
     LeaseProxyStateRequest,
-    MalformedReplyError,
     No,
     Ok,
-    PeerMessage,
     Ping,
     Pong,
     ProbeResult,
--- a/tests/test_schema_versions.py
+++ b/tests/test_schema_versions.py
@@ -15,7 +15,8 @@
 from oatport.control.storage.record_layout import RecordLayout
 from oatport.control.storage.schema_version import FORMATS_KEY, READS, Gate, answer
 from oatport.control.storage.write_buffer import FLEET, LIVE, WriteBatch, live_key, waits_key
-from oatport.peer_messages import SchemaVersionRequest, undecoded
+from oatport.peer_codec import undecoded
+from oatport.peer_messages import SchemaVersionRequest
 from oatport.service.catalog import RecordedCatalog, read_types, type_values, write_types
 from oatport.service.leader import Leader
 from oatport.settings import NextLimits, StateLimits, Team
--- a/tests/test_task_locations.py
+++ b/tests/test_task_locations.py
@@ -14,7 +14,8 @@
 from oatport.control.state.completions import LEADS_MOST, ROWS_MOST, CompletionLog, parse
 from oatport.control.state.task import TaskPhase
 from oatport.control.storage.write_buffer import WriteBatch, job_key, live_key, waits_key
-from oatport.peer_messages import JobAccepted, PeerArray, PeerMessage, any_reply, decode_reply
+from oatport.peer_codec import PeerArray, PeerMessage, any_reply, decode_reply
+from oatport.peer_messages import JobAccepted
 from oatport.service.leader_context import EarlierCompletions
 from oatport.service.node import Node
 from oatport.service.orphaned_job_lookup import MAX_CONCURRENT_LOOKUPS
