--- a/oatport/control/state/job_lifecycle.py
+++ b/oatport/control/state/job_lifecycle.py
@@ -10,7 +10,7 @@
 from oatport.control.state.cancellations import answers_until
 from oatport.control.state.job import DeferredStart, Job, JobKind
 from oatport.control.state.task import Task, TaskPhase
-from oatport.control.storage.write_buffer import cancel_key, live_key
+from oatport.control.storage.keys import cancel_key, live_key
 
 if TYPE_CHECKING:
     from oatport.control.state.cluster_state import ClusterState
@@ -40,13 +40,13 @@
 
     def admit(self, job: Job) -> None:
         """It may start from now on."""
-        repeat = self.cluster.retry_policies.get(job.spec.job_class, RetryPolicy.ANY)
-        job.at_most_once = repeat is not RetryPolicy.ANY and job.kind is not JobKind.SERVICE
+        policy = self.cluster.retry_policies.get(job.spec.job_class, RetryPolicy.ANY)
+        job.at_most_once = policy is not RetryPolicy.ANY and job.kind is not JobKind.SERVICE
         job.unplaced_since = self.cluster.now or 1
         self.cluster.pending.add(job)
         self.cluster.planning_needed = True
-        self.cluster.dependencies.graph.seen(job.job_id)
-        self.cluster.dependencies.graph.stale[job.job_id] = None
+        self.cluster.dependencies.graph.mark_resolved(job.job_id)
+        self.cluster.dependencies.graph.dirty[job.job_id] = None
 
     def on_accepted(self, job: Job) -> None:
         """It was accepted."""
--- a/oatport/service/failover.py
+++ b/oatport/service/failover.py
@@ -7,13 +7,21 @@
 from dataclasses import dataclass
 from typing import Any
 
+from oatport import wire
 from oatport.clients.http import NoResponseError, jitter
 from oatport.clients.state import StateClient
 from oatport.clients.worker import WorkerClient
 from oatport.control.state.machine import Machine
-from oatport.control.storage.overflow_records import more_key, whole_lists
-from oatport.control.storage.schema_version import FORMATS_KEY
-from oatport.control.storage.write_buffer import DARK_KEY, FLEET, LIVE, MODEL_KEY, WAITS
+from oatport.control.storage.keys import (
+    BLOCKED,
+    FLEET,
+    LIVE,
+    MODEL_KEY,
+    PARTITIONED_ZONES_KEY,
+    SCHEMA_VERSION_KEY,
+    overflow_key,
+)
+from oatport.control.storage.overflow_records import with_overflow
 from oatport.service.leader_context import LeaderContext
 from oatport.service.network import Network
 from oatport.times import SECOND, steady
@@ -28,7 +36,7 @@
 class RecordSnapshot:
     """All that earlier leaders left: rows for `recovery.load`, and the revision to watch jobs from."""
 
-    rows: list[dict[str, Any]]
+    rows: list[wire.StoredEntry]
     revision: int
 
 
@@ -37,18 +45,19 @@
 
     Raises NoResponseError or RequestRefusedError.
     """
-    live, revision = await state.list_all(LIVE)
+    live, revision = await state.list_prefix(LIVE)
     # After `live/`: only a leader moves a job from here to there, and no other one can any more.
-    waits, _ = await state.list_all(WAITS)
-    fleet, _ = await state.list_all(FLEET)
-    rows, _ = await state.list_all(MODEL_KEY)
-    for key in (DARK_KEY, FORMATS_KEY):
+    waits, _ = await state.list_prefix(BLOCKED)
+    fleet, _ = await state.list_prefix(FLEET)
+    rows, _ = await state.list_prefix(MODEL_KEY)
+    for key in (PARTITIONED_ZONES_KEY, SCHEMA_VERSION_KEY):
         found = await state.get(key)
         if found is not None:
-            rows.append({"path": key, "value": found[0], "entryRev": found[1]})
-    for row in (*live, *waits):
-        if "more" in row["value"]:
-            row["value"] = await read_whole(state, row["value"])
+            rows.append(wire.StoredEntry(key, *found))
+    for entries in (live, waits):
+        for number, entry in enumerate(entries):
+            if "more" in entry.value:
+                entries[number] = entry._replace(value=await read_whole(state, entry.value))
     return RecordSnapshot(rows + fleet + live + waits, revision)
 
 
@@ -57,13 +66,13 @@
     count, job_id = int(value["more"][0]), str(value["job"]["ref"])
     parts = []
     for number in range(count):
-        found = await state.get(more_key(job_id, number))
+        found = await state.get(overflow_key(job_id, number))
         if found is None:
             raise NoResponseError(
-                f"{more_key(job_id, number)} is missing"
+                f"{overflow_key(job_id, number)} is missing"
             )  # it was written before its job was accepted
         parts.append(found[0])
-    return whole_lists(value, parts)
+    return with_overflow(value, parts)
 
 
 def introduce_all(leader: LeaderContext, net: Network) -> None:
@@ -80,10 +89,10 @@
         if leader.stopped or machine.removed or machine.confirmed(leader.token):
             return
         try:
-            report = await client.show()
+            report = await client.fetch_status()
             leader.cluster.commands.on_contact(machine)
             leader.receive_heartbeat(report, steady())
             if report.fencing_token < leader.token:
-                leader.receive_heartbeat(await client.commands(leader.token, report.agent_epoch, []), steady())
+                leader.receive_heartbeat(await client.send_commands(leader.token, report.agent_epoch, []), steady())
         except NoResponseError:
             await asyncio.sleep(jitter(INTRODUCTION_RETRY))
--- a/oatport/service/leader.py
+++ b/oatport/service/leader.py
@@ -12,12 +12,13 @@
 from oatport import wire
 from oatport.clients.state import StateClient
 from oatport.control.leadership.leader_lease import LeaderLease, PauseDetector
+from oatport.control.leadership.lease_renewal import LeaseRenewalLimit
 from oatport.control.placement.retry_policy import RetryPolicies
 from oatport.control.queueing.runtime_predictor import RuntimePredictor
 from oatport.control.state.cluster_state import ClusterState
 from oatport.control.state.completions import Completion
 from oatport.control.state.machine import Machine
-from oatport.control.storage.recovery import LeaseRenewalLimit, load, types_recorded
+from oatport.control.storage.recovery import load_cluster, recorded_machine_types
 from oatport.peer_messages import JobAccepted, JobCancelled
 from oatport.service.background_tasks import BackgroundTasks
 from oatport.service.catalog import read_types
@@ -131,8 +132,8 @@
     async def _load(self) -> None:
         asked_at = steady()  # cancellations confirmed while the records are read may not be among them
         snapshot, earlier = await asyncio.gather(read_records(self.state), self.node.completions_before(self.token))
-        await self._load_machine_types(types_recorded(snapshot.rows))
-        load(self.cluster, snapshot.rows, steady(), time_of_day())
+        await self._load_machine_types(recorded_machine_types(snapshot.rows))
+        load_cluster(self.cluster, snapshot.rows, steady(), time_of_day())
         self.cluster.now = steady()
         self.cluster.completions.apply(earlier.completions)
         self.cluster.completions.earlier_may_be_lost = not earlier.complete
@@ -201,7 +202,10 @@
 
     def state_service_down(self, now: int) -> bool:
         """The state service answers this node no more."""
-        return now - self.state.ok_at > STATE_SERVICE_DOWN_AFTER and self.state.failed_at > self.state.ok_at
+        return (
+            now - self.state.last_served_at > STATE_SERVICE_DOWN_AFTER
+            and self.state.last_failed_at > self.state.last_served_at
+        )
 
     def wake(self) -> None:
         """Start whatever there is to plan, to write and to send."""
@@ -248,7 +252,7 @@
         """Why a job waits, for operators."""
         waits = self.cluster.dependencies.explain(job_id)
         if waits:
-            waits_on = self.cluster.dependencies.graph.waits(job_id)[:100]
+            waits_on = self.cluster.dependencies.graph.dependencies_of(job_id)[:100]
             return {"job": job_id, "held": False, "why": waits, "waitsOn": waits_on}
         if self.window_controller is not None:
             return self.window_controller.explain(job_id)
--- a/oatport/service/peer_contact.py
+++ b/oatport/service/peer_contact.py
@@ -6,8 +6,8 @@
 
 from oatport.clients.http import NoResponseError, jitter
 from oatport.clients.peer import PeerClient
-from oatport.clients.worker import count_reached
-from oatport.control.storage.schema_version import READS
+from oatport.clients.worker import count_reachable
+from oatport.control.storage.schema_version import SCHEMA_VERSION
 from oatport.peer_codec import MalformedReplyError
 from oatport.peer_messages import (
     ExplainJob,
@@ -105,7 +105,7 @@
 
     async def on_probe(self, probe: ProbeWorkers) -> ProbeResult:
         """Which of these workers can this node reach? And does the state service answer it?"""
-        reached = await count_reached(self._net, probe.addresses)
+        reached = await count_reachable(self._net, probe.addresses)
         return ProbeResult(reached, self._node.state_service_answers())
 
     async def on_explain(self, question: ExplainJob) -> JobExplanation | No:
@@ -120,4 +120,4 @@
 
     async def on_schema_version(self, request: SchemaVersionRequest) -> SchemaVersionReply:
         """What this process reads of what is stored."""
-        return SchemaVersionReply(self._node.node_name, self._node.boot_id, READS)
+        return SchemaVersionReply(self._node.node_name, self._node.boot_id, SCHEMA_VERSION)
--- a/tests/test_zone_partitions.py
+++ b/tests/test_zone_partitions.py
@@ -16,7 +16,7 @@
 )
 from oatport.control.scaling.cloud_availability import ScaleOutRequest
 from oatport.control.state.machine import Machine
-from oatport.control.storage.write_buffer import DARK_KEY
+from oatport.control.storage.keys import PARTITIONED_ZONES_KEY
 from oatport.service.failure_detector import FailureDetector
 from oatport.service.leader import Leader
 from oatport.service.node import Node
@@ -100,7 +100,7 @@
     assert (
         node.answer_heartbeat(wire.decode_heartbeat(report)) is None
     )  # it is not out of touch: the state service answers
-    client.ok_at, client.failed_at = steady() - 3 * SECOND, steady()
+    client.last_served_at, client.last_failed_at = steady() - 3 * SECOND, steady()
     assert node.answer_heartbeat(wire.decode_heartbeat(report)) == {"helm": lead.token, "orders": []}
     assert (await peer_reply(node, ["carried out"])) == ["no"]  # only the leader knows
 
@@ -110,7 +110,7 @@
     old, new = Node(node_settings(), Tuning()), Node(node_settings(), Tuning())
     for node in (old, new):
         node.state = FakeStateClient(state)  # type: ignore[assignment]
-        node.state.ok_at, node.state.failed_at = 0, steady()
+        node.state.last_served_at, node.state.last_failed_at = 0, steady()
         node.election.leader_name = "n1"  # outside the cut
     worker = Worker(lambda: 0, "vm-000001", "h:1", "m8", "a", False, 8.0, lambda ref: None)
     worker.token = 7
@@ -247,7 +247,7 @@
     world.refused.clear()
     world.settle()
     assert not world.cluster.zones.partitioned
-    assert world.state.items[DARK_KEY][0] == {"zones": {}}
+    assert world.state.items[PARTITIONED_ZONES_KEY][0] == {"zones": {}}
 
 
 def test_a_zone_with_a_lease_proxy_is_recorded_for_the_next_leader() -> None:
@@ -264,7 +264,7 @@
     world.refused.clear()
     world.settle()
     assert world.cluster.zones.lease_proxied == set()
-    assert world.state.items[DARK_KEY][0] == {"zones": {}}
+    assert world.state.items[PARTITIONED_ZONES_KEY][0] == {"zones": {}}
 
 
 def test_nothing_is_placed_in_a_partitioned_zone_though_it_was_heard_from_a_moment_ago() -> None:
