--- a/oatport/api/job_api.py
+++ b/oatport/api/job_api.py
@@ -15,7 +15,8 @@
 from oatport.control.limits.rate_limiter import AdaptiveRateLimiter
 from oatport.control.queueing.dependency_tracker import named
 from oatport.control.state.capacity import feasible_machine_types
-from oatport.control.state.job import JobKind, job_record
+from oatport.control.state.job import JobKind
+from oatport.control.storage.job_records import encode_submission
 from oatport.control.storage.keys import cancel_key, job_key
 from oatport.control.storage.overflow_records import split_overflow
 from oatport.settings import Settings
@@ -158,7 +159,7 @@
         idle = job.priority == IDLE and not job.dependencies and not self._view.known(job.job_id)
         if idle and not (self._intake.spare() and self._idle_share.take()):
             return later(IDLE_LATER_S)  # the others' submissions and the leader's claims go first
-        record, parts = split_overflow(job_record(job, time_of_day(), wire.JobStatus.QUEUED), self._value_bytes)
+        record, parts = split_overflow(encode_submission(job, time_of_day(), wire.JobStatus.QUEUED), self._value_bytes)
         if parts and not await self._intake.ahead(job.job_id, parts):
             return later()
         mark = self._view.mark()
--- a/oatport/control/state/job.py
+++ b/oatport/control/state/job.py
@@ -7,8 +7,6 @@
 from enum import StrEnum
 from typing import Any
 
-import msgspec
-
 from oatport import wire
 from oatport.control.state.identifiers import number_in_name
 from oatport.control.state.task import Task
@@ -34,25 +32,13 @@
     paused_until: int = 0  # time of day; running tasks were stopped for a cheaper hour
     pause_count: int = 0
 
-    def value(self, opened: int) -> dict[str, Any]:
-        return {
-            "open": opened,
-            "plan": [list(row) for row in self.plan],
-            "why": self.reason,
-            "n": self.write_count,
-            "paused": self.paused_until,
-            "pauses": self.pause_count,
-        }
-
-    @classmethod
-    def of(cls, value: Any) -> DeferredStart:
-        return cls(
-            [(int(at), int(count)) for at, count in value["plan"]],
-            str(value["why"]),
-            int(value["n"]),
-            int(value.get("paused", 0)),
-            int(value.get("pauses", 0)),
-        )
+
+@dataclass(frozen=True, slots=True)
+class CompactSpec:
+    """What of a job's description lies in its own record, where lists of it lie in overflow records."""
+
+    description: dict[str, Any]
+    overflow: list[Any]  # how many overflow records there are, and the names of the lists in them
 
 
 @dataclass(slots=True, eq=False)
@@ -108,9 +94,7 @@
     tasks_in_first_record: int = -1  # that lie with the job in one record; -1: not reckoned yet
     dependencies: tuple[str, ...] = ()
     in_statistics: bool = False  # among those served
-    compact_spec: dict[str, Any] | None = (
-        None  # its description as recorded, if lists of it lie in records of their own
-    )
+    compact_spec: CompactSpec | None = None  # set if lists of its description lie in overflow records
 
     def __post_init__(self) -> None:
         self.kind = JobKind(self.spec.kind)
@@ -158,59 +142,3 @@
         self.tasks[self.next_untouched] = task
         self.next_untouched += 1
         return task
-
-    def rows_value(self, low: int, high: int) -> dict[str, Any]:
-        """The record of the tasks from `low` up to `high`: -1 done, 0 untouched, [attempt] pending, [attempt, machine].
-
-        Where the class limits repeats also [attempt, machine, session], and [attempt, None, 1]: spent.
-        """
-        rows: list[Any] = []
-        for index in range(low, min(high, self.spec.task_count)):
-            if index in self.completed:
-                rows.append(-1)
-                continue
-            task = self.tasks.get(index)
-            if task is None:
-                rows.append(0)
-            elif task.machine is None:
-                rows.append([task.attempt, None, 1] if task.retry_exhausted else [task.attempt])
-            elif self.at_most_once:
-                rows.append([task.attempt, task.machine.name, task.binding_epoch])
-            else:
-                rows.append([task.attempt, task.machine.name])
-        while rows and rows[-1] == 0:
-            rows.pop()
-        return {"t": rows}
-
-    def live_value(self, tasks: int) -> dict[str, Any]:
-        """The value of live/REF once a task of it was touched: the job with its first tasks."""
-        value = {
-            **self.record(wire.JobStatus.QUEUED),
-            "rev": self.version,
-            **self.rows_value(0, tasks),
-            "tier": self.tier,
-            "lost": self.loss_count,
-        }
-        if self.eligible_at != self.submitted_at:
-            value["from"] = self.eligible_at
-        if self.suspected_faulty:
-            value["errors"] = self.errors
-        if self.deferral is not None:
-            value["hold"] = self.deferral.value(self.start_limit)
-        return value
-
-    def record(self, state: str) -> dict[str, Any]:
-        """The value of jobs/REF."""
-        value = job_record(self.spec, self.submitted_at, state)
-        if self.compact_spec is not None:
-            value |= self.compact_spec
-        if state == wire.JobStatus.FAILED:
-            value["cause"] = self.failure_reason
-        return value
-
-
-def job_record(spec: wire.Submission, submitted_at: int, state: str) -> dict[str, Any]:
-    value = msgspec.to_builtins(spec)
-    if spec.dependencies is None:
-        del value[wire.DEPENDENCIES_FIELD]
-    return {"state": state, "at": submitted_at, "job": value}
--- a/oatport/control/state/partitioned_zones.py
+++ b/oatport/control/state/partitioned_zones.py
@@ -8,6 +8,7 @@
 
 from oatport.control.leadership.failure_detection import MIN_PARTITION_MACHINES
 from oatport.control.state.machine import Machine
+from oatport.control.storage.fleet_records import encode_partitioned_zones
 from oatport.control.storage.keys import PARTITIONED_ZONES_KEY
 
 if TYPE_CHECKING:
@@ -29,7 +30,7 @@
     def record(self) -> dict[str, Any]:
         """Zones that are cut off, and since when by the time of day; those with a node that keeps leases there."""
         zones = {zone: since + self.cluster.wall_offset for zone, since in self.partitioned.items()}
-        return {"zones": zones, "kept": sorted(self.lease_proxied)} if self.lease_proxied else {"zones": zones}
+        return encode_partitioned_zones(zones, self.lease_proxied)
 
     def mark_partitioned(self, silent: list[Machine], now: int) -> set[str]:
         """Silent machines that most nodes can't reach either: zones of theirs that nothing is heard from.
--- /dev/null
+++ b/oatport/control/storage/job_records.py
@@ -0,0 +1,237 @@
+"""Records of jobs in the state service: the one place that knows their field names.
+
+| record | key | written by | read by |
+| --- | --- | --- | --- |
+| `JobRecord` | `jobs/JOB`; `live/JOB` or `waits/JOB` until the first binding | the node that accepts the job, the leader when it is over | nodes that answer users, the leader |
+| `LiveRecord` | `live/JOB` from the first binding on | the leader | the next leader |
+| `TasksRecord` | `live/JOB/0001`, `live/JOB/0001.40` | the leader | the next leader |
+
+Times in records are times of day, since they must mean the same on the next leader. A field that is UNSET is not
+written. Unknown fields are passed over: a later version may have written them.
+"""  # noqa: E501 (a table)
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import Any
+
+import msgspec
+from msgspec import UNSET, UnsetType, field
+
+from oatport import wire
+from oatport.control.state.job import CompactSpec, DeferredStart, Job
+
+ROW_COMPLETED = -1  # the row of a completed task
+ROW_UNTOUCHED = 0  # the row of a task that was never bound; such rows at the end are left out
+
+
+class DeferredStartRecord(msgspec.Struct):
+    """Why some of a job's tasks may not start yet."""
+
+    start_limit: int = field(name="open")  # tasks below this may start
+    plan: list[list[int]]  # from when how many more may start
+    reason: str = field(name="why")
+    write_count: int = field(name="n")
+    paused_until: int = field(name="paused", default=0)
+    pause_count: int = field(name="pauses", default=0)
+
+
+class JobRecord(msgspec.Struct, kw_only=True):
+    """A job as submitted, and its state."""
+
+    state: str  # a value of wire.JobStatus
+    submitted_at: int = field(name="at")
+    description: dict[str, Any] = field(name="job")  # as submitted, without lists that lie in overflow records
+    # How many overflow records there are, and the names of the lists in them.
+    overflow: list[Any] | UnsetType = field(name="more", default=UNSET)
+    failure_reason: str | UnsetType = field(name="cause", default=UNSET)  # of a failed job
+
+    def spec(self) -> wire.Submission:
+        """What was submitted. Raises msgspec.ValidationError if it is none."""
+        return msgspec.convert(self.description, wire.Submission, strict=False)
+
+    def compact_spec(self) -> CompactSpec | None:
+        """What of the description lies in this record, if lists of it lie in overflow records."""
+        if self.overflow is UNSET:
+            return None
+        names = self.overflow[1]
+        description = {name: value for name, value in self.description.items() if name not in names}
+        return CompactSpec(description, self.overflow)
+
+
+class TasksRecord(msgspec.Struct, kw_only=True):
+    """Some tasks of a job, in order."""
+
+    # ROW_COMPLETED, ROW_UNTOUCHED, or what `TaskRow` says.
+    rows: list[Any] = field(name="t")
+    # In first records only, and in those of before version 0.3 that lie beside the job's (`live/JOB/0000`).
+    tier: str | UnsetType = UNSET
+    loss_count: int = field(name="lost", default=0)
+    errors: int = 0
+    deferral: DeferredStartRecord | UnsetType = field(name="hold", default=UNSET)
+
+
+class LiveRecord(JobRecord, kw_only=True):
+    """An unfinished job with its first tasks; all fields but those of JobRecord are missing until its first binding."""
+
+    version: int | UnsetType = field(name="rev", default=UNSET)  # revision of jobs/JOB, which its bindings rest on
+    rows: list[Any] | UnsetType = field(name="t", default=UNSET)  # as in TasksRecord
+    tier: str | UnsetType = UNSET  # what the router decided last
+    loss_count: int | UnsetType = field(name="lost", default=UNSET)  # how often tasks of it were lost
+    # When the last job that it depends on was completed, if that is later than its submission.
+    eligible_at: int | UnsetType = field(name="from", default=UNSET)
+    errors: int | UnsetType = UNSET  # since a task of it was completed last, if it is suspected to be faulty
+    deferral: DeferredStartRecord | UnsetType = field(name="hold", default=UNSET)
+
+
+@dataclass(frozen=True, slots=True)
+class TaskRow:
+    """The row of a task that was touched and is not completed.
+
+    Written as [attempt] when pending and [attempt, machine] when bound; where the class limits retries also
+    [attempt, machine, epoch of the binding], and [attempt, None, 1] once no retry is left.
+    """
+
+    attempt: int
+    machine_name: str | None = None
+    binding_epoch: int = 0
+    retry_exhausted: bool = False
+
+    @classmethod
+    def decode(cls, row: list[Any]) -> TaskRow:
+        """From its row."""
+        attempt = int(row[0])
+        machine_name = row[1] if len(row) > 1 else None
+        if len(row) > 2:
+            return cls(attempt, machine_name, int(row[2]), machine_name is None)
+        return cls(attempt, machine_name)
+
+
+def _encode_rows(job: Job, low: int, high: int) -> list[Any]:
+    rows: list[Any] = []
+    for index in range(low, min(high, job.spec.task_count)):
+        if index in job.completed:
+            rows.append(ROW_COMPLETED)
+            continue
+        task = job.tasks.get(index)
+        if task is None:
+            rows.append(ROW_UNTOUCHED)
+        elif task.machine is None:
+            rows.append([task.attempt, None, 1] if task.retry_exhausted else [task.attempt])
+        elif job.at_most_once:
+            rows.append([task.attempt, task.machine.name, task.binding_epoch])
+        else:
+            rows.append([task.attempt, task.machine.name])
+    while rows and rows[-1] == ROW_UNTOUCHED:
+        rows.pop()
+    return rows
+
+
+def encode_tasks(job: Job, low: int, high: int) -> dict[str, Any]:
+    """The record of the tasks from `low` up to `high`, which do not lie with their job."""
+    return {"t": _encode_rows(job, low, high)}
+
+
+def encode_submission(spec: wire.Submission, submitted_at: int, state: str) -> dict[str, Any]:
+    """The record of a job that nothing but its submission is known of."""
+    return _encode(JobRecord(state=state, submitted_at=submitted_at, description=_describe(spec)))
+
+
+def encode_job(job: Job, state: str) -> dict[str, Any]:
+    """The value of jobs/JOB."""
+    return _encode(
+        JobRecord(
+            state=state,
+            submitted_at=job.submitted_at,
+            description=encode_description(job),
+            overflow=UNSET if job.compact_spec is None else job.compact_spec.overflow,
+            failure_reason=job.failure_reason if state == wire.JobStatus.FAILED else UNSET,
+        )
+    )
+
+
+def encode_completed_job(job: Job, completed_at: int) -> dict[str, Any]:
+    """The value of jobs/JOB when it is over: completed, or failed if it has a reason for that.
+
+    With the time of day: jobs that depend on it count their times from then, also under another leader.
+    """
+    state = wire.JobStatus.FAILED if job.failure_reason else wire.JobStatus.COMPLETED
+    return encode_job(job, state) | {"ended": completed_at}
+
+
+def encode_live_job(job: Job, task_count: int) -> dict[str, Any]:
+    """The value of live/JOB from the first binding on: the job with so many of its first tasks."""
+    return _encode(
+        LiveRecord(
+            state=wire.JobStatus.QUEUED,
+            submitted_at=job.submitted_at,
+            description=encode_description(job),
+            overflow=UNSET if job.compact_spec is None else job.compact_spec.overflow,
+            version=job.version,
+            rows=_encode_rows(job, 0, task_count),
+            tier=job.tier,
+            loss_count=job.loss_count,
+            eligible_at=UNSET if job.eligible_at == job.submitted_at else job.eligible_at,
+            errors=job.errors if job.suspected_faulty else UNSET,
+            deferral=UNSET if job.deferral is None else _encode_deferral(job.deferral, job.start_limit),
+        )
+    )
+
+
+def encode_description(job: Job) -> dict[str, Any]:
+    """The job as submitted, as far as it lies in its own record."""
+    return _describe(job.spec) if job.compact_spec is None else job.compact_spec.description
+
+
+def decode_job(value: Any) -> JobRecord:
+    """From a value of jobs/JOB, waits/JOB or live/JOB. Raises msgspec.ValidationError if it is none."""
+    return msgspec.convert(value, JobRecord, strict=False)
+
+
+def decode_live_job(value: Any) -> LiveRecord:
+    """From a value of live/JOB. Raises msgspec.ValidationError if it is none."""
+    return msgspec.convert(value, LiveRecord, strict=False)
+
+
+def decode_tasks(value: Any) -> TasksRecord:
+    """From a value of live/JOB with tasks, or of one of the keys below it. Raises msgspec.ValidationError."""
+    return msgspec.convert(value, TasksRecord, strict=False)
+
+
+def decode_deferral(record: DeferredStartRecord) -> DeferredStart:
+    """A deferred start as the leader knows it."""
+    plan = [(at, count) for at, count in record.plan]
+    return DeferredStart(plan, record.reason, record.write_count, record.paused_until, record.pause_count)
+
+
+def holds_tasks(value: Any) -> bool:
+    """Is it a record with tasks, if only of none?"""
+    return "t" in value
+
+
+def row_count(value: Any) -> int:
+    """How many tasks a record tells of; 0 for one that holds none."""
+    return len(value.get("t", ()))
+
+
+def _encode_deferral(deferral: DeferredStart, start_limit: int) -> DeferredStartRecord:
+    return DeferredStartRecord(
+        start_limit=start_limit,
+        plan=[list(row) for row in deferral.plan],
+        reason=deferral.reason,
+        write_count=deferral.write_count,
+        paused_until=deferral.paused_until,
+        pause_count=deferral.pause_count,
+    )
+
+
+def _describe(spec: wire.Submission) -> dict[str, Any]:
+    description: dict[str, Any] = msgspec.to_builtins(spec)
+    if spec.dependencies is None:
+        del description[wire.DEPENDENCIES_FIELD]
+    return description
+
+
+def _encode(record: msgspec.Struct) -> dict[str, Any]:
+    value: dict[str, Any] = msgspec.to_builtins(record)
+    return value
--- a/oatport/control/storage/overflow_records.py
+++ b/oatport/control/storage/overflow_records.py
@@ -9,7 +9,6 @@
 from typing import Any
 
 from oatport import wire
-from oatport.control.state.job import Job
 from oatport.control.storage.record_layout import HEAD_FRAME
 from oatport.sizes import json_size
 
@@ -52,10 +51,3 @@
                 parts.append({name: [row]})
     slim = {k: v for k, v in value["job"].items() if k not in names}
     return {**value, "job": slim, "more": [len(parts), names]}, parts
-
-
-def note_compact_spec(job: Job, value: Any) -> None:
-    """Lists of its description lie in records of their own: it is recorded without them again."""
-    if "more" in value:
-        names = value["more"][1]
-        job.compact_spec = {"job": {k: v for k, v in value["job"].items() if k not in names}, "more": value["more"]}
--- a/oatport/control/storage/record_layout.py
+++ b/oatport/control/storage/record_layout.py
@@ -16,6 +16,7 @@
 from dataclasses import dataclass
 
 from oatport.control.state.job import Job
+from oatport.control.storage.job_records import encode_description
 from oatport.control.storage.keys import (
     CHUNK_TASKS,
     GROUP_MACHINES,
@@ -64,7 +65,7 @@
         if not self.parts:
             return CHUNK_TASKS
         if job.tasks_in_first_record < 0:
-            taken = HEAD_FRAME + json_size(job.record("")["job"])
+            taken = HEAD_FRAME + json_size(encode_description(job))
             job.tasks_in_first_record = min(CHUNK_TASKS, max(0, (self.limit - taken) // TASK_ROW))
         return job.tasks_in_first_record
 
--- a/oatport/control/storage/recovery.py
+++ b/oatport/control/storage/recovery.py
@@ -1,174 +1,272 @@
-"""Taking over from records, outages, and the verdict on silent machines."""
+"""Loads a new leader's view of the cluster from the records that earlier leaders left."""
 
 from __future__ import annotations
 
 import logging
 from collections import deque
+from dataclasses import dataclass, field
 from typing import Any
 
-import msgspec
+from msgspec import UnsetType
 
-from oatport import wire
 from oatport.control.state.cluster_state import ClusterState
-from oatport.control.state.identifiers import number_in_name
-from oatport.control.state.job import DeferredStart, Job, JobKind
+from oatport.control.state.job import Job, JobKind
 from oatport.control.state.task import Task, TaskPhase
+from oatport.control.storage.fleet_records import MachineRow, decode_partitioned_zones, recorded_machines
+from oatport.control.storage.job_records import (
+    ROW_COMPLETED,
+    ROW_UNTOUCHED,
+    JobRecord,
+    LiveRecord,
+    TaskRow,
+    TasksRecord,
+    decode_deferral,
+    decode_job,
+    decode_live_job,
+    decode_tasks,
+)
 from oatport.control.storage.keys import (
     BLOCKED,
     CANCEL_MARK,
-    FLEET,
-    GROUP_MACHINES,
     LIVE,
     MODEL_KEY,
     PARTITIONED_ZONES_KEY,
     SCHEMA_VERSION_KEY,
     blocked_key,
     cancel_key,
-    first_machine,
     first_task,
     live_key,
 )
-from oatport.control.storage.overflow_records import note_compact_spec
 from oatport.control.storage.schema_version import SCHEMA_VERSION, recorded_version
+from oatport.errors import OatportError
 
 log = logging.getLogger(__name__)
 
-OLD_HEAD = "0000"
+OLD_FIRST_CHUNK = "0000"  # the first tasks of a job before version 0.3: live/JOB/0000
 
 
-def read_job(value: Any) -> tuple[wire.Submission, int, str]:
-    """The value of jobs/REF or live/REF: job, time of submission, state."""
-    spec = msgspec.convert(value["job"], wire.Submission, strict=False)
-    return spec, int(value["at"]), str(value["state"])
+class UnknownMachineTypeError(OatportError):
+    """A recorded machine is of a type that is in no catalog: what is on it can't be taken in."""
 
+    def __init__(self, machine_name: str, type_name: str) -> None:
+        super().__init__(f"{machine_name} is of type {type_name}")
+        self.machine_name = machine_name
+        self.type_name = type_name
 
-class UnknownMachineTypeError(Exception):
-    """A recorded machine is of a type that no catalog tells: what is on it can't be taken in."""
 
+def load_cluster(cluster: ClusterState, rows: list[dict[str, Any]], now: int, wall: int) -> None:
+    """Fill a new leader's view from the records under live/, waits/ and fleet/, and those that there is one of each.
 
-def recorded_machines(rows: list[dict[str, Any]]) -> list[list[Any]]:
-    """The machines of all fleet records. Where two tell of the same numbers, the one written last is right."""
-    known: dict[int, list[Any]] = {}
-    for found in sorted((r for r in rows if r["path"].startswith(FLEET)), key=lambda r: int(r["entryRev"])):
-        low, _ = first_machine(found["path"])
-        span = range(low, low + int(found["value"].get("n", GROUP_MACHINES)))
-        for number in [n for n in known if n in span]:
-            del known[number]
-        known |= {number_in_name(row[0]): row for row in found["value"]["m"]}
-    return [known[number] for number in sorted(known)]
+    What a record says is on a machine is taken as there, whatever the machine itself says later under an older token; a
+    heartbeat under ours confirms or removes it. Raises UnknownMachineTypeError before anything is changed that a record
+    depends on.
+    """
+    _ClusterLoader(cluster, rows, now, wall).load()
 
 
-def recorded_machine_types(rows: list[dict[str, Any]]) -> set[str]:
-    """The types of all recorded machines."""
-    return {str(row[1]) for row in recorded_machines(rows)}
+@dataclass(frozen=True, slots=True)
+class _TasksPart:
+    """One record of tasks of a job."""
 
+    version: int  # its revision: of a task the record written last tells
+    first_task: int
+    record: TasksRecord
 
-def load_cluster(cluster: ClusterState, rows: list[dict[str, Any]], now: int, wall: int) -> None:
-    """Fill a new leader's view from the records under live/ and fleet/, and the model.
 
-    What a record says is on a machine is taken as there, whatever the machine itself says later
-    under an older token; a report under ours confirms or removes it. Raises UnknownType before anything is changed
-    that a record depends on.
-    """
-    chunks: dict[str, list[tuple[int, int, Any]]] = {}  # version, first task, value
-    cancelled: dict[str, int] = {}
-    waits: dict[str, tuple[Any, int]] = {}
-    apart: dict[str, Any] = {}  # first chunks of before version 0.3, which did not lie with their jobs
-    cluster.writes.layout.parts = any(
-        row["path"] == SCHEMA_VERSION_KEY and recorded_version(row["value"]) >= SCHEMA_VERSION for row in rows
-    )
-    for name, type_name, zone, spot, address, rented, was_up in recorded_machines(rows):
-        machine = cluster.add_machine(name, type_name, zone, spot, address, now, wall, max(0, wall - rented))
+@dataclass(slots=True)
+class _ClusterLoader:
+    """Goes through the records once, then puts together what depends on several of them."""
+
+    cluster: ClusterState
+    rows: list[dict[str, Any]]
+    now: int
+    wall: int
+    task_parts: dict[str, list[_TasksPart]] = field(default_factory=dict)  # job -> its records of tasks
+    cancel_marks: dict[str, int] = field(default_factory=dict)  # job -> revision of its mark
+    blocked: dict[str, tuple[JobRecord, int]] = field(default_factory=dict)  # job -> its record under waits/, revision
+    old_first_chunks: dict[str, TasksRecord] = field(default_factory=dict)  # of before version 0.3
+
+    def load(self) -> None:
+        """All steps, in the order in which they depend on each other."""
+        self._load_schema_version()
+        for row in recorded_machines(self.rows):
+            self._load_machine(row)
+        for found in self.rows:
+            self._load_record(found["path"], found["value"], found["entryRev"])
+        self.cluster.writes.dirty_keys.clear()  # what was just read is not to be written back
+        self._adopt_old_first_chunks()
+        for job_id, parts in self.task_parts.items():
+            self._load_tasks_of_job(job_id, parts)
+        for found in self.rows:
+            self.cluster.writes.note_record_width(found["path"], found["value"])
+        for job_id, (record, version) in self.blocked.items():
+            self._load_blocked_job(job_id, record, version)
+        for job_id, version in self.cancel_marks.items():
+            self._apply_cancel_mark(job_id, version)
+        for job in self.cluster.jobs.values():
+            self._resume(job)
+
+    # --- one record at a time -----------------------------------------------------------------
+
+    def _load_schema_version(self) -> None:
+        self.cluster.writes.layout.parts = any(
+            found["path"] == SCHEMA_VERSION_KEY and recorded_version(found["value"]) >= SCHEMA_VERSION
+            for found in self.rows
+        )
+
+    def _load_machine(self, row: MachineRow) -> None:
+        age = max(0, self.wall - row.rented_at_wall)
+        machine = self.cluster.add_machine(
+            row.name, row.type_name, row.zone, row.spot, row.address, self.now, self.wall, age
+        )
         if machine is None:
             # Left out, it would be taken for gone, and all that runs on it would be started again elsewhere.
-            raise UnknownMachineTypeError(f"{name} is of type {type_name}")
-        machine.persisted, machine.was_ready = True, was_up
+            raise UnknownMachineTypeError(row.name, row.type_name)
+        machine.persisted, machine.was_ready = True, row.was_ready
         # Asked at once by the new leader; one that stays silent has most likely been so before.
-        machine.known_since = now - cluster.tuning.us("silent_s") * 3 // 10
-    for row in rows:
-        key, value, version = row["path"], row["value"], row["entryRev"]
-        cluster.writes.versions[key] = version
+        machine.known_since = self.now - self.cluster.tuning.us("silent_s") * 3 // 10
+
+    def _load_record(self, key: str, value: Any, version: int) -> None:
+        self.cluster.writes.versions[key] = version
         if key.startswith(MODEL_KEY):
-            cluster.predictor.load(value)
+            self.cluster.predictor.load(value)
         elif key == PARTITIONED_ZONES_KEY:
-            # What an earlier leader found out holds until one of the zone's machines is heard.
-            cluster.zones.partitioned = {
-                str(zone): now - max(0, wall - int(since)) for zone, since in value["zones"].items()
-            }
-            cluster.zones.lease_proxied = {
-                str(zone) for zone in value.get("kept", ())
-            } & cluster.zones.partitioned.keys()
+            self._load_partitioned_zones(value)
         elif key.startswith(BLOCKED):
-            waits[key[len(BLOCKED) :]] = value, version
+            self.blocked[key[len(BLOCKED) :]] = decode_job(value), version
         elif key.startswith(LIVE):
-            ref, _, part = key[len(LIVE) :].partition("/")
-            if not part:
-                spec, at, _ = read_job(value)
-                # As accepted, it has the revision of jobs/REF; from the first claim on it tells that one.
-                job = cluster.job_lifecycle.add(ref, spec, int(value.get("rev", version)), at)
-                job.eligible_at = int(value.get("from", at))
-                note_compact_spec(job, value)
-                cluster.writes.versions[key] = version
-                if "t" in value:
-                    chunks.setdefault(ref, []).append((version, 0, value))
-            elif part == CANCEL_MARK:
-                cancelled[ref] = version
-            elif part == OLD_HEAD:
-                apart[ref] = value
-                cluster.writes.orphaned_keys.append(key)
-            else:
-                chunks.setdefault(ref, []).append((version, first_task(key)[1], value))
-    cluster.writes.dirty_keys.clear()  # what was just read is not to be written back
-    for ref, value in apart.items():
-        if ref in cluster.jobs and not any(low == 0 for _, low, _ in chunks.get(ref, ())):
-            chunks.setdefault(ref, []).append((0, 0, value))
-            cluster.writes.dirty_keys[live_key(ref)] = None  # written before the old key is dropped
-    for ref, parts in chunks.items():
-        found = cluster.jobs.get(ref)
-        if found is None:
-            # Its head went with its end, which the keys outlived: a large job dropped in parts.
-            cluster.writes.orphaned_keys += [
-                key for key in cluster.writes.versions if key.startswith(f"{LIVE}{ref}/") and key != cancel_key(ref)
+            self._load_live_record(key, value, version)
+
+    def _load_partitioned_zones(self, value: Any) -> None:
+        """What an earlier leader found out holds until one of the zone's machines is heard."""
+        record, zones = decode_partitioned_zones(value), self.cluster.zones
+        zones.partitioned = {zone: self.now - max(0, self.wall - since) for zone, since in record.zones.items()}
+        zones.lease_proxied = set(record.lease_proxied or ()) & zones.partitioned.keys()
+
+    def _load_live_record(self, key: str, value: Any, version: int) -> None:
+        job_id, _, part = key[len(LIVE) :].partition("/")
+        if not part:
+            self._load_live_job(job_id, decode_live_job(value), value, version)
+        elif part == CANCEL_MARK:
+            self.cancel_marks[job_id] = version
+        elif part == OLD_FIRST_CHUNK:
+            self.old_first_chunks[job_id] = decode_tasks(value)
+            self.cluster.writes.orphaned_keys.append(key)
+        else:
+            self._add_part(job_id, _TasksPart(version, first_task(key)[1], decode_tasks(value)))
+
+    def _load_live_job(self, job_id: str, record: LiveRecord, value: Any, version: int) -> None:
+        # As accepted, it has the revision of jobs/JOB; from the first binding on it tells that one.
+        job_version = version if isinstance(record.version, UnsetType) else record.version
+        job = self.cluster.job_lifecycle.add(job_id, record.spec(), job_version, record.submitted_at)
+        job.eligible_at = record.submitted_at if isinstance(record.eligible_at, UnsetType) else record.eligible_at
+        job.compact_spec = record.compact_spec()
+        self.cluster.writes.versions[live_key(job_id)] = version
+        if not isinstance(record.rows, UnsetType):
+            self._add_part(job_id, _TasksPart(version, 0, decode_tasks(value)))
+
+    def _add_part(self, job_id: str, part: _TasksPart) -> None:
+        self.task_parts.setdefault(job_id, []).append(part)
+
+    # --- tasks --------------------------------------------------------------------------------
+
+    def _adopt_old_first_chunks(self) -> None:
+        for job_id, record in self.old_first_chunks.items():
+            has_first = any(part.first_task == 0 for part in self.task_parts.get(job_id, ()))
+            if job_id in self.cluster.jobs and not has_first:
+                self._add_part(job_id, _TasksPart(0, 0, record))
+                self.cluster.writes.dirty_keys[live_key(job_id)] = None  # written before the old key is dropped
+
+    def _load_tasks_of_job(self, job_id: str, parts: list[_TasksPart]) -> None:
+        job = self.cluster.jobs.get(job_id)
+        if job is None:
+            # Its head went with its completion, which the keys outlived: a large job deleted in parts.
+            self.cluster.writes.orphaned_keys += [
+                key
+                for key in self.cluster.writes.versions
+                if key.startswith(f"{LIVE}{job_id}/") and key != cancel_key(job_id)
             ]
-            continue
-        job = found
-        parts.sort(key=lambda part: part[:2])
-        _load_tasks(cluster, job, parts)
+            return
+        rows: dict[int, Any] = {}
+        for part in sorted(parts, key=lambda part: (part.version, part.first_task)):
+            rows |= {part.first_task + offset: row for offset, row in enumerate(part.record.rows)}
+            self._load_job_fields(job, part.record)
+        # Tasks between the known ones were never touched but are below the mark now.
+        job.next_untouched = max(rows, default=-1) + 1
+        for index in range(job.next_untouched):
+            self._load_task(job, index, rows.get(index, ROW_UNTOUCHED))
         job.retry_queue = deque(
             sorted(i for i, t in job.tasks.items() if t.phase is TaskPhase.PENDING and not t.retry_exhausted)
         )
-    for row in rows:
-        cluster.writes.note_record_width(row["path"], row["value"])
-    for ref, (value, version) in waits.items():
-        if ref in cluster.jobs:
-            cluster.writes.orphaned_keys.append(
-                blocked_key(ref)
-            )  # it was claimed: dropped after that, where one transaction is small
-            continue
-        spec, at, _ = read_job(value)
-        job = Job(ref, spec, version, at)
-        note_compact_spec(job, value)
-        if ref in cancelled:
-            cluster.writes.versions[blocked_key(ref)] = version
+
+    @staticmethod
+    def _load_job_fields(job: Job, record: TasksRecord) -> None:
+        """What lies beside a job's first tasks."""
+        if isinstance(record.tier, UnsetType):
+            return
+        job.tier, job.loss_count, job.errors = record.tier, record.loss_count, record.errors
+        job.suspected_faulty = job.errors > 0
+        if not isinstance(record.deferral, UnsetType):
+            job.deferral, job.start_limit = decode_deferral(record.deferral), record.deferral.start_limit
+
+    def _load_task(self, job: Job, index: int, row: Any) -> None:
+        if row == ROW_COMPLETED:
+            job.completed.add(index)
+            return
+        task = job.tasks[index] = Task(job, index)
+        if row == ROW_UNTOUCHED:
+            return
+        recorded = TaskRow.decode(row)
+        task.attempt = recorded.attempt
+        job.gang_attempt = max(job.gang_attempt, task.attempt)
+        task.binding_epoch, task.retry_exhausted = recorded.binding_epoch, recorded.retry_exhausted
+        if recorded.machine_name is None:
+            return
+        machine = self.cluster.machines.get(recorded.machine_name)
+        if machine is None:
+            # The fleet record is written no later than the first binding to a machine and kept until the machine is
+            # proven gone: so the task's machine is.
+            task.retry_exhausted = job.at_most_once  # and may have started there
+            self.cluster.writes.mark_dirty(task)
+            return
+        task.phase = TaskPhase.BOUND
+        self.cluster.tasks.bind(task, machine)
+        machine.images.setdefault(job.spec.image, 1)  # it was sent there a while ago
+
+    # --- what depends on several records --------------------------------------------------------
+
+    def _load_blocked_job(self, job_id: str, record: JobRecord, version: int) -> None:
+        writes = self.cluster.writes
+        if job_id in self.cluster.jobs:
+            # A task of it was bound: deleted after that, where one transaction holds few changes.
+            writes.orphaned_keys.append(blocked_key(job_id))
+            return
+        job = Job(job_id, record.spec(), version, record.submitted_at)
+        job.compact_spec = record.compact_spec()
+        if job_id in self.cancel_marks:
+            writes.versions[blocked_key(job_id)] = version
             job.cancelled = True
-            cluster.writes.jobs_to_delete[job] = None
-        else:
-            cluster.dependencies.add_blocked(job)
-    for ref, version in cancelled.items():
-        if ref in cluster.jobs:
-            cluster.job_lifecycle.cancel(ref, version)
+            writes.jobs_to_delete[job] = None
         else:
-            cluster.dependencies.cancel_dependents(ref)
-            if ref not in waits:
-                cluster.writes.orphaned_keys.append(cancel_key(ref))
-    for job in cluster.jobs.values():
+            self.cluster.dependencies.add_blocked(job)
+
+    def _apply_cancel_mark(self, job_id: str, version: int) -> None:
+        if job_id in self.cluster.jobs:
+            self.cluster.job_lifecycle.cancel(job_id, version)
+            return
+        self.cluster.dependencies.cancel_dependents(job_id)
+        if job_id not in self.blocked:
+            self.cluster.writes.orphaned_keys.append(cancel_key(job_id))
+
+    def _resume(self, job: Job) -> None:
+        """Go on with a job where the last leader stopped."""
+        cluster = self.cluster
         if job.completed:
             cluster.job_statistics.began(job)
-        spent = next((task for task in job.tasks.values() if task.retry_exhausted), None) if job.at_most_once else None
-        if spent is not None and not job.cancelled:
-            cluster.job_lifecycle.fail(
-                spent, "a task was lost with its machine or with an earlier leader, and may not run again"
-            )
+        exhausted = next((task for task in job.tasks.values() if task.retry_exhausted), None)
+        if exhausted is not None and job.at_most_once and not job.cancelled:
+            cause = "a task was lost with its machine or with an earlier leader, and may not run again"
+            cluster.job_lifecycle.fail(exhausted, cause)
         if job.kind is JobKind.GANG and job.completed and not job.cancelled:
             cluster.tasks.complete_gang(job)
         if not job.pending:
@@ -176,42 +274,5 @@
         if len(job.completed) >= job.spec.task_count and not job.cancelled:
             job.completing = True
             cluster.writes.jobs_to_complete[job] = None
-        assert live_key(job.job_id) in cluster.writes.versions or blocked_key(job.job_id) in cluster.writes.versions
-
-
-def _load_tasks(cluster: ClusterState, job: Job, parts: list[tuple[int, int, Any]]) -> None:
-    """Its tasks as recorded. `parts` in the order in which they were written: of a task the last one tells."""
-    rows: dict[int, Any] = {}
-    for _, low, value in parts:
-        rows |= {low + offset: row for offset, row in enumerate(value["t"])}
-        if "tier" not in value:
-            continue
-        job.tier, job.loss_count = str(value.get("tier", "")), int(value.get("lost", 0))
-        job.errors = int(value.get("errors", 0))
-        job.suspected_faulty = job.errors > 0
-        if "hold" in value:
-            job.deferral, job.start_limit = DeferredStart.of(value["hold"]), int(value["hold"]["open"])
-    # Tasks between the known ones were never touched but are below the mark now.
-    job.next_untouched = max(rows, default=-1) + 1
-    for index in range(job.next_untouched):
-        task, row = Task(job, index), rows.get(index, 0)
-        job.tasks[index] = task
-        if row == -1:
-            del job.tasks[index]
-            job.completed.add(index)
-        elif row:
-            task.attempt = int(row[0])
-            job.gang_attempt = max(job.gang_attempt, task.attempt)
-            if len(row) > 2:
-                task.binding_epoch, task.retry_exhausted = int(row[2]), row[1] is None
-            if len(row) > 1 and row[1] is not None:
-                machine = cluster.machines.get(row[1])
-                if machine is None:
-                    # The fleet record is written no later than the first claim on a machine and kept
-                    # until the machine is proven gone: so the task's machine is.
-                    task.retry_exhausted = job.at_most_once  # and may have begun there
-                    cluster.writes.mark_dirty(task)
-                    continue
-                task.phase = TaskPhase.BOUND
-                cluster.tasks.bind(task, machine)
-                machine.images.setdefault(job.spec.image, 1)  # it was sent there a while ago
+        versions = cluster.writes.versions
+        assert live_key(job.job_id) in versions or blocked_key(job.job_id) in versions
--- a/oatport/control/storage/write_buffer.py
+++ b/oatport/control/storage/write_buffer.py
@@ -10,6 +10,15 @@
 from oatport.control.state.job import IDLE_RANK, Job, JobKind
 from oatport.control.state.machine import Machine
 from oatport.control.state.task import Task, TaskPhase
+from oatport.control.storage.fleet_records import decode_fleet, encode_fleet, fleet_size, fleet_span
+from oatport.control.storage.job_records import (
+    encode_completed_job,
+    encode_job,
+    encode_live_job,
+    encode_tasks,
+    holds_tasks,
+    row_count,
+)
 from oatport.control.storage.keys import (
     BLOCKED,
     CHUNK_TASKS,
@@ -38,6 +47,7 @@
 class WriteBatch:
     """One transaction of the leader's, without the leader condition that its sender adds."""
 
+    completed_at: int = 0  # time of day that is recorded with jobs that are over
     conditions: dict[str, int] = field(default_factory=dict)
     sets: dict[str, Any] = field(default_factory=dict)
     deletes: list[str] = field(default_factory=list)
@@ -108,25 +118,9 @@
             self.dirty_keys[main] = None  # else a machine that is gone would stay in it
 
     def fleet_value(self, key: str) -> dict[str, Any]:
+        """The record of the machines that lie under a key."""
         low, high = self.layout.fleet_span(key)
-        value: dict[str, Any] = {
-            "m": [
-                [
-                    machine.name,
-                    machine.type.name,
-                    machine.zone,
-                    machine.spot,
-                    machine.address,
-                    machine.rented_at_wall,
-                    bool(machine.ready_at or machine.was_ready),
-                ]
-                for machine in self.cluster.machines.values()
-                if low <= machine.number < high
-            ]
-        }
-        if high - low < GROUP_MACHINES:
-            value["n"] = high - low
-        return value
+        return encode_fleet((m for m in self.cluster.machines.values() if low <= m.number < high), high - low)
 
     def job_keys(self, job: Job) -> list[str]:
         """All keys that job may have, that of a waiting one first, else the head."""
@@ -156,12 +150,12 @@
         """A record as it lies there now: does it tell of more than it would be written with?"""
         if key.startswith(FLEET):
             low, high = self.layout.fleet_span(key)
-            is_wide = int(value.get("n", GROUP_MACHINES)) > high - low
+            is_wide = fleet_span(value) > high - low
             upto = low + GROUP_MACHINES
-        elif key.startswith(LIVE) and "t" in value:
+        elif key.startswith(LIVE) and holds_tasks(value):
             ref, low = first_task(key)
             job = self.cluster.jobs.get(ref)
-            upto = low + len(value["t"])
+            upto = low + row_count(value)
             is_wide = job is not None and upto > self.layout.task_span(job, key)[1]
         else:
             return
@@ -228,7 +222,7 @@
         `budget`: writes that may go out at once. What can wait goes along only within it: else claims
         would wait for the writes of ends, and a lost replica for a zone's worth of them.
         """
-        batch = WriteBatch()
+        batch = WriteBatch(completed_at=self.cluster.now + self.cluster.wall_offset)
         self._add_cancelled_jobs(batch, max_ops)
         # A swarm's claims wait for the ends of others' jobs, which their users are waiting to hear of.
         self._add_urgent(batch, max_ops, IDLE_RANK - 1)
@@ -238,10 +232,7 @@
                 break
             del self.jobs_to_complete[job]
             batch.conditions[job_key(job.job_id)] = job.version
-            # Since when it is done: what needs it counts its times from then, also under another leader.
-            batch.sets[job_key(job.job_id)] = job.record(
-                wire.JobStatus.FAILED if job.failure_reason else wire.JobStatus.COMPLETED
-            ) | {"ended": self.cluster.now + self.cluster.wall_offset}
+            batch.sets[job_key(job.job_id)] = encode_completed_job(job, batch.completed_at)
             self._add_deletes(batch, keys, max_ops)
             batch.completed_jobs.append(job)
         self._add_urgent(batch, max_ops, IDLE_RANK)
@@ -292,7 +283,7 @@
                 return
             del self.jobs_to_cancel[ref]
             batch.conditions[job_key(job.job_id)] = job.version
-            batch.sets[job_key(job.job_id)] = job.record(wire.JobStatus.CANCELLED)
+            batch.sets[job_key(job.job_id)] = encode_job(job, wire.JobStatus.CANCELLED)
             self._add_deletes(batch, [blocked_key(job.job_id)], max_ops)
             batch.cancelled_jobs.append(job)
 
@@ -349,7 +340,7 @@
             if self.value_limit_lowered and json_size(value) > self.layout.limit:
                 self._held_back[key] = None
                 return
-            if value["m"]:
+            if fleet_size(value):
                 batch.sets[key] = value
             elif self.versions.get(key):
                 batch.deletes.append(key)
@@ -374,7 +365,7 @@
             if job is None or (job.cancelled and not job.failure_reason) or job.completing:
                 return  # its keys go with the job
             low, high = self.layout.task_span(job, key)
-            value = job.rows_value(low, high) if key != live_key(ref) else job.live_value(high)
+            value = encode_tasks(job, low, high) if key != live_key(ref) else encode_live_job(job, high)
             if self.value_limit_lowered and json_size(value) > self.layout.limit:
                 self._held_back[key] = None
                 return
@@ -401,8 +392,8 @@
             self.versions[key] = revision
             self.note_record_width(key, value)
             if key.startswith(FLEET):
-                for row in value["m"]:
-                    machine = self.cluster.machines.get(row[0])
+                for row in decode_fleet(value).machines:
+                    machine = self.cluster.machines.get(row.name)
                     if machine is not None and not machine.persisted:
                         machine.persisted = True
                         self.cluster.planning_needed = True
@@ -419,9 +410,7 @@
             self.terminal_revisions[job.job_id] = revision
         for job in batch.completed_jobs:
             if not job.failure_reason:
-                self.cluster.dependencies.on_completion_recorded(
-                    job.job_id, int(batch.sets[job_key(job.job_id)]["ended"])
-                )
+                self.cluster.dependencies.on_completion_recorded(job.job_id, batch.completed_at)
 
     def restore_batch(self, batch: WriteBatch) -> None:
         """The transaction was refused or given up for good: its contents are to be written anew."""
@@ -436,7 +425,7 @@
             k for job in (*batch.completed_jobs, *batch.deleted_jobs, *batch.cancelled_jobs) for k in self.job_keys(job)
         }
         claimed = {self.layout.task_key(t.job, t.index): t.job.priority_rank for t, _, _ in batch.bindings}
-        written = [(key, len(value.get("t", ()))) for key, value in batch.sets.items() if not key.startswith(JOBS)]
+        written = [(key, row_count(value)) for key, value in batch.sets.items() if not key.startswith(JOBS)]
         parts = [part for name, rows in written for part in self._parts_of(name, rows)]
         for key in dict.fromkeys([*claimed, *parts]):
             if key in claimed:
--- a/oatport/service/job_watch.py
+++ b/oatport/service/job_watch.py
@@ -10,9 +10,9 @@
 from oatport import wire
 from oatport.clients.http import NoResponseError, RequestRefusedError, jitter
 from oatport.control.state.job import Job
+from oatport.control.storage.job_records import decode_job
 from oatport.control.storage.keys import JOBS
-from oatport.control.storage.overflow_records import is_accepted_as_blocked, note_compact_spec
-from oatport.control.storage.recovery import read_job
+from oatport.control.storage.overflow_records import is_accepted_as_blocked
 from oatport.peer_messages import JobAccepted, JobCancelled
 from oatport.service.failover import read_whole
 from oatport.service.group_commit import GroupCommit
@@ -80,10 +80,11 @@
     def admit(self, job_id: str, record: Any, revision: int) -> None:
         """Take a job in from its whole record."""
         cluster = self._leader.cluster
-        spec, submitted_at_wall, _ = read_job(record)
+        decoded = decode_job(record)
+        spec, submitted_at_wall = decoded.spec(), decoded.submitted_at
         if is_accepted_as_blocked(record):
             job = Job(job_id, spec, revision, submitted_at_wall)
-            note_compact_spec(job, record)
+            job.compact_spec = decoded.compact_spec()
             cluster.dependencies.add_blocked(job)
             self._commits.charge_acceptance()
             return
--- a/oatport/service/leader.py
+++ b/oatport/service/leader.py
@@ -18,7 +18,8 @@
 from oatport.control.state.cluster_state import ClusterState
 from oatport.control.state.completions import Completion
 from oatport.control.state.machine import Machine
-from oatport.control.storage.recovery import load_cluster, recorded_machine_types
+from oatport.control.storage.fleet_records import recorded_machine_types
+from oatport.control.storage.recovery import load_cluster
 from oatport.peer_messages import JobAccepted, JobCancelled
 from oatport.service.background_tasks import BackgroundTasks
 from oatport.service.catalog import read_types
--- a/oatport/service/orphaned_job_lookup.py
+++ b/oatport/service/orphaned_job_lookup.py
@@ -7,8 +7,8 @@
 
 from oatport import wire
 from oatport.clients.http import NoResponseError, RequestRefusedError
+from oatport.control.storage.job_records import decode_job
 from oatport.control.storage.keys import job_key
-from oatport.control.storage.recovery import read_job
 from oatport.service.leader_context import LeaderContext
 
 MAX_CONCURRENT_LOOKUPS = 4
@@ -37,7 +37,7 @@
             return  # asked again by the maintenance loop
         finally:
             self.in_flight.discard(job_id)
-        spec = None if found is None else read_job(found[0])[0]
+        spec = None if found is None else decode_job(found[0]).spec()
         self._leader.cluster.orphans.resolve(job_id, spec)
         self.look_up()
         self._leader.wake()
--- a/tests/cluster_fixture.py
+++ b/tests/cluster_fixture.py
@@ -17,7 +17,8 @@
 from oatport.control.queueing.runtime_predictor import RuntimePredictor
 from oatport.control.scaling.capacity_planner import CapacityPlanner
 from oatport.control.state.cluster_state import ClusterState
-from oatport.control.state.job import Job, job_record
+from oatport.control.state.job import Job
+from oatport.control.storage.job_records import encode_submission
 from oatport.control.storage.keys import (
     BLOCKED,
     CATALOG_KEY,
@@ -246,7 +247,7 @@
         free = next(ref for number in numbers if (ref := f"j-{number:06d}") not in self.jobs)
         body = job(**{"ref": free, **changes})
         spec = wire.decode_submission(body)
-        record = job_record(spec, self.now, wire.JobStatus.QUEUED)
+        record = encode_submission(spec, self.now, wire.JobStatus.QUEUED)
         status, value = self.state.commit(
             {
                 "if": [{"path": job_key(spec.job_id), "entryRev": 0}],
--- a/tests/test_retry_policy.py
+++ b/tests/test_retry_policy.py
@@ -11,7 +11,7 @@
 from oatport import wire
 from oatport.api.job_api import JobApi
 from oatport.control.placement.retry_policy import RetryPolicy, load_retry_policies
-from oatport.control.storage.recovery import read_job
+from oatport.control.storage.job_records import decode_job
 from oatport.settings import SettingsError
 from oatport.simulation.worker import Attempt, Worker
 from oatport.times import SECOND
@@ -245,7 +245,7 @@
     client.changes = _once(lead, client)  # type: ignore[method-assign]
     await lead.job_watch.loop()
     assert ref not in lead.cluster.jobs
-    _, _, state = read_job(world.state.items[f"jobs/{ref}"][0])
+    state = decode_job(world.state.items[f"jobs/{ref}"][0]).state
     assert state == wire.JobStatus.FAILED
 
 
--- a/tests/test_schema_versions.py
+++ b/tests/test_schema_versions.py
@@ -9,8 +9,9 @@
 
 from oatport import wire
 from oatport.control.queueing.runtime_predictor import RuntimePredictor
-from oatport.control.state.job import Job, job_record
+from oatport.control.state.job import Job
 from oatport.control.state.task import TaskPhase
+from oatport.control.storage.job_records import encode_job, encode_submission
 from oatport.control.storage.keys import FLEET, LIVE, SCHEMA_VERSION_KEY, blocked_key, live_key
 from oatport.control.storage.overflow_records import is_accepted_as_blocked, split_overflow, with_overflow
 from oatport.control.storage.record_layout import RecordLayout
@@ -163,11 +164,11 @@
 
 def test_long_lists_lie_in_records_of_their_own() -> None:
     spec = wire.decode_submission(job("j-1", waitsOn=[f"j-{i:06d}" for i in range(2, 1002)]))
-    record, parts = split_overflow(job_record(spec, 5, wire.JobStatus.QUEUED), 2048)
+    record, parts = split_overflow(encode_submission(spec, 5, wire.JobStatus.QUEUED), 2048)
     assert json_size(record) <= 2048 - 300
     assert all(json_size(part) <= 2048 for part in parts)
     assert with_overflow(record, parts)["job"]["waitsOn"] == spec.dependencies
-    assert split_overflow(job_record(spec, 5, wire.JobStatus.QUEUED), 32 * 1024)[1] == []
+    assert split_overflow(encode_submission(spec, 5, wire.JobStatus.QUEUED), 32 * 1024)[1] == []
 
 
 def test_the_predictor_is_recorded_in_parts_that_can_be_read_alone() -> None:
@@ -343,10 +344,10 @@
 async def test_a_job_whose_types_lie_apart_is_taken_up_from_where_it_was_accepted() -> None:
     """It names nobody, and lies under waits/ all the same: taken as lying under live/, its claim failed for ever."""
     spec = wire.decode_submission(job("j-000001", berthKinds=["m8", *(f"kind-{number:050d}" for number in range(40))]))
-    record, parts = split_overflow(job_record(spec, 5, wire.JobStatus.QUEUED), 2048)
+    record, parts = split_overflow(encode_submission(spec, 5, wire.JobStatus.QUEUED), 2048)
     assert parts
     assert is_accepted_as_blocked(record)
-    assert not is_accepted_as_blocked(job_record(wire.decode_submission(job()), 5, wire.JobStatus.QUEUED))
+    assert not is_accepted_as_blocked(encode_submission(wire.decode_submission(job()), 5, wire.JobStatus.QUEUED))
     lead, _, _ = leader(KeyStore(lambda: 0))
     lead.job_watch.admit("j-000001", with_overflow(record, parts), 7)
     taken = lead.cluster.jobs["j-000001"]
@@ -354,4 +355,4 @@
     assert taken in lead.cluster.pending
     assert lead.cluster.writes.versions[blocked_key("j-000001")] == 7
     assert live_key("j-000001") not in lead.cluster.writes.versions
-    assert taken.record(wire.JobStatus.COMPLETED)["job"] == record["job"]
+    assert encode_job(taken, wire.JobStatus.COMPLETED)["job"] == record["job"]
