--- a/oatport/control/storage/fleet_records.py
+++ b/oatport/control/storage/fleet_records.py
@@ -8,6 +8,7 @@
 import msgspec
 from msgspec import UNSET, UnsetType, field
 
+from oatport import wire
 from oatport.control.state.identifiers import number_in_name
 from oatport.control.state.machine import Machine
 from oatport.control.storage.keys import FLEET, GROUP_MACHINES, first_machine
@@ -65,22 +66,22 @@
     return int(value.get("n", GROUP_MACHINES))
 
 
-def recorded_machines(rows: list[dict[str, Any]]) -> list[MachineRow]:
+def recorded_machines(entries: list[wire.StoredEntry]) -> list[MachineRow]:
     """The machines of all fleet records. Where two tell of the same numbers, the one written last is right."""
     known: dict[int, MachineRow] = {}
-    for found in sorted((r for r in rows if r["path"].startswith(FLEET)), key=lambda r: int(r["entryRev"])):
-        low, _ = first_machine(found["path"])
-        record = decode_fleet(found["value"])
-        span = range(low, low + fleet_span(found["value"]))
+    for found in sorted((e for e in entries if e.key.startswith(FLEET)), key=lambda e: e.revision):
+        low, _ = first_machine(found.key)
+        record = decode_fleet(found.value)
+        span = range(low, low + fleet_span(found.value))
         for number in [n for n in known if n in span]:
             del known[number]
         known |= {number_in_name(row.name): row for row in record.machines}
     return [known[number] for number in sorted(known)]
 
 
-def recorded_machine_types(rows: list[dict[str, Any]]) -> set[str]:
+def recorded_machine_types(entries: list[wire.StoredEntry]) -> set[str]:
     """The types of all recorded machines."""
-    return {row.type_name for row in recorded_machines(rows)}
+    return {row.type_name for row in recorded_machines(entries)}
 
 
 class PartitionedZonesRecord(msgspec.Struct):
--- a/oatport/control/storage/recovery.py
+++ b/oatport/control/storage/recovery.py
@@ -9,6 +9,7 @@
 
 from msgspec import UnsetType
 
+from oatport import wire
 from oatport.control.state.cluster_state import ClusterState
 from oatport.control.state.job import Job, JobKind
 from oatport.control.state.task import Task, TaskPhase
@@ -54,14 +55,14 @@
         self.type_name = type_name
 
 
-def load_cluster(cluster: ClusterState, rows: list[dict[str, Any]], now: int, wall: int) -> None:
+def load_cluster(cluster: ClusterState, entries: list[wire.StoredEntry], now: int, wall: int) -> None:
     """Fill a new leader's view from the records under live/, waits/ and fleet/, and those that there is one of each.
 
     What a record says is on a machine is taken as there, whatever the machine itself says later under an older token; a
     heartbeat under ours confirms or removes it. Raises UnknownMachineTypeError before anything is changed that a record
     depends on.
     """
-    _ClusterLoader(cluster, rows, now, wall).load()
+    _ClusterLoader(cluster, entries, now, wall).load()
 
 
 @dataclass(frozen=True, slots=True)
@@ -78,7 +79,7 @@
     """Goes through the records once, then puts together what depends on several of them."""
 
     cluster: ClusterState
-    rows: list[dict[str, Any]]
+    entries: list[wire.StoredEntry]
     now: int
     wall: int
     task_parts: dict[str, list[_TasksPart]] = field(default_factory=dict)  # job -> its records of tasks
@@ -89,16 +90,16 @@
     def load(self) -> None:
         """All steps, in the order in which they depend on each other."""
         self._load_schema_version()
-        for row in recorded_machines(self.rows):
+        for row in recorded_machines(self.entries):
             self._load_machine(row)
-        for found in self.rows:
-            self._load_record(found["path"], found["value"], found["entryRev"])
+        for entry in self.entries:
+            self._load_record(entry.key, entry.value, entry.revision)
         self.cluster.writes.dirty_keys.clear()  # what was just read is not to be written back
         self._adopt_old_first_chunks()
         for job_id, parts in self.task_parts.items():
             self._load_tasks_of_job(job_id, parts)
-        for found in self.rows:
-            self.cluster.writes.note_record_width(found["path"], found["value"])
+        for entry in self.entries:
+            self.cluster.writes.note_record_width(entry.key, entry.value)
         for job_id, (record, version) in self.blocked.items():
             self._load_blocked_job(job_id, record, version)
         for job_id, version in self.cancel_marks.items():
@@ -110,8 +111,8 @@
 
     def _load_schema_version(self) -> None:
         self.cluster.writes.layout.parts = any(
-            found["path"] == SCHEMA_VERSION_KEY and recorded_version(found["value"]) >= SCHEMA_VERSION
-            for found in self.rows
+            entry.key == SCHEMA_VERSION_KEY and recorded_version(entry.value) >= SCHEMA_VERSION
+            for entry in self.entries
         )
 
     def _load_machine(self, row: MachineRow) -> None:
--- a/oatport/service/command_sender.py
+++ b/oatport/service/command_sender.py
@@ -82,7 +82,7 @@
         self._requests += 1
         try:
             client = WorkerClient(self._net, machine.address)
-            report = await client.commands(leader.token, machine.agent_epoch, commands)
+            report = await client.send_commands(leader.token, machine.agent_epoch, commands)
         except RequestNotSentError:
             cluster.commands.on_answered(machine, sent_starts)  # no connection: it can't land later
             return
--- a/oatport/service/job_watch.py
+++ b/oatport/service/job_watch.py
@@ -101,7 +101,7 @@
         while not leader.stopped:
             asked_at = steady()
             try:
-                found = await leader.state.changes(JOBS, self.revision, WATCH_WAIT)
+                found = await leader.state.watch(JOBS, self.revision, WATCH_WAIT)
             except (NoResponseError, RequestRefusedError):
                 await asyncio.sleep(jitter(RETRY_INTERVAL))
                 continue
@@ -109,25 +109,24 @@
                 log.warning("job watch fell behind fencing_token=%d revision=%d", leader.token, self.revision)
                 leader.step_down("the watch on jobs fell behind")
                 return
-            revision, changes = found
             # Of each job only the last: one that came and ended meanwhile is not taken up again.
-            latest = {item["set"]: item for item in changes if "set" in item}
+            latest = {change.key: change for change in found.changes if not change.deleted}
             try:
                 await self._read_overflow(latest)
             except (NoResponseError, RequestRefusedError):
                 await asyncio.sleep(jitter(RETRY_INTERVAL))
                 continue
-            for key, item in latest.items():
-                self._apply_change(key[len(JOBS) :], item["value"], int(item["entryRev"]))
-            self._advance(revision)
+            for key, change in latest.items():
+                self._apply_change(key[len(JOBS) :], change.value, change.revision)
+            self._advance(found.revision)
             leader.lease_renewal_limit.known(asked_at)
             leader.wake()
 
-    async def _read_overflow(self, latest: dict[str, Any]) -> None:
+    async def _read_overflow(self, latest: dict[str, wire.Change]) -> None:
         """Complete the records of jobs whose lists lie apart. Raises NoResponseError or RequestRefusedError."""
-        for item in latest.values():
-            if "more" in item["value"] and item["value"]["state"] not in wire.TERMINAL_STATUSES:
-                item["value"] = await read_whole(self._leader.state, item["value"])
+        for key, change in latest.items():
+            if "more" in change.value and change.value["state"] not in wire.TERMINAL_STATUSES:
+                latest[key] = change._replace(value=await read_whole(self._leader.state, change.value))
 
     def _apply_change(self, job_id: str, record: Any, revision: int) -> None:
         cluster, state = self._leader.cluster, str(record["state"])
--- a/oatport/service/state_service_contact.py
+++ b/oatport/service/state_service_contact.py
@@ -34,7 +34,9 @@
     def answers(self) -> bool:
         """The state service answers this node."""
         state = self._node.state
-        return state.ok_at > 0 and (steady() - state.ok_at < ANSWER_IS_FRESH or state.failed_at <= state.ok_at)
+        return state.last_served_at > 0 and (
+            steady() - state.last_served_at < ANSWER_IS_FRESH or state.last_failed_at <= state.last_served_at
+        )
 
     async def loop(self) -> None:
         """Know whether the state service answers; as the leader, renew the lease first of all."""
@@ -43,7 +45,7 @@
             try:
                 if leader is not None:
                     await self._renew_lease(leader)
-                elif steady() - self._node.state.ok_at > SECOND:
+                elif steady() - self._node.state.last_served_at > SECOND:
                     await self._node.state.get(LEADER_KEY)
             except LeaseExpiredError:
                 if leader is self._election.leader:
@@ -57,7 +59,7 @@
 
     async def _renew_lease(self, leader: Leader) -> None:
         requested_at = steady()
-        await self._node.state.touch(leader.lease, min(self._lease_us // 2, SECOND))
+        await self._node.state.renew_lease(leader.lease, min(self._lease_us // 2, SECOND))
         leader.leader_lease.renewed(requested_at)
         peer = self._handover.better_placed_peer()
         if peer is not None and leader is self._election.leader and leader.loaded:
