--- a/oatport/simulation/simulation.py
+++ b/oatport/simulation/simulation.py
@@ -9,7 +9,7 @@
 
 from oatport.control.storage.keys import SCHEMA_VERSION_KEY
 from oatport.settings import Tuning
-from oatport.simulation import deployment, production_build
+from oatport.simulation import deployment, production_build, workload
 from oatport.simulation.fault_injection import FaultInjector
 from oatport.simulation.fault_plan import Plan
 from oatport.simulation.load_balancer import LoadBalancer
@@ -202,9 +202,9 @@
         return balancer
 
     def _draw_jobs(self) -> list[SubmittedJob]:
-        begins = self.deployed.loop.time() + deployment.JOBS_FROM_S
-        jobs = deployment.jobs(self.plan, random.Random(f"jobs {self.seed}"), begins)
-        return jobs + deployment.pipelines(self.plan, random.Random(f"pipelines {self.seed}"), begins)
+        begins = self.deployed.loop.time() + workload.JOBS_FROM_S
+        jobs = workload.jobs(self.plan, random.Random(f"jobs {self.seed}"), begins)
+        return jobs + workload.pipelines(self.plan, random.Random(f"pipelines {self.seed}"), begins)
 
     def _start_user(self, job: SubmittedJob, balancer: LoadBalancer) -> None:
         deployed = self.deployed
