--- a/oatport/simulation/network.py
+++ b/oatport/simulation/network.py
@@ -17,11 +17,8 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-import aiohttp
-
 from oatport import wire
-from oatport.api.server import Answer, BodyTooLargeError, Handler
-from oatport.clients.http import ConnectionReuse, NoResponseError, RequestNotSentError
+from oatport.clients.http import NoResponseError, RequestNotSentError
 from oatport.simulation.virtual_time import Host, VirtualLoop
 from oatport.times import MS, SECOND
 
@@ -50,6 +47,7 @@
     amount: float = 0.0  # seconds more, or the share lost
 
     def covers(self, source: Host, target: Host) -> bool:
+        """It applies to messages from one host to the other."""
         return (
             self.source in source.tags
             and self.target in target.tags
@@ -68,12 +66,14 @@
 
 @dataclass(slots=True, eq=False)
 class PendingRequest:
-    """One request under way, as its sender sees it."""
+    """A request under way, as its sender sees it."""
 
     future: asyncio.Future[tuple[int, bytes]]
 
 
 class Net:
+    """The network of one run: who listens where, what links do to messages, and all requests under way."""
+
     def __init__(self, loop: VirtualLoop, seed: int) -> None:
         self.loop = loop
         self._rng = random.Random(seed)
@@ -100,6 +100,7 @@
         self._hosts[address] = host
 
     def listen(self, address: str, host: Host, serve: Serve) -> None:
+        """A host serves an address from now on."""
         self._hosts[address] = host
         self._served[address] = (host, serve)
 
@@ -109,8 +110,8 @@
             del self._served[address]
         for key in [k for k in self._idle if k[0] is host or self._hosts.get(k[1]) is host]:
             del self._idle[key]
-        for wait, caller in self._serving.pop(host, {}).items():
-            self._travel(host, caller, lambda wait=wait: self._fail_request(wait, NoResponseError("reset")))  # type: ignore[misc]
+        for pending, caller in self._serving.pop(host, {}).items():
+            self._travel(host, caller, lambda pending=pending: self._fail_request(pending, NoResponseError("reset")))  # type: ignore[misc]
 
     def unplugged(self, address: str) -> None:
         """A machine is gone: connections to it hang."""
@@ -122,6 +123,7 @@
     # --- links ------------------------------------------------------------------------------
 
     def add(self, rule: LinkRule) -> None:
+        """A rule holds from now on."""
         self.rules.append(rule)
         if rule.effect == "lost":  # such a cut resets what is open
             for key in list(self._idle):
@@ -130,6 +132,7 @@
                     del self._idle[key]
 
     def remove(self, rule: LinkRule) -> None:
+        """A rule ends: what it held up arrives, each message in its own time."""
         self.rules.remove(rule)
         for link in list(self._links.values()):
             if link.held and not self._cut_mode(link.source, link.target):
@@ -139,7 +142,7 @@
                     self._arrive(link, host, call, self._rng.randrange(RECONNECT_MAX_US if slow else RECONNECT_US))
 
     def _rule_amount(self, source: Host, target: Host, what: str) -> float | None:
-        """What rules of a kind add up to on a link; None: there is none."""
+        """What rules of an effect add up to on a link; None: there is none."""
         found = [rule.amount for rule in self.rules if rule.effect == what and rule.covers(source, target)]
         return sum(found) if found else None
 
@@ -179,79 +182,96 @@
     async def request(
         self, source: Host, address: str, method: str, path: str, body: Any, timeout_us: int, query: str
     ) -> tuple[int, Any]:
+        """Send one request and return its status and body. Raises RequestNotSentError or NoResponseError."""
         if self.closed:
             raise RequestNotSentError("the run is over")
         data = None if body is None else wire.encode(body)
-        wait = PendingRequest(self.loop.create_future())
-        timer = self.loop.call_later_us(timeout_us, source, self._fail_request, wait, NoResponseError("timeout"))
+        pending = PendingRequest(self.loop.create_future())
+        timer = self.loop.call_later_us(timeout_us, source, self._fail_request, pending, NoResponseError("timeout"))
         target = f"{path}?{query}" if query else path
         try:
-            await self._connect(source, address, wait)
+            await self._connect(source, address, pending)
             self._record(source, address, method, target, data)
             host = self._hosts[address]
             if self.duplications:
                 self._duplicate(source, address, method, target, data)
-            if (
-                path == wire.HEARTBEAT_PATH
-                and self.duplicate_for_next_leader_share
-                and self._rng.random() < self.duplicate_for_next_leader_share
-            ):
+            if path == wire.HEARTBEAT_PATH and self._chance(self.duplicate_for_next_leader_share):
                 self._kept_duplicates.append((source, method, target, data))
-            self._travel(source, host, lambda: self._serve(source, host, address, method, target, data, wait))
-            status, raw = await wait.future
+            self._travel(source, host, lambda: self._serve(source, host, address, method, target, data, pending))
+            status, raw = await pending.future
         finally:
             timer.cancel()
         self._idle.setdefault((source, address), deque()).append(self.loop.time() + IDLE_CONNECTION_US / SECOND)
         return status, wire.decode(raw) if raw else None
 
-    async def _connect(self, source: Host, address: str, wait: PendingRequest) -> None:
+    def _chance(self, share: float) -> bool:
+        """Drawn only where there is one, so that runs without it draw the same numbers as ever."""
+        return bool(share) and self._rng.random() < share
+
+    async def _connect(self, source: Host, address: str, pending: PendingRequest) -> None:
+        """Return once there is a connection: a kept-alive one, or a new one. Raises RequestNotSentError if refused."""
         idle = self._idle.get((source, address))
         while idle:
             if idle.pop() > self.loop.time() and not self._is_mute(source, address):
                 return
-        while not wait.future.done():
+        while not pending.future.done():
             host = self._hosts.get(address)
-            mute = host is not None and (
-                self._is_mute(source, address) or self._rule_amount(source, host, "deaf") is not None
-            )
-            if host is not None and not mute and not (self._cut_mode(source, host) or self._cut_mode(host, source)):
-                if self._rule_amount(source, host, "refuse") is not None or (
-                    address not in self._served and not host.dead
-                ):
+            if host is not None and self._may_connect(source, host, address):
+                if self._refuses(source, host, address):
                     raise RequestNotSentError("refused")
                 if address in self._served:
                     await asyncio.sleep(2 * LATENCY_US / SECOND)
-                    if not (self._cut_mode(source, host) or self._cut_mode(host, source)):
+                    if not self._is_cut(source, host):
                         return
                 elif "node" in host.tags:
                     raise RequestNotSentError("refused")  # its machine is up, the process is not
-            # Nobody answers: knocked again until the caller gives up.
-            await asyncio.wait([wait.future], timeout=CONNECT_RETRY_US / SECOND)
-        await wait.future
+            # Nobody answers: tried again until the caller gives up.
+            await asyncio.wait([pending.future], timeout=CONNECT_RETRY_US / SECOND)
+        await pending.future
+
+    def _is_cut(self, source: Host, host: Host) -> bool:
+        """One way or the other nothing travels between them."""
+        return bool(self._cut_mode(source, host) or self._cut_mode(host, source))
+
+    def _may_connect(self, source: Host, host: Host, address: str) -> bool:
+        """Both ways of a new connection carry."""
+        mute = self._is_mute(source, address) or self._rule_amount(source, host, "deaf") is not None
+        return not mute and not self._is_cut(source, host)
+
+    def _refuses(self, source: Host, host: Host, address: str) -> bool:
+        refuse = self._rule_amount(source, host, "refuse") is not None
+        return refuse or (address not in self._served and not host.dead)
 
     def _is_mute(self, source: Host, address: str) -> bool:
         host = self._hosts.get(address)
         return bool(self.rules) and host is not None and self._rule_amount(source, host, "mute") is not None
 
     def _serve(
-        self, source: Host, host: Host, address: str, method: str, target: str, data: bytes | None, wait: PendingRequest
+        self,
+        source: Host,
+        host: Host,
+        address: str,
+        method: str,
+        target: str,
+        data: bytes | None,
+        pending: PendingRequest,
     ) -> None:
         served = self._served.get(address)
         if served is None or served[0] is not host:
             return
         if self.denied_routes and (source.name, address) in self.denied_routes:
-            self._reply(host, source, (503, None), wait)
+            self._reply(host, source, (503, None), pending)
             return
         try:
             value = served[1](method, target, wire.decode(data) if data else None)
         except wire.InvalidMessageError:
             value = (400, None)
         if inspect.isawaitable(value):
-            self._serving.setdefault(host, {})[wait] = source
-            task = self.loop.create_task(self._answer(host, source, value, wait), context=host.context)
+            self._serving.setdefault(host, {})[pending] = source
+            task = self.loop.create_task(self._answer(host, source, value, pending), context=host.context)
             task.add_done_callback(lambda done: done.cancelled() or done.exception())
             return
-        self._reply(host, source, value, wait)
+        self._reply(host, source, value, pending)
 
     def _duplicate(self, source: Host, address: str, method: str, target: str, data: bytes | None) -> None:
         """A copy of what was just sent comes again later: a report at any node, other requests where they went.
@@ -282,28 +302,28 @@
         host = self._hosts.get(address)
         if host is None or self.closed:
             return
-        wait = PendingRequest(self.loop.create_future())  # nobody reads the answer
-        self._travel(source, host, lambda: self._serve(source, host, address, method, target, data, wait))
+        pending = PendingRequest(self.loop.create_future())  # nobody reads the answer
+        self._travel(source, host, lambda: self._serve(source, host, address, method, target, data, pending))
 
-    async def _answer(self, host: Host, source: Host, value: Any, wait: PendingRequest) -> None:
+    async def _answer(self, host: Host, source: Host, value: Any, pending: PendingRequest) -> None:
         try:
-            self._reply(host, source, await value, wait)
+            self._reply(host, source, await value, pending)
         finally:
-            self._serving.get(host, {}).pop(wait, None)
+            self._serving.get(host, {}).pop(pending, None)
 
-    def _reply(self, host: Host, source: Host, value: tuple[int, Any], wait: PendingRequest) -> None:
+    def _reply(self, host: Host, source: Host, value: tuple[int, Any], pending: PendingRequest) -> None:
         raw = b"" if value[1] is None else wire.encode(value[1])
 
         def come() -> None:
-            if not wait.future.done():
-                wait.future.set_result((value[0], raw))
+            if not pending.future.done():
+                pending.future.set_result((value[0], raw))
 
         self._travel(host, source, come)
 
     @staticmethod
-    def _fail_request(wait: PendingRequest, error: Exception) -> None:
-        if not wait.future.done():
-            wait.future.set_exception(error)
+    def _fail_request(pending: PendingRequest, error: Exception) -> None:
+        if not pending.future.done():
+            pending.future.set_exception(error)
 
     def _record(self, source: Host, address: str, method: str, target: str, data: bytes | None) -> None:
         self.sent += 1
@@ -312,85 +332,3 @@
         if data:
             self.digest = zlib.crc32(data, self.digest)
         self.messages.append(f"{line} {wire.decode(data)}" if self.keeps_bodies and data else line)
-
-
-class Client:
-    """What a host asks one address by (`clients.http.Requester`)."""
-
-    def __init__(self, net: Net, host: Host, address: str) -> None:
-        self._net, self._host, self._address = net, host, address
-
-    async def request(
-        self, method: str, path: str, body: Any = None, *, timeout_us: int, query: str = ""
-    ) -> tuple[int, Any]:
-        return await self._net.request(self._host, self._address, method, path, body, timeout_us, query)
-
-
-class _Body:
-    """A request's body as `api.server.BodyReader` has it."""
-
-    def __init__(self, value: Any, limit: int) -> None:
-        self._value, self._limit = value, limit
-
-    async def read(self) -> Any:
-        if self._value is None:
-            raise wire.InvalidMessageError("empty")
-        return self._value
-
-
-class NodeNetwork:
-    """A node's network (`service.network.Network`)."""
-
-    def __init__(self, net: Net, host: Host) -> None:
-        self._net, self._host = net, host
-
-    def open(self) -> None:
-        pass
-
-    @property
-    def session(self) -> aiohttp.ClientSession:
-        raise NotImplementedError("no price feeds here")
-
-    def client(self, address: str, reuse: ConnectionReuse = ConnectionReuse.KEEP_ALIVE) -> Client:
-        return Client(self._net, self._host, address)
-
-    def expect(self, machines: int, a_second: float) -> None:
-        pass  # connections are not counted here
-
-    def open_connections(self) -> int:
-        return 0
-
-    def server(self, address: str, handler: Handler, body_limit: int = wire.MAX_BODY_BYTES) -> _Listener:
-        return _Listener(self._net, self._host, address, handler, body_limit)
-
-    async def close(self) -> None:
-        pass
-
-
-class _Listener:
-    def __init__(self, net: Net, host: Host, address: str, handler: Handler, limit: int) -> None:
-        self._net, self._host, self._address, self._handler, self._limit = net, host, address, handler, limit
-
-    async def start(self) -> None:
-        self._net.listen(self._address, self._host, self._serve)
-
-    async def close(self) -> None:
-        pass
-
-    async def _serve(self, method: str, path: str, body: Any) -> tuple[int, Any]:
-        try:
-            answer = await self._handler(method, path, _Body(body, self._limit))  # type: ignore[arg-type]
-        except BodyTooLargeError:
-            answer = Answer(413)
-        except wire.InvalidMessageError as error:
-            answer = Answer(400, {"error": str(error)})
-        except asyncio.CancelledError:
-            raise
-        except Exception as error:
-            self._net.loop.errors.append(f"{self._host.name} {method} {path}: {error!r}")
-            answer = Answer(500)
-        value = answer.value
-        after = answer.headers.get("Retry-After")
-        if after is not None and isinstance(value, dict):
-            value = {**value, "retryAfter": int(after)}
-        return answer.status, value
--- /dev/null
+++ b/oatport/simulation/node_network.py
@@ -0,0 +1,102 @@
+"""A node's network in memory (`service.network.Network`): its clients and servers on the simulated network."""
+
+from __future__ import annotations
+
+import asyncio
+from typing import Any
+
+import aiohttp
+
+from oatport import wire
+from oatport.api.server import Answer, BodyTooLargeError, Handler
+from oatport.clients.http import ConnectionReuse
+from oatport.simulation.network import Net
+from oatport.simulation.virtual_time import Host
+
+
+class NodeClient:
+    """What a host asks one address by (`clients.http.Requester`)."""
+
+    def __init__(self, net: Net, host: Host, address: str) -> None:
+        self._net, self._host, self._address = net, host, address
+
+    async def request(
+        self, method: str, path: str, body: Any = None, *, timeout_us: int, query: str = ""
+    ) -> tuple[int, Any]:
+        """Send one request. Raises RequestNotSentError or NoResponseError."""
+        return await self._net.request(self._host, self._address, method, path, body, timeout_us, query)
+
+
+class _Body:
+    """A request's body as `api.server.BodyReader` has it."""
+
+    def __init__(self, value: Any, limit: int) -> None:
+        self._value, self._limit = value, limit
+
+    async def read(self) -> Any:
+        """The decoded body. Raises InvalidMessageError if there is none."""
+        if self._value is None:
+            raise wire.InvalidMessageError("empty")
+        return self._value
+
+
+class NodeNetwork:
+    """A node's network (`service.network.Network`)."""
+
+    def __init__(self, net: Net, host: Host) -> None:
+        self._net, self._host = net, host
+
+    def open(self) -> None:
+        """Nothing to open in memory."""
+
+    @property
+    def session(self) -> aiohttp.ClientSession:
+        """No price feeds in a simulation."""
+        raise NotImplementedError("no price feeds here")
+
+    def client(self, address: str, reuse: ConnectionReuse = ConnectionReuse.KEEP_ALIVE) -> NodeClient:
+        """What this host asks an address by."""
+        return NodeClient(self._net, self._host, address)
+
+    def expect(self, machines: int, a_second: float) -> None:
+        """Connections are not counted here."""
+
+    def open_connections(self) -> int:
+        """Connections are not counted here."""
+        return 0
+
+    def server(self, address: str, handler: Handler, body_limit: int = wire.MAX_BODY_BYTES) -> _Listener:
+        """What serves an address."""
+        return _Listener(self._net, self._host, address, handler, body_limit)
+
+    async def close(self) -> None:
+        """Nothing to close in memory."""
+
+
+class _Listener:
+    def __init__(self, net: Net, host: Host, address: str, handler: Handler, limit: int) -> None:
+        self._net, self._host, self._address, self._handler, self._limit = net, host, address, handler, limit
+
+    async def start(self) -> None:
+        self._net.listen(self._address, self._host, self._serve)
+
+    async def close(self) -> None:
+        pass
+
+    async def _serve(self, method: str, path: str, body: Any) -> tuple[int, Any]:
+        try:
+            answer = await self._handler(method, path, _Body(body, self._limit))  # type: ignore[arg-type]
+        except BodyTooLargeError:
+            answer = Answer(413)
+        except wire.InvalidMessageError as error:
+            answer = Answer(400, {"error": str(error)})
+        except asyncio.CancelledError:
+            raise
+        except Exception as error:
+            self._net.loop.errors.append(f"{self._host.name} {method} {path}: {error!r}")
+            answer = Answer(500)
+        value = answer.value
+        after = answer.headers.get("Retry-After")
+        if after is not None and isinstance(value, dict):
+            value = {**value, "retryAfter": int(after)}
+        return answer.status, value
--- a/oatport/simulation/node_processes.py
+++ b/oatport/simulation/node_processes.py
@@ -9,7 +9,8 @@
 from oatport.settings import ClusterSettings, Tuning
 from oatport.simulation import deployment, production_build
 from oatport.simulation.fault_plan import Plan
-from oatport.simulation.network import ANY_HOST, Net, NodeNetwork
+from oatport.simulation.network import ANY_HOST, Net
+from oatport.simulation.node_network import NodeNetwork
 from oatport.simulation.virtual_time import Host, VirtualLoop
 
 
--- a/oatport/simulation/production_build.py
+++ b/oatport/simulation/production_build.py
@@ -1,4 +1,4 @@
-"""The version in production, beside this one in the same process: real nodes of both in one world.
+"""The version in production, beside this one in the same process: real nodes of both in one simulation.
 
 Its tree comes from the repository's own history (`production` in deploy/service.toml) and is laid under target/. Its
 modules are imported under their own names while this version's are out of the way, and then put aside: each keeps its
@@ -45,9 +45,10 @@
     settings: Any
 
     def make_node(self, settings: Any, network: Net, host: Host, boot: str) -> Any:
+        """A node of that version on a host of this one."""
         host.context.run(self.times.CLOCK.set, host)
         return host.context.run(
-            self.node.Node, settings, self.settings.Tuning(), net=_Network(self, network, host), boot=boot
+            self.node.Node, settings, self.settings.Tuning(), net=_ProductionNetwork(self, network, host), boot=boot
         )
 
 
@@ -70,6 +71,7 @@
 
 
 def production_commit(root: Path = ROOT) -> str:
+    """The commit that deploy/service.toml names as in production. Raises HistoryUnavailableError."""
     try:
         value = tomllib.loads((root / "deploy" / "service.toml").read_text(encoding="utf-8"))
         return str(value["production"])
@@ -117,7 +119,7 @@
 
 @cache
 def production(root: Path = ROOT) -> Build:
-    """Import it. Raises NoHistory."""
+    """Import the version in production. Raises HistoryUnavailableError."""
     tree = unpack_production_tree(root)
     own = {name: module for name, module in sys.modules.items() if name == PACKAGE or name.startswith(PACKAGE + ".")}
     for name in own:
@@ -141,8 +143,8 @@
     return build
 
 
-class _Client:
-    """Asks over this version's network; errors are the other version's own."""
+class _ProductionClient:
+    """Sends requests over this version's network; errors are the other version's own."""
 
     def __init__(self, build: Build, inner: Any) -> None:
         self._build, self._inner = build, inner
@@ -156,15 +158,15 @@
             raise self._build.http.NoAnswer(str(error)) from None
 
 
-class _Network:
-    """The other version's node on this world's network."""
+class _ProductionNetwork:
+    """The network as a node of the other version has it."""
 
     def __init__(self, build: Build, net: Net, host: Host) -> None:
         self._build = build
         self._inner = build.net.NodeNetwork(net, host)
 
-    def client(self, address: str, reuse: ConnectionReuse = ConnectionReuse.KEEP_ALIVE) -> _Client:
-        return _Client(self._build, self._inner.client(address))
+    def client(self, address: str, reuse: ConnectionReuse = ConnectionReuse.KEEP_ALIVE) -> _ProductionClient:
+        return _ProductionClient(self._build, self._inner.client(address))
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self._inner, name)
