--- a/oatport/api/job_api.py
+++ b/oatport/api/job_api.py
@@ -16,7 +16,8 @@
 from oatport.control.limits.rate_limiter import AdaptiveRateLimiter
 from oatport.control.queueing.dependency_tracker import named
 from oatport.control.state.capacity import feasible_machine_types
-from oatport.control.state.job import JobKind, job_record
+from oatport.control.state.job import JobKind
+from oatport.control.storage.job_records import encode_submission
 from oatport.control.storage.keys import cancel_key, job_key
 from oatport.control.storage.overflow_records import split_overflow
 from oatport.settings import Settings
@@ -175,7 +176,7 @@
         best_effort = self._is_best_effort(submission)
         if best_effort and not (self._batcher.has_capacity_for_best_effort() and self._best_effort_share.try_acquire()):
             return retry_later(BEST_EFFORT_RETRY_S)  # the others' submissions and the leader's bindings go first
-        record = job_record(submission, time_of_day(), wire.JobStatus.QUEUED)
+        record = encode_submission(submission, time_of_day(), wire.JobStatus.QUEUED)
         record, overflow = split_overflow(record, self._max_value_bytes)
         if overflow and not await self._batcher.write_overflow(job_id, overflow):
             return retry_later()
