--- a/oatport/simulation/node_network.py
+++ b/oatport/simulation/node_network.py
@@ -8,7 +8,7 @@
 import aiohttp
 
 from oatport import wire
-from oatport.api.server import BodyTooLargeError, Handler
+from oatport.api.server import BodyTooLargeError, Handler, Response
 from oatport.clients.http import ConnectionReuse
 from oatport.simulation.network import Net
 from oatport.simulation.virtual_time import Host
