--- a/oatport/control/storage/schema_version.py
+++ b/oatport/control/storage/schema_version.py
@@ -16,10 +16,6 @@
 SCHEMA_VERSION = 2
 
 
-def answer(name: str, boot: str) -> list[Any]:
-    return ["formats", name, boot, SCHEMA_VERSION]
-
-
 def recorded_version(value: Any) -> int:
     """What the record says that all nodes read; 1 if there is none."""
     try:
@@ -30,23 +26,16 @@
 
 @dataclass(slots=True)
 class SchemaVersionGate:
-    """Opens when all configured nodes answered twice in a row, with the same boots, that they read `READS`."""
+    """Opens when all configured nodes answered twice in a row, with the same boots, that they read `SCHEMA_VERSION`."""
 
     nodes: Collection[str]
     _before: dict[str, str] = field(default_factory=dict)
 
-    def on_replies(self, answers: Collection[Any]) -> bool:
-        """The answers of one round, one's own among them; what is none does not count."""
-        boots: dict[str, str] = {}
-        for row in answers:
-            if (
-                isinstance(row, list)
-                and len(row) >= 4
-                and row[0] == "formats"
-                and isinstance(row[3], int)
-                and row[3] >= SCHEMA_VERSION
-            ):
-                boots[str(row[1])] = str(row[2])
+    def on_round(self, boots: dict[str, str]) -> bool:
+        """One round of questions is answered; does the gate open?
+
+        `boots`: the nodes that read this version, this one among them, and the boot of each.
+        """
         complete = boots.keys() == set(self.nodes)
         opens = complete and boots == self._before
         self._before = boots if complete else {}
--- a/oatport/peer_codec.py
+++ b/oatport/peer_codec.py
@@ -71,8 +71,3 @@
 
 def any_reply(reply: PeerArray) -> None:
     """Decoder for requests whose reply says nothing beyond that they arrived."""
-
-
-def undecoded(reply: PeerArray) -> PeerArray:
-    """Decoder for replies that are checked elsewhere."""
-    return reply
--- a/oatport/peer_messages.py
+++ b/oatport/peer_messages.py
@@ -230,13 +230,20 @@
 class SchemaVersionReply(PeerMessage, frozen=True, tag="formats"):
     """The schema version that a process reads; `boot_id` tells it from earlier processes of the same node.
 
-    It is checked by `control.storage.schema_version.SchemaVersionGate`.
+    Versions before 0.7 don't answer.
     """
 
     node_name: str
     boot_id: str
     schema_version: int
 
+    @classmethod
+    def decode(cls, message: PeerArray) -> SchemaVersionReply:
+        """["formats", node, boot, version]; further elements are ignored."""
+        if len(message) < 4 or not isinstance(message[3], int):
+            raise ValueError("not a schema version")
+        return cls(str(message[1]), str(message[2]), message[3])
+
 
 # --- leases and cancellations ----------------------------------------------------------------
 
--- a/oatport/service/schema_version_controller.py
+++ b/oatport/service/schema_version_controller.py
@@ -5,13 +5,13 @@
 import asyncio
 import contextlib
 import logging
+from collections.abc import Iterable
 
 from oatport.clients.http import NoResponseError, RequestRefusedError, jitter
 from oatport.clients.state import Applied
 from oatport.control.storage import schema_version
 from oatport.control.storage.keys import LEADER_KEY, SCHEMA_VERSION_KEY
-from oatport.peer_codec import undecoded
-from oatport.peer_messages import SchemaVersionRequest
+from oatport.peer_messages import SchemaVersionReply, SchemaVersionRequest
 from oatport.service.leader_context import LeaderContext
 from oatport.times import SECOND
 
@@ -20,6 +20,15 @@
 ASK_INTERVAL = SECOND
 
 
+def current_boots(replies: Iterable[SchemaVersionReply | BaseException]) -> dict[str, str]:
+    """Nodes that read this version's records, and the boot of each; what is no answer does not count."""
+    return {
+        reply.node_name: reply.boot_id
+        for reply in replies
+        if not isinstance(reply, BaseException) and reply.schema_version >= schema_version.SCHEMA_VERSION
+    }
+
+
 class SchemaVersionController:
     """Asks all nodes for a leader, until it is recorded that they read this version's records."""
 
@@ -36,11 +45,11 @@
         gate = schema_version.SchemaVersionGate([node.node_name, *node.peers])
         while not leader.stopped and not leader.cluster.writes.layout.parts:
             replies = await asyncio.gather(
-                *(peer.ask(SchemaVersionRequest(), undecoded) for peer in node.peers.values()),
+                *(peer.ask(SchemaVersionRequest(), SchemaVersionReply.decode_reply) for peer in node.peers.values()),
                 return_exceptions=True,
             )
-            own = schema_version.answer(node.node_name, node.boot_id)
-            if gate.on_replies([own, *(reply for reply in replies if not isinstance(reply, BaseException))]):
+            own = SchemaVersionReply(node.node_name, node.boot_id, schema_version.SCHEMA_VERSION)
+            if gate.on_round(current_boots([own, *replies])):
                 # Outcome unknown: the next round finds what is recorded.
                 with contextlib.suppress(NoResponseError, RequestRefusedError):
                     await self.open_gate(gate)
--- a/oatport/simulation/mutations.py
+++ b/oatport/simulation/mutations.py
@@ -162,7 +162,7 @@
 
 def _feature_gate() -> list[Any]:
     """New formats are written before all nodes are known to read them."""
-    return [patch.object(SchemaVersionGate, "on_replies", lambda self, answers: True)]
+    return [patch.object(SchemaVersionGate, "on_round", lambda self, boots: True)]
 
 
 def _record_size() -> list[Any]:
--- a/tests/test_schema_versions.py
+++ b/tests/test_schema_versions.py
@@ -15,12 +15,13 @@
 from oatport.control.storage.keys import FLEET, LIVE, SCHEMA_VERSION_KEY, blocked_key, live_key
 from oatport.control.storage.overflow_records import is_accepted_as_blocked, split_overflow, with_overflow
 from oatport.control.storage.record_layout import RecordLayout
-from oatport.control.storage.schema_version import SCHEMA_VERSION, SchemaVersionGate, answer
+from oatport.control.storage.schema_version import SCHEMA_VERSION, SchemaVersionGate
 from oatport.control.storage.write_buffer import WriteBatch
-from oatport.peer_codec import undecoded
-from oatport.peer_messages import SchemaVersionRequest
+from oatport.peer_codec import MalformedReplyError, PeerArray, decode_reply
+from oatport.peer_messages import SchemaVersionReply, SchemaVersionRequest
 from oatport.service.catalog import RecordedCatalog, read_types, type_values, write_types
 from oatport.service.leader import Leader
+from oatport.service.schema_version_controller import current_boots
 from oatport.settings import NextLimits, StateLimits, Team
 from oatport.simulation.state_service import KeyStore
 from oatport.sizes import json_size
@@ -222,12 +223,28 @@
 # --- the gate ---------------------------------------------------------------------------------------
 
 
+def answer(name: str, boot: str) -> PeerArray:
+    """What a node of this version replies."""
+    return SchemaVersionReply(name, boot, SCHEMA_VERSION).encode()
+
+
+def boots(rows: list[PeerArray]) -> dict[str, str]:
+    """What a round of replies shows."""
+    replies: list[SchemaVersionReply | BaseException] = []
+    for row in rows:
+        try:
+            replies.append(decode_reply(row, SchemaVersionReply.decode_reply))
+        except MalformedReplyError as error:
+            replies.append(error)
+    return current_boots(replies)
+
+
 def test_the_gate_opens_when_the_same_processes_of_all_nodes_answered_twice() -> None:
     gate = SchemaVersionGate(["n0", "n1"])
     both = [answer("n0", "a"), answer("n1", "b")]
-    assert not gate.on_replies(both)
-    assert gate.on_replies(both)
-    assert not SchemaVersionGate(["n0", "n1"]).on_replies([*both, answer("n0", "a")])
+    assert not gate.on_round(boots(both))
+    assert gate.on_round(boots(both))
+    assert not SchemaVersionGate(["n0", "n1"]).on_round(boots([*both, answer("n0", "a")]))
 
 
 @pytest.mark.parametrize(
@@ -242,16 +259,18 @@
 )
 def test_the_gate_stays_shut(second: list[Any]) -> None:
     gate = SchemaVersionGate(["n0", "n1"])
-    gate.on_replies([answer("n0", "a"), answer("n1", "b")])
-    assert not gate.on_replies(second)
-    assert not gate.on_replies([answer("n0", "a"), answer("n1", "c")]) or second[-1][2] == "c"
+    gate.on_round(boots([answer("n0", "a"), answer("n1", "b")]))
+    assert not gate.on_round(boots(second))
+    assert not gate.on_round(boots([answer("n0", "a"), answer("n1", "c")])) or second[-1][2] == "c"
 
 
 async def rounds(lead: Leader, times: int) -> None:
     gate = SchemaVersionGate([lead.node.node_name, *lead.node.peers])
     for _ in range(times):
-        rows = [await peer.ask(SchemaVersionRequest(), undecoded) for peer in lead.node.peers.values()]
-        if gate.on_replies([answer(lead.node.node_name, lead.node.boot_id), *rows]):
+        own = SchemaVersionReply(lead.node.node_name, lead.node.boot_id, SCHEMA_VERSION)
+        peers = lead.node.peers.values()
+        replies = [await peer.ask(SchemaVersionRequest(), SchemaVersionReply.decode_reply) for peer in peers]
+        if gate.on_round(current_boots([own, *replies])):
             await lead.schema_version_controller.open_gate(gate)
 
 
