--- a/oatport/control/scaling/scale_in.py
+++ b/oatport/control/scaling/scale_in.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
+from dataclasses import dataclass, field
 
 from oatport.control.leadership.failure_detection import is_isolated
 from oatport.control.queueing.tier_router import SPOT
@@ -39,6 +39,14 @@
         return self.machine.price / self.machine.type.cpus, -self.used_cpus
 
 
+@dataclass(slots=True)
+class OwnedMachines:
+    """Owned machines by whether their work needs one."""
+
+    spare_cpus: float = 0.0  # for more such work, on machines with work that needs an owned one
+    optional: list[OptionalMachine] = field(default_factory=list)  # in the order in which they are kept
+
+
 @dataclass(slots=True)
 class ReleaseBudget:
     """CPUs of owned machines that are free, and of those the ones to keep."""
@@ -71,8 +79,8 @@
         """
         cordoned_before = [m for m in self.cluster.machines.values() if m.cordoned_for_scale_in]
         need = self._capacity_need()
-        owned_cpus, optional = self._uncordon_fixed(self._owned_machines())
-        self._cordon_optional(optional, owned_cpus, need)
+        owned = self._uncordon_needed(self._owned_machines())
+        self._cordon_optional(owned, need)
         return any(not machine.cordoned_for_scale_in and not machine.removed for machine in cordoned_before)
 
     def _capacity_need(self) -> CapacityNeed:
@@ -103,29 +111,25 @@
         ]
 
     @staticmethod
-    def _uncordon_fixed(owned: list[Machine]) -> tuple[float, list[OptionalMachine]]:
-        """Uncordon machines with work that needs an owned one.
-
-        Returns the CPUs that those have for more such work, and the other machines in the order in which they are kept.
-        """
-        owned_cpus = 0.0
-        optional: list[OptionalMachine] = []
-        for machine in owned:
-            fixed = sum(t.job.spec.cpus for t in machine.tasks if not t.job.spec.spot or t.job.tier != SPOT)
-            if not fixed:
-                used = sum(t.job.spec.cpus for t in machine.tasks if t.job.priority_rank != IDLE_RANK)
-                optional.append(OptionalMachine(machine, used))
+    def _uncordon_needed(machines: list[Machine]) -> OwnedMachines:
+        """Uncordon machines with work that needs an owned one."""
+        owned = OwnedMachines()
+        for machine in machines:
+            fixed_cpus = sum(t.job.spec.cpus for t in machine.tasks if not t.job.spec.spot or t.job.tier != SPOT)
+            if not fixed_cpus:
+                used_cpus = sum(t.job.spec.cpus for t in machine.tasks if t.job.priority_rank != IDLE_RANK)
+                owned.optional.append(OptionalMachine(machine, used_cpus))
             elif not machine.draining_replicas:
-                owned_cpus += machine.type.cpus - fixed
+                owned.spare_cpus += machine.type.cpus - fixed_cpus
                 machine.cordoned_for_scale_in = False
-        optional.sort(key=OptionalMachine.retention_key)
-        return owned_cpus, optional
+        owned.optional.sort(key=OptionalMachine.retention_key)
+        return owned
 
     @staticmethod
-    def _cordon_optional(optional: list[OptionalMachine], owned_cpus: float, need: CapacityNeed) -> None:
+    def _cordon_optional(owned: OwnedMachines, need: CapacityNeed) -> None:
         """Keep as many of these machines as owned ones are needed; cordon the rest if spot can take their work."""
-        free_spot = need.free_spot
-        for candidate in optional:
+        owned_cpus, free_spot = owned.spare_cpus, need.free_spot
+        for candidate in owned.optional:
             machine = candidate.machine
             if owned_cpus < need.owned:
                 owned_cpus += machine.type.cpus
