--- a/oatport/service/group_commit.py
+++ b/oatport/service/group_commit.py
@@ -11,7 +11,7 @@
 from oatport.clients.state import Applied
 from oatport.clients.token_bucket import TokenBucket
 from oatport.control.storage.keys import ACCEPT_KEYS, JOBS, LEADER_KEY, job_key
-from oatport.control.storage.write_buffer import WriteBatch
+from oatport.control.storage.write_batch import WriteBatch
 from oatport.service.leader_context import LeaderContext
 from oatport.times import MS, SECOND, seconds, steady
 
--- a/tests/cluster_fixture.py
+++ b/tests/cluster_fixture.py
@@ -33,7 +33,7 @@
     live_key,
 )
 from oatport.control.storage.recovery import load_cluster
-from oatport.control.storage.write_buffer import WriteBatch
+from oatport.control.storage.write_batch import WriteBatch
 from oatport.settings import (
     CloudLimits,
     ClusterSettings,
--- a/tests/test_limits_properties.py
+++ b/tests/test_limits_properties.py
@@ -11,7 +11,7 @@
 
 from oatport import wire
 from oatport.control.state.completions import Completion
-from oatport.control.storage.write_buffer import WriteBatch
+from oatport.control.storage.write_batch import WriteBatch
 from oatport.settings import Team
 from oatport.simulation.worker import Worker
 from oatport.times import SECOND
--- a/tests/test_node_failures.py
+++ b/tests/test_node_failures.py
@@ -17,7 +17,7 @@
 from oatport.control.storage.fleet_records import recorded_machine_types
 from oatport.control.storage.keys import CATALOG_KEY, LEADER_KEY
 from oatport.control.storage.recovery import UnknownMachineTypeError, load_cluster
-from oatport.control.storage.write_buffer import WriteBatch
+from oatport.control.storage.write_batch import WriteBatch
 from oatport.peer_messages import PeerArray, PeerMessage, any_reply, decode_reply
 from oatport.service.background_tasks import BackgroundTasks
 from oatport.service.leader import Leader
--- a/tests/test_schema_versions.py
+++ b/tests/test_schema_versions.py
@@ -16,7 +16,7 @@
 from oatport.control.storage.overflow_records import is_accepted_as_blocked, split_overflow, with_overflow
 from oatport.control.storage.record_layout import RecordLayout
 from oatport.control.storage.schema_version import SCHEMA_VERSION, SchemaVersionGate, answer
-from oatport.control.storage.write_buffer import WriteBatch
+from oatport.control.storage.write_batch import WriteBatch
 from oatport.peer_messages import SchemaVersionRequest, undecoded
 from oatport.service.catalog import RecordedCatalog, read_types, type_values, write_types
 from oatport.service.leader import Leader
--- a/tests/test_task_locations.py
+++ b/tests/test_task_locations.py
@@ -14,7 +14,7 @@
 from oatport.control.state.completions import LEADS_MOST, ROWS_MOST, CompletionLog, parse
 from oatport.control.state.task import TaskPhase
 from oatport.control.storage.keys import blocked_key, job_key, live_key
-from oatport.control.storage.write_buffer import WriteBatch
+from oatport.control.storage.write_batch import WriteBatch
 from oatport.peer_messages import JobAccepted, PeerArray, PeerMessage, any_reply, decode_reply
 from oatport.service.leader_context import EarlierCompletions
 from oatport.service.node import Node
