--- a/tests/test_peer_messages.py
+++ b/tests/test_peer_messages.py
@@ -12,6 +12,7 @@
 from oatport.api.peer_api import PeerApi
 from oatport.clients.http import ConnectionReuse
 from oatport.clients.peer import PeerClient, UnexpectedReplyError
+from oatport.peer_codec import MalformedReplyError, PeerMessage
 from oatport.peer_messages import (
     CancellationWatermark,
     CancellationWatermarkRequest,
@@ -27,10 +28,8 @@
     JobProgressUpdate,
     LeaseProxyState,
     LeaseProxyStateRequest,
-    MalformedReplyError,
     No,
     Ok,
-    PeerMessage,
     Ping,
     Pong,
     ProbeResult,
@@ -91,7 +90,7 @@
 
 @pytest.mark.parametrize(("message", "array"), ARRAYS, ids=lambda value: str(value)[:40])
 def test_each_message_is_read_back_as_it_was_sent(message: PeerMessage, array: list[Any]) -> None:
-    if not isinstance(message, SchemaVersionReply | ConfirmedCancellationsReply):  # these are decoded elsewhere
+    if not isinstance(message, ConfirmedCancellationsReply):  # which is decoded elsewhere
         assert type(message).decode(wire.decode(wire.encode(array))) == message
 
 
