--- a/tests/test_schema_versions.py
+++ b/tests/test_schema_versions.py
@@ -9,16 +9,19 @@
 
 from oatport import wire
 from oatport.control.queueing.runtime_predictor import RuntimePredictor
-from oatport.control.state.job import Job, job_record
+from oatport.control.state.job import Job
 from oatport.control.state.task import TaskPhase
+from oatport.control.storage.job_records import encode_job, encode_submission
 from oatport.control.storage.keys import FLEET, LIVE, SCHEMA_VERSION_KEY, blocked_key, live_key
 from oatport.control.storage.overflow_records import is_accepted_as_blocked, split_overflow, with_overflow
 from oatport.control.storage.record_layout import RecordLayout
-from oatport.control.storage.schema_version import SCHEMA_VERSION, SchemaVersionGate, answer
+from oatport.control.storage.schema_version import SCHEMA_VERSION, SchemaVersionGate
 from oatport.control.storage.write_buffer import WriteBatch
-from oatport.peer_messages import SchemaVersionRequest, undecoded
+from oatport.peer_codec import MalformedReplyError, PeerArray, decode_reply
+from oatport.peer_messages import SchemaVersionReply, SchemaVersionRequest
 from oatport.service.catalog import RecordedCatalog, read_types, type_values, write_types
 from oatport.service.leader import Leader
+from oatport.service.schema_version_controller import current_boots
 from oatport.settings import NextLimits, StateLimits, Team
 from oatport.simulation.state_service import KeyStore
 from oatport.sizes import json_size
@@ -163,11 +166,11 @@
 
 def test_long_lists_lie_in_records_of_their_own() -> None:
     spec = wire.decode_submission(job("j-1", waitsOn=[f"j-{i:06d}" for i in range(2, 1002)]))
-    record, parts = split_overflow(job_record(spec, 5, wire.JobStatus.QUEUED), 2048)
+    record, parts = split_overflow(encode_submission(spec, 5, wire.JobStatus.QUEUED), 2048)
     assert json_size(record) <= 2048 - 300
     assert all(json_size(part) <= 2048 for part in parts)
     assert with_overflow(record, parts)["job"]["waitsOn"] == spec.dependencies
-    assert split_overflow(job_record(spec, 5, wire.JobStatus.QUEUED), 32 * 1024)[1] == []
+    assert split_overflow(encode_submission(spec, 5, wire.JobStatus.QUEUED), 32 * 1024)[1] == []
 
 
 def test_the_predictor_is_recorded_in_parts_that_can_be_read_alone() -> None:
@@ -220,12 +223,28 @@
 # --- the gate ---------------------------------------------------------------------------------------
 
 
+def answer(name: str, boot: str) -> PeerArray:
+    """What a node of this version replies."""
+    return SchemaVersionReply(name, boot, SCHEMA_VERSION).encode()
+
+
+def boots(rows: list[PeerArray]) -> dict[str, str]:
+    """What a round of replies shows."""
+    replies: list[SchemaVersionReply | BaseException] = []
+    for row in rows:
+        try:
+            replies.append(decode_reply(row, SchemaVersionReply.decode_reply))
+        except MalformedReplyError as error:
+            replies.append(error)
+    return current_boots(replies)
+
+
 def test_the_gate_opens_when_the_same_processes_of_all_nodes_answered_twice() -> None:
     gate = SchemaVersionGate(["n0", "n1"])
     both = [answer("n0", "a"), answer("n1", "b")]
-    assert not gate.on_replies(both)
-    assert gate.on_replies(both)
-    assert not SchemaVersionGate(["n0", "n1"]).on_replies([*both, answer("n0", "a")])
+    assert not gate.on_round(boots(both))
+    assert gate.on_round(boots(both))
+    assert not SchemaVersionGate(["n0", "n1"]).on_round(boots([*both, answer("n0", "a")]))
 
 
 @pytest.mark.parametrize(
@@ -240,16 +259,18 @@
 )
 def test_the_gate_stays_shut(second: list[Any]) -> None:
     gate = SchemaVersionGate(["n0", "n1"])
-    gate.on_replies([answer("n0", "a"), answer("n1", "b")])
-    assert not gate.on_replies(second)
-    assert not gate.on_replies([answer("n0", "a"), answer("n1", "c")]) or second[-1][2] == "c"
+    gate.on_round(boots([answer("n0", "a"), answer("n1", "b")]))
+    assert not gate.on_round(boots(second))
+    assert not gate.on_round(boots([answer("n0", "a"), answer("n1", "c")])) or second[-1][2] == "c"
 
 
 async def rounds(lead: Leader, times: int) -> None:
     gate = SchemaVersionGate([lead.node.node_name, *lead.node.peers])
     for _ in range(times):
-        rows = [await peer.ask(SchemaVersionRequest(), undecoded) for peer in lead.node.peers.values()]
-        if gate.on_replies([answer(lead.node.node_name, lead.node.boot_id), *rows]):
+        own = SchemaVersionReply(lead.node.node_name, lead.node.boot_id, SCHEMA_VERSION)
+        peers = lead.node.peers.values()
+        replies = [await peer.ask(SchemaVersionRequest(), SchemaVersionReply.decode_reply) for peer in peers]
+        if gate.on_round(current_boots([own, *replies])):
             await lead.schema_version_controller.open_gate(gate)
 
 
@@ -343,10 +364,10 @@
 async def test_a_job_whose_types_lie_apart_is_taken_up_from_where_it_was_accepted() -> None:
     """It names nobody, and lies under waits/ all the same: taken as lying under live/, its claim failed for ever."""
     spec = wire.decode_submission(job("j-000001", berthKinds=["m8", *(f"kind-{number:050d}" for number in range(40))]))
-    record, parts = split_overflow(job_record(spec, 5, wire.JobStatus.QUEUED), 2048)
+    record, parts = split_overflow(encode_submission(spec, 5, wire.JobStatus.QUEUED), 2048)
     assert parts
     assert is_accepted_as_blocked(record)
-    assert not is_accepted_as_blocked(job_record(wire.decode_submission(job()), 5, wire.JobStatus.QUEUED))
+    assert not is_accepted_as_blocked(encode_submission(wire.decode_submission(job()), 5, wire.JobStatus.QUEUED))
     lead, _, _ = leader(KeyStore(lambda: 0))
     lead.job_watch.admit("j-000001", with_overflow(record, parts), 7)
     taken = lead.cluster.jobs["j-000001"]
@@ -354,4 +375,4 @@
     assert taken in lead.cluster.pending
     assert lead.cluster.writes.versions[blocked_key("j-000001")] == 7
     assert live_key("j-000001") not in lead.cluster.writes.versions
-    assert taken.record(wire.JobStatus.COMPLETED)["job"] == record["job"]
+    assert encode_job(taken, wire.JobStatus.COMPLETED)["job"] == record["job"]
