--- a/oatport/control/state/cancellations.py
+++ b/oatport/control/state/cancellations.py
@@ -41,16 +41,6 @@
     refs: list[str]
     whole_us: int
 
-    @classmethod
-    def of(cls, message: object) -> ConfirmedCancellations:
-        """From ["told", for how long back, [ref, ...]]. Raises ValueError for anything else: that proves nothing."""
-        match message:
-            case ["told", int() as whole_us, list() as refs, *_] if not isinstance(whole_us, bool) and all(
-                isinstance(ref, str) for ref in refs
-            ):
-                return cls(refs, whole_us)
-        raise ValueError("not what was told")
-
     def covers(self, since: int, asked: int, answered: int) -> bool:
         """Nothing that this node told after `since` is missing. All three by the asker's steady clock (us).
 
--- a/oatport/peer_messages.py
+++ b/oatport/peer_messages.py
@@ -304,12 +304,22 @@
 class ConfirmedCancellationsReply(PeerMessage, frozen=True, tag="told"):
     """Those jobs, and for how long back that is all.
 
-    It is decoded by `control.state.cancellations.ConfirmedCancellations.of`.
+    A strange reply must not pass for one that lists no cancellation, so every element is checked.
     """
 
     complete_us: int
     job_ids: list[str]
 
+    @classmethod
+    def decode(cls, message: PeerArray) -> ConfirmedCancellationsReply:
+        """["told", complete for, [job, ...]]; further elements are ignored."""
+        match message:
+            case ["told", int() as complete_us, list() as job_ids, *_] if not isinstance(complete_us, bool) and all(
+                isinstance(job_id, str) for job_id in job_ids
+            ):
+                return cls(complete_us, job_ids)
+        raise ValueError("not what was told")
+
 
 # --- completions that no record has yet --------------------------------------------------------
 
--- a/oatport/service/peer_notifications.py
+++ b/oatport/service/peer_notifications.py
@@ -117,7 +117,7 @@
         asked_at, since = steady(), leader.lease_renewal_limit.known_at
         request = ConfirmedCancellationsRequest(asked_at - since)
         replies = await asyncio.gather(
-            *(peer.ask(request, ConfirmedCancellations.of) for peer in self._node.peers.values()),
+            *(peer.ask(request, ConfirmedCancellationsReply.decode) for peer in self._node.peers.values()),
             return_exceptions=True,
         )
         answered_at = steady()
@@ -125,14 +125,16 @@
             return
         complete = True
         job_ids: dict[str, None] = {}
-        for reply in (self.confirmed_cancellations.since(steady(), answered_at - since), *replies):
+        own = self.confirmed_cancellations.since(steady(), answered_at - since)
+        for reply in (ConfirmedCancellationsReply(own.whole_us, own.refs), *replies):
             if isinstance(reply, NoResponseError | MalformedReplyError):
                 complete = False  # it can't be asked, is of an earlier version, or says something strange
                 continue
             if isinstance(reply, BaseException):
                 raise reply
-            job_ids |= dict.fromkeys(reply.refs)
-            complete = complete and reply.covers(since, asked_at, answered_at)
+            job_ids |= dict.fromkeys(reply.job_ids)
+            confirmed = ConfirmedCancellations(reply.job_ids, reply.complete_us)
+            complete = complete and confirmed.covers(since, asked_at, answered_at)
         for job_id in job_ids:
             leader.on_job_hint(JobCancelled(job_id, None, 0))
         if complete:
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -21,6 +21,7 @@
 from oatport.control.state.machine import Machine
 from oatport.control.storage.keys import cancel_key, job_key
 from oatport.peer_codec import PeerArray, PeerMessage, decode_reply
+from oatport.peer_messages import ConfirmedCancellationsReply
 from oatport.service.node import Node
 from oatport.service.peer_notifications import RECORDS_ARE_STALE
 from oatport.settings import Tuning
@@ -115,7 +116,7 @@
 )
 def test_a_strange_answer_proves_nothing(answer: object) -> None:
     with pytest.raises(ValueError, match="not what was told"):
-        ConfirmedCancellations.of(answer)
+        ConfirmedCancellationsReply.decode(answer)  # type: ignore[arg-type]
 
 
 def test_a_lease_renewed_at_the_bound_ends_before_a_cancellation_told_after_the_moment_must_be_carried_out() -> None:
--- a/tests/test_peer_messages.py
+++ b/tests/test_peer_messages.py
@@ -90,8 +90,7 @@
 
 @pytest.mark.parametrize(("message", "array"), ARRAYS, ids=lambda value: str(value)[:40])
 def test_each_message_is_read_back_as_it_was_sent(message: PeerMessage, array: list[Any]) -> None:
-    if not isinstance(message, ConfirmedCancellationsReply):  # which is decoded elsewhere
-        assert type(message).decode(wire.decode(wire.encode(array))) == message
+    assert type(message).decode(wire.decode(wire.encode(array))) == message
 
 
 @pytest.mark.parametrize("line", REPLIES.read_text(encoding="utf-8").splitlines(), ids=lambda line: line[:40])
