--- a/oatport/cli.py
+++ b/oatport/cli.py
@@ -9,17 +9,23 @@
 import logging
 import os
 import sys
+from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
-from oatport import __version__
+from oatport import __version__, wire
 from oatport.lab.cli import add as add_lab
 from oatport.lab.cli import run as run_lab
-from oatport.settings import SettingsError, load, load_tuning
+from oatport.settings import SettingsError, load_settings, load_tuning
+from oatport.times import SECOND
 
 if TYPE_CHECKING:
     from oatport.control.placement.retry_policy import RetryPolicies
     from oatport.windows.settings import WindowSettings
 
+CONNECTIONS = 64  # of one command
+TIMEOUT = 5 * SECOND  # of a request to a node
+EXIT_REFUSED, EXIT_FAILED, EXIT_INTERRUPTED = 1, 2, 130
+
 LEVELS = {"error": logging.ERROR, "warning": logging.WARNING, "info": logging.INFO, "debug": logging.DEBUG}
 
 
@@ -56,6 +62,7 @@
 
 
 def set_up_logging() -> None:
+    """Log to the standard error, at the level that $LOG_LEVEL names. Raises SettingsError."""
     name = os.environ.get("LOG_LEVEL", "info").lower()
     level = LEVELS.get(name)
     if level is None:
@@ -67,86 +74,109 @@
     logging.getLogger("aiohttp").setLevel(max(level, logging.WARNING))
 
 
-def load_windows(tuning: str | None) -> WindowSettings | None:
+def _load_windows(tuning: str | None) -> WindowSettings | None:
     if tuning is None:
         return None
-    from oatport.windows.settings import load as load_section
+    from oatport.windows.settings import load
 
-    return load_section(tuning)
+    return load(tuning)
 
 
-def load_repeats(tuning: str | None) -> RetryPolicies:
+def _load_retry_policies(tuning: str | None) -> RetryPolicies:
     from oatport.control.placement.retry_policy import load_retry_policies
 
     return load_retry_policies(tuning)
 
 
-def serve(config: str, tuning: str | None) -> int:
-    settings, own = load(config), load_tuning(tuning)
-    windows = load_windows(tuning)
+def _serve(arguments: argparse.Namespace) -> int:
+    settings = load_settings(arguments.file if arguments.command else arguments.config)
+    tuning = load_tuning(arguments.tuning)
+    windows = _load_windows(arguments.tuning)
     set_up_logging()
     from oatport.service.node import Node
 
-    repeats = load_repeats(tuning)
+    retry_policies = _load_retry_policies(arguments.tuning)
 
     # What was imported lives as long as the process: keep the collector off it.
     gc.collect()
     gc.freeze()
-    asyncio.run(Node(settings, own, windows, repeats).run())
+    asyncio.run(Node(settings, tuning, windows, retry_policies).run())
+    return 0
+
+
+def _check(arguments: argparse.Namespace) -> int:
+    load_settings(arguments.file)
+    load_tuning(arguments.tuning)
+    _load_windows(arguments.tuning)
+    _load_retry_policies(arguments.tuning)
+    print(f"{arguments.file}: ok")
     return 0
 
 
+def _submit(arguments: argparse.Namespace) -> int:
+    with sys.stdin if arguments.file == "-" else open(arguments.file, encoding="utf-8") as source:
+        job = json.load(source)
+    return asyncio.run(_call(arguments.node, "POST", wire.SUBMISSIONS_PATH, job))
+
+
+def _show(arguments: argparse.Namespace) -> int:
+    return asyncio.run(_call(arguments.node, "GET", f"{wire.SUBMISSIONS_PATH}/{arguments.ref}"))
+
+
+def _cancel(arguments: argparse.Namespace) -> int:
+    return asyncio.run(_call(arguments.node, "POST", f"{wire.SUBMISSIONS_PATH}/{arguments.ref}/cancel"))
+
+
 async def _call(node: str, method: str, path: str, body: Any = None) -> int:
+    """Print a node's response as JSON."""
     from oatport.clients.http import HttpClient, NoResponseError, make_session
-    from oatport.times import SECOND
 
-    session = make_session(64)
+    session = make_session(CONNECTIONS)
     try:
-        status, value = await HttpClient(session, node).request(method, path, body, timeout_us=5 * SECOND)
+        status, value = await HttpClient(session, node).request(method, path, body, timeout_us=TIMEOUT)
     except NoResponseError as error:
-        print(f"oatport: {node}: no answer: {error}", file=sys.stderr)
-        return 2
+        return _fail(f"{node}: no answer: {error}")
     finally:
         await session.close()
     print(json.dumps(value))
     if status >= 400:
-        print(f"oatport: {node} answered {status}", file=sys.stderr)
-        return 1
+        return _fail(f"{node} answered {status}", EXIT_REFUSED)
     return 0
 
 
-async def _explain(node: str, ref: str) -> int:
+def _explain(arguments: argparse.Namespace) -> int:
+    return asyncio.run(_explain_job(arguments.node, arguments.ref))
+
+
+async def _explain_job(node: str, job_id: str) -> int:
     from oatport.clients.http import HttpConnector, NoResponseError, make_session
     from oatport.clients.peer import PeerClient
     from oatport.peer_messages import ExplainJob, No, decode_explanation
-    from oatport.times import SECOND
 
-    session = make_session(64)
+    session = make_session(CONNECTIONS)
     try:
         client = PeerClient(HttpConnector(session), node, node)
-        answer = await client.ask(ExplainJob(ref), decode_explanation, timeout_us=5 * SECOND)
+        answer = await client.ask(ExplainJob(job_id), decode_explanation, timeout_us=TIMEOUT)
     except (NoResponseError, ValueError) as error:
-        print(f"oatport: {node}: no answer: {error}", file=sys.stderr)
-        return 2
+        return _fail(f"{node}: no answer: {error}")
     finally:
         await session.close()
     if isinstance(answer, No):
-        print(f"oatport: {node}: {answer.reason}", file=sys.stderr)
-        return 1
+        return _fail(f"{node}: {answer.reason}", EXIT_REFUSED)
     print(json.dumps(answer.explanation, indent=2))
     return 0
 
 
-def _run_gateway(path: str, only_check: bool) -> int:
+def _queues(arguments: argparse.Namespace) -> int:
+    """Run a gateway; its libraries belong to an extra."""
     try:
         from oatport.queues.link import run_forever
-        from oatport.queues.settings import load as load_gateway
+        from oatport.queues.settings import load
     except ModuleNotFoundError as error:
-        print(f"oatport: {error.name} is missing: pip install 'oatport[queues]'", file=sys.stderr)
-        return 2
-    settings = load_gateway(path)
-    if only_check:
-        print(f"{path}: ok")
+        return _fail(f"{error.name} is missing: pip install 'oatport[queues]'")
+    settings = load(arguments.gateway)
+    if arguments.check:
+        print(f"{arguments.gateway}: ok")
         return 0
     set_up_logging()
     for name in ("aio_pika", "aiormq"):
@@ -155,40 +185,35 @@
     return 0
 
 
+def _fail(text: str, status: int = EXIT_FAILED) -> int:
+    print(f"oatport: {text}", file=sys.stderr)
+    return status
+
+
+COMMANDS: dict[str, Callable[[argparse.Namespace], int]] = {
+    "serve": _serve,
+    "check": _check,
+    "submit": _submit,
+    "show": _show,
+    "cancel": _cancel,
+    "explain": _explain,
+    "queues": _queues,
+    "lab": run_lab,
+}
+
+
 def main(argv: list[str] | None = None) -> int:
+    """Run a command; its exit status: 0 done, 1 refused by a node, 2 failed, 130 interrupted."""
     arguments = _parser().parse_args(argv)
+    command = arguments.command or ("serve" if arguments.config else None)
+    if command is None:
+        _parser().print_help(sys.stderr)
+        return EXIT_FAILED
     try:
-        if arguments.command == "serve" or (arguments.command is None and arguments.config):
-            return serve(arguments.file if arguments.command else arguments.config, arguments.tuning)
-        if arguments.command == "check":
-            load(arguments.file)
-            load_tuning(arguments.tuning)
-            load_windows(arguments.tuning)
-            load_repeats(arguments.tuning)
-            print(f"{arguments.file}: ok")
-            return 0
-        if arguments.command == "submit":
-            with sys.stdin if arguments.file == "-" else open(arguments.file, encoding="utf-8") as source:
-                job = json.load(source)
-            return asyncio.run(_call(arguments.node, "POST", "/submissions", job))
-        if arguments.command == "queues":
-            return _run_gateway(arguments.gateway, arguments.check)
-        if arguments.command == "lab":
-            return run_lab(arguments)
-        if arguments.command == "explain":
-            return asyncio.run(_explain(arguments.node, arguments.ref))
-        if arguments.command in ("show", "cancel"):
-            path = f"/submissions/{arguments.ref}"
-            if arguments.command == "cancel":
-                return asyncio.run(_call(arguments.node, "POST", path + "/cancel"))
-            return asyncio.run(_call(arguments.node, "GET", path))
+        return COMMANDS[command](arguments)
     except SettingsError as error:
-        print(f"oatport: {error}", file=sys.stderr)
-        return 2
+        return _fail(str(error))
     except (OSError, json.JSONDecodeError) as error:
-        print(f"oatport: {getattr(arguments, 'file', '')}: {error}", file=sys.stderr)
-        return 2
+        return _fail(f"{getattr(arguments, 'file', '')}: {error}")
     except KeyboardInterrupt:
-        return 130
-    _parser().print_help(sys.stderr)
-    return 2
+        return EXIT_INTERRUPTED
--- a/oatport/queues/settings.py
+++ b/oatport/queues/settings.py
@@ -11,7 +11,7 @@
 from urllib.parse import quote
 
 from oatport.queues.templates import Template
-from oatport.settings import SettingsError, ini_number, ini_unknown, read_ini
+from oatport.settings import SettingsError, parse_ini_number, read_ini, unknown_setting_error
 
 GATEWAY, BROKER = "gateway", "broker"
 QUEUE = "queue "
@@ -60,13 +60,13 @@
 
 def _number(section: Any, name: str, default: float, low: float, high: float, where: str) -> float:
     text = section.get(name)
-    return default if text is None else ini_number(text, f"{where} {name}", low, high)
+    return default if text is None else parse_ini_number(text, f"{where} {name}", low, high)
 
 
 def _known(section: Any, names: set[str], where: str) -> None:
     for name in section:
         if name not in names:
-            raise ini_unknown(name, names, where)
+            raise unknown_setting_error(name, names, where)
 
 
 def load(path: str | Path) -> GatewaySettings:
--- a/oatport/settings.py
+++ b/oatport/settings.py
@@ -22,17 +22,23 @@
 
 
 class Peer(msgspec.Struct, frozen=True):
+    """Another controller node; `endpoint` is its internal address, host:port."""
+
     node_name: str
     endpoint: str
     zone: str = ""
 
 
 class Services(msgspec.Struct, frozen=True):
+    """The addresses of the services that a node calls, host:port."""
+
     cloud: str
     state: str
 
 
 class Team(msgspec.Struct, frozen=True):
+    """A team's guaranteed cpus and gpus, and the most that it may use at a time; 0: no limit."""
+
     name: str
     cpus: float = 0.0
     cpus_max: float = 0.0
@@ -51,6 +57,11 @@
 
 
 class Workers(msgspec.Struct, frozen=True):
+    """What the workers go by: the interval of their heartbeats, the lease of their tasks, and waits of gangs.
+
+    `cancel_s`: by when a cancelled job's tasks have to be gone.
+    """
+
     report_s: float
     lease_s: float
     gang_wait_s: float
@@ -68,6 +79,8 @@
 
 
 class StateLimits(msgspec.Struct, frozen=True):
+    """Limits of the state service; sizes are those of values as JSON."""
+
     rps: float
     write_rps: float
     value_kb: float
@@ -76,10 +89,12 @@
 
     @property
     def least_rps(self) -> float:
+        """Requests a second that hold now and later."""
         return min(self.rps, self.next.rps or self.rps)
 
     @property
     def least_write_rps(self) -> float:
+        """Operations that write a second, now and later."""
         return min(self.write_rps, self.next.write_rps or self.write_rps)
 
     @property
@@ -89,21 +104,28 @@
 
     @property
     def least_txn_ops(self) -> int:
+        """Operations in one transaction, now and later."""
         return min(self.txn_ops, self.next.txn_ops or self.txn_ops)
 
 
 class CloudLimits(msgspec.Struct, frozen=True):
+    """Limits of the cloud; `list_lag_s`: how old its list of machines may be."""
+
     rps: float
     list_lag_s: float
 
 
 class Resources(msgspec.Struct, frozen=True):
+    """What one node may use."""
+
     cpu_share: float = 1.0
     mem_mb: float = 512.0
     sockets: int = 1024
 
 
 class ClusterSettings(msgspec.Struct, frozen=True):
+    """What holds for all nodes."""
+
     workers: Workers
     state: StateLimits
     cloud: CloudLimits
@@ -116,6 +138,8 @@
 
 
 class Settings(msgspec.Struct, frozen=True):
+    """The platform's settings file for one node."""
+
     node_name: str
     bind: str
     internal_addr: str
@@ -125,7 +149,8 @@
     peers: list[Peer] = []
 
 
-ELSEWHERE = ("windows", "repeat")  # sections of the same file that are checked by the package they are for
+MAX_PORT = 65535
+SECTIONS_CHECKED_ELSEWHERE = ("windows", "repeat")  # of the same file, by the packages that they are for
 
 
 @dataclass(frozen=True, slots=True)
@@ -151,74 +176,93 @@
     silent_s: float = field(default=5.0, metadata={"section": "fleet", "min": 1.0, "max": 3600.0})
 
     def us(self, name: str) -> int:
+        """A setting in seconds as microseconds."""
         return micros(getattr(self, name))
 
 
-def _address(text: str, where: str) -> None:
+def _check_address(text: str, where: str) -> None:
     host, _, port = text.rpartition(":")
-    if not host or not port.isdigit() or not 0 < int(port) < 65536:
+    if not host or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
         raise SettingsError(f"{where}: expected host:port, got {text!r}")
 
 
-def _positive(value: float, where: str, *, zero: bool = False) -> None:
-    if not math.isfinite(value) or value < 0 or (value == 0 and not zero):
-        raise SettingsError(f"{where}: must be {'at least' if zero else 'above'} 0, got {value}")
+def _check_positive(value: float, where: str) -> None:
+    if not math.isfinite(value) or value <= 0:
+        raise SettingsError(f"{where}: must be above 0, got {value}")
+
 
+def _check_not_negative(value: float, where: str) -> None:
+    if not math.isfinite(value) or value < 0:
+        raise SettingsError(f"{where}: must be at least 0, got {value}")
 
-def check(settings: Settings) -> Settings:
-    """Refuse values that would make the service misbehave later."""
+
+def validate(settings: Settings) -> Settings:
+    """Refuse values that would make the service misbehave later. Raises SettingsError that names the field."""
     if not settings.node_name:
         raise SettingsError("node_name: must not be empty")
-    _address(settings.bind, "bind")
-    _address(settings.internal_addr, "internal_addr")
-    _address(settings.services.cloud, "services.cloud")
-    _address(settings.services.state, "services.state")
+    _check_address(settings.bind, "bind")
+    _check_address(settings.internal_addr, "internal_addr")
+    _check_address(settings.services.cloud, "services.cloud")
+    _check_address(settings.services.state, "services.state")
+    _check_peers(settings)
+    _check_limits(settings.cluster)
+    if settings.cluster.workers.cancel_s <= settings.cluster.workers.lease_s:
+        raise SettingsError("cluster.workers.cancel_s: must be above lease_s, or no cancellation is kept")
+    _check_teams(settings.cluster.teams)
+    return settings
+
+
+def _check_peers(settings: Settings) -> None:
     names = {settings.node_name}
     for i, peer in enumerate(settings.peers):
-        _address(peer.endpoint, f"peers[{i}].endpoint")
+        _check_address(peer.endpoint, f"peers[{i}].endpoint")
         if peer.node_name in names:
             raise SettingsError(f"peers[{i}].node_name: {peer.node_name!r} occurs twice")
         names.add(peer.node_name)
-    cluster = settings.cluster
-    for section, value in (
+
+
+def _check_limits(cluster: ClusterSettings) -> None:
+    for section, limits in (
         ("workers", cluster.workers),
         ("state", cluster.state),
         ("cloud", cluster.cloud),
         ("resources", cluster.resources),
     ):
-        for name in value.__struct_fields__:
-            if name != "next":
-                _positive(getattr(value, name), f"cluster.{section}.{name}", zero=name == "list_lag_s")
+        for name in limits.__struct_fields__:
+            if name == "list_lag_s":
+                _check_not_negative(getattr(limits, name), f"cluster.{section}.{name}")
+            elif name != "next":
+                _check_positive(getattr(limits, name), f"cluster.{section}.{name}")
     for name in NextLimits.__struct_fields__:
-        later = getattr(cluster.state.next, name)
-        if later is not None:
-            _positive(later, f"cluster.state.next.{name}")
-    if cluster.workers.cancel_s <= cluster.workers.lease_s:
-        raise SettingsError("cluster.workers.cancel_s: must be above lease_s, or no cancellation is kept")
-    teams: set[str] = set()
-    for i, team in enumerate(cluster.teams):
+        limit = getattr(cluster.state.next, name)
+        if limit is not None:
+            _check_positive(limit, f"cluster.state.next.{name}")
+
+
+def _check_teams(teams: list[Team]) -> None:
+    names: set[str] = set()
+    for i, team in enumerate(teams):
         for name in ("cpus", "cpus_max", "gpus", "gpus_max"):
-            _positive(getattr(team, name), f"cluster.teams[{i}].{name}", zero=True)
-        if team.name in teams:
+            _check_not_negative(getattr(team, name), f"cluster.teams[{i}].{name}")
+        if team.name in names:
             raise SettingsError(f"cluster.teams[{i}].name: {team.name!r} occurs twice")
-        teams.add(team.name)
-    return settings
+        names.add(team.name)
 
 
-def load(path: str | Path) -> Settings:
-    """Read the platform's file."""
+def load_settings(path: str | Path) -> Settings:
+    """Read the platform's file. Raises SettingsError."""
     try:
         raw: Any = tomllib.loads(Path(path).read_text(encoding="utf-8"))
     except OSError as error:
-        raise SettingsError(f"{path}: {error.strerror}") from None
+        raise SettingsError(f"{path}: {error.strerror}") from error
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
-        raise SettingsError(f"{path}: not TOML: {error}") from None
+        raise SettingsError(f"{path}: not TOML: {error}") from error
     try:
-        return check(msgspec.convert(raw, Settings, strict=False))
+        return validate(msgspec.convert(raw, Settings, strict=False))
     except msgspec.ValidationError as error:
-        raise SettingsError(f"{path}: {error}") from None
+        raise SettingsError(f"{path}: {error}") from error
     except SettingsError as error:
-        raise SettingsError(f"{path}: {error}") from None
+        raise SettingsError(f"{path}: {error}") from error
 
 
 def read_ini(path: str | Path, *, keep_case: bool = False) -> configparser.ConfigParser:
@@ -229,43 +273,43 @@
     try:
         parser.read_string(Path(path).read_text(encoding="utf-8"))
     except OSError as error:
-        raise SettingsError(f"{path}: {error.strerror}") from None
+        raise SettingsError(f"{path}: {error.strerror}") from error
     except (configparser.Error, UnicodeDecodeError) as error:
-        raise SettingsError(f"{path}: not INI: {str(error).splitlines()[0]}") from None
+        raise SettingsError(f"{path}: not INI: {str(error).splitlines()[0]}") from error
     return parser
 
 
-def ini_number(text: str, where: str, low: float, high: float) -> float:
-    """Raises SettingsError; `where` names the file, section and setting."""
+def parse_ini_number(text: str, where: str, low: float, high: float) -> float:
+    """The number in a setting. Raises SettingsError; `where` names the file, section and setting."""
     try:
         value = float(text)
-    except ValueError:
-        raise SettingsError(f"{where}: not a number: {text!r}") from None
+    except ValueError as error:
+        raise SettingsError(f"{where}: not a number: {text!r}") from error
     if not low <= value <= high:  # NaN neither
         raise SettingsError(f"{where}: must be {low:g} to {high:g}, got {text}")
     return value
 
 
-def ini_unknown(name: str, known: Iterable[str], where: str) -> SettingsError:
-    """No such setting; with the one that was probably meant."""
+def unknown_setting_error(name: str, known: Iterable[str], where: str) -> SettingsError:
+    """The error for a setting that doesn't exist, with the one that was probably meant."""
     near = difflib.get_close_matches(name, list(known), 1)
     return SettingsError(f"{where} {name}: no such setting" + (f", did you mean {near[0]}?" if near else ""))
 
 
 def load_tuning(path: str | Path | None) -> Tuning:
-    """Read the operators' INI file; without one the documented defaults hold."""
+    """Read the operators' INI file; without one the documented defaults hold. Raises SettingsError."""
     if path is None:
         return Tuning()
     parser = read_ini(path)
-    known = {(f.metadata["section"], f.name): f for f in fields(Tuning)}
+    known = {(setting.metadata["section"], setting.name): setting for setting in fields(Tuning)}
     values: dict[str, float] = {}
     for section in parser.sections():
-        if section.split(" ")[0] in ELSEWHERE:
+        if section.split(" ")[0] in SECTIONS_CHECKED_ELSEWHERE:
             continue
         for name, text in parser.items(section):
-            spec = known.get((section, name))
-            if spec is None:
-                raise ini_unknown(name, (key for at, key in known if at == section), f"{path}: [{section}]")
-            low, high = spec.metadata["min"], spec.metadata["max"]
-            values[name] = ini_number(text, f"{path}: [{section}] {name}", low, high)
+            setting = known.get((section, name))
+            if setting is None:
+                raise unknown_setting_error(name, (key for at, key in known if at == section), f"{path}: [{section}]")
+            low, high = setting.metadata["min"], setting.metadata["max"]
+            values[name] = parse_ini_number(text, f"{path}: [{section}] {name}", low, high)
     return Tuning(**values)
--- a/oatport/times.py
+++ b/oatport/times.py
@@ -1,4 +1,7 @@
-"""Times are whole microseconds everywhere in the code; only the edges speak seconds."""
+"""Times are whole microseconds of the steady clock everywhere in the code, unless a name says otherwise.
+
+Names that end in `_s` are seconds, as the wire, settings and libraries have them; `_wall` is the time of day.
+"""
 
 import time
 from contextvars import ContextVar
@@ -30,11 +33,14 @@
 class Clock(Protocol):
     """The two clocks of one machine."""
 
-    def steady(self) -> int: ...
-    def time_of_day(self) -> int: ...
+    def steady(self) -> int:
+        """Microseconds from an arbitrary start; never set back."""
+
+    def time_of_day(self) -> int:
+        """Microseconds since 1970, as far as the machine knows."""
 
 
-# The machine's own clocks, unless whoever started the node set others: in the lab each node has its own.
+# The machine's own clocks, unless whoever started the node set others: in the simulation each node has its own.
 CLOCK: ContextVar[Clock | None] = ContextVar("clock", default=None)
 
 
--- a/oatport/windows/settings.py
+++ b/oatport/windows/settings.py
@@ -8,7 +8,7 @@
 from typing import Any
 from urllib.parse import urlsplit
 
-from oatport.settings import SettingsError, ini_number, ini_unknown, read_ini
+from oatport.settings import SettingsError, parse_ini_number, read_ini, unknown_setting_error
 
 MAIN = "windows"
 BY_CLASS = "windows class "
@@ -105,7 +105,7 @@
     values: dict[str, Any] = {}
     for name, text in texts.items():
         if name not in known:
-            raise ini_unknown(name, known, where)
+            raise unknown_setting_error(name, known, where)
         default = known[name].default
         if isinstance(default, bool):
             flag = configparser.ConfigParser.BOOLEAN_STATES.get(text.lower())
@@ -113,7 +113,7 @@
                 raise SettingsError(f"{where} {name}: expected yes or no, got {text!r}")
             values[name] = flag
         elif isinstance(default, float):
-            values[name] = ini_number(text, f"{where} {name}", *known[name].metadata["range"])
+            values[name] = parse_ini_number(text, f"{where} {name}", *known[name].metadata["range"])
         else:
             values[name] = text
     return values
--- a/tests/test_dependency_submissions.py
+++ b/tests/test_dependency_submissions.py
@@ -11,7 +11,7 @@
 from oatport import wire
 from oatport.api.job_api import JobApi
 from oatport.control.storage.keys import blocked_key, cancel_key, job_key, live_key
-from oatport.settings import NextLimits, SettingsError, StateLimits, check
+from oatport.settings import NextLimits, SettingsError, StateLimits, validate
 from oatport.simulation.state_service import KeyStore
 from tests.cluster_fixture import FakeStateClient, node_settings
 from tests.cluster_fixture import job as body_of
@@ -199,7 +199,7 @@
     for name in ("rps", "write_rps", "value_kb", "txn_ops"):
         limits = msgspec.structs.replace(settings.cluster.state, next=NextLimits(**{name: -1}))
         with pytest.raises(SettingsError, match=f"cluster.state.next.{name}"):
-            check(msgspec.structs.replace(settings, cluster=msgspec.structs.replace(settings.cluster, state=limits)))
+            validate(msgspec.structs.replace(settings, cluster=msgspec.structs.replace(settings.cluster, state=limits)))
     larger = msgspec.structs.replace(settings.cluster.state, next=NextLimits(value_kb=64.0))
     assert larger.least_value_bytes == 8 * 1024
     assert larger.least_txn_ops == 12
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -16,7 +16,7 @@
 from oatport.control.queueing.runtime_predictor import RuntimePredictor
 from oatport.control.queueing.tier_router import ON_DEMAND, OWNED, SPOT, TierAvailability, TierRouter
 from oatport.control.scaling.cloud_availability import ScaleOutRequest
-from oatport.settings import Objective, SettingsError, Team, load, load_tuning
+from oatport.settings import Objective, SettingsError, Team, load_settings, load_tuning
 from oatport.times import SECOND, micros
 from tests.cluster_fixture import World, cluster_settings, job
 
@@ -629,7 +629,7 @@
     good = smoke_test.settings(0, list(range(4000, 4008)))
     path = tmp_path / "n.toml"
     path.write_text(good + "\n[unheard]\nof = 1\n")
-    assert load(path).node_name == "n0"
+    assert load_settings(path).node_name == "n0"
     for old, new, named in (
         ("lease_s = 10.0", "lease_s = -1.0", "lease_s"),
         ('state = "127.0.0.1:', 'state = "', "services.state"),
