--- a/emulators/price_feed.py
+++ b/emulators/price_feed.py
@@ -9,7 +9,7 @@
 from aiohttp import web
 
 from oatport import wire
-from oatport.windows.feed import encode
+from oatport.windows.feed import encode_series
 from oatport.windows.prices import Interval
 
 MODES = ("good", "silent", "refuse", "drip", "huge", "broken")
@@ -46,7 +46,7 @@
             await asyncio.sleep(3600)
         if self.mode == "refuse":
             return web.Response(status=503)
-        value: Any = encode(self.intervals, self.zone, self.made_at)
+        value: Any = encode_series(self.intervals, self.zone, self.made_at)
         body = json.dumps(value).encode() if self.as_json else wire.encode(value)
         content_type = "application/json" if self.as_json else wire.CBOR_CONTENT_TYPE
         if self.mode == "huge":
--- a/oatport/api/concurrency_limit.py
+++ b/oatport/api/concurrency_limit.py
@@ -13,7 +13,7 @@
 
 
 class OverloadedError(OatportError):
-    """Too many calls are under way: the caller is told to come back."""
+    """Too many calls are under way: the caller has to come back later."""
 
 
 class ConcurrencyLimit:
--- a/oatport/api/job_api.py
+++ b/oatport/api/job_api.py
@@ -40,16 +40,16 @@
     """What the users' interface needs of its node."""
 
     types: dict[str, wire.MachineType]
-    job_progress: dict[str, tuple[int, int]]  # completed and running tasks, as far as the leader has told
+    job_progress: dict[str, tuple[int, int]]  # completed and running tasks, as the leader has notified this node
 
     def ready(self) -> bool:
         """Whether the node can serve users."""
 
     def notify_accepted(self, job_id: str, record: dict[str, Any], revision: int) -> None:
-        """A job was accepted here: let the leader know."""
+        """A job was accepted here: notify the leader."""
 
     def notify_cancelled(self, job_id: str, revision: int = 0) -> None:
-        """A user is about to be told that a job is cancelled: let the other nodes know."""
+        """A user is about to receive that a job is cancelled: notify the other nodes."""
 
 
 class JobApi:
@@ -79,7 +79,7 @@
         allowed = "GET" if len(parts) == 2 else "POST"
         if method != allowed:
             return Response(405, {"error": "wrong method"}, {"Allow": allowed})
-        # What can be told without the state service is told under full load too.
+        # What can be answered without the state service is answered under full load too.
         submission = wire.decode_submission(await body.read()) if len(parts) == 1 else None
         if submission is None and not wire.is_job_id(parts[1]):
             return Response(404, {"error": "no such job"})
@@ -103,11 +103,11 @@
         return Response(200, {"ready": True}) if self._node.ready() else retry_later()
 
     def _with_cancellation_noted(self, response: Response) -> Response:
-        """All that users are told of a job goes through here.
+        """All that users receive about a job goes through here.
 
-        That it is cancelled is noted before it leaves, whichever way this node knows: committed, read back, learnt by a
-        poll, kept from before, or following from a job that it depends on. A leader that can't read the records counts
-        on it: what another node had learnt, and told in the middle of an outage, was in no list, and the tasks ran on.
+        A cancellation is noted before the response leaves, however this node observed it: committed, read back, seen by
+        a poll, kept from before, or following from a job that it depends on. A leader that can't read the records needs
+        that: what another node had observed, and answered during an outage, was in no list, and the tasks ran on.
         """
         if isinstance(response.value, dict) and response.value.get("status") == wire.JobStatus.CANCELLED:
             self._node.notify_cancelled(str(response.value["ref"]))
@@ -211,7 +211,7 @@
         return Response(200, value) if value else Response(404, {"error": "no such job"})
 
     async def _read(self, job_id: str) -> dict[str, Any] | None:
-        """The response's value for a job as its record has it; {} if there is none, None if that can't be told."""
+        """A job's status as its record has it; {} if there is none, None if the records can't be read."""
         try:
             known = await self._jobs.find(job_id)
         except NO_STATE_SERVICE:
--- a/oatport/api/job_reader.py
+++ b/oatport/api/job_reader.py
@@ -1,4 +1,4 @@
-"""Reads records of jobs that a node knows nothing of, many with one request.
+"""Reads records of jobs that are not in a node's cache, many with one request.
 
 After all nodes ended, each asked for itself: with thousands of unfinished jobs most polls were sent away, by chance the
 same ones again and again. Now the one that has waited longest is read next, and all near it with it; who had to leave
@@ -73,13 +73,13 @@
         """One reader: until there is no job to be read."""
         while names := self._next_names():
             self._under_way.update(names)
-            # Who comes from here on is answered by the next read: this one may be older than what they were told.
+            # Who comes from here on is answered by the next read: this one may be older than what they received before.
             waiting = {job_id: len(self._wanted[job_id]) for job_id in names}
             mark = self._mark()
             try:
                 found, looked_up = await self._state.get_many(JOBS, names)
             except Exception as error:
-                # All that wait are told at once: who comes back finds the state service there, or not.
+                # All that wait get the error at once: who comes back finds the state service there, or not.
                 for job_id in names:
                     for future in self._take_waiting(job_id, waiting[job_id]):
                         future.set_exception(error)
--- a/oatport/api/job_status.py
+++ b/oatport/api/job_status.py
@@ -1,4 +1,4 @@
-"""What the record of a job says of it, as far as users are told."""
+"""What the record of a job says of it, as far as users see it."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
     @property
     def terminal(self) -> bool:
-        """Users are told a terminal state, which holds for good."""
+        """Its state is terminal, as users see it, and holds for good."""
         return self.state in wire.PUBLIC_TERMINAL_STATUSES
 
     @property
--- a/oatport/api/job_status_cache.py
+++ b/oatport/api/job_status_cache.py
@@ -2,7 +2,7 @@
 
 One read for each poll would take the whole budget of the state service with a few hundred unfinished jobs. So
 those who wait share one question: what has changed under jobs/ since the last one? It is asked after they came,
-so its answer is never older than what another node told before.
+so its answer is never older than what another node answered before.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
 
 
 class JobStatusCache:
-    """What one node knows of jobs, refreshed when users ask."""
+    """The jobs that one node has read, refreshed when users ask."""
 
     def __init__(self, state: StateClient, calls: ConcurrencyLimit, rps: float) -> None:
         self._state = state
@@ -139,8 +139,8 @@
     async def _with_dependencies(self, job_id: str, known: KnownJob, fresh: bool) -> KnownJob:
         """Cancelled, if a job that it depends on is, directly or through others.
 
-        That follows from their records, and holds as long as theirs: so whoever is asked after any node has told it
-        tells the same, however long it takes the leader to record it. `fresh`: changes up to now are in.
+        That follows from their records, and holds as long as theirs: so after any node has answered that, all
+        nodes answer the same, however long it takes the leader to record it. `fresh`: changes up to now are in.
         """
         if not fresh:
             await self._refresh()
--- a/oatport/api/submission_batcher.py
+++ b/oatport/api/submission_batcher.py
@@ -109,7 +109,7 @@
             async with asyncio.timeout(seconds(MAX_SEND_DELAY)):
                 await asyncio.shield(pending.sent)
         except TimeoutError:
-            # All calls hang: it was never sent, and its user is told so rather than kept waiting.
+            # All calls hang: it was never sent, and its user gets that answer rather than being kept waiting.
             if self._pending.get(job_id) is pending:
                 del self._pending[job_id]
                 pending.result.set_result(SubmitResult(SubmitOutcome.UNKNOWN))
--- a/oatport/cli.py
+++ b/oatport/cli.py
@@ -77,9 +77,9 @@
 def _load_windows(tuning: str | None) -> WindowSettings | None:
     if tuning is None:
         return None
-    from oatport.windows.settings import load
+    from oatport.windows.settings import load_window_settings
 
-    return load(tuning)
+    return load_window_settings(tuning)
 
 
 def _load_retry_policies(tuning: str | None) -> RetryPolicies:
@@ -171,10 +171,10 @@
     """Run a gateway; its libraries belong to an extra."""
     try:
         from oatport.queues.link import run_forever
-        from oatport.queues.settings import load
+        from oatport.queues.settings import load_gateway_settings
     except ModuleNotFoundError as error:
         return _fail(f"{error.name} is missing: pip install 'oatport[queues]'")
-    settings = load(arguments.gateway)
+    settings = load_gateway_settings(arguments.gateway)
     if arguments.check:
         print(f"{arguments.gateway}: ok")
         return 0
--- a/oatport/clients/cloud.py
+++ b/oatport/clients/cloud.py
@@ -42,7 +42,7 @@
         await self._call("POST", wire.RELEASE_PATH, wire.release_request(machine_names))
 
     async def list_machines(self) -> list[wire.ListedMachine]:
-        """All machines that the cloud knows of, read page by page. Raises wire.InvalidMessageError, too."""
+        """All machines that the cloud lists, read page by page. Raises wire.InvalidMessageError, too."""
         machines: list[wire.ListedMachine] = []
         after = ""
         while True:
@@ -57,7 +57,7 @@
     async def _acquire_for_change(self) -> None:
         """Wait for the rate limit; what changes something goes out only if its sender may still act then.
 
-        The cloud knows no fencing tokens: a leader that woke after another had taken its place once could have returned
+        The cloud has no fencing tokens: a leader that woke after another had taken its place once could have returned
         machines that were at work for that one.
         """
         await self._rate_limit.acquire()
--- a/oatport/lab/queues.py
+++ b/oatport/lab/queues.py
@@ -24,7 +24,7 @@
 from oatport.queues.client import Answers
 from oatport.queues.core import HttpCore
 from oatport.queues.gateway import Gateway
-from oatport.queues.identity import identity_of, ref_of
+from oatport.queues.identity import identity_of, job_id_of
 from oatport.queues.link import Link
 from oatport.queues.rows import Row
 from oatport.queues.settings import GatewaySettings, QueueSettings
@@ -314,7 +314,7 @@
     by_move: Counter[str] = Counter()
     for task, count in runs.items():
         by_move[task.rpartition("/")[0]] += count
-    refs = {identity: ref_of(queue, identity) for identity, (queue, _) in senders.sent.items()}
+    refs = {identity: job_id_of(queue, identity) for identity, (queue, _) in senders.sent.items()}
     known = set(refs.values())
     strange = [ref for ref in by_move if ref not in known]  # run, though nobody sent it
     double = sum(count > 1 for count in senders.kept.values()) + sum(len(answers) > 1 for answers in texts.values())
--- a/oatport/queues/core.py
+++ b/oatport/queues/core.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
+from enum import Enum, auto
 from typing import Any, Protocol
 
 import aiohttp
@@ -11,23 +12,37 @@
 from oatport.clients.http import HttpClient, NoResponseError
 from oatport.times import SECOND
 
-ACCEPTED, REFUSED, LATER = "accepted", "refused", "later"
-GONE, UNKNOWN = "gone", "unknown"
+REQUEST_TIMEOUT = 5 * SECOND
+MAX_CAUSE_LENGTH = 200
+
+
+class CoreOutcome(Enum):
+    """What became of a request."""
+
+    ACCEPTED = auto()  # now or before
+    REFUSED = auto()  # for good
+    RETRY_LATER = auto()
+    TERMINATED = auto()  # cancelled or terminated before: its record tells
+    NOT_FOUND = auto()  # never accepted
 
 
 @dataclass(frozen=True, slots=True)
-class AcceptOutcome:
-    kind: str
+class CoreResponse:
+    """The outcome; `cause` of a refusal, `retry_after_s` if it is RETRY_LATER."""
+
+    outcome: CoreOutcome
     cause: str = ""
-    after_s: float = 1.0  # LATER: when to come back
+    retry_after_s: float = 1.0
 
 
 class Core(Protocol):
-    async def submit(self, job: dict[str, Any]) -> AcceptOutcome:
-        """ACCEPTED (now or before), REFUSED for good, or LATER."""
+    """Takes jobs and their cancellations."""
+
+    async def submit(self, job: dict[str, Any]) -> CoreResponse:
+        """ACCEPTED, REFUSED or RETRY_LATER."""
 
-    async def cancel(self, ref: str) -> AcceptOutcome:
-        """GONE (cancelled or over: its record tells), UNKNOWN (never accepted) or LATER."""
+    async def cancel(self, job_id: str) -> CoreResponse:
+        """TERMINATED, NOT_FOUND or RETRY_LATER."""
 
 
 class HttpCore:
@@ -35,33 +50,34 @@
 
     def __init__(self, session: aiohttp.ClientSession, nodes: tuple[str, ...]) -> None:
         self._nodes = [HttpClient(session, node) for node in nodes]
-        self._at = 0
+        self._current = 0
 
-    async def _ask(self, path: str, body: Any) -> tuple[int, Any]:
+    async def _post(self, path: str, body: Any) -> tuple[int, Any]:
         for _ in self._nodes:
+            node = self._nodes[self._current % len(self._nodes)]
             try:
-                status, value = await self._nodes[self._at % len(self._nodes)].request(
-                    "POST", path, body, timeout_us=5 * SECOND
-                )
+                status, value = await node.request("POST", path, body, timeout_us=REQUEST_TIMEOUT)
             except NoResponseError:
-                self._at += 1
+                self._current += 1
                 continue
             if status >= 500:
-                self._at += 1  # the next message asks another node
+                self._current += 1  # the next message asks another node
             return status, value
         return 503, None
 
-    async def submit(self, job: dict[str, Any]) -> AcceptOutcome:
-        status, value = await self._ask(wire.SUBMISSIONS_PATH, job)
+    async def submit(self, job: dict[str, Any]) -> CoreResponse:
+        """ACCEPTED, REFUSED or RETRY_LATER."""
+        status, value = await self._post(wire.SUBMISSIONS_PATH, job)
         if status in (200, 201):
-            return AcceptOutcome(ACCEPTED)
+            return CoreResponse(CoreOutcome.ACCEPTED)
         if status in (400, 422):
             cause = value.get("error") if isinstance(value, dict) else None
-            return AcceptOutcome(REFUSED, str(cause or f"status {status}")[:200])
-        return AcceptOutcome(LATER)
+            return CoreResponse(CoreOutcome.REFUSED, str(cause or f"status {status}")[:MAX_CAUSE_LENGTH])
+        return CoreResponse(CoreOutcome.RETRY_LATER)
 
-    async def cancel(self, ref: str) -> AcceptOutcome:
-        status, _ = await self._ask(f"{wire.SUBMISSIONS_PATH}/{ref}/cancel", None)
+    async def cancel(self, job_id: str) -> CoreResponse:
+        """TERMINATED, NOT_FOUND or RETRY_LATER."""
+        status, _ = await self._post(f"{wire.SUBMISSIONS_PATH}/{job_id}/cancel", None)
         if status == 200:
-            return AcceptOutcome(GONE)
-        return AcceptOutcome(UNKNOWN if status == 404 else LATER)
+            return CoreResponse(CoreOutcome.TERMINATED)
+        return CoreResponse(CoreOutcome.NOT_FOUND if status == 404 else CoreOutcome.RETRY_LATER)
--- a/oatport/queues/gateway.py
+++ b/oatport/queues/gateway.py
@@ -268,7 +268,7 @@
             await asyncio.sleep(SWEEP_S)
             for ref in self.outbox.expired()[:LOOKED_AT_ONCE]:
                 outcome = await self.core.cancel(ref)
-                log.debug("job %s expired: %s", ref, outcome.kind)
+                log.debug("job %s expired: %s", ref, outcome.outcome)
             for ref in self.outbox.unseen()[:LOOKED_AT_ONCE]:
                 await self._look_after(ref)
 
--- a/oatport/queues/intake.py
+++ b/oatport/queues/intake.py
@@ -14,8 +14,8 @@
 from typing import Any
 
 from oatport.clients.http import jitter
-from oatport.queues.core import ACCEPTED, GONE, REFUSED, UNKNOWN, Core
-from oatport.queues.identity import REFS_MOST, identity_of, ref_of
+from oatport.queues.core import Core, CoreOutcome
+from oatport.queues.identity import MAX_JOB_ID_TRIES, identity_of, job_id_of
 from oatport.queues.rows import CANCELLED, EXPIRED, Row, row_key
 from oatport.queues.rows import REFUSED as ANSWER_REFUSED
 from oatport.queues.settings import QueueSettings
@@ -78,13 +78,13 @@
         if identity is None:
             # Nothing tells it from another: it can't be run once. Its answer's id is derived from all that it is.
             digest = hashlib.blake2b(message.body + message.reply_to.encode(), digest_size=16).hexdigest()
-            row = Row(ref_of(queue.name, f"?{digest}"), queue.name, "", message.reply_to)
+            row = Row(job_id_of(queue.name, f"?{digest}"), queue.name, "", message.reply_to)
             reason = "no message_id" + (f" and no header {queue.identity_header}" if queue.identity_header else "")
             return Verdict(DEAD, reason, answer_now=row.answered(ANSWER_REFUSED, reason))
         expires_at = 0 if message.expires_s is None else self._clock() + round(message.expires_s * SECOND)
         try:
-            for attempt in range(REFS_MOST):
-                ref = ref_of(queue.name, identity, attempt)
+            for attempt in range(MAX_JOB_ID_TRIES):
+                ref = job_id_of(queue.name, identity, attempt)
                 row, version, reason = await self._row(queue, identity, ref, message, expires_at)
                 if row.same(queue.name, identity):
                     return await self._settle(row, version, reason)
@@ -92,7 +92,7 @@
         except StoreUnavailableError:
             return Verdict(AGAIN, "the state service is away")
         reason = "its job id belongs to other messages"
-        row = Row(ref_of(queue.name, f"?{identity}"), queue.name, identity, message.reply_to)
+        row = Row(job_id_of(queue.name, f"?{identity}"), queue.name, identity, message.reply_to)
         return Verdict(DEAD, reason, answer_now=row.answered(ANSWER_REFUSED, reason))
 
     async def _row(
@@ -129,15 +129,15 @@
                 await self._answer(row, version, EXPIRED, "expired before it was accepted")
                 return Verdict(ACK, ref=row.ref)
             assert row.job is not None
-            outcome = await self._core.submit(row.job)
-            if outcome.kind == ACCEPTED:
+            response = await self._core.submit(row.job)
+            if response.outcome is CoreOutcome.ACCEPTED:
                 return Verdict(ACK, ref=row.ref)
-            if outcome.kind == REFUSED:
-                await self._answer(row, version, ANSWER_REFUSED, outcome.cause)
-                return Verdict(DEAD, outcome.cause, row.ref)
+            if response.outcome is CoreOutcome.REFUSED:
+                await self._answer(row, version, ANSWER_REFUSED, response.cause)
+                return Verdict(DEAD, response.cause, row.ref)
             if self._clock() > until:
                 return Verdict(AGAIN, "the core accepts nothing now", row.ref)
-            await self._pause(jitter(round(outcome.after_s * SECOND)))
+            await self._pause(jitter(round(response.retry_after_s * SECOND)))
 
     async def _answer(self, row: Row, version: int, answer: str, cause: str) -> None:
         answered = row.answered(answer, cause)
@@ -151,8 +151,8 @@
         if not identity:
             return Verdict(DEAD, "a cancellation without correlation_id")
         try:
-            for attempt in range(REFS_MOST):
-                ref = ref_of(queue.name, identity, attempt)
+            for attempt in range(MAX_JOB_ID_TRIES):
+                ref = job_id_of(queue.name, identity, attempt)
                 row = Row(ref, queue.name, identity, message.reply_to).answered(CANCELLED, "cancelled before it came")
                 version = await self._store.change(row_key(ref), row.value(), {row_key(ref): 0})
                 if version:
@@ -165,11 +165,11 @@
                     continue
                 if found[0].answer:
                     return Verdict(ACK, ref=ref)
-                outcome = await self._core.cancel(ref)
-                if outcome.kind == GONE:
+                response = await self._core.cancel(ref)
+                if response.outcome is CoreOutcome.TERMINATED:
                     return Verdict(ACK, ref=ref)
                 # Not accepted yet: it will be, or refused; either way the cancellation is wanted again then.
-                await self._pause(jitter(500 * MS if outcome.kind == UNKNOWN else SECOND))
+                await self._pause(jitter(500 * MS if response.outcome is CoreOutcome.NOT_FOUND else SECOND))
                 return Verdict(AGAIN, "the job is not accepted yet", ref)
         except StoreUnavailableError:
             return Verdict(AGAIN, "the state service is away")
--- a/oatport/queues/members.py
+++ b/oatport/queues/members.py
@@ -2,7 +2,7 @@
 
 Each gateway has a key on a lease of its own; parts are shared by rendezvous hashing, so that one that comes or goes
 moves only its own share. A part's key hangs on its owner's lease too: it goes when that ends, and its version is the
-token that what the owner writes of the part's rows is conditioned on.
+fencing token that all writes of the owner to the part's rows are conditioned on.
 """
 
 from __future__ import annotations
@@ -21,5 +21,6 @@
 
 
 def parts_for(name: str, members: Iterable[str]) -> set[int]:
+    """The parts that a gateway is to own."""
     all_members = sorted(set(members))
     return {part for part in range(PARTS) if owner(part, all_members) == name}
--- a/oatport/queues/outbox.py
+++ b/oatport/queues/outbox.py
@@ -11,7 +11,7 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-from oatport.queues.core import ACCEPTED, REFUSED, Core
+from oatport.queues.core import Core, CoreOutcome
 from oatport.queues.identity import part_of
 from oatport.queues.rows import (
     ANSWERED,
@@ -177,8 +177,8 @@
         elif row.expires_at and self._clock() >= row.expires_at:
             await self._record(row, version, EXPIRED, "expired before it was accepted")
         elif row.job is not None:
-            outcome = await self._core.submit(row.job)
-            if outcome.kind == REFUSED:
-                await self._record(row, version, ANSWER_REFUSED, outcome.cause)
-            elif outcome.kind == ACCEPTED:
+            response = await self._core.submit(row.job)
+            if response.outcome is CoreOutcome.REFUSED:
+                await self._record(row, version, ANSWER_REFUSED, response.cause)
+            elif response.outcome is CoreOutcome.ACCEPTED:
                 log.info("job %s: submitted for a gateway that did not get to it", ref)
--- a/oatport/queues/settings.py
+++ b/oatport/queues/settings.py
@@ -69,7 +69,7 @@
             raise unknown_setting_error(name, names, where)
 
 
-def load(path: str | Path) -> GatewaySettings:
+def load_gateway_settings(path: str | Path) -> GatewaySettings:
     """Raises SettingsError: one line that names the field."""
     parser = read_ini(path)
     for section in parser.sections():
--- a/oatport/times.py
+++ b/oatport/times.py
@@ -37,7 +37,7 @@
         """Microseconds from an arbitrary start; never set back."""
 
     def time_of_day(self) -> int:
-        """Microseconds since 1970, as far as the machine knows."""
+        """Microseconds since 1970, by the machine's clock."""
 
 
 # The machine's own clocks, unless whoever started the node set others: in the simulation each node has its own.
--- a/oatport/windows/client.py
+++ b/oatport/windows/client.py
@@ -1,4 +1,4 @@
-"""Asking the price feed: one question at a time, each with a deadline, never more often than allowed."""
+"""Polls the price feed: one request at a time, each with a timeout, never more often than allowed."""
 
 from __future__ import annotations
 
@@ -12,13 +12,14 @@
 from oatport.clients.http import jitter
 from oatport.clients.token_bucket import TokenBucket
 from oatport.times import SECOND, micros, seconds, time_of_day
-from oatport.windows.feed import BODY_MOST, JSON_TYPE, decode
+from oatport.windows.feed import JSON_TYPE, MAX_BODY_BYTES, decode_series
 from oatport.windows.prices import Book, InvalidPriceSeriesError
 
 log = logging.getLogger(__name__)
 
-RETRY_FIRST, RETRY_MOST = 5 * SECOND, 300 * SECOND
-ASKED_A_SECOND = 0.5  # however short the pauses in the settings
+MIN_RETRY, MAX_RETRY = 5 * SECOND, 300 * SECOND
+MAX_DOUBLINGS = 16  # of the interval of retries
+MAX_REQUESTS_PER_S = 0.5  # however short the pauses in the settings
 
 
 class FeedClient:
@@ -41,33 +42,36 @@
         self._poll = micros(poll_s)
         self._timeout_s = timeout_s
         self._changed = changed
-        self._rate = TokenBucket(ASKED_A_SECOND)
+        self._rate = TokenBucket(MAX_REQUESTS_PER_S)
         self.failures = 0  # in a row
 
     async def loop(self) -> None:
+        """Poll the feed for ever."""
         while True:
-            pause = await self.step()
+            pause = await self.poll()
             await asyncio.sleep(pause)
 
-    async def step(self) -> float:
+    async def poll(self) -> float:
         """Ask once; how long to wait before the next (seconds)."""
         await self._rate.acquire()
         try:
             body, content_type = await self._fetch()
-            intervals, made_at = decode(body, content_type, self._zone)
+            intervals, made_at = decode_series(body, content_type, self._zone)
             changed = self._book.learn(intervals, made_at, time_of_day())
         except (InvalidPriceSeriesError, aiohttp.ClientError, TimeoutError, OSError, ValueError) as error:
             self.failures += 1
             self._book.problem = f"{type(error).__name__}: {error}"[:200]
-            log.warning("price feed: %s", self._book.problem)
-            return jitter(min(RETRY_FIRST << min(self.failures - 1, 16), RETRY_MOST, max(self._poll, RETRY_FIRST)))
+            log.warning('price feed failed failures=%d error="%s"', self.failures, self._book.problem)
+            return jitter(
+                min(MIN_RETRY << min(self.failures - 1, MAX_DOUBLINGS), MAX_RETRY, max(self._poll, MIN_RETRY))
+            )
         self.failures = 0
         if changed:
             self._changed()
         return seconds(self._poll) * 0.9 + jitter(self._poll) * 0.1
 
     async def _fetch(self) -> tuple[bytes, str]:
-        """The body, read whole within the deadline: an answer that drips is none."""
+        """The body, read whole within the timeout: a response that drips in is none."""
         async with asyncio.timeout(self._timeout_s):
             async with self._session.get(
                 self._url,
@@ -80,7 +84,7 @@
                 size = 0
                 async for chunk in response.content.iter_any():
                     size += len(chunk)
-                    if size > BODY_MOST:
-                        raise InvalidPriceSeriesError(f"more than {BODY_MOST} bytes")
+                    if size > MAX_BODY_BYTES:
+                        raise InvalidPriceSeriesError(f"more than {MAX_BODY_BYTES} bytes")
                     chunks.append(chunk)
                 return b"".join(chunks), response.content_type
--- a/oatport/windows/feed.py
+++ b/oatport/windows/feed.py
@@ -19,54 +19,64 @@
 from oatport.times import SECOND
 from oatport.windows.prices import Interval, InvalidPriceSeriesError
 
-BODY_MOST = 256 * 1024
+MAX_BODY_BYTES = 256 * 1024
 JSON_TYPE = "application/json"
 VERSION = 1
+MAX_TIME_S = 1e11  # of a time of day
+MAX_LENGTH_S = 1e9  # of an interval
 
 
-class Row(msgspec.Struct, frozen=True):
+class IntervalRow(msgspec.Struct, frozen=True):
+    """One interval of the feed; times in seconds."""
+
     start: float
     length: float = msgspec.field(name="len")
     price: float
     co2: float | None = None
 
 
-class Series(msgspec.Struct, frozen=True):
+class PriceSeries(msgspec.Struct, frozen=True):
+    """The body of an answer of the feed."""
+
     v: int
     zone: str
     at: float
-    intervals: list[Row]
+    intervals: list[IntervalRow]
 
 
-def decode(body: bytes, content_type: str, zone: str) -> tuple[list[Interval], int]:
-    """The intervals, unchecked but for their form, and when the series was made. Raises BadSeries."""
-    if len(body) > BODY_MOST:
-        raise InvalidPriceSeriesError(f"{len(body)} bytes, at most {BODY_MOST}")
+def decode_series(body: bytes, content_type: str, zone: str) -> tuple[list[Interval], int]:
+    """The intervals, unchecked but for their form, and when the series was made. Raises InvalidPriceSeriesError."""
+    if len(body) > MAX_BODY_BYTES:
+        raise InvalidPriceSeriesError(f"{len(body)} bytes, at most {MAX_BODY_BYTES}")
     try:
         # The standard library's parser takes NaN, which is to be told apart from a broken body.
         raw: Any = json.loads(body) if content_type.startswith(JSON_TYPE) else wire.decode(body)
-        series = msgspec.convert(raw, Series, strict=True)
+        series = msgspec.convert(raw, PriceSeries, strict=True)
     except (ValueError, RecursionError, wire.InvalidMessageError, msgspec.ValidationError) as error:
-        raise InvalidPriceSeriesError(f"not a series: {str(error).splitlines()[0][:120]}") from None
+        raise InvalidPriceSeriesError(f"not a series: {str(error).splitlines()[0][:120]}") from error
     if series.v != VERSION:
         raise InvalidPriceSeriesError(f"version {series.v}, not {VERSION}")
     if series.zone != zone:
         raise InvalidPriceSeriesError(f"of zone {series.zone[:40]!r}, not {zone!r}")
+    _check_times(series)
+    intervals = [
+        Interval(round(row.start * SECOND), round((row.start + row.length) * SECOND), row.price, row.co2)
+        for row in series.intervals
+    ]
+    return intervals, round(series.at * SECOND)
+
+
+def _check_times(series: PriceSeries) -> None:
     for row in series.intervals:
-        if not (math.isfinite(row.start) and math.isfinite(row.length) and 0 <= row.start < 1e11):
+        if not (math.isfinite(row.start) and math.isfinite(row.length) and 0 <= row.start < MAX_TIME_S):
             raise InvalidPriceSeriesError("an interval's time is not a usable number")
-        if not 0 < row.length < 1e9:
+        if not 0 < row.length < MAX_LENGTH_S:
             raise InvalidPriceSeriesError("an interval's length is out of range")
-    if not math.isfinite(series.at) or not 0 <= series.at < 1e11:
+    if not math.isfinite(series.at) or not 0 <= series.at < MAX_TIME_S:
         raise InvalidPriceSeriesError("at: not a usable number")
-    rows = [
-        Interval(round(row.start * SECOND), round((row.start + row.length) * SECOND), row.price, row.co2)
-        for row in series.intervals
-    ]
-    return rows, round(series.at * SECOND)
 
 
-def encode(intervals: list[Interval], zone: str, made_at: int) -> dict[str, Any]:
+def encode_series(intervals: list[Interval], zone: str, made_at: int) -> dict[str, Any]:
     """The same the other way: a body before it is JSON or CBOR."""
     return {
         "v": VERSION,
--- a/oatport/windows/holding.py
+++ b/oatport/windows/holding.py
@@ -14,7 +14,7 @@
 from oatport.control.state.job import DeferredStart, Job, JobKind
 from oatport.control.state.task import TaskPhase
 from oatport.times import SECOND, micros, seconds
-from oatport.windows.margins import Margins
+from oatport.windows.margins import RuntimeMargins
 from oatport.windows.planner import Need, Plan, Planner
 from oatport.windows.prices import Book
 from oatport.windows.settings import Deferral, WindowSettings
@@ -72,7 +72,7 @@
         self.cluster = cluster
         self.settings = settings
         self.book = book
-        self.margins = Margins()
+        self.margins = RuntimeMargins()
         step = micros(settings.step_s)
         self.planner = Planner(step, max(2, round(settings.horizon_s / settings.step_s)), settings.capacity_cpus)
         self.planner.at(wall)
@@ -201,7 +201,7 @@
         predicted = self._predicted.get(job.job_id)
         if predicted is None:
             predicted = self._predicted[job.job_id] = self.cluster.predictor.run_time(job.job_id, job.spec)
-        if self.margins.finished(job.spec.job_class, took, predicted):
+        if self.margins.on_task_completed(job.spec.job_class, took, predicted):
             self._rekey(job.spec.job_class)
 
     def _rekey(self, job_class: str) -> None:
--- a/oatport/windows/margins.py
+++ b/oatport/windows/margins.py
@@ -6,57 +6,64 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-KEPT = 200
-ENOUGH = 20
-PRIOR = 3.0  # until enough is known, a task may take three times as long as predicted
-LEAST = 1.2
+MAX_RATIOS = 200  # kept of each class
+SUFFICIENT_RATIOS = 20  # until there are so many, PRIOR_FACTOR counts as well
+PRIOR_FACTOR = 3.0  # a task may take three times as long as predicted
+MIN_FACTOR = 1.2
+MAX_RATIO = 100.0
 QUANTILE = 0.97
+RECOMPUTE_EVERY = 10  # completions of a class
+CHANGE_THRESHOLD = 0.1  # of the factor before
 
 
 @dataclass(slots=True)
-class Margins:
-    _ratios: dict[str, deque[float]] = field(default_factory=dict)  # class -> took / predicted at its release
+class RuntimeMargins:
+    """By class the ratios of actual to predicted run time, and the factor that nearly all of them stay below."""
+
+    _ratios: dict[str, deque[float]] = field(default_factory=dict)
     _factors: dict[str, float] = field(default_factory=dict)
 
-    def finished(self, job_class: str, took: int, predicted: int) -> bool:
-        """A task ended; True if the class's factor moved enough to plan anew."""
-        if predicted <= 0 or took < 0:
+    def on_task_completed(self, job_class: str, runtime: int, predicted: int) -> bool:
+        """Take in a completion; True if the class's factor moved enough to plan anew."""
+        if predicted <= 0 or runtime < 0:
             return False
-        ratios = self._ratios.setdefault(job_class, deque(maxlen=KEPT))
-        ratios.append(min(took / predicted, 100.0))
-        if len(ratios) % 10 and len(ratios) > ENOUGH:
-            return False  # sorted now and then: tasks end by the thousand
-        before, now = self._factors.get(job_class, PRIOR), self._reckon(ratios)
+        ratios = self._ratios.setdefault(job_class, deque(maxlen=MAX_RATIOS))
+        ratios.append(min(runtime / predicted, MAX_RATIO))
+        if len(ratios) % RECOMPUTE_EVERY and len(ratios) > SUFFICIENT_RATIOS:
+            return False  # sorted now and then: tasks complete by the thousand
+        before, now = self._factors.get(job_class, PRIOR_FACTOR), self._compute_factor(ratios)
         self._factors[job_class] = now
-        return abs(now - before) > 0.1 * before
+        return abs(now - before) > CHANGE_THRESHOLD * before
 
     def factor(self, job_class: str) -> float:
         """A task of this class takes at most this many times its prediction, nearly always."""
-        return self._factors.get(job_class, PRIOR)
+        return self._factors.get(job_class, PRIOR_FACTOR)
 
     @staticmethod
-    def _reckon(ratios: deque[float]) -> float:
+    def _compute_factor(ratios: deque[float]) -> float:
         ordered = sorted(ratios)
         high = ordered[min(int(len(ordered) * QUANTILE), len(ordered) - 1)]
         # A few fast tasks prove little: what is not seen yet is filled up with the prior.
-        known = min(len(ordered) / ENOUGH, 1.0)
-        return max(LEAST, high * known + PRIOR * (1 - known), high)
+        observed_share = min(len(ordered) / SUFFICIENT_RATIOS, 1.0)
+        return max(MIN_FACTOR, high * observed_share + PRIOR_FACTOR * (1 - observed_share), high)
 
     def __bool__(self) -> bool:
         """Something was learnt."""
         return bool(self._ratios)
 
     def record(self) -> dict[str, list[float]]:
+        """What `load` takes."""
         return {name: [round(ratio, 3) for ratio in ratios] for name, ratios in self._ratios.items()}
 
     def load(self, value: Any) -> None:
+        """Go on from a record; classes whose ratios can't be read are left out."""
         if not isinstance(value, dict):
             return
-        for name, ratios in value.items():
+        for name, recorded in value.items():
             try:
-                kept = deque((min(max(float(r), 0.0), 100.0) for r in ratios), maxlen=KEPT)
+                ratios = deque((min(max(float(ratio), 0.0), MAX_RATIO) for ratio in recorded), maxlen=MAX_RATIOS)
             except (TypeError, ValueError):
                 continue
-            if kept:
-                self._ratios[str(name)] = kept
-                self._factors[str(name)] = self._reckon(kept)
+            if ratios:
+                self._ratios[str(name)] = ratios
+                self._factors[str(name)] = self._compute_factor(ratios)
--- a/oatport/windows/settings.py
+++ b/oatport/windows/settings.py
@@ -13,6 +13,8 @@
 MAIN = "windows"
 BY_CLASS = "windows class "
 BY_PRIORITY = "windows priority "
+PRIORITIES = ("production", "high", "normal", "idle")
+MAX_STEPS = 20_000  # of the planning horizon
 
 
 @dataclass(frozen=True, slots=True)
@@ -55,27 +57,36 @@
 
 
 def read(parser: configparser.ConfigParser, path: str | Path) -> WindowSettings:
-    """Raises SettingsError: one line that names the field."""
+    """The settings in the sections of a file. Raises SettingsError: one line that names the field."""
     values: dict[str, Any] = {}
     classes: list[tuple[str, Deferral]] = []
     priorities: list[tuple[str, Deferral]] = []
     for section in filter(owns, parser.sections()):
         where = f"{path}: [{section}]"
+        texts = dict(parser.items(section))
         if section == MAIN:
-            values = _values(WindowSettings, dict(parser.items(section)), where)
-            continue
-        name = section.removeprefix(BY_CLASS if section.startswith(BY_CLASS) else BY_PRIORITY).strip()
-        if not name:
-            raise SettingsError(f"{where}: names no class or priority")
-        row = name, Deferral(**_values(Deferral, dict(parser.items(section)), where))
-        if section.startswith(BY_CLASS):
-            classes.append(row)
-        elif name not in ("production", "high", "normal", "idle"):
-            raise SettingsError(f"{where}: no such priority")
+            values = _values(WindowSettings, texts, where)
+        elif section.startswith(BY_CLASS):
+            classes.append(_named_deferral(section.removeprefix(BY_CLASS), texts, where))
         else:
+            row = _named_deferral(section.removeprefix(BY_PRIORITY), texts, where)
+            if row[0] not in PRIORITIES:
+                raise SettingsError(f"{where}: no such priority")
             priorities.append(row)
     settings = WindowSettings(**values, classes=tuple(classes), priorities=tuple(priorities))
-    where = f"{path}: [{MAIN}]"
+    _check(settings, f"{path}: [{MAIN}]")
+    return settings
+
+
+def _named_deferral(name: str, texts: dict[str, str], where: str) -> tuple[str, Deferral]:
+    """The class or priority that a section is for, and what it says."""
+    name = name.strip()
+    if not name:
+        raise SettingsError(f"{where}: names no class or priority")
+    return name, Deferral(**_values(Deferral, texts, where))
+
+
+def _check(settings: WindowSettings, where: str) -> None:
     if settings.feed:
         parts = urlsplit(settings.feed)
         if parts.scheme != "http" or not parts.hostname:
@@ -86,22 +97,21 @@
         raise SettingsError(f"{where} dead_s: must be above fresh_s")
     if settings.horizon_s < 2 * settings.step_s:
         raise SettingsError(f"{where} horizon_s: must be at least two steps")
-    if settings.horizon_s / settings.step_s > 20_000:
-        raise SettingsError(f"{where} step_s: too small for the horizon, at most 20000 steps")
+    if settings.horizon_s / settings.step_s > MAX_STEPS:
+        raise SettingsError(f"{where} step_s: too small for the horizon, at most {MAX_STEPS} steps")
     if settings.on and settings.capacity_cpus <= 0:
         raise SettingsError(f"{where} capacity_cpus: must be above 0: how many CPUs deferred work may expect")
-    return settings
 
 
-def load(path: str | Path | None) -> WindowSettings:
-    """From the tuning file; without one, or without the section, they are off."""
+def load_window_settings(path: str | Path | None) -> WindowSettings:
+    """From the tuning file; without one, or without the section, they are off. Raises SettingsError."""
     if path is None:
         return WindowSettings()
     return read(read_ini(path), path)
 
 
 def _values(kind: type, texts: dict[str, str], where: str) -> dict[str, Any]:
-    known = {f.name: f for f in fields(kind) if f.name not in ("classes", "priorities")}
+    known = {setting.name: setting for setting in fields(kind) if setting.name not in ("classes", "priorities")}
     values: dict[str, Any] = {}
     for name, text in texts.items():
         if name not in known:
--- a/oatport/wire/submission.py
+++ b/oatport/wire/submission.py
@@ -1,4 +1,4 @@
-"""The users' interface: the description of a job, and what users are told of it."""
+"""The users' interface: the description of a job, and its status."""
 
 from __future__ import annotations
 
@@ -26,18 +26,18 @@
 
 
 class JobStatus(StrEnum):
-    """The state of a job, as users are told it and as its record has it."""
+    """The state of a job, as users see it and as its record has it."""
 
     QUEUED = "queued"
     RUNNING = "running"
     COMPLETED = "done"
     CANCELLED = "aborted"
     # In records only: the job terminated, since a task of it may not run again. PROTOCOL has no word for that, so users
-    # who poll are told `queued`, which is true: none of its tasks runs, and it is neither done nor cancelled.
+    # who poll get `queued`, which is true: none of its tasks runs, and it is neither done nor cancelled.
     FAILED = "lost"
 
 
-PUBLIC_TERMINAL_STATUSES = frozenset((JobStatus.COMPLETED, JobStatus.CANCELLED))  # those that users are told
+PUBLIC_TERMINAL_STATUSES = frozenset((JobStatus.COMPLETED, JobStatus.CANCELLED))  # those that users see
 TERMINAL_STATUSES = PUBLIC_TERMINAL_STATUSES | {JobStatus.FAILED}
 
 
--- a/oatport/wire/worker.py
+++ b/oatport/wire/worker.py
@@ -86,7 +86,7 @@
 
 
 class ForgetCommand(msgspec.Struct, frozen=True, tag_field="orderKind", tag="forget"):
-    """Report a terminated attempt no more."""
+    """Leave a terminated attempt out of the heartbeats from now on."""
 
     task_name: str = msgspec.field(name="leg")
     attempt: int = msgspec.field(name="sailing")
--- a/tests/test_amqp_queues.py
+++ b/tests/test_amqp_queues.py
@@ -23,15 +23,15 @@
 from oatport.control.leadership.leader_lease import LeaderLease
 from oatport.lab.queues import Senders, audit
 from oatport.queues.client import Answers, Sender
-from oatport.queues.core import ACCEPTED, GONE, LATER, REFUSED, UNKNOWN, AcceptOutcome
+from oatport.queues.core import CoreOutcome, CoreResponse
 from oatport.queues.gateway import Gateway
-from oatport.queues.identity import PARTS, answer_id, identity_of, part_of, ref_of
+from oatport.queues.identity import PARTS, answer_id, identity_of, job_id_of, part_of
 from oatport.queues.intake import ACK, AGAIN, DEAD, Message, SubmissionBatcher
 from oatport.queues.link import REASON, Link
 from oatport.queues.members import parts_for
 from oatport.queues.outbox import ORPHAN_AFTER, Outbox
 from oatport.queues.rows import TAKEN, TOLD, Row, answer_from, part_key, row_key
-from oatport.queues.settings import GatewaySettings, QueueSettings, load
+from oatport.queues.settings import GatewaySettings, QueueSettings, load_gateway_settings
 from oatport.queues.store import Store
 from oatport.queues.templates import InvalidMessageError, Template
 from oatport.settings import SettingsError
@@ -87,29 +87,29 @@
 
     def __init__(self, state: KeyStore) -> None:
         self.state = state
-        self.outcomes: list[AcceptOutcome] = []
+        self.outcomes: list[CoreResponse] = []
         self.submitted: list[str] = []
         self.end = wire.JobStatus.COMPLETED
 
-    async def submit(self, job: dict[str, Any]) -> AcceptOutcome:
+    async def submit(self, job: dict[str, Any]) -> CoreResponse:
         if self.outcomes:
             return self.outcomes.pop(0)
         self.submitted.append(job["ref"])
         key = f"jobs/{job['ref']}"
         if key not in self.state.items:
             self.state.commit({"if": [], "then": [{"set": key, "value": {"state": self.end, "at": 1, "job": job}}]})
-        return AcceptOutcome(ACCEPTED)
+        return CoreResponse(CoreOutcome.ACCEPTED)
 
-    async def cancel(self, ref: str) -> AcceptOutcome:
+    async def cancel(self, ref: str) -> CoreResponse:
         key = f"jobs/{ref}"
         if key not in self.state.items:
-            return AcceptOutcome(UNKNOWN)
+            return CoreResponse(CoreOutcome.NOT_FOUND)
         record = self.state.items[key][0]
         if record["state"] == "queued":
             self.state.commit(
                 {"if": [], "then": [{"set": key, "value": {**record, "state": wire.JobStatus.CANCELLED}}]}
             )
-        return AcceptOutcome(GONE)
+        return CoreResponse(CoreOutcome.TERMINATED)
 
 
 class HeartbeatReceiver:
@@ -153,7 +153,7 @@
             await self.outbox.tell(ref)
 
     def row(self, identity: str = "m-1") -> Row:
-        ref = ref_of("moves", identity)
+        ref = job_id_of("moves", identity)
         return Row.of(ref, self.state.items[row_key(ref)][0])
 
 
@@ -163,10 +163,10 @@
 @given(st.text(max_size=30), st.text(max_size=30), st.text(max_size=30), st.text(max_size=30))
 @settings(max_examples=200, derandomize=True, deadline=None)
 def test_refs_are_in_the_protocols_form_and_tell_messages_apart(a: str, b: str, c: str, d: str) -> None:
-    assert wire.is_job_id(ref_of(a, b))
-    assert (ref_of(a, b) == ref_of(c, d)) == ((a, b) == (c, d))
-    assert ref_of(a, b) != ref_of(a, b, 1)
-    assert 0 <= part_of(ref_of(a, b)) < PARTS
+    assert wire.is_job_id(job_id_of(a, b))
+    assert (job_id_of(a, b) == job_id_of(c, d)) == ((a, b) == (c, d))
+    assert job_id_of(a, b) != job_id_of(a, b, 1)
+    assert 0 <= part_of(job_id_of(a, b)) < PARTS
 
 
 def test_identity_is_the_message_id_else_the_agreed_header_else_a_hash_if_allowed() -> None:
@@ -242,10 +242,10 @@
 
 async def test_nothing_is_acknowledged_before_the_job_is_accepted() -> None:
     desk = HeartbeatReceiver()
-    desk.core.outcomes = [AcceptOutcome(LATER)] * 3
+    desk.core.outcomes = [CoreResponse(CoreOutcome.RETRY_LATER)] * 3
     assert (await desk.take()).action == ACK
     assert len(desk.core.submitted) == 1
-    desk.core.outcomes = [AcceptOutcome(LATER)] * 1000
+    desk.core.outcomes = [CoreResponse(CoreOutcome.RETRY_LATER)] * 1000
     assert (await desk.take(message_id="m-2")).action == AGAIN  # back to the broker: nothing is buffered here
     desk.client.faults = ["refuse"] * 6
     assert (await desk.take(message_id="m-3")).action == AGAIN
@@ -259,12 +259,12 @@
     desk.client.deliver_late()
     await desk.settle()
     assert len(desk.published) == 1
-    assert desk.core.submitted == [ref_of("moves", "m-1")]
+    assert desk.core.submitted == [job_id_of("moves", "m-1")]
 
 
 async def test_a_crash_between_row_and_job_is_made_good_by_the_parts_owner() -> None:
     desk = HeartbeatReceiver()
-    ref = ref_of("moves", "m-1")
+    ref = job_id_of("moves", "m-1")
     row = Row(ref, "moves", "m-1", "replies", MOVES.template.job(ref, b"{}"))
     await desk.store.change(row_key(ref), row.value(), {row_key(ref): 0})
     desk.outbox.saw(row, desk.state.revision)
@@ -292,7 +292,7 @@
 async def test_a_refused_job_is_answered_and_buried_once() -> None:
     desk = HeartbeatReceiver()
     assert (await desk.take({"nope": 1})).action == DEAD
-    desk.core.outcomes = [AcceptOutcome(REFUSED, "unknown team")]
+    desk.core.outcomes = [CoreResponse(CoreOutcome.REFUSED, "unknown team")]
     verdict = await desk.take(message_id="m-2")
     assert (verdict.action, verdict.reason) == (DEAD, "unknown team")
     await desk.settle()
@@ -312,11 +312,11 @@
 
 async def test_a_collision_of_job_ids_is_seen_and_another_id_taken() -> None:
     desk = HeartbeatReceiver()
-    ref = ref_of("moves", "m-1")
+    ref = job_id_of("moves", "m-1")
     foreign = Row(ref, "other", "x", "", {"ref": ref})
     await desk.store.change(row_key(ref), foreign.value(), {row_key(ref): 0})
     verdict = await desk.take()
-    assert verdict.ref == ref_of("moves", "m-1", 1)
+    assert verdict.ref == job_id_of("moves", "m-1", 1)
     assert desk.core.submitted == [verdict.ref]
 
 
@@ -335,14 +335,14 @@
 
 async def test_expiry_before_the_job_is_accepted_and_while_it_waits() -> None:
     desk = HeartbeatReceiver()
-    desk.core.outcomes = [AcceptOutcome(LATER)] * 10
+    desk.core.outcomes = [CoreResponse(CoreOutcome.RETRY_LATER)] * 10
     await desk.take(expires_s=2.0)
     desk.core.outcomes = []
     desk.core.end = "queued"
     await desk.take(message_id="m-2", expires_s=50.0)
     desk.now += 51 * SECOND
-    assert desk.outbox.expired() == [ref_of("moves", "m-2")]
-    await desk.core.cancel(ref_of("moves", "m-2"))
+    assert desk.outbox.expired() == [job_id_of("moves", "m-2")]
+    await desk.core.cancel(job_id_of("moves", "m-2"))
     await desk.settle()
     assert sorted((row.identity, row.answer) for row in desk.published) == [("m-1", "expired"), ("m-2", "expired")]
 
@@ -374,7 +374,7 @@
 async def test_what_an_earlier_owner_writes_is_refused_and_the_next_one_answers_once() -> None:
     desk = HeartbeatReceiver()
     await desk.take()
-    ref = ref_of("moves", "m-1")
+    ref = job_id_of("moves", "m-1")
     heir = HeartbeatReceiver()
     heir.state = heir.client.state = desk.state
     heir.core = desk.core
@@ -435,7 +435,7 @@
     state = KeyStore(steady, ops_limit=16)
     gateway = gateway_of(state, "a")
     listed = gateway.store.rows
-    ref = ref_of("moves", "m-1")
+    ref = job_id_of("moves", "m-1")
     row = Row(ref, "moves", "m-1", "", MOVES.template.job(ref, b"{}"))
 
     async def rows(prefix: str = "q/") -> Any:
@@ -550,7 +550,7 @@
         assert left < 4
     assert sorted(got) == sorted(ids)
     core: Any = site.gateways[0][0].core
-    assert sorted(set(core.submitted)) == sorted({ref_of("moves", identity) for identity in ids})
+    assert sorted(set(core.submitted)) == sorted({job_id_of("moves", identity) for identity in ids})
     assert len([key for key in site.state.items if key.startswith("jobs/")]) == len(ids)
 
 
@@ -573,7 +573,7 @@
 async def test_a_broker_that_restarts_blocks_refuses_and_is_slow(site: Site) -> None:
     async with Sender(site.url, "moves") as sender:
         await sender.send({}, message_id="m-1")
-    await until(lambda: site.state.items.get(f"jobs/{ref_of('moves', 'm-1')}") is not None)
+    await until(lambda: site.state.items.get(f"jobs/{job_id_of('moves', 'm-1')}") is not None)
     site.broker.refuse = True
     await site.broker.restart()
     await asyncio.sleep(0.3)
@@ -732,7 +732,7 @@
     path = tmp_path / "queues.ini"
     path.write_text(GOOD.replace(old, new))
     with pytest.raises(SettingsError, match=why):
-        load(path)
+        load_gateway_settings(path)
     assert main(["queues", "--config", str(path), "--check"]) == 2
     assert len(capsys.readouterr().err.splitlines()) == 1
 
@@ -744,10 +744,10 @@
     path.write_text(GOOD.replace("[broker]", f"[broker]\npassword_file = {secret}"))
     os.chmod(secret, 0o644)
     with pytest.raises(SettingsError, match="others"):
-        load(path)
+        load_gateway_settings(path)
     os.chmod(secret, 0o600)
-    assert load(path).password == "hunter2"
-    assert "hunter2" not in repr(load(path))
+    assert load_gateway_settings(path).password == "hunter2"
+    assert "hunter2" not in repr(load_gateway_settings(path))
 
 
 def test_the_sample_settings_are_good(capsys: pytest.CaptureFixture[str]) -> None:
@@ -765,7 +765,7 @@
     senders._got("y", "a", '{"answer": "done"}')
     senders._got("z", "b", '{"answer": "done"}')
     senders._got("z", "b", '{"answer": "lost"}')
-    runs = Counter({f"{ref_of('moves', 'a')}/0": 2, f"{ref_of('replays', 'c')}/0": 2, "j-9/0": 1})
+    runs = Counter({f"{job_id_of('moves', 'a')}/0": 2, f"{job_id_of('replays', 'c')}/0": 2, "j-9/0": 1})
     found = audit(senders, runs)
     assert (found["double_answers"], found["lost"], found["answered_once"]) == (2, 1, 1)
     assert (found["runs_against_class"], found["double_runs"]) == (2, 2)
--- a/tests/test_windows.py
+++ b/tests/test_windows.py
@@ -20,11 +20,11 @@
 from oatport.simulation.state_service import KeyStore
 from oatport.times import SECOND, time_of_day
 from oatport.windows.client import FeedClient
-from oatport.windows.feed import decode, encode
+from oatport.windows.feed import decode_series, encode_series
 from oatport.windows.holding import MOVES_MOST, DayClock, Holder
-from oatport.windows.margins import Margins
+from oatport.windows.margins import RuntimeMargins
 from oatport.windows.prices import Book, Interval, InvalidPriceSeriesError
-from oatport.windows.settings import Deferral, WindowSettings, load
+from oatport.windows.settings import Deferral, WindowSettings, load_window_settings
 from tests.cluster_fixture import Unplugged, World
 from tests.test_node_failures import leader
 
@@ -104,8 +104,8 @@
 
 def test_clock_changes_of_a_zone_move_no_hour() -> None:
     """A night of summer time's end has 25 hours of local time: the format has none, each hour is there once."""
-    body = wire_body(encode(hours(*range(1, 26)), "tallinn", DAY))
-    rows, _ = decode(body, "application/json", "tallinn")
+    body = wire_body(encode_series(hours(*range(1, 26)), "tallinn", DAY))
+    rows, _ = decode_series(body, "application/json", "tallinn")
     assert [row.end for row in rows[:-1]] == [row.start for row in rows[1:]]
 
 
@@ -132,7 +132,7 @@
 )
 def test_bodies_that_are_no_series(body: bytes) -> None:
     with pytest.raises(InvalidPriceSeriesError):
-        decode(body, "application/json", "z")
+        decode_series(body, "application/json", "z")
 
 
 async def test_a_feed_that_fails_leaves_the_last_good_series() -> None:
@@ -145,18 +145,18 @@
     now = time_of_day()
     feed.intervals, feed.made_at = hours(10.0, 20.0, start=now), now
     try:
-        await client.step()
+        await client.poll()
         assert [row.price for row in known.rows] == [10.0, 20.0]
         for mode in ("silent", "refuse", "drip", "huge", "broken"):
             feed.mode = mode
-            pause = await client.step()
+            pause = await client.poll()
             assert pause >= 2.0
             assert known.problem
             assert [row.price for row in known.rows] == [10.0, 20.0]
         assert client.failures == 5
         feed.mode, feed.as_json = "good", False
         feed.intervals = hours(10.0, 25.0, start=now)
-        await client.step()
+        await client.poll()
         assert client.failures == 0
         assert len(changed) == 2
     finally:
@@ -421,17 +421,17 @@
     heir = WindowController(later, Unplugged(), settings)  # type: ignore[arg-type]
     await heir.fail_over()
     assert [row.price for row in heir.book.rows] == [10.0, 20.0]
-    assert heir.holder.margins.factor("train") < Margins().factor("train")
+    assert heir.holder.margins.factor("train") < RuntimeMargins().factor("train")
 
 
 def test_margins_start_careful_and_follow_what_was_seen() -> None:
-    margins = Margins()
+    margins = RuntimeMargins()
     assert margins.factor("x") == 3.0
     for _ in range(40):
-        margins.finished("x", 100, 100)
+        margins.on_task_completed("x", 100, 100)
     assert margins.factor("x") == pytest.approx(1.2)
     for _ in range(40):
-        margins.finished("x", 400, 100)
+        margins.on_task_completed("x", 400, 100)
     assert margins.factor("x") == pytest.approx(4.0)
 
 
@@ -457,19 +457,19 @@
     path = tmp_path / "own.ini"
     path.write_text(text)
     with pytest.raises(SettingsError, match=why):
-        load(path)
+        load_window_settings(path)
     assert main(["--tuning", str(path), "check", "deploy/service.toml"]) == 2
     assert len(capsys.readouterr().err.splitlines()) == 1
 
 
 def test_the_sample_settings_are_good_and_without_them_windows_are_off() -> None:
-    sample = load("deploy/windows.ini")
+    sample = load_window_settings("deploy/windows.ini")
     assert sample.on
     assert sample.deferral("rebalance", "normal") is not None
     assert sample.deferral("other", "normal") is None
     assert sample.deferral("other", "idle") is not None
     assert load_tuning("deploy/windows.ini") == load_tuning(None)
-    assert not load(None).on
+    assert not load_window_settings(None).on
 
 
 @pytest.mark.parametrize("fault", ["none", "silent", "expensive-deadline", "lying", "burst"])
