--- a/oatport/api/job_api.py
+++ b/oatport/api/job_api.py
@@ -13,7 +13,7 @@
 from oatport.clients.http import NoResponseError, RequestRefusedError
 from oatport.clients.state import Applied, StateClient
 from oatport.control.limits.rate_limiter import AdaptiveRateLimiter
-from oatport.control.queueing.dependency_tracker import named
+from oatport.control.queueing.dependency_tracker import list_job_ids
 from oatport.control.state.capacity import feasible_machine_types
 from oatport.control.state.job import JobKind
 from oatport.control.storage.job_records import encode_submission
@@ -168,7 +168,7 @@
             self._view.created(job.job_id, record, revision, mark)
             self._backstage.notify_accepted(job.job_id, record, revision)
             if job.dependencies:
-                log.info("job %s waits for %s", job.job_id, named(job.dependencies))
+                log.info("job %s waits for %s", job.job_id, list_job_ids(job.dependencies))
             return Answer(201, {"ref": job.job_id, "status": wire.JobStatus.QUEUED})
         known = None if outcome == UNSURE else await self._read(job.job_id)
         return Answer(200, known) if known else later(self._intake.comes_back() if self._intake.short() else 1)
--- a/oatport/control/leadership/lease_proxy.py
+++ b/oatport/control/leadership/lease_proxy.py
@@ -59,13 +59,15 @@
             return
         self.fencing_token = fencing_token
         self.leader_contact_at = max(self.leader_contact_at, asked_at - contact_age_us)
-        self.renewal_limit.known(asked_at - watermark_age_us - watermark_age_us // DRIFT_DIVISOR)
+        self.renewal_limit.on_cancellations_read(asked_at - watermark_age_us - watermark_age_us // DRIFT_DIVISOR)
 
     def share(self, now: int) -> SharedWatermark | None:
         """For a node that was started again; None if no leader ever answered."""
         if not self.fencing_token:
             return None
-        return SharedWatermark(self.fencing_token, now - self.renewal_limit.known_at, now - self.leader_contact_at)
+        return SharedWatermark(
+            self.fencing_token, now - self.renewal_limit.cancellations_known_at, now - self.leader_contact_at
+        )
 
     def valid_until(self) -> int:
         """Until when reports may be answered."""
--- a/oatport/control/leadership/zone_partition.py
+++ b/oatport/control/leadership/zone_partition.py
@@ -23,7 +23,7 @@
 
 from oatport.control.leadership.lease_renewal import LeaseRenewalLimit
 from oatport.control.scaling.capacity_planner import CapacityPlanner
-from oatport.control.state.capacity import zone_cap
+from oatport.control.state.capacity import max_tasks_per_zone
 from oatport.control.state.cluster_state import ClusterState
 from oatport.control.state.job import Job, JobKind
 from oatport.control.state.machine import Machine
@@ -57,7 +57,7 @@
         zones &= {spec.zone}
     if spec.single_zone and job.tasks_by_zone:
         zones &= job.tasks_by_zone.keys()
-    cap = zone_cap(spec)
+    cap = max_tasks_per_zone(spec)
     return max(0, sum(cap - job.tasks_by_zone.get(zone, 0) for zone in zones) - job.pending)
 
 
--- a/oatport/control/placement/candidate_search.py
+++ b/oatport/control/placement/candidate_search.py
@@ -8,7 +8,7 @@
 from oatport.control.placement.feasibility import FeasibilityFilter
 from oatport.control.placement.scoring import MachineScorer, with_zone_balance
 from oatport.control.queueing.pending_queue import RUNTIME_BUCKET
-from oatport.control.state.capacity import zone_cap
+from oatport.control.state.capacity import max_tasks_per_zone
 from oatport.control.state.cluster_state import ClusterState
 from oatport.control.state.job import Job, JobKind
 from oatport.control.state.machine import Machine
@@ -41,7 +41,7 @@
         spec = job.spec
         ranking = self._ranking(job, machines)
         errors = job.error_machines if len(machines) > len(job.error_machines) else ()
-        limit = zone_cap(spec)
+        limit = max_tasks_per_zone(spec)
         best: Candidate | None = None
         for zone in ranking.zones:
             there = job.tasks_by_zone.get(zone, 0)
--- a/oatport/control/placement/feasibility.py
+++ b/oatport/control/placement/feasibility.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from oatport.control.queueing.tier_router import SPOT
-from oatport.control.state.capacity import zone_cap
+from oatport.control.state.capacity import max_tasks_per_zone
 from oatport.control.state.cluster_state import ClusterState
 from oatport.control.state.job import IDLE_RANK, Job
 from oatport.control.state.machine import Machine
@@ -22,7 +22,7 @@
         return False
     if spec.single_zone and job.tasks_by_zone and machine.zone not in job.tasks_by_zone:
         return False
-    return not spec.spread or job.tasks_by_zone.get(machine.zone, 0) < zone_cap(spec)
+    return not spec.spread or job.tasks_by_zone.get(machine.zone, 0) < max_tasks_per_zone(spec)
 
 
 class FeasibilityFilter:
--- a/oatport/control/placement/gang_placement.py
+++ b/oatport/control/placement/gang_placement.py
@@ -4,7 +4,7 @@
 
 from oatport.control.placement.feasibility import FeasibilityFilter, machine_allowed
 from oatport.control.placement.scoring import SLOWDOWN_MAX
-from oatport.control.state.capacity import zone_cap
+from oatport.control.state.capacity import max_tasks_per_zone
 from oatport.control.state.cluster_state import ClusterState
 from oatport.control.state.job import Job
 from oatport.control.state.machine import Machine
@@ -33,7 +33,7 @@
         """
         if job.on_machines or job.pending + len(job.completed) < job.spec.task_count:
             return []
-        if self._cluster.quotas.room(job.spec) < job.pending:
+        if self._cluster.quotas.remaining_tasks(job.spec) < job.pending:
             return []
         chosen = self._cheapest_zone(job, machines)
         if chosen:
@@ -73,7 +73,7 @@
         for machine in self._by_preference(job, machines):
             count = min(machine.free_slots(spec), needed - len(chosen))
             if spec.spread:
-                count = min(count, zone_cap(spec) - tasks_by_zone.get(machine.zone, 0))
+                count = min(count, max_tasks_per_zone(spec) - tasks_by_zone.get(machine.zone, 0))
             if count > 0:
                 tasks_by_zone[machine.zone] = tasks_by_zone.get(machine.zone, 0) + count
                 chosen += [machine] * count
@@ -104,8 +104,8 @@
         Without this, smaller jobs take them one by one, and a gang of several machines starts never.
         """
         if self._booting is None:
-            token = self._cluster.token
-            self._booting = [m for m in self._cluster.machines.values() if m.coming(now, token)]
+            token = self._cluster.fencing_token
+            self._booting = [m for m in self._cluster.machines.values() if m.is_incoming(now, token)]
         free = self._free_where_it_will_be_whole(job, machines, self._booting)
         if not free:
             return set()
--- a/oatport/control/placement/placer.py
+++ b/oatport/control/placement/placer.py
@@ -17,7 +17,7 @@
 from oatport.control.placement.wakeup import Wakeup
 from oatport.control.placement.warm_start import WARM_START_WAIT, WarmStarts
 from oatport.control.queueing.pending_queue import EquivalenceClass
-from oatport.control.state.capacity import zone_cap
+from oatport.control.state.capacity import max_tasks_per_zone
 from oatport.control.state.cluster_state import ClusterState
 from oatport.control.state.job import IDLE_RANK, Job, JobKind
 from oatport.control.state.machine import Machine
@@ -112,7 +112,7 @@
         cluster.planning_needed = False
         cluster.now = now
         self._wakeup.reset(now + PASS_INTERVAL_MAX)
-        usable = cluster.find_usable(now)
+        usable = cluster.refresh_usable_machines(now)
         if not cluster.pending:
             return 0
         self._note_cordons(now)
@@ -162,18 +162,18 @@
 
     @staticmethod
     def _zones_are_full(job: Job, zones: set[str]) -> bool:
-        limit = zone_cap(job.spec)
+        limit = max_tasks_per_zone(job.spec)
         return all(job.tasks_by_zone.get(zone, 0) >= limit for zone in zones)
 
     def _within_quota(self, job: Job, equivalence_class: EquivalenceClass, now: int) -> int:
         """How many pending tasks of a job its team's limit allows; at the limit the team's own work may be stopped."""
         quotas = self._cluster.quotas
         usage = quotas.get(job.spec.team)
-        allowed = min(job.pending, quotas.room(job.spec))
+        allowed = min(job.pending, quotas.remaining_tasks(job.spec))
         if usage is not None and allowed < (job.pending if job.kind is JobKind.GANG else 1):
             self.preemption.preempt_own_team(job, now)
             # The others of its class are of the same team, and want as much.
-            can_preempt = any(usage.rank_arrays[job.priority_rank + 1 :])
+            can_preempt = any(usage.array_tasks_by_priority[job.priority_rank + 1 :])
             equivalence_class.exhausted = equivalence_class.interchangeable and not can_preempt
         return allowed
 
--- a/oatport/control/placement/preemption.py
+++ b/oatport/control/placement/preemption.py
@@ -127,7 +127,7 @@
         """
         usage = self._cluster.quotas[job.spec.team]
         # Looked for among all that the team runs, for each of its pending jobs twice a second: only if there is any.
-        if job.suspected_faulty or not any(usage.rank_arrays[job.priority_rank + 1 :]):
+        if job.suspected_faulty or not any(usage.array_tasks_by_priority[job.priority_rank + 1 :]):
             return
         if job.preempt_after > now:
             self._wakeup.no_later_than(job.preempt_after)
--- a/oatport/control/placement/victim_selection.py
+++ b/oatport/control/placement/victim_selection.py
@@ -7,7 +7,7 @@
 
 from oatport.control.placement.feasibility import FeasibilityFilter, machine_allowed
 from oatport.control.placement.image_fetch import image_fetch_time
-from oatport.control.state.capacity import zone_cap
+from oatport.control.state.capacity import max_tasks_per_zone
 from oatport.control.state.cluster_state import ClusterState
 from oatport.control.state.job import Job, JobKind
 from oatport.control.state.machine import Machine
@@ -166,7 +166,7 @@
             zone = option.machine.zone
             count = min(option.machine.free_slots_without(option.victims, spec), wanted)
             if spec.spread:
-                count = min(count, zone_cap(spec) - tasks_by_zone.get(zone, 0))
+                count = min(count, max_tasks_per_zone(spec) - tasks_by_zone.get(zone, 0))
             if count > 0:
                 tasks_by_zone[zone] = tasks_by_zone.get(zone, 0) + count
                 wanted -= count
--- a/oatport/control/queueing/dependency_tracker.py
+++ b/oatport/control/queueing/dependency_tracker.py
@@ -63,7 +63,7 @@
             self.cancel_blocked(job.job_id, 0)
         elif state is DependencyState.OPEN:
             self.blocked_jobs[job.job_id] = job
-            log.info("job %s waits for %s", job.job_id, named(self.graph.dependencies_of(job.job_id)))
+            log.info("job %s waits for %s", job.job_id, list_job_ids(self.graph.dependencies_of(job.job_id)))
         elif state is DependencyState.CANCELLED:
             self._cancel_blocked(job)
         else:
@@ -133,7 +133,7 @@
         job = self.blocked_jobs[ref]
         asked = self.inherited_urgency.get(ref)
         dues = tuple(self.cluster.objectives.deadlines_of(job))
-        rank = stage_rank(job)
+        rank = stage_priority_rank(job)
         if asked is not None:
             rank = min(rank, asked.priority_rank)
             dues = earlier(dues, asked.deadlines)
@@ -159,7 +159,7 @@
                         self.inherited_urgency[ref] = asked
                     stale.update(dict.fromkeys(self.graph.dependencies_of(ref)))
                 continue
-            own = stage_rank(job)
+            own = stage_priority_rank(job)
             rank = own if asked is None or job.kind is JobKind.SERVICE else min(own, asked.priority_rank)
             self.cluster.job_lifecycle.set_urgency(job, rank, list(asked.deadlines) if asked is not None else [])
 
@@ -170,11 +170,11 @@
             for need in self.graph.dependencies_of(ref)
             if need in self.cluster.jobs and self.cluster.jobs[need].failure_reason
         ]
-        text = f"waits for {named(self.graph.dependencies_of(ref))}" if ref in self.blocked_jobs else ""
-        return text + (f"; lost, so that it waits until it is cancelled: {named(lost)}" if lost else "")
+        text = f"waits for {list_job_ids(self.graph.dependencies_of(ref))}" if ref in self.blocked_jobs else ""
+        return text + (f"; lost, so that it waits until it is cancelled: {list_job_ids(lost)}" if lost else "")
 
 
-def stage_rank(job: Job) -> int:
+def stage_priority_rank(job: Job) -> int:
     """A job's own priority. One that names others is a stage of what somebody waits for, which is no idle work.
 
     Users set the priority that they care about on the last job only, and some submit that when the others are over: a
@@ -184,6 +184,6 @@
     return min(own, NORMAL_RANK) if job.dependencies else own
 
 
-def named(refs: list[str]) -> str:
+def list_job_ids(refs: list[str]) -> str:
     more = len(refs) - NAMED_MOST
     return ", ".join(refs[:NAMED_MOST]) + (f" and {more} more" if more > 0 else "")
--- a/oatport/control/scaling/demand.py
+++ b/oatport/control/scaling/demand.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from oatport.control.queueing.tier_router import SPOT
-from oatport.control.state.capacity import zone_cap
+from oatport.control.state.capacity import max_tasks_per_zone
 from oatport.control.state.job import Job
 
 
@@ -25,12 +25,12 @@
         """`count` tasks beside those of the job that are on machines already."""
         tasks_by_zone = dict(job.tasks_by_zone)
         only_zone = next(iter(tasks_by_zone)) if job.spec.single_zone and tasks_by_zone else job.spec.zone
-        return cls(job, count, only_zone, tasks_by_zone, zone_cap(job.spec), job.tier == SPOT)
+        return cls(job, count, only_zone, tasks_by_zone, max_tasks_per_zone(job.spec), job.tier == SPOT)
 
     @classmethod
     def of_gang(cls, job: Job, zone: str | None) -> Demand:
         """All tasks of a gang, in one zone unless that is None."""
-        return cls(job, job.pending, zone, {}, zone_cap(job.spec), job.tier == SPOT)
+        return cls(job, job.pending, zone, {}, max_tasks_per_zone(job.spec), job.tier == SPOT)
 
     def is_zone_full(self, zone: str) -> bool:
         """The job is spread over zones, and this one has its share."""
--- a/oatport/control/scaling/rebalancing.py
+++ b/oatport/control/scaling/rebalancing.py
@@ -9,7 +9,7 @@
 from oatport.control.queueing.tier_router import SPOT
 from oatport.control.scaling.capacity_slot import CapacitySlot
 from oatport.control.scaling.owned_capacity import free_owned_cpus, warm_cpus
-from oatport.control.state.capacity import zone_cap
+from oatport.control.state.capacity import max_tasks_per_zone
 from oatport.control.state.cluster_state import ClusterState
 from oatport.control.state.job import Job, JobKind
 from oatport.control.state.machine import Machine
@@ -133,7 +133,7 @@
             return spec.zone in (None, machine.zone)  # within its zone a move changes nothing about the spread
         replicas_there = job.tasks_by_zone.get(machine.zone, 0) + self._moved.get((job.job_id, machine.zone), 0)
         return (
-            not (spec.spread and replicas_there >= zone_cap(spec))
+            not (spec.spread and replicas_there >= max_tasks_per_zone(spec))
             and not spec.single_zone
             and spec.zone in (None, machine.zone)
         )
--- a/oatport/control/scaling/scale_in.py
+++ b/oatport/control/scaling/scale_in.py
@@ -90,7 +90,7 @@
         for job in cluster.pending:
             if job.spec.gpus > 0 or job.suspected_faulty:
                 continue  # it has machines of its own type, or rather no use for any
-            tasks = min(job.pending, cluster.quotas.room(job.spec), PENDING_TASKS_COUNTED)
+            tasks = min(job.pending, cluster.quotas.remaining_tasks(job.spec), PENDING_TASKS_COUNTED)
             cpus = tasks * job.spec.cpus
             if not job.spec.spot or job.tier != SPOT:
                 need.owned += cpus
@@ -188,7 +188,7 @@
         return overdue and (not machine.was_ready or machine.listed_by_cloud)
 
     def _is_idle(self, machine: Machine, now: int) -> bool:
-        return bool(machine.idle_since) and now - _idle_from(machine) > self.cluster.idle_time(machine)
+        return bool(machine.idle_since) and now - _idle_from(machine) > self.cluster.idle_timeout(machine)
 
     @staticmethod
     def _is_owned_for_services(machine: Machine) -> bool:
--- a/oatport/control/scaling/scale_out.py
+++ b/oatport/control/scaling/scale_out.py
@@ -128,7 +128,7 @@
         cluster = self.cluster
         incoming = IncomingCapacity()
         for machine in cluster.machines.values():
-            if machine.zone not in cluster.zones.partitioned and machine.coming(now, cluster.token):
+            if machine.zone not in cluster.zones.partitioned and machine.is_incoming(now, cluster.fencing_token):
                 incoming.add(CapacitySlot.of(machine.type, machine.zone, machine.spot))
         for request in self.availability.requests_in_flight:
             if request.zone in cluster.zones.partitioned:
@@ -156,7 +156,7 @@
         return released
 
     def _plan_job(self, job: Job, current: ScaleOutPass) -> None:
-        wanted = min(job.pending, self.cluster.quotas.room(job.spec))
+        wanted = min(job.pending, self.cluster.quotas.remaining_tasks(job.spec))
         if job.kind is not JobKind.GANG:
             self._plan_tasks(Demand.of_tasks(job, wanted), current)
         elif wanted == job.pending and not job.on_machines:
--- a/oatport/control/state/cancellations.py
+++ b/oatport/control/state/cancellations.py
@@ -20,7 +20,7 @@
 ANSWERED_WITHIN = 1_500 * MS  # else it may have been on its way for longer than that
 
 
-def answers_until(workers: Workers, known_at: int) -> int:
+def renewals_allowed_until(workers: Workers, known_at: int) -> int:
     """Until when (steady, us) a report may be answered, by who knows all cancellations told up to `known_at`.
 
     A cancellation may be told by another node at any moment; its tasks must be gone `cancel_s`
@@ -38,8 +38,8 @@
 class ConfirmedCancellations:
     """One node's answer: jobs whose users it told that they are cancelled, and for how long back (us) that is all."""
 
-    refs: list[str]
-    whole_us: int
+    job_ids: list[str]
+    complete_for_us: int
 
     @classmethod
     def of(cls, message: object) -> ConfirmedCancellations:
@@ -56,7 +56,7 @@
 
         The node's clock may run fast, and it answered at the latest when its answer was there.
         """
-        return answered - asked <= ANSWERED_WITHIN and answered - with_drift(self.whole_us) <= since
+        return answered - asked <= ANSWERED_WITHIN and answered - with_drift(self.complete_for_us) <= since
 
 
 @dataclass(slots=True)
@@ -67,36 +67,36 @@
     a cancellation stands before anybody is told of it. `began`: of what an earlier process told nothing is known here.
     """
 
-    began: int
-    kept_us: int  # for longer no lease rests on what isn't known
-    most: int = MOST
-    _told: dict[str, int] = field(default_factory=dict)  # in the order of their moments
-    _whole_since: int = field(init=False)  # what was told after this is all there
+    began_at: int
+    retention_us: int  # for longer no lease rests on what isn't known
+    max_entries: int = MOST
+    _confirmed: dict[str, int] = field(default_factory=dict)  # in the order of their moments
+    _complete_since: int = field(init=False)  # what was told after this is all there
 
     def __post_init__(self) -> None:
-        self._whole_since = self.began
+        self._complete_since = self.began_at
 
-    def tell(self, ref: str, now: int) -> bool:
+    def record(self, ref: str, now: int) -> bool:
         """Its user is about to be told; False if one was before."""
-        while self._told and next(iter(self._told.values())) < now - self.kept_us:
+        while self._confirmed and next(iter(self._confirmed.values())) < now - self.retention_us:
             self._drop_oldest()
-        if ref in self._told:
+        if ref in self._confirmed:
             return False
-        if len(self._told) >= self.most:
+        if len(self._confirmed) >= self.max_entries:
             self._drop_oldest()
-        self._told[ref] = now
+        self._confirmed[ref] = now
         return True
 
     def _drop_oldest(self) -> None:
-        self._whole_since = self._told.pop(next(iter(self._told)))
+        self._complete_since = self._confirmed.pop(next(iter(self._confirmed)))
 
-    def since(self, now: int, age: int) -> ConfirmedCancellations:
+    def confirmed_within(self, now: int, age: int) -> ConfirmedCancellations:
         """All that was told within the last `age` us by the asker's clock, when it sent its question."""
         after = now - age - age // 500 - SLACK
         return ConfirmedCancellations(
-            [ref for ref, at in self._told.items() if at > after], max(0, now - self._whole_since)
+            [ref for ref, at in self._confirmed.items() if at > after], max(0, now - self._complete_since)
         )
 
-    def quiet(self, now: int) -> int:
+    def quiet_us(self, now: int) -> int:
         """For so long (us) nothing was told that had not been told before: what leaders of before 0.8 go by."""
-        return now - max([self._whole_since, *list(self._told.values())[-1:]])
+        return now - max([self._complete_since, *list(self._confirmed.values())[-1:]])
--- a/oatport/control/state/capacity.py
+++ b/oatport/control/state/capacity.py
@@ -20,7 +20,7 @@
     return task_slots(spec, kind.cpus, kind.gpus, kind.memory_gb)
 
 
-def zone_cap(spec: wire.Submission) -> int:
+def max_tasks_per_zone(spec: wire.Submission) -> int:
     """How many of a job's tasks may be in one zone."""
     return (spec.task_count + 1) // 2 if spec.spread else spec.task_count
 
--- a/oatport/control/state/cluster_state.py
+++ b/oatport/control/state/cluster_state.py
@@ -54,7 +54,7 @@
         types: dict[str, wire.MachineType],
         predictor: RuntimePredictor,
     ) -> None:
-        self.token = token
+        self.fencing_token = token
         self.settings = settings
         self.tuning = tuning
         self.predictor = predictor
@@ -102,7 +102,7 @@
         self.heartbeats = HeartbeatReceiver(self)
         self.commands = MachineCommands(self)
 
-    def idle_time(self, machine: Machine) -> int:
+    def idle_timeout(self, machine: Machine) -> int:
         """How long an idle machine is kept; those with GPUs are few, and longer in coming back.
 
         Of those, the dear ones for less: an ordinary one costs twice or thrice what a spot one does.
@@ -113,12 +113,12 @@
         cheap = min(machine.type.spot_price or machine.price, machine.price)
         return max(idle, round(idle * self.tuning.gpu_idle_factor * cheap / max(machine.price, 1e-9)))
 
-    def find_usable(self, now: int) -> list[Machine]:
+    def refresh_usable_machines(self, now: int) -> list[Machine]:
         """The machines that tasks may be placed on now."""
         self.usable_machines = [
             m
             for m in self.machines.values()
-            if m.usable(self.token, now, self.heartbeat_fresh_us) and m.zone not in self.zones.partitioned
+            if m.is_usable(self.fencing_token, now, self.heartbeat_fresh_us) and m.zone not in self.zones.partitioned
         ]
         return self.usable_machines
 
@@ -133,7 +133,9 @@
             return False
         if machine.free_gpus < machine.type.gpus - 1e-9:
             return True
-        return now + self.predictor.run_time(job.job_id, job.spec) < machine.gpus_idle_since + self.idle_time(machine)
+        return now + self.predictor.run_time(job.job_id, job.spec) < machine.gpus_idle_since + self.idle_timeout(
+            machine
+        )
 
     def may_use_free_spot(self, job: Job) -> bool:
         """Routed to spot; or long work that loses little there and is expected to start soon.
--- a/oatport/control/state/completions.py
+++ b/oatport/control/state/completions.py
@@ -29,18 +29,18 @@
 
 class CompletionLog:
     def __init__(self) -> None:
-        self._of: dict[
+        self._by_token: dict[
             int, deque[Completion]
         ] = {}  # token -> what that leader took in last; some of it is recorded by now
 
-    def note(self, token: int, ends: list[Completion]) -> None:
-        self._of.setdefault(token, deque(maxlen=ROWS_MOST)).extend(ends)
-        while len(self._of) > LEADS_MOST:
-            del self._of[min(self._of)]
+    def add(self, token: int, ends: list[Completion]) -> None:
+        self._by_token.setdefault(token, deque(maxlen=ROWS_MOST)).extend(ends)
+        while len(self._by_token) > LEADS_MOST:
+            del self._by_token[min(self._by_token)]
 
-    def before(self, token: int) -> list[Completion] | None:
+    def before_token(self, token: int) -> list[Completion] | None:
         """What earlier leaders may not have recorded, of the newest first; None: nothing is known of any."""
-        tokens = sorted((told for told in self._of if told < token), reverse=True)
+        tokens = sorted((told for told in self._by_token if told < token), reverse=True)
         if not tokens:
             return None
-        return [end for told in tokens for end in reversed(self._of[told])][:ROWS_MOST]
+        return [end for told in tokens for end in reversed(self._by_token[told])][:ROWS_MOST]
--- a/oatport/control/state/heartbeats.py
+++ b/oatport/control/state/heartbeats.py
@@ -168,7 +168,7 @@
             machine.images[job.spec.image] = 1  # it has it
         if status == wire.TaskStatus.RUNNING and not task.running_since:
             task.running_since = now
-            self.cluster.job_statistics.began(job)
+            self.cluster.job_statistics.on_started(job)
             if task.binding_at:
                 waited_ms = (now - task.binding_at) // MS
                 log.debug(
@@ -207,7 +207,7 @@
 
     def _on_absent(self, task: Task, machine: Machine, report: wire.Heartbeat, now: int) -> None:
         """A bound task that the newest report does not list: gone only if nothing can still bring it."""
-        if report.fencing_token != self.cluster.token:
+        if report.fencing_token != self.cluster.fencing_token:
             return  # a start of an earlier leader may still land
         if task.binding_at and not task.start_epoch:
             self.cluster.machines_to_command.add(machine)  # bound by this leader, its first start is just due
--- a/oatport/control/state/job_lifecycle.py
+++ b/oatport/control/state/job_lifecycle.py
@@ -7,7 +7,7 @@
 
 from oatport import wire
 from oatport.control.placement.retry_policy import RetryPolicy
-from oatport.control.state.cancellations import answers_until
+from oatport.control.state.cancellations import renewals_allowed_until
 from oatport.control.state.job import DeferredStart, Job, JobKind
 from oatport.control.state.task import Task, TaskPhase
 from oatport.control.storage.keys import cancel_key, live_key
@@ -32,7 +32,7 @@
             self.cluster.writes.versions[live_key(ref)] = version
             self.admit(job)
             self.on_accepted(job)
-            if ref in self.cluster.quotas.unknown:
+            if ref in self.cluster.quotas.unknown_attempts:
                 self.cluster.orphans.resolve(ref, spec)
             if ref in self.cluster.dependencies.confirmed_cancellations:
                 self.cancel(ref, 0, self.cluster.dependencies.confirmed_cancellations[ref])
@@ -51,7 +51,7 @@
     def on_accepted(self, job: Job) -> None:
         """It was accepted."""
         job.in_statistics = True
-        self.cluster.job_statistics.joined(job)
+        self.cluster.job_statistics.on_accepted(job)
 
     def set_urgency(self, job: Job, rank: int, dues: list[int]) -> None:
         """What jobs that need it ask of it. Its tasks on machines count with its priority."""
@@ -178,14 +178,14 @@
 
     def lease_renewal_bound(self, job: Job) -> int:
         """A cancelled job: until when (steady) a worker's lease may be renewed that might let a task of it run on."""
-        return answers_until(self.cluster.settings.workers, job.cancelled_after)
+        return renewals_allowed_until(self.cluster.settings.workers, job.cancelled_after)
 
     def remove(self, job: Job) -> None:
         """Its completion, or the deletion of its records, is committed."""
         self.cluster.jobs.pop(job.job_id, None)
         if job.in_statistics:
             job.in_statistics = False
-            self.cluster.job_statistics.over(job)
+            self.cluster.job_statistics.on_finished(job)
         self.cluster.jobs_with_changed_counts.pop(job, None)
         self.cluster.pending.discard(job)
         self.cluster.predictor.forget_job(job.job_id)
--- a/oatport/control/state/job_statistics.py
+++ b/oatport/control/state/job_statistics.py
@@ -14,26 +14,26 @@
 
 
 @dataclass(slots=True)
-class Row:
+class JobCounts:
     """Jobs that their users cancelled are not counted any more."""
 
     accepted: int = 0
     started: int = 0  # a task of it ran
-    done: int = 0
+    completed: int = 0
 
 
 @dataclass(slots=True)
 class JobStatistics:
-    classes: dict[str, Row] = field(default_factory=dict)
-    teams: dict[str, Row] = field(default_factory=dict)
+    classes: dict[str, JobCounts] = field(default_factory=dict)
+    teams: dict[str, JobCounts] = field(default_factory=dict)
     # class -> job -> what it takes, and whether a task of it ran
     _sizes: dict[str, dict[str, tuple[float, bool]]] = field(default_factory=dict)
 
-    def _rows(self, job: Job) -> Iterator[Row]:
-        yield self.classes.setdefault(job.spec.job_class, Row())
-        yield self.teams.setdefault(job.spec.team, Row())
+    def _rows(self, job: Job) -> Iterator[JobCounts]:
+        yield self.classes.setdefault(job.spec.job_class, JobCounts())
+        yield self.teams.setdefault(job.spec.team, JobCounts())
 
-    def joined(self, job: Job) -> None:
+    def on_accepted(self, job: Job) -> None:
         for row in self._rows(job):
             row.accepted += 1
         sizes = self._sizes.setdefault(job.spec.job_class, {})
@@ -61,14 +61,14 @@
                 found[name] = (sum(began for _, began in top), len(top))
         return found
 
-    def began(self, job: Job) -> None:
+    def on_started(self, job: Job) -> None:
         if not job.started:
             job.started = True
             self._mark(job, True)
             for row in self._rows(job):
                 row.started += 1
 
-    def over(self, job: Job) -> None:
+    def on_finished(self, job: Job) -> None:
         """The job is done, or it was cancelled."""
         self._mark(job, True)
         for row in self._rows(job):
@@ -76,17 +76,17 @@
                 row.accepted -= 1
                 row.started -= job.started
             else:
-                row.done += 1
+                row.completed += 1
                 row.started += not job.started  # too short to be seen running
         job.started = True
 
-    def line(self) -> str:
+    def summary(self) -> str:
         """Started of accepted, and done, of each."""
         rows = [("class", self.classes), ("team", self.teams)]
         return (
             "served (started/accepted, done): "
             + "; ".join(
-                f"{kind} {name} {row.started}/{row.accepted}, {row.done}"
+                f"{kind} {name} {row.started}/{row.accepted}, {row.completed}"
                 for kind, named in rows
                 for name, row in sorted(named.items())
             )
--- a/oatport/control/state/machine.py
+++ b/oatport/control/state/machine.py
@@ -108,7 +108,7 @@
             self.free_memory_gb + sum(t.job.spec.memory_gb for t in tasks),
         )
 
-    def coming(self, now: int, token: int) -> bool:
+    def is_incoming(self, now: int, token: int) -> bool:
         """It boots, and is not so long overdue that nobody counts on it any more."""
         if self.releasing or self.draining:
             return False
@@ -124,11 +124,11 @@
     def unreserve(self, cpus: float, gpus: float, memory: float) -> None:
         self.reserve(-cpus, -gpus, -memory)
 
-    def confirmed(self, token: int) -> bool:
+    def is_confirmed(self, token: int) -> bool:
         """Its newest report is under our token: what it does not list is not there."""
         return self.ready_at > 0 and self.fencing_token == token
 
-    def usable(self, token: int, now: int, fresh_us: int) -> bool:
+    def is_usable(self, token: int, now: int, fresh_us: int) -> bool:
         return (
             self.persisted
             and self.fencing_token == token
--- a/oatport/control/state/machine_commands.py
+++ b/oatport/control/state/machine_commands.py
@@ -26,7 +26,7 @@
         """What to tell a machine now, and the tasks whose start is among it."""
         orders: list[wire.Command] = []
         starts: list[Task] = []
-        confirmed = machine.fencing_token == self.cluster.token
+        confirmed = machine.fencing_token == self.cluster.fencing_token
         for task in machine.tasks:
             if task.phase is not TaskPhase.BOUND:
                 continue
--- a/oatport/control/state/orphaned_attempts.py
+++ b/oatport/control/state/orphaned_attempts.py
@@ -37,7 +37,7 @@
             job.orphaned_attempt_count += 1
             self.cluster.tasks.count_usage(job, job.spec, machine, 1)
         else:
-            self.cluster.quotas.unknown[ref] += 1
+            self.cluster.quotas.unknown_attempts[ref] += 1
         self.cluster.machines_to_command.add(machine)
 
     def remove(self, machine: Machine, key: tuple[str, int]) -> None:
@@ -46,8 +46,8 @@
         ref = _ref_of(key[0])
         if spec is not None:
             self.cluster.tasks.count_usage(job, spec, machine, -1)
-        elif ref in self.cluster.quotas.unknown:  # else nobody submitted it
-            self.cluster.quotas.lost_sight(ref)
+        elif ref in self.cluster.quotas.unknown_attempts:  # else nobody submitted it
+            self.cluster.quotas.on_unknown_attempt_gone(ref)
         self.cluster.planning_needed = True
         if job is not None and self.cluster.jobs.get(ref) is job:  # else its end is recorded
             job.orphaned_attempt_count = max(0, job.orphaned_attempt_count - 1)
@@ -65,5 +65,5 @@
                     self.cluster.tasks.count_usage(job, spec, machine, 1)
                 if job is not None:
                     job.orphaned_attempt_count += 1
-        self.cluster.quotas.unknown.pop(ref, None)
+        self.cluster.quotas.unknown_attempts.pop(ref, None)
         self.cluster.planning_needed = True
--- a/oatport/control/state/quota.py
+++ b/oatport/control/state/quota.py
@@ -27,9 +27,11 @@
     limits: Team
     cpus: float = 0.0
     gpus: float = 0.0
-    rank_arrays: list[int] = field(default_factory=lambda: [0] * len(PRIORITIES))  # array tasks, by priority
+    array_tasks_by_priority: list[int] = field(
+        default_factory=lambda: [0] * len(PRIORITIES)
+    )  # array tasks, by priority
 
-    def room(self, spec: wire.Submission) -> int:
+    def remaining_tasks(self, spec: wire.Submission) -> int:
         """How many more tasks of a job the team's limit allows."""
         count = spec.task_count
         if self.limits.cpus_max > 0:
@@ -47,22 +49,22 @@
 
     def __init__(self, teams: Iterable[Team]) -> None:
         super().__init__((team.name, TeamUsage(team)) for team in teams)
-        self.unknown: Counter[str] = Counter()  # ids of jobs that aren't known -> attempts of them on machines
+        self.unknown_attempts: Counter[str] = Counter()  # ids of jobs that aren't known -> attempts of them on machines
 
-    def room(self, spec: wire.Submission) -> int:
+    def remaining_tasks(self, spec: wire.Submission) -> int:
         """How many more tasks of a job may start now; none where that can't be known."""
         use = self.get(spec.team)
-        return 0 if use is None or self.unknown else use.room(spec)
+        return 0 if use is None or self.unknown_attempts else use.remaining_tasks(spec)
 
-    def count(self, spec: wire.Submission, sign: int) -> None:
+    def count_usage(self, spec: wire.Submission, sign: int) -> None:
         """A task of the job has come to a machine (1), or is proven gone from one (-1)."""
         use = self.get(spec.team)
         if use is not None:
             use.cpus += sign * spec.cpus
             use.gpus += sign * spec.gpus
 
-    def lost_sight(self, ref: str) -> None:
+    def on_unknown_attempt_gone(self, ref: str) -> None:
         """An attempt of a job that isn't known is gone, or its job is known now."""
-        self.unknown[ref] -= 1
-        if self.unknown[ref] <= 0:
-            del self.unknown[ref]
+        self.unknown_attempts[ref] -= 1
+        if self.unknown_attempts[ref] <= 0:
+            del self.unknown_attempts[ref]
--- a/oatport/control/state/task.py
+++ b/oatport/control/state/task.py
@@ -48,7 +48,7 @@
     def name(self) -> str:
         return f"{self.job.job_id}/{self.index}"
 
-    def to_pending(self) -> None:
+    def reset_to_pending(self) -> None:
         self.phase = TaskPhase.PENDING
         self.machine = None
         self.start_epoch = 0
--- a/oatport/control/state/task_lifecycle.py
+++ b/oatport/control/state/task_lifecycle.py
@@ -66,7 +66,7 @@
         For its machine, its team and its job's zones; whether a record puts it there or only a report shows it.
         """
         machine.reserve(sign * spec.cpus, sign * spec.gpus, sign * spec.memory_gb)
-        self.cluster.quotas.count(spec, sign)
+        self.cluster.quotas.count_usage(spec, sign)
         if job is not None:
             job.tasks_by_zone[machine.zone] = job.tasks_by_zone.get(machine.zone, 0) + sign
             if not job.tasks_by_zone[machine.zone]:
@@ -79,7 +79,7 @@
         self.bound_by_priority[job.priority_rank] += sign
         use = self.cluster.quotas.get(spec.team)
         if use and job.kind is JobKind.ARRAY:
-            use.rank_arrays[job.priority_rank] += sign
+            use.array_tasks_by_priority[job.priority_rank] += sign
 
     def unbind(self, task: Task) -> None:
         """The task is on no machine: it never got there, or is proven gone."""
@@ -98,7 +98,7 @@
         job.on_machines -= 1
         if spec.gpus > 0 and machine.free_gpus >= machine.type.gpus - 1e-9:
             machine.gpus_idle_since = self.cluster.now
-        task.to_pending()
+        task.reset_to_pending()
         self.cluster.planning_needed = True
 
     def requeue(self, task: Task, *, lost: bool, unexecuted: bool = False) -> None:
--- a/oatport/control/state/utilization.py
+++ b/oatport/control/state/utilization.py
@@ -16,13 +16,13 @@
 class FleetUtilization:
     """Machines and waiting tasks as last counted (`FleetAccounting.update`)."""
 
-    up: int = 0
-    up_spot: int = 0
-    down: int = 0
+    ready: int = 0
+    ready_spot: int = 0
+    not_ready: int = 0
     cpus: float = 0.0
     free_owned: float = 0.0
     free_spot: float = 0.0
-    waiting: dict[str, int] = field(default_factory=dict)  # tier -> tasks
+    pending_tasks: dict[str, int] = field(default_factory=dict)  # tier -> tasks
 
 
 class FleetAccounting:
@@ -42,17 +42,17 @@
         hours = (now - since) / (3600 * SECOND) if since else 0.0
         tally = FleetUtilization()
         for job in self.cluster.pending:
-            tally.waiting[job.tier or "?"] = tally.waiting.get(job.tier or "?", 0) + job.pending
+            tally.pending_tasks[job.tier or "?"] = tally.pending_tasks.get(job.tier or "?", 0) + job.pending
         for machine in self.cluster.machines.values():
             kind, money = machine.type, machine.price * hours
             if not machine.ready_at:
-                tally.down += 1
+                tally.not_ready += 1
                 self.cost_by_use["boot"] += money
                 continue
-            tally.up += 1
+            tally.ready += 1
             tally.cpus += kind.cpus
             if machine.spot:
-                tally.up_spot += 1
+                tally.ready_spot += 1
                 tally.free_spot += machine.free_cpus
             else:
                 tally.free_owned += machine.free_cpus
--- a/oatport/control/storage/record_layout.py
+++ b/oatport/control/storage/record_layout.py
@@ -44,35 +44,35 @@
 class RecordLayout:
     """Where tasks and machines lie. `parts`: all nodes read more keys than one a chunk."""
 
-    limit: int  # bytes of a value, as JSON
-    zone_chars: int  # the longest name of a zone
-    parts: bool = False
+    max_value_bytes: int  # bytes of a value, as JSON
+    longest_zone_name: int  # the longest name of a zone
+    splits_records: bool = False
 
     @property
-    def part_tasks(self) -> int:
-        return rows_that_fit(self.limit, FRAME, TASK_ROW, CHUNK_TASKS) if self.parts else CHUNK_TASKS
+    def tasks_per_part(self) -> int:
+        return rows_that_fit(self.max_value_bytes, FRAME, TASK_ROW, CHUNK_TASKS) if self.splits_records else CHUNK_TASKS
 
     @property
-    def part_machines(self) -> int:
+    def machines_per_part(self) -> int:
         return (
-            rows_that_fit(self.limit, FRAME, MACHINE_ROW + self.zone_chars, GROUP_MACHINES)
-            if self.parts
+            rows_that_fit(self.max_value_bytes, FRAME, MACHINE_ROW + self.longest_zone_name, GROUP_MACHINES)
+            if self.splits_records
             else GROUP_MACHINES
         )
 
     def head_tasks(self, job: Job) -> int:
         """How many of a job's tasks lie with it in one record."""
-        if not self.parts:
+        if not self.splits_records:
             return CHUNK_TASKS
         if job.tasks_in_first_record < 0:
             taken = HEAD_FRAME + json_size(encode_description(job))
-            job.tasks_in_first_record = min(CHUNK_TASKS, max(0, (self.limit - taken) // TASK_ROW))
+            job.tasks_in_first_record = min(CHUNK_TASKS, max(0, (self.max_value_bytes - taken) // TASK_ROW))
         return job.tasks_in_first_record
 
     def task_key(self, job: Job, index: int) -> str:
         """The record that a task lies in."""
         chunk, offset = divmod(index, CHUNK_TASKS)
-        size, head = self.part_tasks, 0 if chunk else self.head_tasks(job)
+        size, head = self.tasks_per_part, 0 if chunk else self.head_tasks(job)
         if offset < head:
             return live_key(job.job_id)
         low = head + (offset - head) // size * size
@@ -82,7 +82,7 @@
         """The tasks of a record: from, up to."""
         _, low = first_task(key)
         chunk = low // CHUNK_TASKS
-        size = self.head_tasks(job) if key == live_key(job.job_id) else self.part_tasks
+        size = self.head_tasks(job) if key == live_key(job.job_id) else self.tasks_per_part
         return low, min(low + size, (chunk + 1) * CHUNK_TASKS)
 
     def task_keys(self, job: Job, low: int, high: int) -> Iterator[str]:
@@ -96,14 +96,14 @@
     def fleet_key(self, number: int) -> str:
         """The record that the machine of this number lies in."""
         group, offset = divmod(number, GROUP_MACHINES)
-        size = self.part_machines
+        size = self.machines_per_part
         return group_key(group, offset // size * size)
 
     def fleet_span(self, key: str) -> tuple[int, int]:
         low, group = first_machine(key)
-        return low, min(low + self.part_machines, group + GROUP_MACHINES)
+        return low, min(low + self.machines_per_part, group + GROUP_MACHINES)
 
     def fleet_keys(self, key: str) -> Iterator[str]:
         """All records of a group."""
         _, low = first_machine(key)
-        yield from (self.fleet_key(n) for n in range(low, low + GROUP_MACHINES, self.part_machines))
+        yield from (self.fleet_key(n) for n in range(low, low + GROUP_MACHINES, self.machines_per_part))
--- a/oatport/control/storage/recovery.py
+++ b/oatport/control/storage/recovery.py
@@ -110,7 +110,7 @@
     # --- one record at a time -----------------------------------------------------------------
 
     def _load_schema_version(self) -> None:
-        self.cluster.writes.layout.parts = any(
+        self.cluster.writes.layout.splits_records = any(
             entry.key == SCHEMA_VERSION_KEY and recorded_version(entry.value) >= SCHEMA_VERSION
             for entry in self.entries
         )
@@ -263,7 +263,7 @@
         """Go on with a job where the last leader stopped."""
         cluster = self.cluster
         if job.completed:
-            cluster.job_statistics.began(job)
+            cluster.job_statistics.on_started(job)
         exhausted = next((task for task in job.tasks.values() if task.retry_exhausted), None)
         if exhausted is not None and job.at_most_once and not job.cancelled:
             cause = "a task was lost with its machine or with an earlier leader, and may not run again"
--- a/oatport/control/storage/write_batch.py
+++ b/oatport/control/storage/write_batch.py
@@ -226,7 +226,7 @@
         return self._delete_if_stored(key)
 
     def _put_model(self, key: str) -> bool:
-        parts = self.cluster.predictor.parts(self.writes.layout.limit)
+        parts = self.cluster.predictor.parts(self.writes.layout.max_value_bytes)
         number = int(key[len(MODEL_KEY) + 1 :] or 0)
         if number < len(parts):
             self.batch.sets[key] = parts[number]
--- a/oatport/control/storage/write_buffer.py
+++ b/oatport/control/storage/write_buffer.py
@@ -105,7 +105,7 @@
         heads = [blocked_key(job.job_id), live_key(job.job_id), cancel_key(job.job_id)]
         chunks = (job.next_untouched + CHUNK_TASKS - 1) // CHUNK_TASKS if job.next_untouched else 0
         keys = dict.fromkeys([*heads, *(chunk_key(job.job_id, c) for c in range(1, chunks))])
-        if self.layout.parts:
+        if self.layout.splits_records:
             keys |= dict.fromkeys(self.layout.task_keys(job, 0, job.next_untouched))
         return list(keys)
 
@@ -142,12 +142,12 @@
 
     def enable_record_parts(self) -> None:
         """All nodes read parts of chunks and groups: from now on they are written."""
-        if self.layout.parts:
+        if self.layout.splits_records:
             return
         waiting: dict[str, int | None] = {**dict.fromkeys(self._held_back), **self.dirty_keys, **self.urgent_keys}
         self._held_back.clear()
         self.value_limit_lowered = False
-        self.layout.parts = True
+        self.layout.splits_records = True
         self._note_oversized_records()
         for key, rank in waiting.items():
             for part in self._parts_of(key):
@@ -163,7 +163,7 @@
                 key, upto = chunk_key(job.job_id, low // CHUNK_TASKS), min(low + CHUNK_TASKS, job.next_untouched)
                 if self.versions.get(key) and upto > self.layout.task_span(job, key)[1]:
                     self.oversized_records[key] = upto
-        if self.layout.part_machines < GROUP_MACHINES:
+        if self.layout.machines_per_part < GROUP_MACHINES:
             self.oversized_records |= {
                 key: first_machine(key)[1] + GROUP_MACHINES for key in self.versions if key.startswith(FLEET)
             }
@@ -229,7 +229,7 @@
 
     def hold_back_if_too_large(self, key: str, value: Any) -> bool:
         """While larger records than the state service takes can't be split: it is kept for when they can."""
-        if self.value_limit_lowered and json_size(value) > self.layout.limit:
+        if self.value_limit_lowered and json_size(value) > self.layout.max_value_bytes:
             self._held_back[key] = None
             return True
         return False
--- a/oatport/service/cloud_controller.py
+++ b/oatport/service/cloud_controller.py
@@ -64,7 +64,9 @@
             leader.node.types = types
             layout = self.cluster.writes.layout
             merged = RecordedCatalog({**recorded.types, **types}, recorded.version)
-            await write_types(leader.state, leader.token, merged, layout.limit if layout.parts else ONE_VALUE)
+            await write_types(
+                leader.state, leader.token, merged, layout.max_value_bytes if layout.splits_records else ONE_VALUE
+            )
         self.cluster.catalog.update(types)
 
     # --- rent -------------------------------------------------------------------------------
--- a/oatport/service/cluster_status.py
+++ b/oatport/service/cluster_status.py
@@ -11,14 +11,14 @@
     """How things stand; all of it was counted on other occasions."""
     utilization, availability = cluster.accounting.utilization, capacity_planner.availability
     values = {
-        "machines_up": utilization.up,
-        "spot_machines_up": utilization.up_spot,
-        "machines_not_up": utilization.down,
+        "machines_up": utilization.ready,
+        "spot_machines_up": utilization.ready_spot,
+        "machines_not_up": utilization.not_ready,
         "cpus": f"{utilization.cpus:.0f}",
         "cpus_free_owned": f"{utilization.free_owned:.0f}",
         "cpus_free_spot": f"{utilization.free_spot:.0f}",
         "jobs": len(cluster.jobs),
-        "pending_tasks": utilization.waiting or 0,
+        "pending_tasks": utilization.pending_tasks or 0,
         "runtime_threshold_s": f"{seconds(cluster.router.threshold):.0f}",
         "rent_requests_in_flight": len(availability.requests_in_flight),
         "offerings_refused": availability.refused_count(now),
--- a/oatport/service/completion_replication.py
+++ b/oatport/service/completion_replication.py
@@ -50,7 +50,7 @@
 
     async def on_replicate(self, message: ReplicateCompletions) -> Ok:
         """A leader sends what it received."""
-        self.log.note(message.fencing_token, message.completions)
+        self.log.add(message.fencing_token, message.completions)
         leader = self._node.leader
         if leader is not None and message.fencing_token < leader.token:
             leader.apply_completions(message.completions)
@@ -58,7 +58,7 @@
 
     async def on_request(self, request: CompletionsRequest) -> CompletionsReply:
         """A new leader asks for what earlier ones did not record, as far as this node knows."""
-        return CompletionsReply(self.log.before(request.before_token))
+        return CompletionsReply(self.log.before_token(request.before_token))
 
     async def loop(self) -> None:
         """As the leader: send unrecorded completions at once, and first of all an empty list, which says who leads."""
@@ -77,7 +77,7 @@
     def on_deposed(self, leader: Leader) -> None:
         """Send what a leader leaves unrecorded to the others, who may not be reached just now."""
         unrecorded = leader.cluster.completions.to_replicate()
-        self.log.note(leader.token, unrecorded)
+        self.log.add(leader.token, unrecorded)
         if unrecorded:
             message = ReplicateCompletions(leader.token, unrecorded)
             for peer in self._node.peers.values():
@@ -105,7 +105,7 @@
             ),
             return_exceptions=True,
         )
-        known = [self.log.before(token)]
+        known = [self.log.before_token(token)]
         complete = True
         for name, reply in zip(self._node.peers, replies, strict=True):
             if self._may_know_more(name, reply):
--- a/oatport/service/failover.py
+++ b/oatport/service/failover.py
@@ -86,7 +86,7 @@
     """Let a machine know the new token, and learn what is on it, without waiting for its report."""
     client = WorkerClient(net, machine.address)
     for _ in range(INTRODUCTION_TRIES):
-        if leader.stopped or machine.removed or machine.confirmed(leader.token):
+        if leader.stopped or machine.removed or machine.is_confirmed(leader.token):
             return
         try:
             report = await client.fetch_status()
--- a/oatport/service/group_commit.py
+++ b/oatport/service/group_commit.py
@@ -126,7 +126,7 @@
             log.info('commit was refused fencing_token=%d error="%s"', self._leader.token, error)
 
     def _on_malformed(self, batch: WriteBatch) -> None:
-        if self.cluster.writes.layout.parts or self.cluster.writes.value_limit_lowered:
+        if self.cluster.writes.layout.splits_records or self.cluster.writes.value_limit_lowered:
             self._leader.step_down("the state service calls a transaction malformed")
             return
         # The limits have fallen while a node was away, so that it isn't known whether it reads parts:
@@ -160,7 +160,9 @@
             if job is not None and job.cancelled:
                 job.completing = False
                 self.cluster.writes.jobs_to_complete.pop(job, None)
-                self.cluster.job_lifecycle.cancel(job.job_id, 0, self._leader.lease_renewal_limit.known_at)
+                self.cluster.job_lifecycle.cancel(
+                    job.job_id, 0, self._leader.lease_renewal_limit.cancellations_known_at
+                )
 
     async def _was_applied(self, batch: WriteBatch) -> bool:
         """After a try with unknown outcome: did it get through? All that it wrote then has the commit's revision.
@@ -201,7 +203,7 @@
         job = self.cluster.jobs.get(job_id)
         state = None if found is None else found[0].get("state")
         if found is not None and state == wire.JobStatus.CANCELLED:
-            self.cluster.job_lifecycle.cancel(job_id, found[1], self._leader.lease_renewal_limit.known_at)
+            self.cluster.job_lifecycle.cancel(job_id, found[1], self._leader.lease_renewal_limit.cancellations_known_at)
             return found[1]
         if found is not None and state in wire.TERMINAL_STATUSES and job is not None:
             self.cluster.job_lifecycle.remove(job)
--- a/oatport/service/job_watch.py
+++ b/oatport/service/job_watch.py
@@ -57,7 +57,7 @@
         leader = self._leader
         if isinstance(hint, JobCancelled):
             leader.cluster.job_lifecycle.cancel_confirmed(
-                hint.job_id, hint.revision, leader.lease_renewal_limit.known_at
+                hint.job_id, hint.revision, leader.lease_renewal_limit.cancellations_known_at
             )
         elif not self._is_known(hint.job_id) and hint.revision > self.revision and "more" not in hint.record:
             # An older one was seen by the load or by the watch, and may be over already.
@@ -119,7 +119,7 @@
             for key, change in latest.items():
                 self._apply_change(key[len(JOBS) :], change.value, change.revision)
             self._advance(found.revision)
-            leader.lease_renewal_limit.known(asked_at)
+            leader.lease_renewal_limit.on_cancellations_read(asked_at)
             leader.wake()
 
     async def _read_overflow(self, latest: dict[str, wire.Change]) -> None:
@@ -131,7 +131,7 @@
     def _apply_change(self, job_id: str, record: Any, revision: int) -> None:
         cluster, state = self._leader.cluster, str(record["state"])
         if state == wire.JobStatus.CANCELLED:
-            cluster.job_lifecycle.cancel(job_id, revision, self._leader.lease_renewal_limit.known_at)
+            cluster.job_lifecycle.cancel(job_id, revision, self._leader.lease_renewal_limit.cancellations_known_at)
         elif state == wire.JobStatus.COMPLETED:
             cluster.dependencies.on_completion_recorded(job_id, int(record.get("ended", 0)))
         elif state not in wire.TERMINAL_STATUSES and not self._is_known(job_id):
--- a/oatport/service/leader.py
+++ b/oatport/service/leader.py
@@ -140,7 +140,7 @@
         self.cluster.completions.earlier_may_be_lost = not earlier.complete
         if self.window_controller is not None:
             await self.window_controller.fail_over()
-        self.lease_renewal_limit.known(asked_at)
+        self.lease_renewal_limit.on_cancellations_read(asked_at)
         self.loaded = True
         self.job_watch.begin(snapshot.revision)
 
@@ -245,7 +245,9 @@
         """
         is_known = self.loaded and not self.stopped
         watermark = (
-            self.cluster.job_lifecycle.cancellation_watermark(self.lease_renewal_limit.known_at) if is_known else 0
+            self.cluster.job_lifecycle.cancellation_watermark(self.lease_renewal_limit.cancellations_known_at)
+            if is_known
+            else 0
         )
         return steady() - watermark if watermark > 0 else -1
 
--- a/oatport/service/maintenance.py
+++ b/oatport/service/maintenance.py
@@ -65,7 +65,7 @@
         if now - self._status_logged_at > STATUS_INTERVAL:
             self._status_logged_at = now
             log.info("cluster status %s", status_line(cluster, self._capacity_planner, now))
-            log.info("%s", cluster.job_statistics.line())
+            log.info("%s", cluster.job_statistics.summary())
 
     def _account(self, now: int) -> None:
         self._accounted_at = now
--- a/oatport/service/peer_contact.py
+++ b/oatport/service/peer_contact.py
@@ -86,7 +86,7 @@
         """A peer says who leads, and is told the same."""
         self._election.learn_leader(ping.leader_name, ping.leader_token)
         self._peer_status.update(ping.node_name, ping.state_service_answers)
-        quiet_us = self._peer_notifier.confirmed_cancellations.quiet(steady())
+        quiet_us = self._peer_notifier.confirmed_cancellations.quiet_us(steady())
         election = self._election
         return Pong(
             self._node.node_name,
--- a/oatport/service/peer_notifications.py
+++ b/oatport/service/peer_notifications.py
@@ -74,7 +74,7 @@
 
         `revision`: of this node's own commit, which marked the job's live record as well; 0: it knows in another way.
         """
-        is_new = self.confirmed_cancellations.tell(job_id, steady())
+        is_new = self.confirmed_cancellations.record(job_id, steady())
         if is_new and (revision or self._node.leader is not None):
             self._send_hint(JobCancelled(job_id, None, revision))
 
@@ -97,8 +97,8 @@
         self, request: ConfirmedCancellationsRequest
     ) -> ConfirmedCancellationsReply:
         """Which cancellations were confirmed within so long before the question was sent?"""
-        confirmed = self.confirmed_cancellations.since(steady(), request.age_us)
-        return ConfirmedCancellationsReply(confirmed.whole_us, confirmed.refs)
+        confirmed = self.confirmed_cancellations.confirmed_within(steady(), request.age_us)
+        return ConfirmedCancellationsReply(confirmed.complete_for_us, confirmed.job_ids)
 
     async def collect_loop(self) -> None:
         """As the leader: while the records can't be read, go by what all nodes confirmed."""
@@ -107,14 +107,14 @@
             if (
                 leader is not None
                 and leader.loaded
-                and steady() - leader.lease_renewal_limit.known_at > RECORDS_ARE_STALE
+                and steady() - leader.lease_renewal_limit.cancellations_known_at > RECORDS_ARE_STALE
             ):
                 await self.collect(leader)
             await asyncio.sleep(jitter(COLLECT_INTERVAL))
 
     async def collect(self, leader: Leader) -> None:
         """Carry out what was confirmed to users, and move the watermark on if all nodes told all."""
-        asked_at, since = steady(), leader.lease_renewal_limit.known_at
+        asked_at, since = steady(), leader.lease_renewal_limit.cancellations_known_at
         request = ConfirmedCancellationsRequest(asked_at - since)
         replies = await asyncio.gather(
             *(peer.ask(request, ConfirmedCancellations.of) for peer in self._node.peers.values()),
@@ -125,15 +125,15 @@
             return
         complete = True
         job_ids: dict[str, None] = {}
-        for reply in (self.confirmed_cancellations.since(steady(), answered_at - since), *replies):
+        for reply in (self.confirmed_cancellations.confirmed_within(steady(), answered_at - since), *replies):
             if isinstance(reply, NoResponseError | MalformedReplyError):
                 complete = False  # it can't be asked, is of an earlier version, or says something strange
                 continue
             if isinstance(reply, BaseException):
                 raise reply
-            job_ids |= dict.fromkeys(reply.refs)
+            job_ids |= dict.fromkeys(reply.job_ids)
             complete = complete and reply.covers(since, asked_at, answered_at)
         for job_id in job_ids:
             leader.on_job_hint(JobCancelled(job_id, None, 0))
         if complete:
-            leader.lease_renewal_limit.known(asked_at)
+            leader.lease_renewal_limit.on_cancellations_read(asked_at)
--- a/oatport/service/scaling_controller.py
+++ b/oatport/service/scaling_controller.py
@@ -56,7 +56,7 @@
 
     def _scale_out(self, now: int) -> None:
         cluster = self._leader.cluster
-        cluster.find_usable(now)
+        cluster.refresh_usable_machines(now)
         due = self._capacity_planner.scale_out.due(now)
         if due:
             # What waits is placed on reopened machines first: more than what they take was once rented.
@@ -88,5 +88,5 @@
             return True
         if not self._machine_list.listed_at:
             return False
-        unconfirmed = any(m.was_ready and not m.confirmed(leader.token) for m in leader.cluster.machines.values())
+        unconfirmed = any(m.was_ready and not m.is_confirmed(leader.token) for m in leader.cluster.machines.values())
         return not unconfirmed or now - leader.led_since > UNCONFIRMED_MACHINES_FOR
--- a/oatport/service/schema_version_controller.py
+++ b/oatport/service/schema_version_controller.py
@@ -43,7 +43,7 @@
         """Until all nodes are known to read what this version writes, ask them. Recorded, so that it is asked once."""
         leader, node = self._leader, self._leader.node
         gate = schema_version.SchemaVersionGate([node.node_name, *node.peers])
-        while not leader.stopped and not leader.cluster.writes.layout.parts:
+        while not leader.stopped and not leader.cluster.writes.layout.splits_records:
             replies = await asyncio.gather(
                 *(peer.ask(SchemaVersionRequest(), SchemaVersionReply.decode_reply) for peer in node.peers.values()),
                 return_exceptions=True,
--- a/oatport/simulation/mutations.py
+++ b/oatport/simulation/mutations.py
@@ -168,9 +168,9 @@
 def _record_size() -> list[Any]:
     """Records are as large as they get."""
     return [
-        patch.object(RecordLayout, "part_tasks", property(lambda self: CHUNK_TASKS)),
+        patch.object(RecordLayout, "tasks_per_part", property(lambda self: CHUNK_TASKS)),
         patch.object(RecordLayout, "head_tasks", lambda self, job: CHUNK_TASKS),
-        patch.object(RecordLayout, "part_machines", property(lambda self: GROUP_MACHINES)),
+        patch.object(RecordLayout, "machines_per_part", property(lambda self: GROUP_MACHINES)),
     ]
 
 
@@ -214,7 +214,7 @@
 
 def _cancellation_log() -> list[Any]:
     """What users are told is noted by nobody."""
-    return [patch.object(CancellationLog, "tell", lambda self, ref, now: True)]
+    return [patch.object(CancellationLog, "record", lambda self, ref, now: True)]
 
 
 def _unwritten_completions() -> list[Any]:
--- a/tests/call_counts.py
+++ b/tests/call_counts.py
@@ -182,7 +182,7 @@
             world.placer.plan(world.now)
 
     def rent() -> None:
-        cluster.find_usable(world.now)
+        cluster.refresh_usable_machines(world.now)
         if world.fleet.scale_out.due(world.now):
             world.fleet.scale_in.update_cordons()
             world.fleet.scale_out.plan(world.now)
--- a/tests/cluster_fixture.py
+++ b/tests/cluster_fixture.py
@@ -160,7 +160,7 @@
         return self.cluster
 
     def transaction(self, batch: WriteBatch) -> dict[str, Any]:
-        conditions = {LEADER_KEY: self.cluster.token, **batch.conditions}
+        conditions = {LEADER_KEY: self.cluster.fencing_token, **batch.conditions}
         return {
             "if": [{"path": k, "entryRev": v} for k, v in conditions.items()],
             "then": [{"set": k, "value": v} for k, v in batch.sets.items()] + [{"drop": k} for k in batch.deletes],
@@ -195,7 +195,7 @@
             self.cluster.commands.on_sent(machine, starts, self.now, direct=True)
             if machine.name in self.refused | self.mute or machine.name not in self.workers:
                 continue
-            body = wire.command_request(self.cluster.token, machine.agent_epoch, orders)
+            body = wire.command_request(self.cluster.fencing_token, machine.agent_epoch, orders)
             _, report = self.workers[machine.name].commands(body)
             self.cluster.commands.on_answered(machine, [(t.name, t.attempt) for t in starts])
             self.cluster.heartbeats.receive(wire.decode_heartbeat(report), self.now, self.now)
@@ -212,7 +212,7 @@
             orders, starts = self.cluster.commands.for_machine(machine, self.now, direct=False)
             self.cluster.commands.on_sent(machine, starts, self.now, direct=False)
         if worker.name not in self.mute:
-            worker.answer(sent, session, wire.heartbeat_response(self.cluster.token, orders))
+            worker.answer(sent, session, wire.heartbeat_response(self.cluster.fencing_token, orders))
 
     def step(self, seconds: float = 0.0) -> None:
         """Time passes, everybody reports, and the leader acts."""
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -16,7 +16,7 @@
     SLACK,
     CancellationLog,
     ConfirmedCancellations,
-    answers_until,
+    renewals_allowed_until,
 )
 from oatport.control.state.machine import Machine
 from oatport.control.storage.keys import cancel_key, job_key
@@ -50,39 +50,39 @@
 
 def test_each_job_is_told_of_once_and_from_when_it_was_first_told() -> None:
     mine = told()
-    assert mine.tell("j-1", 10 * SECOND)
-    assert not mine.tell("j-1", 20 * SECOND)
-    assert mine.tell("j-2", 21 * SECOND)
-    assert mine.since(25 * SECOND, 5 * SECOND).refs == ["j-2"]
-    assert mine.since(25 * SECOND, 15 * SECOND).refs == ["j-1", "j-2"]
-    assert mine.quiet(25 * SECOND) == 4 * SECOND
+    assert mine.record("j-1", 10 * SECOND)
+    assert not mine.record("j-1", 20 * SECOND)
+    assert mine.record("j-2", 21 * SECOND)
+    assert mine.confirmed_within(25 * SECOND, 5 * SECOND).job_ids == ["j-2"]
+    assert mine.confirmed_within(25 * SECOND, 15 * SECOND).job_ids == ["j-1", "j-2"]
+    assert mine.quiet_us(25 * SECOND) == 4 * SECOND
 
 
 def test_what_is_asked_for_is_told_whatever_clocks_and_links_do() -> None:
     """The question was under way for a while, and the node's clock ran faster than the asker's."""
     mine, age = told(), 40 * SECOND
-    mine.tell("j-1", 100 * SECOND)
+    mine.record("j-1", 100 * SECOND)
     latest = 100 * SECOND + age + age // 2000 + ANSWERED_WITHIN  # told just after the moment asked for
-    assert mine.since(latest, age).refs == ["j-1"]
-    assert mine.since(100 * SECOND + age + age // 500 + SLACK, age).refs == []
+    assert mine.confirmed_within(latest, age).job_ids == ["j-1"]
+    assert mine.confirmed_within(100 * SECOND + age + age // 500 + SLACK, age).job_ids == []
 
 
 def test_a_process_that_began_later_or_left_something_out_says_so() -> None:
     asked, answered = 100 * SECOND, 100 * SECOND + SECOND // 10
     young = told(began=95 * SECOND)
-    assert not young.since(asked, 10 * SECOND).covers(90 * SECOND, asked, answered)
-    assert young.since(asked, SECOND).covers(99 * SECOND, asked, answered)
+    assert not young.confirmed_within(asked, 10 * SECOND).covers(90 * SECOND, asked, answered)
+    assert young.confirmed_within(asked, SECOND).covers(99 * SECOND, asked, answered)
     small = told(most=2)
     for number in range(4):
-        small.tell(f"j-{number}", (90 + number) * SECOND)
-    assert small.since(asked, 50 * SECOND).refs == ["j-2", "j-3"]
-    assert not small.since(asked, 10 * SECOND).covers(90 * SECOND, asked, answered)
-    assert small.since(asked, 8 * SECOND).covers(92 * SECOND, asked, answered)
+        small.record(f"j-{number}", (90 + number) * SECOND)
+    assert small.confirmed_within(asked, 50 * SECOND).job_ids == ["j-2", "j-3"]
+    assert not small.confirmed_within(asked, 10 * SECOND).covers(90 * SECOND, asked, answered)
+    assert small.confirmed_within(asked, 8 * SECOND).covers(92 * SECOND, asked, answered)
     old = told(kept_s=5)
-    old.tell("j-1", 10 * SECOND)
-    old.tell("j-2", 16 * SECOND)
-    assert old.since(16 * SECOND, 10 * SECOND).refs == ["j-2"]
-    assert not old.since(16 * SECOND, 10 * SECOND).covers(6 * SECOND, 16 * SECOND, 16 * SECOND)
+    old.record("j-1", 10 * SECOND)
+    old.record("j-2", 16 * SECOND)
+    assert old.confirmed_within(16 * SECOND, 10 * SECOND).job_ids == ["j-2"]
+    assert not old.confirmed_within(16 * SECOND, 10 * SECOND).covers(6 * SECOND, 16 * SECOND, 16 * SECOND)
 
 
 def test_what_an_answer_covers_at_its_edges() -> None:
@@ -120,7 +120,7 @@
 
 def test_a_lease_renewed_at_the_bound_ends_before_a_cancellation_told_after_the_moment_must_be_carried_out() -> None:
     workers = cluster_settings().workers  # lease 10 s, cancellation 35 s
-    until = answers_until(workers, 100 * SECOND)
+    until = renewals_allowed_until(workers, 100 * SECOND)
     assert until + 10 * SECOND <= 100 * SECOND + 35 * SECOND - MARGIN
     assert until + 10 * SECOND > 100 * SECOND + 35 * SECOND - MARGIN - SECOND // 10
 
@@ -185,7 +185,7 @@
     node.state = client = FakeStateClient(state)  # type: ignore[assignment]
     lead, _, _ = leader(state)
     client.faults = ["refuse"] * 1000
-    lead.lease_renewal_limit.known_at = steady() - 20 * SECOND
+    lead.lease_renewal_limit.cancellations_known_at = steady() - 20 * SECOND
     node.election.leader = lead
     return node, lead
 
@@ -214,11 +214,11 @@
 )
 async def test_knowledge_moves_on_only_if_every_node_told_all(state: KeyStore, answers: list[Any], moves: bool) -> None:
     node, lead = await blind(state)
-    before = lead.lease_renewal_limit.known_at
+    before = lead.lease_renewal_limit.cancellations_known_at
     running(lead, state)
     node.peers = {f"n{i}": FakePeer(answer) for i, answer in enumerate(answers)}  # type: ignore[misc]
     await node.peer_notifier.collect(lead)
-    assert (lead.lease_renewal_limit.known_at > before + 19 * SECOND) is moves
+    assert (lead.lease_renewal_limit.cancellations_known_at > before + 19 * SECOND) is moves
     assert lead.cluster.jobs["j-000001"].cancelled is ("j-000001" in str(answers))
 
 
@@ -227,20 +227,20 @@
     node, lead = await blind(state)
     running(lead, state)
     node.peers = {"n1": FakePeer(["told", WHOLE, []])}  # type: ignore[dict-item]
-    node.peer_notifier.confirmed_cancellations.tell("j-000001", steady() - 5 * SECOND)
+    node.peer_notifier.confirmed_cancellations.record("j-000001", steady() - 5 * SECOND)
     await node.peer_notifier.collect(lead)
     assert lead.cluster.jobs["j-000001"].cancelled
     node.peer_notifier.confirmed_cancellations = told(
         began=steady() - SECOND
     )  # it began only after what is asked about
-    before = lead.lease_renewal_limit.known_at = steady() - 20 * SECOND
+    before = lead.lease_renewal_limit.cancellations_known_at = steady() - 20 * SECOND
     await node.peer_notifier.collect(lead)
-    assert lead.lease_renewal_limit.known_at == before
+    assert lead.lease_renewal_limit.cancellations_known_at == before
 
 
 async def test_an_answer_that_comes_after_the_lead_is_lost_changes_nothing(state: KeyStore) -> None:
     node, lead = await blind(state)
-    before = lead.lease_renewal_limit.known_at
+    before = lead.lease_renewal_limit.cancellations_known_at
 
     class Slow(FakePeer):
         async def ask(self, request: PeerMessage, decode: Callable[[PeerArray], Any], *, timeout_us: int = 0) -> Any:
@@ -249,7 +249,7 @@
 
     node.peers = {"n1": Slow(None)}  # type: ignore[dict-item]
     await node.peer_notifier.collect(lead)
-    assert lead.lease_renewal_limit.known_at == before
+    assert lead.lease_renewal_limit.cancellations_known_at == before
 
 
 async def test_a_hint_that_is_lost_costs_a_moment(state: KeyStore) -> None:
@@ -267,10 +267,10 @@
             return decode_reply(await peer_reply(other, request.encode()), decode)
 
     node.peers = {"n1": Real(None)}  # type: ignore[dict-item]
-    before = lead.lease_renewal_limit.known_at
+    before = lead.lease_renewal_limit.cancellations_known_at
     await node.peer_notifier.collect(lead)
     assert lead.cluster.jobs["j-000001"].cancelled
-    assert lead.lease_renewal_limit.known_at > before + RECORDS_ARE_STALE
+    assert lead.lease_renewal_limit.cancellations_known_at > before + RECORDS_ARE_STALE
     other.background.close()
 
 
@@ -291,7 +291,7 @@
 async def test_a_node_of_an_earlier_version_leaves_the_bound_as_it_is(state: KeyStore) -> None:
     """It answers the question with 400, which its caller sees as no answer."""
     node, lead = await blind(state)
-    before = lead.lease_renewal_limit.known_at
+    before = lead.lease_renewal_limit.cancellations_known_at
 
     class Older(FakePeer):
         async def ask(self, request: PeerMessage, decode: Callable[[PeerArray], Any], *, timeout_us: int = 0) -> Any:
@@ -301,7 +301,7 @@
 
     node.peers = {"n1": Older(None)}  # type: ignore[dict-item]
     await node.peer_notifier.collect(lead)
-    assert lead.lease_renewal_limit.known_at == before
+    assert lead.lease_renewal_limit.cancellations_known_at == before
 
 
 # --- what a leader makes of it -------------------------------------------------------------------
@@ -371,7 +371,7 @@
 
     assert orders() == ["start", "stop"]  # so that the attempt is known there, whenever the first start lands
     assert not world.cluster.commands.must_let_lease_expire(machine, world.now)
-    bound = answers_until(world.settings.workers, world.now)
+    bound = renewals_allowed_until(world.settings.workers, world.now)
     world.now = bound
     assert orders() == ["stop"]
     # It can't be told whether the first start will land: the machine's lease has to end, and with it the session.
@@ -402,7 +402,7 @@
 
 async def test_a_machine_that_a_start_of_a_cancelled_job_may_still_reach_is_not_answered(state: KeyStore) -> None:
     lead, _, _ = leader(state)
-    lead.lease_renewal_limit.known_at = steady()
+    lead.lease_renewal_limit.cancellations_known_at = steady()
     worker = Worker(lambda: steady(), "vm-000001", "h:1", "m8", "a", False, 8.0, lambda ref: None)
     worker.token = lead.token
     answer = lead.answer_heartbeat(wire.decode_heartbeat(worker.report()))
--- a/tests/test_limits_properties.py
+++ b/tests/test_limits_properties.py
@@ -179,7 +179,7 @@
             if not orders or not machine.agent_epoch:
                 continue
             cluster.commands.on_sent(machine, starts, self.world.now, direct=True)
-            body = wire.command_request(cluster.token, machine.agent_epoch, orders)
+            body = wire.command_request(cluster.fencing_token, machine.agent_epoch, orders)
             if sent and machine.name in self.world.workers:
                 _, report = self.world.workers[machine.name].commands(body)
                 cluster.commands.on_answered(machine, [(t.name, t.attempt) for t in starts])
@@ -246,12 +246,12 @@
         cluster = self.world.cluster
         machine = cluster.heartbeats.receive(report, self.world.now, self.world.now)
         self._learn()
-        if machine is None or report.fencing_token > cluster.token:
+        if machine is None or report.fencing_token > cluster.fencing_token:
             return
         cluster.commands.on_heartbeat_delivered(machine, report)
         orders, starts = cluster.commands.for_machine(machine, self.world.now, direct=False)
         cluster.commands.on_sent(machine, starts, self.world.now, direct=False)
-        worker.answer(sent, session, wire.heartbeat_response(cluster.token, orders))
+        worker.answer(sent, session, wire.heartbeat_response(cluster.fencing_token, orders))
 
     def _reports(self) -> None:
         """All report, and nothing that follows is written yet."""
@@ -270,7 +270,7 @@
     def copy_arrives(self, pick: int) -> None:
         """Of any age, at whoever leads now."""
         report = self.reports[-1 - pick % len(self.reports)]
-        if report.fencing_token <= self.world.cluster.token:
+        if report.fencing_token <= self.world.cluster.fencing_token:
             self.world.cluster.heartbeats.receive(report, self.world.now, self.world.now)
 
     @rule(number=PLACES)
--- a/tests/test_node_failures.py
+++ b/tests/test_node_failures.py
@@ -165,13 +165,13 @@
     lead, client, _ = leader(state)
     now = steady()
     client.last_served_at, client.last_failed_at = now - 5 * SECOND, now
-    lead.lease_renewal_limit.known_at = now - 5 * SECOND
+    lead.lease_renewal_limit.cancellations_known_at = now - 5 * SECOND
     report = wire.Heartbeat("vm-000001", "h:1", "m8", "a", False, 1, 1, lead.token, [])
     answer = lead.answer_heartbeat(report)
     assert answer is not None
     assert answer["helm"] == lead.token
     assert all(order["orderKind"] != "start" for order in answer["orders"])
-    lead.lease_renewal_limit.known_at = now - 30 * SECOND  # a cancellation may have been told since
+    lead.lease_renewal_limit.cancellations_known_at = now - 30 * SECOND  # a cancellation may have been told since
     assert lead.answer_heartbeat(report) is None
 
 
@@ -262,7 +262,7 @@
 async def test_a_machine_to_be_released_is_sent_stops_for_what_it_runs(state: KeyStore) -> None:
     """Its release may stay unanswered for as long as the cloud is away; its leases lived on, and no stop went out."""
     lead, _, _ = leader(state)
-    lead.lease_renewal_limit.known_at = lead.leader_lease.renewal_requested_at = steady()
+    lead.lease_renewal_limit.cancellations_known_at = lead.leader_lease.renewal_requested_at = steady()
     rows = [wire.TaskReport("j-000001/0", 1, wire.TaskStatus.RUNNING)]  # of a job that is cancelled and over, say
     report = wire.Heartbeat("vm-000001", "h:1", "m8", "a", False, 1, 1, lead.token, rows)
     assert lead.answer_heartbeat(report) is not None
--- a/tests/test_one_way_partitions.py
+++ b/tests/test_one_way_partitions.py
@@ -143,7 +143,7 @@
         world.submit(ref=f"j-{number:06d}", legs=1, cores=0.25, voyageS=5.0)
     world.settle(10)
     assert world.cluster.job_statistics.largest() == {"train": (1, 2)}
-    assert "largest train" in world.cluster.job_statistics.line()
+    assert "largest train" in world.cluster.job_statistics.summary()
     world.cancel(large)
     world.settle(2)
     began, count = world.cluster.job_statistics.largest()["train"]
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -295,7 +295,7 @@
     world, machine, _ = settled_world(cores=4.0)
     other = world.submit(legs=1, cores=1.0, berthKinds=["g16"], sizeGb=0.0)
     world.workers[machine.name].commands(
-        wire.command_request(world.cluster.token, machine.agent_epoch, [wire.StartCommand(f"{other}/0", 7)])
+        wire.command_request(world.cluster.fencing_token, machine.agent_epoch, [wire.StartCommand(f"{other}/0", 7)])
     )
     report = wire.decode_heartbeat(world.workers[machine.name].report())
     world.cluster.heartbeats.receive(report, world.now, world.now)
--- a/tests/test_process_pauses.py
+++ b/tests/test_process_pauses.py
@@ -124,7 +124,7 @@
     state: KeyStore, clock: Clock
 ) -> None:
     lead, _, _ = leader(state)
-    lead.leader_lease.renewal_requested_at = lead.lease_renewal_limit.known_at = clock.at
+    lead.leader_lease.renewal_requested_at = lead.lease_renewal_limit.cancellations_known_at = clock.at
     report = wire.Heartbeat("vm-000001", "h:1", "m8", "a", False, 1, 1, lead.token, [])
     assert lead.answer_heartbeat(report) is not None
     clock.at += 7 * SECOND
@@ -271,4 +271,4 @@
     monkeypatch.setattr(lead_module, "read_records", slow)
     monkeypatch.setattr(lead.background, "keep", lambda *_: None)  # none of its loops is what is looked at
     await lead.fail_over()
-    assert lead.lease_renewal_limit.known_at == began
+    assert lead.lease_renewal_limit.cancellations_known_at == began
--- a/tests/test_safety_invariants.py
+++ b/tests/test_safety_invariants.py
@@ -161,7 +161,7 @@
     assert world.record(ref) == wire.JobStatus.COMPLETED
     key = (f"{ref}/0", 1)
     assert key in worker.tasks  # still listed as ended, so the late copy has no effect
-    worker.commands(wire.command_request(world.cluster.token, worker.session, [wire.StartCommand(*key)]))
+    worker.commands(wire.command_request(world.cluster.fencing_token, worker.session, [wire.StartCommand(*key)]))
     assert worker.tasks[key].status == "ended"
     assert worker.started_attempts == [key]
 
@@ -193,7 +193,7 @@
     cluster.commands.on_heartbeat_delivered(machine, report)  # held by a cut, that report comes once more
     cluster.machines_to_command.add(machine)
     world.send()
-    worker.commands(wire.command_request(cluster.token, 1, late))
+    worker.commands(wire.command_request(cluster.fencing_token, 1, late))
     assert worker.started_attempts == [key]
     world.report(worker)  # it reports again, so it has had that answer, or dropped it
     cluster.machines_to_command.add(machine)
@@ -279,7 +279,7 @@
     ref = world.submit(legs=1)
     world.plan()
     world.commit()  # the old leader dies here; its start is under way
-    late = wire.command_request(world.cluster.token, worker.session, [wire.StartCommand(f"{ref}/0", 1)])
+    late = wire.command_request(world.cluster.fencing_token, worker.session, [wire.StartCommand(f"{ref}/0", 1)])
     world.fail_over()
     world.cluster.heartbeats.receive(wire.decode_heartbeat(worker.report()), world.now, world.now)
     assert world.cluster.jobs[ref].tasks[0].phase is TaskPhase.BOUND
@@ -296,7 +296,7 @@
     ref = world.submit(legs=1)
     world.plan()
     world.commit()
-    late = wire.command_request(world.cluster.token, worker.session, [wire.StartCommand(f"{ref}/0", 1)])
+    late = wire.command_request(world.cluster.fencing_token, worker.session, [wire.StartCommand(f"{ref}/0", 1)])
     world.fail_over()
     world.settle()
     assert worker.started_attempts == [(f"{ref}/0", 2)]
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -584,8 +584,8 @@
     latest = clock.until + micros(settings.workers.lease_s) * 1.001
     assert latest < 100 * SECOND + micros(settings.workers.cancel_s)
     assert clock.until > 100 * SECOND + 15 * SECOND  # and tasks outlive an outage of some length
-    clock.known(90 * SECOND)
-    assert clock.known_at == 100 * SECOND
+    clock.on_cancellations_read(90 * SECOND)
+    assert clock.cancellations_known_at == 100 * SECOND
 
 
 def test_many_silent_machines_mean_that_i_am_cut_off() -> None:
@@ -672,7 +672,7 @@
         wire.JobStatus.QUEUED,
         wire.JobStatus.QUEUED,
     ]
-    assert world.cluster.job_statistics.line() == (
+    assert world.cluster.job_statistics.summary() == (
         "served (started/accepted, done): class serve 1/2, 0; class train 1/1, 1; team crew 1/1, 1; team other 1/2, 0; "
         "largest serve 0/1 train 1/1"
     )
--- a/tests/test_schema_versions.py
+++ b/tests/test_schema_versions.py
@@ -144,7 +144,7 @@
 
 
 def test_a_job_whose_head_has_no_room_for_tasks() -> None:
-    layout = RecordLayout(2048, 1, parts=True)
+    layout = RecordLayout(2048, 1, splits_records=True)
     large = Job(
         "j-1", wire.decode_submission(job("j-1", legs=300, berthKinds=[f"kind-{i:020d}" for i in range(60)])), 1, 0
     )
@@ -158,7 +158,7 @@
 
 
 def test_limits_that_hold_all_leave_records_as_they_were() -> None:
-    layout = RecordLayout(8192, 10, parts=True)
+    layout = RecordLayout(8192, 10, splits_records=True)
     small = Job("j-1", wire.decode_submission(job("j-1", legs=300)), 1, 0)
     assert list(layout.task_keys(small, 0, 300)) == ["live/j-1", "live/j-1/0001", "live/j-1/0002"]
     assert list(layout.fleet_keys("fleet/000003")) == ["fleet/000003"]
@@ -280,19 +280,19 @@
     home.peers["n1"] = FakePeer(answer("n1", "b"))
     await rounds(lead, 1)
     assert SCHEMA_VERSION_KEY not in state.items
-    assert not lead.cluster.writes.layout.parts
+    assert not lead.cluster.writes.layout.splits_records
     client.faults = ["lose"]
     with pytest.raises(Exception, match="lose"):
         await rounds(lead, 2)  # unsure: not taken for open
-    assert not lead.cluster.writes.layout.parts
+    assert not lead.cluster.writes.layout.splits_records
     await rounds(lead, 2)
-    assert lead.cluster.writes.layout.parts
+    assert lead.cluster.writes.layout.splits_records
     assert state.items[SCHEMA_VERSION_KEY][0]["reads"] == SCHEMA_VERSION
     second, _, other = leader(state)
     other.peers["n1"] = FakePeer(answer("n1", "b"))
     await rounds(lead, 2)  # it leads no more, and finds what is recorded
     await rounds(second, 2)
-    assert second.cluster.writes.layout.parts
+    assert second.cluster.writes.layout.splits_records
 
 
 async def test_a_refusal_for_size_before_the_gate_opens_is_not_tried_again() -> None:
@@ -307,7 +307,7 @@
     fall(world)
     lead, _, home = leader(world.state)
     lead.cluster = lead.commits.cluster = world.cluster
-    world.cluster.token = lead.token
+    world.cluster.fencing_token = lead.token
     refused = world.cluster.writes.take_batch(4)
     assert max(json_size(value) for value in refused.sets.values()) > 2048
     world.state.commit = _counted(world.state.commit)  # type: ignore[method-assign]
--- a/tests/test_task_locations.py
+++ b/tests/test_task_locations.py
@@ -114,7 +114,7 @@
     world = World()
     ref, worker = _done_unwritten(world)
     world.cluster.writes.value_limit_lowered = True
-    world.cluster.writes.layout.limit = 10
+    world.cluster.writes.layout.max_value_bytes = 10
     batch = world.cluster.writes.take_batch(world.ops)
     assert live_key(ref) not in batch.sets
     world.cluster.writes.in_flight_keys = set()
@@ -228,17 +228,20 @@
 
 def test_a_node_keeps_what_the_newest_leaders_told() -> None:
     ends = CompletionLog()
-    assert ends.before(100) is None
+    assert ends.before_token(100) is None
     for token in range(1, LEADS_MOST + 3):
-        ends.note(token, [(f"j-{token:06d}", 0, 1)])
-    assert ends.before(3) is None
-    assert ends.before(4) == [("j-000003", 0, 1)]
-    assert len(ends.before(100) or []) == LEADS_MOST
-    ends.note(LEADS_MOST + 2, [("j-000099", 0, 1)])
-    assert (ends.before(100) or [])[:2] == [("j-000099", 0, 1), (f"j-{LEADS_MOST + 2:06d}", 0, 1)]  # the newest first
+        ends.add(token, [(f"j-{token:06d}", 0, 1)])
+    assert ends.before_token(3) is None
+    assert ends.before_token(4) == [("j-000003", 0, 1)]
+    assert len(ends.before_token(100) or []) == LEADS_MOST
+    ends.add(LEADS_MOST + 2, [("j-000099", 0, 1)])
+    assert (ends.before_token(100) or [])[:2] == [
+        ("j-000099", 0, 1),
+        (f"j-{LEADS_MOST + 2:06d}", 0, 1),
+    ]  # the newest first
     for number in range(2 * ROWS_MOST):
-        ends.note(99, [("j-000001", number, 1)])
-    found = ends.before(100) or []
+        ends.add(99, [("j-000001", number, 1)])
+    found = ends.before_token(100) or []
     assert len(found) == ROWS_MOST
     assert found[0] == ("j-000001", 2 * ROWS_MOST - 1, 1)
 
@@ -326,7 +329,7 @@
     node.completion_replicator.on_deposed(lead)
     await asyncio.sleep(0.01)
     assert reached.asked == [["ends", lead.token, [(ref, 0, 1)]]]
-    assert node.completion_replicator.log.before(lead.token + 1) == [(ref, 0, 1)]
+    assert node.completion_replicator.log.before_token(lead.token + 1) == [(ref, 0, 1)]
     node.background.close()
 
 
@@ -415,7 +418,7 @@
     _start_behind_its_back(world, worker, "j-000777")
     ref = world.submit(legs=1, cores=1.0)
     world.plan()
-    assert world.cluster.quotas.unknown == {"j-000777": 1}
+    assert world.cluster.quotas.unknown_attempts == {"j-000777": 1}
     assert not world.cluster.jobs[ref].on_machines
     world.cluster.orphans.resolve("j-000777", None)  # nobody ever submitted it
     world.plan()
@@ -432,7 +435,7 @@
     world.jobs["j-000777"] = job("j-000777", cores=6.0)
     _start_behind_its_back(world, worker, "j-000777")
     world.cluster.job_lifecycle.add("j-000777", spec, 1, world.now)
-    assert not world.cluster.quotas.unknown
+    assert not world.cluster.quotas.unknown_attempts
     assert world.cluster.quotas["crew"].cpus == 6.0
     assert world.cluster.jobs["j-000777"].orphaned_attempt_count == 1
     world.released(worker.name)
@@ -452,9 +455,9 @@
     _start_behind_its_back(world, worker, "j-000777")
     client.faults = ["refuse"]
     await lead.orphaned_job_lookup.read("j-000777")
-    assert world.cluster.quotas.unknown  # it is still not known
+    assert world.cluster.quotas.unknown_attempts  # it is still not known
     await lead.orphaned_job_lookup.read("j-000777")
-    assert not world.cluster.quotas.unknown
+    assert not world.cluster.quotas.unknown_attempts
     assert world.cluster.quotas["crew"].cpus == 6.0
     world.released(worker.name)
     assert world.cluster.quotas["crew"].cpus == 0.0
@@ -474,7 +477,7 @@
     lead.orphaned_job_lookup.look_up()
     assert len(lead.orphaned_job_lookup.in_flight) == MAX_CONCURRENT_LOOKUPS
     await asyncio.sleep(0.05)
-    assert not world.cluster.quotas.unknown
+    assert not world.cluster.quotas.unknown_attempts
     assert client.reads == 20
     assert not lead.orphaned_job_lookup.in_flight
 
--- a/tests/test_zone_partitions.py
+++ b/tests/test_zone_partitions.py
@@ -89,7 +89,7 @@
     node = Node(node_settings(), Tuning())
     node.state = client = FakeStateClient(state)  # type: ignore[assignment]
     lead, _, _ = leader(state)
-    lead.lease_renewal_limit.known_at = steady()
+    lead.lease_renewal_limit.cancellations_known_at = steady()
     peer = FakePeer(["carried out", lead.token, lead.cancellation_watermark_age()])
     await node.lease_proxy.refresh_from_leader(peer)  # type: ignore[arg-type]
     node.lease_proxy.proxy.leader_contact_at -= 3 * SECOND
