--- a/oatport/control/leadership/lease_renewal.py
+++ b/oatport/control/leadership/lease_renewal.py
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True)
 class LeaseRenewalLimit:
-    """How long a leader that the state service does not answer may renew its workers' leases (`renewals_allowed_until`)."""
+    """How long a leader that the state service does not answer may renew its agents' leases."""
 
     settings: ClusterSettings
     # All cancellations confirmed up to then are known here (steady): when that was *asked for*.
