--- a/oatport/lab/queues.py
+++ b/oatport/lab/queues.py
@@ -26,7 +26,7 @@
 from oatport.queues.gateway import Gateway
 from oatport.queues.identity import identity_of, job_id_of
 from oatport.queues.link import Link
-from oatport.queues.rows import Row
+from oatport.queues.rows import MessageRow
 from oatport.queues.settings import GatewaySettings, QueueSettings
 from oatport.queues.templates import Template
 from oatport.service.node import Node
@@ -67,7 +67,7 @@
             await asyncio.sleep(0.05)
         await super()._handle(queue, incoming)
 
-    async def publish(self, row: Row) -> bool:
+    async def publish(self, row: MessageRow) -> bool:
         if self._broken != "outbox":
             return await super().publish(row)
         self.group.once("unconfirmed", super().publish(row))  # nobody waits whether it was taken
@@ -185,7 +185,7 @@
         gateway, link = self.gateways.pop(name)
         link.drop()
         gateway.close()
-        self.changes += gateway.store.changed
+        self.changes += gateway.store.write_count
 
     async def close(self) -> None:
         for name in list(self.gateways):
@@ -352,7 +352,7 @@
         took = time.monotonic() - began
         await asyncio.sleep(1.0)  # for answers that should not come
         found = audit(senders, place.runs())
-        changes = place.changes + sum(gateway.store.changed for gateway, _ in place.gateways.values())
+        changes = place.changes + sum(gateway.store.write_count for gateway, _ in place.gateways.values())
     finally:
         setattr(intake, "identity_of", identity_of)  # noqa: B010
         listener.cancel()
--- a/oatport/queues/gateway.py
+++ b/oatport/queues/gateway.py
@@ -17,9 +17,9 @@
 from oatport.queues.intake import SubmissionBatcher
 from oatport.queues.members import parts_for
 from oatport.queues.outbox import Outbox
-from oatport.queues.rows import MEMBERS, PART_KEYS, ROWS, TOLD, Row, part_key, part_prefix
+from oatport.queues.rows import MEMBERS, PART_KEYS, ROWS, MessageRow, RowState, part_key, part_prefix
 from oatport.queues.settings import GatewaySettings
-from oatport.queues.store import Store, StoreUnavailableError, read_row
+from oatport.queues.store import Store, StoreUnavailableError, decode_row
 from oatport.service.background_tasks import BackgroundTasks
 from oatport.times import MS, SECOND, micros, seconds, steady, time_of_day
 
@@ -37,7 +37,11 @@
     """`publish`: an answer to its sender, True once the broker confirmed it (or there is nobody to tell)."""
 
     def __init__(
-        self, settings: GatewaySettings, state: StateClient, core: Core, publish: Callable[[Row], Awaitable[bool]]
+        self,
+        settings: GatewaySettings,
+        state: StateClient,
+        core: Core,
+        publish: Callable[[MessageRow], Awaitable[bool]],
     ) -> None:
         self.settings = settings
         self.state = state
@@ -72,7 +76,7 @@
         """The lease that the parts hang on can't have ended; after a freeze it may have."""
         return self._lease > 0 and self._mandate.is_held(steady())
 
-    def _saw(self, row: Row, version: int) -> None:
+    def _saw(self, row: MessageRow, version: int) -> None:
         self.outbox.saw(row, version)
         if self.outbox.ready:
             self._ready.set()
@@ -156,7 +160,7 @@
         except StoreUnavailableError:
             self.outbox.disown(part)  # taken again, and read then
             raise
-        open_rows = [(row, at) for row, at in rows if row.state != TOLD]
+        open_rows = [(row, at) for row, at in rows if row.state != RowState.DELIVERED]
         taken = self.outbox.own(part, result.revision, open_rows)
         if open_rows:
             log.info("part %d: %d messages without an answer told", part, len(open_rows))
@@ -184,7 +188,7 @@
                 if not revision:
                     revision = await self.state.current_revision(prefix)
                     await again()
-                self.store.asked += 1
+                self.store.request_count += 1
                 found = await self.state.watch(prefix, revision, WATCH_WAIT)
                 if found is None:
                     revision = 0
@@ -201,7 +205,7 @@
 
     async def _rows_loop(self) -> None:
         async def take(key: str, value: Any, version: int) -> None:
-            row = read_row(key, value, version)
+            row = decode_row(key, value, version)
             if row is not None:
                 self.outbox.saw(*row)
 
@@ -280,8 +284,8 @@
                 try:
                     rows, _ = await self.store.rows(part_prefix(part))
                     for row, version in rows:
-                        if row.state == TOLD and 0 < row.told_at < time_of_day() - KEEP_TOLD:
-                            key = part_prefix(part) + row.ref
+                        if row.state == RowState.DELIVERED and 0 < row.delivered_at < time_of_day() - KEEP_TOLD:
+                            key = part_prefix(part) + row.job_id
                             await self.store.change(key, None, {key: version, part_key(part): token}, 100)
                 except StoreUnavailableError:
                     break
--- a/oatport/queues/intake.py
+++ b/oatport/queues/intake.py
@@ -16,8 +16,7 @@
 from oatport.clients.http import jitter
 from oatport.queues.core import Core, CoreOutcome
 from oatport.queues.identity import MAX_JOB_ID_TRIES, identity_of, job_id_of
-from oatport.queues.rows import CANCELLED, EXPIRED, Row, row_key
-from oatport.queues.rows import REFUSED as ANSWER_REFUSED
+from oatport.queues.rows import AnswerKind, MessageRow, row_key
 from oatport.queues.settings import QueueSettings
 from oatport.queues.store import Store, StoreUnavailableError
 from oatport.queues.templates import InvalidMessageError
@@ -48,7 +47,7 @@
     action: str
     reason: str = ""
     ref: str = ""
-    answer_now: Row | None = None  # an answer for which there can be no row
+    answer_now: MessageRow | None = None  # an answer for which there can be no row
 
 
 class SubmissionBatcher:
@@ -58,7 +57,7 @@
         self,
         store: Store,
         core: Core,
-        wrote: Callable[[Row, int], None],
+        wrote: Callable[[MessageRow, int], None],
         clock: Callable[[], int] = time_of_day,
         pause: Callable[[float], Awaitable[None]] = asyncio.sleep,
     ) -> None:
@@ -78,35 +77,35 @@
         if identity is None:
             # Nothing tells it from another: it can't be run once. Its answer's id is derived from all that it is.
             digest = hashlib.blake2b(message.body + message.reply_to.encode(), digest_size=16).hexdigest()
-            row = Row(job_id_of(queue.name, f"?{digest}"), queue.name, "", message.reply_to)
+            row = MessageRow(job_id_of(queue.name, f"?{digest}"), queue.name, "", message.reply_to)
             reason = "no message_id" + (f" and no header {queue.identity_header}" if queue.identity_header else "")
-            return Verdict(DEAD, reason, answer_now=row.answered(ANSWER_REFUSED, reason))
+            return Verdict(DEAD, reason, answer_now=row.with_answer(AnswerKind.REFUSED, reason))
         expires_at = 0 if message.expires_s is None else self._clock() + round(message.expires_s * SECOND)
         try:
             for attempt in range(MAX_JOB_ID_TRIES):
                 ref = job_id_of(queue.name, identity, attempt)
                 row, version, reason = await self._row(queue, identity, ref, message, expires_at)
-                if row.same(queue.name, identity):
+                if row.belongs_to(queue.name, identity):
                     return await self._settle(row, version, reason)
                 log.warning("job %s belongs to another message: trying another id", ref)
         except StoreUnavailableError:
             return Verdict(AGAIN, "the state service is away")
         reason = "its job id belongs to other messages"
-        row = Row(job_id_of(queue.name, f"?{identity}"), queue.name, identity, message.reply_to)
-        return Verdict(DEAD, reason, answer_now=row.answered(ANSWER_REFUSED, reason))
+        row = MessageRow(job_id_of(queue.name, f"?{identity}"), queue.name, identity, message.reply_to)
+        return Verdict(DEAD, reason, answer_now=row.with_answer(AnswerKind.REFUSED, reason))
 
     async def _row(
         self, queue: QueueSettings, identity: str, ref: str, message: Message, expires_at: int
-    ) -> tuple[Row, int, str]:
+    ) -> tuple[MessageRow, int, str]:
         """The row of this message: made now, or as it is there already (perhaps another message's)."""
-        row, reason = Row(ref, queue.name, identity, message.reply_to, None, expires_at), ""
+        row, reason = MessageRow(ref, queue.name, identity, message.reply_to, None, expires_at), ""
         try:
             job = queue.template.job(ref, message.body)
-            row = Row(ref, queue.name, identity, message.reply_to, job, expires_at)
+            row = MessageRow(ref, queue.name, identity, message.reply_to, job, expires_at)
         except InvalidMessageError as error:
             reason = str(error)
-            row = row.answered(ANSWER_REFUSED, reason)
-        version = await self._store.change(row_key(ref), row.value(), {row_key(ref): 0}, 400 + len(message.body))
+            row = row.with_answer(AnswerKind.REFUSED, reason)
+        version = await self._store.change(row_key(ref), row.encode(), {row_key(ref): 0}, 400 + len(message.body))
         if version:
             self._wrote(row, version)
             return row, version, reason
@@ -114,34 +113,34 @@
         if found is None:
             raise StoreUnavailableError  # pruned this moment: look again later
         self._wrote(*found)  # our own change may have been applied without an answer
-        return found[0], found[1], reason if found[0].answer == ANSWER_REFUSED else ""
+        return found[0], found[1], reason if found[0].answer == AnswerKind.REFUSED else ""
 
-    async def _settle(self, row: Row, version: int, reason: str) -> Verdict:
+    async def _settle(self, row: MessageRow, version: int, reason: str) -> Verdict:
         if row.answer:
-            return Verdict(DEAD if reason else ACK, reason, row.ref)
+            return Verdict(DEAD if reason else ACK, reason, row.job_id)
         return await self.submit(row, version)
 
-    async def submit(self, row: Row, version: int) -> Verdict:
+    async def submit(self, row: MessageRow, version: int) -> Verdict:
         """Submit a taken row's job until that is settled, or for a while. Raises Away."""
         until = self._clock() + PATIENCE
         while True:
             if row.expires_at and self._clock() >= row.expires_at:
-                await self._answer(row, version, EXPIRED, "expired before it was accepted")
-                return Verdict(ACK, ref=row.ref)
+                await self._answer(row, version, AnswerKind.EXPIRED, "expired before it was accepted")
+                return Verdict(ACK, ref=row.job_id)
             assert row.job is not None
             response = await self._core.submit(row.job)
             if response.outcome is CoreOutcome.ACCEPTED:
-                return Verdict(ACK, ref=row.ref)
+                return Verdict(ACK, ref=row.job_id)
             if response.outcome is CoreOutcome.REFUSED:
-                await self._answer(row, version, ANSWER_REFUSED, response.cause)
-                return Verdict(DEAD, response.cause, row.ref)
+                await self._answer(row, version, AnswerKind.REFUSED, response.cause)
+                return Verdict(DEAD, response.cause, row.job_id)
             if self._clock() > until:
-                return Verdict(AGAIN, "the core accepts nothing now", row.ref)
+                return Verdict(AGAIN, "the core accepts nothing now", row.job_id)
             await self._pause(jitter(round(response.retry_after_s * SECOND)))
 
-    async def _answer(self, row: Row, version: int, answer: str, cause: str) -> None:
-        answered = row.answered(answer, cause)
-        revision = await self._store.change(row_key(row.ref), answered.value(), {row_key(row.ref): version})
+    async def _answer(self, row: MessageRow, version: int, answer: str, cause: str) -> None:
+        answered = row.with_answer(answer, cause)
+        revision = await self._store.change(row_key(row.job_id), answered.encode(), {row_key(row.job_id): version})
         if revision:
             self._wrote(answered, revision)
 
@@ -153,15 +152,17 @@
         try:
             for attempt in range(MAX_JOB_ID_TRIES):
                 ref = job_id_of(queue.name, identity, attempt)
-                row = Row(ref, queue.name, identity, message.reply_to).answered(CANCELLED, "cancelled before it came")
-                version = await self._store.change(row_key(ref), row.value(), {row_key(ref): 0})
+                row = MessageRow(ref, queue.name, identity, message.reply_to).with_answer(
+                    AnswerKind.CANCELLED, "cancelled before it came"
+                )
+                version = await self._store.change(row_key(ref), row.encode(), {row_key(ref): 0})
                 if version:
                     self._wrote(row, version)
                     return Verdict(ACK, ref=ref)
                 found = await self._store.row(ref)
                 if found is None:
                     raise StoreUnavailableError
-                if not found[0].same(queue.name, identity):
+                if not found[0].belongs_to(queue.name, identity):
                     continue
                 if found[0].answer:
                     return Verdict(ACK, ref=ref)
--- a/oatport/queues/link.py
+++ b/oatport/queues/link.py
@@ -13,7 +13,7 @@
 from oatport.clients.http import jitter
 from oatport.queues.gateway import Gateway
 from oatport.queues.intake import AGAIN, DEAD, Message, Verdict
-from oatport.queues.rows import Row
+from oatport.queues.rows import MessageRow
 from oatport.queues.settings import GatewaySettings, QueueSettings, broker_url
 from oatport.service.background_tasks import BackgroundTasks
 from oatport.times import MS, SECOND
@@ -170,12 +170,12 @@
         )
         return await self._send(queue.dead_letter, queue.name, message, mandatory=False)
 
-    async def publish(self, row: Row) -> bool:
+    async def publish(self, row: MessageRow) -> bool:
         """A row's answer to its sender; True once confirmed, or if nobody can be told."""
         if not row.reply_to:
             return True
         message = aio_pika.Message(
-            json.dumps(row.message()).encode(),
+            json.dumps(row.answer_body()).encode(),
             content_type="application/json",
             message_id=row.answer_id,
             correlation_id=row.identity,
--- a/oatport/queues/outbox.py
+++ b/oatport/queues/outbox.py
@@ -14,23 +14,20 @@
 from oatport.queues.core import Core, CoreOutcome
 from oatport.queues.identity import part_of
 from oatport.queues.rows import (
-    ANSWERED,
-    EXPIRED,
-    TAKEN,
-    TOLD,
-    Row,
-    answer_from,
+    AnswerKind,
+    MessageRow,
+    RowState,
+    answer_of_record,
     part_key,
     row_key,
 )
-from oatport.queues.rows import REFUSED as ANSWER_REFUSED
 from oatport.queues.store import Store
 from oatport.times import SECOND
 
 log = logging.getLogger(__name__)
 
 ORPHAN_AFTER = 10 * SECOND  # a row whose job nobody saw for that long is looked after
-Publish = Callable[[Row], Awaitable[bool]]  # True: confirmed, or there is nobody to tell
+Publish = Callable[[MessageRow], Awaitable[bool]]  # True: confirmed, or there is nobody to tell
 
 
 class Outbox:
@@ -50,38 +47,38 @@
         self._entitled = entitled
         self._clock = clock
         self.parts: dict[int, int] = {}  # part -> token
-        self.rows: dict[str, tuple[Row, int]] = {}  # of these parts, not told yet
+        self.rows: dict[str, tuple[MessageRow, int]] = {}  # of these parts, not told yet
         self.ready: dict[str, None] = {}  # answered, to be published
         self._seen_at: dict[str, int] = {}
 
     # --- parts ------------------------------------------------------------------------------------
 
-    def own(self, part: int, token: int, rows: list[tuple[Row, int]]) -> list[str]:
+    def own(self, part: int, token: int, rows: list[tuple[MessageRow, int]]) -> list[str]:
         """A part is ours, with these rows; the refs whose jobs are to be looked at."""
         self.parts[part] = token
         for row, version in rows:
             self.saw(row, version)
-        return [row.ref for row, _ in rows if row.state == TAKEN]
+        return [row.job_id for row, _ in rows if row.state == RowState.TAKEN]
 
     def disown(self, part: int) -> None:
         self.parts.pop(part, None)
         for ref in [ref for ref in self.rows if part_of(ref) == part]:
             self._forget(ref)
 
-    def saw(self, row: Row, version: int) -> None:
+    def saw(self, row: MessageRow, version: int) -> None:
         """A row as it is now; of other gateways' parts it is none of ours."""
-        if part_of(row.ref) not in self.parts:
+        if part_of(row.job_id) not in self.parts:
             return
-        known = self.rows.get(row.ref)
+        known = self.rows.get(row.job_id)
         if known is not None and known[1] >= version:
             return
-        if row.state == TOLD:
-            self._forget(row.ref)
+        if row.state == RowState.DELIVERED:
+            self._forget(row.job_id)
             return
-        self.rows[row.ref] = (row, version)
-        self._seen_at.setdefault(row.ref, self._clock())
-        if row.state == ANSWERED:
-            self.ready[row.ref] = None
+        self.rows[row.job_id] = (row, version)
+        self._seen_at.setdefault(row.job_id, self._clock())
+        if row.state == RowState.ANSWERED:
+            self.ready[row.job_id] = None
 
     def _forget(self, ref: str) -> None:
         self.rows.pop(ref, None)
@@ -93,24 +90,24 @@
     async def job_changed(self, ref: str, record: Any) -> None:
         """A job's record as it is now. Raises Away."""
         known = self.rows.get(ref)
-        if known is None or known[0].state != TAKEN:
+        if known is None or known[0].state != RowState.TAKEN:
             return
-        answer = answer_from(record, known[0], self._clock())
+        answer = answer_of_record(record, known[0], self._clock())
         if answer is not None:
             await self._record(*known, *answer)
 
-    async def _record(self, row: Row, version: int, answer: str, cause: str) -> None:
-        token = self.parts.get(part_of(row.ref))
+    async def _record(self, row: MessageRow, version: int, answer: str, cause: str) -> None:
+        token = self.parts.get(part_of(row.job_id))
         if token is None:
             return
-        answered = row.answered(answer, cause)
+        answered = row.with_answer(answer, cause)
         revision = await self._store.change(
-            row_key(row.ref), answered.value(), {row_key(row.ref): version, part_key(part_of(row.ref)): token}
+            row_key(row.job_id), answered.encode(), {row_key(row.job_id): version, part_key(part_of(row.job_id)): token}
         )
         if revision:
             self.saw(answered, revision)
             return
-        await self._reread(row.ref)
+        await self._reread(row.job_id)
 
     async def _reread(self, ref: str) -> None:
         """Somebody else changed it, or our own change was applied without an answer."""
@@ -125,7 +122,7 @@
         """Publish an answer that is recorded, and mark that; True when it is told. Raises Away."""
         known = self.rows.get(ref)
         token = self.parts.get(part_of(ref))
-        if known is None or known[0].state != ANSWERED or token is None:
+        if known is None or known[0].state != RowState.ANSWERED or token is None:
             self.ready.pop(ref, None)
             return False
         row, version = known
@@ -133,9 +130,9 @@
             return False  # another gateway may own the part by now
         if not await self._publish(row):
             return False
-        told = row.told(self._clock())
+        told = row.as_delivered(self._clock())
         revision = await self._store.change(
-            row_key(ref), told.value(), {row_key(ref): version, part_key(part_of(ref)): token}
+            row_key(ref), told.encode(), {row_key(ref): version, part_key(part_of(ref)): token}
         )
         if revision:
             self._forget(ref)
@@ -152,7 +149,7 @@
     def expired(self) -> list[str]:
         """Rows whose time is over though nothing was answered."""
         now = self._clock()
-        return [ref for ref, (row, _) in self.rows.items() if row.state == TAKEN and 0 < row.expires_at <= now]
+        return [ref for ref, (row, _) in self.rows.items() if row.state == RowState.TAKEN and 0 < row.expires_at <= now]
 
     def unseen(self) -> list[str]:
         """Rows that wait for their job for long: their gateway may have died between row and job."""
@@ -160,7 +157,7 @@
         found = [
             ref
             for ref, (row, _) in self.rows.items()
-            if row.state == TAKEN and now - self._seen_at.get(ref, now) > ORPHAN_AFTER
+            if row.state == RowState.TAKEN and now - self._seen_at.get(ref, now) > ORPHAN_AFTER
         ]
         for ref in found:
             self._seen_at[ref] = now
@@ -169,16 +166,16 @@
     async def look_after(self, ref: str, record: Any) -> None:
         """A row whose job was not heard of: `record` is its job's as read now, None if there is none. Raises Away."""
         known = self.rows.get(ref)
-        if known is None or known[0].state != TAKEN:
+        if known is None or known[0].state != RowState.TAKEN:
             return
         row, version = known
         if record is not None:
             await self.job_changed(ref, record)
         elif row.expires_at and self._clock() >= row.expires_at:
-            await self._record(row, version, EXPIRED, "expired before it was accepted")
+            await self._record(row, version, AnswerKind.EXPIRED, "expired before it was accepted")
         elif row.job is not None:
             response = await self._core.submit(row.job)
             if response.outcome is CoreOutcome.REFUSED:
-                await self._record(row, version, ANSWER_REFUSED, response.cause)
+                await self._record(row, version, AnswerKind.REFUSED, response.cause)
             elif response.outcome is CoreOutcome.ACCEPTED:
                 log.info("job %s: submitted for a gateway that did not get to it", ref)
--- a/tests/test_amqp_queues.py
+++ b/tests/test_amqp_queues.py
@@ -30,7 +30,7 @@
 from oatport.queues.link import REASON, Link
 from oatport.queues.members import parts_for
 from oatport.queues.outbox import ORPHAN_AFTER, Outbox
-from oatport.queues.rows import TAKEN, TOLD, Row, answer_from, part_key, row_key
+from oatport.queues.rows import MessageRow, RowState, answer_of_record, part_key, row_key
 from oatport.queues.settings import GatewaySettings, QueueSettings, load_gateway_settings
 from oatport.queues.store import Store
 from oatport.queues.templates import InvalidMessageError, Template
@@ -121,7 +121,7 @@
         self.client = State(self.state)
         self.core = Core(self.state)
         self.store = Store(self.client, 1e6, 1e6, 16)  # type: ignore[arg-type]
-        self.published: list[Row] = []
+        self.published: list[MessageRow] = []
         self.confirms = True
         self.entitled = True
         self.outbox = Outbox(self.store, self.core, self._publish, lambda: self.entitled, lambda: self.now)
@@ -133,7 +133,7 @@
             _, value = self.state.commit({"if": [], "then": [{"set": part_key(part), "value": {}}]})
             self.outbox.own(part, value["ledgerRev"], [])
 
-    async def _publish(self, row: Row) -> bool:
+    async def _publish(self, row: MessageRow) -> bool:
         self.published.append(row)
         return self.confirms
 
@@ -152,9 +152,9 @@
         for ref in list(self.outbox.ready):
             await self.outbox.tell(ref)
 
-    def row(self, identity: str = "m-1") -> Row:
+    def row(self, identity: str = "m-1") -> MessageRow:
         ref = job_id_of("moves", identity)
-        return Row.of(ref, self.state.items[row_key(ref)][0])
+        return MessageRow.decode(ref, self.state.items[row_key(ref)][0])
 
 
 # --- identity, templates, parts -------------------------------------------------------------------
@@ -229,11 +229,11 @@
     desk = HeartbeatReceiver()
     verdict = await desk.take({"tasks": 3})
     assert verdict.action == ACK
-    assert desk.row().state == TAKEN
+    assert desk.row().state == RowState.TAKEN
     await desk.settle()
     assert [(row.answer, row.answer_id) for row in desk.published] == [("done", answer_id(verdict.ref))]
-    assert desk.row().state == TOLD
-    assert desk.store.changed == 3  # taken, answered, told
+    assert desk.row().state == RowState.DELIVERED
+    assert desk.store.write_count == 3  # taken, answered, told
     assert (await desk.take({"tasks": 3})).action == ACK  # it comes again an hour later
     await desk.settle()
     assert len(desk.published) == 1
@@ -265,8 +265,8 @@
 async def test_a_crash_between_row_and_job_is_made_good_by_the_parts_owner() -> None:
     desk = HeartbeatReceiver()
     ref = job_id_of("moves", "m-1")
-    row = Row(ref, "moves", "m-1", "replies", MOVES.template.job(ref, b"{}"))
-    await desk.store.change(row_key(ref), row.value(), {row_key(ref): 0})
+    row = MessageRow(ref, "moves", "m-1", "replies", MOVES.template.job(ref, b"{}"))
+    await desk.store.change(row_key(ref), row.encode(), {row_key(ref): 0})
     desk.outbox.saw(row, desk.state.revision)
     assert desk.outbox.unseen() == []
     desk.now += ORPHAN_AFTER + SECOND
@@ -284,7 +284,7 @@
     desk.confirms = True
     await desk.settle()
     first, second = desk.published
-    assert (first.answer_id, first.message()) == (second.answer_id, second.message())
+    assert (first.answer_id, first.answer_body()) == (second.answer_id, second.answer_body())
     seen = Answers()
     assert [seen.fresh(row.answer_id) for row in desk.published] == [True, False]
 
@@ -313,8 +313,8 @@
 async def test_a_collision_of_job_ids_is_seen_and_another_id_taken() -> None:
     desk = HeartbeatReceiver()
     ref = job_id_of("moves", "m-1")
-    foreign = Row(ref, "other", "x", "", {"ref": ref})
-    await desk.store.change(row_key(ref), foreign.value(), {row_key(ref): 0})
+    foreign = MessageRow(ref, "other", "x", "", {"ref": ref})
+    await desk.store.change(row_key(ref), foreign.encode(), {row_key(ref): 0})
     verdict = await desk.take()
     assert verdict.ref == job_id_of("moves", "m-1", 1)
     assert desk.core.submitted == [verdict.ref]
@@ -349,11 +349,11 @@
 
 @pytest.mark.parametrize(("state", "answer"), [("done", "done"), ("aborted", "cancelled"), ("lost", "lost")])
 def test_what_a_jobs_end_means_for_its_sender(state: str, answer: str) -> None:
-    found = answer_from({"state": state, "cause": "x"}, Row("j-1", "q", "m"), 0)
+    found = answer_of_record({"state": state, "cause": "x"}, MessageRow("j-1", "q", "m"), 0)
     assert found is not None
     assert found[0] == answer
     for odd in (None, [], {}, {"state": "queued"}):
-        assert answer_from(odd, Row("j-1", "q", "m"), 0) is None
+        assert answer_of_record(odd, MessageRow("j-1", "q", "m"), 0) is None
 
 
 # --- several gateways -----------------------------------------------------------------------------
@@ -404,7 +404,7 @@
         queues=(MOVES,),
     )
 
-    async def nobody(row: Row) -> bool:
+    async def nobody(row: MessageRow) -> bool:
         return True
 
     return Gateway(own, State(state), Core(state), link.publish if link else nobody)  # type: ignore[arg-type]
@@ -436,12 +436,12 @@
     gateway = gateway_of(state, "a")
     listed = gateway.store.rows
     ref = job_id_of("moves", "m-1")
-    row = Row(ref, "moves", "m-1", "", MOVES.template.job(ref, b"{}"))
+    row = MessageRow(ref, "moves", "m-1", "", MOVES.template.job(ref, b"{}"))
 
     async def rows(prefix: str = "q/") -> Any:
         found = await listed(prefix)
         if row_key(ref).startswith(prefix) and row_key(ref) not in state.items:
-            _, value = state.commit({"if": [], "then": [{"set": row_key(ref), "value": row.value()}]})
+            _, value = state.commit({"if": [], "then": [{"set": row_key(ref), "value": row.encode()}]})
             gateway.outbox.saw(row, value["ledgerRev"])  # as its own intake, or the watch, does
         return found
 
