--- a/emulators/amqp_broker.py
+++ b/emulators/amqp_broker.py
@@ -202,7 +202,8 @@
     def __init__(self, broker: Broker, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.broker, self._reader, self._writer = broker, reader, writer
         self.channels: dict[int, Channel] = {}
-        self.heard = asyncio.get_running_loop().time()
+        self.last_received_at = asyncio.get_running_loop().time()
+        self._heartbeat_s = broker.heartbeat_s  # proposed; from the client's TuneOk on, what it chose
         self._closed = False
 
     def send(self, value: Any, channel: int) -> None:
@@ -256,7 +257,7 @@
                 part = await self._reader.read(65_536)
                 if not part:
                     return
-                self.heard = asyncio.get_running_loop().time()
+                self.last_received_at = asyncio.get_running_loop().time()
                 data += part
                 while data:
                     if len(data) >= 7 and int.from_bytes(data[3:7]) > FRAME_MOST:
@@ -283,7 +284,8 @@
         while True:
             await asyncio.sleep(self.broker.heartbeat_s / 2)
             self.send(heartbeat.Heartbeat(), 0)
-            if asyncio.get_running_loop().time() - self.heard > 2 * self.broker.heartbeat_s:
+            silent_s = asyncio.get_running_loop().time() - self.last_received_at
+            if self._heartbeat_s and silent_s > 2 * self._heartbeat_s:
                 self.drop()
 
     def _take(self, number: int, value: Any) -> None:
@@ -305,6 +307,8 @@
     def _on_connection(self, value: Any) -> None:
         if isinstance(value, commands.Connection.StartOk):
             self.send(commands.Connection.Tune(2047, FRAME_MOST, self.broker.heartbeat_s), 0)
+        elif isinstance(value, commands.Connection.TuneOk):
+            self._heartbeat_s = int(value.heartbeat)  # 0: none
         elif isinstance(value, commands.Connection.Open):
             self.send(commands.Connection.OpenOk(), 0)
             if self.broker.blocked:
--- a/tests/test_amqp_queues.py
+++ b/tests/test_amqp_queues.py
@@ -600,6 +600,14 @@
     assert not site.broker.queues["moves"].messages
 
 
+async def test_a_connection_that_chose_a_longer_heartbeat_is_kept_while_it_is_silent(site: Site) -> None:
+    """The emulator went by its own proposal: a sender that waited for a dead gateway's lease lost its reply queue."""
+    site.broker.heartbeat_s = 1
+    async with Sender(site.url, "moves") as sender:
+        await asyncio.sleep(3.2)
+        assert (await sender.call({}, timeout_s=5))["answer"] == "done"
+
+
 async def test_two_gateways_one_of_them_killed(site: Site) -> None:
     site.add("b")
     await until(lambda: all(gateway.outbox.parts for gateway, _ in site.gateways))
