--- a/oatport/simulation/mutations.py
+++ b/oatport/simulation/mutations.py
@@ -60,7 +60,7 @@
         patch.object(LeaderLease, "is_held", lambda self, now: True),
         patch.object(LeaseRenewalLimit, "until", property(lambda self: steady() + 10**12)),
         patch.object(StateClient, "commit", unconditioned),
-        patch.object(WorkerClient, "commands", unfenced),
+        patch.object(WorkerClient, "send_commands", unfenced),
         patch.object(Election, "step_down", keeps),
         patch.object(Leader, "step_down", lambda self, reason: None),
         patch.object(GroupCommit, "is_stuck", lambda self, now: False),
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -19,7 +19,7 @@
 from oatport.simulation.fault_plan import ALL, Fault, InvalidPlanError, Plan, parse, read
 from oatport.simulation.gang_coordinator import GangCoordinator
 from oatport.simulation.invariant_checker import InvariantChecker
-from oatport.simulation.mutations import MUTATIONS
+from oatport.simulation.mutations import MUTATIONS, mutated
 from oatport.simulation.network import RECONNECT_MAX_US, LinkRule, Net
 from oatport.simulation.runner import RunRequest, describe_failure, run_scenario, simulate
 from oatport.simulation.scenario_generator import random_plan
@@ -470,3 +470,10 @@
     monkeypatch.setattr(JobLifecycle, "add", passes_over)
     starved = run_scenario(RunRequest(plan=Plan((), 60.0, 3, 24, 20.0)), 6).starved
     assert [row.split(":")[0] for row in starved] == ["batch", "south"]
+
+
+@pytest.mark.parametrize("name", MUTATIONS)
+def test_every_safety_check_can_be_disabled(name: str) -> None:
+    """A method that was renamed and is still patched by its old name is noticed here, not only in a run."""
+    with mutated(name):
+        pass
