--- a/emulators/demo.py
+++ b/emulators/demo.py
@@ -10,6 +10,7 @@
 
 
 def main() -> None:
+    """Write n0.toml to n2.toml and job.json into the folder named on the command line."""
     if len(sys.argv) != 2:
         sys.exit("usage: python3 -m emulators.demo FOLDER")
     folder = Path(sys.argv[1])
--- a/emulators/price_feed.py
+++ b/emulators/price_feed.py
@@ -1,4 +1,4 @@
-"""A stand-in price feed on loopback: it can go silent, lie, drip, and answer too much."""
+"""A price feed on loopback that can be told to fail: silent, refusing, slow, too large or broken answers."""
 
 from __future__ import annotations
 
@@ -16,17 +16,19 @@
 
 
 class FeedServer:
+    """Serves price intervals at /prices, as its `mode` says (one of MODES)."""
+
     def __init__(self, zone: str, *, as_json: bool = True) -> None:
         self.zone = zone
         self.as_json = as_json
         self.mode = "good"
         self.intervals: list[Interval] = []
         self.made_at = 0
-        self.asked = 0
+        self.request_count = 0
         self._runner: web.AppRunner | None = None
 
     async def start(self, host: str = "127.0.0.1", port: int = 0) -> str:
-        """Its address, as the settings have it."""
+        """Serve; returns the address, as the settings have it."""
         app = web.Application()
         app.router.add_get("/prices", self._prices)
         self._runner = web.AppRunner(app, shutdown_timeout=0.1)
@@ -37,11 +39,12 @@
         return f"http://{host}:{site._server.sockets[0].getsockname()[1]}/prices"  # type: ignore[attr-defined]
 
     async def close(self) -> None:
+        """Stop serving."""
         if self._runner is not None:
             await self._runner.cleanup()
 
     async def _prices(self, request: web.Request) -> web.StreamResponse:
-        self.asked += 1
+        self.request_count += 1
         if self.mode == "silent":
             await asyncio.sleep(3600)
         if self.mode == "refuse":
--- a/emulators/serve.py
+++ b/emulators/serve.py
@@ -1,4 +1,4 @@
-"""The stand-ins as HTTP servers on loopback: one process with state service, cloud and workers.
+"""The emulators as HTTP servers on loopback: one process with state service, cloud and workers.
 
     python3 -m emulators.serve --state 127.0.0.1:2379 --cloud 127.0.0.1:8443 \
         --nodes berth-0=127.0.0.1:8080,berth-1=127.0.0.1:8082,berth-2=127.0.0.1:8084
@@ -22,6 +22,8 @@
 from oatport.simulation.state_service import KeyStore
 from oatport.simulation.worker import Worker
 
+BOOT_S = 0.5
+HEARTBEAT_TIMEOUT_US = 4_000_000
 TYPES: list[dict[str, Any]] = [
     {
         "label": "m8",
@@ -39,6 +41,7 @@
 
 
 def clock() -> int:
+    """Steady microseconds."""
     return time.monotonic_ns() // 1000
 
 
@@ -57,14 +60,16 @@
 
 
 class Emulators:
-    def __init__(self, state_address: str, cloud_address: str, nodes: dict[str, str], report_s: float = 0.5) -> None:
+    """State service and cloud at their addresses, and a worker for each rented machine. `nodes`: name and address."""
+
+    def __init__(self, state_address: str, cloud_address: str, nodes: dict[str, str], heartbeat_s: float = 0.5) -> None:
         self.state = KeyStore(clock)
         self.cloud = MachineRegistry(TYPES)
         self.cloud.on_rent = self._boot
-        self.cloud.on_release = self._gone
+        self.cloud.on_release = self.stop_worker
         self.nodes = nodes
         self._addresses = (state_address, cloud_address)
-        self._report_s = report_s
+        self._heartbeat_s = heartbeat_s
         self._runners: list[web.ServerRunner] = []
         self._tasks: dict[str, asyncio.Task[None]] = {}
         self._worker_runners: dict[str, web.ServerRunner] = {}
@@ -72,6 +77,7 @@
         self._session: aiohttp.ClientSession | None = None
 
     async def start(self) -> None:
+        """Serve the state service and the cloud."""
         self._session = make_session(512)
         self._runners = [
             await _listen(self._addresses[0], self._on_state),
@@ -79,6 +85,7 @@
         ]
 
     async def close(self) -> None:
+        """End all workers and servers."""
         for task in self._tasks.values():
             task.cancel()
         for runner in [*self._runners, *self._worker_runners.values()]:
@@ -102,16 +109,20 @@
         if path.startswith(wire.LEASES_PATH):
             return _answer(*self.state.renew_lease(int(path.split("/")[2])))
         if path == wire.WATCH_PATH:
-            until = clock() + int(query.get("waitMs", "0")) * 1000
-            while True:
-                status, value = self.state.changes(query.get("under", ""), int(query["from"]))
-                left = (until - clock()) / 1e6
-                if value["news"] or left <= 0:
-                    return _answer(status, value)
-                with contextlib.suppress(TimeoutError):
-                    await asyncio.wait_for(self.state.changed.wait(), min(left, 0.2))
+            wait_us = int(query.get("waitMs", "0")) * 1000
+            return await self._watch(query.get("under", ""), int(query["from"]), clock() + wait_us)
         return _answer(404, None)
 
+    async def _watch(self, under: str, after: int, until: int) -> web.Response:
+        """The changes after a revision; waits for some until a time."""
+        while True:
+            status, value = self.state.changes(under, after)
+            left_s = (until - clock()) / 1e6
+            if value["news"] or left_s <= 0:
+                return _answer(status, value)
+            with contextlib.suppress(TimeoutError):
+                await asyncio.wait_for(self.state.changed.wait(), min(left_s, 0.2))
+
     async def _on_cloud(self, request: web.BaseRequest) -> web.Response:
         path = request.rel_url.path
         raw = await request.read()
@@ -128,9 +139,10 @@
 
     def _boot(self, machine: dict[str, Any]) -> None:
         name = machine["ref"]
-        self._tasks[name] = asyncio.get_running_loop().create_task(self._work(machine))
+        self._tasks[name] = asyncio.get_running_loop().create_task(self._run_worker(machine))
 
-    def _gone(self, name: str) -> None:
+    def stop_worker(self, name: str) -> None:
+        """A machine is gone, and all that runs on it."""
         self.workers.pop(name, None)
         self._tasks.pop(name).cancel()
         runner = self._worker_runners.pop(name, None)
@@ -138,12 +150,13 @@
             task = asyncio.get_running_loop().create_task(runner.cleanup())
             self._tasks[f"{name} cleanup"] = task
 
-    def _job(self, ref: str) -> dict[str, Any] | None:
-        item = self.state.items.get(f"jobs/{ref}")
+    def _job(self, job_id: str) -> dict[str, Any] | None:
+        item = self.state.items.get(f"jobs/{job_id}")
         return None if item is None else item[0]["job"]
 
-    async def _work(self, machine: dict[str, Any]) -> None:
-        await asyncio.sleep(0.5)
+    async def _run_worker(self, machine: dict[str, Any]) -> None:
+        """Boot a machine, serve its worker's commands, and send its heartbeats for ever."""
+        await asyncio.sleep(BOOT_S)
         name = machine["ref"]
 
         async def handle(request: web.BaseRequest) -> web.Response:
@@ -152,13 +165,9 @@
                 return _answer(200, worker.report())
             return _answer(*worker.commands(wire.decode(raw)))
 
-        runner = web.ServerRunner(web.Server(handle, access_log=None))
-        await runner.setup()
-        site = web.TCPSite(runner, "127.0.0.1", 0)
-        await site.start()
-        port = runner.addresses[0][1]
-        machine["address"], machine["status"] = f"127.0.0.1:{port}", "running"
+        runner = await _listen("127.0.0.1:0", handle)
         self._worker_runners[name] = runner
+        machine["address"], machine["status"] = f"127.0.0.1:{runner.addresses[0][1]}", "running"
         worker = Worker(
             clock,
             name,
@@ -170,6 +179,10 @@
             self._job,
         )
         self.workers[name] = worker
+        await self._send_heartbeats(worker)
+
+    async def _send_heartbeats(self, worker: Worker) -> None:
+        """To the node that leads, as far as the answers tell; else to the next one."""
         names = list(self.nodes)
         at = random.choice(names)
         assert self._session is not None
@@ -177,13 +190,13 @@
             sent, session = clock(), worker.session
             try:
                 status, value = await HttpClient(self._session, self.nodes[at]).request(
-                    "POST", wire.HEARTBEAT_PATH, worker.report(), timeout_us=4_000_000
+                    "POST", wire.HEARTBEAT_PATH, worker.report(), timeout_us=HEARTBEAT_TIMEOUT_US
                 )
             except NoResponseError:
                 status, value = 0, None
             if status == 200:
                 worker.answer(sent, session, value)
-                await asyncio.sleep(self._report_s)
+                await asyncio.sleep(self._heartbeat_s)
             elif status == 421 and value.get("harbormaster") in self.nodes and value["harbormaster"] != at:
                 at = value["harbormaster"]
             else:
@@ -192,7 +205,7 @@
 
 
 async def _main() -> None:
-    parser = argparse.ArgumentParser(description="Stand-ins for the outside systems, on loopback.")
+    parser = argparse.ArgumentParser(description="Emulators of the outside systems, on loopback.")
     parser.add_argument("--state", default="127.0.0.1:2379")
     parser.add_argument("--cloud", default="127.0.0.1:8443")
     parser.add_argument("--nodes", required=True, help="name=host:port of each node, with commas")
--- a/emulators/smoke_test.py
+++ b/emulators/smoke_test.py
@@ -85,14 +85,15 @@
     return "\n".join(lines) + "\n"
 
 
-def job(ref: str, rig: str, legs: int, voyage: float) -> dict[str, Any]:
+def job(job_id: str, kind: str, tasks: int, runtime_s: float) -> dict[str, Any]:
+    """A submission in the wire's own terms."""
     return {
-        "ref": ref,
+        "ref": job_id,
         "cargo": "smoke",
         "crew": "crew",
-        "rig": rig,
+        "rig": kind,
         "urgency": "normal",
-        "legs": legs,
+        "legs": tasks,
         "cores": 2.0,
         "accelerators": 0.0,
         "memoryGb": 1.0,
@@ -103,7 +104,7 @@
         "samePlace": False,
         "spread": False,
         "driftwood": True,
-        "voyageS": voyage,
+        "voyageS": runtime_s,
         "mooringS": 0.0,
         "stowS": 0.0,
         "tideS": None,
@@ -123,7 +124,7 @@
     raise SystemExit(f"smoke: FAILED, did not happen in {limit_s:.0f} s: {what}")
 
 
-async def _story(ports: list[int], nodes: list[subprocess.Popen[bytes]]) -> None:
+async def _run_scenario(ports: list[int], nodes: list[subprocess.Popen[bytes]]) -> None:
     session = make_session(64)
     clients = [HttpClient(session, f"127.0.0.1:{ports[2 + 2 * i]}") for i in range(3)]
 
@@ -133,11 +134,11 @@
     async def ready() -> bool:
         return all([(await ask(i, "GET", wire.READY_PATH))[0] == 200 for i in range(3)])
 
-    async def accepted(ref: str, rig: str, legs: int, voyage: float, index: int) -> bool:
-        return (await ask(index, "POST", wire.SUBMISSIONS_PATH, job(ref, rig, legs, voyage)))[0] in (200, 201)
+    async def accepted(job_id: str, kind: str, tasks: int, runtime_s: float, index: int) -> bool:
+        return (await ask(index, "POST", wire.SUBMISSIONS_PATH, job(job_id, kind, tasks, runtime_s)))[0] in (200, 201)
 
-    async def status(ref: str, wanted: str, index: int) -> bool:
-        return bool((await ask(index, "GET", f"{wire.SUBMISSIONS_PATH}/{ref}"))[1].get("status") == wanted)
+    async def status(job_id: str, wanted: str, index: int) -> bool:
+        return bool((await ask(index, "GET", f"{wire.SUBMISSIONS_PATH}/{job_id}"))[1].get("status") == wanted)
 
     try:
         await _until("all nodes are ready", ready)
@@ -151,7 +152,7 @@
         strange = (await ask(0, "GET", f"{wire.SUBMISSIONS_PATH}/j-999999"))[0]
         if strange != 404:
             raise SystemExit(f"smoke: FAILED, an unknown job got {strange}")
-        # Kill the leader: the one node that answers reports with something other than 421.
+        # Kill the leader: the one node that answers heartbeats with something other than 421.
         leader = await _leader(ask)
         nodes[leader].kill()
         print(f"smoke: killed the leader, n{leader}")
@@ -163,7 +164,7 @@
 
 
 async def _leader(ask: Any) -> int:
-    # A report of a worker that doesn't exist, of a type that doesn't either: harmless to a leader.
+    # A heartbeat of a worker that doesn't exist, of a type that doesn't either: harmless to a leader.
     report = {
         "berth": "vm-none",
         "address": "127.0.0.1:1",
@@ -199,7 +200,7 @@
                 path.write_text(settings(index, ports))
                 command = [*shlex.split(deploy["run"]), str(path)]
                 nodes.append(subprocess.Popen(command, cwd=ROOT, stderr=log, env=environment))
-            await _story(ports, nodes)
+            await _run_scenario(ports, nodes)
             ended = [n.args for i, n in enumerate(nodes) if n.poll() is not None]
             if len(ended) > 1:
                 raise SystemExit(f"smoke: FAILED, processes ended by themselves: {json.dumps(ended)}")
--- a/oatport/lab/queues.py
+++ b/oatport/lab/queues.py
@@ -86,7 +86,7 @@
         self.addresses = {f"n{i}": f"127.0.0.1:{_port()}" for i in range(NODES)}
         self._inside = {name: f"127.0.0.1:{_port()}" for name in self.addresses}
         self._outside = (f"127.0.0.1:{_port()}", f"127.0.0.1:{_port()}")
-        self._emulators = Emulators(*self._outside, self.addresses, report_s=0.25)
+        self._emulators = Emulators(*self._outside, self.addresses, heartbeat_s=0.25)
         self.broker = Broker()
         self.nodes: dict[str, tuple[Node, asyncio.Task[None]]] = {}
         self.gateways: dict[str, tuple[Gateway, Link]] = {}
@@ -110,7 +110,7 @@
         worker = self._emulators.workers.get(name)
         if worker is not None:
             self.starts.update(task for task, _ in worker.started_attempts)
-        self._emulators._gone(name)
+        self._emulators.stop_worker(name)
 
     def runs(self) -> Counter[str]:
         total = Counter(self.starts)
--- a/oatport/simulation/mutations.py
+++ b/oatport/simulation/mutations.py
@@ -1,4 +1,7 @@
-"""Guards that can be switched off, to show that the checker would notice: each stands for a point of "Safety"."""
+"""Injected mutations: safety checks disabled one at a time, to show that the invariant checker would notice.
+
+Each stands for a point of "Safety" in docs/design.md and replaces methods of the nodes by name.
+"""
 
 from __future__ import annotations
 
@@ -60,7 +63,7 @@
         patch.object(LeaderLease, "is_held", lambda self, now: True),
         patch.object(LeaseRenewalLimit, "until", property(lambda self: steady() + 10**12)),
         patch.object(StateClient, "commit", unconditioned),
-        patch.object(WorkerClient, "commands", unfenced),
+        patch.object(WorkerClient, "send_commands", unfenced),
         patch.object(Election, "step_down", keeps),
         patch.object(Leader, "step_down", lambda self, reason: None),
         patch.object(GroupCommit, "is_stuck", lambda self, now: False),
@@ -83,7 +86,7 @@
 
 
 def _start_in_flight() -> list[Any]:
-    """Ended attempts are forgotten while a start of theirs may be in flight."""
+    """Terminated attempts are forgotten while a start of theirs may be in flight."""
     return [patch.object(MachineCommands, "_may_forget", lambda self, machine, name, attempt: True)]
 
 
@@ -116,7 +119,7 @@
 
 
 def _dependency_release() -> list[Any]:
-    """A job's end releases others before it is recorded."""
+    """A job's completion releases its dependents before it is recorded."""
     finish = TaskLifecycle.complete
 
     def ends(self: TaskLifecycle, task: Any, now: int, **more: Any) -> None:
@@ -161,12 +164,12 @@
 
 
 def _feature_gate() -> list[Any]:
-    """New formats are written before all nodes are known to read them."""
+    """A new schema version is written before all nodes are known to read it."""
     return [patch.object(SchemaVersionGate, "on_replies", lambda self, answers: True)]
 
 
 def _record_size() -> list[Any]:
-    """Records are as large as they get."""
+    """Records may grow to any size."""
     return [
         patch.object(RecordLayout, "part_tasks", property(lambda self: CHUNK_TASKS)),
         patch.object(RecordLayout, "head_tasks", lambda self, job: CHUNK_TASKS),
@@ -175,7 +178,7 @@
 
 
 def _heartbeat_order() -> list[Any]:
-    """Each report is taken for the newest, whenever it was sent."""
+    """Each heartbeat is taken for the newest, whenever it was sent."""
     on_report = HeartbeatReceiver.receive
 
     def newest(self: HeartbeatReceiver, report: Any, now: int, wall: int) -> Any:
@@ -202,7 +205,7 @@
 
 
 def _completion_record() -> list[Any]:
-    """An ended attempt is forgotten before its end is recorded."""
+    """A terminated attempt is forgotten before its completion is recorded."""
 
     def at_once(self: MachineCommands, machine: Any, name: str, attempt: int) -> bool:
         return (
@@ -213,12 +216,12 @@
 
 
 def _cancellation_log() -> list[Any]:
-    """What users are told is noted by nobody."""
+    """Cancellations that users were told of are noted by nobody."""
     return [patch.object(CancellationLog, "tell", lambda self, ref, now: True)]
 
 
 def _unwritten_completions() -> list[Any]:
-    """Machines are returned, or given up, though they alone tell of an end."""
+    """Machines are released, or given up, though they alone report a completion."""
     return [
         patch.object(UnwrittenCompletions, "holds_unwritten", lambda self, machine: False),
         patch.object(UnwrittenCompletions, "expedite", lambda self, machine: None),
@@ -226,7 +229,7 @@
 
 
 def _completion_handover() -> list[Any]:
-    """Ends that a leader took in and did not record go with it."""
+    """Completions that a leader acknowledged and did not record go with it."""
 
     async def idle(self: CompletionReplicator) -> None:
         await asyncio.Event().wait()
@@ -242,7 +245,7 @@
 
 
 def _gang_completion() -> list[Any]:
-    """Of a gang that is done, the tasks whose ends were not reported run again."""
+    """Of a gang that is done, the tasks whose completions were not reported run again."""
     requeue = TaskLifecycle.requeue
 
     def again(self: TaskLifecycle, task: Any, **more: Any) -> None:
@@ -259,7 +262,7 @@
 
 
 def _read_freshness() -> list[Any]:
-    """Questions about jobs are answered by what was last heard of them."""
+    """Questions about jobs are answered by what was last read of them, up to a second ago."""
     refresh = JobStatusCache._refresh
 
     async def once(self: JobStatusCache) -> None:
@@ -270,7 +273,7 @@
 
 
 def _commit_verification() -> list[Any]:
-    """An unsure commit counts as applied once one of its keys looks like it; its claims go out."""
+    """A commit with unknown outcome counts as applied once one of its keys looks like it; its bindings go out."""
 
     async def first(self: GroupCommit, batch: Any) -> bool:
         key = next(iter(batch.sets), None) or batch.deletes[0]
@@ -307,7 +310,7 @@
 
 @contextmanager
 def mutated(name: str) -> Iterator[None]:
-    """Within this, one guard is off; none if the name is empty."""
+    """Within this, one safety check is disabled; none if the name is empty."""
     with ExitStack() as stack:
         for change in MUTATIONS[name]() if name else []:
             stack.enter_context(change)
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -19,7 +19,7 @@
 from oatport.simulation.fault_plan import ALL, Fault, InvalidPlanError, Plan, parse, read
 from oatport.simulation.gang_coordinator import GangCoordinator
 from oatport.simulation.invariant_checker import InvariantChecker
-from oatport.simulation.mutations import MUTATIONS
+from oatport.simulation.mutations import MUTATIONS, mutated
 from oatport.simulation.network import RECONNECT_MAX_US, LinkRule, Net
 from oatport.simulation.runner import RunRequest, describe_failure, run_scenario, simulate
 from oatport.simulation.scenario_generator import random_plan
@@ -411,8 +411,15 @@
     assert found.counts["lease_kills"] == 0
 
 
-def test_a_guard_that_is_off_is_noticed_unproven() -> None:
-    """Machines that are only cut off are taken to be gone. docs/rehearsal.md has all guards."""
+@pytest.mark.parametrize("name", MUTATIONS)
+def test_a_safety_check_can_be_disabled(name: str) -> None:
+    """What it replaces is still there under its name."""
+    with mutated(name):
+        pass
+
+
+def test_a_disabled_failure_confirmation_is_caught() -> None:
+    """Machines that are only cut off are taken to be gone. docs/rehearsal.md lists all safety checks."""
     assert set(MUTATIONS) == set(NAMES)
     plan = Plan((Fault("machine_cut", 10.0, 30.0, count=8),), 24.0, 3, 20, 40.0)
     asked = RunRequest(plan=plan, disabled_check="failure-confirmation")
