--- a/oatport/control/queueing/dependency_tracker.py
+++ b/oatport/control/queueing/dependency_tracker.py
@@ -1,7 +1,8 @@
-"""Jobs that wait for others, in the leader's view: kept apart from the unfinished ones until they are released.
+"""Jobs that are blocked by their dependencies: kept apart from the unfinished ones until they are released.
 
-So they count for no limit, guarantee, queue or hunger, and cost no pass anything. Whose needed jobs are all done, by
-their records, becomes an unfinished job as any; its first claim writes `live/REF` and drops `waits/REF`.
+So they count for no quota, guarantee, queue or starvation, and cost planning nothing. A job whose dependencies are all
+completed, by their records, becomes an unfinished job as any; its first binding writes `live/JOB` and deletes
+`waits/JOB`.
 """
 
 from __future__ import annotations
@@ -20,34 +21,35 @@
 
 log = logging.getLogger(__name__)
 
-STEP = 2 * SECOND  # between a stage's last task and the next one's first: report, record, claim, command
-NAMED_MOST = 10  # jobs that are named in one line
-REMEMBERED_MOST = 10_000
+STAGE_LATENCY = 2 * SECOND  # from a stage's last task to the next one's first: heartbeat, record, binding, command
+MAX_LISTED_JOBS = 10  # in one line
+MAX_REMEMBERED_CANCELLATIONS = 10_000
 
 
 class DependencyTracker:
-    """Accepted jobs that wait for others, and what those that need them ask of the jobs before them."""
+    """Accepted jobs that are blocked by others, and the urgency that jobs inherit from those that depend on them."""
 
     def __init__(self, cluster: ClusterState) -> None:
         self.cluster = cluster
         self.graph = DependencyGraph()
-        self.blocked_jobs: dict[str, Job] = {}  # jobs that wait for others
+        self.blocked_jobs: dict[str, Job] = {}  # by id
         self.on_released: Callable[[Job], None] = lambda job: None
-        self.confirmed_cancellations: dict[str, int] = {}  # jobs not known here -> told after this (steady)
-        self.inherited_urgency: dict[str, Urgency] = {}  # what is asked of waiting jobs by those that need them
+        self.confirmed_cancellations: dict[str, int] = {}  # jobs not known here -> confirmed after (steady)
+        self.inherited_urgency: dict[str, Urgency] = {}  # of blocked jobs, from their dependents
 
     # --- waiting and release ------------------------------------------------------------------
 
-    def state_of(self, ref: str) -> DependencyState:
-        job = self.cluster.jobs.get(ref)
+    def state_of(self, job_id: str) -> DependencyState:
+        """How a job stands that others depend on, as far as this leader knows."""
+        job = self.cluster.jobs.get(job_id)
         if job is not None:
             return DependencyState.CANCELLED if job.cancelled and not job.failure_reason else DependencyState.OPEN
-        if ref in self.blocked_jobs:
+        if job_id in self.blocked_jobs:
             return DependencyState.OPEN
-        return DependencyState.CANCELLED if ref in self.confirmed_cancellations else DependencyState.UNKNOWN
+        return DependencyState.CANCELLED if job_id in self.confirmed_cancellations else DependencyState.UNKNOWN
 
     def add_blocked(self, job: Job) -> None:
-        """An accepted job that names others, no task of which was ever claimed."""
+        """An accepted job that depends on others, no task of which was ever bound."""
         if (
             job.job_id in self.cluster.jobs
             or job.job_id in self.blocked_jobs
@@ -63,22 +65,24 @@
             self.cancel_blocked(job.job_id, 0)
         elif state is DependencyState.OPEN:
             self.blocked_jobs[job.job_id] = job
-            log.info("job %s waits for %s", job.job_id, list_job_ids(self.graph.dependencies_of(job.job_id)))
+            log.info(
+                "job blocked job=%s dependencies=%s", job.job_id, list_job_ids(self.graph.dependencies_of(job.job_id))
+            )
         elif state is DependencyState.CANCELLED:
             self._cancel_blocked(job)
         else:
             self._release(job)
 
     def _release(self, job: Job) -> None:
-        log.info("job %s is released", job.job_id)
+        log.info("job released job=%s", job.job_id)
         self.inherited_urgency.pop(job.job_id, None)
         self.cluster.jobs[job.job_id] = job
         self.cluster.job_lifecycle.admit(job)
         self.on_released(job)
 
-    def on_completion_recorded(self, ref: str, at: int) -> None:
-        """That it is done is recorded, since then (time of day)."""
-        outcome = self.graph.complete(ref)
+    def on_completion_recorded(self, job_id: str, at: int) -> None:
+        """It is recorded as completed since `at` (time of day): dependents of it may be released."""
+        outcome = self.graph.complete(job_id)
         for name in outcome.dependents:
             job = self.blocked_jobs[name]
             job.eligible_at = max(job.eligible_at, at)
@@ -87,11 +91,11 @@
 
     # --- cancellation -------------------------------------------------------------------------
 
-    def cancel_dependents(self, ref: str) -> None:
-        """It was cancelled, and with it all that need it."""
-        for name in self.graph.cancel(ref):
+    def cancel_dependents(self, job_id: str) -> None:
+        """It was cancelled, and with it all jobs that depend on it."""
+        for name in self.graph.cancel(job_id):
             job = self.blocked_jobs.pop(name)
-            log.info("job %s is cancelled with %s", name, ref)
+            log.info("dependent job cancelled job=%s dependency=%s", name, job_id)
             self._cancel_blocked(job)
 
     def _cancel_blocked(self, job: Job) -> None:
@@ -99,83 +103,86 @@
         self.inherited_urgency.pop(job.job_id, None)
         self.cluster.writes.jobs_to_cancel[job.job_id] = job
 
-    def cancel_blocked(self, ref: str, mark_version: int) -> None:
-        """Its own user cancelled it: that is recorded already, and what is left of it goes.
+    def cancel_blocked(self, job_id: str, mark_version: int) -> None:
+        """Its own user cancelled it: that is recorded already, and what is left of it is deleted.
 
-        Without the version of its mark (0) that is only told, and may as well follow from a needed job: it is recorded
-        like a job whose needed one was cancelled, on the condition that it isn't recorded yet.
+        Without the version of its mark (0) that was only received from a node, and may as well follow from a
+        dependency: it is recorded like a job whose dependency was cancelled, on the condition that it isn't recorded
+        yet.
         """
-        job = self.blocked_jobs.pop(ref, None) or self.cluster.writes.jobs_to_cancel.pop(ref, None)
+        job = self.blocked_jobs.pop(job_id, None) or self.cluster.writes.jobs_to_cancel.pop(job_id, None)
         if job is None:
             return
         if not mark_version:
-            self.graph.remove(ref)
+            self.graph.remove(job_id)
             self._cancel_blocked(job)
             return
         job.cancelled = True
-        self.inherited_urgency.pop(ref, None)
-        self.cluster.writes.versions[cancel_key(ref)] = mark_version
+        self.inherited_urgency.pop(job_id, None)
+        self.cluster.writes.versions[cancel_key(job_id)] = mark_version
         self.cluster.writes.jobs_to_delete[job] = None
 
-    def remember_cancelled(self, ref: str, told_after: int) -> None:
-        """Its user was told so, and nothing is known of it here: accepted while the records could not be read, or over.
+    def remember_cancelled(self, job_id: str, confirmed_after: int) -> None:
+        """Its user was told so, and it isn't known here: accepted while the records could not be read, or over.
 
-        Should it be heard of, nothing of it starts. Bounded: what is forgotten fails by the condition of its claim.
+        Should it become known, nothing of it starts. Bounded: what is forgotten fails by the condition of its binding.
         """
-        self.confirmed_cancellations.setdefault(ref, told_after)  # told again it was told no later
-        if len(self.confirmed_cancellations) > REMEMBERED_MOST:
+        self.confirmed_cancellations.setdefault(job_id, confirmed_after)  # confirmed again, it wasn't confirmed later
+        if len(self.confirmed_cancellations) > MAX_REMEMBERED_CANCELLATIONS:
             del self.confirmed_cancellations[next(iter(self.confirmed_cancellations))]
 
     # --- urgency ------------------------------------------------------------------------------
 
-    def _urgency(self, ref: str) -> tuple[Urgency, int]:
-        """A waiting job's urgency, and the time that it takes: what `Pipelines.wanted` asks."""
-        job = self.blocked_jobs[ref]
-        asked = self.inherited_urgency.get(ref)
-        dues = tuple(self.cluster.objectives.deadlines_of(job))
+    def _urgency(self, job_id: str) -> tuple[Urgency, int]:
+        """A blocked job's urgency, and the time that it takes: what `DependencyGraph.inherited_urgency` asks."""
+        job = self.blocked_jobs[job_id]
+        inherited = self.inherited_urgency.get(job_id)
+        deadlines = tuple(self.cluster.objectives.deadlines_of(job))
         rank = stage_priority_rank(job)
-        if asked is not None:
-            rank = min(rank, asked.priority_rank)
-            dues = earlier(dues, asked.deadlines)
-        return Urgency(rank, dues), self.cluster.predictor.run_time(
-            ref, job.spec
-        ) + self.cluster.catalog.image_fetch_us(job) + STEP
+        if inherited is not None:
+            rank = min(rank, inherited.priority_rank)
+            deadlines = earlier(deadlines, inherited.deadlines)
+        return Urgency(rank, deadlines), self.cluster.predictor.run_time(
+            job_id, job.spec
+        ) + self.cluster.catalog.image_fetch_us(job) + STAGE_LATENCY
 
     def propagate_urgency(self) -> None:
-        """Carry deadlines and priorities back, where jobs came or went. Each job once, however many need it."""
-        stale = self.graph.dirty
-        while stale:
-            ref = next(iter(stale))
-            del stale[ref]
-            job = self.blocked_jobs.get(ref) or self.cluster.jobs.get(ref)
+        """Carry deadlines and priorities back where jobs came or went: each job once, however many depend on it."""
+        dirty = self.graph.dirty
+        while dirty:
+            job_id = next(iter(dirty))
+            del dirty[job_id]
+            job = self.blocked_jobs.get(job_id) or self.cluster.jobs.get(job_id)
             if job is None:
                 continue
-            asked = self.graph.inherited_urgency(ref, self._urgency)
-            if ref in self.blocked_jobs:
-                if asked != self.inherited_urgency.get(ref):
-                    if asked is None:
-                        del self.inherited_urgency[ref]
+            inherited = self.graph.inherited_urgency(job_id, self._urgency)
+            if job_id in self.blocked_jobs:
+                if inherited != self.inherited_urgency.get(job_id):
+                    if inherited is None:
+                        del self.inherited_urgency[job_id]
                     else:
-                        self.inherited_urgency[ref] = asked
-                    stale.update(dict.fromkeys(self.graph.dependencies_of(ref)))
+                        self.inherited_urgency[job_id] = inherited
+                    dirty.update(dict.fromkeys(self.graph.dependencies_of(job_id)))
                 continue
             own = stage_priority_rank(job)
-            rank = own if asked is None or job.kind is JobKind.SERVICE else min(own, asked.priority_rank)
-            self.cluster.job_lifecycle.set_urgency(job, rank, list(asked.deadlines) if asked is not None else [])
-
-    def explain(self, ref: str) -> str:
-        """What a waiting job waits for, in words; empty if it doesn't wait for others."""
-        lost = [
-            need
-            for need in self.graph.dependencies_of(ref)
-            if need in self.cluster.jobs and self.cluster.jobs[need].failure_reason
+            rank = own if inherited is None or job.kind is JobKind.SERVICE else min(own, inherited.priority_rank)
+            self.cluster.job_lifecycle.set_urgency(
+                job, rank, list(inherited.deadlines) if inherited is not None else []
+            )
+
+    def explain(self, job_id: str) -> str:
+        """What a blocked job waits for, in words; empty if it isn't blocked."""
+        failed = [
+            dependency
+            for dependency in self.graph.dependencies_of(job_id)
+            if dependency in self.cluster.jobs and self.cluster.jobs[dependency].failure_reason
         ]
-        text = f"waits for {list_job_ids(self.graph.dependencies_of(ref))}" if ref in self.blocked_jobs else ""
-        return text + (f"; lost, so that it waits until it is cancelled: {list_job_ids(lost)}" if lost else "")
+        text = f"waits for {list_job_ids(self.graph.dependencies_of(job_id))}" if job_id in self.blocked_jobs else ""
+        return text + (f"; lost, so that it waits until it is cancelled: {list_job_ids(failed)}" if failed else "")
 
 
 def stage_priority_rank(job: Job) -> int:
-    """A job's own priority. One that names others is a stage of what somebody waits for, which is no idle work.
+    """A job's own priority rank; one with dependencies is a stage of what somebody waits for, hence not best-effort.
 
     Users set the priority that they care about on the last job only, and some submit that when the others are over: a
     stage of the lowest priority then waited 100 to 200 s behind everything else.
@@ -184,6 +191,7 @@
     return min(own, NORMAL_RANK) if job.dependencies else own
 
 
-def list_job_ids(refs: list[str]) -> str:
-    more = len(refs) - NAMED_MOST
-    return ", ".join(refs[:NAMED_MOST]) + (f" and {more} more" if more > 0 else "")
+def list_job_ids(job_ids: list[str]) -> str:
+    """Some of the jobs, for one line of text."""
+    more = len(job_ids) - MAX_LISTED_JOBS
+    return ", ".join(job_ids[:MAX_LISTED_JOBS]) + (f" and {more} more" if more > 0 else "")
--- a/oatport/control/state/capacity.py
+++ b/oatport/control/state/capacity.py
@@ -1,4 +1,4 @@
-"""How many tasks of a job fit: bin packing of one task size, machine type by machine type."""
+"""How many tasks of a job fit into some capacity: bin packing of one task size, machine type by machine type."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def task_slots(spec: wire.Submission, cpus: float, gpus: float, memory_gb: float) -> int:
-    """How many tasks of a job this much room holds."""
+    """How many tasks of a job this much free capacity holds."""
     count = int((cpus + 1e-9) // spec.cpus)
     if spec.gpus > 0:
         count = min(count, int((gpus + 1e-9) // spec.gpus))
@@ -26,6 +26,7 @@
 
 
 def feasible_machine_types(spec: wire.Submission, types: dict[str, wire.MachineType]) -> list[wire.MachineType]:
+    """The machine types that can run a task of a job, in the order of the catalog."""
     return [
         kind
         for kind in types.values()
--- a/oatport/control/state/cluster_state.py
+++ b/oatport/control/state/cluster_state.py
@@ -1,7 +1,7 @@
 """The leader's view of jobs and machines: fed events and the time, it decides what to write and send.
 
-Writing down comes first: a claim becomes a placement only when its commit is known to be applied,
-and only then does its start go out. A task stays on its machine until it is proven gone.
+Writing comes first: a task is bound only when the commit of its binding is known to be applied, and only then is its
+start sent. A task stays on its machine until it is proven gone.
 """
 
 from __future__ import annotations
@@ -41,8 +41,8 @@
 class ClusterState:
     """Jobs and machines as the leader knows them, and the parts that decide about them.
 
-    Each part has one job and reaches the others through this object: `writes` (records to write), `dependencies` (jobs
-    that wait for others), `job_lifecycle`, `tasks`, `orphans` (attempts without a record), `completions` (those without
+    Each part has one job and reaches the others through this object: `writes` (records to write), `dependencies`
+    (blocked jobs), `job_lifecycle`, `tasks`, `orphans` (attempts without a record), `completions` (those without
     one), `heartbeats`, `commands`, `zones` (partitioned ones), `catalog` (machine types), `objectives`, `accounting`.
     """
 
@@ -59,7 +59,7 @@
         self.tuning = tuning
         self.predictor = predictor
         self.now = 0  # the time of the last event or pass
-        self.wall_offset = 0  # the time of day less the steady clock, at the last report
+        self.wall_offset = 0  # the time of day less the steady clock, at the last heartbeat
         self.heartbeat_us = micros(settings.workers.report_s)
         self.lease_us = micros(settings.workers.lease_s)
         self.heartbeat_fresh_us = 2 * self.heartbeat_us + SECOND
@@ -68,13 +68,13 @@
         self.jobs: dict[str, Job] = {}
         self.pending = PendingQueue()
         self.jobs_with_changed_counts: dict[Job, None] = {}  # whose counts, as users are shown them, may have changed
-        # Held work that is let go soon, and how many tasks: it counts as ahead.
+        # Deferred jobs that are released soon, and how many tasks of them: they count as ahead.
         self.upcoming_starts: list[tuple[Job, int]] = []
         self.machines: dict[str, Machine] = {}
         self.usable_machines: list[Machine] = []
-        self.released_machines: set[str] = set()  # names that a release answered: gone for good
-        self.machines_to_command: set[Machine] = set()  # machines with commands that should not wait for a report
-        self.unacknowledged_tasks: set[Task] = set()  # placed by this leader, not known to have reached their machines
+        self.released_machines: set[str] = set()  # names whose release was answered: gone for good
+        self.machines_to_command: set[Machine] = set()  # machines with commands that should not wait for a heartbeat
+        self.unacknowledged_tasks: set[Task] = set()  # bound by this leader; no heartbeat lists them yet
         self.planning_needed = True
 
         self.objectives = ServiceObjectives(settings.objectives)
@@ -105,7 +105,7 @@
     def idle_timeout(self, machine: Machine) -> int:
         """How long an idle machine is kept; those with GPUs are few, and longer in coming back.
 
-        Of those, the dear ones for less: an ordinary one costs twice or thrice what a spot one does.
+        Of those, the expensive ones for less: an ordinary one costs twice or thrice what a spot one does.
         """
         idle = self.tuning.us("idle_s")
         if machine.type.gpus <= 0:
@@ -127,7 +127,7 @@
 
         Beside work that needs them, or while the machine is kept for such work anyway and the task will
         be done by the time that it goes back: so it is never kept for the array, and whoever needs the
-        GPUs stops it.
+        GPUs preempts it.
         """
         if job.kind is not JobKind.ARRAY:
             return False
@@ -140,7 +140,7 @@
     def may_use_free_spot(self, job: Job) -> bool:
         """Routed to spot; or long work that loses little there and is expected to start soon.
 
-        Such a gang waited for an ordinary machine to boot while a spot one stood by, kept for its like.
+        Such a gang waited for an ordinary machine to boot while a spot one was idle, kept for jobs of its kind.
         """
         if job.tier in (SPOT, ""):
             return True
@@ -171,18 +171,18 @@
             self.writes.mark_machine_dirty(machine)
         return machine
 
-    def on_machine_removed(self, machine: Machine, now: int, why: str) -> None:
+    def on_machine_removed(self, machine: Machine, now: int, reason: str) -> None:
         """Proven gone: a release was answered, or the list says `failed`."""
         if machine.removed:
             return
         machine.removed = True
-        log.info("machine %s gone: %s, %d tasks", machine.name, why, len(machine.tasks))
+        log.info("machine removed machine=%s reason=%s tasks=%d", machine.name, reason, len(machine.tasks))
         self.released_machines.add(machine.name)
         self.machines.pop(machine.name, None)
         self.machines_to_command.discard(machine)
         self.writes.mark_machine_dirty(machine)
         if machine.spot and machine.ready_at:
-            self.predictor.spot_machine_ended(now - machine.rented_at, why == "taken" or bool(machine.reclaimed_at))
+            self.predictor.spot_machine_ended(now - machine.rented_at, reason == "taken" or bool(machine.reclaimed_at))
         self.completions.expedite(machine)
         for key in list(machine.orphaned_attempts):
             self.orphans.remove(machine, key)
--- a/oatport/control/state/job.py
+++ b/oatport/control/state/job.py
@@ -17,6 +17,8 @@
 
 
 class JobKind(StrEnum):
+    """How the tasks of a job relate; the values are the protocol's."""
+
     ARRAY = "array"
     GANG = "gang"
     SERVICE = "standing"
@@ -43,57 +45,58 @@
 
 @dataclass(slots=True, eq=False)
 class Job:
+    """An unfinished job. Times are steady microseconds where it isn't said that they are times of day."""
+
     job_id: str
     spec: wire.Submission
-    version: int  # of jobs/REF, the condition of every start commit
+    version: int  # revision of jobs/JOB, the condition of every commit of a binding
     submitted_at: int  # time of day, since it must mean the same on the next leader
     kind: JobKind = field(init=False)
     priority_rank: int = field(init=False)
     cancelled: bool = False
-    cancelled_after: int = 0  # steady; its cancellation was told after this. 0: not known
+    cancelled_after: int = 0  # its cancellation was confirmed after this; 0: not known
     tasks: dict[int, Task] = field(default_factory=dict)
     next_untouched: int = 0  # tasks from here on were never touched
-    start_limit: int = -1  # tasks from here on are held back (-1: none is)
+    start_limit: int = -1  # tasks from here on are deferred (-1: none is)
     deferral: DeferredStart | None = None
-    retry_queue: deque[int] = field(default_factory=deque)  # touched and pending
+    retry_queue: deque[int] = field(default_factory=deque)  # tasks that were bound before and are pending again
     completed: set[int] = field(default_factory=set)
-    on_machines: int = 0  # claimed or placed
+    on_machines: int = 0  # tasks binding or bound
     gang_attempt: int = 0
-    loss_count: int = 0  # take-backs and losses suffered: the retry count
+    loss_count: int = 0  # how often its tasks were lost with machines or preempted: the retry count
     tier: str = ""  # what the router decided last
     retry_at: int = 0  # backing off after errors (steady)
-    errors: int = 0  # since a task of it was last done
+    errors: int = 0  # since a task of it was completed last
     error_machines: set[str] = field(default_factory=set)
-    suspected_faulty: bool = False  # it failed on several machines and was done on none: rather its mistake than theirs
+    suspected_faulty: bool = False  # it failed on several machines and completed on none: rather its fault
     tasks_by_zone: dict[str, int] = field(default_factory=dict)  # tasks on machines, by zone
-    completing: bool = False  # its end is being committed
+    completing: bool = False  # its completion is being committed
     started: bool = False  # a task of it was seen running
-    starving: bool = False  # it waits for so long that no equal goes before it any more
-    at_most_once: bool = False  # its class limits repeats: rows of its records tell more
-    failure_reason: str = ""  # a task of it may not run again: it ends as lost
-    orphaned_attempt_count: int = 0  # attempts of it seen where no record puts them: nothing of it is placed meanwhile
+    starving: bool = False  # it is pending for so long that no equal goes before it any more
+    at_most_once: bool = False  # its class limits retries: rows of its records tell more
+    failure_reason: str = ""  # a task of it may not run again: it fails
+    orphaned_attempt_count: int = 0  # orphaned attempts of it: nothing of it is placed meanwhile
     deadline_at: int = 0  # time of day of the deadline that it can still meet
-    deadline_missed: bool = False  # it meets none any more
-    attainable_deadline: int = 0  # the first that it could meet if it ran now; far away if there is none, 0: not judged
+    deadline_missed: bool = False  # it can meet none any more
+    attainable_deadline: int = 0  # time of day, the first that it could meet if it ran now; 0: not judged
     within_guarantee: bool = False  # it fits its team's guarantee together with the team's earlier jobs
-    unplaced_since: int = 0  # steady; when it last began to wait without getting a machine
-    preempt_after: int = 0  # steady; one round of preemption at a time
-    predicted_runtime: int = 0  # its predicted run time as of the last routing
-    runtime_bucket: int = 0  # the same in steps
-    queue_entry: object = None  # where it stands among the waiting (`control/queueing/pending_queue.py`)
-    deadlines: list[int] | None = None  # times of day by which its end is looked for: they never change
+    unplaced_since: int = 0  # when it last began to wait without getting a machine
+    preempt_after: int = 0  # one round of preemption at a time
+    predicted_runtime: int = 0  # as of the last routing
+    runtime_bucket: int = 0  # the same in coarse steps
+    queue_entry: object = None  # its place in the pending queue (`control/queueing/pending_queue.py`)
+    deadlines: list[int] | None = None  # times of day by which its completion is measured: they never change
     # Machine types that can run it, the names of those that suit it, and the catalog that they were found in.
     feasible_types: tuple[int, list[wire.MachineType]] | None = None
     preferred_types: tuple[int, list[wire.MachineType], tuple[str, ...]] | None = None
 
     number: int = 0  # the digits of its id
-    # Times other than its deadline count from here (time of day): its submission, or when the last job that it needs
-    # was done.
+    # Time of day from which all times but its deadline count: its submission, or when its last dependency completed.
     eligible_at: int = 0
-    inherited_deadlines: list[int] = field(default_factory=list)  # times of day by which jobs that need it want it done
-    tasks_in_first_record: int = -1  # that lie with the job in one record; -1: not reckoned yet
+    inherited_deadlines: list[int] = field(default_factory=list)  # times of day, from jobs that depend on it
+    tasks_in_first_record: int = -1  # tasks that lie with the job in one record; -1: not computed yet
     dependencies: tuple[str, ...] = ()
-    in_statistics: bool = False  # among those served
+    in_statistics: bool = False  # it is counted in JobStatistics
     compact_spec: CompactSpec | None = None  # set if lists of its description lie in overflow records
 
     def __post_init__(self) -> None:
@@ -108,7 +111,7 @@
 
     @property
     def pending(self) -> int:
-        """Tasks that want a machine now; those held for later don't."""
+        """Tasks that want a machine now; deferred ones don't."""
         if self.start_limit < 0:
             return self.spec.task_count - self.next_untouched + len(self.retry_queue)
         return max(self.start_limit - self.next_untouched, 0) + len(self.retry_queue)
@@ -120,12 +123,13 @@
 
     @property
     def deadline(self) -> int | None:
-        """Time of day by which it should be complete: its own deadline, else what jobs that need it leave it."""
+        """Time of day by which it should be complete: its own deadline, else what jobs that depend on it leave it."""
         if self.spec.deadline_s is None:
             return self.inherited_deadlines[0] if self.inherited_deadlines else None
         return self.submitted_at + micros(self.spec.deadline_s)
 
     def next_pending(self) -> int | None:
+        """Index of the first pending task; None if there is none."""
         if self.retry_queue:
             return self.retry_queue[0]
         return (
@@ -135,7 +139,7 @@
         )
 
     def take_pending(self) -> Task:
-        """Remove the first pending task from the queue; the caller claims it."""
+        """Remove the first pending task from the queue; the caller binds it."""
         if self.retry_queue:
             return self.tasks[self.retry_queue.popleft()]
         task = Task(self, self.next_untouched)
--- a/oatport/control/state/job_lifecycle.py
+++ b/oatport/control/state/job_lifecycle.py
@@ -1,4 +1,4 @@
-"""Jobs in the leader's view: accepted, held back, cancelled, failed and removed."""
+"""Jobs in the leader's view: accepted, deferred, cancelled, failed and removed."""
 
 from __future__ import annotations
 
@@ -24,18 +24,18 @@
     def __init__(self, cluster: ClusterState) -> None:
         self.cluster = cluster
 
-    def add(self, ref: str, spec: wire.Submission, version: int, submitted_at: int) -> Job:
-        """An accepted job that waits for no other; the known one if it is known already."""
-        job = self.cluster.jobs.get(ref)
+    def add(self, job_id: str, spec: wire.Submission, version: int, submitted_at: int) -> Job:
+        """An accepted job that is blocked by no other; the known one if it is known already."""
+        job = self.cluster.jobs.get(job_id)
         if job is None:
-            job = self.cluster.jobs[ref] = Job(ref, spec, version, submitted_at)
-            self.cluster.writes.versions[live_key(ref)] = version
+            job = self.cluster.jobs[job_id] = Job(job_id, spec, version, submitted_at)
+            self.cluster.writes.versions[live_key(job_id)] = version
             self.admit(job)
             self.on_accepted(job)
-            if ref in self.cluster.quotas.unknown_attempts:
-                self.cluster.orphans.resolve(ref, spec)
-            if ref in self.cluster.dependencies.confirmed_cancellations:
-                self.cancel(ref, 0, self.cluster.dependencies.confirmed_cancellations[ref])
+            if job_id in self.cluster.quotas.unknown_attempts:
+                self.cluster.orphans.resolve(job_id, spec)
+            if job_id in self.cluster.dependencies.confirmed_cancellations:
+                self.cancel(job_id, 0, self.cluster.dependencies.confirmed_cancellations[job_id])
         return job
 
     def admit(self, job: Job) -> None:
@@ -53,55 +53,56 @@
         job.in_statistics = True
         self.cluster.job_statistics.on_accepted(job)
 
-    def set_urgency(self, job: Job, rank: int, dues: list[int]) -> None:
-        """What jobs that need it ask of it. Its tasks on machines count with its priority."""
-        if rank == job.priority_rank and dues == job.inherited_deadlines:
+    def set_urgency(self, job: Job, priority_rank: int, inherited_deadlines: list[int]) -> None:
+        """It inherits this from jobs that depend on it. Its tasks on machines count with its priority."""
+        if priority_rank == job.priority_rank and inherited_deadlines == job.inherited_deadlines:
             return
         for task in job.tasks.values():
             if task.machine is not None:
                 self.cluster.tasks.count_priority(task, task.machine, -1)
-        job.priority_rank = rank
+        job.priority_rank = priority_rank
         for task in job.tasks.values():
             if task.machine is not None:
                 self.cluster.tasks.count_priority(task, task.machine, 1)
-        job.inherited_deadlines, job.deadlines, job.deadline_at, job.attainable_deadline = dues, None, 0, 0
+        job.inherited_deadlines, job.deadlines = inherited_deadlines, None
+        job.deadline_at = job.attainable_deadline = 0
         self.cluster.pending.reroute(job)
         self.cluster.planning_needed = True
 
-    def cancel(self, ref: str, mark_version: int, told_after: int = 0) -> None:
-        """Its user was told that it is cancelled: nothing starts any more, all its tasks must go.
+    def cancel(self, job_id: str, mark_version: int, confirmed_after: int = 0) -> None:
+        """Its cancellation was confirmed to its user: nothing of it starts any more, all its tasks must stop.
 
-        So are all that need it. `mark_version`: of its mark under `live/`; 0: told, but not read in the records yet.
-        `told_after` (steady): not before that, as far as is known.
+        So are all jobs that depend on it. `mark_version`: of its mark under `live/`; 0: confirmed, but not read in the
+        records yet. `confirmed_after` (steady): not before that, as far as is known.
         """
-        self.cluster.dependencies.cancel_dependents(ref)
-        job = self.cluster.jobs.get(ref)
+        self.cluster.dependencies.cancel_dependents(job_id)
+        job = self.cluster.jobs.get(job_id)
         if job is None:
-            self.cluster.dependencies.cancel_blocked(ref, mark_version)
+            self.cluster.dependencies.cancel_blocked(job_id, mark_version)
             return
         if mark_version:
-            self.cluster.writes.versions[cancel_key(ref)] = mark_version
+            self.cluster.writes.versions[cancel_key(job_id)] = mark_version
         if job.failure_reason:  # its user was faster than the record of that
-            job.failure_reason, job.completing, job.cancelled_after = "", False, told_after
+            job.failure_reason, job.completing, job.cancelled_after = "", False, confirmed_after
             self.cluster.writes.jobs_to_complete.pop(job, None)
         if job.cancelled:
             self.delete_if_gone(job)
             return
         job.cancelled = True
-        job.cancelled_after = told_after
+        job.cancelled_after = confirmed_after
         self.cluster.pending.discard(job)
         self.cluster.writes.jobs_to_complete.pop(job, None)
         self._cancel_tasks(job)
 
-    def cancel_confirmed(self, ref: str, mark_version: int, told_after: int) -> None:
-        """A node told its user that it is cancelled, which may not be known here."""
+    def cancel_confirmed(self, job_id: str, mark_version: int, confirmed_after: int) -> None:
+        """A node confirmed its cancellation to its user, which may not be known here."""
         if (
-            ref not in self.cluster.jobs
-            and ref not in self.cluster.dependencies.blocked_jobs
-            and ref not in self.cluster.writes.jobs_to_cancel
+            job_id not in self.cluster.jobs
+            and job_id not in self.cluster.dependencies.blocked_jobs
+            and job_id not in self.cluster.writes.jobs_to_cancel
         ):
-            self.cluster.dependencies.remember_cancelled(ref, told_after)
-        self.cancel(ref, mark_version, told_after)
+            self.cluster.dependencies.remember_cancelled(job_id, confirmed_after)
+        self.cancel(job_id, mark_version, confirmed_after)
 
     def _cancel_tasks(self, job: Job) -> None:
         """No task of it starts any more, and those on machines leave."""
@@ -113,7 +114,7 @@
         self.delete_if_gone(job)
 
     def fail(self, task: Task, cause: str) -> None:
-        """A task may not run again, so the job ends as lost: the rest of it is stopped, then that is recorded.
+        """A task may not run again, so the job fails: the rest of it is stopped, then that is recorded.
 
         The task's own row says so from its next record on, whatever leader reads it.
         """
@@ -125,13 +126,13 @@
         if job.cancelled or job.completing:
             self.delete_if_gone(job)
             return
-        log.info("job %s is lost: task %d: %s", job.job_id, task.index, cause)
+        log.info('job failed job=%s task=%d cause="%s"', job.job_id, task.index, cause)
         job.failure_reason, job.cancelled = cause, True
         self.cluster.pending.discard(job)
         self._cancel_tasks(job)
 
     def cancellation_watermark(self, known_at: int) -> int:
-        """The moment (steady) up to which cancellations told are known and their tasks proven gone; 0: none.
+        """The moment (steady) up to which all confirmed cancellations are known and their tasks proven gone; 0: none.
 
         `known_at`: up to which they are known. Tasks that nobody knows may be of a cancelled job.
         """
@@ -144,19 +145,19 @@
         ]
         return min([known_at, *left])
 
-    def defer(self, job: Job, opened: int, hold: DeferredStart) -> None:
-        """Of its tasks only the first `opened` may start; recorded, so that the next leader holds it as well."""
-        job.start_limit, job.deferral = opened, hold
+    def defer(self, job: Job, start_limit: int, deferral: DeferredStart) -> None:
+        """Of its tasks only the first `start_limit` may start; recorded, so that the next leader defers it as well."""
+        job.start_limit, job.deferral = start_limit, deferral
         if not job.pending:
             self.cluster.pending.discard(job)
         elif not (job.cancelled or job.completing):
             self.cluster.pending.add(job)
         self.cluster.planning_needed = True
-        hold.write_count += 1
+        deferral.write_count += 1
         self.cluster.writes.dirty_keys[live_key(job.job_id)] = None
 
     def release_deferred(self, job: Job, count: int) -> None:
-        """So many more tasks of a held job may start. Not written by itself: the plan that is recorded says so."""
+        """So many more tasks of a deferred job may start. Not written by itself: the plan that is recorded says so."""
         if job.start_limit < 0 or job.cancelled or job.completing:
             return
         job.start_limit = min(max(job.start_limit, job.next_untouched) + count, job.spec.task_count)
--- a/oatport/control/state/job_statistics.py
+++ b/oatport/control/state/job_statistics.py
@@ -1,6 +1,6 @@
-"""Who is served: jobs accepted, started and done, by class and by team, for as long as this leader leads.
+"""Jobs accepted, started and completed, by class and by team, for as long as this leader leads.
 
-Counted as it happens. What an earlier leader saw to its end is not counted; what it left unfinished is.
+Counted as it happens. What completed under an earlier leader is not counted; what that left unfinished is.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 from oatport.control.state.job import Job
 
-SIZES_MOST = 2_000  # jobs of a class whose sizes are kept; the smaller half of more is let go
+MAX_SIZES = 2_000  # jobs of a class whose sizes are known; of more, the smaller half is dropped
 
 
 @dataclass(slots=True)
@@ -24,6 +24,8 @@
 
 @dataclass(slots=True)
 class JobStatistics:
+    """Counts of jobs by class and by team."""
+
     classes: dict[str, JobCounts] = field(default_factory=dict)
     teams: dict[str, JobCounts] = field(default_factory=dict)
     # class -> job -> what it takes, and whether a task of it ran
@@ -34,22 +36,23 @@
         yield self.teams.setdefault(job.spec.team, JobCounts())
 
     def on_accepted(self, job: Job) -> None:
+        """It was accepted."""
         for row in self._rows(job):
             row.accepted += 1
         sizes = self._sizes.setdefault(job.spec.job_class, {})
         sizes[job.job_id] = (job.spec.cpus * job.spec.task_count, job.started)
-        if len(sizes) > SIZES_MOST:
-            kept = sorted(sizes.items(), key=lambda item: item[1], reverse=True)[: SIZES_MOST // 2]
-            self._sizes[job.spec.job_class] = dict(kept)
+        if len(sizes) > MAX_SIZES:
+            largest = sorted(sizes.items(), key=lambda item: item[1], reverse=True)[: MAX_SIZES // 2]
+            self._sizes[job.spec.job_class] = dict(largest)
 
-    def _mark(self, job: Job, began: bool) -> None:
+    def _mark(self, job: Job, started: bool) -> None:
         sizes = self._sizes.get(job.spec.job_class, {})
         if job.job_id not in sizes:
             return
         if job.cancelled:
             del sizes[job.job_id]
         else:
-            sizes[job.job_id] = (sizes[job.job_id][0], began)
+            sizes[job.job_id] = (sizes[job.job_id][0], started)
 
     def largest(self) -> dict[str, tuple[int, int]]:
         """Of each class's largest tenth by what a job takes, one at least: how many began, and how many there are."""
@@ -62,6 +65,7 @@
         return found
 
     def on_started(self, job: Job) -> None:
+        """A task of it was seen running."""
         if not job.started:
             job.started = True
             self._mark(job, True)
@@ -69,7 +73,7 @@
                 row.started += 1
 
     def on_finished(self, job: Job) -> None:
-        """The job is done, or it was cancelled."""
+        """It is completed, failed or cancelled."""
         self._mark(job, True)
         for row in self._rows(job):
             if job.cancelled:
--- a/oatport/control/state/machine.py
+++ b/oatport/control/state/machine.py
@@ -18,34 +18,38 @@
 
 @dataclass(slots=True, eq=False)
 class Machine:
+    """A rented machine. Times are steady microseconds where it isn't said that they are times of day."""
+
     name: str
     type: wire.MachineType
     zone: str
     spot: bool
     address: str = ""
     rented_at: int = 0  # steady
-    rented_at_wall: int = 0  # time of day, for the next leader
-    ready_at: int = 0  # first report seen by this leader; 0: never
-    was_ready: bool = False  # a record says that it was up under an earlier leader
+    rented_at_wall: int = 0  # time of day, for the record
+    ready_at: int = 0  # first heartbeat seen by this leader; 0: none
+    was_ready: bool = False  # a record says that it was ready under an earlier leader
     agent_epoch: int = 0
     heartbeat_seq: int = -1
-    fencing_token: int = 0  # as in the newest report
+    fencing_token: int = 0  # as in the newest heartbeat
     last_heartbeat_at: int = 0
     known_since: int = 0  # steady; when this leader first knew of it
-    reclaimed_at: int = 0  # when the cloud takes it back; 0: no notice
+    reclaimed_at: int = 0  # when the cloud reclaims it; 0: no notice
     tasks: set[Task] = field(default_factory=set)
-    finite_tasks: set[Task] = field(default_factory=set)  # those of them that end by themselves: all but replicas
-    # Live tasks in its newest report that no record puts here; of which job, and what they take, if that is known.
+    finite_tasks: set[Task] = field(
+        default_factory=set
+    )  # those of them that end by themselves: all but replicas of services
+    # Attempts in its newest report that no record puts here -> their job, and what they take, if that is known.
     orphaned_attempts: dict[tuple[str, int], tuple[Job | None, wire.Submission | None]] = field(default_factory=dict)
-    # Ended attempts still in the worker's reports.
+    # Terminated attempts that are still in the agent's reports.
     terminated_attempts: set[tuple[str, int]] = field(default_factory=set)
-    # Attempts with sent starts whose fate is unknown, and how many: one may still land, so the
+    # Attempts with sent starts whose outcome is unknown, and how many: one may still land, so the
     # attempt is not forgotten (a start after a `forget` would start it again).
     unacknowledged_starts: dict[tuple[str, int], int] = field(default_factory=dict)
-    # Starts in the answer to the report that came last, and that report's session and number.
+    # Starts in the response to the newest heartbeat, and that heartbeat's epoch and number.
     starts_in_response: set[tuple[str, int]] = field(default_factory=set)
     answered_heartbeat: tuple[int, int] = (0, 0)
-    images: dict[str, int] = field(default_factory=dict)  # image -> first claim; 1: it is there
+    images: dict[str, int] = field(default_factory=dict)  # image -> when a task with it was bound first; 1: it is there
     free_cpus: float = 0.0
     free_gpus: float = 0.0
     free_memory_gb: float = 0.0
@@ -55,24 +59,24 @@
     idle_since: int = 0
     gpus_idle_since: int = 0  # when the last task that needs GPUs left
     draining: bool = False  # takes no more tasks
-    cordoned_for_scale_in: bool = False  # takes none for now: spot room can take what it runs
-    draining_replicas: bool = False  # surplus, and its replicas move elsewhere
+    cordoned_for_scale_in: bool = False  # takes none for now: spot capacity can take what it runs
+    draining_replicas: bool = False  # cordoned for scale-in, and its replicas move elsewhere
     releasing: bool = False
-    failed_jobs: set[str] = field(default_factory=set)  # jobs that failed here, since a task was last done here
-    confirmed_failed_jobs: set[str] = field(default_factory=set)  # those of them that were done elsewhere
+    failed_jobs: set[str] = field(default_factory=set)  # jobs that failed here, since a task was completed here last
+    confirmed_failed_jobs: set[str] = field(default_factory=set)  # those of them that completed elsewhere
     slowdown: float = 1.0  # observed run time over the predicted one
     slowdown_samples: int = 0
     listed_by_cloud: bool = False
     probing: bool = False
     probed_at: int = 0
     persisted: bool = False  # the fleet record holds it: tasks may be placed
-    # The tasks of its newest report, if the same ones once more would change nothing.
+    # The tasks of its newest heartbeat, if the same ones once more would change nothing.
     settled_heartbeat: list[wire.TaskReport] | None = None
-    agent_epoch_since: int = 0  # steady; since when this leader knows of its session
-    # Its reports arrive, but it seems to hear neither answers nor commands: it gets no work until it has shown that
-    # it hears.
+    agent_epoch_since: int = 0  # since when this leader knows of its epoch
+    # One-way partition: its heartbeats arrive, but neither responses nor commands seem to arrive there. It gets no work
+    # until it has shown that they do.
     command_unreachable: bool = False
-    cordoned_until: int = 0  # it refused a start for want of room: our view of it is off
+    cordoned_until: int = 0  # it refused a start for insufficient capacity: our view of it is off
     removed: bool = False
 
     def __post_init__(self) -> None:
@@ -84,11 +88,12 @@
         return self.number
 
     def could_hold(self, spec: wire.Submission) -> bool:
-        """Empty, it would have room for one task."""
+        """Empty, it would have capacity for one task."""
         kind = self.type
         return spec.cpus <= kind.cpus and spec.gpus <= kind.gpus and spec.memory_gb <= kind.memory_gb
 
     def has_capacity_for(self, spec: wire.Submission) -> bool:
+        """One task of a job fits into what is free."""
         return (
             spec.cpus <= self.free_cpus + 1e-9
             and spec.gpus <= self.free_gpus + 1e-9
@@ -109,26 +114,29 @@
         )
 
     def is_incoming(self, now: int, token: int) -> bool:
-        """It boots, and is not so long overdue that nobody counts on it any more."""
+        """It boots, and is not so long overdue that it isn't counted on any more."""
         if self.releasing or self.draining:
             return False
         if self.ready_at:
-            return self.fencing_token != token and not self.tasks  # up, and about to hear of us
+            return self.fencing_token != token and not self.tasks  # ready, and about to receive our token
         return not self.was_ready and now - self.rented_at < 2 * micros(self.type.boot_time_s) + 5 * SECOND
 
     def reserve(self, cpus: float, gpus: float, memory: float) -> None:
+        """An attempt takes so much from now on."""
         self.free_cpus -= cpus
         self.free_gpus -= gpus
         self.free_memory_gb -= memory
 
     def unreserve(self, cpus: float, gpus: float, memory: float) -> None:
+        """An attempt takes so much no longer."""
         self.reserve(-cpus, -gpus, -memory)
 
     def is_confirmed(self, token: int) -> bool:
-        """Its newest report is under our token: what it does not list is not there."""
+        """Its newest heartbeat is under our token: what that does not list is not there."""
         return self.ready_at > 0 and self.fencing_token == token
 
     def is_usable(self, token: int, now: int, fresh_us: int) -> bool:
+        """Tasks may be placed on it. `fresh_us`: how old its newest heartbeat may be."""
         return (
             self.persisted
             and self.fencing_token == token
@@ -144,4 +152,5 @@
 
     @property
     def price(self) -> float:
+        """What it costs an hour."""
         return self.type.spot_price if self.spot else self.type.price
--- a/oatport/control/state/machine_commands.py
+++ b/oatport/control/state/machine_commands.py
@@ -17,41 +17,42 @@
 
 
 class MachineCommands:
-    """What workers are to start, stop and forget."""
+    """What agents are to start, stop and forget."""
 
     def __init__(self, cluster: ClusterState) -> None:
         self.cluster = cluster
 
     def for_machine(self, machine: Machine, now: int, *, direct: bool) -> tuple[list[wire.Command], list[Task]]:
-        """What to tell a machine now, and the tasks whose start is among it."""
-        orders: list[wire.Command] = []
+        """The commands for a machine now, and the tasks whose start is among them. `direct`: not in a response."""
+        commands: list[wire.Command] = []
         starts: list[Task] = []
         confirmed = machine.fencing_token == self.cluster.fencing_token
         for task in machine.tasks:
             if task.phase is not TaskPhase.BOUND:
                 continue
-            never_sent = not task.start_epoch
-            if never_sent and (not confirmed or task.binding_at == 0):
-                # Of an earlier leader's: its first report under our token tells whether it is there.
-                if task.stop_grace_s is not None:
-                    orders.append(wire.StopCommand(task.name, task.attempt, task.stop_grace_s))
-                continue
-            waits_for_retry = direct and task.start_retry_at > now
-            if task.start_acknowledged is None and not waits_for_retry and self._may_start(task, now):
-                orders.append(wire.StartCommand(task.name, task.attempt))
+            if self._start_is_due(task, now, direct=direct, confirmed=confirmed):
+                commands.append(wire.StartCommand(task.name, task.attempt))
                 starts.append(task)
             if task.stop_grace_s is not None:
-                orders.append(wire.StopCommand(task.name, task.attempt, task.stop_grace_s))
+                commands.append(wire.StopCommand(task.name, task.attempt, task.stop_grace_s))
         for name, attempt in machine.orphaned_attempts:
-            orders.append(wire.StopCommand(name, attempt, 0.0))
+            commands.append(wire.StopCommand(name, attempt, 0.0))
         if confirmed:
             for name, attempt in machine.terminated_attempts:
                 if self._may_forget(machine, name, attempt):
-                    orders.append(wire.ForgetCommand(name, attempt))
-        return orders, starts
+                    commands.append(wire.ForgetCommand(name, attempt))
+        return commands, starts
+
+    def _start_is_due(self, task: Task, now: int, *, direct: bool, confirmed: bool) -> bool:
+        """Its start is to be sent now, or once more. `confirmed`: the machine's newest heartbeat has our token."""
+        if not task.start_epoch and (not confirmed or task.binding_at == 0):
+            # Of an earlier leader's: its first heartbeat under our token tells whether it is there.
+            return False
+        waits_for_retry = direct and task.start_retry_at > now
+        return task.start_acknowledged is None and not waits_for_retry and self._may_start(task, now)
 
     def _may_start(self, task: Task, now: int) -> bool:
-        """A gang starts whole: all its claims must be committed.
+        """A gang starts whole: all its bindings must be committed.
 
         Of a cancelled job a start that may be under way is repeated, and stopped at once: so the attempt is known
         there, and what comes late does nothing. But not when its user was told long ago, as after an outage.
@@ -64,7 +65,7 @@
         return all(mate.phase is not TaskPhase.BINDING for mate in job.tasks.values())
 
     def must_let_lease_expire(self, machine: Machine, now: int) -> bool:
-        """May a start of a cancelled job still land there, so late that only another session is proof against it?
+        """May a start of a cancelled job still land there, so late that only another epoch is proof against it?
 
         A start that a link holds for long is neither there to be stopped nor proven lost: the machine's lease has to
         end before `cancel_s` is over.
@@ -80,7 +81,7 @@
         )
 
     def _may_forget(self, machine: Machine, name: str, attempt: int) -> bool:
-        """Not while a start of it may land (it would start again), nor before its end is committed."""
+        """Not while a start of it may land (it would start again), nor before its completion is committed."""
         if machine.unacknowledged_starts.get((name, attempt)) or (name, attempt) in machine.starts_in_response:
             return False
         parts = split_task(name)
@@ -100,12 +101,12 @@
         """A report that is about to be answered. A worker has one in flight at a time: what the answer to an earlier
         one told it has been executed by now, or is dropped (PROTOCOL, "Workers -> controller nodes")."""
         number = (report.agent_epoch, report.heartbeat_seq)
-        if number > machine.answered_heartbeat:  # not one that a cut held
+        if number > machine.answered_heartbeat:  # not one that a partition held
             machine.answered_heartbeat = number
             machine.starts_in_response.clear()
 
     def on_sent(self, machine: Machine, starts: Iterable[Task], now: int, *, direct: bool) -> None:
-        """Starts are about to go out under the machine's present session."""
+        """Starts are about to be sent under the machine's present epoch."""
         for task in starts:
             task.start_epoch = machine.agent_epoch
             self.cluster.unacknowledged_tasks.add(task)
@@ -119,7 +120,7 @@
                 machine.starts_in_response.add((task.name, task.attempt))
 
     def on_contact(self, machine: Machine) -> None:
-        """It answered something that it was asked directly."""
+        """It answered a direct request."""
         if machine.command_unreachable:
             machine.command_unreachable = False
             self.cluster.planning_needed = True
--- a/oatport/control/state/orphaned_attempts.py
+++ b/oatport/control/state/orphaned_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts that a machine reports and that no record puts there."""
+"""Orphaned attempts: those that a machine reports and that no record puts there."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 log = logging.getLogger(__name__)
 
 
-def _ref_of(name: str) -> str:
+def _job_of(name: str) -> str:
     """The job that a machine names a task of; a name of another form stands for itself."""
     parts = split_task(name)
     return parts[0] if parts else name
@@ -29,41 +29,41 @@
 
     def add(self, machine: Machine, key: tuple[str, int]) -> None:
         """It counts for its team and its job's zones as any task does, until a report or a release proves it gone."""
-        log.info("stray task %s attempt %d on %s", *key, machine.name)
-        ref = _ref_of(key[0])
-        job = self.cluster.jobs.get(ref)
+        log.info("orphaned attempt task=%s attempt=%d machine=%s", *key, machine.name)
+        job_id = _job_of(key[0])
+        job = self.cluster.jobs.get(job_id)
         machine.orphaned_attempts[key] = (job, job.spec if job is not None else None)
         if job is not None:
             job.orphaned_attempt_count += 1
             self.cluster.tasks.count_usage(job, job.spec, machine, 1)
         else:
-            self.cluster.quotas.unknown_attempts[ref] += 1
+            self.cluster.quotas.unknown_attempts[job_id] += 1
         self.cluster.machines_to_command.add(machine)
 
     def remove(self, machine: Machine, key: tuple[str, int]) -> None:
         """A newer report, or the release of its machine, proves it gone."""
         job, spec = machine.orphaned_attempts.pop(key)
-        ref = _ref_of(key[0])
+        job_id = _job_of(key[0])
         if spec is not None:
             self.cluster.tasks.count_usage(job, spec, machine, -1)
-        elif ref in self.cluster.quotas.unknown_attempts:  # else nobody submitted it
-            self.cluster.quotas.on_unknown_attempt_gone(ref)
+        elif job_id in self.cluster.quotas.unknown_attempts:  # else nobody submitted it
+            self.cluster.quotas.on_unknown_attempt_gone(job_id)
         self.cluster.planning_needed = True
-        if job is not None and self.cluster.jobs.get(ref) is job:  # else its end is recorded
+        if job is not None and self.cluster.jobs.get(job_id) is job:  # else its completion is recorded
             job.orphaned_attempt_count = max(0, job.orphaned_attempt_count - 1)
             self.cluster.job_lifecycle.delete_if_gone(job)
 
-    def resolve(self, ref: str, spec: wire.Submission | None) -> None:
+    def resolve(self, job_id: str, spec: wire.Submission | None) -> None:
         """A job of which attempts were seen is known now; `spec` None: nobody ever submitted it."""
-        job = self.cluster.jobs.get(ref)
+        job = self.cluster.jobs.get(job_id)
         for machine in self.cluster.machines.values():
             for key, (_, known) in list(machine.orphaned_attempts.items()):
-                if known is not None or _ref_of(key[0]) != ref:
+                if known is not None or _job_of(key[0]) != job_id:
                     continue
                 machine.orphaned_attempts[key] = (job, spec)
                 if spec is not None:
                     self.cluster.tasks.count_usage(job, spec, machine, 1)
                 if job is not None:
                     job.orphaned_attempt_count += 1
-        self.cluster.quotas.unknown_attempts.pop(ref, None)
+        self.cluster.quotas.unknown_attempts.pop(job_id, None)
         self.cluster.planning_needed = True
--- a/oatport/control/state/partitioned_zones.py
+++ b/oatport/control/state/partitioned_zones.py
@@ -1,4 +1,4 @@
-"""Zones that nothing is heard from: found, recorded and recovered."""
+"""Partitioned zones: found, recorded and recovered."""
 
 from __future__ import annotations
 
@@ -18,44 +18,44 @@
 
 
 class PartitionedZones:
-    """The zones that are cut off, and those of them where a node renews the workers' leases."""
+    """The partitioned zones, and those of them where a node renews the agents' leases."""
 
     def __init__(self, cluster: ClusterState) -> None:
         self.cluster = cluster
-        self.partitioned: dict[str, int] = {}  # zones that nothing is heard from -> since when (steady)
-        # Of these, where a node was cut off along and keeps the workers' leases.
+        self.partitioned: dict[str, int] = {}  # no heartbeat arrives from these zones -> since when (steady)
+        # Of these, zones with a node in the same partition that renews the agents' leases.
         self.lease_proxied: set[str] = set()
-        self.recovered: set[str] = set()  # zones that are heard from again: their machines are to be asked at once
+        self.recovered: set[str] = set()  # heartbeats arrive again: their machines are to be probed at once
 
     def record(self) -> dict[str, Any]:
-        """Zones that are cut off, and since when by the time of day; those with a node that keeps leases there."""
+        """The value of their record."""
         zones = {zone: since + self.cluster.wall_offset for zone, since in self.partitioned.items()}
         return encode_partitioned_zones(zones, self.lease_proxied)
 
     def mark_partitioned(self, silent: list[Machine], now: int) -> set[str]:
-        """Silent machines that most nodes can't reach either: zones of theirs that nothing is heard from.
+        """Silent machines that most nodes can't reach either: zones of theirs without any heartbeat are partitioned.
 
-        Nothing is rented or placed there; what is rented would be charged and not come up before the cut ends.
+        Nothing is rented or placed there; what is rented would be charged and not come up before the partition ends.
         """
         found: set[str] = set()
         for zone in {m.zone for m in silent}:
             last = max(m.last_heartbeat_at for m in self.cluster.machines.values() if m.zone == zone)
-            heard = last > now - self.cluster.tuning.us("silent_s") // 2
-            if not heard and sum(m.zone == zone for m in silent) >= MIN_PARTITION_MACHINES:
+            is_heard_from = last > now - self.cluster.tuning.us("silent_s") // 2
+            if not is_heard_from and sum(m.zone == zone for m in silent) >= MIN_PARTITION_MACHINES:
                 found.add(zone)
                 if zone not in self.partitioned:
-                    log.warning("zone %s is taken to be cut off", zone)
-                    # Not heard of since this leader began: then it was cut off before.
+                    log.warning("zone partitioned zone=%s", zone)
+                    # No heartbeat since this leader began: then it was partitioned before.
                     self.partitioned[zone] = last or min(m.known_since for m in silent if m.zone == zone)
                     self.cluster.writes.dirty_keys[PARTITIONED_ZONES_KEY] = None
                     self.cluster.planning_needed = True
         return found
 
     def mark_lease_proxied(self, zones: Iterable[str]) -> None:
-        """Nodes that fell silent with these dark zones answer the workers there.
+        """Nodes that fell silent with these partitioned zones renew the leases there.
 
-        Recorded: a leader that was started again never heard those nodes, took the zone's tasks for dead after one
-        lease and gave up the machines of all replicas at once.
+        Recorded: a leader that was started again never heard of those nodes, took the zone's tasks for dead after one
+        lease and released the machines of all replicas at once.
         """
         new = set(zones) - self.lease_proxied
         if new:
@@ -63,8 +63,8 @@
             self.cluster.writes.dirty_keys[PARTITIONED_ZONES_KEY] = None
 
     def on_recovered(self, zone: str, now: int) -> None:
-        """A zone is back: its machines were silent for its sake, and have a moment to be heard of."""
-        log.info("zone %s is heard from again", zone)
+        """A zone is back: its machines were silent for its sake, and have a moment to send heartbeats."""
+        log.info("zone recovered zone=%s", zone)
         del self.partitioned[zone]
         self.lease_proxied.discard(zone)
         self.recovered.add(zone)
--- a/oatport/control/state/quota.py
+++ b/oatport/control/state/quota.py
@@ -2,11 +2,11 @@
 
 | counted for its team | from | until |
 | --- | --- | --- |
-| a claim, written down or under way | `Work.assign`: before it can go out | it is withdrawn and no start went out, or as below |
-| a task on a machine, stopped or not, cancelled or not, of this leader or an earlier one | its claim, or its record at a takeover | a report under the own token or of a later session doesn't list it or tells its end; its machine is proven gone |
-| a stray: an attempt that a report shows and no record puts there | that report | a newer report doesn't list it, or its machine is proven gone |
+| a binding, recorded or under way | `TaskLifecycle.begin_binding`: before its start can be sent | it is withdrawn and no start went out, or as below |
+| a task on a machine, stopped or not, cancelled or not, of this leader or an earlier one | its binding, or its record at a takeover | a report under the own token or of a later epoch doesn't list it or lists it as exited; its machine is proven gone |
+| an orphaned attempt: one that a report shows and no record puts there | that report | a newer report doesn't list it, or its machine is proven gone |
 
-An attempt of a job that isn't known may be of any team: until its job's record is read, no team has room.
+An attempt of a job that isn't known may be of any team: until its job's record is read, no team has any quota left.
 """  # noqa: E501 (a table)
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 @dataclass(slots=True)
 class TeamUsage:
-    """What a team's tasks take; those not proven gone count (rule `quota`)."""
+    """What a team's tasks take; those not proven gone count (PROTOCOL, rule `quota`)."""
 
     limits: Team
     cpus: float = 0.0
@@ -41,6 +41,7 @@
         return max(count, 0)
 
     def beyond_guarantee(self) -> bool:
+        """It takes more than its guarantee."""
         return self.cpus > self.limits.cpus + 1e-9 or self.gpus > self.limits.gpus + 1e-9
 
 
--- a/oatport/control/state/task.py
+++ b/oatport/control/state/task.py
@@ -12,6 +12,8 @@
 
 
 class TaskPhase(IntEnum):
+    """How far the binding of a task to a machine is."""
+
     PENDING = 0  # on no machine, wants one
     BINDING = 1  # a machine is chosen, the commit is not known to be applied: no start was sent
     BOUND = 2  # committed: on its machine until proven gone
@@ -19,16 +21,16 @@
 
 @dataclass(slots=True, eq=False)
 class Task:
-    """A task that was touched and is not done. Untouched and done ones are just numbers in their job."""
+    """A task that was bound at least once and is not completed; all others are just numbers in their job."""
 
     job: Job
     index: int
     phase: TaskPhase = TaskPhase.PENDING
     attempt: int = 0
     machine: Machine | None = None
-    # Session under which this leader first sent the start; 0: not sent by this leader.
+    # Agent epoch under which this leader first sent the start; 0: not sent by this leader.
     start_epoch: int = 0
-    # The (session, seq) of an answer of the worker's to a start of this attempt.
+    # Agent epoch and number of the first report that listed this attempt, after a start.
     start_acknowledged: tuple[int, int] | None = None
     status: str = ""  # as last reported
     binding_at: int = 0
@@ -37,7 +39,7 @@
     stop_grace_s: float | None = None
     stop_sent_at: int = 0
     start_retry_at: int = 0
-    binding_epoch: int = 0  # the worker's session when it was claimed (recorded for classes that limit repeats)
+    binding_epoch: int = 0  # the agent epoch when it was bound (recorded for classes that limit retries)
     retry_exhausted: bool = False  # it may not run again
 
     def __hash__(self) -> int:
@@ -46,9 +48,11 @@
 
     @property
     def name(self) -> str:
+        """As in the protocol: job and index."""
         return f"{self.job.job_id}/{self.index}"
 
     def reset_to_pending(self) -> None:
+        """It is on no machine; its attempt number stays."""
         self.phase = TaskPhase.PENDING
         self.machine = None
         self.start_epoch = 0
--- a/oatport/control/state/task_lifecycle.py
+++ b/oatport/control/state/task_lifecycle.py
@@ -102,13 +102,13 @@
         self.cluster.planning_needed = True
 
     def requeue(self, task: Task, *, lost: bool, unexecuted: bool = False) -> None:
-        """A task that left its machine without being done wants another, if its class allows that.
+        """A task that left its machine without being completed wants another, if its class allows that.
 
-        `unexecuted`: it is proven that the attempt never began.
+        `unexecuted`: it is proven that the attempt never started.
         """
         job = task.job
         if job.kind is JobKind.GANG and job.completed and not job.cancelled:
-            self.complete(task, self.cluster.now, measured=False)  # one of them is done, so it is as well
+            self.complete(task, self.cluster.now, measured=False)  # one of them is completed, so it is as well
             return
         policy = self.cluster.retry_policies.get(job.spec.job_class, RetryPolicy.ANY)
         if not job.cancelled and not may_retry(policy, task, unexecuted):
@@ -132,7 +132,7 @@
         self.cluster.pending.add(job)
 
     def _gang_lost_task(self, job: Job) -> None:
-        """A gang runs whole or not: what is left of this attempt is called off.
+        """A gang runs whole or not: what is left of this attempt is stopped.
 
         Running tasks exit with `mates_gone` by themselves and a stopped one would do no harm.
         """
@@ -145,7 +145,7 @@
                 self.stop(task, 0.0)
 
     def stop(self, task: Task, grace_s: float) -> None:
-        """Have a placed task leave its machine; repeated until a report shows it gone."""
+        """Have a bound task leave its machine; repeated until a heartbeat shows it gone."""
         if task.stop_grace_s is not None and grace_s >= task.stop_grace_s:
             return
         if task.binding_at and not task.start_epoch:
@@ -168,7 +168,7 @@
             self.cluster.machines_to_command.add(task.machine)
 
     def drain(self, task: Task, left: int, now: int) -> None:
-        """Have a task leave a machine that is gone in `left`; what will be done before, or may not run again, stays."""
+        """Have a task leave a machine that is gone in `left`; what completes before, or may not run again, stays."""
         job, spec = task.job, task.job.spec
         if task.phase is not TaskPhase.BOUND or job.at_most_once:
             return
@@ -176,7 +176,7 @@
             ran = now - task.running_since if task.running_since else 0
             remaining = max(self.cluster.predictor.run_time(job.job_id, spec) - ran, 0)
             if task.running_since and remaining < left * 3 // 4:
-                return  # it will be done before
+                return  # it will be completed before
         grace = spec.stop_grace_s
         if micros(grace) > left:
             grace = 0.0
@@ -188,7 +188,7 @@
             self.stop(task, grace)
 
     def complete(self, task: Task, now: int, *, measured: bool = True) -> None:
-        """A task is done. `measured`: its run time was seen, and may be learned from."""
+        """A task is completed. `measured`: its run time was seen, and may be learned from."""
         job = task.job
         machine = task.machine
         # What an earlier leader started seems to run only since this one first heard of it.
@@ -222,10 +222,10 @@
             self.cluster.writes.jobs_to_complete[job] = None
 
     def complete_gang(self, job: Job) -> None:
-        """One of its tasks is done, so all are (PROTOCOL, "Gangs"): what is on no machine is done now, the rest once it
-        is proven gone.
+        """One of its tasks is completed, so all are (PROTOCOL, "Gangs").
 
-        A task whose machine died in the moment of the end was once started again by itself, though it was done.
+        What is on no machine is completed now, the rest once it is proven gone. A task whose machine failed in the
+        moment of the completion was once started again by itself, though it was completed.
         """
         for task in list(job.tasks.values()):
             if task.phase is TaskPhase.BOUND and not never_sent(task):
--- a/oatport/control/state/unwritten_completions.py
+++ b/oatport/control/state/unwritten_completions.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from oatport import wire
-from oatport.control.state.completions import ROWS_MOST, Completion
+from oatport.control.state.completions import MAX_COMPLETIONS, Completion
 from oatport.control.state.identifiers import split_task
 from oatport.control.state.job import Job, JobKind
 from oatport.control.state.machine import Machine
@@ -23,18 +23,18 @@
 
     def __init__(self, cluster: ClusterState) -> None:
         self.cluster = cluster
-        self.earlier_may_be_lost = False  # earlier leaders may have taken in ends that nobody tells of now
-        self.unwritten: dict[tuple[Job, int], int] = {}  # tasks that are done, and the attempt: maybe in no record
-        self.new: list[Completion] = []  # of these, what the other nodes were not told yet
+        self.earlier_may_be_lost = False  # earlier leaders may have received some that nobody reports now
+        self.unwritten: dict[tuple[Job, int], int] = {}  # completed tasks -> the attempt; maybe in no record
+        self.new: list[Completion] = []  # of these, not replicated yet
 
     def note(self, task: Task) -> None:
         """A task was completed: to be replicated until it is recorded."""
         self.unwritten[task.job, task.index] = task.attempt
-        if len(self.new) < ROWS_MOST:
+        if len(self.new) < MAX_COMPLETIONS:
             self.new.append((task.job.job_id, task.index, task.attempt))
 
     def _known_only_from(self, machine: Machine) -> list[tuple[Job, int]]:
-        """Tasks that are done, which no record says yet: this machine alone would tell the next leader so."""
+        """Completed tasks that are in no record yet: the next leader would hear of them from this machine alone."""
         found: list[tuple[Job, int]] = []
         for name, _ in machine.terminated_attempts:
             parts = split_task(name)
@@ -46,7 +46,7 @@
         return found
 
     def to_replicate(self) -> list[Completion]:
-        """Ends that are in no record yet."""
+        """Those that are in no record yet."""
         for job, index in list(self.unwritten):
             if (
                 self.cluster.jobs.get(job.job_id) is not job
@@ -54,26 +54,26 @@
                 or not (job.completing or self.cluster.writes.is_unwritten(job, index))
             ):
                 del self.unwritten[job, index]
-        return [(job.job_id, index, attempt) for (job, index), attempt in self.unwritten.items()][:ROWS_MOST]
+        return [(job.job_id, index, attempt) for (job, index), attempt in self.unwritten.items()][:MAX_COMPLETIONS]
 
     def take_new(self) -> list[Completion]:
         """Those that came since this was last asked."""
         new, self.new = self.new, []
         return new
 
-    def apply(self, ends: list[Completion]) -> None:
-        """What earlier leaders took in and may not have recorded.
+    def apply(self, completions: list[Completion]) -> None:
+        """What earlier leaders received and may not have recorded.
 
-        The attempt was reported as ended, so it is on no machine; one that began since is left to its own report.
+        The attempt was reported as terminated, so it is on no machine; one that began since is left to its own report.
         """
-        for ref, index, attempt in ends:
-            job = self.cluster.jobs.get(ref)
+        for job_id, index, attempt in completions:
+            job = self.cluster.jobs.get(job_id)
             task = job.tasks.get(index) if job is not None else None
             if job is None or task is None or job.kind is JobKind.SERVICE or job.cancelled or task.retry_exhausted:
                 continue
             if task.phase is TaskPhase.BOUND and (task.attempt != attempt or task.binding_at):
                 continue
-            log.info("task %s was done under an earlier leader", task.name)
+            log.info("task completed under an earlier leader task=%s", task.name)
             if task.index in job.retry_queue:
                 job.retry_queue.remove(task.index)
             self.cluster.tasks.complete(task, self.cluster.now, measured=False)
@@ -81,9 +81,9 @@
                 self.cluster.pending.discard(job)
 
     def apply_late(self, machine: Machine, report: wire.Heartbeat) -> None:
-        """That an attempt was done is true in a message of any age.
+        """That an attempt was completed is true in a message of any age.
 
-        The sessions of a machine that was back within a blink began anew: what it told after an old copy had come was
+        The epochs of a machine that was back at once began anew: what it reported after an old copy had arrived was
         taken for older, and answered all the same.
         """
         done = {
@@ -96,11 +96,11 @@
                 self.cluster.tasks.complete(task, self.cluster.now, measured=False)
 
     def may_report_unknown(self, machine: Machine, now: int, until: int) -> bool:
-        """A silent machine that may come back and tell of ends that nobody else knows any more.
+        """A silent machine that may come back and report completions that nobody else knows any more.
 
-        All nodes ended in an outage, and with them what had been reported and not recorded; or the last leader was cut
-        off from the others as well as from the state service, and was still reported to. `until` (steady): by then
-        the leases have ended that an earlier leader gave, and with them what the machine could tell.
+        All nodes ended in an outage, and with them what had been reported and not recorded; or the last leader was
+        partitioned from the others as well as from the state service, and still received heartbeats. `until` (steady):
+        by then the leases have ended that an earlier leader gave, and with them what the machine could report.
         """
         return (
             self.earlier_may_be_lost
@@ -110,21 +110,21 @@
         )
 
     def holds_unwritten(self, machine: Machine) -> bool:
-        """It must not be returned or given up yet: it holds ends that are written nowhere else.
+        """It must not be released yet: it holds completions that are written nowhere else.
 
-        Machines that were drained, or silent for 5 s, were once returned between the report of an end and its record.
-        When that record was late and the leader ended, the next one found the task on a machine that was gone, and ran
-        it again.
+        Machines that were drained, or silent for 5 s, were once released between a report of a completion and its
+        record. When that record was late and the leader ended, the next one found the task on a machine that was gone,
+        and ran it again.
         """
         found = self._known_only_from(machine)
         self._expedite(found)
         return bool(found)
 
     def expedite(self, machine: Machine) -> None:
-        """What only this machine tells is written at once: it will soon tell nothing any more."""
+        """What only this machine reports is written at once: it will soon report nothing any more."""
         self._expedite(self._known_only_from(machine))
 
-    def _expedite(self, ends: list[tuple[Job, int]]) -> None:
-        for job, index in ends:
+    def _expedite(self, completions: list[tuple[Job, int]]) -> None:
+        for job, index in completions:
             for key in self.cluster.writes.task_record_keys(job, index):
                 self.cluster.writes.expedite(key)
--- a/oatport/control/storage/overflow_records.py
+++ b/oatport/control/storage/overflow_records.py
@@ -1,7 +1,7 @@
-"""Long lists of a job's description, laid over records of their own where a value can't hold them (`more/REF/0000`...).
+"""Long lists of a job's description, laid over records of their own where a value can't hold them (`more/JOB/0000`...).
 
-They are written ahead, on the condition that the job was not accepted yet, and count only with its accept: the record
-under `jobs/` tells how many there are.
+They are written ahead, on the condition that the job was not accepted yet, and count only with its acceptance: the
+record under `jobs/` tells how many there are.
 """
 
 from __future__ import annotations
@@ -49,5 +49,5 @@
                 last.append(row)
             else:
                 parts.append({name: [row]})
-    slim = {k: v for k, v in value["job"].items() if k not in names}
-    return {**value, "job": slim, "more": [len(parts), names]}, parts
+    description = {k: v for k, v in value["job"].items() if k not in names}
+    return {**value, "job": description, "more": [len(parts), names]}, parts
--- a/oatport/control/storage/record_layout.py
+++ b/oatport/control/storage/record_layout.py
@@ -1,7 +1,7 @@
 """How what is recorded is laid out over keys, so that every value fits the state service's limit, now and later.
 
 A job's tasks lie in chunks of `CHUNK_TASKS`, as all versions know them. Where a chunk does not fit, its key holds the
-first tasks and further keys the others, each named by the first that it holds: `live/REF/0001` and `live/REF/0001.40`.
+first tasks and further keys the others, each named by the first that it holds: `live/JOB/0001` and `live/JOB/0001.40`.
 Machines likewise: `fleet/000002` and `fleet/000002.18`. Where two records tell of the same task or machine, the one
 that was written last is right. So a record that an earlier version wrote larger may stay as it is while parts of it
 are written anew; only before it is itself written smaller must the others be there (`WriteBuffer`).
@@ -50,10 +50,12 @@
 
     @property
     def tasks_per_part(self) -> int:
+        """How many tasks a record holds that does not lie with its job."""
         return rows_that_fit(self.max_value_bytes, FRAME, TASK_ROW, CHUNK_TASKS) if self.splits_records else CHUNK_TASKS
 
     @property
     def machines_per_part(self) -> int:
+        """How many machine numbers a record tells of."""
         return (
             rows_that_fit(self.max_value_bytes, FRAME, MACHINE_ROW + self.longest_zone_name, GROUP_MACHINES)
             if self.splits_records
@@ -100,6 +102,7 @@
         return group_key(group, offset // size * size)
 
     def fleet_span(self, key: str) -> tuple[int, int]:
+        """The machine numbers of a record: from, up to."""
         low, group = first_machine(key)
         return low, min(low + self.machines_per_part, group + GROUP_MACHINES)
 
--- a/oatport/control/storage/schema_version.py
+++ b/oatport/control/storage/schema_version.py
@@ -1,8 +1,8 @@
 """What this version reads of what is stored, and when all nodes read that: only then is it written.
 
-An earlier version answers the question with 400, and a node that is down or cut off with nothing: both mean that it
+An earlier version answers the question with 400, and a node that is down or partitioned with nothing: both mean that it
 may read the old formats alone. Each node is asked twice, and must be the same process both times. That all read a
-format is recorded (`formats`), conditioned on the lead and on nobody having recorded it, and is never taken back.
+format is recorded (`formats`), conditioned on the leadership and on nobody having recorded it, and is never undone.
 """
 
 from __future__ import annotations
@@ -42,4 +42,5 @@
         return opens
 
     def record(self) -> dict[str, Any]:
+        """The value of the record, once the gate is open."""
         return {"reads": SCHEMA_VERSION, "boots": self._before}
--- a/oatport/peer_messages.py
+++ b/oatport/peer_messages.py
@@ -336,7 +336,7 @@
         _, token, rows = message
         if type(token) is not int:
             raise ValueError("not a token")
-        return cls(token, completions.parse(rows))
+        return cls(token, completions.decode_completions(rows))
 
 
 class CompletionsRequest(PeerMessage, frozen=True, tag="ended"):
@@ -360,4 +360,4 @@
     @classmethod
     def decode(cls, message: PeerArray) -> CompletionsReply:
         """["ended", [[job, task, attempt], ...] or None]; further elements are ignored."""
-        return cls(None if message[1] is None else completions.parse(message[1]))
+        return cls(None if message[1] is None else completions.decode_completions(message[1]))
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -11,8 +11,8 @@
 from oatport.api.job_api import JobApi
 from oatport.clients.http import NoResponseError
 from oatport.control.state.cancellations import (
-    ANSWERED_WITHIN,
     MARGIN,
+    MAX_RESPONSE_TIME,
     SLACK,
     CancellationLog,
     ConfirmedCancellations,
@@ -63,7 +63,7 @@
     """The question was under way for a while, and the node's clock ran faster than the asker's."""
     mine, age = told(), 40 * SECOND
     mine.record("j-1", 100 * SECOND)
-    latest = 100 * SECOND + age + age // 2000 + ANSWERED_WITHIN  # told just after the moment asked for
+    latest = 100 * SECOND + age + age // 2000 + MAX_RESPONSE_TIME  # told just after the moment asked for
     assert mine.confirmed_within(latest, age).job_ids == ["j-1"]
     assert mine.confirmed_within(100 * SECOND + age + age // 500 + SLACK, age).job_ids == []
 
@@ -95,7 +95,7 @@
         since, asked, answered
     )  # a fast clock could make up for it
     assert not ConfirmedCancellations([], 10 * whole).covers(
-        since, asked, asked + ANSWERED_WITHIN + 1
+        since, asked, asked + MAX_RESPONSE_TIME + 1
     )  # how long was it on its way?
 
 
--- a/tests/test_task_locations.py
+++ b/tests/test_task_locations.py
@@ -11,7 +11,7 @@
 from oatport import wire
 from oatport.clients.http import NoResponseError, RequestNotSentError
 from oatport.clients.peer import UnexpectedReplyError
-from oatport.control.state.completions import LEADS_MOST, ROWS_MOST, CompletionLog, parse
+from oatport.control.state.completions import MAX_COMPLETIONS, MAX_LEADERS, CompletionLog, decode_completions
 from oatport.control.state.task import TaskPhase
 from oatport.control.storage.keys import blocked_key, job_key, live_key
 from oatport.control.storage.write_batch import WriteBatch
@@ -229,21 +229,21 @@
 def test_a_node_keeps_what_the_newest_leaders_told() -> None:
     ends = CompletionLog()
     assert ends.before_token(100) is None
-    for token in range(1, LEADS_MOST + 3):
+    for token in range(1, MAX_LEADERS + 3):
         ends.add(token, [(f"j-{token:06d}", 0, 1)])
     assert ends.before_token(3) is None
     assert ends.before_token(4) == [("j-000003", 0, 1)]
-    assert len(ends.before_token(100) or []) == LEADS_MOST
-    ends.add(LEADS_MOST + 2, [("j-000099", 0, 1)])
+    assert len(ends.before_token(100) or []) == MAX_LEADERS
+    ends.add(MAX_LEADERS + 2, [("j-000099", 0, 1)])
     assert (ends.before_token(100) or [])[:2] == [
         ("j-000099", 0, 1),
-        (f"j-{LEADS_MOST + 2:06d}", 0, 1),
+        (f"j-{MAX_LEADERS + 2:06d}", 0, 1),
     ]  # the newest first
-    for number in range(2 * ROWS_MOST):
+    for number in range(2 * MAX_COMPLETIONS):
         ends.add(99, [("j-000001", number, 1)])
     found = ends.before_token(100) or []
-    assert len(found) == ROWS_MOST
-    assert found[0] == ("j-000001", 2 * ROWS_MOST - 1, 1)
+    assert len(found) == MAX_COMPLETIONS
+    assert found[0] == ("j-000001", 2 * MAX_COMPLETIONS - 1, 1)
 
 
 @pytest.mark.parametrize(
@@ -262,7 +262,7 @@
 )
 def test_what_are_no_ends_proves_nothing(rows: Any) -> None:
     with pytest.raises((ValueError, TypeError)):
-        parse(rows)
+        decode_completions(rows)
 
 
 class Peer:
