--- a/oatport/simulation/fault_interactions.py
+++ b/oatport/simulation/fault_interactions.py
@@ -1,6 +1,6 @@
 """Plans in which two faults interact, their times drawn around the edges: leases, `cancel_s`, takeovers, handovers.
 
-Each function is one of the interactions of docs/meetings.md.
+Each function is one of the interactions of docs/fault-interactions.md.
 """
 
 from __future__ import annotations
--- a/oatport/simulation/runner.py
+++ b/oatport/simulation/runner.py
@@ -129,7 +129,7 @@
 
 
 def _figures(request: RunRequest, results: list[RunResult], wall_s: float) -> dict[str, Any]:
-    """Sums and extremes over all runs; docs/rehearsal.md says what each figure means."""
+    """Sums and extremes over all runs; docs/simulation.md says what each figure means."""
     total: Counter[str] = Counter()
     for result in results:
         total.update(result.counts)
--- a/tests/test_fault_interactions.py
+++ b/tests/test_fault_interactions.py
@@ -1,4 +1,4 @@
-"""The users' meetings of troubles on real nodes (docs/meetings.md), and that the checker would notice."""
+"""The users' meetings of troubles on real nodes (docs/fault-interactions.md), and that the checker would notice."""
 
 from __future__ import annotations
 
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -419,7 +419,7 @@
 
 
 def test_a_disabled_failure_confirmation_is_caught() -> None:
-    """Machines that are only cut off are taken to be gone. docs/rehearsal.md lists all safety checks."""
+    """Machines that are only cut off are taken to be gone. docs/simulation.md lists all safety checks."""
     assert set(MUTATIONS) == set(NAMES)
     plan = Plan((Fault("machine_cut", 10.0, 30.0, count=8),), 24.0, 3, 20, 40.0)
     asked = RunRequest(plan=plan, disabled_check="failure-confirmation")
