--- a/oatport/control/leadership/failure_detection.py
+++ b/oatport/control/leadership/failure_detection.py
@@ -39,14 +39,14 @@
         if not machine.releasing and (machine.ready_at or machine.was_ready):
             zones.setdefault(machine.zone, []).append(machine)
     quiet = {zone: silent_machines(there, now, silent_us // 2) for zone, there in zones.items()}
-    dark = [zone for zone, there in zones.items() if len(quiet[zone]) == len(there) >= MIN_PARTITION_MACHINES]
-    others = [zone for zone in zones if zone not in dark]
+    silent_zones = [zone for zone, there in zones.items() if len(quiet[zone]) == len(there) >= MIN_PARTITION_MACHINES]
+    others = [zone for zone in zones if zone not in silent_zones]
     if not others or any(len(quiet[zone]) * 2 > len(zones[zone]) for zone in others):
         return []
-    return [machine for zone in dark for machine in quiet[zone]]
+    return [machine for zone in silent_zones for machine in quiet[zone]]
 
 
 def is_isolated(silent_count: int, machines: list[Machine]) -> bool:
-    """Many silent at once: it is rather I who am cut off."""
+    """Many are silent at once: rather this node is cut off."""
     up = sum(1 for m in machines if m.ready_at or m.was_ready)
     return silent_count >= 3 and silent_count * 3 >= up
--- a/oatport/control/state/cluster_state.py
+++ b/oatport/control/state/cluster_state.py
@@ -78,14 +78,7 @@
         self.planning_needed = True
 
         self.objectives = ServiceObjectives(settings.objectives)
-        self.router = TierRouter(
-            predictor,
-            tuning.us("spot_threshold_s"),
-            tuning.slack_factor,
-            tuning.threshold_percentile,
-            tail_factor=tuning.tail_factor,
-        )
-        self.router.start_objectives = self.objectives.start_within
+        self.router = self._make_router()
         self.quotas = TeamQuotas(settings.teams)
         self.job_statistics = JobStatistics()
         self.catalog = MachineTypeCatalog(types)
@@ -102,6 +95,17 @@
         self.heartbeats = HeartbeatReceiver(self)
         self.commands = MachineCommands(self)
 
+    def _make_router(self) -> TierRouter:
+        router = TierRouter(
+            self.predictor,
+            self.tuning.us("spot_threshold_s"),
+            self.tuning.slack_factor,
+            self.tuning.threshold_percentile,
+            tail_factor=self.tuning.tail_factor,
+        )
+        router.start_objectives = self.objectives.start_within
+        return router
+
     def idle_timeout(self, machine: Machine) -> int:
         """How long an idle machine is kept; those with GPUs are few, and longer in coming back.
 
@@ -193,10 +197,7 @@
     def on_process_pause(self, gap: int, now: int) -> None:
         """This process did not run for a while: nobody was silent or idle for it meanwhile."""
         for machine in self.machines.values():
-            for name in ("last_heartbeat_at", "known_since", "idle_since", "gpus_idle_since"):
-                at = getattr(machine, name)
-                if at:
-                    setattr(machine, name, min(at + gap, now))
+            machine.on_process_pause(gap, now)
         for job in self.pending:
             if job.unplaced_since:
                 job.unplaced_since += gap
--- a/oatport/control/state/machine.py
+++ b/oatport/control/state/machine.py
@@ -121,6 +121,13 @@
             return self.fencing_token != token and not self.tasks  # ready, and about to receive our token
         return not self.was_ready and now - self.rented_at < 2 * micros(self.type.boot_time_s) + 5 * SECOND
 
+    def on_process_pause(self, gap: int, now: int) -> None:
+        """This leader's process did not run for `gap`: the machine was neither silent nor idle for that long."""
+        self.last_heartbeat_at = _moved_on(self.last_heartbeat_at, gap, now)
+        self.known_since = _moved_on(self.known_since, gap, now)
+        self.idle_since = _moved_on(self.idle_since, gap, now)
+        self.gpus_idle_since = _moved_on(self.gpus_idle_since, gap, now)
+
     def reserve(self, cpus: float, gpus: float, memory: float) -> None:
         """An attempt takes so much from now on."""
         self.free_cpus -= cpus
@@ -154,3 +161,8 @@
     def price(self) -> float:
         """What it costs an hour."""
         return self.type.spot_price if self.spot else self.type.price
+
+
+def _moved_on(at: int, gap: int, now: int) -> int:
+    """A moment (0: never) moved on by a pause, not beyond now."""
+    return min(at + gap, now) if at else at
--- a/oatport/control/state/utilization.py
+++ b/oatport/control/state/utilization.py
@@ -40,22 +40,22 @@
         """Add up what the time since the last call cost, by what machines did, and count them."""
         since = self.accounted_at
         hours = (now - since) / (3600 * SECOND) if since else 0.0
-        tally = FleetUtilization()
+        counted = FleetUtilization()
         for job in self.cluster.pending:
-            tally.pending_tasks[job.tier or "?"] = tally.pending_tasks.get(job.tier or "?", 0) + job.pending
+            counted.pending_tasks[job.tier or "?"] = counted.pending_tasks.get(job.tier or "?", 0) + job.pending
         for machine in self.cluster.machines.values():
             kind, money = machine.type, machine.price * hours
             if not machine.ready_at:
-                tally.not_ready += 1
+                counted.not_ready += 1
                 self.cost_by_use["boot"] += money
                 continue
-            tally.ready += 1
-            tally.cpus += kind.cpus
+            counted.ready += 1
+            counted.cpus += kind.cpus
             if machine.spot:
-                tally.ready_spot += 1
-                tally.free_spot += machine.free_cpus
+                counted.ready_spot += 1
+                counted.free_spot += machine.free_cpus
             else:
-                tally.free_owned += machine.free_cpus
+                counted.free_owned += machine.free_cpus
             running = fetching = 0.0
             for task in machine.tasks:
                 spec = task.job.spec
@@ -68,5 +68,5 @@
             self.cost_by_use["fetch"] += money * fetching
             idle = "idle gpu" if kind.gpus else "idle spot" if machine.spot else "idle owned"
             self.cost_by_use[idle] += money * max(1.0 - running - fetching, 0.0)
-        self.utilization = tally
+        self.utilization = counted
         self.accounted_at = now
--- a/oatport/control/storage/overflow_records.py
+++ b/oatport/control/storage/overflow_records.py
@@ -37,9 +37,9 @@
 
     `more` in the record then tells how many parts there are, and of which lists.
     """
-    room = limit - HEAD_FRAME - 64
+    available_bytes = limit - HEAD_FRAME - 64
     names = [name for name in LONG_LISTS if value["job"].get(name)]
-    if json_size(value) <= room or not names:
+    if json_size(value) <= available_bytes or not names:
         return value, []
     parts: list[Any] = []
     for name in names:
