--- a/oatport/api/heartbeat_api.py
+++ b/oatport/api/heartbeat_api.py
@@ -14,7 +14,7 @@
     node_name: str
 
     def answer_heartbeat(self, heartbeat: wire.Heartbeat) -> dict[str, Any] | None:
-        """The answer, or None if this node is not entitled to give one."""
+        """The answer, or None if this node may not renew leases now."""
 
     def leader_name(self) -> str | None:
         """The node that the worker is sent to; None if none is known."""
--- a/oatport/clients/cloud.py
+++ b/oatport/clients/cloud.py
@@ -62,7 +62,7 @@
         """
         await self._rate_limit.acquire()
         if not self._may_act():
-            raise RequestNotSentError("not entitled any more")
+            raise RequestNotSentError("the leader lease is not held any more")
 
     async def _call(self, method: str, path: str, body: Any = None, *, query: str = "") -> Any:
         status, value = await self._http.request(method, path, body, query=query, timeout_us=TIMEOUT)
--- a/oatport/control/leadership/failure_detection.py
+++ b/oatport/control/leadership/failure_detection.py
@@ -8,7 +8,7 @@
 
 
 def silent_machines(machines: list[Machine], now: int, silent_us: int) -> list[Machine]:
-    """Machines that were up and have not been heard of for a while."""
+    """Machines that were up and from which nothing was received for a while."""
     return [
         m
         for m in machines
@@ -17,7 +17,7 @@
 
 
 def all_silent_machines(machines: list[Machine], now: int, report_us: int, began: int) -> list[Machine]:
-    """All machines, if none of several was heard for longer than the time between two reports of any of them.
+    """All machines, if nothing was received from any of several for longer than between two reports of any of them.
 
     With many machines that takes a moment to see: a leader cut off from workers need not wait as long as for one.
     One that has just begun asks them all at once.
@@ -29,7 +29,7 @@
 
 
 def partition_suspects(machines: list[Machine], now: int, silent_us: int) -> list[Machine]:
-    """Machines of zones that went silent as a whole, while most of the others are heard.
+    """Machines of zones that went silent as a whole, while most of the others send heartbeats.
 
     Half the time is enough for them: machines fail one by one, but a cut takes a zone at once. That
     it is not this node that is cut off is for the others to confirm.
--- a/oatport/control/leadership/zone_partition.py
+++ b/oatport/control/leadership/zone_partition.py
@@ -1,6 +1,6 @@
 """Partitioned zones: which of their machines to release, and when.
 
-A machine behind a partition can only be taken back through the cloud: a release proves its tasks gone, so that they
+A machine behind a partition can only be reclaimed through the cloud: a release proves its tasks gone, so that they
 can run elsewhere. But until then they go on (PROTOCOL, "Outages and cuts"): for about as long as an outage may last if
 a node in the zone is a lease proxy for their workers (`control/leadership/lease_proxy.py`), for one lease if none is.
 So nothing is won by releasing machines at once, and much is lost if the partition ends soon: what they run, their
--- a/oatport/control/limits/rate_limiter.py
+++ b/oatport/control/limits/rate_limiter.py
@@ -1,7 +1,7 @@
 """An adaptive token bucket: how many changes a second a node asks of the state service for users' submissions.
 
 The limit is one for all nodes and for the leader's bindings, and no node knows what the others use. Each begins with
-its share, goes up slowly while more is asked for, and back to its share when it is throttled. Not below: a swarm of
+its share, goes up slowly while more is asked for, and back to its share when it is throttled. Not below: a burst of
 best-effort jobs, whose bindings the leader writes, once had every node at a tenth, and other teams' jobs were sent
 away. Who finds nothing available is told when to retry: each one a little later than the one before, so that they
 don't all come back at once.
--- a/oatport/control/state/task_lifecycle.py
+++ b/oatport/control/state/task_lifecycle.py
@@ -191,7 +191,7 @@
         """A task is completed. `measured`: its run time was seen, and may be learned from."""
         job = task.job
         machine = task.machine
-        # What an earlier leader started seems to run only since this one first heard of it.
+        # What an earlier leader started seems to run only since this one first learnt of it.
         if (
             measured
             and task.binding_at
--- a/oatport/control/storage/recovery.py
+++ b/oatport/control/storage/recovery.py
@@ -139,7 +139,7 @@
             self._load_live_record(key, value, version)
 
     def _load_partitioned_zones(self, value: Any) -> None:
-        """What an earlier leader found out holds until one of the zone's machines is heard."""
+        """What an earlier leader found out holds until one of the zone's machines sends a heartbeat."""
         record, zones = decode_partitioned_zones(value), self.cluster.zones
         zones.partitioned = {zone: self.now - max(0, self.wall - since) for zone, since in record.zones.items()}
         zones.lease_proxied = set(record.lease_proxied or ()) & zones.partitioned.keys()
--- a/oatport/control/storage/write_batch.py
+++ b/oatport/control/storage/write_batch.py
@@ -156,7 +156,7 @@
                 return
 
     def _add_record(self, key: str) -> bool:
-        """False: there is no room for it with what must come along; it stays to be written."""
+        """False: the batch cannot hold it with what must come along; it stays to be written."""
         batch = self.batch
         ahead = [k for k in self._prerequisite_keys(key) if k not in batch.sets]
         replaced = sum(self._replaces_blocked_record(k) for k in (key, *ahead))
--- a/oatport/service/dependency_controller.py
+++ b/oatport/service/dependency_controller.py
@@ -12,7 +12,7 @@
 
 INTERVAL_S = 0.2
 READ_INTERVAL_S = INTERVAL_S / 4  # between requests of one round
-REREAD_INTERVAL_S = 1.0  # until a dependency that is not over is looked at again, if nothing was heard of it
+REREAD_INTERVAL_S = 1.0  # until a dependency that is not over is looked at again, if nothing was received about it
 RETRY_INTERVAL = SECOND
 
 
--- a/oatport/service/group_commit.py
+++ b/oatport/service/group_commit.py
@@ -46,7 +46,7 @@
     def charge_acceptance(self) -> None:
         """A job was accepted: what nodes wrote for it is off the same budget.
 
-        But a swarm makes no debt that bindings wait for.
+        But a burst of small jobs makes no debt that bindings wait for.
         """
         if self._budget.available() > 0:
             self._budget.reserve(ACCEPT_KEYS)
--- a/oatport/service/leader.py
+++ b/oatport/service/leader.py
@@ -231,7 +231,7 @@
             self.wake()
 
     def answer_heartbeat(self, report: wire.Heartbeat) -> dict[str, Any] | None:
-        """The answer to a worker's report; None if this leader is not entitled to give one."""
+        """The answer to a worker's report; None if this leader may not renew leases now."""
         return self.heartbeats.answer(report)
 
     def receive_heartbeat(self, report: wire.Heartbeat, now: int) -> Machine | None:
--- a/oatport/service/node.py
+++ b/oatport/service/node.py
@@ -220,7 +220,7 @@
     # --- heartbeats -------------------------------------------------------------------------
 
     def answer_heartbeat(self, report: wire.Heartbeat) -> dict[str, Any] | None:
-        """The answer, or None if this node is not entitled to give one."""
+        """The answer, or None if this node may not renew leases now."""
         if self.leader is not None:
             return self.leader.answer_heartbeat(report)
         if not self.lease_proxy.may_answer(report):
