--- a/tests/test_limits_properties.py
+++ b/tests/test_limits_properties.py
@@ -33,7 +33,9 @@
         self.unsure: WriteBatch | None = None
         self.ends: list[Completion] = []  # as told to the other nodes
         self.known: set[str] = set()  # tasks whose end a leader took in, and told or wrote
-        self.untold: set[str] = set()  # of these, what the last leader neither wrote nor told the next one
+        self.untold: set[str] = (
+            set()
+        )  # of these, what a leader neither wrote nor told the next one, nor a machine since
         self.led_since = 0
         self.broken: list[str] = []
         self.results: set[str] = set()  # tasks that completed, wherever
@@ -71,7 +73,8 @@
             ]
             if other is not worker and held:
                 self.broken.append(f"{task} attempt {attempt} starts on {worker.name}, and is on {other.name}")
-        if task in self.known and task.rsplit("/", 1)[0] not in self.cancelled:
+        is_known = task in self.known and not self._lost_with_a_lease(task)
+        if is_known and task.rsplit("/", 1)[0] not in self.cancelled:
             self.broken.append(f"{task} attempt {attempt} starts on {worker.name} though its end is known")
 
     # --- users ------------------------------------------------------------------------------
@@ -202,17 +205,17 @@
         ends = self.world.cluster.completions.to_replicate()
         self.world.fail_over()
         self.world.cluster.now = self.led_since = self.world.now
-        self.untold = set()
+        names = {f"{ref}/{index}" for ref, index, _ in ends}
         if heard:
             self.world.cluster.completions.apply(ends)
+            self.untold -= names
         else:  # only their machines tell of them, if they still can
             self.world.cluster.completions.earlier_may_be_lost = True
-            self.untold = {f"{ref}/{index}" for ref, index, _ in ends}
-            self._forget_results_lost_with_a_lease()
+            self.untold |= names
 
-    def _forget_results_lost_with_a_lease(self) -> None:
-        lost = {task for worker in self.everybody for task, why in worker.lost_completions.items() if why == "lease"}
-        self.known -= lost & self.untold
+    def _lost_with_a_lease(self, task: str) -> bool:
+        """No leader knows of its end any more, and the machine that could tell lost the result with its lease."""
+        return task in self.untold and any(worker.lost_completions.get(task) == "lease" for worker in self.everybody)
 
     @rule()
     def change_of_leader_before_the_commit(self) -> None:
@@ -263,7 +266,9 @@
     reports_3 = rule()(_reports)
 
     def _learn(self) -> None:
-        self.known |= {f"{job.job_id}/{index}" for job in self.world.cluster.jobs.values() for index in job.completed}
+        completed = {f"{job.job_id}/{index}" for job in self.world.cluster.jobs.values() for index in job.completed}
+        self.known |= completed
+        self.untold -= completed
 
     @precondition(lambda self: self.reports)
     @rule(pick=st.integers(0, 30))
@@ -302,8 +307,7 @@
         if cluster.completions.may_report_unknown(machine, self.world.now, self.led_since + cluster.lease_us):
             return
         for worker in self.world.workers.values():
-            worker.advance()
-        self._forget_results_lost_with_a_lease()
+            worker.advance()  # a lease that ran out by now takes its results along
         self._gone(machine.name)
 
     def _gone(self, name: str) -> None:
@@ -347,6 +351,20 @@
     deployment.no_rule_breaks()
 
 
+def test_a_result_that_is_lost_with_a_lease_and_was_told_to_no_leader_runs_again() -> None:
+    """Found by the properties: it counted as known, though its leader and then its machine's lease were gone."""
+    deployment = Deployment()
+    deployment.begin()
+    for _ in range(11):
+        deployment._reports()
+    deployment.change_of_leader_before_the_commit()
+    deployment.lease_ends(1)
+    assert any(deployment._lost_with_a_lease(task) for task in deployment.untold)
+    deployment._reports()
+    deployment._usual()
+    deployment.no_rule_breaks()
+
+
 TestDeployment = Deployment.TestCase
 TestDeployment.settings = settings(
     max_examples=200,
