--- a/oatport/control/state/machine.py
+++ b/oatport/control/state/machine.py
@@ -129,15 +129,11 @@
         self.gpus_idle_since = _moved_on(self.gpus_idle_since, gap, now)
 
     def reserve(self, cpus: float, gpus: float, memory: float) -> None:
-        """An attempt takes so much from now on."""
+        """An attempt takes so much from now on; less than 0: no longer."""
         self.free_cpus -= cpus
         self.free_gpus -= gpus
         self.free_memory_gb -= memory
 
-    def unreserve(self, cpus: float, gpus: float, memory: float) -> None:
-        """An attempt takes so much no longer."""
-        self.reserve(-cpus, -gpus, -memory)
-
     def is_confirmed(self, token: int) -> bool:
         """Its newest heartbeat is under our token: what that does not list is not there."""
         return self.ready_at > 0 and self.fencing_token == token
