--- a/oatport/control/__init__.py
+++ b/oatport/control/__init__.py
@@ -1,1 +1,1 @@
-"""Pure decisions: no I/O and no clock; events and the time are handed in."""
+"""Contains the pure decision logic: no I/O and no clock, since callers pass in events and the time."""
--- a/oatport/control/placement/__init__.py
+++ b/oatport/control/placement/__init__.py
@@ -1,2 +1,2 @@
-"""Which machine a task gets: feasibility filters, scores, gang scheduling, preemption, retries and
+"""Chooses the machine for each task: feasibility filters, scoring, gang scheduling, preemption, retries and
 failure attribution."""
--- a/oatport/control/placement/candidate_search.py
+++ b/oatport/control/placement/candidate_search.py
@@ -1,4 +1,4 @@
-"""The best machine for a task: rankings of candidates that are shared by equivalent jobs during one planning pass."""
+"""Finds the best machine for a task, with candidate rankings that equivalent jobs share during one planning pass."""
 
 from __future__ import annotations
 
@@ -21,44 +21,47 @@
         self._cluster = cluster
         self._feasibility = feasibility
         self._scorer = scorer
-        self.bound: list[Machine] = []  # machines on which tasks were bound in this pass, in order
-        self.gpus_available = False  # who may use machines with GPUs depends on the run time
+        self.bound_machines: list[Machine] = []  # machines on which tasks were bound in this pass, in order
+        # Whether any machine has GPUs: only then does the predicted run time decide which machines a job may use.
+        self.gpus_available = False
         self._rankings: dict[tuple[object, ...], CandidateRanking] = {}
 
     def start_pass(self, machines: list[Machine]) -> None:
-        """Forget the rankings of the last pass."""
+        """Discards the rankings of the last pass."""
         self.gpus_available = any(m.type.gpus > 0 for m in machines)
         self._rankings.clear()
-        self.bound.clear()
+        self.bound_machines.clear()
 
     def exclude(self, machines: Iterable[Machine]) -> None:
-        """These are kept for a job: nobody else takes them any more in this pass."""
+        """Removes machines that are reserved for a job from all rankings, for the rest of the pass."""
         for ranking in self._rankings.values():
             ranking.exclude(machines)
 
     def best(self, job: Job, machines: list[Machine]) -> Machine | None:
-        """The machine with the best score that the next task of the job may go to."""
+        """Returns the machine with the best score for the next task of the job; None if no machine is feasible."""
         spec = job.spec
         ranking = self._ranking(job, machines)
-        errors = job.error_machines if len(machines) > len(job.error_machines) else ()
+        error_machines = job.error_machines if len(machines) > len(job.error_machines) else ()
         limit = max_tasks_per_zone(spec)
         best: Candidate | None = None
         for zone in ranking.zones:
-            there = job.tasks_by_zone.get(zone, 0)
-            if (spec.spread and there >= limit) or (spec.single_zone and job.tasks_by_zone and not there):
+            tasks_in_zone = job.tasks_by_zone.get(zone, 0)
+            if (spec.spread and tasks_in_zone >= limit) or (
+                spec.single_zone and job.tasks_by_zone and not tasks_in_zone
+            ):
                 continue
-            candidate = ranking.best(zone, errors)
+            candidate = ranking.best(zone, error_machines)
             if candidate is None:
                 continue
             score, position, machine = candidate
             if job.kind is JobKind.SERVICE:
-                score = with_zone_balance(score, there)
+                score = with_zone_balance(score, tasks_in_zone)
             if best is None or (score, position) < best[:2]:
                 best = score, position, machine
         return best[2] if best else None
 
     def _ranking(self, job: Job, machines: list[Machine]) -> CandidateRanking:
-        """The candidates for a task of the job now, shared by all jobs that look for the same."""
+        """Returns the up-to-date ranking for a task of the job, shared by all equivalent jobs."""
         start_within = self._scorer.start_objective(job)
         key = self._equivalence_key(job, start_within)
         ranking = self._rankings.get(key)
@@ -67,13 +70,13 @@
                 machines,
                 self._feasibility.predicate(job),
                 lambda machine: self._scorer.score(job, machine, start_within),
-                len(self.bound),
+                len(self.bound_machines),
             )
-        ranking.catch_up(self.bound)
+        ranking.update_for_bindings(self.bound_machines)
         return ranking
 
     def _equivalence_key(self, job: Job, start_within: int | None) -> tuple[object, ...]:
-        """Jobs with the same key have the same candidates with the same scores."""
+        """Returns the key of the job's ranking: jobs with the same key have the same candidates and scores."""
         spec, cluster = job.spec, self._cluster
         keeps_headroom = job.kind is JobKind.SERVICE and spec.task_count >= cluster.tuning.mate_room_tasks
         runtime_bucket = cluster.predictor.run_time(job.job_id, spec) // RUNTIME_BUCKET if self.gpus_available else 0
--- a/oatport/control/placement/feasibility.py
+++ b/oatport/control/placement/feasibility.py
@@ -1,4 +1,4 @@
-"""Which machines a task may go to: the filters that come before the scores."""
+"""Filters the machines that a task may run on, before the remaining ones are scored."""
 
 from __future__ import annotations
 
@@ -12,7 +12,10 @@
 
 
 def machine_allowed(job: Job, machine: Machine) -> bool:
-    """Type, zone and kind of machine, given the job's other tasks at this moment (rule `wrong_place`)."""
+    """Returns whether the machine's type, zone and tier are allowed for the job's next task.
+
+    The zones of the job's other tasks at this moment count too. This is the rule `wrong_place`.
+    """
     spec = job.spec
     if machine.spot and not spec.spot:
         return False
@@ -26,21 +29,25 @@
 
 
 class FeasibilityFilter:
-    """Filters machines by capacity, type, zone and what they are kept for."""
+    """Filters machines by capacity, type, zone and the work that they are reserved for."""
 
     def __init__(self, cluster: ClusterState) -> None:
         self._cluster = cluster
 
     def predicate(self, job: Job) -> Callable[[Machine], bool]:
-        """May a machine take a task of the job now, the zones of its other tasks and its errors apart?"""
+        """Returns a predicate for the machines that can take a task of the job now.
+
+        The predicate ignores the zones of the job's other tasks and the machines on which the job has failed.
+        """
         spec, cluster = job.spec, self._cluster
-        # Replicas stay for long, and arrays follow one another: either way the machines would be kept from those who
-        # need the GPUs, or kept at their price for work that any machine can do.
+        # Replicas run for a long time, and arrays follow one another. Either would block machines with GPUs for the
+        # jobs that need them, or keep expensive machines rented for work that any machine can do.
         avoids_gpus = self.avoids_gpus(job)
         may_use_spot = spec.spot and cluster.may_use_free_spot(job)
-        # Best-effort tasks use what replicas leave on owned machines; an owned machine of its own would be kept for
-        # them, at two to three times the price of the spot machines that they may use.
-        beside_replicas = job.priority_rank == IDLE_RANK and spec.spot and not spec.gpus and job.tier == SPOT
+        # Best-effort tasks use the capacity that replicas leave free on owned machines. An owned machine without
+        # replicas would stay rented for them alone, at two to three times the price of the spot machines that they
+        # may use.
+        only_beside_replicas = job.priority_rank == IDLE_RANK and spec.spot and not spec.gpus and job.tier == SPOT
 
         def is_feasible(machine: Machine) -> bool:
             return (
@@ -49,17 +56,22 @@
                 and (spec.machine_types is None or machine.type.name in spec.machine_types)
                 and (spec.zone is None or machine.zone == spec.zone)
                 and not (avoids_gpus and machine.type.gpus > 0 and not cluster.may_backfill(job, machine, cluster.now))
-                and not (beside_replicas and not machine.spot and machine.service_cpus <= 0)
+                and not (only_beside_replicas and not machine.spot and machine.service_cpus <= 0)
             )
 
         return is_feasible
 
     def feasible_machines(self, job: Job, machines: list[Machine]) -> list[Machine]:
-        """The machines that may take a task of the job now."""
+        """Returns the machines that can take a task of the job now.
+
+        Machines on which the job has failed are left out, unless it has failed on as many machines as there are.
+        """
         is_feasible = self.predicate(job)
-        errors = job.error_machines if len(machines) > len(job.error_machines) else ()
-        return [m for m in machines if is_feasible(m) and machine_allowed(job, m) and m.name not in errors]
+        error_machines = job.error_machines if len(machines) > len(job.error_machines) else ()
+        return [m for m in machines if is_feasible(m) and machine_allowed(job, m) and m.name not in error_machines]
 
     def avoids_gpus(self, job: Job) -> bool:
-        """It needs no GPUs, and could run on a type without any."""
-        return job.spec.gpus == 0 and any(kind.gpus == 0 for kind in self._cluster.catalog.preferred_types(job))
+        """Returns whether the job needs no GPUs and could run on a machine type without any."""
+        return job.spec.gpus == 0 and any(
+            machine_type.gpus == 0 for machine_type in self._cluster.catalog.preferred_types(job)
+        )
--- a/oatport/control/placement/gang_placement.py
+++ b/oatport/control/placement/gang_placement.py
@@ -1,4 +1,4 @@
-"""Gang scheduling: all tasks of a gang are bound at once, or none."""
+"""Implements gang scheduling: either all tasks of a gang are bound in one commit, or none."""
 
 from __future__ import annotations
 
@@ -9,47 +9,48 @@
 from oatport.control.state.job import Job
 from oatport.control.state.machine import Machine
 
-# Costs of a gang's machine that zones are compared by; a spot machine counts 1.
+# Cost terms by which zones are compared, per machine of the gang. A spot machine adds 1.
 IMAGE_FETCH_COST = 10
 SLOW_MACHINE_COST = 20
 
 
 class GangPlacer:
-    """Places whole gangs, and keeps free machines for one that will be whole as soon as others have booted."""
+    """Places whole gangs, and reserves free machines for a gang that only waits for booting machines."""
 
     def __init__(self, cluster: ClusterState, feasibility: FeasibilityFilter) -> None:
         self._cluster = cluster
         self._feasibility = feasibility
-        self._booting: list[Machine] | None = None  # in this pass, less those that a gang counts on
+        # Booting machines of this pass that no gang has claimed; None until the first gang needs them.
+        self._booting: list[Machine] | None = None
 
     def start_pass(self) -> None:
-        """Look at booting machines anew, once a gang asks for them."""
+        """Discards the booting machines of the last pass; the first gang that needs them collects them again."""
         self._booting = None
 
     def place(self, job: Job, machines: list[Machine], now: int) -> list[Machine]:
-        """Bind all tasks, in one commit; returns each task's machine, none if the gang can't be whole.
+        """Binds all tasks in one commit; returns each task's machine, or an empty list if not all tasks can be placed.
 
-        Only when nothing of an earlier attempt is left anywhere.
+        A gang is placed only once no task of an earlier attempt is left on any machine.
         """
         if job.on_machines or job.pending + len(job.completed) < job.spec.task_count:
             return []
         if self._cluster.quotas.remaining_tasks(job.spec) < job.pending:
             return []
-        chosen = self._cheapest_zone(job, machines)
+        chosen = self._machines_in_cheapest_zone(job, machines)
         if chosen:
             job.gang_attempt = max([job.gang_attempt, *(t.attempt for t in job.tasks.values())]) + 1
         for machine in chosen:
             self._cluster.tasks.begin_binding(job, machine, now, attempt=job.gang_attempt)
         return chosen
 
-    def _cheapest_zone(self, job: Job, machines: list[Machine]) -> list[Machine]:
-        """A machine for each task, where the gang starts soonest; empty if it can't be whole anywhere."""
+    def _machines_in_cheapest_zone(self, job: Job, machines: list[Machine]) -> list[Machine]:
+        """Returns a machine for each task in the zone where the gang starts soonest; empty if it fits in no zone."""
         spec, needed = job.spec, job.pending
         zones = {m.zone for m in machines} if spec.single_zone else {None}
         best: list[Machine] = []
         best_cost = 0.0
         for zone in sorted(zones, key=str):
-            chosen = self._whole_gang(job, [m for m in machines if zone in (None, m.zone)], needed)
+            chosen = self._machines_for_tasks(job, [m for m in machines if zone in (None, m.zone)], needed)
             if not chosen:
                 continue
             cost = (
@@ -65,12 +66,12 @@
                 best, best_cost = chosen, cost
         return best
 
-    def _whole_gang(self, job: Job, machines: list[Machine], needed: int) -> list[Machine]:
-        """A machine for each task, those with several slots repeated; empty if there aren't enough."""
+    def _machines_for_tasks(self, job: Job, machines: list[Machine], needed: int) -> list[Machine]:
+        """Returns a machine for each task, repeated once per slot used; empty if there are too few slots."""
         spec = job.spec
         chosen: list[Machine] = []
         tasks_by_zone: dict[str, int] = {}
-        for machine in self._by_preference(job, machines):
+        for machine in self._feasible_by_preference(job, machines):
             count = min(machine.free_slots(spec), needed - len(chosen))
             if spec.spread:
                 count = min(count, max_tasks_per_zone(spec) - tasks_by_zone.get(machine.zone, 0))
@@ -81,7 +82,8 @@
                 return chosen
         return []
 
-    def _by_preference(self, job: Job, machines: list[Machine]) -> list[Machine]:
+    def _feasible_by_preference(self, job: Job, machines: list[Machine]) -> list[Machine]:
+        """Returns the feasible machines, best first: not slow, image present, owned, least free CPUs."""
         spec = job.spec
         may_use_spot = self._cluster.may_use_free_spot(job)
         return sorted(
@@ -98,28 +100,32 @@
             ),
         )
 
-    def machines_to_keep(self, job: Job, machines: list[Machine], now: int) -> set[Machine]:
-        """Free machines that a gang will have as soon as the ones that boot in the same zone are up.
+    def machines_to_reserve(self, job: Job, machines: list[Machine], now: int) -> set[Machine]:
+        """Returns the free machines to reserve for a gang that fits once the machines booting in its zone are up.
 
-        Without this, smaller jobs take them one by one, and a gang of several machines starts never.
+        Without the reservation smaller jobs take the free machines one by one, and a gang that needs several machines
+        starves.
         """
         if self._booting is None:
             token = self._cluster.fencing_token
             self._booting = [m for m in self._cluster.machines.values() if m.is_incoming(now, token)]
-        free = self._free_where_it_will_be_whole(job, machines, self._booting)
+        free = self._free_machines_in_best_zone(job, machines, self._booting)
         if not free:
             return set()
-        kept: set[Machine] = set()
+        reserved: set[Machine] = set()
         missing = job.pending
         for machine in sorted(free, key=lambda m: (m.spot, m.name)):
             if missing > 0:
-                kept.add(machine)
+                reserved.add(machine)
                 missing -= machine.free_slots(job.spec)
-        self._count_on_booting(job, missing, {m.zone for m in kept}, self._booting)
-        return kept
+        self._claim_booting_machine(job, missing, {m.zone for m in reserved}, self._booting)
+        return reserved
 
-    def _free_where_it_will_be_whole(self, job: Job, machines: list[Machine], booting: list[Machine]) -> set[Machine]:
-        """Feasible machines where most slots are free and booting ones have the others; empty if nowhere."""
+    def _free_machines_in_best_zone(self, job: Job, machines: list[Machine], booting: list[Machine]) -> set[Machine]:
+        """Returns the feasible machines of the zone with the most free slots whose booting machines have the rest.
+
+        Empty if the gang would fit in no zone.
+        """
         spec = job.spec
         best: set[Machine] = set()
         most_slots = 0
@@ -132,8 +138,8 @@
         return best
 
     @staticmethod
-    def _count_on_booting(job: Job, missing: int, zones: set[str], booting: list[Machine]) -> None:
-        """One booting machine is counted on for the gang: no later gang counts on it."""
+    def _claim_booting_machine(job: Job, missing: int, zones: set[str], booting: list[Machine]) -> None:
+        """Claims one booting machine for the gang's missing tasks, so that no later gang of the pass counts on it."""
         if missing <= 0:
             return
         for machine in booting:
--- a/oatport/control/placement/retry_policy.py
+++ b/oatport/control/placement/retry_policy.py
@@ -1,16 +1,16 @@
-"""Which lost tasks may run again: what a class of jobs allows, and what proves that an attempt never began.
+"""Decides which lost tasks may be retried: the retry policy of each class of jobs, and the proof that none began.
 
-Ordinarily a lost task is retried (`any`). A class may forbid that: `before_start`, once the attempt may have begun;
-`never`, once its start was sent at all. Such a job then ends as lost. What counts as proof that nothing began:
+By default a lost task is retried (`any`). The policy of a class may forbid a retry: `before_start` once the attempt may
+have begun, `never` once its start command was sent. Such a job then ends as lost. An attempt provably never began if:
 
-- its start was never sent: the binding was not committed, or this leader sent nothing for it;
-- the worker refused it (`full`, `in_use`, `unknown`), or a gang never became whole (`incomplete`);
-- the worker doesn't list it under the leader's own fencing token and in the agent epoch in which it was bound: an
-  executed start stays listed until a `forget`, which goes out only after its completion was recorded, and starts under
+- its start was never sent: the binding was not committed, or this leader sent no start for it;
+- the worker refused it (`full`, `in_use`, `unknown`), or its gang never became complete (`incomplete`);
+- the worker does not list it under the leader's own fencing token and in the agent epoch in which it was bound. An
+  executed start stays listed until a `forget`, which is sent only after its completion was recorded, and starts under
   an earlier token are refused from then on.
 
-Everything else may have begun: a machine that is gone, a lease that ended, an error, a stop, an earlier leader's
-binding to a worker whose epoch changed since.
+Any other attempt may have begun: its machine is gone, its lease expired, it ended with an error or was stopped, or an
+earlier leader bound it to a worker whose epoch has changed since.
 """
 
 from __future__ import annotations
@@ -35,32 +35,35 @@
 
 
 class RetryPolicy(StrEnum):
-    """When a lost task of a class may run again; the values are those of the tuning file."""
+    """Defines when a lost task of a class may be retried; the values are those of the tuning file."""
 
     ANY = "any"
     BEFORE_START = "before_start"
     NEVER = "never"
 
 
-RetryPolicies = dict[str, RetryPolicy]  # by class; classes that aren't listed are retried always
+RetryPolicies = dict[str, RetryPolicy]  # by class; tasks of classes that are not listed are always retried
 
 
 def never_sent(task: Task) -> bool:
-    """No start of this attempt was sent: its binding was not committed, or this leader has not sent it."""
+    """Returns whether no start of this attempt was sent: its binding was not committed, or this leader sent none."""
     return task.phase is not TaskPhase.BOUND or bool(task.binding_at and not task.start_epoch)
 
 
 def may_retry(policy: RetryPolicy, task: Task, unexecuted: bool) -> bool:
-    """May a task that left its machine incomplete want another? `unexecuted`: that it never began is proven."""
+    """Returns whether a task that left its machine without completing may be retried.
+
+    `unexecuted`: it is proven that the attempt never began.
+    """
     if policy is RetryPolicy.ANY or task.job.kind is JobKind.SERVICE or never_sent(task):
         return True
     return policy is RetryPolicy.BEFORE_START and unexecuted
 
 
 def load_retry_policies(path: str | Path | None) -> RetryPolicies:
-    """The section `[repeat]` of the tuning file: class = any, before_start or never.
+    """Returns the policies in the section `[repeat]` of the tuning file: class = any, before_start or never.
 
-    Raises SettingsError if a policy is none of these.
+    Raises SettingsError if a policy has any other value.
     """
     if path is None:
         return {}
--- a/oatport/control/placement/scoring.py
+++ b/oatport/control/placement/scoring.py
@@ -1,4 +1,4 @@
-"""How well a feasible machine suits a task: the scores that candidates are ranked by."""
+"""Scores feasible machines by how well they suit a task; candidates are ranked by these scores."""
 
 from __future__ import annotations
 
@@ -8,29 +8,29 @@
 from oatport.control.state.machine import Machine
 from oatport.times import SECOND
 
-Score = tuple[float, ...]  # compared part by part; the least is the best
+Score = tuple[float, ...]  # compared term by term; the lowest is the best
 
-TERMS_BEFORE_ZONE_BALANCE = 6  # terms of a score that weigh more than a job's replicas in the machine's zone
-SLOWDOWN_MAX = 1.6  # observed over predicted run time beyond which a machine is a slow one
-REPLACEMENT_START = SECOND  # within which a lost replica should run again
-CONTENDED_FREE_SHARE = 0.2  # of the CPUs of owned machines, up to which they are contended
+TERMS_BEFORE_ZONE_BALANCE = 6  # terms that take precedence over the number of replicas in the machine's zone
+SLOWDOWN_MAX = 1.6  # ratio of observed to predicted run time above which a machine counts as slow
+REPLACEMENT_START_OBJECTIVE = SECOND  # within which a lost replica should run again
+CONTENDED_FREE_SHARE = 0.2  # owned machines are contended while a smaller share of their CPUs is free
 
 
 class MachineScorer:
-    """Scores machines for the tasks of a job; `start_pass` looks at the contention of the next pass."""
+    """Scores machines for the tasks of a job; `start_pass` determines the contention for the next pass."""
 
     def __init__(self, cluster: ClusterState) -> None:
         self._cluster = cluster
         self._owned_machines_contended = False
 
     def start_pass(self, usable: list[Machine]) -> None:
-        """Look at how contended owned machines are."""
+        """Determines whether owned machines are contended in this pass."""
         self._owned_machines_contended = self._is_contended(usable)
 
     def _is_contended(self, usable: list[Machine]) -> bool:
-        """Owned machines are nearly full, or there is work beside services to use what those leave.
+        """Returns whether owned machines are nearly full, or work other than services is pending that could use them.
 
-        Only then is capacity kept: none is kept, and paid, for nothing.
+        Headroom for replacements is reserved only then. Otherwise it would be paid for without being needed.
         """
         if any(job.kind is not JobKind.SERVICE for job in self._cluster.pending):
             return True
@@ -38,7 +38,10 @@
         return sum(m.free_cpus for m in owned) < CONTENDED_FREE_SHARE * sum(m.type.cpus for m in owned)
 
     def score(self, job: Job, machine: Machine, start_within: int | None) -> Score:
-        """Free owned machines first. For services, the job's other replicas come between the terms."""
+        """Returns the machine's score for a task of the job; free owned machines come first.
+
+        For services, `with_zone_balance` inserts a term for the job's other replicas.
+        """
         spec = job.spec
         service = job.kind is JobKind.SERVICE
         return (
@@ -46,27 +49,30 @@
             machine.slowdown > SLOWDOWN_MAX and machine.slowdown_samples > 1,
             machine.type.gpus if spec.gpus == 0 else 0,
             service and start_within is not None and image_fetch_time(spec, machine) > start_within,
-            # A machine full of replicas can't take over a lost one of the same job, which would need no fetch there:
-            # capacity for one more is left to work that can be stopped for it, where there is such work.
+            # A machine full of replicas cannot take over a lost replica of the same job, though its image is already
+            # there. So capacity for one more replica is left to preemptible work, if there is such work.
             service
             and self._owned_machines_contended
             and spec.task_count >= self._cluster.tuning.mate_room_tasks
             and machine.type.cpus - machine.service_cpus < 2 * spec.cpus - 1e-9,
             spec.image not in machine.images,
-            # Otherwise replicas together, and the rest away from them: machines without replicas can be returned, and
-            # those with them, where the images are, have capacity for more.
+            # Replicas are packed together, and other work is kept away from them: machines without replicas can be
+            # returned, and machines with replicas, which hold the images, have capacity for more.
             -machine.service_cpus if service else machine.service_cpus,
-            machine.free_cpus,  # the fullest first
+            machine.free_cpus,  # the fullest machine first
         )
 
     def start_objective(self, job: Job) -> int | None:
-        """How soon the next task should run; a lost replica is missed at once."""
+        """Returns within what time the job's next task should run; None if its class has no start objective.
+
+        A lost replica must be replaced at once, whatever the objective of its class.
+        """
         index = job.next_pending()
         if job.kind is JobKind.SERVICE and index is not None and index in job.tasks and job.tasks[index].attempt > 0:
-            return REPLACEMENT_START
+            return REPLACEMENT_START_OBJECTIVE
         return self._cluster.objectives.start_within.get(job.spec.job_class)
 
 
 def with_zone_balance(score: Score, replicas_in_zone: int) -> Score:
-    """The score of a machine for a replica: replicas apart, where nothing that weighs more speaks against it."""
+    """Returns the score with a term that spreads a job's replicas over zones, unless an earlier term decides."""
     return (*score[:TERMS_BEFORE_ZONE_BALANCE], replicas_in_zone, *score[TERMS_BEFORE_ZONE_BALANCE:])
--- a/oatport/control/placement/victim_selection.py
+++ b/oatport/control/placement/victim_selection.py
@@ -1,4 +1,4 @@
-"""Which running tasks to stop so that those of a job find capacity: the least loss first."""
+"""Selects the running tasks to stop so that a job's pending tasks find capacity, those with the least loss first."""
 
 from __future__ import annotations
 
@@ -13,36 +13,36 @@
 from oatport.control.state.machine import Machine
 from oatport.control.state.task import Task, TaskPhase
 
-FETCH_WEIGHT = 4  # of a fetch by the job that preempts, against the work of victims that is lost
+FETCH_WEIGHT = 4  # weight of the preempting job's image fetch time relative to the lost work of the victims
 EPSILON = 1e-9
 
 
 @dataclass(slots=True)
 class VictimSearch:
-    """Who looks for victims: a job, how many of its tasks want capacity, and whom it may stop."""
+    """Holds the job that searches for victims, how many of its tasks need capacity, and which tasks it may stop."""
 
     job: Job
     wanted: int
-    for_guarantee: bool  # may it stop other teams' tasks of its own priority?
+    for_guarantee: bool  # the job may also stop other teams' tasks of its own priority
     now: int
 
     @property
     def first_preemptible_rank(self) -> int:
-        """The priority rank from which on tasks may be stopped."""
+        """Returns the lowest priority rank (the highest priority) whose tasks may be stopped."""
         return self.job.priority_rank if self.for_guarantee else self.job.priority_rank + 1
 
 
 @dataclass(slots=True)
 class PreemptionOption:
-    """Tasks of a machine whose capacity suffices for at least one of the job's."""
+    """Holds tasks of one machine whose capacity suffices for at least one task of the job."""
 
-    loss: int  # microseconds of work and of waiting
+    loss: int  # microseconds of lost work and, weighted, of the image fetch
     machine: Machine
     victims: list[Task]
 
 
 class FreedCapacity:
-    """What is free on a machine, with that of tasks that leave it."""
+    """Sums the free capacity of a machine and that of tasks that are stopped on it."""
 
     def __init__(self, machine: Machine) -> None:
         self.cpus = machine.free_cpus
@@ -50,14 +50,14 @@
         self.memory_gb = machine.free_memory_gb
 
     def add(self, task: Task) -> None:
-        """The task leaves."""
+        """Adds the resources of a task that is stopped."""
         spec = task.job.spec
         self.cpus += spec.cpus
         self.gpus += spec.gpus
         self.memory_gb += spec.memory_gb
 
     def suffices_for(self, job: Job) -> bool:
-        """Is it enough for one task of the job?"""
+        """Returns whether the capacity is enough for one task of the job."""
         spec = job.spec
         return (
             self.cpus + EPSILON >= spec.cpus
@@ -72,13 +72,13 @@
     def __init__(self, cluster: ClusterState, feasibility: FeasibilityFilter) -> None:
         self._cluster = cluster
         self._feasibility = feasibility
-        self.machines_examined = 0  # what tests count instead of time
+        self.machines_examined = 0  # a measure of work for tests, used instead of time
 
     def cheapest(self, search: VictimSearch, usable: list[Machine]) -> list[Task]:
-        """Whom to stop so that up to `wanted` tasks find capacity."""
+        """Returns the tasks to stop so that up to `wanted` tasks of the job find capacity."""
         if not any(self._cluster.tasks.bound_by_priority[search.first_preemptible_rank :]):
             return []
-        options = self._options(search, usable)
+        options = self._preemption_options(search, usable)
         if search.wanted <= 0:
             return []
         options.sort(key=lambda option: option.loss)
@@ -86,8 +86,11 @@
             return self._victims_for_gang(search.job, usable, options)
         return self._victims_for_tasks(search, options)
 
-    def _options(self, search: VictimSearch, usable: list[Machine]) -> list[PreemptionOption]:
-        """What could be stopped, machine by machine; `wanted` goes down by the capacity that is being freed already."""
+    def _preemption_options(self, search: VictimSearch, usable: list[Machine]) -> list[PreemptionOption]:
+        """Returns the possible victims of each machine.
+
+        `wanted` is reduced by the number of tasks for which capacity is already being freed.
+        """
         job, spec = search.job, search.job.spec
         first_preemptible_rank = search.first_preemptible_rank
         may_use_spot = self._cluster.may_use_free_spot(job)
@@ -103,7 +106,8 @@
                 continue
             stopping = [task for task in machine.tasks if task.stop_grace_s is not None]
             if stopping and job.kind is not JobKind.GANG:
-                # They may take seconds to save: for that capacity nobody else is stopped, here or elsewhere.
+                # Tasks that are being stopped may take seconds to save their state. No further task is stopped for
+                # the capacity that they will free, on this machine or on others.
                 search.wanted -= machine.free_slots_without(stopping, spec)
             victims = self._victims_on(machine, search)
             if victims:
@@ -111,11 +115,14 @@
         return options
 
     def _victims_on(self, machine: Machine, search: VictimSearch) -> list[Task]:
-        """The youngest tasks of a machine whose capacity suffices for one of the job's; none if it can't."""
+        """Returns the youngest tasks of a machine whose capacity suffices for one task of the job.
+
+        Empty if the capacity of all preemptible tasks would not suffice, or if enough is being freed already.
+        """
         job = search.job
         freed = FreedCapacity(machine)
         stopping = False
-        # Capacity that stops already sent will free counts as free; nobody else is stopped for it.
+        # Capacity of tasks that are already being stopped counts as free, so no other task is stopped for it.
         for task in machine.tasks:
             if task.stop_grace_s is not None:
                 freed.add(task)
@@ -146,7 +153,7 @@
                 yield task
 
     def _exceeds_guarantee(self, job: Job) -> bool:
-        """Its team uses more than its guarantee, and this job isn't a part of that."""
+        """Returns whether the job's team uses more than its guarantee and this job is outside the guarantee."""
         quota = self._cluster.quotas.get(job.spec.team)
         return (
             quota is not None
@@ -157,12 +164,12 @@
 
     @staticmethod
     def _victims_for_tasks(search: VictimSearch, options: list[PreemptionOption]) -> list[Task]:
-        """Victims for tasks that start one by one."""
+        """Returns the victims for tasks that start independently of each other."""
         spec, wanted = search.job.spec, search.wanted
         victims: list[Task] = []
         tasks_by_zone = dict(search.job.tasks_by_zone)
         for option in options:
-            # The capacity of one large task suffices for several small ones.
+            # The capacity of one large task may suffice for several small ones.
             zone = option.machine.zone
             count = min(option.machine.free_slots_without(option.victims, spec), wanted)
             if spec.spread:
@@ -176,7 +183,7 @@
         return victims
 
     def _victims_for_gang(self, job: Job, usable: list[Machine], options: list[PreemptionOption]) -> list[Task]:
-        """Victims that let a whole gang start; none if only a part of it would find capacity."""
+        """Returns the victims that let a whole gang start; empty if only a part of it would find capacity."""
         spec = job.spec
         for zone in sorted({option.machine.zone for option in options}) if spec.single_zone else [None]:
             in_zone = [m for m in usable if zone in (None, m.zone)]
@@ -194,6 +201,9 @@
 
 
 def _loss(search: VictimSearch, machine: Machine, victims: list[Task]) -> int:
-    """Whoever may preempt is missed while it fetches: that weighs more than the work that is lost."""
+    """Returns the loss of an option: the weighted image fetch time of the preempting job plus the victims' lost work.
+
+    The fetch has the larger weight because users wait for the preempting job meanwhile.
+    """
     lost_work = sum(search.now - task.running_since for task in victims if task.running_since)
     return FETCH_WEIGHT * image_fetch_time(search.job.spec, machine) + lost_work
--- a/oatport/control/placement/wakeup.py
+++ b/oatport/control/placement/wakeup.py
@@ -1,4 +1,4 @@
-"""When the next planning pass is worth its cost though no event asked for one."""
+"""Holds the time at which the next planning pass is due even if no event requests one."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 @dataclass(slots=True)
 class Wakeup:
-    """The earliest time that a pass noted; events that change anything set `planning_needed` instead."""
+    """Holds the earliest wakeup time that the last pass requested; events set `planning_needed` instead."""
 
-    at: int = 0  # steady
+    at: int = 0  # steady clock
 
     def reset(self, at: int) -> None:
-        """A pass begins: the next one comes at this time, unless something earlier is noted."""
+        """Sets the time of the next pass, when a pass begins; `schedule_by` may bring it forward."""
         self.at = at
 
-    def no_later_than(self, at: int) -> None:
-        """From this time on a pass may find what no event tells of."""
+    def schedule_by(self, at: int) -> None:
+        """Schedules the next pass at `at` or earlier, for a change that comes with time and without an event."""
         self.at = min(self.at, at)
--- a/oatport/control/placement/warm_start.py
+++ b/oatport/control/placement/warm_start.py
@@ -1,4 +1,4 @@
-"""Replicas start where their image is: capacity is made there rather than an image fetched for long."""
+"""Starts replicas on machines that hold their image: lower-priority work is preempted there to avoid a long fetch."""
 
 from __future__ import annotations
 
@@ -9,21 +9,23 @@
 from oatport.control.state.machine import Machine
 from oatport.times import SECOND
 
-IMAGE_FETCHED_AFTER = 8 * SECOND  # an image of a task that was bound so long ago is taken to be fetched
-WARM_START_WAIT = SECOND * 7 // 10  # how long a replica waits for capacity where its image is
+IMAGE_FETCHED_AFTER = 8 * SECOND  # an image is assumed to be fetched this long after its first task was bound
+WARM_START_WAIT = SECOND * 7 // 10  # how long a replica waits for capacity on a machine that has its image
 
 
 class WarmStarts:
-    """Decides whether a replica waits a moment for a machine that has its image."""
+    """Decides whether a replica waits briefly for a machine that has its image."""
 
     def __init__(self, scorer: MachineScorer, preemption: PreemptionPlanner) -> None:
         self._scorer = scorer
         self._preemption = preemption
 
     def should_wait(self, job: Job, machine: Machine, usable: list[Machine], now: int) -> bool:
-        """Rather than fetch an image for longer than the class may wait, stop lower work where the image is.
+        """Returns whether a replica should wait for capacity on a machine that has its image.
 
-        True while capacity is being made; a moment later the replica takes it, or `machine`, the best that is free.
+        If a fetch would take longer than the start objective of the job allows, work of lower priority is stopped on
+        machines that have the image. Once `WARM_START_WAIT` has passed, the replica takes the freed capacity or
+        `machine`, the best free one.
         """
         if job.spec.image in machine.images or not self._fetch_takes_too_long(job, machine):
             return False
@@ -34,5 +36,5 @@
 
     def _fetch_takes_too_long(self, job: Job, machine: Machine) -> bool:
         start_within = self._scorer.start_objective(job)
-        # The rate is give or take a third, and a moment goes to placing.
+        # The fetch rate varies by about a third, and one second is allowed for placement.
         return start_within is not None and image_fetch_time(job.spec, machine) * 4 // 3 + SECOND > start_within
--- a/oatport/control/queueing/__init__.py
+++ b/oatport/control/queueing/__init__.py
@@ -1,1 +1,1 @@
-"""The order of pending work: predicted run times, tiers, dependencies and queue wait estimates."""
+"""Orders pending work: predicted run times, tiers, dependencies, deadlines and queue wait estimates."""
--- a/oatport/control/queueing/capacity_pools.py
+++ b/oatport/control/queueing/capacity_pools.py
@@ -1,4 +1,4 @@
-"""The machines' CPUs by type, and the predicted work that they have to do before they can take more."""
+"""Sums the machines' CPUs by type, and the predicted work that they must finish before they can take more."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 from oatport.control.state.machine import Machine
 from oatport.times import micros
 
-BOOT_TIME_MARGIN = 1.2  # by which a boot is expected to take longer than the catalog says
+BOOT_TIME_MARGIN = 1.2  # expected boot time relative to the one in the catalog
 
 
 @dataclass(slots=True)
 class CapacityPool:
-    """CPUs of a set of machine types, and the predicted work before them in CPU-microseconds."""
+    """Holds the CPUs of a set of machine types and the predicted work queued on them, in CPU-microseconds."""
 
     cpus: float = 0.0
     work: float = 0.0
     owned_cpus: float = 0.0
     owned_work: float = 0.0
-    best_effort_work: float = 0.0  # of tasks of the lowest priority, which give way to all others
+    best_effort_work: float = 0.0  # of tasks of the lowest priority, which all others may preempt
 
     def add(self, other: CapacityPool) -> None:
-        """Join the machines of another pool to this one."""
+        """Adds the machines of another pool to this one."""
         self.cpus += other.cpus
         self.work += other.work
         self.owned_cpus += other.owned_cpus
@@ -36,7 +36,7 @@
 
 
 def pools_by_type(cluster: ClusterState, now: int) -> PoolsByType:
-    """The machines' CPUs less those that services hold, and what is left of the running tasks."""
+    """Returns, by machine type, the CPUs that services do not use and the remaining work of the running tasks."""
     pools: PoolsByType = {}
     for machine in cluster.machines.values():
         if (
@@ -55,11 +55,11 @@
 
 
 def _add_machine(pool: CapacityPool, machine: Machine, predictor: RuntimePredictor, now: int) -> None:
-    """Add one machine, unless it should have booted long ago."""
+    """Adds one machine to a pool, unless it should have booted long ago."""
     cpus, work, best_effort_work = machine.type.cpus - machine.service_cpus, 0.0, 0.0
     if not machine.ready_at:
-        # One that boots is capacity from then on: without it, a wave of work would rent on-demand what the spot
-        # machines rented a moment ago are about to do.
+        # A booting machine counts as capacity from the end of its boot. Otherwise a burst of jobs would rent on-demand
+        # machines for work that the spot machines rented just before will be able to do.
         boot_time = micros(machine.type.boot_time_s)
         until_ready = machine.rented_at + round(boot_time * BOOT_TIME_MARGIN) - now
         if until_ready < -boot_time:
@@ -82,7 +82,7 @@
 
 
 def joint_pool(pools: PoolsByType, type_names: tuple[str, ...]) -> CapacityPool:
-    """The machines of these types together."""
+    """Returns one pool for all machines of these types."""
     pool = CapacityPool()
     for name in type_names:
         pool.add(pools.get(name, CapacityPool()))
--- a/oatport/control/queueing/deadlines.py
+++ b/oatport/control/queueing/deadlines.py
@@ -1,4 +1,4 @@
-"""Which of its deadlines each pending job can still meet."""
+"""Determines which of its deadlines each pending job can still meet."""
 
 from __future__ import annotations
 
@@ -13,16 +13,17 @@
 
 @dataclass(slots=True)
 class DeadlineCandidate:
-    """A job and the deadlines (time of day, in order) that it may still meet."""
+    """Holds a job and the deadlines (times of day, in order) that it may still meet."""
 
     job: Job
     deadlines: list[int]
 
 
 def deadlines_of(cluster: ClusterState, job: Job) -> list[int]:
-    """Times of day by which its completion is looked for, in order.
+    """Returns the times of day by which the job should complete, in order.
 
-    Its deadline, multiples of it, its class's completion objectives, and what jobs that depend on it leave for it.
+    These are its deadline, multiples of the deadline, the completion objectives of its class, and the deadlines
+    inherited from jobs that depend on it.
     """
     if job.deadlines is None:
         times = cluster.objectives.deadlines_of(job)
@@ -35,9 +36,10 @@
 def set_attainable_deadline(
     cluster: ClusterState, job: Job, deadlines: list[int], predicted_runtime: int, wall: int
 ) -> None:
-    """Set the first deadline that a job could meet if it ran now; what is lost anyway is not worth a dearer machine.
+    """Sets the first deadline that the job could meet if it ran now.
 
-    One without a deadline whose class should start by a certain time is wanted when it would end then.
+    Deadlines that are already lost are skipped, since they do not justify a more expensive machine. A job without a
+    deadline whose class has a start objective is expected to end one predicted run time after that objective.
     """
     start = cluster.objectives.start_within.get(job.spec.job_class)
     within = DEFAULT_DEADLINE if start is None else min(start + predicted_runtime, DEFAULT_DEADLINE)
@@ -53,18 +55,19 @@
 
 
 def mark_missed_deadlines(cluster: ClusterState, pools: PoolsByType, wall: int) -> None:
-    """Decide which pending jobs meet which of their deadlines: as many as possible, by Moore and Hodgson's rule.
+    """Decides which pending jobs meet which of their deadlines, so that as many as possible do (Moore-Hodgson rule).
 
-    Jobs are taken by deadline; where one would end too late, the largest taken so far is given up. Ahead of the
-    others, a job that ends late anyway would only make those late too. One given up has its next deadline to meet, if
-    users look at several. (J. M. Moore, "An n job, one machine sequencing algorithm for minimizing the number of late
-    jobs", Management Science 15, 1968.)
+    Jobs are scheduled by deadline. When one would end too late, the largest job scheduled so far is dropped, since a
+    job that ends late anyway would make others late too if it ran ahead of them. A dropped job is then scheduled for
+    its next deadline, if it has several. (J. M. Moore, "An n job, one machine sequencing algorithm for minimizing the
+    number of late jobs", Management Science 15, 1968.)
     """
     groups: dict[tuple[int, tuple[str, ...]], list[DeadlineCandidate]] = {}
     starving_after = cluster.tuning.us("begin_within_s") // 2
     for job in cluster.pending:
         deadlines = deadlines_of(cluster, job)
-        # The rule passes the largest over for as long as a burst lasts: at half of the bound that ends.
+        # The rule would delay the largest jobs for as long as a burst lasts. At half of `begin_within_s` they count as
+        # starving and go first.
         may_starve = not (job.started or job.on_machines or job.suspected_faulty)
         job.starving = may_starve and wall - job.eligible_at > starving_after
         job.predicted_runtime = cluster.predictor.run_time(job.job_id, job.spec)
@@ -79,7 +82,7 @@
 
 
 def _mark_missed(pool: CapacityPool, candidates: list[DeadlineCandidate], wall: int) -> None:
-    """Give every job that misses a deadline its next one, until none is left."""
+    """Moves every job that misses a deadline on to its next one, until it meets one or has none left."""
     while candidates:
         missed = _take_by_deadline(pool, candidates, wall)
         for candidate in missed:
@@ -89,9 +92,9 @@
 
 
 def _take_by_deadline(pool: CapacityPool, candidates: list[DeadlineCandidate], wall: int) -> list[DeadlineCandidate]:
-    """Take jobs into the pool's work by the first of their deadlines; those that can't meet it."""
+    """Adds jobs to the pool's work in order of their first deadlines; returns the jobs that cannot meet theirs."""
     missed: list[DeadlineCandidate] = []
-    taken: list[tuple[float, str, DeadlineCandidate]] = []  # minus the work, so that the largest comes first
+    taken: list[tuple[float, str, DeadlineCandidate]] = []  # heap with negated work, so that the largest comes first
     for candidate in sorted(candidates, key=lambda c: (c.deadlines[0], c.job.job_id)):
         job = candidate.job
         job.deadline_at, runtime = candidate.deadlines[0], job.predicted_runtime
--- a/oatport/control/queueing/dependency_graph.py
+++ b/oatport/control/queueing/dependency_graph.py
@@ -1,8 +1,8 @@
-"""Which jobs depend on which: who is blocked, released, cancelled with others, and how soon each is wanted.
+"""Tracks dependencies between jobs: which jobs are blocked, released or cancelled transitively, and their urgency.
 
-Pure, and about ids only: what is known of a job's state is passed in, never guessed. A dependency is met when its
-completion is *recorded*: a job whose tasks have all ended may still lose to a cancellation. All that is kept here
-follows from records (`waits/REF`, `live/REF`, and the states under `jobs/`), so any leader finds the same.
+The graph is pure and holds only job ids; the state of a job is always passed in. A dependency is met when its
+completion is *recorded*, because a job whose tasks have all ended may still be cancelled before that. The whole graph
+follows from records (`waits/REF`, `live/REF`, and the states under `jobs/`), so every leader derives the same one.
 """
 
 from __future__ import annotations
@@ -15,22 +15,22 @@
 
 
 class DependencyState(StrEnum):
-    """What is known of a job that others depend on."""
+    """Defines the states of a job that others depend on, as far as the leader knows."""
 
     OPEN = "open"  # neither completed nor cancelled
     COMPLETED = "completed"
     CANCELLED = "cancelled"
-    UNKNOWN = "unknown"  # its record has to be read
+    UNKNOWN = "unknown"  # the job's record must be read
 
 
-def earlier(one: tuple[int, ...], other: tuple[int, ...]) -> tuple[int, ...]:
-    """Of two lists of deadlines the one that begins first; an empty one is no deadline at all."""
+def earlier_deadlines(one: tuple[int, ...], other: tuple[int, ...]) -> tuple[int, ...]:
+    """Returns the list of deadlines whose first one is earlier; an empty list stands for no deadline."""
     return min(one, other) if one and other else one or other
 
 
 @dataclass(frozen=True, slots=True)
 class Urgency:
-    """How soon a job is wanted: 0 is the highest priority; deadlines are times of day, in order."""
+    """Holds a job's priority rank (0 is the highest priority) and its deadlines (times of day, in order)."""
 
     priority_rank: int
     deadlines: tuple[int, ...] = ()
@@ -38,27 +38,27 @@
 
 @dataclass(frozen=True, slots=True)
 class CompletionOutcome:
-    """What a job's completion means for those that depend on it."""
+    """Holds the jobs that depend on a completed job, and those of them that its completion released."""
 
     dependents: list[str]
-    released: list[str]  # those of them that depend on nothing else any more
+    released: list[str]  # the dependents that have no unmet dependency left
 
 
 @dataclass(slots=True)
 class DependencyGraph:
-    """Blocked jobs and the jobs that they depend on; a released job is not in it."""
+    """Holds the blocked jobs and the jobs that they depend on; a released job is removed from it."""
 
     unmet_dependencies: dict[str, dict[str, None]] = field(default_factory=dict)  # by blocked job
-    unresolved: dict[str, None] = field(default_factory=dict)  # dependencies whose records have to be read
+    unresolved: dict[str, None] = field(default_factory=dict)  # dependencies whose records must be read
     dirty: dict[str, None] = field(default_factory=dict)  # jobs whose urgency may have changed
     _dependents: dict[str, dict[str, None]] = field(default_factory=dict)  # job -> blocked jobs that depend on it
 
     def add(
         self, job_id: str, dependencies: Iterable[str], state_of: Callable[[str], DependencyState]
     ) -> DependencyState:
-        """Add a job that depends on others.
+        """Adds a job that depends on others, and returns its state.
 
-        OPEN: it is blocked; COMPLETED: all its dependencies are met; CANCELLED: one of them is cancelled.
+        OPEN: the job is blocked. COMPLETED: all its dependencies are met. CANCELLED: a dependency is cancelled.
         """
         states = {dependency: state_of(dependency) for dependency in dependencies}
         if DependencyState.CANCELLED in states.values():
@@ -77,19 +77,19 @@
         return DependencyState.OPEN
 
     def mark_resolved(self, job_id: str) -> None:
-        """It is among the unfinished jobs: its record need not be read."""
+        """Notes that the job is known to be unfinished, so that its record need not be read."""
         self.unresolved.pop(job_id, None)
 
     def dependencies_of(self, job_id: str) -> list[str]:
-        """The unmet dependencies of a job."""
+        """Returns the unmet dependencies of a job."""
         return list(self.unmet_dependencies.get(job_id, ()))
 
     def dependents_of(self, job_id: str) -> list[str]:
-        """The blocked jobs that depend on a job."""
+        """Returns the blocked jobs that depend on a job."""
         return list(self._dependents.get(job_id, ()))
 
     def complete(self, job_id: str) -> CompletionOutcome:
-        """The job's completion is recorded."""
+        """Marks the job as a met dependency, once its completion is recorded; returns the effect on its dependents."""
         self.unresolved.pop(job_id, None)
         dependents = list(self._dependents.pop(job_id, ()))
         released = []
@@ -102,9 +102,9 @@
         return CompletionOutcome(dependents, released)
 
     def cancel(self, job_id: str) -> list[str]:
-        """The job is cancelled, and with it all that depend on it, directly or through others.
+        """Removes a cancelled job and all jobs that depend on it, directly or transitively.
 
-        Returns those, each after the ones of them that it depends on.
+        Returns these dependents, each after those of its dependencies that are among them.
         """
         self.unresolved.pop(job_id, None)
         found: dict[str, None] = {}
@@ -121,21 +121,21 @@
         return list(found)
 
     def remove(self, job_id: str) -> None:
-        """The job is blocked no more: it was cancelled."""
+        """Removes a blocked job that was cancelled."""
         for dependency in self.unmet_dependencies.pop(job_id, ()):
             dependents = self._dependents.get(dependency)
             if dependents is not None:
                 dependents.pop(job_id, None)
-                self.dirty[dependency] = None  # the urgency that it gave is revoked
+                self.dirty[dependency] = None  # the dependency no longer inherits the urgency of the removed job
                 if not dependents:
                     del self._dependents[dependency]
                     self.unresolved.pop(dependency, None)
 
     def inherited_urgency(self, job_id: str, urgency_of: Callable[[str], tuple[Urgency, int]]) -> Urgency | None:
-        """The urgency that a job inherits from those that depend on it; None if there is none.
+        """Returns the urgency that a job inherits from the jobs that depend on it; None if no job does.
 
-        `urgency_of`: a blocked job's own urgency joined with what it inherits, and the time that it will take once
-        released.
+        `urgency_of` returns the effective urgency of a blocked job (its own combined with the inherited one) and the
+        time that the job will take once it is released.
         """
         dependents = self._dependents.get(job_id)
         if not dependents:
@@ -145,5 +145,5 @@
         for dependent in dependents:
             urgency, duration = urgency_of(dependent)
             rank = min(rank, urgency.priority_rank)
-            deadlines = earlier(deadlines, tuple(deadline - duration for deadline in urgency.deadlines))
+            deadlines = earlier_deadlines(deadlines, tuple(deadline - duration for deadline in urgency.deadlines))
         return Urgency(rank, deadlines)
--- a/oatport/control/queueing/dependency_tracker.py
+++ b/oatport/control/queueing/dependency_tracker.py
@@ -1,8 +1,8 @@
-"""Jobs that are blocked by their dependencies: kept apart from the unfinished ones until they are released.
+"""Tracks jobs that are blocked by their dependencies, separately from the unfinished jobs until they are released.
 
-So they count for no quota, guarantee, queue or starvation, and cost planning nothing. A job whose dependencies are all
-completed, by their records, becomes an unfinished job as any; its first binding writes `live/JOB` and deletes
-`waits/JOB`.
+Blocked jobs therefore do not count towards quotas, guarantees, queues or starvation, and add no cost to planning. Once
+all its dependencies are recorded as completed, a job becomes an ordinary unfinished job; its first binding writes
+`live/JOB` and deletes `waits/JOB`.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from oatport.control.queueing.dependency_graph import DependencyGraph, DependencyState, Urgency, earlier
+from oatport.control.queueing.dependency_graph import DependencyGraph, DependencyState, Urgency, earlier_deadlines
 from oatport.control.state.job import NORMAL_RANK, PRIORITIES, Job, JobKind
 from oatport.control.storage.keys import blocked_key, cancel_key
 from oatport.times import SECOND
@@ -21,26 +21,28 @@
 
 log = logging.getLogger(__name__)
 
-STAGE_LATENCY = 2 * SECOND  # from a stage's last task to the next one's first: heartbeat, record, binding, command
-MAX_LISTED_JOBS = 10  # in one line
+# Time from the end of a stage's last task to the start of the next stage's first: heartbeat, record, binding, command.
+STAGE_LATENCY = 2 * SECOND
+MAX_LISTED_JOBS = 10  # job ids in one line of text
 MAX_REMEMBERED_CANCELLATIONS = 10_000
 
 
 class DependencyTracker:
-    """Accepted jobs that are blocked by others, and the urgency that jobs inherit from those that depend on them."""
+    """Holds the accepted jobs that are blocked by others, and the urgency that jobs inherit from their dependents."""
 
     def __init__(self, cluster: ClusterState) -> None:
         self.cluster = cluster
         self.graph = DependencyGraph()
         self.blocked_jobs: dict[str, Job] = {}  # by id
         self.on_released: Callable[[Job], None] = lambda job: None
-        self.confirmed_cancellations: dict[str, int] = {}  # jobs not known here -> confirmed after (steady)
+        # Cancelled jobs that this leader does not know, with the time after which that was confirmed (steady clock).
+        self.confirmed_cancellations: dict[str, int] = {}
         self.inherited_urgency: dict[str, Urgency] = {}  # of blocked jobs, from their dependents
 
-    # --- waiting and release ------------------------------------------------------------------
+    # --- blocking and release -----------------------------------------------------------------
 
     def state_of(self, job_id: str) -> DependencyState:
-        """How a job stands that others depend on, as far as this leader knows."""
+        """Returns the state of a job that others depend on, as far as this leader knows."""
         job = self.cluster.jobs.get(job_id)
         if job is not None:
             return DependencyState.CANCELLED if job.cancelled and not job.failure_reason else DependencyState.OPEN
@@ -49,7 +51,7 @@
         return DependencyState.CANCELLED if job_id in self.confirmed_cancellations else DependencyState.UNKNOWN
 
     def add_blocked(self, job: Job) -> None:
-        """An accepted job that depends on others, no task of which was ever bound."""
+        """Adds an accepted job that depends on others and of which no task was ever bound."""
         if (
             job.job_id in self.cluster.jobs
             or job.job_id in self.blocked_jobs
@@ -81,7 +83,7 @@
         self.on_released(job)
 
     def on_completion_recorded(self, job_id: str, at: int) -> None:
-        """It is recorded as completed since `at` (time of day): dependents of it may be released."""
+        """Releases the jobs that were blocked only by a job that is recorded as completed at `at` (time of day)."""
         outcome = self.graph.complete(job_id)
         for name in outcome.dependents:
             job = self.blocked_jobs[name]
@@ -92,7 +94,7 @@
     # --- cancellation -------------------------------------------------------------------------
 
     def cancel_dependents(self, job_id: str) -> None:
-        """It was cancelled, and with it all jobs that depend on it."""
+        """Cancels all jobs that depend, directly or transitively, on a job that was cancelled."""
         for name in self.graph.cancel(job_id):
             job = self.blocked_jobs.pop(name)
             log.info("dependent job cancelled job=%s dependency=%s", name, job_id)
@@ -104,11 +106,11 @@
         self.cluster.writes.jobs_to_cancel[job.job_id] = job
 
     def cancel_blocked(self, job_id: str, mark_version: int) -> None:
-        """Its own user cancelled it: that is recorded already, and what is left of it is deleted.
+        """Cancels a blocked job at the request of its own user.
 
-        Without the version of its mark (0) that was only received from a node, and may as well follow from a
-        dependency: it is recorded like a job whose dependency was cancelled, on the condition that it isn't recorded
-        yet.
+        If the cancellation is recorded already, the job's remaining records are deleted. With `mark_version` 0 another
+        node only reported the cancellation, which may also follow from a dependency. It is then recorded like that of
+        a job whose dependency was cancelled, on the condition that it is not recorded yet.
         """
         job = self.blocked_jobs.pop(job_id, None) or self.cluster.writes.jobs_to_cancel.pop(job_id, None)
         if job is None:
@@ -123,31 +125,36 @@
         self.cluster.writes.jobs_to_delete[job] = None
 
     def remember_cancelled(self, job_id: str, confirmed_after: int) -> None:
-        """Its user was told so, and it isn't known here: accepted while the records could not be read, or over.
+        """Remembers a cancellation that was confirmed to the user, of a job that this leader does not know.
 
-        Should it become known, nothing of it starts. Bounded: what is forgotten fails by the condition of its binding.
+        Either the job was accepted while the records could not be read, or it has ended. If it becomes known later,
+        none of its tasks starts. The number of entries is bounded; the binding of a job whose entry was dropped fails
+        by its transaction condition.
         """
-        self.confirmed_cancellations.setdefault(job_id, confirmed_after)  # confirmed again, it wasn't confirmed later
+        self.confirmed_cancellations.setdefault(job_id, confirmed_after)  # a repeated report does not make it later
         if len(self.confirmed_cancellations) > MAX_REMEMBERED_CANCELLATIONS:
             del self.confirmed_cancellations[next(iter(self.confirmed_cancellations))]
 
     # --- urgency ------------------------------------------------------------------------------
 
     def _urgency(self, job_id: str) -> tuple[Urgency, int]:
-        """A blocked job's urgency, and the time that it takes: what `DependencyGraph.inherited_urgency` asks."""
+        """Returns a blocked job's effective urgency and duration, for `DependencyGraph.inherited_urgency`."""
         job = self.blocked_jobs[job_id]
         inherited = self.inherited_urgency.get(job_id)
         deadlines = tuple(self.cluster.objectives.deadlines_of(job))
         rank = stage_priority_rank(job)
         if inherited is not None:
             rank = min(rank, inherited.priority_rank)
-            deadlines = earlier(deadlines, inherited.deadlines)
+            deadlines = earlier_deadlines(deadlines, inherited.deadlines)
         return Urgency(rank, deadlines), self.cluster.predictor.run_time(
             job_id, job.spec
         ) + self.cluster.catalog.image_fetch_us(job) + STAGE_LATENCY
 
     def propagate_urgency(self) -> None:
-        """Carry deadlines and priorities back where jobs came or went: each job once, however many depend on it."""
+        """Propagates deadlines and priorities from dependents to their dependencies, where jobs were added or removed.
+
+        Each changed job is processed once, however many jobs depend on it.
+        """
         dirty = self.graph.dirty
         while dirty:
             job_id = next(iter(dirty))
@@ -171,7 +178,7 @@
             )
 
     def explain(self, job_id: str) -> str:
-        """What a blocked job waits for, in words; empty if it isn't blocked."""
+        """Returns a text that names the jobs for which a blocked job waits; empty if the job is not blocked."""
         failed = [
             dependency
             for dependency in self.graph.dependencies_of(job_id)
@@ -182,16 +189,17 @@
 
 
 def stage_priority_rank(job: Job) -> int:
-    """A job's own priority rank; one with dependencies is a stage of what somebody waits for, hence not best-effort.
+    """Returns a job's own priority rank, which for a job with dependencies is never best-effort.
 
-    Users set the priority that they care about on the last job only, and some submit that when the others are over: a
-    stage of the lowest priority then waited 100 to 200 s behind everything else.
+    Such a job is a stage of a pipeline for whose result users wait. Users set the priority that they need only on the
+    last job, and some submit that job after the others have ended. Without this rule, a stage of the lowest priority
+    waited 100 to 200 s behind everything else.
     """
     own = PRIORITIES[job.spec.priority]
     return min(own, NORMAL_RANK) if job.dependencies else own
 
 
 def list_job_ids(job_ids: list[str]) -> str:
-    """Some of the jobs, for one line of text."""
+    """Returns the first of the job ids and the number of the others, for one line of text."""
     more = len(job_ids) - MAX_LISTED_JOBS
     return ", ".join(job_ids[:MAX_LISTED_JOBS]) + (f" and {more} more" if more > 0 else "")
--- a/oatport/control/queueing/guarantees.py
+++ b/oatport/control/queueing/guarantees.py
@@ -1,4 +1,4 @@
-"""Which jobs are within their team's guarantee."""
+"""Determines which jobs are within their team's guarantee."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 
 def mark_within_guarantee(cluster: ClusterState) -> None:
-    """A job is within its team's guarantee if it fits into it together with all the team's earlier ones.
+    """Marks the jobs that fit into their team's guarantee together with all earlier jobs of the team.
 
-    Judged job by job: a team that merely uses less than its guarantee at the moment, with a job that is larger, would
-    stop other teams' work for one that need not be served at once (PROTOCOL, "How aims are counted"), and twelve teams
-    would do so in turns.
+    Each job is judged by itself. If any use below the guarantee counted, a team with a job larger than the guarantee
+    would stop other teams' work for a job that need not be served at once (PROTOCOL, "How aims are counted"), and
+    twelve teams would do so in turn.
     """
     requested: dict[str, tuple[float, float]] = {}  # team -> CPUs and GPUs of its earlier jobs
     teams = {name: usage for name, usage in cluster.quotas.items() if usage.limits.cpus > 0}
     if not teams:
-        return  # and none ever was
+        return  # without guarantees no job was ever marked
     jobs = [job for job in cluster.jobs.values() if job.spec.team in teams]
     for job in sorted(jobs, key=lambda j: (j.eligible_at, j.job_id)):
         limits = teams[job.spec.team].limits
--- a/oatport/control/queueing/pending_job_router.py
+++ b/oatport/control/queueing/pending_job_router.py
@@ -1,4 +1,4 @@
-"""Routing of pending jobs: keeps the tier of each up to date, at a cost that is bounded whatever is pending."""
+"""Routes pending jobs: keeps the tier of each job up to date, at a cost that is bounded however many are pending."""
 
 from __future__ import annotations
 
@@ -16,39 +16,38 @@
 
 ROUTING_INTERVAL = 400 * MS
 ROUTING_INTERVAL_MAX = 2 * SECOND
-ROUTING_INTERVAL_UNCHANGED = 4 * SECOND  # also when nothing has changed: deadlines come nearer all the same
-LEARNING_INTERVAL = 2 * SECOND
-# What routing looks at in a second, at most, in running tasks; a pending job counts as many of them.
-TASKS_EXAMINED_PER_SECOND = 15_000
-TASKS_PER_PENDING_JOB = 15
+ROUTING_INTERVAL_UNCHANGED = 4 * SECOND  # applies even if nothing has changed, since deadlines come closer
+THRESHOLD_UPDATE_INTERVAL = 2 * SECOND
+TASKS_EXAMINED_PER_SECOND = 15_000  # bounds the cost of routing, which is counted in running tasks
+TASKS_PER_PENDING_JOB = 15  # cost of a pending job, in running tasks
 
 
 def jobs_in_order(cluster: ClusterState, now: int) -> list[Job]:
-    """The pending jobs that may be placed now, in order (`pending_queue.py`)."""
+    """Returns the pending jobs that may be placed now, in queue order (`pending_queue.py`)."""
     return sorted((j for j in cluster.pending if j.retry_at <= now and not j.orphaned_attempt_count), key=order_key)
 
 
 class PendingJobRouter:
     """Routes all pending jobs at an interval that grows with their number.
 
-    What came meanwhile is routed by itself, by its place in the queue as it was.
+    A job that is submitted between two such rounds is routed by itself, by its position in the queue of the last round.
     """
 
     def __init__(self, cluster: ClusterState, availability: CloudAvailability) -> None:
         self._cluster = cluster
         self._availability = availability
         self._routed_at = -ROUTING_INTERVAL_UNCHANGED
-        self._learnt_at = -LEARNING_INTERVAL
-        self._routed_version: tuple[int, int] = (-1, -1)  # of the pending jobs and the bindings, as last routed
+        self._threshold_updated_at = -THRESHOLD_UPDATE_INTERVAL
+        self._routed_version: tuple[int, int] = (-1, -1)  # of the pending jobs and the bindings at the last routing
         self._waits: QueueWaitEstimator | None = None
 
     def interval(self) -> int:
-        """How long until all pending jobs are routed again, if something has changed meanwhile."""
+        """Returns the time after which all pending jobs are routed again, if anything has changed meanwhile."""
         size = TASKS_PER_PENDING_JOB * len(self._cluster.pending) + sum(self._cluster.tasks.bound_by_priority)
         return min(ROUTING_INTERVAL_MAX, max(ROUTING_INTERVAL, size * SECOND // TASKS_EXAMINED_PER_SECOND))
 
     def step(self, now: int, wall: int) -> None:
-        """Route what is due: all, what is new, or nothing."""
+        """Routes all pending jobs, only the new ones, or none, depending on what is due."""
         cluster = self._cluster
         cluster.dependencies.propagate_urgency()
         version = (cluster.pending.version, cluster.tasks.binding_changes)
@@ -61,11 +60,11 @@
             self._route_new(self._waits, now, wall)
 
     def route_all(self, now: int, wall: int) -> None:
-        """Set the tier of every pending job; a changed tier is recorded with its first chunk."""
+        """Sets the tier of every pending job; a changed tier is recorded with the job's first chunk."""
         cluster = self._cluster
-        if now - self._learnt_at >= LEARNING_INTERVAL:
-            self._learnt_at = now
-            _learn_threshold(cluster, now)
+        if now - self._threshold_updated_at >= THRESHOLD_UPDATE_INTERVAL:
+            self._threshold_updated_at = now
+            _update_spot_threshold(cluster, now)
         mark_within_guarantee(cluster)
         pools = pools_by_type(cluster, now)
         mark_missed_deadlines(cluster, pools, wall)
@@ -85,7 +84,7 @@
         for job in list(cluster.pending.unrouted):
             job.predicted_runtime = cluster.predictor.run_time(job.job_id, job.spec)
             set_attainable_deadline(cluster, job, deadlines_of(cluster, job), job.predicted_runtime, wall)
-            self._route(job, waits.wait_among(job), rentable, wall)
+            self._route(job, waits.wait_of_new_job(job), rentable, wall)
             cluster.pending.reposition(job)
         cluster.pending.unrouted.clear()
 
@@ -107,11 +106,11 @@
 
 
 class _Rentable:
-    """Whether machines for a job can still be rented; many jobs want the same offerings."""
+    """Determines whether machines for a job can still be rented; results are cached, as many jobs share offerings."""
 
     def __init__(self, cluster: ClusterState, availability: CloudAvailability, now: int) -> None:
         self._cluster, self._availability, self._now = cluster, availability, now
-        self._answers: dict[tuple[bool, str | None, tuple[str, ...] | None, tuple[float, float, float]], bool] = {}
+        self._results: dict[tuple[bool, str | None, tuple[str, ...] | None, tuple[float, float, float]], bool] = {}
 
     def __call__(self, job: Job, spot: bool) -> bool:
         spec = job.spec
@@ -121,16 +120,16 @@
             tuple(spec.machine_types) if spec.machine_types else None,
             (spec.cpus, spec.gpus, spec.memory_gb),
         )
-        answer = self._answers.get(key)
-        if answer is None:
-            answer = self._answers[key] = self._availability.any_for(job, spot, self._now)
-        return answer
+        result = self._results.get(key)
+        if result is None:
+            result = self._results[key] = self._availability.is_any_rentable(job, spot, self._now)
+        return result
 
 
-def _learn_threshold(cluster: ClusterState, now: int) -> None:
-    """Tell the tier router what spot machines and running tasks say about the spot threshold."""
+def _update_spot_threshold(cluster: ClusterState, now: int) -> None:
+    """Updates the tier router's spot threshold from the ages of spot machines and of running tasks."""
     spot_ages = [now - m.rented_at for m in cluster.machines.values() if m.spot and m.ready_at]
-    # Since when an earlier leader's tasks run is not known.
+    # Tasks that were bound by an earlier leader are left out, because their start time is not known.
     run_times = [
         now - t.running_since
         for m in cluster.machines.values()
@@ -138,10 +137,10 @@
         for t in m.finite_tasks
         if t.running_since and t.binding_at and not t.job.suspected_faulty and t.job.priority_rank < IDLE_RANK
     ]
-    cluster.router.learn(spot_ages, run_times)
+    cluster.router.update_threshold(spot_ages, run_times)
 
 
 def route_pending(cluster: ClusterState, availability: CloudAvailability, now: int, wall: int) -> None:
-    """Set the tier of every pending job at once, with nothing kept for the next time."""
+    """Sets the tier of every pending job in one call, without keeping state for the next one."""
     cluster.dependencies.propagate_urgency()
     PendingJobRouter(cluster, availability).route_all(now, wall)
--- a/oatport/control/queueing/pending_queue.py
+++ b/oatport/control/queueing/pending_queue.py
@@ -1,13 +1,13 @@
-"""Pending jobs in order and by equivalence class, so that a planning pass costs what it can place and not what waits.
+"""Orders pending jobs by equivalence class, so that a planning pass costs as much as it places, not as is pending.
 
-In a burst of submissions a thousand jobs wait for machines that are all full. A pass that looks at each of them, many
-times a second, takes the processor from heartbeats and lease renewals. Arrays that need the same capacity are in one
-*equivalence class*, most urgent first: where its first job finds none, the others have none to find either, and the
-pass leaves the class at once. Everything else (gangs, services, jobs bound to zones, suspected ones) is looked at one
-by one.
+In a burst of submissions a thousand jobs wait for machines that are all full. A pass that examined each of them many
+times a second would take the CPU time that heartbeats and lease renewals need. Arrays that need the same capacity are
+in one *equivalence class*, most urgent first: if its first job finds no capacity, the others find none either, and the
+pass skips the rest of the class. All other jobs (gangs, services, jobs bound to zones, suspected ones) are examined
+one by one.
 
-The order changes with routing (`pending_job_router.py`), after which all is sorted anew; what comes in between is
-inserted in its place.
+Routing (`pending_job_router.py`) changes the order, and all jobs are sorted again afterwards; jobs that are added
+between two rounds of routing are inserted at their position.
 """
 
 from __future__ import annotations
@@ -20,14 +20,18 @@
 from oatport.control.state.job import Job, JobKind
 from oatport.times import SECOND
 
-DEFAULT_DEADLINE = 600 * SECOND  # after its submission: by when a job without a deadline is taken to be wanted
-RUNTIME_BUCKET = 5 * SECOND  # run times that differ by less count as one when machines with GPUs are backfilled
+DEFAULT_DEADLINE = 600 * SECOND  # assumed for a job without a deadline, from its submission
+RUNTIME_BUCKET = 5 * SECOND  # granularity of run times when machines with GPUs are backfilled
 
 OrderKey = tuple[int, bool, bool, int, bool, int, int, str]
 
 
 def order_key(job: Job) -> OrderKey:
-    """By priority, then who starves, then a team's guarantee, then by deadline; last what meets none any more."""
+    """Returns the sort key of a pending job.
+
+    The order is by priority, suspicion (suspected jobs last), starvation, the team's guarantee, and deadline; jobs that
+    can meet no deadline any more come after those that can.
+    """
     deadline = job.deadline_at or job.deadline or job.eligible_at + DEFAULT_DEADLINE
     return (
         job.priority_rank,
@@ -42,13 +46,13 @@
 
 
 def is_interchangeable(job: Job) -> bool:
-    """Any machine with free capacity does, whatever the job's other tasks are on."""
+    """Returns whether any machine with free capacity suits the job, wherever its other tasks run."""
     spec = job.spec
     return job.kind is JobKind.ARRAY and not (spec.spread or spec.single_zone or job.suspected_faulty)
 
 
 def equivalence_key(job: Job) -> tuple[object, ...]:
-    """Interchangeable jobs with the same key find capacity on the same machines, and are of one team."""
+    """Returns the key of a job's class: interchangeable jobs with one key fit the same machines and share a team."""
     spec = job.spec
     return (
         job.priority_rank,
@@ -67,7 +71,7 @@
 
 
 class QueueEntry:
-    """A job's place in its equivalence class; not current once the job has another place, or none."""
+    """Holds a job's position in its equivalence class; outdated once the job has a newer entry, or none."""
 
     __slots__ = ("job", "key")
 
@@ -79,35 +83,35 @@
 
     @property
     def is_current(self) -> bool:
-        """The job's place is still this one."""
+        """Returns whether this is still the job's entry."""
         return self.job.queue_entry is self
 
 
 class EquivalenceClass:
-    """Pending jobs that need the same capacity, in order; all that aren't interchangeable are in one class."""
+    """Holds pending jobs that need the same capacity, in order; jobs that are not interchangeable share one class."""
 
     __slots__ = ("entries", "exhausted", "interchangeable")
 
     def __init__(self, interchangeable: bool) -> None:
         self.interchangeable = interchangeable
-        self.exhausted = False  # set by a pass: nothing more of it is to be looked at
+        self.exhausted = False  # set by a planning pass to skip the remaining jobs of the class
         self.entries: list[QueueEntry] = []
 
 
 class PendingQueue(set[Job]):
-    """The set of pending jobs; `walk` goes through them in order."""
+    """Holds the set of pending jobs; `walk` iterates over them in order."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.version = 0  # goes up when a job comes or goes
-        self.unrouted: dict[Job, None] = {}  # came since the last routing
+        self.version = 0  # incremented whenever a job is added, removed or rerouted
+        self.unrouted: dict[Job, None] = {}  # jobs that were added or changed since the last routing
         self._jobs_by_task_cpus: Counter[float] = Counter()
         self._to_insert: list[Job] = []
         self._classes: dict[tuple[object, ...] | None, EquivalenceClass] = {}
         self._order_outdated = True
 
     def add(self, job: Job) -> None:
-        """A job has pending tasks now."""
+        """Adds a job that has pending tasks."""
         if job in self:
             return
         super().add(job)
@@ -118,7 +122,7 @@
             self.unrouted[job] = None
 
     def discard(self, job: object) -> None:
-        """A job has no pending tasks any more."""
+        """Removes a job that has no pending tasks any more."""
         if not isinstance(job, Job) or job not in self:
             return
         super().discard(job)
@@ -130,32 +134,32 @@
             del self._jobs_by_task_cpus[job.spec.cpus]
 
     def clear(self) -> None:
-        """Discard all jobs."""
+        """Removes all jobs."""
         for job in list(self):
             self.discard(job)
 
     def smallest_cpus(self) -> float:
-        """The least that a task of any pending job takes, in CPUs; 0 if none is pending."""
+        """Returns the smallest CPU request of a task of any pending job; 0 if none is pending."""
         return min(self._jobs_by_task_cpus, default=0.0)
 
     def reorder(self) -> None:
-        """What the order goes by has changed for many."""
+        """Marks the whole order as outdated, after the sort keys of many jobs have changed."""
         self._order_outdated = True
 
     def reposition(self, job: Job) -> None:
-        """What the order goes by has changed for this one."""
+        """Schedules one job for insertion at its new position, after its sort key has changed."""
         if job in self:
             self._to_insert.append(job)
 
     def reroute(self, job: Job) -> None:
-        """How soon it is wanted has changed: it is routed anew."""
+        """Schedules a job for routing, after its urgency has changed."""
         if job in self:
             self.version += 1
             self.unrouted[job] = None
             self.reposition(job)
 
     def _new_entry(self, job: Job) -> tuple[EquivalenceClass, QueueEntry]:
-        """A new place for a job, not yet inserted in the class; the one it had is not current any more."""
+        """Returns a new entry for a job, not yet inserted into its class; the job's earlier entry becomes outdated."""
         key = equivalence_key(job) if is_interchangeable(job) else None
         equivalence_class = self._classes.get(key)
         if equivalence_class is None:
@@ -183,9 +187,9 @@
             equivalence_class.entries.sort()
 
     def walk(self) -> Iterator[tuple[EquivalenceClass, Job]]:
-        """All pending jobs in order, each with its class; of a class that is `exhausted` no more come.
+        """Iterates over all pending jobs in order, each with its class, and skips the rest of an `exhausted` class.
 
-        Jobs that begin or cease to be pending meanwhile are fine: the former come with the next walk.
+        Jobs may be added or removed during the iteration; added jobs appear in the next one.
         """
         self._update_order()
         heads: list[tuple[OrderKey, int, QueueEntry, EquivalenceClass]] = []
--- a/oatport/control/queueing/queue_wait.py
+++ b/oatport/control/queueing/queue_wait.py
@@ -1,4 +1,4 @@
-"""How long a pending job waits: the predicted work ahead of it, spread over the machines that suit it."""
+"""Estimates how long a pending job waits: the predicted work ahead of it divided by the CPUs that it may use."""
 
 from __future__ import annotations
 
@@ -18,25 +18,25 @@
 
 
 class QueueWait(msgspec.Struct, frozen=True):
-    """The predicted time until a job's last task starts."""
+    """Holds the predicted time until a job's last task starts."""
 
     any_machine: int
-    owned_machine: int | None  # on owned machines alone; None if there is none that it can use
+    owned_machine: int | None  # on owned machines alone; None if there is none that the job can use
 
 
 @dataclass(slots=True)
 class _TypeQueue:
-    """The work before one set of machine types, and what is ahead of each pending job there, in order."""
+    """Holds the work queued for one set of machine types, and the work ahead of each pending job there, in order."""
 
     pool: CapacityPool
     keys: list[OrderKey] = field(default_factory=list)
-    work_ahead: list[float] = field(default_factory=list)  # CPU-microseconds before the job at this place
-    owned_work_ahead: list[float] = field(default_factory=list)  # the same of what is for owned machines
+    work_ahead: list[float] = field(default_factory=list)  # CPU-microseconds ahead of the job at this index
+    owned_work_ahead: list[float] = field(default_factory=list)  # the same for work on owned machines only
 
     def wait(self, job: Job, work: float, owned_work: float) -> QueueWait:
-        """The wait of a job, given the work up to its last task."""
+        """Returns the wait of a job, given the work up to its last task."""
         pool = self.pool
-        # A gang's tasks run all at once: owned machines too few for that are none.
+        # All tasks of a gang run at once, so owned machines that cannot hold the whole gang do not count.
         owned_cpus_min = job.spec.cpus * job.pending if job.kind is JobKind.GANG else 1.0
         if job.priority_rank == IDLE_RANK:
             work += pool.best_effort_work
@@ -47,13 +47,14 @@
 
 
 class QueueWaitEstimator:
-    """The predicted work ahead of each job, its own included, and what is left of the running tasks."""
+    """Estimates each job's wait from the work ahead of it, its own included, and the rest of the running tasks."""
 
     def __init__(self, cluster: ClusterState, pools: PoolsByType) -> None:
         self._cluster = cluster
         self._pools = pools
         self._queues: dict[tuple[str, ...], _TypeQueue] = {}  # by the names of the types that suit a job
-        # Deferred tasks that are released before long count: else their release meets full machines.
+        # Deferred tasks that will be released soon count as queued work. Otherwise the machines would be full when they
+        # are released.
         for job, tasks in cluster.upcoming_starts:
             runtime = cluster.predictor.run_time(job.job_id, job.spec)
             self._queue_of(job).pool.work += runtime * job.spec.cpus * tasks
@@ -70,7 +71,7 @@
         return job.predicted_runtime * job.spec.cpus * (1 if job.suspected_faulty else job.pending)
 
     def append(self, job: Job) -> QueueWait:
-        """Add the next job in order; returns its wait."""
+        """Adds the next job in order; returns its wait."""
         queue, work = self._queue_of(job), self._work_of(job)
         queue.keys.append(order_key(job))
         queue.work_ahead.append(queue.pool.work)
@@ -80,8 +81,8 @@
             queue.pool.owned_work += work
         return queue.wait(job, queue.pool.work, queue.pool.owned_work)
 
-    def wait_among(self, job: Job) -> QueueWait:
-        """The wait of a job that came since, by its place among the others; it isn't added."""
+    def wait_of_new_job(self, job: Job) -> QueueWait:
+        """Returns the wait of a job that was submitted later, by its position in the order, without adding it."""
         queue, work = self._queue_of(job), self._work_of(job)
         index = bisect_left(queue.keys, order_key(job))
         is_last = index == len(queue.keys)
--- a/oatport/control/queueing/tier_router.py
+++ b/oatport/control/queueing/tier_router.py
@@ -1,4 +1,4 @@
-"""Which tier a job's pending tasks are for: owned machines, spot or on-demand (DESIGN, thesis 3.3 and 3.4)."""
+"""Routes a job's pending tasks to a tier: owned machines, spot or on-demand (DESIGN, thesis 3.3 and 3.4)."""
 
 from __future__ import annotations
 
@@ -13,45 +13,45 @@
 
 
 class TierAvailability(msgspec.Struct, frozen=True):
-    """How soon machines of each tier can take a job's tasks.
+    """Holds how soon machines of each tier can take a job's tasks.
 
-    DESIGN assumes that on-demand machines come when called; here the cloud may have refused them.
+    DESIGN assumes that on-demand machines can always be rented; in fact the cloud may refuse them.
     """
 
-    owned_wait: int | None  # predicted work ahead on owned machines; None if there is none that the job can use
-    spot_rentable: bool = True  # does the cloud still rent such machines?
+    owned_wait: int | None  # predicted wait for owned machines; None if there is none that the job can use
+    spot_rentable: bool = True  # whether the cloud still rents such machines
     on_demand_rentable: bool = True
-    spot_wait: int = 0  # predicted work ahead on all machines that the job may use, for when no spot is rentable
+    spot_wait: int = 0  # predicted wait for any machine that the job may use, in case no spot machine is rentable
 
 
 @dataclass(slots=True)
 class TierRouter:
-    """Routes jobs by their predicted run time against a threshold that is learnt."""
+    """Routes jobs by comparing their predicted run time with a learnt threshold."""
 
     predictor: RuntimePredictor
-    start_threshold: int  # used until enough is learnt
-    slack_factor: float  # how many predicted run times a deadline must leave for spot after a loss
-    percentile: float = 0.9  # of run times, that the threshold is set by
+    start_threshold: int  # used until enough run times are known
+    slack_factor: float  # after a loss, a job uses spot again only if its deadline leaves this many run times
+    percentile: float = 0.9  # of run times, used for the threshold
     threshold: int = 0
-    tail_factor: float = 1.0  # the last task of a job is taken to run this many predicted run times
-    start_objectives: dict[str, int] = field(default_factory=dict)  # class -> how soon its tasks should start
+    tail_factor: float = 1.0  # assumed run time of a job's last task, in predicted run times
+    start_objectives: dict[str, int] = field(default_factory=dict)  # class -> time within which its tasks should start
 
     def __post_init__(self) -> None:
         self.threshold = self.start_threshold
 
-    def learn(self, spot_ages: list[int], running: list[int]) -> None:
-        """Set the threshold: the smaller of a high percentile of run times and spot's half-life.
+    def update_threshold(self, spot_ages: list[int], running: list[int]) -> None:
+        """Sets the threshold to the smaller of a high percentile of run times and the half-life of spot machines.
 
-        `spot_ages`: of the spot machines; `running`: how long the running tasks have run.
+        `spot_ages` holds the ages of the spot machines, `running` the elapsed times of the running tasks.
         """
         percentile = self.predictor.runtime_percentile(self.percentile, running) or self.start_threshold
         self.threshold = min(percentile, self.predictor.spot_half_life(spot_ages) or percentile)
 
     def route(self, job: Job, wall: int, availability: TierAvailability) -> str:
-        """The tier of a job for which no owned machine is free; `wall`: time of day.
+        """Returns the tier of a job for which no owned machine is free; `wall` is the time of day.
 
-        Where the cloud has refused on-demand machines, a job that may use spot goes there rather than wait for what
-        does not come, and the other way round.
+        If the cloud has refused on-demand machines, a job that may use spot is routed to spot instead of waiting, and
+        the other way round.
         """
         if not job.spec.spot:
             return ON_DEMAND
@@ -65,10 +65,10 @@
         return tier
 
     def _misses_objectives(self, job: Job, wall: int, wait: int) -> bool | None:
-        """Would waiting this long miss what users expect of the job? None if they expect nothing.
+        """Returns whether a wait this long would miss the job's deadline or start objective; None if it has neither.
 
-        Where a start is what they expect by a certain time, that is a deadline too: gangs without one once waited for
-        minutes while nothing was rented for them.
+        A start objective counts like a deadline: before it did, gangs without a deadline waited for minutes while no
+        machine was rented for them.
         """
         start_within = self.start_objectives.get(job.spec.job_class)
         deadline = job.attainable_deadline or job.deadline
@@ -79,21 +79,23 @@
         return wall + wait + self._last_task_runtime(job) > deadline
 
     def _last_task_runtime(self, job: Job) -> int:
-        """How long the last of its tasks may run: a job of many ends with its slowest."""
+        """Returns the assumed run time of the job's last task: a job of many tasks ends with its slowest one."""
         predicted = self.predictor.run_time(job.job_id, job.spec)
         return round(predicted * self.tail_factor) if job.pending > 1 else predicted
 
     def _preferred_tier(self, job: Job, wall: int, owned_wait: int | None) -> str:
-        """The tier if the cloud has both kinds of machines (DESIGN)."""
+        """Returns the tier for the case that the cloud rents both spot and on-demand machines (DESIGN)."""
         predicted = self.predictor.run_time(job.job_id, job.spec)
         deadline = job.attainable_deadline or job.deadline
         if predicted < self.threshold:
-            # After a reclamation: spot again only if the deadline leaves twice the predicted time.
+            # After a reclamation the job uses spot again only if the deadline leaves `slack_factor` (by default twice)
+            # the predicted time.
             if job.loss_count and deadline is not None and deadline - wall < self.slack_factor * predicted:
                 return ON_DEMAND
             return SPOT
         if job.priority_rank == IDLE_RANK and not self._misses_objectives(job, wall, predicted):
-            # Long best-effort arrays waited for owned machines for the whole day: nobody is late if they start again.
+            # Long best-effort arrays would wait for owned machines all day. On spot they may have to restart, but no
+            # deadline is missed by that.
             return SPOT
         if owned_wait is None or self._misses_objectives(job, wall, owned_wait):
             return ON_DEMAND
--- a/oatport/control/scaling/__init__.py
+++ b/oatport/control/scaling/__init__.py
@@ -1,1 +1,1 @@
-"""How many machines there are: scale-out, scale-in and incoming capacity."""
+"""Plans the number of machines: scale-out, scale-in, rebalancing and incoming capacity."""
--- a/oatport/control/scaling/capacity_planner.py
+++ b/oatport/control/scaling/capacity_planner.py
@@ -1,4 +1,4 @@
-"""All that is planned about the number of machines: scale-out, scale-in and rebalancing."""
+"""Bundles the planners for the number of machines: scale-out, scale-in and rebalancing."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True)
 class CapacityPlanner:
-    """The planners of one leader, with what they know of the cloud in common."""
+    """Holds the capacity planners of one leader and the cloud availability that they share."""
 
     cluster: ClusterState
     availability: CloudAvailability = field(init=False)
--- a/oatport/control/scaling/demand.py
+++ b/oatport/control/scaling/demand.py
@@ -1,4 +1,4 @@
-"""The tasks of one job that rentals are planned for, and the zones that they may go to."""
+"""Represents the tasks of one job for which rentals are planned, and the zones where they may run."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True)
 class Demand:
-    """Tasks of a job that no capacity was found for yet, and how many there are in each zone."""
+    """Holds the number of a job's tasks that still need capacity, and the number of its tasks in each zone."""
 
     job: Job
     remaining: int
@@ -22,28 +22,28 @@
 
     @classmethod
     def of_tasks(cls, job: Job, count: int) -> Demand:
-        """`count` tasks beside those of the job that are on machines already."""
+        """Returns the demand for `count` tasks in addition to those of the job that are already on machines."""
         tasks_by_zone = dict(job.tasks_by_zone)
         only_zone = next(iter(tasks_by_zone)) if job.spec.single_zone and tasks_by_zone else job.spec.zone
         return cls(job, count, only_zone, tasks_by_zone, max_tasks_per_zone(job.spec), job.tier == SPOT)
 
     @classmethod
     def of_gang(cls, job: Job, zone: str | None) -> Demand:
-        """All tasks of a gang, in one zone unless that is None."""
+        """Returns the demand for all tasks of a gang in one zone, or in any zones if `zone` is None."""
         return cls(job, job.pending, zone, {}, max_tasks_per_zone(job.spec), job.tier == SPOT)
 
     def is_zone_full(self, zone: str) -> bool:
-        """The job is spread over zones, and this one has its share."""
+        """Returns whether the job is spread over zones and has reached its limit in this one."""
         return self.job.spec.spread and self.tasks_by_zone.get(zone, 0) >= self.zone_limit
 
     def limit_in(self, zone: str) -> int:
-        """How many of the remaining tasks may go to a zone."""
+        """Returns how many of the remaining tasks may go to a zone."""
         if not self.job.spec.spread:
             return self.remaining
         return min(self.remaining, self.zone_limit - self.tasks_by_zone.get(zone, 0))
 
     def assign(self, zone: str, count: int) -> None:
-        """Capacity for so many tasks was found in a zone."""
+        """Assigns `count` of the remaining tasks to capacity in a zone."""
         self.remaining -= count
         self.tasks_by_zone[zone] = self.tasks_by_zone.get(zone, 0) + count
         if self.job.spec.single_zone:
--- a/oatport/control/scaling/gang_scale_out.py
+++ b/oatport/control/scaling/gang_scale_out.py
@@ -1,4 +1,4 @@
-"""Machines for whole gangs: all that is lacking in one zone, or none."""
+"""Plans rentals for whole gangs: either all machines that a gang lacks in a zone are rented, or none."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(slots=True)
 class GangPlan:
-    """Where a whole gang would run: slots with the number of its tasks in each, and which of them are to be rented."""
+    """Holds the slots where a whole gang would run, with its tasks in each, and the slots that must be rented."""
 
     assignments: list[tuple[CapacitySlot, int]] = field(default_factory=list)
     new_slots: list[CapacitySlot] = field(default_factory=list)
@@ -32,9 +32,9 @@
     _free_gpu_slots: list[CapacitySlot] = field(default_factory=list)
 
     def start_pass(self) -> None:
-        """Look at the free GPUs anew.
+        """Collects the slots of usable machines with free GPUs.
 
-        Machines with GPUs are kept for those who need them, so a gang that is pending may own a part of its capacity.
+        These machines are reserved for jobs that need GPUs, so a pending gang may already have part of its capacity.
         """
         self._free_gpu_slots = [
             _gpu_slot(machine)
@@ -43,7 +43,7 @@
         ]
 
     def plan(self, job: Job, incoming: IncomingCapacity, now: int) -> list[CapacitySlot]:
-        """Machines to rent for a gang, in the zone that lacks the fewest; empty where it can't be whole.
+        """Returns the machines to rent for a gang, in the zone that lacks the fewest; empty if it fits in no zone.
 
         Capacity for the gang is reserved, and the new slots are added to `incoming`.
         """
@@ -61,7 +61,7 @@
         return best.new_slots
 
     def _candidate_zones(self, job: Job) -> list[str] | list[str | None]:
-        """Zones to try one by one; None stands for any, or all together."""
+        """Returns the zones to try one by one; None stands for all zones together."""
         if job.spec.zone is not None or not job.spec.single_zone:
             return [job.spec.zone]
         return sorted(
@@ -84,7 +84,7 @@
         return plan
 
     def _use_existing(self, demand: Demand, incoming: IncomingCapacity, plan: GangPlan) -> None:
-        """Assign tasks to free GPUs and to machines that are on their way."""
+        """Assigns tasks to free GPUs and to incoming machines."""
         spec = demand.job.spec
         for slot in self._existing_slots(demand, incoming):
             if demand.only_zone and slot.zone != demand.only_zone:
@@ -103,7 +103,10 @@
 
 
 def _gpu_slot(machine: Machine) -> CapacitySlot:
-    """What a machine has for work that needs its GPUs: array tasks that need none are stopped for it."""
+    """Returns a machine's capacity for work that needs its GPUs, including that of array tasks without GPUs.
+
+    Such array tasks are stopped for work that needs the GPUs.
+    """
     preemptible = [t.job.spec for t in machine.tasks if t.job.spec.gpus == 0 and t.job.kind is JobKind.ARRAY]
     slot = CapacitySlot.free_on(machine)
     slot.cpus += sum(s.cpus for s in preemptible)
--- a/oatport/control/scaling/incoming_capacity.py
+++ b/oatport/control/scaling/incoming_capacity.py
@@ -1,8 +1,8 @@
-"""Capacity that is on its way: booting machines and those about to be rented, and which pending tasks are to have it.
+"""Holds incoming capacity (booting machines and machines about to be rented) and assigns it to pending tasks.
 
-Each pending job once looked at every slot: with hundreds of machines booting and thousands of jobs pending, that was
-most of what a burst of submissions cost. Capacity only shrinks while rentals are planned, so jobs of one equivalence
-class go on where the one before them stopped.
+When each pending job examined every slot, this was most of the cost of a burst of submissions with hundreds of booting
+machines and thousands of pending jobs. Capacity only shrinks while rentals are planned, so the search of each job
+continues where that of the previous job of its equivalence class stopped.
 """
 
 from __future__ import annotations
@@ -13,22 +13,22 @@
 from oatport import wire
 from oatport.control.scaling.capacity_slot import CapacitySlot
 
-# CPUs, GPUs, memory in GB, may it use spot machines, names of the preferred types.
+# CPUs, GPUs, memory in GB, whether spot machines may be used, names of the preferred types.
 EquivalenceKey = tuple[float, float, float, bool, tuple[str, ...]]
 
 
 @dataclass(slots=True)
 class IncomingCapacity:
-    """All slots that are on their way, in order; slots are only ever added, and capacity only reserved."""
+    """Holds all incoming slots in order; slots are only ever added, and their capacity is only ever reserved."""
 
-    slots_examined: int = 0  # what tests count instead of time
+    slots_examined: int = 0  # a measure of work for tests, used instead of time
     _slots: list[CapacitySlot] = field(default_factory=list)
     _slots_by_zone: dict[str, list[CapacitySlot]] = field(default_factory=dict)
-    # Where the search of an equivalence class in a zone goes on: no slot before it is feasible any more.
+    # Index at which the search of an equivalence class in a zone continues: no slot before it is feasible any more.
     _search_from: dict[tuple[EquivalenceKey, str], int] = field(default_factory=dict)
 
     def add(self, slot: CapacitySlot) -> None:
-        """Append a slot."""
+        """Appends a slot."""
         slot.position = len(self._slots)
         self._slots.append(slot)
         self._slots_by_zone.setdefault(slot.zone, []).append(slot)
@@ -37,15 +37,15 @@
         return iter(self._slots)
 
     def zones(self) -> list[str]:
-        """The zones that have a slot, in order of their first one."""
+        """Returns the zones that have a slot, in the order of their first slots."""
         return list(self._slots_by_zone)
 
     def first_feasible(
         self, spec: wire.Submission, spot: bool, preferred_types: tuple[str, ...], zones: list[str]
     ) -> CapacitySlot | None:
-        """The first slot in these zones that a task of such a job fits into; None if there is none.
+        """Returns the first slot in these zones that a task of `spec` fits into; None if there is none.
 
-        `spot`: may it be a spot machine? `preferred_types`: names of the types that it may be.
+        `spot`: whether spot machines are allowed; `preferred_types`: names of the allowed types.
         """
         equivalence = (spec.cpus, spec.gpus, spec.memory_gb, spot, preferred_types)
         first: CapacitySlot | None = None
@@ -59,6 +59,6 @@
                     if first is None or slot.position < first.position:
                         first = slot
                     break
-                index += 1  # it has no capacity for this class, and will never have any
+                index += 1  # the slot has no capacity for this class, and never will
             self._search_from[(equivalence, zone)] = index
         return first
--- a/oatport/control/scaling/offering_selector.py
+++ b/oatport/control/scaling/offering_selector.py
@@ -1,4 +1,4 @@
-"""Which offering of the cloud serves pending tasks at the least cost."""
+"""Selects the offering of the cloud that serves pending tasks at the least cost."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 from oatport.control.state.job import Job, JobKind
 from oatport.times import SECOND, micros
 
-COST_RATIO_MAX = 2.5  # beyond so many times the cheapest type's cost a type isn't rented instead of it
+COST_RATIO_MAX = 2.5  # a type that costs more times as much as the cheapest one is not rented in its place
 PARTITION_PROBE_DELAY = 20 * SECOND
 RUNTIME_MIN = 10 * SECOND
-UNUSED_SLOT_WEIGHT = 0.7  # of a slot that later work is expected to fill
+UNUSED_SLOT_WEIGHT = 0.7  # of a slot that later work is expected to fill, relative to a used one
 
 
 @dataclass(slots=True)
@@ -27,19 +27,20 @@
     cluster: ClusterState
     availability: CloudAvailability
     _machine_counts: Counter[Offering] = field(default_factory=Counter)
-    # The choices of this pass, by what a task needs, where and for how long it may run, and how many there are.
+    # The choices of this pass, by equivalence class (resources, placement, predicted run time) and number of tasks.
     _choices: dict[tuple[object, int], tuple[wire.MachineType, str] | None] = field(default_factory=dict)
 
     def start_pass(self) -> None:
-        """Forget the choices of the last pass and count the machines anew."""
+        """Discards the choices of the last pass and counts the machines again."""
         self._machine_counts = Counter((m.type.name, m.zone, m.spot) for m in self.cluster.machines.values())
         self._choices.clear()
 
     def choose_shared(self, demand: Demand, equivalence: object, slots_max: int, now: int) -> CapacitySlot | None:
-        """As `choose`, with one search for all jobs of an equivalence class.
+        """Returns the result of `choose`, with one search for all jobs of an equivalence class.
 
-        Neither refusals nor the count of machines change within a pass, and more tasks than `slots_max`, what the
-        largest machine holds, change nothing. A job whose zones or other tasks matter is searched for by itself.
+        The result can be shared because neither refusals nor machine counts change within a pass, and because tasks
+        beyond `slots_max`, the capacity of the largest machine, do not affect it. A job whose choice depends on zones
+        or on its other tasks gets its own search.
         """
         job = demand.job
         key = (equivalence, min(demand.remaining, slots_max))
@@ -50,12 +51,12 @@
         return None if choice is None else CapacitySlot.of(*choice, demand.spot)
 
     def choose(self, demand: Demand, now: int) -> CapacitySlot | None:
-        """An empty machine of the offering that costs least for the remaining tasks; None if none should be rented."""
+        """Returns an empty machine of the cheapest offering for the remaining tasks; None if none should be rented."""
         choice = self._cheapest(demand, now)
         return None if choice is None else CapacitySlot.of(*choice, demand.spot)
 
     def _cheapest(self, demand: Demand, now: int) -> tuple[wire.MachineType, str] | None:
-        """The type and zone with the least cost, boot time included."""
+        """Returns the type and zone with the least cost, boot time included; None if none should be rented."""
         job, spot = demand.job, demand.spot
         runtime = max(self.cluster.predictor.run_time(job.job_id, job.spec), RUNTIME_MIN)
         best: tuple[wire.MachineType, str] | None = None
@@ -66,21 +67,22 @@
             for zone in machine_type.zones:
                 if not self._can_rent(demand, machine_type, zone, now):
                     continue
-                # A wave of reclamations confined to one zone should not take all machines of an offering.
+                # Machines are spread over zones, so that a wave of reclamations in one zone does not take all machines
+                # of an offering.
                 offering = (machine_type.name, zone, spot)
                 is_service = job.kind is JobKind.SERVICE
                 key = (cost, demand.tasks_by_zone.get(zone, 0) if is_service else self._machine_counts[offering])
                 if best_key is None or key < best_key:
                     best, best_key = (machine_type, zone), key
         if best is not None and costs[best[0].name] > COST_RATIO_MAX * min(costs.values()):
-            return None  # waiting for the right type of machine is better than, say, GPUs left idle
+            return None  # waiting for a suitable type is better than, for example, renting GPUs that stay idle
         return best
 
     @staticmethod
     def _cost_per_task(machine_type: wire.MachineType, demand: Demand, runtime: int) -> float:
         slots = task_slots_when_empty(machine_type, demand.job.spec)
         count = min(slots, demand.remaining)
-        # What the machine could hold counts for a part: later work fills the rest.
+        # Unused slots count in part, because later work is expected to fill them.
         useful = count + UNUSED_SLOT_WEIGHT * (slots - count)
         price = machine_type.spot_price if demand.spot else machine_type.price
         return price * (runtime + micros(machine_type.boot_time_s)) / runtime / useful
@@ -94,7 +96,10 @@
         return not self.availability.is_refused(offering, now) and not self.availability.is_requested(offering)
 
     def _is_unreachable(self, zone: str, now: int) -> bool:
-        """A partitioned zone: after a while one machine at a time is rented there, to find out."""
+        """Returns whether a zone is partitioned and no machine should be rented there now.
+
+        After `PARTITION_PROBE_DELAY`, one machine at a time is rented there to probe whether the zone is reachable.
+        """
         since = self.cluster.zones.partitioned.get(zone)
         if since is None:
             return False
@@ -106,7 +111,7 @@
 
 
 def equivalence_key(job: Job, spot: bool) -> object:
-    """Jobs with the same key are served best by the same offering, their zones and other tasks apart."""
+    """Returns the key of jobs that the same offering serves best, if their zones and other tasks do not matter."""
     spec = job.spec
     return (
         spec.cpus,
--- a/oatport/control/scaling/owned_capacity.py
+++ b/oatport/control/scaling/owned_capacity.py
@@ -1,4 +1,4 @@
-"""Owned (on-demand) machines without GPUs: what is free on them, and what is kept free for services to come."""
+"""Computes the free capacity of owned (on-demand) machines without GPUs, and the part reserved for future services."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 
 def free_owned_cpus(cluster: ClusterState) -> float:
-    """Free CPUs on owned machines that services can use."""
+    """Returns the free CPUs on owned machines that services can use."""
     return sum(m.free_cpus for m in cluster.usable_machines if not m.spot and m.type.gpus == 0)
 
 
 def warm_cpus(cluster: ClusterState) -> float:
-    """CPUs of owned machines that are kept free for services to come, so that they start at once."""
+    """Returns the CPUs of owned machines to keep free, so that future services start at once."""
     used = sum(j.spec.cpus * j.on_machines for j in cluster.jobs.values() if j.kind is JobKind.SERVICE)
     return cluster.tuning.warm_share * used
--- a/oatport/control/scaling/rebalancing.py
+++ b/oatport/control/scaling/rebalancing.py
@@ -1,4 +1,4 @@
-"""Moving replicas together, so that the machines that they leave can be returned."""
+"""Consolidates replicas on fewer machines, so that the machines that they leave can be returned."""
 
 from __future__ import annotations
 
@@ -16,24 +16,24 @@
 from oatport.control.state.task import Task, TaskPhase
 from oatport.times import SECOND
 
-MOVES_AT_ONCE = 6  # replicas
-MACHINES_TRIED = 4
-MOVE_DOWNTIME = SECOND // 4  # a replica is gone for that long even where its image is
-SETTLED_AFTER = 40 * SECOND
+MAX_CONCURRENT_MOVES = 6  # replicas
+MAX_MACHINES_TRIED = 4
+MOVE_DOWNTIME = SECOND // 4  # downtime of a moved replica even if the image is on the target machine
+REPLICA_SETTLED_AFTER = 40 * SECOND
 
 
 @dataclass(slots=True)
 class ReplicaRebalancer:
-    """Drains one owned machine of replicas at a time while no work wants owned machines."""
+    """Drains one owned machine of its replicas at a time, while no pending work needs owned machines."""
 
     cluster: ClusterState
 
     def replicas_to_move(self, now: int) -> list[Task]:
-        """Replicas to stop so that they run elsewhere and their machine can be returned.
+        """Returns the replicas to stop so that they run elsewhere and their machine can be returned.
 
-        Replicas outlast the burst that they were placed in, and would keep many machines for a few tasks each. Where
-        the image is, a replica is gone for a moment only; what is missed by fetching stays a small share of the time
-        that replicas were there.
+        Replicas outlast the burst in which they were placed, and would keep many machines rented for a few tasks each.
+        On a machine that has the image, the downtime of a moved replica is short. The total downtime, including image
+        fetches, is kept to a small share (`move_share`) of the time that replicas have run.
         """
         if self._owned_machines_are_wanted():
             for machine in self.cluster.machines.values():
@@ -44,7 +44,7 @@
             return []
         machine_to_drain.draining_replicas = machine_to_drain.cordoned_for_scale_in = True
         running = [t for t in machine_to_drain.tasks if t.phase is TaskPhase.BOUND and t.stop_grace_s is None]
-        return running[:MOVES_AT_ONCE]
+        return running[:MAX_CONCURRENT_MOVES]
 
     def _owned_machines_are_wanted(self) -> bool:
         return any(not job.suspected_faulty and (not job.spec.spot or job.tier != SPOT) for job in self.cluster.pending)
@@ -54,7 +54,7 @@
         return next((m for m in machines if m.draining_replicas and m.tasks and not m.releasing), None)
 
     def _choose_machine(self, now: int) -> Machine | None:
-        """The machine that saves most for each replica that has to move, if its replicas may be gone for so long."""
+        """Returns the machine that saves most per moved replica CPU and whose move fits into the downtime budget."""
         cluster = self.cluster
         owned = [m for m in cluster.usable_machines if not m.spot and not m.removed]
         spare_cpus = free_owned_cpus(cluster) - warm_cpus(cluster)
@@ -64,7 +64,7 @@
             if m.tasks and m.type.cpus <= spare_cpus and all(_is_settled_replica(t, now) for t in m.tasks)
         ]
         movable.sort(key=lambda m: (m.service_cpus / m.price, m.name))
-        for machine in movable[:MACHINES_TRIED]:
+        for machine in movable[:MAX_MACHINES_TRIED]:
             downtime = MovePlan(machine, owned).downtime()
             if (
                 downtime is not None
@@ -76,27 +76,30 @@
 
 
 def _is_settled_replica(task: Task, now: int) -> bool:
-    """A replica that has run for a while: one that is stopped early counts as never started (PROTOCOL)."""
+    """Returns whether the task is a replica that has run for `REPLICA_SETTLED_AFTER` and is not being stopped.
+
+    Younger replicas are not moved, since one that is stopped early counts as never started (PROTOCOL).
+    """
     return (
         task.job.kind is JobKind.SERVICE
         and task.phase is TaskPhase.BOUND
         and task.stop_grace_s is None
         and task.running_since > 0
-        and now - task.running_since > SETTLED_AFTER
+        and now - task.running_since > REPLICA_SETTLED_AFTER
     )
 
 
 class MovePlan:
-    """Where the replicas of a machine would go, were it drained."""
+    """Plans where the replicas of a machine would go if it were drained."""
 
     def __init__(self, source: Machine, owned: list[Machine]) -> None:
         self._source = source
         self._owned = owned
-        self._targets: dict[str, CapacitySlot] = {}  # what is left of machines that get a replica
-        self._moved: Counter[tuple[str, str]] = Counter()  # (job, zone) -> replicas that come from another zone
+        self._targets: dict[str, CapacitySlot] = {}  # remaining capacity of the machines that get a replica, by name
+        self._moved: Counter[tuple[str, str]] = Counter()  # (job, zone) -> replicas moved there from another zone
 
     def downtime(self) -> int | None:
-        """How long its replicas would be gone, all in all, while images are fetched; None if not all have capacity."""
+        """Returns the total downtime of the replicas, image fetches included; None if not all of them find capacity."""
         total = 0
         for task in self._source.tasks:
             target = self._target(task.job)
@@ -107,7 +110,7 @@
         return total
 
     def _target(self, job: Job) -> Machine | None:
-        """The first machine on which the image is there soonest."""
+        """Returns the first machine with the shortest image fetch time; None if no machine is feasible."""
         best: Machine | None = None
         best_fetch = 0
         for machine in self._owned:
@@ -130,7 +133,7 @@
         if spec.machine_types is not None and machine.type.name not in spec.machine_types:
             return False
         if machine.zone == self._source.zone:
-            return spec.zone in (None, machine.zone)  # within its zone a move changes nothing about the spread
+            return spec.zone in (None, machine.zone)  # a move within a zone does not affect the spread over zones
         replicas_there = job.tasks_by_zone.get(machine.zone, 0) + self._moved.get((job.job_id, machine.zone), 0)
         return (
             not (spec.spread and replicas_there >= max_tasks_per_zone(spec))
--- a/oatport/control/scaling/scale_in.py
+++ b/oatport/control/scaling/scale_in.py
@@ -1,4 +1,4 @@
-"""Which machines to return, and which owned ones to let run empty first."""
+"""Decides which machines to return, and which owned machines to cordon so that they become idle first."""
 
 from __future__ import annotations
 
@@ -13,50 +13,50 @@
 from oatport.times import micros
 
 MACHINES_PER_RELEASE = 100
-PENDING_TASKS_COUNTED = 50  # of one job, when the need for owned machines is estimated
-PARTITIONED_BOOT_PATIENCE = 2  # boot times that a machine of a partitioned zone may take
-SLOW_MACHINE_FACTOR = 2.5  # observed over predicted run time from which an idle machine is returned at once
+PENDING_TASKS_COUNTED = 50  # maximum per job when the need for owned machines is estimated
+PARTITIONED_BOOT_PATIENCE = 2  # boot times after which a machine in a partitioned zone counts as failed
+SLOW_MACHINE_FACTOR = 2.5  # ratio of observed to predicted run time above which an idle machine is returned at once
 SLOW_MACHINE_SAMPLES = 3
 
 
 @dataclass(slots=True)
 class CapacityNeed:
-    """CPUs, without GPUs, that cordons are decided by."""
+    """Holds the CPUs of machines without GPUs by which cordons are decided."""
 
-    free_spot: float  # free on spot machines, less what pending work would take first
-    owned: float  # needed on owned machines: by services to come, and by pending work
+    free_spot: float  # free on spot machines, minus those that pending work would take first
+    owned: float  # needed on owned machines by future services and by pending work
 
 
 @dataclass(slots=True)
 class OptionalMachine:
-    """An owned machine whose work could all run on spot."""
+    """Holds an owned machine whose work could all run on spot machines."""
 
     machine: Machine
-    used_cpus: float  # by other than best-effort tasks
+    used_cpus: float  # excluding best-effort tasks
 
     def retention_key(self) -> tuple[float, float]:
-        """The cheapest are kept first, then those in use."""
+        """Returns the key by which machines are kept: the cheapest per CPU first, then those with most CPUs in use."""
         return self.machine.price / self.machine.type.cpus, -self.used_cpus
 
 
 @dataclass(slots=True)
 class OwnedMachines:
-    """Owned machines by whether their work needs one."""
+    """Divides owned machines by whether their work needs an owned machine."""
 
-    spare_cpus: float = 0.0  # for more such work, on machines with work that needs an owned one
-    optional: list[OptionalMachine] = field(default_factory=list)  # in the order in which they are kept
+    spare_cpus: float = 0.0  # left for more work that needs an owned machine, on machines that already run such work
+    optional: list[OptionalMachine] = field(default_factory=list)  # in order of retention
 
 
 @dataclass(slots=True)
 class ReleaseBudget:
-    """CPUs of owned machines that are free, and of those the ones to keep."""
+    """Holds the free CPUs of owned machines, and how many of them must stay free."""
 
     free_cpus: float
-    kept_cpus: float
+    reserved_cpus: float
 
     def spend(self, cpus: float) -> bool:
-        """Take a machine's CPUs off, unless too few would be left; True if they were taken."""
-        if self.free_cpus - cpus < self.kept_cpus:
+        """Deducts a machine's CPUs unless too few would be left; returns whether they were deducted."""
+        if self.free_cpus - cpus < self.reserved_cpus:
             return False
         self.free_cpus -= cpus
         return True
@@ -64,24 +64,24 @@
 
 @dataclass(slots=True)
 class ScaleInPlanner:
-    """Cordons owned machines that aren't needed and picks the machines to return."""
+    """Cordons owned machines that are not needed, and selects the machines to return."""
 
     cluster: ClusterState
 
     # --- cordons ----------------------------------------------------------------------------
 
     def update_cordons(self) -> bool:
-        """Let owned machines run empty whose work free spot machines could take.
+        """Cordons the owned machines whose work free spot machines could take, and uncordons those that are needed.
 
-        Free owned machines are used first, so without this one that was rented in a burst would be kept busy for ever
-        by work that may use spot, while spot machines idle and are returned. True if some that were cordoned are
-        needed again: pending work may find capacity on them.
+        Placement uses free owned machines first. Without cordons, work that may use spot would keep an owned machine
+        that was rented in a burst busy forever, while spot machines became idle and were returned. Returns whether some
+        cordoned machines are needed again, since pending work may find capacity on them.
         """
-        cordoned_before = [m for m in self.cluster.machines.values() if m.cordoned_for_scale_in]
+        previously_cordoned = [m for m in self.cluster.machines.values() if m.cordoned_for_scale_in]
         need = self._capacity_need()
         owned = self._uncordon_needed(self._owned_machines())
         self._cordon_optional(owned, need)
-        return any(not machine.cordoned_for_scale_in and not machine.removed for machine in cordoned_before)
+        return any(not machine.cordoned_for_scale_in and not machine.removed for machine in previously_cordoned)
 
     def _capacity_need(self) -> CapacityNeed:
         cluster = self.cluster
@@ -89,13 +89,13 @@
         need = CapacityNeed(free_spot, warm_cpus(cluster))
         for job in cluster.pending:
             if job.spec.gpus > 0 or job.suspected_faulty:
-                continue  # it has machines of its own type, or rather no use for any
+                continue  # jobs with GPUs use other machine types, and suspected jobs should get no machines
             tasks = min(job.pending, cluster.quotas.remaining_tasks(job.spec), PENDING_TASKS_COUNTED)
             cpus = tasks * job.spec.cpus
             if not job.spec.spot or job.tier != SPOT:
                 need.owned += cpus
             elif job.priority_rank != IDLE_RANK:
-                need.free_spot -= cpus  # what is pending would have it first
+                need.free_spot -= cpus  # pending work takes free spot capacity first
         return need
 
     def _owned_machines(self) -> list[Machine]:
@@ -112,7 +112,7 @@
 
     @staticmethod
     def _uncordon_needed(machines: list[Machine]) -> OwnedMachines:
-        """Uncordon machines with work that needs an owned one."""
+        """Uncordons machines with work that needs an owned machine; returns all machines by whether they have any."""
         owned = OwnedMachines()
         for machine in machines:
             fixed_cpus = sum(t.job.spec.cpus for t in machine.tasks if not t.job.spec.spot or t.job.tier != SPOT)
@@ -127,7 +127,7 @@
 
     @staticmethod
     def _cordon_optional(owned: OwnedMachines, need: CapacityNeed) -> None:
-        """Keep as many of these machines as owned ones are needed; cordon the rest if spot can take their work."""
+        """Keeps as many optional machines as are needed, and cordons the others whose work fits on free spot."""
         owned_cpus, free_spot = owned.spare_cpus, need.free_spot
         for candidate in owned.optional:
             machine = candidate.machine
@@ -143,22 +143,22 @@
     # --- returning --------------------------------------------------------------------------
 
     def machines_to_release(self, now: int) -> list[Machine]:
-        """Idle, faulty and never-booting machines; they are marked, and no task is bound to them from here on."""
+        """Returns idle and faulty machines and those that failed to boot, marked so that no more tasks are bound."""
         cluster = self.cluster
         machines = cluster.machines.values()
         chosen: list[Machine] = []
         budget = ReleaseBudget(free_owned_cpus(cluster), warm_cpus(cluster))
         commands_cut_off = is_isolated(sum(m.command_unreachable for m in machines), list(machines))
         for machine in machines:
-            if not machine.releasing:  # else it was asked before without an answer
+            if not machine.releasing:  # otherwise an earlier release request got no answer, and is repeated
                 if machine.tasks or machine.orphaned_attempts:
                     continue
                 if machine.command_unreachable and commands_cut_off:
-                    continue  # it is rather this node that reaches none: others would be just as unreachable
+                    continue  # the fault is probably this node's: it could not reach new machines either
                 if not self._should_release(machine, budget, now):
                     continue
-            # Asked only now: it has the completions that it finds written at once, and if it did so for all machines,
-            # none would wait for others of their record any more.
+            # This check comes last because it has the completions that it finds written at once. If it ran for all
+            # machines, no completion would wait to be written together with others of the same record.
             if cluster.completions.holds_unwritten(machine):
                 continue
             machine.releasing = True
@@ -166,7 +166,7 @@
         return chosen[:MACHINES_PER_RELEASE]
 
     def _should_release(self, machine: Machine, budget: ReleaseBudget, now: int) -> bool:
-        """Is a machine without tasks to be returned?"""
+        """Returns whether a machine without tasks should be returned."""
         if self._is_unwanted(machine, now):
             return True
         if not machine.ready_at or not self._is_idle(machine, now):
@@ -174,14 +174,14 @@
         return not self._is_owned_for_services(machine) or budget.spend(machine.type.cpus)
 
     def _is_unwanted(self, machine: Machine, now: int) -> bool:
-        """A machine without tasks that is of no use: it doesn't boot, is faulty, drained or slow."""
+        """Returns whether a machine without tasks is of no use: it failed to boot, or is faulty, drained or slow."""
         if not machine.ready_at:
             return self._boot_failed(machine, now)
         is_slow = machine.slowdown_samples >= SLOW_MACHINE_SAMPLES and machine.slowdown > SLOW_MACHINE_FACTOR
         return machine.draining or machine.draining_replicas or is_slow
 
     def _boot_failed(self, machine: Machine, now: int) -> bool:
-        # In a partitioned zone it may be up though no heartbeat arrives: charged all the same.
+        # In a partitioned zone the machine may be up though no heartbeat arrives, but it is charged all the same.
         partitioned = machine.zone in self.cluster.zones.partitioned
         boot_times = PARTITIONED_BOOT_PATIENCE if partitioned else self.cluster.tuning.boot_patience
         overdue = now - machine.rented_at >= micros(machine.type.boot_time_s * boot_times)
@@ -196,5 +196,5 @@
 
 
 def _idle_from(machine: Machine) -> int:
-    """Array tasks that need no GPUs do not make a machine that has them any less idle."""
+    """Returns since when a machine counts as idle; array tasks that need no GPUs do not keep a GPU machine busy."""
     return machine.gpus_idle_since if machine.type.gpus > 0 and machine.gpus_idle_since else machine.idle_since
--- a/oatport/control/scaling/scale_out.py
+++ b/oatport/control/scaling/scale_out.py
@@ -1,4 +1,4 @@
-"""Which machines to rent: capacity for the pending tasks of each tier, beyond what is on its way already."""
+"""Decides which machines to rent: capacity for the pending tasks of each tier beyond the incoming capacity."""
 
 from __future__ import annotations
 
@@ -17,22 +17,22 @@
 from oatport.times import MS, SECOND, micros
 
 MACHINES_PER_REQUEST = 50  # PROTOCOL, POST /hosts
-MACHINES_PER_PASS = 4 * MACHINES_PER_REQUEST  # more are not asked for before the next pass
+MACHINES_PER_PASS = 4 * MACHINES_PER_REQUEST  # limit of one planning pass
 PLAN_INTERVAL = 300 * MS
-PLAN_INTERVAL_MAX = 4 * SECOND  # also when nothing has changed: running work ends, machines are overdue
-JOBS_PER_PLAN_INTERVAL = 400  # pending jobs beyond which the interval grows with their number
-DEFAULT_BOOT_TIME = 30 * SECOND  # while no machine type is known
+PLAN_INTERVAL_MAX = 4 * SECOND  # applies even if nothing has changed, since work ends and boots become overdue
+JOBS_PER_PLAN_INTERVAL = 400  # number of pending jobs above which the interval grows with it
+DEFAULT_BOOT_TIME = 30 * SECOND  # used while no machine type is known
 
 
 @dataclass(slots=True)
 class ReleasedCpus:
-    """CPUs that pending array tasks will find without a rental; what they are counted on for is taken off."""
+    """Holds the CPUs that pending array tasks will find without a rental, minus those already counted on."""
 
     by_completions: float = 0.0  # of running tasks that end before a rented machine could be up
-    by_best_effort: float = 0.0  # of best-effort tasks, which give way to all others
+    by_best_effort: float = 0.0  # of best-effort tasks, which all others may preempt
 
     def absorb(self, demand: Demand) -> None:
-        """Count tasks on the CPUs that completions will free, then on those that best-effort tasks give up."""
+        """Assigns tasks to the CPUs that completions will free, then to those that best-effort tasks give up."""
         job, cpus = demand.job, demand.job.spec.cpus
         absorbed = min(demand.remaining, int(self.by_completions // cpus))
         self.by_completions -= absorbed * cpus
@@ -45,7 +45,7 @@
 
 @dataclass(slots=True)
 class ScaleOutPass:
-    """What one planning pass counts on, and what it has planned so far."""
+    """Holds the capacity that one planning pass counts on, and the rentals that it has planned so far."""
 
     now: int
     incoming: IncomingCapacity
@@ -53,40 +53,40 @@
     planned: dict[Offering, int] = field(default_factory=dict)  # machines to rent
 
     def add(self, slot: CapacitySlot) -> None:
-        """One more machine is to be rented."""
+        """Adds one machine to the planned rentals."""
         offering = (slot.type.name, slot.zone, slot.spot)
         self.planned[offering] = self.planned.get(offering, 0) + 1
 
 
 @dataclass(slots=True)
 class ScaleOutPlanner:
-    """Plans rentals; the caller sends the requests and reports their outcome to `availability`."""
+    """Plans rentals; the caller sends the requests and reports their outcomes to `availability`."""
 
     cluster: ClusterState
     availability: CloudAvailability
     _selector: OfferingSelector = field(init=False)
     _gangs: GangScaleOut = field(init=False)
     _planned_at: int = -PLAN_INTERVAL_MAX
-    _planned_from: tuple[object, ...] = ()  # what the last pass went by
+    _planned_from: tuple[object, ...] = ()  # version of the inputs of the last pass
 
     def __post_init__(self) -> None:
         self._selector = OfferingSelector(self.cluster, self.availability)
         self._gangs = GangScaleOut(self.cluster, self._selector)
 
     def interval(self) -> int:
-        """How long until rentals are planned again, if something has changed meanwhile."""
+        """Returns the time after which rentals are planned again, if anything has changed meanwhile."""
         by_load = PLAN_INTERVAL * len(self.cluster.pending) // JOBS_PER_PLAN_INTERVAL
         return min(PLAN_INTERVAL_MAX // 2, max(PLAN_INTERVAL, by_load))
 
     def due(self, now: int) -> bool:
-        """Is it time to plan rentals?"""
+        """Returns whether it is time to plan rentals."""
         elapsed = now - self._planned_at
         return elapsed >= PLAN_INTERVAL_MAX or (
             elapsed >= self.interval() and self._inputs_version(now) != self._planned_from
         )
 
     def _inputs_version(self, now: int) -> tuple[object, ...]:
-        """Differs if what rentals are planned from has changed."""
+        """Returns a value that differs if the inputs of the plan have changed."""
         cluster = self.cluster
         return (
             cluster.pending.version,
@@ -97,7 +97,7 @@
         )
 
     def plan(self, now: int) -> list[ScaleOutRequest]:
-        """Rentals that suit the pending tasks of each tier, beyond what is on its way already."""
+        """Returns the rentals for the pending tasks of each tier beyond the incoming capacity."""
         self._planned_at, self._planned_from = now, self._inputs_version(now)
         current = ScaleOutPass(now, self._incoming(now), self._released_cpus(now))
         self._selector.start_pass()
@@ -116,7 +116,7 @@
     def _requests(self, planned: dict[Offering, int]) -> list[ScaleOutRequest]:
         requests = []
         for (type_name, zone, spot), planned_count in planned.items():
-            # One machine finds out whether a partitioned zone can be reached again.
+            # In a partitioned zone one machine is enough to probe whether the zone is reachable again.
             remaining = 1 if zone in self.cluster.zones.partitioned else planned_count
             while remaining > 0:
                 requests.append(ScaleOutRequest(type_name, zone, spot, min(remaining, MACHINES_PER_REQUEST)))
@@ -124,7 +124,7 @@
         return requests
 
     def _incoming(self, now: int) -> IncomingCapacity:
-        """Machines that boot, and those that were asked for."""
+        """Returns the capacity of booting machines and of machines that were requested."""
         cluster = self.cluster
         incoming = IncomingCapacity()
         for machine in cluster.machines.values():
@@ -138,7 +138,7 @@
         return incoming
 
     def _released_cpus(self, now: int) -> ReleasedCpus:
-        """CPUs that running tasks free before a rented machine could be up, and those of best-effort tasks."""
+        """Returns the CPUs of best-effort tasks and those that tasks will free before a rented machine could be up."""
         boot_time = min((micros(t.boot_time_s) for t in self.cluster.catalog.types.values()), default=DEFAULT_BOOT_TIME)
         released = ReleasedCpus()
         for machine in self.cluster.usable_machines:
@@ -164,7 +164,7 @@
                 current.add(slot)
 
     def _plan_tasks(self, demand: Demand, current: ScaleOutPass) -> None:
-        """Machines for tasks that start one by one."""
+        """Plans rentals for tasks that start independently of each other."""
         job = demand.job
         if job.kind is JobKind.ARRAY and not job.spec.gpus:
             current.released.absorb(demand)
