--- a/oatport/control/placement/candidate_search.py
+++ b/oatport/control/placement/candidate_search.py
@@ -23,12 +23,12 @@
         self._scorer = scorer
         self.bound_machines: list[Machine] = []  # machines on which tasks were bound in this pass, in order
         # Whether any machine has GPUs: only then does the predicted run time decide which machines a job may use.
-        self.gpus_available = False
+        self.has_gpu_machines = False
         self._rankings: dict[tuple[object, ...], CandidateRanking] = {}
 
     def start_pass(self, machines: list[Machine]) -> None:
         """Discards the rankings of the last pass."""
-        self.gpus_available = any(m.type.gpus > 0 for m in machines)
+        self.has_gpu_machines = any(m.type.gpus > 0 for m in machines)
         self._rankings.clear()
         self.bound_machines.clear()
 
@@ -79,7 +79,7 @@
         """Returns the key of the job's ranking: jobs with the same key have the same candidates and scores."""
         spec, cluster = job.spec, self._cluster
         keeps_headroom = job.kind is JobKind.SERVICE and spec.task_count >= cluster.tuning.mate_room_tasks
-        runtime_bucket = cluster.predictor.run_time(job.job_id, spec) // RUNTIME_BUCKET if self.gpus_available else 0
+        runtime_bucket = cluster.predictor.run_time(job.job_id, spec) // RUNTIME_BUCKET if self.has_gpu_machines else 0
         return (
             job.kind,
             job.priority_rank,
--- a/oatport/control/placement/failure_attribution.py
+++ b/oatport/control/placement/failure_attribution.py
@@ -39,12 +39,14 @@
         job.retry_at = now + _retry_backoff(attempt)  # the retry ran on the same machine: no other one is available
     job.error_machines.add(machine.name)
     succeeded = has_succeeded(job, now)
-    newly_suspected = not job.suspected_faulty and not succeeded and len(job.error_machines) >= SUSPECT_AFTER_MACHINES
-    if newly_suspected:
+    is_newly_suspected = (
+        not job.suspected_faulty and not succeeded and len(job.error_machines) >= SUSPECT_AFTER_MACHINES
+    )
+    if is_newly_suspected:
         _suspect(job, machines)
     if job.suspected_faulty:
         job.retry_at = max(job.retry_at, now + _retry_backoff(job.errors))
-        return newly_suspected
+        return is_newly_suspected
     machine.failed_jobs.add(job.job_id)
     if succeeded:
         machine.confirmed_failed_jobs.add(job.job_id)  # the job succeeds elsewhere
--- a/oatport/control/placement/feasibility.py
+++ b/oatport/control/placement/feasibility.py
@@ -42,7 +42,7 @@
         spec, cluster = job.spec, self._cluster
         # Replicas run for a long time, and arrays follow one another. Either would block machines with GPUs for the
         # jobs that need them, or keep expensive machines rented for work that any machine can do.
-        avoids_gpus = self.avoids_gpus(job)
+        should_avoid_gpus = self.should_avoid_gpus(job)
         may_use_spot = spec.spot and cluster.may_use_free_spot(job)
         # Best-effort tasks use the capacity that replicas leave free on owned machines. An owned machine without
         # replicas would stay rented for them alone, at two to three times the price of the spot machines that they
@@ -55,7 +55,9 @@
                 and (may_use_spot or not machine.spot)
                 and (spec.machine_types is None or machine.type.name in spec.machine_types)
                 and (spec.zone is None or machine.zone == spec.zone)
-                and not (avoids_gpus and machine.type.gpus > 0 and not cluster.may_backfill(job, machine, cluster.now))
+                and not (
+                    should_avoid_gpus and machine.type.gpus > 0 and not cluster.may_backfill(job, machine, cluster.now)
+                )
                 and not (only_beside_replicas and not machine.spot and machine.service_cpus <= 0)
             )
 
@@ -70,7 +72,7 @@
         error_machines = job.error_machines if len(machines) > len(job.error_machines) else ()
         return [m for m in machines if is_feasible(m) and machine_allowed(job, m) and m.name not in error_machines]
 
-    def avoids_gpus(self, job: Job) -> bool:
+    def should_avoid_gpus(self, job: Job) -> bool:
         """Returns whether the job needs no GPUs and could run on a machine type without any."""
         return job.spec.gpus == 0 and any(
             machine_type.gpus == 0 for machine_type in self._cluster.catalog.preferred_types(job)
--- a/oatport/control/placement/placer.py
+++ b/oatport/control/placement/placer.py
@@ -25,14 +25,13 @@
 
 UNWRITTEN_BINDINGS_MAX = 24  # with more bindings not yet recorded, best-effort tasks are not bound
 UNWRITTEN_BINDINGS_PAUSE = SECOND // 10  # until the number of unwritten bindings is checked again
-# A pass runs after this time even if no change was noted. It only guards against a missed change: no feature relies
-# on it.
+# A pass runs after this time even if no change was noted. It guards against a missed change; nothing relies on it.
 PASS_INTERVAL_MAX = 2 * SECOND
 
 
 @dataclass(slots=True)
 class InfeasibleRequests:
-    """Records requests that found no capacity in this pass, and for which equal or larger ones find none either."""
+    """Records the requests that found no capacity in this pass; equal or larger ones will find none either."""
 
     _requests: dict[tuple[object, ...], list[tuple[float, float, float]]] = field(default_factory=dict)
 
@@ -41,7 +40,7 @@
         self._requests.setdefault(equivalence, []).append((spec.cpus, spec.gpus, spec.memory_gb))
 
     def covers(self, equivalence: tuple[object, ...], spec: wire.Submission) -> bool:
-        """Returns whether a task that needs the same or less found no capacity."""
+        """Returns whether a request of the same or a smaller size has already found no capacity."""
         return any(
             spec.cpus >= cpus and spec.gpus >= gpus and spec.memory_gb >= memory_gb
             for cpus, gpus, memory_gb in self._requests.get(equivalence, ())
@@ -98,7 +97,7 @@
         self.feasibility = FeasibilityFilter(cluster)
         self._scorer = MachineScorer(cluster)
         self.candidates = CandidateSearch(cluster, self.feasibility, self._scorer)
-        self._gangs = GangPlacer(cluster, self.feasibility)
+        self._gang_placer = GangPlacer(cluster, self.feasibility)
         self.preemption = PreemptionPlanner(cluster, self.feasibility, self._wakeup)
         self._warm_starts = WarmStarts(self._scorer, self.preemption)
 
@@ -143,7 +142,7 @@
         current = PlacementPass.begin(now, usable, self._cluster.pending.smallest_cpus() - 1e-9)
         self._scorer.start_pass(usable)
         self.candidates.start_pass(current.with_capacity)
-        self._gangs.start_pass()
+        self._gang_placer.start_pass()
         return current
 
     def _startable_tasks(self, job: Job, equivalence_class: EquivalenceClass, current: PlacementPass) -> int:
@@ -155,18 +154,18 @@
             return 0
         startable = self._tasks_within_quota(job, equivalence_class, current.now)
         if job.priority_rank == IDLE_RANK and len(self._cluster.writes.urgent_keys) > UNWRITTEN_BINDINGS_MAX:
-            # Capacity that is bound but not yet recorded can't be given to more urgent work.
+            # Capacity that is bound but not yet recorded cannot be given to any other work.
             self._wakeup.schedule_by(current.now + UNWRITTEN_BINDINGS_PAUSE)
             equivalence_class.exhausted = equivalence_class.interchangeable
             return 0
         if job.suspected_faulty and job.kind is not JobKind.GANG:
             startable = min(startable, 1 - job.on_machines)  # one task shows whether the job fails again
-        if startable > 0 and job.spec.spread and self._zones_are_full(job, current.zones):
+        if startable > 0 and job.spec.spread and self._is_every_zone_full(job, current.zones):
             return 0  # while a zone is partitioned, the tasks that belong there are not placed in other zones
         return startable
 
     @staticmethod
-    def _zones_are_full(job: Job, zones: set[str]) -> bool:
+    def _is_every_zone_full(job: Job, zones: set[str]) -> bool:
         limit = max_tasks_per_zone(job.spec)
         return all(job.tasks_by_zone.get(zone, 0) >= limit for zone in zones)
 
@@ -187,14 +186,14 @@
 
     def _place_gang(self, job: Job, current: PlacementPass) -> int:
         """Binds a whole gang, or preempts and reserves machines for it; returns the number of tasks that were bound."""
-        machines = self._gangs.place(job, current.with_capacity, current.now)
+        machines = self._gang_placer.place(job, current.with_capacity, current.now)
         if machines:
             self.candidates.bound_machines += machines
             # Machines with GPUs may have capacity left beside the gang for jobs that found none earlier in the pass.
             self._cluster.planning_needed = True
         elif not job.on_machines and not job.suspected_faulty:
             self.preemption.preempt(job, current.usable, current.now)
-            reserved = self._gangs.machines_to_reserve(job, current.with_capacity, current.now)
+            reserved = self._gang_placer.machines_to_reserve(job, current.with_capacity, current.now)
             if reserved:
                 self._reserve(reserved, current)
         return len(machines)
@@ -210,8 +209,8 @@
         """Binds tasks that start independently of each other; returns how many were bound."""
         spec = job.spec
         key = self._capacity_key(job)
-        any_zone = not (spec.spread or spec.single_zone)
-        if any_zone and current.infeasible.covers(key, spec):
+        can_use_any_zone = not (spec.spread or spec.single_zone)
+        if can_use_any_zone and current.infeasible.covers(key, spec):
             equivalence_class.exhausted = equivalence_class.interchangeable
             return 0
         placement = self._bind_tasks(job, startable, current)
@@ -220,7 +219,7 @@
             self._reserve({placement.fallback}, current)
             self._wakeup.schedule_by(current.now + WARM_START_WAIT // 4)
         elif placement.bound_count < startable:
-            if any_zone:
+            if can_use_any_zone:
                 current.infeasible.add(key, spec)
             equivalence_class.exhausted = equivalence_class.interchangeable
             self.preemption.preempt(job, current.usable, current.now)
@@ -235,7 +234,7 @@
             spec.zone,
             tuple(spec.machine_types) if spec.machine_types else None,
             job.priority_rank,
-            self.candidates.gpus_available and job.runtime_bucket,
+            self.candidates.has_gpu_machines and job.runtime_bucket,
         )
 
     def _bind_tasks(self, job: Job, startable: int, current: PlacementPass) -> TaskPlacement:
--- a/oatport/control/placement/preemption.py
+++ b/oatport/control/placement/preemption.py
@@ -92,8 +92,8 @@
         """
         if job.kind is JobKind.GANG:
             return 1
-        best_effort = self._cluster.tasks.bound_by_priority[IDLE_RANK] > 0 and not for_guarantee
-        return min(job.pending, TASKS_PER_BEST_EFFORT_ROUND if best_effort else TASKS_PER_ROUND)
+        can_stop_best_effort = self._cluster.tasks.bound_by_priority[IDLE_RANK] > 0 and not for_guarantee
+        return min(job.pending, TASKS_PER_BEST_EFFORT_ROUND if can_stop_best_effort else TASKS_PER_ROUND)
 
     def _stop(self, victim: Task) -> None:
         """Stops the task and, if it belongs to a gang, all other members."""
--- a/oatport/control/placement/scoring.py
+++ b/oatport/control/placement/scoring.py
@@ -43,22 +43,22 @@
         For services, `with_zone_balance` inserts a term for the job's other replicas.
         """
         spec = job.spec
-        service = job.kind is JobKind.SERVICE
+        is_service = job.kind is JobKind.SERVICE
         return (
             machine.spot,
             machine.slowdown > SLOWDOWN_MAX and machine.slowdown_samples > 1,
             machine.type.gpus if spec.gpus == 0 else 0,
-            service and start_within is not None and image_fetch_time(spec, machine) > start_within,
+            is_service and start_within is not None and image_fetch_time(spec, machine) > start_within,
             # A machine full of replicas cannot take over a lost replica of the same job, though its image is already
             # there. So capacity for one more replica is left to preemptible work, if there is such work.
-            service
+            is_service
             and self._owned_machines_contended
             and spec.task_count >= self._cluster.tuning.mate_room_tasks
             and machine.type.cpus - machine.service_cpus < 2 * spec.cpus - 1e-9,
             spec.image not in machine.images,
             # Replicas are packed together, and other work is kept away from them: machines without replicas can be
             # returned, and machines with replicas, which hold the images, have capacity for more.
-            -machine.service_cpus if service else machine.service_cpus,
+            -machine.service_cpus if is_service else machine.service_cpus,
             machine.free_cpus,  # the fullest machine first
         )
 
--- a/oatport/control/placement/victim_selection.py
+++ b/oatport/control/placement/victim_selection.py
@@ -94,13 +94,13 @@
         job, spec = search.job, search.job.spec
         first_preemptible_rank = search.first_preemptible_rank
         may_use_spot = self._cluster.may_use_free_spot(job)
-        avoids_gpus = self._feasibility.avoids_gpus(job)
+        should_avoid_gpus = self._feasibility.should_avoid_gpus(job)
         options: list[PreemptionOption] = []
         for machine in usable:
             self.machines_examined += 1
             if sum(machine.cpus_by_priority[first_preemptible_rank:]) + machine.free_cpus + EPSILON < spec.cpus:
                 continue
-            if (machine.spot and not may_use_spot) or (machine.type.gpus > 0 and avoids_gpus):
+            if (machine.spot and not may_use_spot) or (machine.type.gpus > 0 and should_avoid_gpus):
                 continue
             if not machine.could_hold(spec) or not machine_allowed(job, machine):
                 continue
--- a/oatport/control/placement/warm_start.py
+++ b/oatport/control/placement/warm_start.py
@@ -27,14 +27,14 @@
         machines that have the image. Once `WARM_START_WAIT` has passed, the replica takes the freed capacity or
         `machine`, the best free one.
         """
-        if job.spec.image in machine.images or not self._fetch_takes_too_long(job, machine):
+        if job.spec.image in machine.images or not self._is_fetch_too_long(job, machine):
             return False
         if job.preempt_after <= now:
             warm = [m for m in usable if m.images.get(job.spec.image, now) < now - IMAGE_FETCHED_AFTER]
             self._preemption.preempt(job, warm, now, failed_search_interval=0)
         return job.preempt_after - now > PREEMPTION_INTERVAL - WARM_START_WAIT
 
-    def _fetch_takes_too_long(self, job: Job, machine: Machine) -> bool:
+    def _is_fetch_too_long(self, job: Job, machine: Machine) -> bool:
         start_within = self._scorer.start_objective(job)
         # The fetch rate varies by about a third, and one second is allowed for placement.
         return start_within is not None and image_fetch_time(job.spec, machine) * 4 // 3 + SECOND > start_within
--- a/oatport/control/queueing/deadlines.py
+++ b/oatport/control/queueing/deadlines.py
@@ -84,17 +84,20 @@
 def _mark_missed(pool: CapacityPool, candidates: list[DeadlineCandidate], wall: int) -> None:
     """Moves every job that misses a deadline on to its next one, until it meets one or has none left."""
     while candidates:
-        missed = _take_by_deadline(pool, candidates, wall)
+        missed = _schedule_by_deadline(pool, candidates, wall)
         for candidate in missed:
             candidate.deadlines = candidate.deadlines[1:]
             candidate.job.deadline_missed = not candidate.deadlines
         candidates = [candidate for candidate in missed if candidate.deadlines]
 
 
-def _take_by_deadline(pool: CapacityPool, candidates: list[DeadlineCandidate], wall: int) -> list[DeadlineCandidate]:
+def _schedule_by_deadline(
+    pool: CapacityPool, candidates: list[DeadlineCandidate], wall: int
+) -> list[DeadlineCandidate]:
     """Adds jobs to the pool's work in order of their first deadlines; returns the jobs that cannot meet theirs."""
     missed: list[DeadlineCandidate] = []
-    taken: list[tuple[float, str, DeadlineCandidate]] = []  # heap with negated work, so that the largest comes first
+    # A heap with negated work, so that the largest job comes first.
+    scheduled: list[tuple[float, str, DeadlineCandidate]] = []
     for candidate in sorted(candidates, key=lambda c: (c.deadlines[0], c.job.job_id)):
         job = candidate.job
         job.deadline_at, runtime = candidate.deadlines[0], job.predicted_runtime
@@ -103,9 +106,9 @@
             continue
         work = runtime * job.spec.cpus * job.pending
         pool.work += work
-        heapq.heappush(taken, (-work, job.job_id, candidate))
+        heapq.heappush(scheduled, (-work, job.job_id, candidate))
         if wall + pool.work / pool.cpus + runtime > job.deadline_at:
-            minus_work, _, largest = heapq.heappop(taken)
+            minus_work, _, largest = heapq.heappop(scheduled)
             pool.work += minus_work
             missed.append(largest)
     return missed
--- a/oatport/control/queueing/dependency_tracker.py
+++ b/oatport/control/queueing/dependency_tracker.py
@@ -83,21 +83,24 @@
         self.on_released(job)
 
     def on_completion_recorded(self, job_id: str, at: int) -> None:
-        """Releases the jobs that were blocked only by a job that is recorded as completed at `at` (time of day)."""
+        """Releases the jobs whose last unmet dependency is recorded as completed at `at` (time of day).
+
+        No dependent of the completed job counts as eligible before `at`.
+        """
         outcome = self.graph.complete(job_id)
-        for name in outcome.dependents:
-            job = self.blocked_jobs[name]
+        for dependent_id in outcome.dependents:
+            job = self.blocked_jobs[dependent_id]
             job.eligible_at = max(job.eligible_at, at)
-        for name in outcome.released:
-            self._release(self.blocked_jobs.pop(name))
+        for dependent_id in outcome.released:
+            self._release(self.blocked_jobs.pop(dependent_id))
 
     # --- cancellation -------------------------------------------------------------------------
 
     def cancel_dependents(self, job_id: str) -> None:
         """Cancels all jobs that depend, directly or transitively, on a job that was cancelled."""
-        for name in self.graph.cancel(job_id):
-            job = self.blocked_jobs.pop(name)
-            log.info("dependent job cancelled job=%s dependency=%s", name, job_id)
+        for dependent_id in self.graph.cancel(job_id):
+            job = self.blocked_jobs.pop(dependent_id)
+            log.info("dependent job cancelled job=%s dependency=%s", dependent_id, job_id)
             self._cancel_blocked(job)
 
     def _cancel_blocked(self, job: Job) -> None:
@@ -171,8 +174,10 @@
                         self.inherited_urgency[job_id] = inherited
                     dirty.update(dict.fromkeys(self.graph.dependencies_of(job_id)))
                 continue
-            own = stage_priority_rank(job)
-            rank = own if inherited is None or job.kind is JobKind.SERVICE else min(own, inherited.priority_rank)
+            own_rank = stage_priority_rank(job)
+            rank = (
+                own_rank if inherited is None or job.kind is JobKind.SERVICE else min(own_rank, inherited.priority_rank)
+            )
             self.cluster.job_lifecycle.set_urgency(
                 job, rank, list(inherited.deadlines) if inherited is not None else []
             )
@@ -195,8 +200,8 @@
     last job, and some submit that job after the others have ended. Without this rule, a stage of the lowest priority
     waited 100 to 200 s behind everything else.
     """
-    own = PRIORITIES[job.spec.priority]
-    return min(own, NORMAL_RANK) if job.dependencies else own
+    own_rank = PRIORITIES[job.spec.priority]
+    return min(own_rank, NORMAL_RANK) if job.dependencies else own_rank
 
 
 def list_job_ids(job_ids: list[str]) -> str:
--- a/oatport/control/queueing/pending_job_router.py
+++ b/oatport/control/queueing/pending_job_router.py
@@ -52,8 +52,8 @@
         cluster.dependencies.propagate_urgency()
         version = (cluster.pending.version, cluster.tasks.binding_changes)
         elapsed = now - self._routed_at
-        changed = version != self._routed_version
-        if elapsed >= ROUTING_INTERVAL_UNCHANGED or (changed and elapsed >= self.interval()) or self._waits is None:
+        has_changed = version != self._routed_version
+        if elapsed >= ROUTING_INTERVAL_UNCHANGED or (has_changed and elapsed >= self.interval()) or self._waits is None:
             self.route_all(now, wall)
             self._routed_at, self._routed_version = now, version
         elif cluster.pending.unrouted:
--- a/oatport/control/queueing/pending_queue.py
+++ b/oatport/control/queueing/pending_queue.py
@@ -1,10 +1,10 @@
-"""Orders pending jobs by equivalence class, so that a planning pass costs as much as it places, not as is pending.
+"""Orders pending jobs by equivalence class, so that the cost of a planning pass depends on what it can place.
 
-In a burst of submissions a thousand jobs wait for machines that are all full. A pass that examined each of them many
-times a second would take the CPU time that heartbeats and lease renewals need. Arrays that need the same capacity are
-in one *equivalence class*, most urgent first: if its first job finds no capacity, the others find none either, and the
-pass skips the rest of the class. All other jobs (gangs, services, jobs bound to zones, suspected ones) are examined
-one by one.
+The cost must not depend on the number of pending jobs: in a burst of submissions a thousand jobs wait for machines that
+are all full. A pass that examined each of them many times a second would take the CPU time that heartbeats and lease
+renewals need. Arrays that need the same capacity are in one *equivalence class*, most urgent first: if its first job
+finds no capacity, the others find none either, and the pass skips the rest of the class. All other jobs (gangs,
+services, jobs bound to zones, suspected ones) are examined one by one.
 
 Routing (`pending_job_router.py`) changes the order, and all jobs are sorted again afterwards; jobs that are added
 between two rounds of routing are inserted at their position.
--- a/oatport/control/scaling/rebalancing.py
+++ b/oatport/control/scaling/rebalancing.py
@@ -35,7 +35,7 @@
         On a machine that has the image, the downtime of a moved replica is short. The total downtime, including image
         fetches, is kept to a small share (`move_share`) of the time that replicas have run.
         """
-        if self._owned_machines_are_wanted():
+        if self._has_demand_for_owned_machines():
             for machine in self.cluster.machines.values():
                 machine.draining_replicas = False
             return []
@@ -46,7 +46,7 @@
         running = [t for t in machine_to_drain.tasks if t.phase is TaskPhase.BOUND and t.stop_grace_s is None]
         return running[:MAX_CONCURRENT_MOVES]
 
-    def _owned_machines_are_wanted(self) -> bool:
+    def _has_demand_for_owned_machines(self) -> bool:
         return any(not job.suspected_faulty and (not job.spec.spot or job.tier != SPOT) for job in self.cluster.pending)
 
     def _machine_being_drained(self) -> Machine | None:
--- a/oatport/control/scaling/scale_in.py
+++ b/oatport/control/scaling/scale_in.py
@@ -148,12 +148,12 @@
         machines = cluster.machines.values()
         chosen: list[Machine] = []
         budget = ReleaseBudget(free_owned_cpus(cluster), warm_cpus(cluster))
-        commands_cut_off = is_isolated(sum(m.command_unreachable for m in machines), list(machines))
+        is_node_isolated = is_isolated(sum(m.command_unreachable for m in machines), list(machines))
         for machine in machines:
             if not machine.releasing:  # otherwise an earlier release request got no answer, and is repeated
                 if machine.tasks or machine.orphaned_attempts:
                     continue
-                if machine.command_unreachable and commands_cut_off:
+                if machine.command_unreachable and is_node_isolated:
                     continue  # the fault is probably this node's: it could not reach new machines either
                 if not self._should_release(machine, budget, now):
                     continue
@@ -176,16 +176,16 @@
     def _is_unwanted(self, machine: Machine, now: int) -> bool:
         """Returns whether a machine without tasks is of no use: it failed to boot, or is faulty, drained or slow."""
         if not machine.ready_at:
-            return self._boot_failed(machine, now)
+            return self._has_boot_failed(machine, now)
         is_slow = machine.slowdown_samples >= SLOW_MACHINE_SAMPLES and machine.slowdown > SLOW_MACHINE_FACTOR
         return machine.draining or machine.draining_replicas or is_slow
 
-    def _boot_failed(self, machine: Machine, now: int) -> bool:
+    def _has_boot_failed(self, machine: Machine, now: int) -> bool:
         # In a partitioned zone the machine may be up though no heartbeat arrives, but it is charged all the same.
-        partitioned = machine.zone in self.cluster.zones.partitioned
-        boot_times = PARTITIONED_BOOT_PATIENCE if partitioned else self.cluster.tuning.boot_patience
-        overdue = now - machine.rented_at >= micros(machine.type.boot_time_s * boot_times)
-        return overdue and (not machine.was_ready or machine.listed_by_cloud)
+        is_partitioned = machine.zone in self.cluster.zones.partitioned
+        boot_times = PARTITIONED_BOOT_PATIENCE if is_partitioned else self.cluster.tuning.boot_patience
+        is_overdue = now - machine.rented_at >= micros(machine.type.boot_time_s * boot_times)
+        return is_overdue and (not machine.was_ready or machine.listed_by_cloud)
 
     def _is_idle(self, machine: Machine, now: int) -> bool:
         return bool(machine.idle_since) and now - _idle_from(machine) > self.cluster.idle_timeout(machine)
--- a/oatport/control/scaling/scale_out.py
+++ b/oatport/control/scaling/scale_out.py
@@ -65,13 +65,13 @@
     cluster: ClusterState
     availability: CloudAvailability
     _selector: OfferingSelector = field(init=False)
-    _gangs: GangScaleOut = field(init=False)
+    _gang_scale_out: GangScaleOut = field(init=False)
     _planned_at: int = -PLAN_INTERVAL_MAX
-    _planned_from: tuple[object, ...] = ()  # version of the inputs of the last pass
+    _planned_inputs_version: tuple[object, ...] = ()  # version of the inputs of the last pass
 
     def __post_init__(self) -> None:
         self._selector = OfferingSelector(self.cluster, self.availability)
-        self._gangs = GangScaleOut(self.cluster, self._selector)
+        self._gang_scale_out = GangScaleOut(self.cluster, self._selector)
 
     def interval(self) -> int:
         """Returns the time after which rentals are planned again, if anything has changed meanwhile."""
@@ -82,7 +82,7 @@
         """Returns whether it is time to plan rentals."""
         elapsed = now - self._planned_at
         return elapsed >= PLAN_INTERVAL_MAX or (
-            elapsed >= self.interval() and self._inputs_version(now) != self._planned_from
+            elapsed >= self.interval() and self._inputs_version(now) != self._planned_inputs_version
         )
 
     def _inputs_version(self, now: int) -> tuple[object, ...]:
@@ -98,10 +98,10 @@
 
     def plan(self, now: int) -> list[ScaleOutRequest]:
         """Returns the rentals for the pending tasks of each tier beyond the incoming capacity."""
-        self._planned_at, self._planned_from = now, self._inputs_version(now)
+        self._planned_at, self._planned_inputs_version = now, self._inputs_version(now)
         current = ScaleOutPass(now, self._incoming(now), self._released_cpus(now))
         self._selector.start_pass()
-        self._gangs.start_pass()
+        self._gang_scale_out.start_pass()
         by_urgency = sorted(
             self.cluster.pending, key=lambda j: (j.priority_rank, not j.starving, j.deadline or j.eligible_at)
         )
@@ -160,7 +160,7 @@
         if job.kind is not JobKind.GANG:
             self._plan_tasks(Demand.of_tasks(job, wanted), current)
         elif wanted == job.pending and not job.on_machines:
-            for slot in self._gangs.plan(job, current.incoming, current.now):
+            for slot in self._gang_scale_out.plan(job, current.incoming, current.now):
                 current.add(slot)
 
     def _plan_tasks(self, demand: Demand, current: ScaleOutPass) -> None:
--- a/tests/test_best_effort_jobs.py
+++ b/tests/test_best_effort_jobs.py
@@ -1,4 +1,4 @@
-"""Best-effort jobs of teams without a guarantee use what is cheap and free, and cost others nothing."""
+"""Tests that best-effort jobs of teams without a guarantee use cheap and free capacity, and never delay other jobs."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 
 def test_spot_machines_and_no_owned_one_are_rented_for_a_long_best_effort_array() -> None:
-    # It was sent to owned machines, of which there was none for it all day.
+    # Guards against routing long best-effort arrays to owned machines, where they found no capacity all day.
     world = World(TEAMS)
     world.machine(1)
     world.settle()
     ref = world.submit(legs=20, voyageS=300.0, **BEST_EFFORT)
     world.settle()
     assert world.cluster.jobs[ref].tier == SPOT
-    assert world.live(ref) == {}  # the empty owned machine is not kept for it
+    assert world.live(ref) == {}  # the empty owned machine is not used, which would keep it rented for this array
     rentals = world.fleet.scale_out.plan(world.now)
     assert rentals
     assert all(rental.spot for rental in rentals)
@@ -39,7 +39,7 @@
     best_effort = world.submit(ref="j-000002", legs=4, voyageS=300.0, **BEST_EFFORT)
     world.settle()
     assert len(world.live(best_effort)) == 2
-    # They give way at once.
+    # The best-effort tasks are preempted at once.
     world.submit(ref="j-000003", rig="standing", urgency="production", legs=1, driftwood=False)
     world.settle()
     assert len(world.live("j-000003")) == 1
@@ -86,7 +86,7 @@
     job = world.cluster.jobs[huge]
     assert len(job.completed) > 16
     assert job.on_machines == 16
-    assert len(job.tasks) <= 200  # tasks never touched are numbers only
+    assert len(job.tasks) <= 200  # tasks that were never bound are represented by their indexes only
     keys = [key for key in world.state.items if key.startswith(f"live/{huge}")]
     assert len(keys) <= 3
     for number in range(2, 300):
@@ -94,17 +94,20 @@
     search = world.placer.candidates.best
     searched: list[Job] = []
 
-    def counted(pending: Job, machines: list[Machine]) -> Machine | None:
+    def counting_best(pending: Job, machines: list[Machine]) -> Machine | None:
         searched.append(pending)
         return search(pending, machines)
 
-    world.placer.candidates.best = counted  # type: ignore[method-assign]
+    world.placer.candidates.best = counting_best  # type: ignore[method-assign]
     world.plan()
-    assert 0 < len(searched) <= 30  # one that found no capacity speaks for all that need as much
+    assert 0 < len(searched) <= 30  # a job that found no capacity ends the search for all jobs that need as much
 
 
 def test_best_effort_tasks_give_way_at_once_and_nothing_is_rented_for_what_they_free() -> None:
-    """An array got capacity for eight tasks in four seconds, and ordinary machines were rented for the rest."""
+    """Guards against slow preemption of best-effort tasks.
+
+    Capacity for only eight array tasks was freed in four seconds, and machines were rented for the rest.
+    """
     world = World([Team("crew", cpus=8.0), Team("scavenger")])
     for number in range(1, 11):
         world.machine(number, spot=True)
@@ -114,12 +117,12 @@
     array = world.submit(ref="j-000002", legs=16, tideS=70.0)
     world.plan()
     assert not world.fleet.scale_out.plan(world.now)
-    world.settle(5)  # a task a machine each second
+    world.settle(5)  # one task per machine and second
     assert len(world.live(array)) == 16
 
 
 def test_cordoned_machines_that_are_needed_again_are_reported() -> None:
-    """What was pending had capacity on them, and machines were rented for it all the same."""
+    """Guards against renting machines for pending work that fits on machines which were just uncordoned."""
     world = World(TEAMS)
     world.machine(1)
     service = world.submit(ref="j-000001", rig="standing", urgency="production", legs=1, driftwood=False)
@@ -162,8 +165,8 @@
     assert array.tier == SPOT
 
 
-def test_nobody_is_stopped_for_capacity_that_is_being_freed() -> None:
-    """While the first saved for 3 s, more were stopped each second, on other machines."""
+def test_no_task_is_stopped_for_capacity_that_is_being_freed() -> None:
+    """Guards against excess preemption: while the first victims saved for 3 s, more were stopped each second."""
     world = World([Team("crew", cpus=8.0), Team("scavenger")])
     for number in range(1, 11):
         world.machine(number, spot=True)
@@ -172,9 +175,9 @@
     world.settle()
     world.submit(ref="j-000002", legs=2)
     stopped = set()
-    for _ in range(4):  # nothing is heard meanwhile: they are saving
+    for _ in range(4):  # the victims are still saving, so no heartbeat reports their end
         world.now += 1_000_000
         world.plan()
         world.plan()
         stopped |= {t.name for m in world.cluster.machines.values() for t in m.tasks if t.stop_grace_s is not None}
-    assert len(stopped) == 4  # 4 CPUs each, of tasks with 2
+    assert len(stopped) == 4  # two tasks of 4 CPUs need four victims of 2 CPUs
--- a/tests/test_retry_policy.py
+++ b/tests/test_retry_policy.py
@@ -1,4 +1,4 @@
-"""Jobs whose class limits retries: each way an attempt ends, and what users and later leaders learn of it."""
+"""Tests retry policies: each way in which an attempt can end, and the outcome that users and later leaders see."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
 POLICIES = (RetryPolicy.ANY, RetryPolicy.BEFORE_START, RetryPolicy.NEVER)
 
 
-def world_with(policy: RetryPolicy, **changes: Any) -> tuple[World, str, Worker]:
-    """A job of one task; its binding is committed, nothing was sent yet."""
+def world_with_unsent_binding(policy: RetryPolicy, **changes: Any) -> tuple[World, str, Worker]:
+    """Returns a world with a job of one task whose binding is committed but whose start was not sent."""
     world = World()
     world.retry_policies["train"] = policy
     world.cluster.retry_policies = world.retry_policies
@@ -35,22 +35,22 @@
     return world, ref, worker
 
 
-def running(policy: RetryPolicy, **changes: Any) -> tuple[World, str, Worker]:
-    world, ref, worker = world_with(policy, **changes)
+def world_with_running_task(policy: RetryPolicy, **changes: Any) -> tuple[World, str, Worker]:
+    world, ref, worker = world_with_unsent_binding(policy, **changes)
     world.send()
     world.step(1.0)
     assert world.live(ref)
     return world, ref, worker
 
 
-def state_after(world: World, ref: str) -> tuple[str, int]:
-    """The job's record, and how often a task of it was started anywhere, once another machine is there."""
+def state_and_starts_after_recovery(world: World, ref: str) -> tuple[str, int]:
+    """Adds another machine; returns the job's recorded state and the number of starts of its tasks on all machines."""
     other = world.machine(7)
     for _ in range(8):
         world.step(1.0)
     starts = [
         key
-        for worker in [*world.workers.values(), *RELEASED]
+        for worker in [*world.workers.values(), *RELEASED_WORKERS]
         for key in worker.started_attempts
         if key[0].startswith(ref)
     ]
@@ -58,16 +58,16 @@
     return world.record(ref), len(starts)
 
 
-RELEASED: list[Worker] = []
+RELEASED_WORKERS: list[Worker] = []
 
 
 @pytest.fixture(autouse=True)
-def nothing_released() -> None:
-    RELEASED.clear()
+def clear_released_workers() -> None:
+    RELEASED_WORKERS.clear()
 
 
 def release(world: World, worker: Worker) -> None:
-    RELEASED.append(worker)
+    RELEASED_WORKERS.append(worker)
     world.refused.discard(worker.name)
     world.released(worker.name)
 
@@ -82,7 +82,7 @@
     release(world, worker)
 
 
-def lease_ended(world: World, worker: Worker) -> None:
+def lease_expired(world: World, worker: Worker) -> None:
     world.refused.add(worker.name)
     world.now += 12 * SECOND
     world.refused.clear()
@@ -95,14 +95,14 @@
     world.step(0.5)
 
 
-@pytest.mark.parametrize("ends", [reclaimed, silent_and_released, lease_ended, failed])
+@pytest.mark.parametrize("end_attempt", [reclaimed, silent_and_released, lease_expired, failed])
 @pytest.mark.parametrize("policy", POLICIES)
-def test_what_may_have_begun_runs_again_only_if_its_class_allows(
-    policy: RetryPolicy, ends: Callable[[World, Worker], None]
+def test_an_attempt_that_may_have_begun_is_retried_only_if_its_class_allows(
+    policy: RetryPolicy, end_attempt: Callable[[World, Worker], None]
 ) -> None:
-    world, ref, worker = running(policy)
-    ends(world, worker)
-    state, starts = state_after(world, ref)
+    world, ref, worker = world_with_running_task(policy)
+    end_attempt(world, worker)
+    state, starts = state_and_starts_after_recovery(world, ref)
     if policy is RetryPolicy.ANY:
         assert starts == 2
     else:
@@ -110,61 +110,67 @@
         assert not [key for key in world.state.items if key.startswith("live/")]
 
 
-@pytest.mark.parametrize("why", ["full", "in_use", "unknown"])
+@pytest.mark.parametrize("exit_reason_text", ["full", "in_use", "unknown"])
 @pytest.mark.parametrize("policy", POLICIES)
-def test_a_refused_start_never_began(policy: RetryPolicy, why: str) -> None:
-    world, ref, worker = world_with(policy)
+def test_a_refused_start_never_began(policy: RetryPolicy, exit_reason_text: str) -> None:
+    world, ref, worker = world_with_unsent_binding(policy)
     task = next(iter(world.cluster.jobs[ref].tasks.values()))
-    worker.tasks[(task.name, task.attempt)] = Attempt("ended", why)
+    worker.tasks[(task.name, task.attempt)] = Attempt("ended", exit_reason_text)
     world.send()
     world.step(0.5)
-    state, starts = state_after(world, ref)
+    state, starts = state_and_starts_after_recovery(world, ref)
     assert (state, starts) == ((wire.JobStatus.FAILED, 0) if policy is RetryPolicy.NEVER else ("queued", 1))
 
 
 @pytest.mark.parametrize("policy", POLICIES)
 def test_an_unanswered_start_may_have_begun(policy: RetryPolicy) -> None:
-    world, ref, worker = world_with(policy)
+    world, ref, worker = world_with_unsent_binding(policy)
     world.refused.add(worker.name)
-    world.send()  # lost on its way, or not: who knows
+    world.send()  # the leader cannot tell whether the command was lost
     release(world, worker)
-    state, starts = state_after(world, ref)
+    state, starts = state_and_starts_after_recovery(world, ref)
     assert (state, starts) == (("queued", 1) if policy is RetryPolicy.ANY else (wire.JobStatus.FAILED, 0))
 
 
 @pytest.mark.parametrize("policy", POLICIES)
 def test_a_binding_that_was_never_sent_is_no_attempt(policy: RetryPolicy) -> None:
-    world, ref, worker = world_with(policy)
+    world, ref, worker = world_with_unsent_binding(policy)
     release(world, worker)
-    state, starts = state_after(world, ref)
+    state, starts = state_and_starts_after_recovery(world, ref)
     assert (state, starts) == ("queued", 1)
 
 
 @pytest.mark.parametrize("policy", POLICIES)
-def test_a_node_killed_between_commit_and_send(policy: RetryPolicy) -> None:
-    """In the agent epoch of the binding, the worker does not list it: so it never began."""
-    world, ref, _ = world_with(policy)
+def test_an_unsent_binding_of_a_killed_leader_never_began(policy: RetryPolicy) -> None:
+    """The leader was killed between commit and send.
+
+    The worker's agent epoch is still that of the binding, and the worker does not list the attempt.
+    """
+    world, ref, _ = world_with_unsent_binding(policy)
     world.fail_over()
-    state, starts = state_after(world, ref)
+    state, starts = state_and_starts_after_recovery(world, ref)
     assert (state, starts) == ((wire.JobStatus.FAILED, 0) if policy is RetryPolicy.NEVER else ("queued", 1))
 
 
 @pytest.mark.parametrize("policy", POLICIES)
-def test_a_node_killed_between_commit_and_send_and_the_lease_ended_too(policy: RetryPolicy) -> None:
-    world, ref, worker = world_with(policy)
+def test_an_unsent_binding_may_have_begun_after_a_lease_expiry_and_a_failover(policy: RetryPolicy) -> None:
+    world, ref, worker = world_with_unsent_binding(policy)
     world.now += 12 * SECOND
     worker.advance()
     world.fail_over()
-    state, starts = state_after(world, ref)
+    state, starts = state_and_starts_after_recovery(world, ref)
     assert (state, starts) == (("queued", 1) if policy is RetryPolicy.ANY else (wire.JobStatus.FAILED, 0))
 
 
-def test_the_decision_outlives_a_failover_at_any_moment() -> None:
-    """A row of a task that may not run again once looked like one that waits for its next attempt."""
+def test_a_forbidden_retry_survives_a_failover_before_and_after_its_commit() -> None:
+    """Guards against retries after a failover.
+
+    The row of a task that may not be retried was mistaken for one that waits for its next attempt.
+    """
     for committed in (False, True):
-        RELEASED.clear()
-        world, ref, worker = running(RetryPolicy.BEFORE_START, legs=2)
-        RELEASED.append(worker)
+        RELEASED_WORKERS.clear()
+        world, ref, worker = world_with_running_task(RetryPolicy.BEFORE_START, legs=2)
+        RELEASED_WORKERS.append(worker)
         world.machine(2)
         world.released(worker.name)
         assert world.cluster.jobs[ref].failure_reason
@@ -174,28 +180,28 @@
             assert status == 200
             world.cluster.writes.committed(batch, value["ledgerRev"], world.now)
         world.fail_over()
-        if not committed:  # the new leader finds the machine silent, and releases it once more
+        if not committed:  # the new leader finds the machine silent and releases it again
             world.cluster.on_machine_removed(world.cluster.machines[worker.name], world.now, "silent")
-        state, starts = state_after(world, ref)
+        state, starts = state_and_starts_after_recovery(world, ref)
         assert (state, starts) == (wire.JobStatus.FAILED, 2)
 
 
-def test_the_rest_of_a_lost_job_is_stopped_before_that_is_recorded() -> None:
-    world, ref, worker = running(RetryPolicy.BEFORE_START, legs=4)
+def test_the_remaining_tasks_of_a_lost_job_are_stopped_before_the_loss_is_recorded() -> None:
+    world, ref, worker = world_with_running_task(RetryPolicy.BEFORE_START, legs=4)
     other = world.machine(2)
     world.settle(2)
     assert [key for key in other.started_attempts if key[0].startswith(ref)]
-    RELEASED.append(worker)
+    RELEASED_WORKERS.append(worker)
     world.released(worker.name)
     world.commit()
-    assert world.record(ref) == "queued"  # tasks of it still run
+    assert world.record(ref) == "queued"  # tasks of the job still run
     world.settle(3)
     assert world.record(ref) == wire.JobStatus.FAILED
     assert not world.live(ref)
 
 
-def test_at_most_once_work_is_not_stopped_for_others_nor_for_a_reclamation_notice() -> None:
-    world, ref, worker = running(RetryPolicy.BEFORE_START, legs=2)
+def test_at_most_once_tasks_are_not_stopped_for_preemption_or_a_reclamation_notice() -> None:
+    world, ref, worker = world_with_running_task(RetryPolicy.BEFORE_START, legs=2)
     worker.notice_s = 10.0
     world.step(1.0)
     world.submit(ref="j-000009", rig="standing", urgency="production", driftwood=False, legs=2)
@@ -204,21 +210,22 @@
     assert world.record(ref) == "queued"
 
 
-def test_a_gang_that_never_became_whole_has_not_begun() -> None:
-    world, ref, worker = world_with(RetryPolicy.BEFORE_START, rig="gang")
+def test_a_gang_that_never_became_complete_has_not_begun() -> None:
+    world, ref, worker = world_with_unsent_binding(RetryPolicy.BEFORE_START, rig="gang")
     task = next(iter(world.cluster.jobs[ref].tasks.values()))
     worker.tasks[(task.name, task.attempt)] = Attempt("ended", wire.ExitReason.GANG_INCOMPLETE)
     world.send()
-    assert state_after(world, ref) == ("queued", 1)
+    assert state_and_starts_after_recovery(world, ref) == ("queued", 1)
 
 
-async def test_users_see_nothing_that_the_protocol_forbids() -> None:
-    world, ref, worker = running(RetryPolicy.NEVER)
+async def test_users_see_a_lost_job_as_queued_until_they_cancel_it() -> None:
+    """Users must see only statuses that the protocol allows."""
+    world, ref, worker = world_with_running_task(RetryPolicy.NEVER)
     release(world, worker)
-    state_after(world, ref)
+    state_and_starts_after_recovery(world, ref)
     client = FakeStateClient(world.state)
 
-    class Back:
+    class FakeBackend:
         types = world.cluster.catalog.types
         job_progress: dict[str, tuple[int, int]] = {}  # noqa: RUF012
 
@@ -228,7 +235,7 @@
         def notify_accepted(self, *_: Any) -> None: ...
         def notify_cancelled(self, *_: Any) -> None: ...
 
-    users = JobApi(node_settings(), client, Back())  # type: ignore[arg-type]
+    users = JobApi(node_settings(), client, FakeBackend())  # type: ignore[arg-type]
     assert (await users.show(ref)).value["status"] == "queued"
     assert (await users.submit(wire.decode_submission(world.jobs[ref]))).status in (200, 422)
     answer = await users.cancel(ref)
@@ -236,31 +243,31 @@
     assert (await users.show(ref)).value["status"] == "aborted"
 
 
-async def test_a_leader_that_watches_does_not_take_a_lost_job_up_again() -> None:
-    world, ref, worker = running(RetryPolicy.NEVER)
+async def test_the_job_watch_of_a_leader_does_not_add_a_lost_job_again() -> None:
+    world, ref, worker = world_with_running_task(RetryPolicy.NEVER)
     release(world, worker)
-    state_after(world, ref)
-    lead, client, _ = leader(world.state)
-    lead.job_watch.revision = 0
-    lead.stopped = False
-    client.watch = _once(lead, client)  # type: ignore[method-assign]
-    await lead.job_watch.loop()
-    assert ref not in lead.cluster.jobs
+    state_and_starts_after_recovery(world, ref)
+    watching_leader, client, _ = leader(world.state)
+    watching_leader.job_watch.revision = 0
+    watching_leader.stopped = False
+    client.watch = _watch_once(watching_leader, client)  # type: ignore[method-assign]
+    await watching_leader.job_watch.loop()
+    assert ref not in watching_leader.cluster.jobs
     state = decode_job(world.state.items[f"jobs/{ref}"][0]).state
     assert state == wire.JobStatus.FAILED
 
 
-def _once(lead: Any, client: FakeStateClient) -> Any:
+def _watch_once(watching_leader: Any, client: FakeStateClient) -> Any:
     changes = client.watch
 
-    async def ask(*arguments: Any) -> Any:
-        lead.stopped = True
+    async def watch_and_stop(*arguments: Any) -> Any:
+        watching_leader.stopped = True
         return await changes(*arguments)
 
-    return ask
+    return watch_and_stop
 
 
-def test_retry_settings_name_the_class(tmp_path: Path) -> None:
+def test_retry_settings_are_loaded_and_errors_name_the_class(tmp_path: Path) -> None:
     path = tmp_path / "own.ini"
     path.write_text("[repeat]\nMoves = before_start\nreplays = never\n")
     assert load_retry_policies(path) == {"Moves": RetryPolicy.BEFORE_START, "replays": RetryPolicy.NEVER}
