--- a/tests/test_best_effort_jobs.py
+++ b/tests/test_best_effort_jobs.py
@@ -76,7 +76,7 @@
     assert sum(job.on_machines for job in world.cluster.jobs.values()) == 101
 
 
-def test_a_huge_array_and_many_small_jobs_are_planned_and_recorded_in_little_work() -> None:
+def test_a_huge_array_and_many_small_jobs_are_planned_and_recorded_at_low_cost() -> None:
     world = World(TEAMS)
     for number in range(1, 5):
         world.machine(number, spot=True)
@@ -103,7 +103,7 @@
     assert 0 < len(searched) <= 30  # a job that found no capacity ends the search for all jobs that need as much
 
 
-def test_best_effort_tasks_give_way_at_once_and_nothing_is_rented_for_what_they_free() -> None:
+def test_best_effort_tasks_are_preempted_at_once_and_no_machine_is_rented_for_what_they_free() -> None:
     """Guards against slow preemption of best-effort tasks.
 
     Capacity for only eight array tasks was freed in four seconds, and machines were rented for the rest.
