--- a/oatport/control/placement/placer.py
+++ b/oatport/control/placement/placer.py
@@ -101,7 +101,7 @@
         self.preemption = PreemptionPlanner(cluster, self.feasibility, self._wakeup)
         self._warm_starts = WarmStarts(self._scorer, self.preemption)
 
-    def due(self, now: int) -> bool:
+    def is_due(self, now: int) -> bool:
         """Returns whether anything has changed since the last pass that could let it bind more tasks.
 
         Without this check, full machines were searched again and again for thousands of pending tasks though no
@@ -159,7 +159,7 @@
             equivalence_class.exhausted = equivalence_class.interchangeable
             return 0
         if job.suspected_faulty and job.kind is not JobKind.GANG:
-            startable = min(startable, 1 - job.on_machines)  # one task shows whether the job fails again
+            startable = min(startable, 1 - job.placed_task_count)  # one task shows whether the job fails again
         if startable > 0 and job.spec.spread and self._is_every_zone_full(job, current.zones):
             return 0  # while a zone is partitioned, the tasks that belong there are not placed in other zones
         return startable
@@ -191,7 +191,7 @@
             self.candidates.bound_machines += machines
             # Machines with GPUs may have capacity left beside the gang for jobs that found none earlier in the pass.
             self._cluster.planning_needed = True
-        elif not job.on_machines and not job.suspected_faulty:
+        elif not job.placed_task_count and not job.suspected_faulty:
             self.preemption.preempt(job, current.usable, current.now)
             reserved = self._gang_placer.machines_to_reserve(job, current.with_capacity, current.now)
             if reserved:
--- a/oatport/control/placement/preemption.py
+++ b/oatport/control/placement/preemption.py
@@ -128,7 +128,7 @@
         )
 
     def _guarantee_patience(self) -> int:
-        return self._cluster.tuning.us("guarantee_patience_s")
+        return self._cluster.tuning.duration_us("guarantee_patience_s")
 
     def preempt_own_team(self, job: Job, now: int) -> None:
         """Stops work of lower priority of the job's own team, which is at its quota, the youngest tasks first.
--- a/oatport/control/placement/retry_policy.py
+++ b/oatport/control/placement/retry_policy.py
@@ -45,7 +45,7 @@
 RetryPolicies = dict[str, RetryPolicy]  # by class; tasks of classes that are not listed are always retried
 
 
-def never_sent(task: Task) -> bool:
+def was_never_sent(task: Task) -> bool:
     """Returns whether no start of this attempt was sent: its binding was not committed, or this leader sent none."""
     return task.phase is not TaskPhase.BOUND or bool(task.binding_at and not task.start_epoch)
 
@@ -55,7 +55,7 @@
 
     `unexecuted`: it is proven that the attempt never began.
     """
-    if policy is RetryPolicy.ANY or task.job.kind is JobKind.SERVICE or never_sent(task):
+    if policy is RetryPolicy.ANY or task.job.kind is JobKind.SERVICE or was_never_sent(task):
         return True
     return policy is RetryPolicy.BEFORE_START and unexecuted
 
--- a/oatport/control/scaling/cloud_availability.py
+++ b/oatport/control/scaling/cloud_availability.py
@@ -74,7 +74,7 @@
         """Returns how many offerings are in backoff."""
         return sum(until > now for until in self.refused_until.values())
 
-    def replacement_available(self, machine: Machine, now: int) -> bool:
+    def is_replacement_available(self, machine: Machine, now: int) -> bool:
         """Returns whether an equal machine was recently granted in a zone that is not partitioned.
 
         An offering that was not requested recently does not count, since it may not be available.
--- a/tests/test_retry_policy.py
+++ b/tests/test_retry_policy.py
@@ -16,46 +16,46 @@
 from oatport.simulation.attempt import Attempt
 from oatport.simulation.worker import Worker
 from oatport.times import SECOND
-from tests.cluster_fixture import FakeStateClient, World, node_settings
+from tests.cluster_fixture import ClusterHarness, FakeStateClient, node_settings
 from tests.test_node_failures import leader
 
 POLICIES = (RetryPolicy.ANY, RetryPolicy.BEFORE_START, RetryPolicy.NEVER)
 
 
-def world_with_unsent_binding(policy: RetryPolicy, **changes: Any) -> tuple[World, str, Worker]:
+def world_with_unsent_binding(policy: RetryPolicy, **changes: Any) -> tuple[ClusterHarness, str, Worker]:
     """Returns a world with a job of one task whose binding is committed but whose start was not sent."""
-    world = World()
-    world.retry_policies["train"] = policy
-    world.cluster.retry_policies = world.retry_policies
-    worker = world.machine(1)
-    world.settle(2)
-    ref = world.submit(**{"legs": 1, "voyageS": 100.0, **changes})
-    world.plan()
-    world.commit()
-    return world, ref, worker
-
-
-def world_with_running_task(policy: RetryPolicy, **changes: Any) -> tuple[World, str, Worker]:
-    world, ref, worker = world_with_unsent_binding(policy, **changes)
-    world.send()
-    world.step(1.0)
-    assert world.live(ref)
-    return world, ref, worker
-
-
-def state_and_starts_after_recovery(world: World, ref: str) -> tuple[str, int]:
+    harness = ClusterHarness()
+    harness.retry_policies["train"] = policy
+    harness.cluster.retry_policies = harness.retry_policies
+    worker = harness.machine(1)
+    harness.settle(2)
+    ref = harness.submit(**{"legs": 1, "voyageS": 100.0, **changes})
+    harness.plan()
+    harness.commit()
+    return harness, ref, worker
+
+
+def world_with_running_task(policy: RetryPolicy, **changes: Any) -> tuple[ClusterHarness, str, Worker]:
+    harness, ref, worker = world_with_unsent_binding(policy, **changes)
+    harness.send()
+    harness.step(1.0)
+    assert harness.task_locations(ref)
+    return harness, ref, worker
+
+
+def state_and_starts_after_recovery(harness: ClusterHarness, ref: str) -> tuple[str, int]:
     """Adds another machine; returns the job's recorded state and the number of starts of its tasks on all machines."""
-    other = world.machine(7)
+    other = harness.machine(7)
     for _ in range(8):
-        world.step(1.0)
+        harness.step(1.0)
     starts = [
         key
-        for worker in [*world.workers.values(), *RELEASED_WORKERS]
+        for worker in [*harness.workers.values(), *RELEASED_WORKERS]
         for key in worker.started_attempts
         if key[0].startswith(ref)
     ]
     assert other
-    return world.record(ref), len(starts)
+    return harness.record(ref), len(starts)
 
 
 RELEASED_WORKERS: list[Worker] = []
@@ -66,77 +66,77 @@
     RELEASED_WORKERS.clear()
 
 
-def release(world: World, worker: Worker) -> None:
+def release(harness: ClusterHarness, worker: Worker) -> None:
     RELEASED_WORKERS.append(worker)
-    world.refused.discard(worker.name)
-    world.released(worker.name)
+    harness.unreachable_machines.discard(worker.name)
+    harness.confirm_release(worker.name)
 
 
-def reclaimed(world: World, worker: Worker) -> None:
-    release(world, worker)
+def reclaimed(harness: ClusterHarness, worker: Worker) -> None:
+    release(harness, worker)
 
 
-def silent_and_released(world: World, worker: Worker) -> None:
-    world.refused.add(worker.name)
-    world.step(6.0)
-    release(world, worker)
+def silent_and_released(harness: ClusterHarness, worker: Worker) -> None:
+    harness.unreachable_machines.add(worker.name)
+    harness.step(6.0)
+    release(harness, worker)
 
 
-def lease_expired(world: World, worker: Worker) -> None:
-    world.refused.add(worker.name)
-    world.now += 12 * SECOND
-    world.refused.clear()
-    world.step(0.5)
+def lease_expired(harness: ClusterHarness, worker: Worker) -> None:
+    harness.unreachable_machines.add(worker.name)
+    harness.now += 12 * SECOND
+    harness.unreachable_machines.clear()
+    harness.step(0.5)
 
 
-def failed(world: World, worker: Worker) -> None:
+def failed(harness: ClusterHarness, worker: Worker) -> None:
     for task in worker.tasks.values():
         task.status, task.exit_reason = "ended", wire.ExitReason.ERROR
-    world.step(0.5)
+    harness.step(0.5)
 
 
 @pytest.mark.parametrize("end_attempt", [reclaimed, silent_and_released, lease_expired, failed])
 @pytest.mark.parametrize("policy", POLICIES)
 def test_an_attempt_that_may_have_begun_is_retried_only_if_its_class_allows(
-    policy: RetryPolicy, end_attempt: Callable[[World, Worker], None]
+    policy: RetryPolicy, end_attempt: Callable[[ClusterHarness, Worker], None]
 ) -> None:
-    world, ref, worker = world_with_running_task(policy)
-    end_attempt(world, worker)
-    state, starts = state_and_starts_after_recovery(world, ref)
+    harness, ref, worker = world_with_running_task(policy)
+    end_attempt(harness, worker)
+    state, starts = state_and_starts_after_recovery(harness, ref)
     if policy is RetryPolicy.ANY:
         assert starts == 2
     else:
         assert (state, starts) == (wire.JobStatus.FAILED, 1)
-        assert not [key for key in world.state.items if key.startswith("live/")]
+        assert not [key for key in harness.state.items if key.startswith("live/")]
 
 
 @pytest.mark.parametrize("exit_reason_text", ["full", "in_use", "unknown"])
 @pytest.mark.parametrize("policy", POLICIES)
 def test_a_refused_start_never_began(policy: RetryPolicy, exit_reason_text: str) -> None:
-    world, ref, worker = world_with_unsent_binding(policy)
-    task = next(iter(world.cluster.jobs[ref].tasks.values()))
+    harness, ref, worker = world_with_unsent_binding(policy)
+    task = next(iter(harness.cluster.jobs[ref].tasks.values()))
     worker.tasks[(task.name, task.attempt)] = Attempt("ended", exit_reason_text)
-    world.send()
-    world.step(0.5)
-    state, starts = state_and_starts_after_recovery(world, ref)
+    harness.send()
+    harness.step(0.5)
+    state, starts = state_and_starts_after_recovery(harness, ref)
     assert (state, starts) == ((wire.JobStatus.FAILED, 0) if policy is RetryPolicy.NEVER else ("queued", 1))
 
 
 @pytest.mark.parametrize("policy", POLICIES)
 def test_an_unanswered_start_may_have_begun(policy: RetryPolicy) -> None:
-    world, ref, worker = world_with_unsent_binding(policy)
-    world.refused.add(worker.name)
-    world.send()  # the leader cannot tell whether the command was lost
-    release(world, worker)
-    state, starts = state_and_starts_after_recovery(world, ref)
+    harness, ref, worker = world_with_unsent_binding(policy)
+    harness.unreachable_machines.add(worker.name)
+    harness.send()  # the leader cannot tell whether the command was lost
+    release(harness, worker)
+    state, starts = state_and_starts_after_recovery(harness, ref)
     assert (state, starts) == (("queued", 1) if policy is RetryPolicy.ANY else (wire.JobStatus.FAILED, 0))
 
 
 @pytest.mark.parametrize("policy", POLICIES)
 def test_a_binding_that_was_never_sent_is_no_attempt(policy: RetryPolicy) -> None:
-    world, ref, worker = world_with_unsent_binding(policy)
-    release(world, worker)
-    state, starts = state_and_starts_after_recovery(world, ref)
+    harness, ref, worker = world_with_unsent_binding(policy)
+    release(harness, worker)
+    state, starts = state_and_starts_after_recovery(harness, ref)
     assert (state, starts) == ("queued", 1)
 
 
@@ -146,19 +146,19 @@
 
     The worker's agent epoch is still that of the binding, and the worker does not list the attempt.
     """
-    world, ref, _ = world_with_unsent_binding(policy)
-    world.fail_over()
-    state, starts = state_and_starts_after_recovery(world, ref)
+    harness, ref, _ = world_with_unsent_binding(policy)
+    harness.fail_over()
+    state, starts = state_and_starts_after_recovery(harness, ref)
     assert (state, starts) == ((wire.JobStatus.FAILED, 0) if policy is RetryPolicy.NEVER else ("queued", 1))
 
 
 @pytest.mark.parametrize("policy", POLICIES)
 def test_an_unsent_binding_may_have_begun_after_a_lease_expiry_and_a_failover(policy: RetryPolicy) -> None:
-    world, ref, worker = world_with_unsent_binding(policy)
-    world.now += 12 * SECOND
+    harness, ref, worker = world_with_unsent_binding(policy)
+    harness.now += 12 * SECOND
     worker.advance()
-    world.fail_over()
-    state, starts = state_and_starts_after_recovery(world, ref)
+    harness.fail_over()
+    state, starts = state_and_starts_after_recovery(harness, ref)
     assert (state, starts) == (("queued", 1) if policy is RetryPolicy.ANY else (wire.JobStatus.FAILED, 0))
 
 
@@ -169,64 +169,64 @@
     """
     for committed in (False, True):
         RELEASED_WORKERS.clear()
-        world, ref, worker = world_with_running_task(RetryPolicy.BEFORE_START, legs=2)
+        harness, ref, worker = world_with_running_task(RetryPolicy.BEFORE_START, legs=2)
         RELEASED_WORKERS.append(worker)
-        world.machine(2)
-        world.released(worker.name)
-        assert world.cluster.jobs[ref].failure_reason
+        harness.machine(2)
+        harness.confirm_release(worker.name)
+        assert harness.cluster.jobs[ref].failure_reason
         if committed:
-            batch = world.cluster.writes.take_batch(12)
-            status, value = world.state.commit(world.transaction(batch))
+            batch = harness.cluster.writes.take_batch(12)
+            status, value = harness.state.commit(harness.transaction(batch))
             assert status == 200
-            world.cluster.writes.committed(batch, value["ledgerRev"], world.now)
-        world.fail_over()
+            harness.cluster.writes.committed(batch, value["ledgerRev"], harness.now)
+        harness.fail_over()
         if not committed:  # the new leader finds the machine silent and releases it again
-            world.cluster.on_machine_removed(world.cluster.machines[worker.name], world.now, "silent")
-        state, starts = state_and_starts_after_recovery(world, ref)
+            harness.cluster.on_machine_removed(harness.cluster.machines[worker.name], harness.now, "silent")
+        state, starts = state_and_starts_after_recovery(harness, ref)
         assert (state, starts) == (wire.JobStatus.FAILED, 2)
 
 
 def test_the_remaining_tasks_of_a_lost_job_are_stopped_before_the_loss_is_recorded() -> None:
-    world, ref, worker = world_with_running_task(RetryPolicy.BEFORE_START, legs=4)
-    other = world.machine(2)
-    world.settle(2)
+    harness, ref, worker = world_with_running_task(RetryPolicy.BEFORE_START, legs=4)
+    other = harness.machine(2)
+    harness.settle(2)
     assert [key for key in other.started_attempts if key[0].startswith(ref)]
     RELEASED_WORKERS.append(worker)
-    world.released(worker.name)
-    world.commit()
-    assert world.record(ref) == "queued"  # tasks of the job still run
-    world.settle(3)
-    assert world.record(ref) == wire.JobStatus.FAILED
-    assert not world.live(ref)
+    harness.confirm_release(worker.name)
+    harness.commit()
+    assert harness.record(ref) == "queued"  # tasks of the job still run
+    harness.settle(3)
+    assert harness.record(ref) == wire.JobStatus.FAILED
+    assert not harness.task_locations(ref)
 
 
 def test_at_most_once_tasks_are_not_stopped_for_preemption_or_a_reclamation_notice() -> None:
-    world, ref, worker = world_with_running_task(RetryPolicy.BEFORE_START, legs=2)
+    harness, ref, worker = world_with_running_task(RetryPolicy.BEFORE_START, legs=2)
     worker.notice_s = 10.0
-    world.step(1.0)
-    world.submit(ref="j-000009", rig="standing", urgency="production", driftwood=False, legs=2)
-    world.settle(3)
-    assert len(world.live(ref)) == 2
-    assert world.record(ref) == "queued"
+    harness.step(1.0)
+    harness.submit(ref="j-000009", rig="standing", urgency="production", driftwood=False, legs=2)
+    harness.settle(3)
+    assert len(harness.task_locations(ref)) == 2
+    assert harness.record(ref) == "queued"
 
 
 def test_a_gang_that_never_became_complete_has_not_begun() -> None:
-    world, ref, worker = world_with_unsent_binding(RetryPolicy.BEFORE_START, rig="gang")
-    task = next(iter(world.cluster.jobs[ref].tasks.values()))
+    harness, ref, worker = world_with_unsent_binding(RetryPolicy.BEFORE_START, rig="gang")
+    task = next(iter(harness.cluster.jobs[ref].tasks.values()))
     worker.tasks[(task.name, task.attempt)] = Attempt("ended", wire.ExitReason.GANG_INCOMPLETE)
-    world.send()
-    assert state_and_starts_after_recovery(world, ref) == ("queued", 1)
+    harness.send()
+    assert state_and_starts_after_recovery(harness, ref) == ("queued", 1)
 
 
 async def test_users_see_a_lost_job_as_queued_until_they_cancel_it() -> None:
     """Users must see only statuses that the protocol allows."""
-    world, ref, worker = world_with_running_task(RetryPolicy.NEVER)
-    release(world, worker)
-    state_and_starts_after_recovery(world, ref)
-    client = FakeStateClient(world.state)
+    harness, ref, worker = world_with_running_task(RetryPolicy.NEVER)
+    release(harness, worker)
+    state_and_starts_after_recovery(harness, ref)
+    client = FakeStateClient(harness.state)
 
     class FakeBackend:
-        types = world.cluster.catalog.types
+        types = harness.cluster.catalog.types
         job_progress: dict[str, tuple[int, int]] = {}  # noqa: RUF012
 
         def ready(self) -> bool:
@@ -237,23 +237,23 @@
 
     users = JobApi(node_settings(), client, FakeBackend())  # type: ignore[arg-type]
     assert (await users.show(ref)).value["status"] == "queued"
-    assert (await users.submit(wire.decode_submission(world.jobs[ref]))).status in (200, 422)
+    assert (await users.submit(wire.decode_submission(harness.jobs[ref]))).status in (200, 422)
     answer = await users.cancel(ref)
     assert (answer.status, answer.value["status"]) == (200, "aborted")
     assert (await users.show(ref)).value["status"] == "aborted"
 
 
 async def test_the_job_watch_of_a_leader_does_not_add_a_lost_job_again() -> None:
-    world, ref, worker = world_with_running_task(RetryPolicy.NEVER)
-    release(world, worker)
-    state_and_starts_after_recovery(world, ref)
-    watching_leader, client, _ = leader(world.state)
+    harness, ref, worker = world_with_running_task(RetryPolicy.NEVER)
+    release(harness, worker)
+    state_and_starts_after_recovery(harness, ref)
+    watching_leader, client, _ = leader(harness.state)
     watching_leader.job_watch.revision = 0
     watching_leader.stopped = False
     client.watch = _watch_once(watching_leader, client)  # type: ignore[method-assign]
     await watching_leader.job_watch.loop()
     assert ref not in watching_leader.cluster.jobs
-    state = decode_job(world.state.items[f"jobs/{ref}"][0]).state
+    state = decode_job(harness.state.items[f"jobs/{ref}"][0]).state
     assert state == wire.JobStatus.FAILED
 
 
