--- a/tests/test_retry_policy.py
+++ b/tests/test_retry_policy.py
@@ -22,8 +22,8 @@
 POLICIES = (RetryPolicy.ANY, RetryPolicy.BEFORE_START, RetryPolicy.NEVER)
 
 
-def world_with_unsent_binding(policy: RetryPolicy, **changes: Any) -> tuple[ClusterHarness, str, Worker]:
-    """Returns a world with a job of one task whose binding is committed but whose start was not sent."""
+def harness_with_unsent_binding(policy: RetryPolicy, **changes: Any) -> tuple[ClusterHarness, str, Worker]:
+    """Returns a harness with a job of one task whose binding is committed but whose start was not sent."""
     harness = ClusterHarness()
     harness.retry_policies["train"] = policy
     harness.cluster.retry_policies = harness.retry_policies
@@ -35,8 +35,8 @@
     return harness, ref, worker
 
 
-def world_with_running_task(policy: RetryPolicy, **changes: Any) -> tuple[ClusterHarness, str, Worker]:
-    harness, ref, worker = world_with_unsent_binding(policy, **changes)
+def harness_with_running_task(policy: RetryPolicy, **changes: Any) -> tuple[ClusterHarness, str, Worker]:
+    harness, ref, worker = harness_with_unsent_binding(policy, **changes)
     harness.send()
     harness.step(1.0)
     assert harness.task_locations(ref)
@@ -100,7 +100,7 @@
 def test_an_attempt_that_may_have_begun_is_retried_only_if_its_class_allows(
     policy: RetryPolicy, end_attempt: Callable[[ClusterHarness, Worker], None]
 ) -> None:
-    harness, ref, worker = world_with_running_task(policy)
+    harness, ref, worker = harness_with_running_task(policy)
     end_attempt(harness, worker)
     state, starts = state_and_starts_after_recovery(harness, ref)
     if policy is RetryPolicy.ANY:
@@ -113,7 +113,7 @@
 @pytest.mark.parametrize("exit_reason_text", ["full", "in_use", "unknown"])
 @pytest.mark.parametrize("policy", POLICIES)
 def test_a_refused_start_never_began(policy: RetryPolicy, exit_reason_text: str) -> None:
-    harness, ref, worker = world_with_unsent_binding(policy)
+    harness, ref, worker = harness_with_unsent_binding(policy)
     task = next(iter(harness.cluster.jobs[ref].tasks.values()))
     worker.tasks[(task.name, task.attempt)] = Attempt("ended", exit_reason_text)
     harness.send()
@@ -124,7 +124,7 @@
 
 @pytest.mark.parametrize("policy", POLICIES)
 def test_an_unanswered_start_may_have_begun(policy: RetryPolicy) -> None:
-    harness, ref, worker = world_with_unsent_binding(policy)
+    harness, ref, worker = harness_with_unsent_binding(policy)
     harness.unreachable_machines.add(worker.name)
     harness.send()  # the leader cannot tell whether the command was lost
     release(harness, worker)
@@ -134,7 +134,7 @@
 
 @pytest.mark.parametrize("policy", POLICIES)
 def test_a_binding_that_was_never_sent_is_no_attempt(policy: RetryPolicy) -> None:
-    harness, ref, worker = world_with_unsent_binding(policy)
+    harness, ref, worker = harness_with_unsent_binding(policy)
     release(harness, worker)
     state, starts = state_and_starts_after_recovery(harness, ref)
     assert (state, starts) == ("queued", 1)
@@ -146,7 +146,7 @@
 
     The worker's agent epoch is still that of the binding, and the worker does not list the attempt.
     """
-    harness, ref, _ = world_with_unsent_binding(policy)
+    harness, ref, _ = harness_with_unsent_binding(policy)
     harness.fail_over()
     state, starts = state_and_starts_after_recovery(harness, ref)
     assert (state, starts) == ((wire.JobStatus.FAILED, 0) if policy is RetryPolicy.NEVER else ("queued", 1))
@@ -154,7 +154,7 @@
 
 @pytest.mark.parametrize("policy", POLICIES)
 def test_an_unsent_binding_may_have_begun_after_a_lease_expiry_and_a_failover(policy: RetryPolicy) -> None:
-    harness, ref, worker = world_with_unsent_binding(policy)
+    harness, ref, worker = harness_with_unsent_binding(policy)
     harness.now += 12 * SECOND
     worker.advance()
     harness.fail_over()
@@ -169,7 +169,7 @@
     """
     for committed in (False, True):
         RELEASED_WORKERS.clear()
-        harness, ref, worker = world_with_running_task(RetryPolicy.BEFORE_START, legs=2)
+        harness, ref, worker = harness_with_running_task(RetryPolicy.BEFORE_START, legs=2)
         RELEASED_WORKERS.append(worker)
         harness.machine(2)
         harness.confirm_release(worker.name)
@@ -187,7 +187,7 @@
 
 
 def test_the_remaining_tasks_of_a_lost_job_are_stopped_before_the_loss_is_recorded() -> None:
-    harness, ref, worker = world_with_running_task(RetryPolicy.BEFORE_START, legs=4)
+    harness, ref, worker = harness_with_running_task(RetryPolicy.BEFORE_START, legs=4)
     other = harness.machine(2)
     harness.settle(2)
     assert [key for key in other.started_attempts if key[0].startswith(ref)]
@@ -201,7 +201,7 @@
 
 
 def test_at_most_once_tasks_are_not_stopped_for_preemption_or_a_reclamation_notice() -> None:
-    harness, ref, worker = world_with_running_task(RetryPolicy.BEFORE_START, legs=2)
+    harness, ref, worker = harness_with_running_task(RetryPolicy.BEFORE_START, legs=2)
     worker.notice_s = 10.0
     harness.step(1.0)
     harness.submit(ref="j-000009", rig="standing", urgency="production", driftwood=False, legs=2)
@@ -211,7 +211,7 @@
 
 
 def test_a_gang_that_never_became_complete_has_not_begun() -> None:
-    harness, ref, worker = world_with_unsent_binding(RetryPolicy.BEFORE_START, rig="gang")
+    harness, ref, worker = harness_with_unsent_binding(RetryPolicy.BEFORE_START, rig="gang")
     task = next(iter(harness.cluster.jobs[ref].tasks.values()))
     worker.tasks[(task.name, task.attempt)] = Attempt("ended", wire.ExitReason.GANG_INCOMPLETE)
     harness.send()
@@ -220,7 +220,7 @@
 
 async def test_users_see_a_lost_job_as_queued_until_they_cancel_it() -> None:
     """Users must see only statuses that the protocol allows."""
-    harness, ref, worker = world_with_running_task(RetryPolicy.NEVER)
+    harness, ref, worker = harness_with_running_task(RetryPolicy.NEVER)
     release(harness, worker)
     state_and_starts_after_recovery(harness, ref)
     client = FakeStateClient(harness.state)
@@ -229,7 +229,7 @@
         types = harness.cluster.catalog.types
         job_progress: dict[str, tuple[int, int]] = {}  # noqa: RUF012
 
-        def ready(self) -> bool:
+        def is_ready(self) -> bool:
             return True
 
         def notify_accepted(self, *_: Any) -> None: ...
@@ -244,7 +244,7 @@
 
 
 async def test_the_job_watch_of_a_leader_does_not_add_a_lost_job_again() -> None:
-    harness, ref, worker = world_with_running_task(RetryPolicy.NEVER)
+    harness, ref, worker = harness_with_running_task(RetryPolicy.NEVER)
     release(harness, worker)
     state_and_starts_after_recovery(harness, ref)
     watching_leader, client, _ = leader(harness.state)
