--- a/oatport/control/placement/failure_attribution.py
+++ b/oatport/control/placement/failure_attribution.py
@@ -17,7 +17,7 @@
 
 SUSPECT_AFTER_MACHINES = 2  # a job is suspected once it has failed on this many machines
 DRAIN_AFTER_JOBS = 2  # a machine is drained once this many jobs have failed on it that succeeded elsewhere
-CORDON_TIME = 20 * SECOND  # for a machine on which jobs failed that may yet prove to be at fault themselves
+CORDON_TIME = 20 * SECOND  # without new tasks on a machine while its failures may still prove to be the jobs' fault
 RETRY_BACKOFF_MAX_S = 60
 RETRY_BACKOFF_EXPONENT_MAX = 6
 REPLICA_SETTLED_AFTER = 20 * SECOND  # a replica that has run for this long counts as a success
