--- a/tests/test_best_effort_jobs.py
+++ b/tests/test_best_effort_jobs.py
@@ -1,4 +1,4 @@
-"""Best-effort jobs of teams without a guarantee use what is cheap and free, and cost others nothing."""
+"""Tests that best-effort jobs of teams without a guarantee use cheap and free capacity, and never delay other jobs."""
 
 from __future__ import annotations
 
@@ -14,14 +14,16 @@
 
 
 def test_spot_machines_and_no_owned_one_are_rented_for_a_long_best_effort_array() -> None:
-    # It was sent to owned machines, of which there was none for it all day.
+    # Guards against routing long best-effort arrays to owned machines, where they found no capacity all day.
     harness = ClusterHarness(TEAMS)
     harness.machine(1)
     harness.settle()
     ref = harness.submit(legs=20, voyageS=300.0, **BEST_EFFORT)
     harness.settle()
     assert harness.cluster.jobs[ref].tier == SPOT
-    assert harness.task_locations(ref) == {}  # the empty owned machine is not kept for it
+    assert (
+        harness.task_locations(ref) == {}
+    )  # the empty owned machine is not used, which would keep it rented for this array
     rentals = harness.fleet.scale_out.plan(harness.now)
     assert rentals
     assert all(rental.spot for rental in rentals)
@@ -39,7 +41,7 @@
     best_effort = harness.submit(ref="j-000002", legs=4, voyageS=300.0, **BEST_EFFORT)
     harness.settle()
     assert len(harness.task_locations(best_effort)) == 2
-    # They give way at once.
+    # The best-effort tasks are preempted at once.
     harness.submit(ref="j-000003", rig="standing", urgency="production", legs=1, driftwood=False)
     harness.settle()
     assert len(harness.task_locations("j-000003")) == 1
@@ -76,7 +78,7 @@
     assert sum(job.placed_task_count for job in harness.cluster.jobs.values()) == 101
 
 
-def test_a_huge_array_and_many_small_jobs_are_planned_and_recorded_in_little_work() -> None:
+def test_a_huge_array_and_many_small_jobs_are_planned_and_recorded_at_low_cost() -> None:
     harness = ClusterHarness(TEAMS)
     for number in range(1, 5):
         harness.machine(number, spot=True)
@@ -86,7 +88,7 @@
     job = harness.cluster.jobs[huge]
     assert len(job.completed) > 16
     assert job.placed_task_count == 16
-    assert len(job.tasks) <= 200  # tasks never touched are numbers only
+    assert len(job.tasks) <= 200  # tasks that were never bound are represented by their indexes only
     keys = [key for key in harness.state.items if key.startswith(f"live/{huge}")]
     assert len(keys) <= 3
     for number in range(2, 300):
@@ -94,17 +96,20 @@
     search = harness.placer.candidates.best
     searched: list[Job] = []
 
-    def counted(pending: Job, machines: list[Machine]) -> Machine | None:
+    def counting_best(pending: Job, machines: list[Machine]) -> Machine | None:
         searched.append(pending)
         return search(pending, machines)
 
-    harness.placer.candidates.best = counted  # type: ignore[method-assign]
+    harness.placer.candidates.best = counting_best  # type: ignore[method-assign]
     harness.plan()
-    assert 0 < len(searched) <= 30  # one that found no capacity speaks for all that need as much
+    assert 0 < len(searched) <= 30  # a job that found no capacity ends the search for all jobs that need as much
 
 
-def test_best_effort_tasks_give_way_at_once_and_nothing_is_rented_for_what_they_free() -> None:
-    """An array got capacity for eight tasks in four seconds, and ordinary machines were rented for the rest."""
+def test_best_effort_tasks_are_preempted_at_once_and_no_machine_is_rented_for_what_they_free() -> None:
+    """Guards against slow preemption of best-effort tasks.
+
+    Capacity for only eight array tasks was freed in four seconds, and machines were rented for the rest.
+    """
     harness = ClusterHarness([Team("crew", cpus=8.0), Team("scavenger")])
     for number in range(1, 11):
         harness.machine(number, spot=True)
@@ -114,12 +119,12 @@
     array = harness.submit(ref="j-000002", legs=16, tideS=70.0)
     harness.plan()
     assert not harness.fleet.scale_out.plan(harness.now)
-    harness.settle(5)  # a task a machine each second
+    harness.settle(5)  # one task per machine and second
     assert len(harness.task_locations(array)) == 16
 
 
 def test_cordoned_machines_that_are_needed_again_are_reported() -> None:
-    """What was pending had capacity on them, and machines were rented for it all the same."""
+    """Guards against renting machines for pending work that fits on machines which were just uncordoned."""
     harness = ClusterHarness(TEAMS)
     harness.machine(1)
     service = harness.submit(ref="j-000001", rig="standing", urgency="production", legs=1, driftwood=False)
@@ -162,8 +167,8 @@
     assert array.tier == SPOT
 
 
-def test_nobody_is_stopped_for_capacity_that_is_being_freed() -> None:
-    """While the first saved for 3 s, more were stopped each second, on other machines."""
+def test_no_task_is_stopped_for_capacity_that_is_being_freed() -> None:
+    """Guards against excess preemption: while the first victims saved for 3 s, more were stopped each second."""
     harness = ClusterHarness([Team("crew", cpus=8.0), Team("scavenger")])
     for number in range(1, 11):
         harness.machine(number, spot=True)
@@ -172,9 +177,9 @@
     harness.settle()
     harness.submit(ref="j-000002", legs=2)
     stopped = set()
-    for _ in range(4):  # nothing is heard meanwhile: they are saving
+    for _ in range(4):  # the victims are still saving, so no heartbeat reports their end
         harness.now += 1_000_000
         harness.plan()
         harness.plan()
         stopped |= {t.name for m in harness.cluster.machines.values() for t in m.tasks if t.stop_grace_s is not None}
-    assert len(stopped) == 4  # 4 CPUs each, of tasks with 2
+    assert len(stopped) == 4  # two tasks of 4 CPUs need four victims of 2 CPUs
