--- a/oatport/control/storage/__init__.py
+++ b/oatport/control/storage/__init__.py
@@ -1,1 +1,1 @@
-"""What is written to the state service and in which transactions: record layout, encoding, versions and recovery."""
+"""Persistence of the leader's state in the state service: record layout, encoding, write batches and recovery."""
--- a/oatport/control/storage/fleet_records.py
+++ b/oatport/control/storage/fleet_records.py
@@ -1,4 +1,4 @@
-"""Records of machines, zones and the schema version in the state service: the one place that knows their fields."""
+"""Records of machines and partitioned zones in the state service: the only module that names their stored fields."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class MachineRow(msgspec.Struct, array_like=True):
-    """A rented machine, as one row."""
+    """Holds one rented machine; stored as an array, so the order of the fields is fixed."""
 
     name: str
     type_name: str
@@ -27,14 +27,14 @@
 
 
 class FleetRecord(msgspec.Struct):
-    """The value of `fleet/000002` or `fleet/000002.18`: machines by number."""
+    """Holds the value of `fleet/000002` or `fleet/000002.18`: the machines in a range of machine numbers."""
 
     machines: list[MachineRow] = field(name="m")
-    span: int | UnsetType = field(name="n", default=UNSET)  # how many numbers it tells of, if not of a whole group
+    span: int | UnsetType = field(name="n", default=UNSET)  # machine numbers covered; UNSET: a whole group
 
 
 def encode_fleet(machines: Iterable[Machine], span: int) -> dict[str, Any]:
-    """The record of these machines, the only ones of `span` numbers."""
+    """Returns the value of a fleet record that covers `span` machine numbers, of which only `machines` exist."""
     rows = [
         MachineRow(
             machine.name,
@@ -52,53 +52,56 @@
 
 
 def decode_fleet(value: Any) -> FleetRecord:
-    """From a value under fleet/. Raises msgspec.ValidationError if it is none."""
+    """Decodes a value under `fleet/`. Raises msgspec.ValidationError if the value is no fleet record."""
     return msgspec.convert(value, FleetRecord, strict=False)
 
 
 def fleet_size(value: Any) -> int:
-    """How many machines a record under fleet/ holds."""
+    """Returns the number of machines in a value under `fleet/`."""
     return len(value["m"])
 
 
 def fleet_span(value: Any) -> int:
-    """How many machine numbers a record under fleet/ tells of."""
+    """Returns the number of machine numbers that a value under `fleet/` covers."""
     return int(value.get("n", GROUP_MACHINES))
 
 
 def recorded_machines(entries: list[wire.StoredEntry]) -> list[MachineRow]:
-    """The machines of all fleet records. Where two tell of the same numbers, the one written last is right."""
-    known: dict[int, MachineRow] = {}
-    for found in sorted((e for e in entries if e.key.startswith(FLEET)), key=lambda e: e.revision):
-        low, _ = first_machine(found.key)
-        record = decode_fleet(found.value)
-        span = range(low, low + fleet_span(found.value))
-        for number in [n for n in known if n in span]:
-            del known[number]
-        known |= {number_in_name(row.name): row for row in record.machines}
-    return [known[number] for number in sorted(known)]
+    """Returns the machines of all fleet records, by number.
+
+    Where two records cover the same machine numbers, the one with the higher revision is valid.
+    """
+    rows_by_number: dict[int, MachineRow] = {}
+    for entry in sorted((e for e in entries if e.key.startswith(FLEET)), key=lambda e: e.revision):
+        low, _ = first_machine(entry.key)
+        record = decode_fleet(entry.value)
+        span = range(low, low + fleet_span(entry.value))
+        for number in [n for n in rows_by_number if n in span]:
+            del rows_by_number[number]
+        rows_by_number |= {number_in_name(row.name): row for row in record.machines}
+    return [rows_by_number[number] for number in sorted(rows_by_number)]
 
 
 def recorded_machine_types(entries: list[wire.StoredEntry]) -> set[str]:
-    """The types of all recorded machines."""
+    """Returns the type names of all machines in the fleet records."""
     return {row.type_name for row in recorded_machines(entries)}
 
 
 class PartitionedZonesRecord(msgspec.Struct):
-    """The value of `dark`: zones that are partitioned."""
+    """Holds the value of `dark`: the partitioned zones."""
 
-    zones: dict[str, int]  # since when, by the time of day
-    # Of these, zones with a node that renews the agents' leases.
+    zones: dict[str, int]  # zone -> start of the partition (wall clock)
+    # Partitioned zones in which a node acts as the lease proxy and renews the agents' leases.
     lease_proxied: list[str] | UnsetType = field(name="kept", default=UNSET)
 
 
 def encode_partitioned_zones(zones: dict[str, int], lease_proxied: set[str]) -> dict[str, Any]:
-    """The record of these zones. `zones`: since when, by the time of day."""
+    """Returns the value of `dark`. `zones`: zone -> start of the partition (wall clock)."""
     record = PartitionedZonesRecord(zones, sorted(lease_proxied) if lease_proxied else UNSET)
     value: dict[str, Any] = msgspec.to_builtins(record)
     return value
 
 
 def decode_partitioned_zones(value: Any) -> PartitionedZonesRecord:
-    """From the value of `dark`. Raises msgspec.ValidationError if it is none."""
+    """Decodes the value of `dark`. Raises msgspec.ValidationError if the value is no such record."""
     return msgspec.convert(value, PartitionedZonesRecord, strict=False)
--- a/oatport/control/storage/job_records.py
+++ b/oatport/control/storage/job_records.py
@@ -1,13 +1,13 @@
-"""Records of jobs in the state service: the one place that knows their field names.
+"""Records of jobs in the state service: the only module that names their stored fields.
 
 | record | key | written by | read by |
 | --- | --- | --- | --- |
-| `JobRecord` | `jobs/JOB`; `live/JOB` or `waits/JOB` until the first binding | the node that accepts the job, the leader when it is over | nodes that answer users, the leader |
+| `JobRecord` | `jobs/JOB`; `live/JOB` or `waits/JOB` until the first binding | the node that accepts the job, the leader when the job finishes | nodes that answer users, the leader |
 | `LiveRecord` | `live/JOB` from the first binding on | the leader | the next leader |
 | `TasksRecord` | `live/JOB/0001`, `live/JOB/0001.40` | the leader | the next leader |
 
-Times in records are times of day, since they must mean the same on the next leader. A field that is UNSET is not
-written. Unknown fields are passed over: a later version may have written them.
+Times in records are wall-clock times, because they must mean the same to the next leader. A field that is UNSET is
+not written. Unknown fields are ignored, because a later version may have written them.
 """  # noqa: E501 (a table)
 
 from __future__ import annotations
@@ -21,15 +21,15 @@
 from oatport import wire
 from oatport.control.state.job import CompactSpec, DeferredStart, Job
 
-ROW_COMPLETED = -1  # the row of a completed task
-ROW_UNTOUCHED = 0  # the row of a task that was never bound; such rows at the end are left out
+ROW_COMPLETED = -1  # row of a completed task
+ROW_UNTOUCHED = 0  # row of a task that was never bound; trailing rows of this kind are omitted
 
 
 class DeferredStartRecord(msgspec.Struct):
-    """Why some of a job's tasks may not start yet."""
+    """Holds the limit on how many tasks of a job may start, the reason, and when the limit rises."""
 
-    start_limit: int = field(name="open")  # tasks below this may start
-    plan: list[list[int]]  # from when how many more may start
+    start_limit: int = field(name="open")  # tasks with an index below this may start
+    plan: list[list[int]]  # [time, number of further tasks that may start from then on]
     reason: str = field(name="why")
     write_count: int = field(name="n")
     paused_until: int = field(name="paused", default=0)
@@ -37,21 +37,21 @@
 
 
 class JobRecord(msgspec.Struct, kw_only=True):
-    """A job as submitted, and its state."""
+    """Holds a job as submitted and its state."""
 
     state: str  # a value of wire.JobStatus
     submitted_at: int = field(name="at")
-    description: dict[str, Any] = field(name="job")  # as submitted, without lists that lie in overflow records
-    # How many overflow records there are, and the names of the lists in them.
+    description: dict[str, Any] = field(name="job")  # as submitted, without the lists in overflow records
+    # [number of overflow records, names of the lists in them]
     overflow: list[Any] | UnsetType = field(name="more", default=UNSET)
-    failure_reason: str | UnsetType = field(name="cause", default=UNSET)  # of a failed job
+    failure_reason: str | UnsetType = field(name="cause", default=UNSET)  # only of a failed job
 
     def spec(self) -> wire.Submission:
-        """What was submitted. Raises msgspec.ValidationError if it is none."""
+        """Returns the submission. Raises msgspec.ValidationError if the description is not a valid one."""
         return msgspec.convert(self.description, wire.Submission, strict=False)
 
     def compact_spec(self) -> CompactSpec | None:
-        """What of the description lies in this record, if lists of it lie in overflow records."""
+        """Returns the part of the description in this record, or None if no lists are in overflow records."""
         if self.overflow is UNSET:
             return None
         names = self.overflow[1]
@@ -60,11 +60,11 @@
 
 
 class TasksRecord(msgspec.Struct, kw_only=True):
-    """Some tasks of a job, in order."""
+    """Holds consecutive tasks of a job."""
 
-    # ROW_COMPLETED, ROW_UNTOUCHED, or what `TaskRow` says.
+    # Each is ROW_COMPLETED, ROW_UNTOUCHED, or a row as described in `TaskRow`.
     rows: list[Any] = field(name="t")
-    # In first records only, and in those of before version 0.3 that lie beside the job's (`live/JOB/0000`).
+    # The fields below are only in the head record and, before version 0.3, in the separate `live/JOB/0000`.
     tier: str | UnsetType = UNSET
     loss_count: int = field(name="lost", default=0)
     errors: int = 0
@@ -72,24 +72,26 @@
 
 
 class LiveRecord(JobRecord, kw_only=True):
-    """An unfinished job with its first tasks; all fields but those of JobRecord are missing until its first binding."""
-
-    version: int | UnsetType = field(name="rev", default=UNSET)  # revision of jobs/JOB, which its bindings rest on
-    rows: list[Any] | UnsetType = field(name="t", default=UNSET)  # as in TasksRecord
-    tier: str | UnsetType = UNSET  # what the router decided last
-    loss_count: int | UnsetType = field(name="lost", default=UNSET)  # how often tasks of it were lost
-    # When the last job that it depends on was completed, if that is later than its submission.
+    """Holds an unfinished job with its first tasks; only the fields of JobRecord are set until the first binding."""
+
+    version: int | UnsetType = field(
+        name="rev", default=UNSET
+    )  # revision of jobs/JOB, a condition of writing its bindings
+    rows: list[Any] | UnsetType = field(name="t", default=UNSET)  # as in TasksRecord.rows
+    tier: str | UnsetType = UNSET  # the last decision of the tier router
+    loss_count: int | UnsetType = field(name="lost", default=UNSET)  # how often its tasks were lost
+    # When the last of its dependencies completed, if that is later than its submission.
     eligible_at: int | UnsetType = field(name="from", default=UNSET)
-    errors: int | UnsetType = UNSET  # since a task of it was completed last, if it is suspected to be faulty
+    errors: int | UnsetType = UNSET  # errors since its last completed task, if the job is suspected faulty
     deferral: DeferredStartRecord | UnsetType = field(name="hold", default=UNSET)
 
 
 @dataclass(frozen=True, slots=True)
 class TaskRow:
-    """The row of a task that was touched and is not completed.
+    """Holds the row of a task that was bound at least once and is not completed.
 
-    Written as [attempt] when pending and [attempt, machine] when bound; where the class limits retries also
-    [attempt, machine, epoch of the binding], and [attempt, None, 1] once no retry is left.
+    Encoded as [attempt] when pending and [attempt, machine] when bound. If the job class limits retries, a bound task
+    is [attempt, machine, binding epoch], and a task without a retry left is [attempt, None, 1].
     """
 
     attempt: int
@@ -99,7 +101,7 @@
 
     @classmethod
     def decode(cls, row: list[Any]) -> TaskRow:
-        """From its row."""
+        """Decodes a row of a task record."""
         attempt = int(row[0])
         machine_name = row[1] if len(row) > 1 else None
         if len(row) > 2:
@@ -128,17 +130,17 @@
 
 
 def encode_tasks(job: Job, low: int, high: int) -> dict[str, Any]:
-    """The record of the tasks from `low` up to `high`, which do not lie with their job."""
+    """Returns the record of the tasks from `low` up to `high`, which are not in the head record of their job."""
     return {"t": _encode_rows(job, low, high)}
 
 
 def encode_submission(spec: wire.Submission, submitted_at: int, state: str) -> dict[str, Any]:
-    """The record of a job that nothing but its submission is known of."""
+    """Returns the record of a job of which only the submission exists."""
     return _encode(JobRecord(state=state, submitted_at=submitted_at, description=_describe(spec)))
 
 
 def encode_job(job: Job, state: str) -> dict[str, Any]:
-    """The value of jobs/JOB."""
+    """Returns the value of `jobs/JOB`."""
     return _encode(
         JobRecord(
             state=state,
@@ -151,16 +153,17 @@
 
 
 def encode_completed_job(job: Job, completed_at: int) -> dict[str, Any]:
-    """The value of jobs/JOB when it is over: completed, or failed if it has a reason for that.
+    """Returns the value of `jobs/JOB` of a finished job: failed if it has a failure reason, otherwise completed.
 
-    With the time of day: jobs that depend on it count their times from then, also under another leader.
+    The value includes the completion time (wall clock), because dependent jobs count their times from it, also under
+    another leader.
     """
     state = wire.JobStatus.FAILED if job.failure_reason else wire.JobStatus.COMPLETED
     return encode_job(job, state) | {"ended": completed_at}
 
 
 def encode_live_job(job: Job, task_count: int) -> dict[str, Any]:
-    """The value of live/JOB from the first binding on: the job with so many of its first tasks."""
+    """Returns the value of `live/JOB` from the first binding on: the job with its first `task_count` tasks."""
     return _encode(
         LiveRecord(
             state=wire.JobStatus.QUEUED,
@@ -179,38 +182,38 @@
 
 
 def encode_description(job: Job) -> dict[str, Any]:
-    """The job as submitted, as far as it lies in its own record."""
+    """Returns the part of the submission in the job's own record, without the lists in overflow records."""
     return _describe(job.spec) if job.compact_spec is None else job.compact_spec.description
 
 
 def decode_job(value: Any) -> JobRecord:
-    """From a value of jobs/JOB, waits/JOB or live/JOB. Raises msgspec.ValidationError if it is none."""
+    """Decodes a value of `jobs/JOB`, `waits/JOB` or `live/JOB`. Raises msgspec.ValidationError if it is no job."""
     return msgspec.convert(value, JobRecord, strict=False)
 
 
 def decode_live_job(value: Any) -> LiveRecord:
-    """From a value of live/JOB. Raises msgspec.ValidationError if it is none."""
+    """Decodes a value of `live/JOB`. Raises msgspec.ValidationError if the value is no such record."""
     return msgspec.convert(value, LiveRecord, strict=False)
 
 
 def decode_tasks(value: Any) -> TasksRecord:
-    """From a value of live/JOB with tasks, or of one of the keys below it. Raises msgspec.ValidationError."""
+    """Decodes a value of `live/JOB` with tasks, or of a key below `live/JOB/`. Raises msgspec.ValidationError."""
     return msgspec.convert(value, TasksRecord, strict=False)
 
 
 def decode_deferral(record: DeferredStartRecord) -> DeferredStart:
-    """A deferred start as the leader knows it."""
+    """Converts a stored deferral to the leader's form."""
     plan = [(at, count) for at, count in record.plan]
     return DeferredStart(plan, record.reason, record.write_count, record.paused_until, record.pause_count)
 
 
-def holds_tasks(value: Any) -> bool:
-    """Is it a record with tasks, if only of none?"""
+def has_tasks(value: Any) -> bool:
+    """Returns whether a value has a list of task rows, which may be empty."""
     return "t" in value
 
 
 def row_count(value: Any) -> int:
-    """How many tasks a record tells of; 0 for one that holds none."""
+    """Returns the number of task rows in a value; 0 if the value has no list of them."""
     return len(value.get("t", ()))
 
 
--- a/oatport/control/storage/keys.py
+++ b/oatport/control/storage/keys.py
@@ -1,19 +1,19 @@
-"""Names of the keys in the state service: every one that this software writes, and what lies under it.
+"""Names of all keys that this software writes to the state service.
 
-| key | what it holds |
+| key | value |
 | --- | --- |
-| `jobs/JOB` | a job as submitted, and its state: what users are told |
+| `jobs/JOB` | a job as submitted, and the state that users see |
 | `live/JOB` | an unfinished job with its first tasks; until the first binding the same value as `jobs/JOB` |
-| `live/JOB/0001`, `live/JOB/0001.40` | further tasks of it, by chunk, and from the task at that offset |
-| `live/JOB/x` | the cancellation mark: a takeover sees it among live work |
+| `live/JOB/0001`, `live/JOB/0001.40` | further tasks of the job: a chunk, or the part of a chunk from that offset |
+| `live/JOB/x` | the cancellation mark; a new leader reads the mark together with the unfinished jobs |
 | `waits/JOB` | an accepted job that depends on others, until its first binding |
-| `more/JOB/0000` | long lists of a job's description, where one value can't hold them |
-| `fleet/000002`, `fleet/000002.18` | machines by number: those of a group, and from that offset |
-| `leader` | who leads; its revision is the fencing token |
-| `model`, `model/1` | what the runtime predictor has learnt |
-| `catalog` | the machine types, for when the cloud service is away |
+| `more/JOB/0000` | long lists of a job's description that don't fit into one value |
+| `fleet/000002`, `fleet/000002.18` | machines by number: a group, or the part of a group from that offset |
+| `leader` | the current leader; the revision of the key is the fencing token |
+| `model`, `model/1` | the state of the runtime predictor |
+| `catalog` | the machine types, for use while the cloud service is unavailable |
 | `dark` | partitioned zones |
-| `formats` | the schema version that all nodes read |
+| `formats` | the schema version that all nodes can read |
 """
 
 from __future__ import annotations
@@ -24,56 +24,56 @@
 SCHEMA_VERSION_KEY = "formats"
 CANCEL_MARK = "x"  # live/JOB/x
 
-ACCEPT_KEYS = 2  # written to accept a job: jobs/JOB, and live/JOB or waits/JOB
+ACCEPT_KEYS = 2  # jobs/JOB, and live/JOB or waits/JOB
 
-CHUNK_TASKS = 100  # tasks in one record, where that fits
-GROUP_MACHINES = 40  # machines in one fleet record, where that fits
+CHUNK_TASKS = 100  # tasks in one record, if they fit
+GROUP_MACHINES = 40  # machines in one fleet record, if they fit
 
 
 def job_key(job_id: str) -> str:
-    """The job as submitted, and its state."""
+    """Returns the key of a job as submitted and its state."""
     return JOBS + job_id
 
 
 def live_key(job_id: str) -> str:
-    """The unfinished job with its first tasks."""
+    """Returns the key of the head record: an unfinished job with its first tasks."""
     return LIVE + job_id
 
 
 def blocked_key(job_id: str) -> str:
-    """The record of a job that no task of was bound yet, and that depends (or depended) on others."""
+    """Returns the key of a job that depends (or depended) on others and of which no task was bound yet."""
     return BLOCKED + job_id
 
 
 def cancel_key(job_id: str) -> str:
-    """The mark that the job was cancelled."""
+    """Returns the key of the mark that a job was cancelled."""
     return f"{LIVE}{job_id}/{CANCEL_MARK}"
 
 
 def overflow_key(job_id: str, number: int) -> str:
-    """The record of so-and-so many lists of its description that its own record can't hold."""
+    """Returns the key of the overflow record `number`, with long lists of the job's description."""
     return f"{OVERFLOW}{job_id}/{number:04d}"
 
 
 def chunk_key(job_id: str, chunk: int) -> str:
-    """The record of a chunk of tasks; the first lies with the job, so that a small job has one key."""
+    """Returns the key of a chunk of tasks; the first chunk is in the head record, so that a small job has one key."""
     return f"{LIVE}{job_id}/{chunk:04d}" if chunk else live_key(job_id)
 
 
 def first_task(key: str) -> tuple[str, int]:
-    """The job, and the first task, of a record of tasks."""
+    """Returns the job ID and the index of the first task of a task record."""
     job_id, _, part = key[len(LIVE) :].partition("/")
     chunk, _, offset = part.partition(".")
     return job_id, int(chunk or 0) * CHUNK_TASKS + int(offset or 0)
 
 
 def group_key(group: int, offset: int = 0) -> str:
-    """The record of a group of machines, or of those from an offset in it."""
+    """Returns the key of a group of machines, or of the part of the group from an offset."""
     return f"{FLEET}{group:06d}" + (f".{offset:02d}" if offset else "")
 
 
 def first_machine(key: str) -> tuple[int, int]:
-    """The first machine number of a fleet record, and of its group."""
+    """Returns the first machine number of a fleet record and the first of its group."""
     group, _, offset = key[len(FLEET) :].partition(".")
     low = int(group) * GROUP_MACHINES
     return low + int(offset or 0), low
--- a/oatport/control/storage/overflow_records.py
+++ b/oatport/control/storage/overflow_records.py
@@ -1,7 +1,7 @@
-"""Long lists of a job's description, laid over records of their own where a value can't hold them (`more/JOB/0000`...).
+"""Overflow records (`more/JOB/0000`...): long lists of a job's description that don't fit into one value.
 
-They are written ahead, on the condition that the job was not accepted yet, and count only with its acceptance: the
-record under `jobs/` tells how many there are.
+Overflow records are written before the job, on the condition that the job is not accepted yet, and become valid only
+with its acceptance: the record under `jobs/` holds their number.
 """
 
 from __future__ import annotations
@@ -9,22 +9,23 @@
 from typing import Any
 
 from oatport import wire
-from oatport.control.storage.record_layout import HEAD_FRAME
+from oatport.control.storage.record_layout import HEAD_RECORD_OVERHEAD_BYTES
 from oatport.sizes import json_size
 
-LONG_LISTS = (wire.DEPENDENCIES_FIELD, wire.MACHINE_TYPES_FIELD)
+SPLITTABLE_FIELDS = (wire.DEPENDENCIES_FIELD, wire.MACHINE_TYPES_FIELD)
 
 
 def is_accepted_as_blocked(record: Any) -> bool:
-    """Is it accepted under `waits/` instead of `live/`?
+    """Returns whether a job is accepted under `waits/` instead of `live/`.
 
-    It names others, or an earlier version, which knows no `more`, would read it without its lists.
+    That is so if the job has dependencies, or overflow records: an earlier version does not support `more` and would
+    read the job without its lists.
     """
     return wire.DEPENDENCIES_FIELD in record["job"] or "more" in record
 
 
 def with_overflow(value: Any, parts: list[Any]) -> Any:
-    """The record of a job with the lists that lie in records of their own (`more/`), in order."""
+    """Returns the record of a job with the lists of its overflow records (`more/`), given in order, merged in."""
     lists: dict[str, list[Any]] = {}
     for part in parts:
         for name, rows in part.items():
@@ -33,12 +34,13 @@
 
 
 def split_overflow(value: Any, limit: int) -> tuple[Any, list[Any]]:
-    """The record of a job without the lists that make it larger than `limit` (bytes as JSON), and these in parts.
+    """Splits the lists that make a job's record larger than `limit` (bytes as JSON) off into overflow records.
 
-    `more` in the record then tells how many parts there are, and of which lists.
+    Returns the record without the lists and the overflow records. The field `more` of the record then holds the number
+    of overflow records and the names of the lists.
     """
-    available_bytes = limit - HEAD_FRAME - 64
-    names = [name for name in LONG_LISTS if value["job"].get(name)]
+    available_bytes = limit - HEAD_RECORD_OVERHEAD_BYTES - 64
+    names = [name for name in SPLITTABLE_FIELDS if value["job"].get(name)]
     if json_size(value) <= available_bytes or not names:
         return value, []
     parts: list[Any] = []
--- a/oatport/control/storage/record_layout.py
+++ b/oatport/control/storage/record_layout.py
@@ -1,12 +1,13 @@
-"""How what is recorded is laid out over keys, so that every value fits the state service's limit, now and later.
+"""Layout of tasks and machines over keys, such that every value fits the state service's present and future limits.
 
-A job's tasks lie in chunks of `CHUNK_TASKS`, as all versions know them. Where a chunk does not fit, its key holds the
-first tasks and further keys the others, each named by the first that it holds: `live/JOB/0001` and `live/JOB/0001.40`.
-Machines likewise: `fleet/000002` and `fleet/000002.18`. Where two records tell of the same task or machine, the one
-that was written last is right. So a record that an earlier version wrote larger may stay as it is while parts of it
-are written anew; only before it is itself written smaller must the others be there (`WriteBuffer`).
+The tasks of a job are stored in chunks of `CHUNK_TASKS`, which all versions can read. If a chunk does not fit into one
+value, its key holds the first tasks, and further keys (parts) hold the rest, each named by the offset of its first
+task: `live/JOB/0001` and `live/JOB/0001.40`. The same applies to machines: `fleet/000002` and `fleet/000002.18`. If two
+records cover the same task or machine, the one with the higher revision is valid. So an oversized record of an earlier
+version may remain while parts of it are rewritten; only before the record itself is rewritten with fewer rows must the
+other parts exist (`WriteBuffer`).
 
-Versions before 0.7 know no such parts: they are written only once all nodes read them
+Versions before 0.7 do not support parts, so parts are written only once all nodes can read them
 (`control/storage/schema_version.py`).
 """
 
@@ -29,50 +30,56 @@
 )
 from oatport.sizes import json_size
 
-FRAME = 96  # bytes of a record beside its rows
-HEAD_FRAME = 288  # of a job's first record, beside its description and rows; a deferred start is in it
-TASK_ROW = 28  # [attempt, machine, epoch]
-MACHINE_ROW = 110  # beside the longest name of a zone
+RECORD_OVERHEAD_BYTES = 96  # of a record, besides its rows
+HEAD_RECORD_OVERHEAD_BYTES = 288  # of a job's head record, besides its description and rows; includes a deferral
+TASK_ROW_BYTES = 28  # [attempt, machine, epoch]
+MACHINE_ROW_BYTES = 110  # without the zone name
 
 
-def rows_that_fit(limit: int, frame: int, row: int, most: int) -> int:
-    """How many rows of so many bytes a value of `limit` bytes holds beside its frame; 1 at least, `most` at most."""
-    return min(most, max(1, (limit - frame) // row))
+def rows_per_value(limit: int, overhead_bytes: int, row_bytes: int, max_rows: int) -> int:
+    """Returns how many rows fit into a value of `limit` bytes besides its overhead, between 1 and `max_rows`."""
+    return min(max_rows, max(1, (limit - overhead_bytes) // row_bytes))
 
 
 @dataclass(slots=True)
 class RecordLayout:
-    """Where tasks and machines lie. `parts`: all nodes read more keys than one a chunk."""
+    """Maps tasks and machines to keys. `splits_records`: all nodes can read chunks that are split into parts."""
 
-    max_value_bytes: int  # bytes of a value, as JSON
-    longest_zone_name: int  # the longest name of a zone
+    max_value_bytes: int  # as JSON
+    longest_zone_name: int  # in characters
     splits_records: bool = False
 
     @property
     def tasks_per_part(self) -> int:
-        """How many tasks a record holds that does not lie with its job."""
-        return rows_that_fit(self.max_value_bytes, FRAME, TASK_ROW, CHUNK_TASKS) if self.splits_records else CHUNK_TASKS
+        """Returns the maximum number of tasks in a record other than the head record."""
+        return (
+            rows_per_value(self.max_value_bytes, RECORD_OVERHEAD_BYTES, TASK_ROW_BYTES, CHUNK_TASKS)
+            if self.splits_records
+            else CHUNK_TASKS
+        )
 
     @property
     def machines_per_part(self) -> int:
-        """How many machine numbers a record tells of."""
+        """Returns the maximum number of machine numbers that a record covers."""
         return (
-            rows_that_fit(self.max_value_bytes, FRAME, MACHINE_ROW + self.longest_zone_name, GROUP_MACHINES)
+            rows_per_value(
+                self.max_value_bytes, RECORD_OVERHEAD_BYTES, MACHINE_ROW_BYTES + self.longest_zone_name, GROUP_MACHINES
+            )
             if self.splits_records
             else GROUP_MACHINES
         )
 
     def head_tasks(self, job: Job) -> int:
-        """How many of a job's tasks lie with it in one record."""
+        """Returns how many of a job's tasks are in its head record."""
         if not self.splits_records:
             return CHUNK_TASKS
         if job.tasks_in_first_record < 0:
-            taken = HEAD_FRAME + json_size(encode_description(job))
-            job.tasks_in_first_record = min(CHUNK_TASKS, max(0, (self.max_value_bytes - taken) // TASK_ROW))
+            used_bytes = HEAD_RECORD_OVERHEAD_BYTES + json_size(encode_description(job))
+            job.tasks_in_first_record = min(CHUNK_TASKS, max(0, (self.max_value_bytes - used_bytes) // TASK_ROW_BYTES))
         return job.tasks_in_first_record
 
     def task_key(self, job: Job, index: int) -> str:
-        """The record that a task lies in."""
+        """Returns the key of the record with a task."""
         chunk, offset = divmod(index, CHUNK_TASKS)
         size, head = self.tasks_per_part, 0 if chunk else self.head_tasks(job)
         if offset < head:
@@ -81,14 +88,14 @@
         return f"{LIVE}{job.job_id}/{chunk:04d}.{low:02d}" if low or not chunk else chunk_key(job.job_id, chunk)
 
     def task_span(self, job: Job, key: str) -> tuple[int, int]:
-        """The tasks of a record: from, up to."""
+        """Returns the range of tasks of a record: the first, and the one after the last."""
         _, low = first_task(key)
         chunk = low // CHUNK_TASKS
         size = self.head_tasks(job) if key == live_key(job.job_id) else self.tasks_per_part
         return low, min(low + size, (chunk + 1) * CHUNK_TASKS)
 
     def task_keys(self, job: Job, low: int, high: int) -> Iterator[str]:
-        """The records of the tasks from `low` up to `high`."""
+        """Yields the keys of the records with the tasks from `low` up to `high`."""
         index = low
         while index < high:
             key = self.task_key(job, index)
@@ -96,17 +103,17 @@
             index = self.task_span(job, key)[1]
 
     def fleet_key(self, number: int) -> str:
-        """The record that the machine of this number lies in."""
+        """Returns the key of the record with the machine of this number."""
         group, offset = divmod(number, GROUP_MACHINES)
         size = self.machines_per_part
         return group_key(group, offset // size * size)
 
     def fleet_span(self, key: str) -> tuple[int, int]:
-        """The machine numbers of a record: from, up to."""
+        """Returns the range of machine numbers of a record: the first, and the one after the last."""
         low, group = first_machine(key)
         return low, min(low + self.machines_per_part, group + GROUP_MACHINES)
 
     def fleet_keys(self, key: str) -> Iterator[str]:
-        """All records of a group."""
+        """Yields the keys of all records of the group that a fleet record belongs to."""
         _, low = first_machine(key)
         yield from (self.fleet_key(n) for n in range(low, low + GROUP_MACHINES, self.machines_per_part))
--- a/oatport/control/storage/recovery.py
+++ b/oatport/control/storage/recovery.py
@@ -1,4 +1,4 @@
-"""Loads a new leader's view of the cluster from the records that earlier leaders left."""
+"""Recovery: loads the cluster state of a new leader from the records of earlier leaders."""
 
 from __future__ import annotations
 
@@ -43,11 +43,11 @@
 
 log = logging.getLogger(__name__)
 
-OLD_FIRST_CHUNK = "0000"  # the first tasks of a job before version 0.3: live/JOB/0000
+LEGACY_FIRST_CHUNK = "0000"  # live/JOB/0000: the first tasks of a job before version 0.3
 
 
 class UnknownMachineTypeError(OatportError):
-    """A recorded machine is of a type that is in no catalog: what is on it can't be taken in."""
+    """Raised if the type of a recorded machine is in no catalog, so that its tasks can't be loaded."""
 
     def __init__(self, machine_name: str, type_name: str) -> None:
         super().__init__(f"{machine_name} is of type {type_name}")
@@ -56,50 +56,50 @@
 
 
 def load_cluster(cluster: ClusterState, entries: list[wire.StoredEntry], now: int, wall: int) -> None:
-    """Fill a new leader's view from the records under live/, waits/ and fleet/, and those that there is one of each.
+    """Loads a new leader's cluster state from the records under live/, waits/ and fleet/ and the singleton records.
 
-    What a record says is on a machine is taken as there, whatever the machine itself says later under an older token; a
-    heartbeat under ours confirms or removes it. Raises UnknownMachineTypeError before anything is changed that a record
-    depends on.
+    A task that a record places on a machine counts as being there, whatever the machine reports under an older fencing
+    token; a heartbeat under the new leader's token confirms or removes the task. Raises UnknownMachineTypeError before
+    anything that a record depends on is changed.
     """
     _ClusterLoader(cluster, entries, now, wall).load()
 
 
 @dataclass(frozen=True, slots=True)
 class _TasksPart:
-    """One record of tasks of a job."""
+    """Holds one task record of a job."""
 
-    version: int  # its revision: of a task the record written last tells
+    version: int  # its revision; for a task in several records, the highest revision is valid
     first_task: int
     record: TasksRecord
 
 
 @dataclass(slots=True)
 class _ClusterLoader:
-    """Goes through the records once, then puts together what depends on several of them."""
+    """Loads each record once, and then the state that depends on several records."""
 
     cluster: ClusterState
     entries: list[wire.StoredEntry]
     now: int
     wall: int
-    task_parts: dict[str, list[_TasksPart]] = field(default_factory=dict)  # job -> its records of tasks
-    cancel_marks: dict[str, int] = field(default_factory=dict)  # job -> revision of its mark
+    task_parts: dict[str, list[_TasksPart]] = field(default_factory=dict)  # job -> its task records
+    cancel_marks: dict[str, int] = field(default_factory=dict)  # job -> revision of its cancellation mark
     blocked: dict[str, tuple[JobRecord, int]] = field(default_factory=dict)  # job -> its record under waits/, revision
-    old_first_chunks: dict[str, TasksRecord] = field(default_factory=dict)  # of before version 0.3
+    legacy_first_chunks: dict[str, TasksRecord] = field(default_factory=dict)  # from before version 0.3
 
     def load(self) -> None:
-        """All steps, in the order in which they depend on each other."""
+        """Performs all steps, in the order of their dependencies."""
         self._load_schema_version()
         for row in recorded_machines(self.entries):
             self._load_machine(row)
         for entry in self.entries:
             self._load_record(entry.key, entry.value, entry.revision)
-        self.cluster.writes.dirty_keys.clear()  # what was just read is not to be written back
-        self._adopt_old_first_chunks()
+        self.cluster.writes.dirty_keys.clear()  # the records just loaded need not be written back
+        self._adopt_legacy_first_chunks()
         for job_id, parts in self.task_parts.items():
             self._load_tasks_of_job(job_id, parts)
         for entry in self.entries:
-            self.cluster.writes.note_record_width(entry.key, entry.value)
+            self.cluster.writes.update_oversized_records(entry.key, entry.value)
         for job_id, (record, version) in self.blocked.items():
             self._load_blocked_job(job_id, record, version)
         for job_id, version in self.cancel_marks.items():
@@ -121,10 +121,11 @@
             row.name, row.type_name, row.zone, row.spot, row.address, self.now, self.wall, age
         )
         if machine is None:
-            # Left out, it would be taken for gone, and all that runs on it would be started again elsewhere.
+            # If the machine were left out, it would count as gone, and its tasks would be started again elsewhere.
             raise UnknownMachineTypeError(row.name, row.type_name)
         machine.persisted, machine.was_ready = True, row.was_ready
-        # Asked at once by the new leader; one that stays silent has most likely been so before.
+        # The new leader contacts all machines at once. A machine that does not answer was most likely silent before, so
+        # part of the silence timeout counts as elapsed.
         machine.known_since = self.now - self.cluster.tuning.us("silent_s") * 3 // 10
 
     def _load_record(self, key: str, value: Any, version: int) -> None:
@@ -139,7 +140,7 @@
             self._load_live_record(key, value, version)
 
     def _load_partitioned_zones(self, value: Any) -> None:
-        """What an earlier leader found out holds until one of the zone's machines sends a heartbeat."""
+        """Loads the partitioned zones; each remains partitioned until one of its machines sends a heartbeat."""
         record, zones = decode_partitioned_zones(value), self.cluster.zones
         zones.partitioned = {zone: self.now - max(0, self.wall - since) for zone, since in record.zones.items()}
         zones.lease_proxied = set(record.lease_proxied or ()) & zones.partitioned.keys()
@@ -150,14 +151,14 @@
             self._load_live_job(job_id, decode_live_job(value), value, version)
         elif part == CANCEL_MARK:
             self.cancel_marks[job_id] = version
-        elif part == OLD_FIRST_CHUNK:
-            self.old_first_chunks[job_id] = decode_tasks(value)
+        elif part == LEGACY_FIRST_CHUNK:
+            self.legacy_first_chunks[job_id] = decode_tasks(value)
             self.cluster.writes.orphaned_keys.append(key)
         else:
             self._add_part(job_id, _TasksPart(version, first_task(key)[1], decode_tasks(value)))
 
     def _load_live_job(self, job_id: str, record: LiveRecord, value: Any, version: int) -> None:
-        # As accepted, it has the revision of jobs/JOB; from the first binding on it tells that one.
+        # Until the first binding, the record has the same revision as jobs/JOB; from then on, it stores that revision.
         job_version = version if isinstance(record.version, UnsetType) else record.version
         job = self.cluster.job_lifecycle.add(job_id, record.spec(), job_version, record.submitted_at)
         job.eligible_at = record.submitted_at if isinstance(record.eligible_at, UnsetType) else record.eligible_at
@@ -171,17 +172,17 @@
 
     # --- tasks --------------------------------------------------------------------------------
 
-    def _adopt_old_first_chunks(self) -> None:
-        for job_id, record in self.old_first_chunks.items():
+    def _adopt_legacy_first_chunks(self) -> None:
+        for job_id, record in self.legacy_first_chunks.items():
             has_first = any(part.first_task == 0 for part in self.task_parts.get(job_id, ()))
             if job_id in self.cluster.jobs and not has_first:
                 self._add_part(job_id, _TasksPart(0, 0, record))
-                self.cluster.writes.dirty_keys[live_key(job_id)] = None  # written before the old key is dropped
+                self.cluster.writes.dirty_keys[live_key(job_id)] = None  # written before the old key is deleted
 
     def _load_tasks_of_job(self, job_id: str, parts: list[_TasksPart]) -> None:
         job = self.cluster.jobs.get(job_id)
         if job is None:
-            # Its head went with its completion, which the keys outlived: a large job deleted in parts.
+            # The head record was deleted on completion, but these keys remain: a large job is deleted in several steps.
             self.cluster.writes.orphaned_keys += [
                 key
                 for key in self.cluster.writes.versions
@@ -192,7 +193,7 @@
         for part in sorted(parts, key=lambda part: (part.version, part.first_task)):
             rows |= {part.first_task + offset: row for offset, row in enumerate(part.record.rows)}
             self._load_job_fields(job, part.record)
-        # Tasks between the known ones were never touched but are below the mark now.
+        # Tasks without a row that precede the last recorded task were never bound, but are now below `next_untouched`.
         job.next_untouched = max(rows, default=-1) + 1
         for index in range(job.next_untouched):
             self._load_task(job, index, rows.get(index, ROW_UNTOUCHED))
@@ -202,7 +203,7 @@
 
     @staticmethod
     def _load_job_fields(job: Job, record: TasksRecord) -> None:
-        """What lies beside a job's first tasks."""
+        """Loads the fields of the job that are stored with its first tasks."""
         if isinstance(record.tier, UnsetType):
             return
         job.tier, job.loss_count, job.errors = record.tier, record.loss_count, record.errors
@@ -226,20 +227,20 @@
         machine = self.cluster.machines.get(recorded.machine_name)
         if machine is None:
             # The fleet record is written no later than the first binding to a machine and kept until the machine is
-            # proven gone: so the task's machine is.
-            task.retry_exhausted = job.at_most_once  # and may have started there
+            # proven gone: so this task's machine is gone.
+            task.retry_exhausted = job.at_most_once  # the task may have started there
             self.cluster.writes.mark_dirty(task)
             return
         task.phase = TaskPhase.BOUND
         self.cluster.tasks.bind(task, machine)
-        machine.images.setdefault(job.spec.image, 1)  # it was sent there a while ago
+        machine.images.setdefault(job.spec.image, 1)  # the image was fetched there earlier
 
-    # --- what depends on several records --------------------------------------------------------
+    # --- state that depends on several records --------------------------------------------------
 
     def _load_blocked_job(self, job_id: str, record: JobRecord, version: int) -> None:
         writes = self.cluster.writes
         if job_id in self.cluster.jobs:
-            # A task of it was bound: deleted after that, where one transaction holds few changes.
+            # A task of the job was bound; with small transactions, the waits/ record is only deleted afterwards.
             writes.orphaned_keys.append(blocked_key(job_id))
             return
         job = Job(job_id, record.spec(), version, record.submitted_at)
@@ -260,7 +261,7 @@
             self.cluster.writes.orphaned_keys.append(cancel_key(job_id))
 
     def _resume(self, job: Job) -> None:
-        """Go on with a job where the last leader stopped."""
+        """Continues a job where the previous leader stopped."""
         cluster = self.cluster
         if job.completed:
             cluster.job_statistics.on_started(job)
--- a/oatport/control/storage/schema_version.py
+++ b/oatport/control/storage/schema_version.py
@@ -1,8 +1,9 @@
-"""What this version reads of what is stored, and when all nodes read that: only then is it written.
+"""Schema version of the stored records; a new format is written only once all nodes can read it.
 
-An earlier version answers the question with 400, and a node that is down or partitioned with nothing: both mean that it
-may read the old formats alone. Each node is asked twice, and must be the same process both times. That all read a
-format is recorded (`formats`), conditioned on the leadership and on nobody having recorded it, and is never undone.
+An earlier version answers the schema version request with 400, and a node that is down or partitioned does not answer:
+in both cases the node may be able to read the old formats only. Each node is asked twice, and both answers must come
+from the same process. The schema version that all nodes can read is recorded (`formats`), on the condition that the
+writer leads and that the version is not recorded yet; the record is never reverted.
 """
 
 from __future__ import annotations
@@ -11,13 +12,12 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-# 1: before 0.7; 2: parts of chunks and groups (`control/storage/record_layout.py`),
-# lists of a job in records of their own
+# 1: before 0.7; 2: chunks and groups split into parts (`control/storage/record_layout.py`), overflow records of jobs
 SCHEMA_VERSION = 2
 
 
 def recorded_version(value: Any) -> int:
-    """What the record says that all nodes read; 1 if there is none."""
+    """Returns the schema version that all nodes can read according to the record; 1 if there is no valid record."""
     try:
         return int(value["reads"])
     except (TypeError, KeyError, ValueError):
@@ -26,21 +26,21 @@
 
 @dataclass(slots=True)
 class SchemaVersionGate:
-    """Opens when all configured nodes answered twice in a row, with the same boots, that they read `SCHEMA_VERSION`."""
+    """Opens when all configured nodes reported `SCHEMA_VERSION` in two consecutive rounds with the same boot IDs."""
 
     nodes: Collection[str]
-    _before: dict[str, str] = field(default_factory=dict)
+    _previous_boots: dict[str, str] = field(default_factory=dict)
 
     def on_round(self, boots: dict[str, str]) -> bool:
-        """One round of questions is answered; does the gate open?
+        """Takes the replies of one round of requests and returns whether the gate opens.
 
-        `boots`: the nodes that read this version, this one among them, and the boot of each.
+        `boots`: node -> boot ID of the nodes that can read this version, including this node.
         """
         complete = boots.keys() == set(self.nodes)
-        opens = complete and boots == self._before
-        self._before = boots if complete else {}
+        opens = complete and boots == self._previous_boots
+        self._previous_boots = boots if complete else {}
         return opens
 
     def record(self) -> dict[str, Any]:
-        """The value of the record, once the gate is open."""
-        return {"reads": SCHEMA_VERSION, "boots": self._before}
+        """Returns the value to record once the gate is open."""
+        return {"reads": SCHEMA_VERSION, "boots": self._previous_boots}
--- a/oatport/control/storage/write_batch.py
+++ b/oatport/control/storage/write_batch.py
@@ -1,4 +1,4 @@
-"""The leader's transactions: what goes into the next one, and in which order."""
+"""Builds the leader's transactions: selects the contents of the next one, in order of urgency."""
 
 from __future__ import annotations
 
@@ -27,42 +27,42 @@
 
 @dataclass(slots=True)
 class WriteBatch:
-    """One transaction of the leader's, without the leader condition that its sender adds."""
+    """Holds one transaction of the leader, without the condition on the leader key that its sender adds."""
 
-    completed_at: int = 0  # time of day that is recorded with jobs that are over
-    conditions: dict[str, int] = field(default_factory=dict)  # key -> revision that it must have; 0: it is not there
-    sets: dict[str, Any] = field(default_factory=dict)  # key -> its new value
+    completed_at: int = 0  # wall clock; recorded with finished jobs
+    conditions: dict[str, int] = field(default_factory=dict)  # key -> required revision; 0: absent
+    sets: dict[str, Any] = field(default_factory=dict)  # key -> new value
     deletes: list[str] = field(default_factory=list)
-    bindings: list[tuple[Task, int, Machine]] = field(default_factory=list)  # with attempt and machine as written
+    bindings: list[tuple[Task, int, Machine]] = field(default_factory=list)  # attempt and machine as written
     completed_jobs: list[Job] = field(default_factory=list)
     deleted_jobs: list[Job] = field(default_factory=list)
-    cancelled_jobs: list[Job] = field(default_factory=list)  # since a job that they depend on was cancelled
+    cancelled_jobs: list[Job] = field(default_factory=list)  # a dependency was cancelled
 
     @property
     def operation_count(self) -> int:
-        """How many keys it sets or deletes: what the state service bounds."""
+        """Returns the number of keys to set or delete, which the state service limits."""
         return len(self.sets) + len(self.deletes)
 
     @property
     def finished_jobs(self) -> tuple[Job, ...]:
-        """All jobs that the leader need not know any more once it is committed."""
+        """Returns all jobs that the leader can remove once the transaction is committed."""
         return (*self.completed_jobs, *self.deleted_jobs, *self.cancelled_jobs)
 
 
 class BatchBuilder:
-    """Fills one batch from what waits in the write buffer, the most urgent first."""
+    """Builds one batch from the pending writes of the write buffer, the most urgent first."""
 
     def __init__(self, writes: WriteBuffer, max_operations: int) -> None:
         self.writes = writes
         self.cluster = writes.cluster
         self.batch = WriteBatch(completed_at=self.cluster.now + self.cluster.wall_offset)
-        self._transaction_operations = max_operations  # what the state service takes
-        self._max_operations = max_operations  # what may go along now
+        self._max_transaction_operations = max_operations  # limit of the state service
+        self._max_operations = max_operations  # limit for this batch
 
     def build(self, budget: int | None, batching_window: int) -> WriteBatch:
-        """The next transaction; `WriteBuffer.take_batch` explains the arguments."""
+        """Returns the next transaction; `WriteBuffer.take_batch` explains the arguments."""
         self._add_cancelled_jobs()
-        # Bindings of best-effort jobs wait for the completions of others' jobs, which their users wait to hear of.
+        # Bindings of best-effort jobs come after the completions of all other jobs, because users wait for those.
         self._add_urgent(IDLE_RANK - 1)
         self._add_completed_jobs()
         self._add_urgent(IDLE_RANK)
@@ -75,13 +75,13 @@
             self._add_deletes([self.writes.orphaned_keys.pop()])
         return self.batch
 
-    # --- jobs that are over -------------------------------------------------------------------
+    # --- finished jobs ------------------------------------------------------------------------
 
     def _add_cancelled_jobs(self) -> None:
-        """Jobs that depend on a cancelled one.
+        """Adds jobs that depend on a cancelled job.
 
-        What users are told does not wait for it (`api/job_status_cache.py`), so bindings get their half of a
-        transaction meanwhile: 3,000 at once take minutes.
+        The job status that users see does not depend on these writes (`api/job_status_cache.py`). So while there are
+        urgent writes, such as bindings, half of each transaction is left to them: 3,000 cancelled jobs take minutes.
         """
         writes, batch = self.writes, self.batch
         has_urgent = bool(writes.urgent_keys or writes.jobs_to_complete)
@@ -109,10 +109,11 @@
 
     def _add_deleted_jobs(self) -> None:
         writes, batch = self.writes, self.batch
-        is_whole_transaction = self._max_operations == self._transaction_operations
+        is_whole_transaction = self._max_operations == self._max_transaction_operations
         for job in list(writes.jobs_to_delete):
             keys = writes.stored_job_keys(job)
-            # Whole, or at least with all of a transaction: the mark must not go before the job that it cancels.
+            # All keys in one batch, or as many as a full transaction holds: the cancellation mark must not be deleted
+            # before the job that it cancels.
             is_alone = batch.operation_count == 0 and is_whole_transaction
             if batch.operation_count + len(keys) > self._max_operations and not is_alone:
                 return
@@ -133,7 +134,7 @@
                 batch.deletes.append(key)
             else:
                 writes.orphaned_keys.append(key)
-            writes.forget_key(key)
+            writes.discard_key(key)
 
     # --- records to write ---------------------------------------------------------------------
 
@@ -142,7 +143,7 @@
         due = sorted((key for key, rank in urgent.items() if rank <= lowest_rank), key=urgent.__getitem__)
         for key in due:
             if key not in urgent:
-                continue  # it went along with another one
+                continue  # written together with another record
             if self.batch.operation_count >= self._max_operations or not self._add_record(key):
                 return
 
@@ -156,24 +157,31 @@
                 return
 
     def _add_record(self, key: str) -> bool:
-        """False: the batch cannot hold it with what must come along; it stays to be written."""
+        """Adds a record with its prerequisites.
+
+        Returns False if the batch can't hold them all; the record then remains pending.
+        """
         batch = self.batch
-        ahead = [k for k in self._prerequisite_keys(key) if k not in batch.sets]
-        replaced = sum(self._replaces_blocked_record(k) for k in (key, *ahead))
-        if batch.operation_count and batch.operation_count + 1 + len(ahead) + min(replaced, 1) > self._max_operations:
+        prerequisites = [k for k in self._prerequisite_keys(key) if k not in batch.sets]
+        blocked_record_count = sum(self._replaces_blocked_record(k) for k in (key, *prerequisites))
+        if (
+            batch.operation_count
+            and batch.operation_count + 1 + len(prerequisites) + min(blocked_record_count, 1) > self._max_operations
+        ):
             return False
-        split = len(ahead) + 1 > self._max_operations  # more than a transaction holds: what must be there before
-        for k in ahead[: self._max_operations] if split else (*ahead, key):
+        # Too many for one transaction: the prerequisites are written first.
+        is_split = len(prerequisites) + 1 > self._max_operations
+        for k in prerequisites[: self._max_operations] if is_split else (*prerequisites, key):
             self.writes.urgent_keys.pop(k, None)
             self.writes.dirty_keys.pop(k, None)
             self._put(k)
-        return not split
+        return not is_split
 
     def _replaces_blocked_record(self, key: str) -> bool:
         return bool(key.startswith(LIVE) and self.writes.versions.get(blocked_key(first_task(key)[0])))
 
     def _prerequisite_keys(self, key: str) -> list[str]:
-        """Records that must be there before this one, or come with it."""
+        """Returns the records that must be written before this one or in the same transaction."""
         if key.startswith(FLEET):
             return self._fleet_prerequisites(key)
         if not key.startswith(LIVE):
@@ -184,7 +192,7 @@
         if job is None:
             return []
         if key != head and not writes.versions.get(head):
-            return [head]  # a job that depended on others: its head says that it is blocked no more
+            return [head]  # the job had dependencies: the head record marks it as no longer blocked
         if key not in writes.oversized_records:
             return []
         parts = layout.task_keys(job, layout.task_span(job, key)[1], writes.oversized_records[key])
@@ -201,9 +209,9 @@
     # --- one record ---------------------------------------------------------------------------
 
     def _put(self, key: str) -> None:
-        """Set a key to what it is to hold now, or delete it; nothing if there is nothing to write."""
+        """Adds a key with its current value, or its deletion, or nothing if there is nothing to write."""
         writes = self.writes
-        writes.forget_completions_since(key)
+        writes.clear_first_completion(key)
         if key.startswith(FLEET):
             has_changed = self._put_fleet(key)
         elif key.startswith(MODEL_KEY):
@@ -218,7 +226,7 @@
 
     def _put_fleet(self, key: str) -> bool:
         value = self.writes.fleet_value(key)
-        if self.writes.hold_back_if_too_large(key, value):
+        if self.writes.withhold_if_too_large(key, value):
             return False
         if fleet_size(value):
             self.batch.sets[key] = value
@@ -247,22 +255,22 @@
         job_id, _ = first_task(key)
         job = self.cluster.jobs.get(job_id)
         if job is None or (job.cancelled and not job.failure_reason) or job.completing:
-            return False  # its keys go with the job
+            return False  # its keys are deleted with the job
         is_head = key == live_key(job_id)
         low, high = writes.layout.task_span(job, key)
         value = encode_live_job(job, high) if is_head else encode_tasks(job, low, high)
-        if writes.hold_back_if_too_large(key, value):
+        if writes.withhold_if_too_large(key, value):
             return False
         batch.sets[key] = value
         batch.conditions[job_key(job_id)] = job.version
         if is_head and writes.versions.get(blocked_key(job_id)):
-            # From now on an earlier version may know of the job: it depends on nothing.
+            # From now on an earlier version may load the job, as it has no open dependencies.
             self._add_deletes([blocked_key(job_id)])
         self._add_bindings(job, low, high)
         return True
 
     def _add_bindings(self, job: Job, low: int, high: int) -> None:
-        for index in range(low, min(high, job.next_untouched)):  # not all tasks of a huge array
+        for index in range(low, min(high, job.next_untouched)):  # skips the untouched tasks of a large array
             task = job.tasks.get(index)
             if task is not None and task.phase is TaskPhase.BINDING and task.machine:
                 self.batch.bindings.append((task, task.attempt, task.machine))
--- a/oatport/control/storage/write_buffer.py
+++ b/oatport/control/storage/write_buffer.py
@@ -1,4 +1,4 @@
-"""The write buffer: which records of the leader's view are to be written to the state service, and which are there."""
+"""The write buffer: tracks which records must be written to the state service and which ones exist there."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from oatport.control.state.task import Task, TaskPhase
 from oatport.control.storage.fleet_records import FleetRecord, decode_fleet, encode_fleet, fleet_span
 from oatport.control.storage.job_records import (
-    holds_tasks,
+    has_tasks,
     row_count,
 )
 from oatport.control.storage.keys import (
@@ -38,54 +38,54 @@
 
 
 class WriteBuffer:
-    """The records that are to be written, what is known of those that lie there, and the next transaction."""
+    """Holds the pending writes and the revisions of the stored records, and provides the next transaction."""
 
     def __init__(self, cluster: ClusterState, layout: RecordLayout) -> None:
         self.cluster = cluster
         self.layout = layout
-        # Keys whose record tells of more tasks or machines than it would be written with now, and up to which task.
+        # Keys whose stored record covers more tasks or machines than the current layout allows -> end of its range.
         self.oversized_records: dict[str, int] = {}
-        # The limits have fallen and not all nodes read parts yet: what is larger is not written.
+        # The value limit was lowered, but not all nodes can read parts yet: larger records are not written.
         self.value_limit_lowered = False
-        self._held_back: dict[str, None] = {}  # keys of what was too large
-        # Records that there is one of each, and what is to be written there.
+        self._withheld_keys: dict[str, None] = {}  # keys of records that exceed the lowered limit
+        # Keys with a single record of their kind -> function that returns the value to write.
         self.singleton_records: dict[str, Callable[[], dict[str, Any]]] = {MODEL_KEY: cluster.predictor.record}
-        self.versions: dict[str, int] = {}  # the leader's own keys -> their revision, as known
-        self.urgent_keys: dict[str, int] = {}  # keys to write now: bindings, with the priority rank of their job
-        self.dirty_keys: dict[str, None] = {}  # keys to write soon: completions
-        self._completions_since: dict[str, int] = {}  # dirty task records -> when the first completion came (steady)
-        self.in_flight_keys: set[str] = set()  # of the transaction that is under way
-        self.jobs_to_complete: dict[Job, None] = {}  # over: their state is to be recorded, and their keys deleted
-        self.jobs_to_delete: dict[Job, None] = {}  # cancelled and on no machine any more: their keys are to be deleted
-        self.jobs_to_cancel: dict[str, Job] = {}  # blocked ones, since a job that they depend on was cancelled
-        self.orphaned_keys: list[str] = []  # keys without a job, to be deleted
-        # Jobs that were removed -> the revision at which their completion was recorded.
+        self.versions: dict[str, int] = {}  # the leader's own keys -> last known revision
+        self.urgent_keys: dict[str, int] = {}  # keys to write now, such as bindings -> priority rank of the job
+        self.dirty_keys: dict[str, None] = {}  # keys to write soon, such as completions
+        self._first_completion_at: dict[str, int] = {}  # dirty task records -> first completion (steady)
+        self.in_flight_keys: set[str] = set()  # of the transaction in flight
+        self.jobs_to_complete: dict[Job, None] = {}  # finished: record their state, delete their keys
+        self.jobs_to_delete: dict[Job, None] = {}  # cancelled and on no machine: delete their keys
+        self.jobs_to_cancel: dict[str, Job] = {}  # blocked jobs with a cancelled dependency
+        self.orphaned_keys: list[str] = []  # keys to delete whose job no longer exists
+        # Removed jobs -> the revision at which their completion was recorded.
         self.terminal_revisions: dict[str, int] = {}
 
     def mark_dirty(self, task: Task, *, urgent: bool = False) -> None:
-        """Have a task's record written: soon, or now if it is urgent."""
+        """Schedules a write of a task's record: soon, or now if `urgent`."""
         key = self.layout.task_key(task.job, task.index)
         if urgent:
             self.dirty_keys.pop(key, None)
             self.urgent_keys[key] = task.job.priority_rank
         elif key not in self.urgent_keys:
             self.dirty_keys[key] = None
-            self._completions_since.setdefault(key, self.cluster.now)
+            self._first_completion_at.setdefault(key, self.cluster.now)
 
     def task_record_keys(self, job: Job, index: int) -> set[str]:
-        """Under which a task lies, or lay before all nodes read parts."""
+        """Returns the key of a task's record, and the key that it had before all nodes could read parts."""
         return {self.layout.task_key(job, index), chunk_key(job.job_id, index // CHUNK_TASKS)}
 
     def is_unwritten(self, job: Job, index: int) -> bool:
-        """What became of a task is in no record yet, as far as is known."""
+        """Returns whether a task's state may not be recorded yet: a record of the task is still to be written."""
         return any(
             key in waits
             for key in self.task_record_keys(job, index)
-            for waits in (self.dirty_keys, self.urgent_keys, self.in_flight_keys, self._held_back)
+            for waits in (self.dirty_keys, self.urgent_keys, self.in_flight_keys, self._withheld_keys)
         )
 
     def mark_machine_dirty(self, machine: Machine, *, urgent: bool = False) -> None:
-        """Have a machine's record written: soon, or now if it is urgent."""
+        """Schedules a write of a machine's record: soon, or now if `urgent`."""
         key = self.layout.fleet_key(machine.number)
         if urgent:
             self.urgent_keys[key] = 0
@@ -93,15 +93,15 @@
             self.dirty_keys[key] = None
         main = group_key(machine.number // GROUP_MACHINES)
         if main in self.oversized_records:
-            self.dirty_keys[main] = None  # else a machine that is gone would stay in it
+            self.dirty_keys[main] = None  # otherwise a machine that is gone would remain in it
 
     def fleet_value(self, key: str) -> dict[str, Any]:
-        """The record of the machines that lie under a key."""
+        """Returns the value of a fleet record."""
         low, high = self.layout.fleet_span(key)
         return encode_fleet((m for m in self.cluster.machines.values() if low <= m.number < high), high - low)
 
     def job_keys(self, job: Job) -> list[str]:
-        """All keys that job may have, that of a waiting one first, else the head."""
+        """Returns all keys that a job may have: the blocked record first, then the head record."""
         heads = [blocked_key(job.job_id), live_key(job.job_id), cancel_key(job.job_id)]
         chunks = (job.next_untouched + CHUNK_TASKS - 1) // CHUNK_TASKS if job.next_untouched else 0
         keys = dict.fromkeys([*heads, *(chunk_key(job.job_id, c) for c in range(1, chunks))])
@@ -110,66 +110,66 @@
         return list(keys)
 
     def forget_job(self, job: Job) -> None:
-        """Its records are gone: nothing of it is to be written any more."""
-        left = set(self.orphaned_keys)  # their versions are still needed
+        """Discards the versions and pending writes of a job whose records were deleted."""
+        left = set(self.orphaned_keys)  # their versions are still needed for the deletion
         for key in [k for k in self.job_keys(job) if k in self.versions and k not in left]:
             self.versions.pop(key, None)
-            self.forget_key(key)
+            self.discard_key(key)
 
     def expedite(self, key: str) -> None:
-        """Write a record at once that was to be written soon."""
+        """Makes the pending write of a dirty record urgent; does nothing for other records."""
         if key in self.dirty_keys:
             del self.dirty_keys[key]
             self.urgent_keys[key] = 0
 
-    def note_record_width(self, key: str, value: Any) -> None:
-        """A record as it lies there now: does it tell of more than it would be written with?"""
+    def update_oversized_records(self, key: str, value: Any) -> None:
+        """Tracks whether a stored record covers more tasks or machines than the current layout allows."""
         if key.startswith(FLEET):
             low, high = self.layout.fleet_span(key)
-            is_wide = fleet_span(value) > high - low
-            upto = low + GROUP_MACHINES
-        elif key.startswith(LIVE) and holds_tasks(value):
+            is_oversized = fleet_span(value) > high - low
+            end = low + GROUP_MACHINES
+        elif key.startswith(LIVE) and has_tasks(value):
             job_id, low = first_task(key)
             job = self.cluster.jobs.get(job_id)
-            upto = low + row_count(value)
-            is_wide = job is not None and upto > self.layout.task_span(job, key)[1]
+            end = low + row_count(value)
+            is_oversized = job is not None and end > self.layout.task_span(job, key)[1]
         else:
             return
-        if is_wide:
-            self.oversized_records[key] = upto
+        if is_oversized:
+            self.oversized_records[key] = end
         else:
             self.oversized_records.pop(key, None)
 
     def enable_record_parts(self) -> None:
-        """All nodes read parts of chunks and groups: from now on they are written."""
+        """Starts writing chunks and groups in parts, once all nodes can read them."""
         if self.layout.splits_records:
             return
-        waiting: dict[str, int | None] = {**dict.fromkeys(self._held_back), **self.dirty_keys, **self.urgent_keys}
-        self._held_back.clear()
+        waiting: dict[str, int | None] = {**dict.fromkeys(self._withheld_keys), **self.dirty_keys, **self.urgent_keys}
+        self._withheld_keys.clear()
         self.value_limit_lowered = False
         self.layout.splits_records = True
-        self._note_oversized_records()
+        self._mark_oversized_records()
         for key, rank in waiting.items():
-            for part in self._parts_of(key):
+            for part in self._current_keys_of(key):
                 if rank is not None:
                     self.dirty_keys.pop(part, None)
                     self.urgent_keys[part] = rank
                 elif part not in self.urgent_keys:
                     self.dirty_keys[part] = None
 
-    def _note_oversized_records(self) -> None:
+    def _mark_oversized_records(self) -> None:
         for job in self.cluster.jobs.values():
             for low in range(0, job.next_untouched, CHUNK_TASKS):
-                key, upto = chunk_key(job.job_id, low // CHUNK_TASKS), min(low + CHUNK_TASKS, job.next_untouched)
-                if self.versions.get(key) and upto > self.layout.task_span(job, key)[1]:
-                    self.oversized_records[key] = upto
+                key, end = chunk_key(job.job_id, low // CHUNK_TASKS), min(low + CHUNK_TASKS, job.next_untouched)
+                if self.versions.get(key) and end > self.layout.task_span(job, key)[1]:
+                    self.oversized_records[key] = end
         if self.layout.machines_per_part < GROUP_MACHINES:
             self.oversized_records |= {
                 key: first_machine(key)[1] + GROUP_MACHINES for key in self.versions if key.startswith(FLEET)
             }
 
-    def _parts_of(self, key: str, rows: int = CHUNK_TASKS) -> list[str]:
-        """Where that lies now which was to be written, or was written, under this key."""
+    def _current_keys_of(self, key: str, rows: int = CHUNK_TASKS) -> list[str]:
+        """Returns the keys that now hold the contents of a key, which may date from before parts were written."""
         if key.startswith(FLEET):
             return list(self.layout.fleet_keys(key))
         if not key.startswith(LIVE):
@@ -179,7 +179,7 @@
         return [] if job is None else [key, *self.layout.task_keys(job, low, min(low + rows, job.next_untouched))]
 
     def has_writes(self) -> bool:
-        """Is there anything to write?"""
+        """Returns whether there are pending writes."""
         return bool(
             self.urgent_keys
             or self.dirty_keys
@@ -190,54 +190,54 @@
         )
 
     def has_urgent_writes(self) -> bool:
-        """Is there anything to write that somebody waits for?"""
+        """Returns whether there are pending writes that a task start or a user waits for."""
         return bool(self.urgent_keys or self.jobs_to_complete or self.jobs_to_cancel)
 
     def take_batch(self, max_operations: int, budget: int | None = None, batching_window: int = 0) -> WriteBatch:
-        """The next transaction of at most so many operations, the most urgent first.
+        """Returns the next transaction of at most `max_operations` operations, the most urgent first.
 
-        `batching_window`: for so long completions of tasks wait for others of their record, and for their job's
-        completion, which needs none of them recorded: half of all writes were records written again for one more
-        completion.
+        `batching_window`: how long task completions wait for further completions in the same record, and for the
+        completion of the job, which makes recording them unnecessary. Without batching, half of all writes were records
+        rewritten for one more completion.
 
-        `budget`: operations that may go out at once. What can wait goes along only within it: else bindings would wait
-        for the writes of completions, and a lost replica for a zone's worth of them.
+        `budget`: number of operations that may be sent now. Non-urgent writes are added only within the budget;
+        otherwise bindings would wait for writes of completions, and a lost replica for those of a whole zone.
         """
         batch = BatchBuilder(self, max_operations).build(budget, batching_window)
         self.in_flight_keys = {*batch.sets, *batch.deletes}
         return batch
 
-    # --- what the builder of a batch asks -----------------------------------------------------
+    # --- used by BatchBuilder -----------------------------------------------------------------
 
     def stored_job_keys(self, job: Job) -> list[str]:
-        """The keys of a job that are there."""
+        """Returns the stored keys of a job."""
         return [key for key in self.job_keys(job) if self.versions.get(key)]
 
     def is_due(self, key: str, batching_window: int) -> bool:
-        """Has it waited for others for as long as it should? What holds no completion waits for nothing."""
-        return self.cluster.now - self._completions_since.get(key, -batching_window) >= batching_window
+        """Returns whether the batching window of a record is over; a record without new completions is always due."""
+        return self.cluster.now - self._first_completion_at.get(key, -batching_window) >= batching_window
 
-    def forget_completions_since(self, key: str) -> None:
-        """It is being written."""
-        self._completions_since.pop(key, None)
+    def clear_first_completion(self, key: str) -> None:
+        """Ends the batching window of a record that is being written."""
+        self._first_completion_at.pop(key, None)
 
-    def forget_key(self, key: str) -> None:
-        """It is being deleted."""
+    def discard_key(self, key: str) -> None:
+        """Discards the pending writes of a key that is being deleted."""
         self.urgent_keys.pop(key, None)
         self.dirty_keys.pop(key, None)
-        self._completions_since.pop(key, None)
+        self._first_completion_at.pop(key, None)
 
-    def hold_back_if_too_large(self, key: str, value: Any) -> bool:
-        """While larger records than the state service takes can't be split: it is kept for when they can."""
+    def withhold_if_too_large(self, key: str, value: Any) -> bool:
+        """Withholds a record that exceeds the value limit until records can be split; returns whether it did so."""
         if self.value_limit_lowered and json_size(value) > self.layout.max_value_bytes:
-            self._held_back[key] = None
+            self._withheld_keys[key] = None
             return True
         return False
 
     # --- outcomes -----------------------------------------------------------------------------
 
     def committed(self, batch: WriteBatch, revision: int, now: int) -> None:
-        """The transaction is known to be applied."""
+        """Applies the effects of a transaction that is known to be committed."""
         self.in_flight_keys = set()
         for key in batch.deletes:
             self.versions.pop(key, None)
@@ -245,11 +245,11 @@
             if key.startswith(JOBS):
                 continue
             self.versions[key] = revision
-            self.note_record_width(key, value)
+            self.update_oversized_records(key, value)
             if key.startswith(FLEET):
                 self._on_machines_persisted(decode_fleet(value))
         for task, attempt, machine in batch.bindings:
-            # A binding withdrawn and made anew meanwhile is not the one that was written.
+            # A binding that was withdrawn and replaced meanwhile is not the one that was written.
             if task.phase is TaskPhase.BINDING and task.attempt == attempt and task.machine is machine:
                 self._on_bound(task, machine)
         for job in batch.finished_jobs:
@@ -274,7 +274,7 @@
             self.cluster.machines_to_command.update(t.machine for t in task.job.tasks.values() if t.machine)
 
     def restore_batch(self, batch: WriteBatch) -> None:
-        """The transaction was refused or given up for good: its contents are to be written anew."""
+        """Returns the contents of a refused or abandoned transaction to the pending writes."""
         self.in_flight_keys = set()
         for job in batch.completed_jobs:
             self.jobs_to_complete[job] = None
@@ -284,7 +284,7 @@
             self.jobs_to_cancel[job.job_id] = job
         bound = {self.layout.task_key(t.job, t.index): t.job.priority_rank for t, _, _ in batch.bindings}
         written = [(key, row_count(value)) for key, value in batch.sets.items() if not key.startswith(JOBS)]
-        parts = [part for key, rows in written for part in self._parts_of(key, rows)]
+        parts = [part for key, rows in written for part in self._current_keys_of(key, rows)]
         for key in dict.fromkeys([*bound, *parts]):
             if key in bound:
                 self.dirty_keys.pop(key, None)
@@ -299,6 +299,6 @@
             if key.startswith((FLEET, MODEL_KEY)):
                 self.dirty_keys[key] = None
             elif key.startswith(BLOCKED) and key[len(BLOCKED) :] in self.cluster.jobs:
-                continue  # it goes with the next try of the first binding
+                continue  # deleted with the next attempt to write the first binding
             elif key not in finished_keys:
                 self.orphaned_keys.append(key)
