--- a/oatport/control/leadership/__init__.py
+++ b/oatport/control/leadership/__init__.py
@@ -1,1 +1,1 @@
-"""Who leads: the leader lease, election priority, the lease proxy and partitioned zones."""
+"""Leadership and availability: leader lease, election priority, failure detection, lease proxy, partitioned zones."""
--- a/oatport/control/leadership/leader_lease.py
+++ b/oatport/control/leadership/leader_lease.py
@@ -1,8 +1,8 @@
-"""The leader lease as its holder sees it, and the detection of process pauses.
+"""The leader lease from the holder's point of view, and the detection of process pauses.
 
-A process may be paused for seconds while its clocks run on. When it goes on, its timers fire before the answers that
-wait in its sockets are read, every machine looks silent, and another node may lead. So whether the lease is held
-depends on when its last renewal *was requested*, checked at the moment at which something is sent.
+A process may be paused for seconds while its clocks continue. When the process resumes, its timers fire before it reads
+the responses in its socket buffers, every machine appears silent, and another node may lead. Therefore whether the
+lease is held depends on when its last renewal *was requested*, and is checked immediately before each send.
 """
 
 from __future__ import annotations
@@ -11,16 +11,16 @@
 
 from oatport.times import MS, SECOND, with_drift
 
-SEND_MARGIN = 200 * MS  # for a request to be sent after the check
-PAUSE_THRESHOLD = 1_500 * MS  # loops come round at least three times as often
-HANDOVER_UNDECIDED_FOR = 5 * SECOND  # a node that was asked to take over does so well within this, or never
+SEND_MARGIN = 200 * MS  # time to send a request after the check
+PAUSE_THRESHOLD = 1_500 * MS  # the checking loops run at least three times per threshold
+HANDOVER_UNDECIDED_FOR = 5 * SECOND  # a node asked to take over does so well within this time, or not at all
 
 
 @dataclass(slots=True)
 class LeaderLease:
-    """Held for as long as the lease that the leader key depends on can't have expired.
+    """Holds the state of the leader lease, which is held until the lease behind the leader key may have expired.
 
-    Commits, starts and stops carry the fencing token and need none of this to be safe; requests to the cloud
+    Commits, starts and stops carry the fencing token and are safe without this check; requests to the cloud service
     can't be fenced.
     """
 
@@ -29,30 +29,30 @@
     handover_undecided_until: int = 0
 
     def renewed(self, requested_at: int) -> None:
-        """A renewal that was requested at this moment was granted."""
+        """Records that the renewal requested at `requested_at` was granted."""
         self.renewal_requested_at = max(self.renewal_requested_at, requested_at)
 
     def handover_requested(self, now: int) -> None:
-        """Another node was asked to take over: it may replace the leader key while the lease is alive."""
+        """Records that another node was asked to take over and may replace the leader key before the lease expires."""
         self.handover_undecided_until = now + HANDOVER_UNDECIDED_FOR
 
     def handover_declined(self) -> None:
-        """The other node does not take over."""
+        """Records that the other node does not take over."""
         self.handover_undecided_until = 0
 
     def is_held(self, now: int) -> bool:
-        """Nobody else can be leading."""
+        """Returns whether this node holds the lease, so that no other node can be the leader."""
         held_for = with_drift(self.duration_us) - SEND_MARGIN
         return now - self.renewal_requested_at < held_for and now >= self.handover_undecided_until
 
 
 @dataclass(slots=True)
 class PauseDetector:
-    """Notices that the process was paused: nothing that it checks was checked meanwhile."""
+    """Detects pauses of the process, during which none of its periodic checks ran."""
 
     last_checked_at: int
 
     def check(self, now: int) -> int:
-        """How long (us) the process was paused since the last check; 0 if it was not."""
+        """Returns how long (us) the process was paused since the last check; 0 if it was not paused."""
         gap, self.last_checked_at = now - self.last_checked_at, now
         return gap if gap > PAUSE_THRESHOLD else 0
--- a/oatport/control/leadership/lease_proxy.py
+++ b/oatport/control/leadership/lease_proxy.py
@@ -1,17 +1,17 @@
-"""The lease proxy: renews the leases of agents that hear of no leader, on a node that does not lead.
-
-In a partitioned zone, work goes on as long as a node there answers its workers' reports with a valid token
-(PROTOCOL, "Outages and cuts"). A node that reaches neither the leader nor the state service does so with the
-leader's token and no commands. Only the leader's proofs move a task, so this can't run one twice; what it could
-break is a cancellation: a task of a job whose cancellation was confirmed to its user must be gone `cancel_s` later.
-So, like a leader in an outage (`LeaseRenewalLimit`), it stops in time for leases to expire before that. It counts from
-the cancellation watermark: the last moment of which the leader said that all cancellations confirmed up to then were
-carried out.
-
-A node that was started again in the zone learns the watermark from another one there. Where all of them ended no lease
-is renewed, and can't be: that a worker's lease is alive says only that it was answered up to `lease_s` ago, perhaps
-by a proxy at the very end of what it might do. By all that a new process can see, a cancellation may have been
-confirmed so long ago that another answer, and the lease that comes with it, would outlast `cancel_s`.
+"""The lease proxy: a node that does not lead renews the leases of agents that no leader reaches.
+
+In a partitioned zone, tasks continue as long as a node there answers its workers' reports with a valid token
+(PROTOCOL, "Outages and cuts"). A node that reaches neither the leader nor the state service answers them with the
+leader's token and without commands. Tasks are moved only after the leader has proved them gone, so a lease proxy can't
+cause a task to run twice. It could violate a cancellation: tasks of a job whose cancellation was confirmed to its user
+must be gone `cancel_s` later. Therefore, like a leader during an outage (`LeaseRenewalLimit`), a lease proxy stops
+early enough for leases to expire before that. The time counts from the cancellation watermark: the latest time of which
+the leader said that all cancellations confirmed up to then were carried out.
+
+A node that restarts in the zone obtains the watermark from another node there. If all of them ended, no lease can be
+renewed: a live lease of a worker only shows that the worker was answered up to `lease_s` ago, possibly by a proxy at
+the end of its own limit. A new process can't rule out that a cancellation was confirmed so long ago that a further
+answer, and the lease that it renews, would last beyond `cancel_s`.
 """
 
 from __future__ import annotations
@@ -22,47 +22,52 @@
 from oatport.settings import ClusterSettings
 from oatport.times import MS, SECOND
 
-ISOLATED_AFTER = 1_500 * MS  # without an answer from the leader and from the state service
-DRIFT_DIVISOR = 500  # a watermark's age, measured by the leader's clock, is taken to be longer by this part
+ISOLATED_AFTER = 1_500 * MS  # without an answer from the leader, while the state service does not answer either
+CLOCK_DRIFT_DIVISOR = 500  # ages by the leader's clock are extended by 1/500 for clock drift
 
 
 @dataclass(frozen=True, slots=True)
 class SharedWatermark:
-    """What a lease proxy passes on to a node that was started again."""
+    """Holds what a lease proxy shares with a restarted node."""
 
     fencing_token: int
-    watermark_age_us: int  # how long ago the cancellation watermark was
-    contact_age_us: int  # how long ago the leader was asked for it
+    watermark_age_us: int  # age of the cancellation watermark
+    contact_age_us: int  # time since the leader was asked for the watermark
 
 
 @dataclass(slots=True)
 class LeaseProxy:
-    """Times are steady, in microseconds; ages are by the leader's clock."""
+    """Holds the leader's token and cancellation watermark, and decides whether a report may be answered.
+
+    Times are steady, in microseconds; ages are by the leader's clock.
+    """
 
     renewal_limit: LeaseRenewalLimit
-    fencing_token: int = 0  # of the leader that answered last; 0: none did
-    leader_contact_at: int = 0  # when it was asked
+    fencing_token: int = 0  # of the leader that answered last; 0: none answered
+    leader_contact_at: int = 0  # when that leader was asked
 
     @classmethod
     def create(cls, settings: ClusterSettings) -> LeaseProxy:
-        """One that knows of no leader yet."""
+        """Creates a lease proxy that has not received a leader's answer yet."""
         return cls(LeaseRenewalLimit(settings, 0))
 
-    def update(self, fencing_token: int, asked_at: int, watermark_age_us: int, contact_age_us: int = 0) -> None:
-        """The leader of this token said: what was confirmed more than `watermark_age_us` ago is carried out.
+    def update(self, fencing_token: int, requested_at: int, watermark_age_us: int, contact_age_us: int = 0) -> None:
+        """Records a watermark: all cancellations confirmed more than `watermark_age_us` ago were carried out.
 
-        `contact_age_us`: another node passes on what the leader said to it so long ago. The answer is no older than the
-        question, so both are counted from that. Drift of the clocks is taken off by each hand: what is passed on
-        in a circle only gets less.
+        `contact_age_us`: if another node shares the watermark, the time since that node asked the leader. The answer is
+        no older than the request, so both ages count from the request. Each receiving node subtracts clock drift, so a
+        watermark that nodes share in a circle only becomes earlier.
         """
         if fencing_token < self.fencing_token or min(watermark_age_us, contact_age_us) < 0:
             return
         self.fencing_token = fencing_token
-        self.leader_contact_at = max(self.leader_contact_at, asked_at - contact_age_us)
-        self.renewal_limit.on_cancellations_read(asked_at - watermark_age_us - watermark_age_us // DRIFT_DIVISOR)
+        self.leader_contact_at = max(self.leader_contact_at, requested_at - contact_age_us)
+        self.renewal_limit.on_cancellations_read(
+            requested_at - watermark_age_us - watermark_age_us // CLOCK_DRIFT_DIVISOR
+        )
 
     def share(self, now: int) -> SharedWatermark | None:
-        """For a node that was started again; None if no leader ever answered."""
+        """Returns the watermark for a restarted node; None if no leader ever answered."""
         if not self.fencing_token:
             return None
         return SharedWatermark(
@@ -70,22 +75,22 @@
         )
 
     def valid_until(self) -> int:
-        """Until when reports may be answered."""
+        """Returns the time until which reports may be answered; 0 if no leader ever answered."""
         return self.renewal_limit.until if self.fencing_token else 0
 
     def may_answer(self, report_token: int, now: int, state_ok_at: int, state_failed_at: int) -> bool:
-        """May this node answer a report of a worker that has seen `report_token`?
+        """Returns whether this node may answer a report of a worker that has seen `report_token`.
 
-        Not while the leader answers it, or the state service does: then others know better. Not to a worker
-        that has seen another token: a higher one means a leader whose cancellations are not known here, and
-        an answer under it would be made up; a lower one, that the leader never reached that worker, so nothing
-        was carried out there.
+        The node may not answer while the leader or the state service answers it: then other nodes have newer
+        information. It may not answer a worker that has seen another token. A higher token belongs to a leader whose
+        cancellations are unknown here, so this node has no valid answer under that token. A lower token means that the
+        leader never reached that worker, so no cancellation was carried out there.
         """
         if not self.fencing_token or report_token != self.fencing_token or now >= self.valid_until():
             return False
         return self.is_isolated(now, state_ok_at, state_failed_at)
 
     def is_isolated(self, now: int, state_ok_at: int, state_failed_at: int) -> bool:
-        """Neither the leader nor the state service answers this node."""
+        """Returns whether neither the leader nor the state service answers this node."""
         state_service_is_lost = state_failed_at > state_ok_at and now - state_ok_at > SECOND
         return now - self.leader_contact_at >= ISOLATED_AFTER and state_service_is_lost
--- a/oatport/control/leadership/lease_renewal.py
+++ b/oatport/control/leadership/lease_renewal.py
@@ -1,4 +1,4 @@
-"""How long workers' leases may be renewed while the state service does not answer."""
+"""Limit on renewing workers' leases while the state service does not answer."""
 
 from __future__ import annotations
 
@@ -10,17 +10,18 @@
 
 @dataclass(slots=True)
 class LeaseRenewalLimit:
-    """How long a leader that the state service does not answer may renew its agents' leases."""
+    """Limits how long a leader may renew its agents' leases without an answer from the state service."""
 
     settings: ClusterSettings
-    # All cancellations confirmed up to then are known here (steady): when that was *asked for*.
+    # Cancellation watermark (steady): all cancellations confirmed up to then were read. The value is the time at which
+    # the read was *requested*.
     cancellations_known_at: int
 
     @property
     def until(self) -> int:
-        """Heartbeats are answered up to here (steady)."""
+        """Returns the time (steady) until which heartbeats may be answered."""
         return renewals_allowed_until(self.settings.workers, self.cancellations_known_at)
 
-    def on_cancellations_read(self, asked_at: int) -> None:
-        """All cancellations confirmed before `asked_at` (steady) have been read."""
-        self.cancellations_known_at = max(self.cancellations_known_at, asked_at)
+    def on_cancellations_read(self, requested_at: int) -> None:
+        """Records that all cancellations confirmed before `requested_at` (steady) were read."""
+        self.cancellations_known_at = max(self.cancellations_known_at, requested_at)
--- a/oatport/control/leadership/zone_partition.py
+++ b/oatport/control/leadership/zone_partition.py
@@ -1,19 +1,19 @@
-"""Partitioned zones: which of their machines to release, and when.
-
-A machine behind a partition can only be reclaimed through the cloud: a release proves its tasks gone, so that they
-can run elsewhere. But until then they go on (PROTOCOL, "Outages and cuts"): for about as long as an outage may last if
-a node in the zone is a lease proxy for their workers (`control/leadership/lease_proxy.py`), for one lease if none is.
-So nothing is won by releasing machines at once, and much is lost if the partition ends soon: what they run, their
-images, and capacity that is not to be had anywhere else meanwhile. The rules here, in order of worth:
-
-1. A replica that may run in another zone is moved before its lease can expire, a few at a time, so that each is
-   missed only for a start and a fetch, and a leader that ends meanwhile leaves few of them nowhere.
-   One that may not (its job's spread over zones allows no more in the others) stays: it is back where its image
-   is as soon as the zone is.
-2. Machines without replicas are kept until what they run is done, as predicted, if their like is to be had
-   elsewhere (a result is kept: started again, such a task is done at once). If it is not, for as long after the leases
-   expire as a new one would take to boot: a long partition then costs at most twice what is lost by releasing them at
-   once (the ski rental rule).
+"""Evacuation of partitioned zones: decides which of their machines to release, and when.
+
+A machine behind a partition can only be reclaimed through the cloud service: a release proves its tasks gone, so that
+they can run elsewhere. Until then the tasks continue (PROTOCOL, "Outages and cuts"): for about as long as an outage may
+last if a node in the zone is a lease proxy for their workers (`control/leadership/lease_proxy.py`), otherwise for one
+lease. Releasing the machines at once gains nothing, and loses much if the partition ends soon: the running tasks, the
+images, and capacity that may not be available elsewhere. The rules, in order of value:
+
+1. A replica that may run in another zone is moved before its lease can expire. Replicas are moved a few at a time, so
+   that each is unavailable only for a start and an image fetch, and few are left without a machine if the leader ends
+   meanwhile. A replica that may not move (its job's spread over zones allows no more in other zones) stays: it is back
+   on a machine with its image as soon as the zone recovers.
+2. Machines without replicas are kept until the predicted completion of their tasks, if a replacement is available
+   elsewhere (results are stored, so a completed task that is started again finishes at once). If none is available,
+   they are kept for one boot time after the leases expire: a long partition then costs at most twice what an immediate
+   release loses (the ski rental rule).
 """
 
 from __future__ import annotations
@@ -31,24 +31,24 @@
 from oatport.settings import ClusterSettings
 from oatport.times import SECOND, micros
 
-MAX_REPLICAS_MOVING = 24  # missed at the same time while they are moved
-EVACUATE_AFTER = 6 * SECOND  # a partition that ends before that costs nothing
-RELEASE_UNMOVABLE_AFTER = 600 * SECOND  # machines with replicas that may run nowhere else
-REPORT_AGE_LIMIT = 1.25  # report intervals, the age of a worker's last answered report (PROTOCOL)
+MAX_REPLICAS_MOVING = 24  # replicas without a machine at the same time during evacuation
+EVACUATE_AFTER = 6 * SECOND  # a shorter partition costs nothing
+RELEASE_UNMOVABLE_AFTER = 600 * SECOND  # for machines with replicas that may not run elsewhere
+MAX_REPORT_AGE_INTERVALS = 1.25  # of a worker's last answered report (PROTOCOL)
 
 
 def tasks_alive_until(settings: ClusterSettings, since: int, has_proxy: bool) -> int:
-    """Up to when the tasks of a zone that was last heard from at `since` are alive (steady).
+    """Returns the time (steady) until which tasks run in a zone whose last heartbeat arrived at `since`.
 
-    `has_proxy`: a node there is a lease proxy for its workers.
+    `has_proxy`: a node in the zone is a lease proxy for its workers.
     """
-    lease, report = micros(settings.workers.lease_s), micros(settings.workers.report_s * REPORT_AGE_LIMIT)
+    lease, report = micros(settings.workers.lease_s), micros(settings.workers.report_s * MAX_REPORT_AGE_INTERVALS)
     answered_until = max(LeaseRenewalLimit(settings, since).until, since) if has_proxy else since
     return answered_until - report + lease
 
 
 def placeable_elsewhere(cluster: ClusterState, job: Job) -> int:
-    """How many more replicas of a service may run in zones without a partition, beside those that are pending."""
+    """Returns how many more replicas of a service, besides the pending ones, may run in zones without a partition."""
     spec = job.spec
     zones = {
         zone for kind in cluster.catalog.preferred_types(job) for zone in kind.zones
@@ -57,22 +57,22 @@
         zones &= {spec.zone}
     if spec.single_zone and job.tasks_by_zone:
         zones &= job.tasks_by_zone.keys()
-    cap = max_tasks_per_zone(spec)
-    return max(0, sum(cap - job.tasks_by_zone.get(zone, 0) for zone in zones) - job.pending)
+    max_per_zone = max_tasks_per_zone(spec)
+    return max(0, sum(max_per_zone - job.tasks_by_zone.get(zone, 0) for zone in zones) - job.pending)
 
 
 @dataclass(slots=True)
 class ZoneEvacuation:
-    """Which machines of partitioned zones to release now; asked again and again."""
+    """Selects the machines of partitioned zones to release; called periodically."""
 
     cluster: ClusterState
     capacity_planner: CapacityPlanner
-    _placeable: dict[Job, int] = field(default_factory=dict)  # replicas that may run elsewhere, in this round
+    _placeable_elsewhere: dict[Job, int] = field(default_factory=dict)  # replicas that may still be moved, in this call
 
     def machines_to_release(self, now: int, zones_with_proxy: frozenset[str]) -> list[Machine]:
-        """`zones_with_proxy`: those in which a node is a lease proxy for the workers."""
+        """Returns the machines to release now. `zones_with_proxy`: zones with a lease proxy for their workers."""
         chosen: list[Machine] = []
-        self._placeable.clear()
+        self._placeable_elsewhere.clear()
         for zone, since in self.cluster.zones.partitioned.items():
             alive_until = tasks_alive_until(self.cluster.settings, since, zone in zones_with_proxy)
             silent = self._silent_machines(zone, since)
@@ -82,11 +82,13 @@
             elif now - since > EVACUATE_AFTER:
                 chosen += self._next_to_evacuate(movable)
             moving = {machine for machine, _ in movable}
-            chosen += [m for m in silent if m not in moving and self._is_not_worth_keeping(m, now, since, alive_until)]
+            chosen += [
+                m for m in silent if m not in moving and self._should_release_unmovable(m, now, since, alive_until)
+            ]
         return chosen
 
     def _silent_machines(self, zone: str, since: int) -> list[Machine]:
-        """Machines of a zone that were not heard from since the partition began."""
+        """Returns the machines of a zone without a heartbeat since the partition began, ordered by name."""
         silent = (
             machine
             for machine in self.cluster.machines.values()
@@ -98,18 +100,22 @@
         return sorted(silent, key=lambda machine: machine.name)
 
     def _next_to_evacuate(self, movable: list[tuple[Machine, int]]) -> list[Machine]:
-        """As many as may be missed at the same time, and one at least."""
+        """Returns as many machines as the limit on replicas without a machine allows.
+
+        Replicas that already wait for a machine count towards the limit. If none waits, the result has at least one
+        machine.
+        """
         chosen = []
-        missed = self._replicas_missed()
+        unplaced = self._unplaced_replica_count()
         for machine, replicas in movable:
-            if missed and missed + replicas > MAX_REPLICAS_MOVING:
+            if unplaced and unplaced + replicas > MAX_REPLICAS_MOVING:
                 break
-            missed += replicas
+            unplaced += replicas
             chosen.append(machine)
         return chosen
 
-    def _replicas_missed(self) -> int:
-        """Replicas that lost their machine and wait for another one outside the partitioned zones."""
+    def _unplaced_replica_count(self) -> int:
+        """Returns how many replicas lost their machine and wait for another one outside the partitioned zones."""
         return sum(
             min(len(job.retry_queue), placeable_elsewhere(self.cluster, job) + job.pending)
             for job in self.cluster.pending
@@ -117,30 +123,30 @@
         )
 
     def _movable_machines(self, machines: list[Machine]) -> list[tuple[Machine, int]]:
-        """Machines most of whose replicas may run elsewhere, and how many do."""
+        """Returns the machines of whose replicas most may run elsewhere, each with the number of those replicas."""
         found = []
         for machine in machines:
             movable: Counter[Job] = Counter()
-            bound = 0
+            unmovable = 0
             for task in machine.tasks:
                 job = task.job
                 if job.kind is not JobKind.SERVICE or task.phase is not TaskPhase.BOUND or job.cancelled:
                     continue
-                if job not in self._placeable:
-                    self._placeable[job] = placeable_elsewhere(self.cluster, job)
-                if movable[job] < self._placeable[job]:
+                if job not in self._placeable_elsewhere:
+                    self._placeable_elsewhere[job] = placeable_elsewhere(self.cluster, job)
+                if movable[job] < self._placeable_elsewhere[job]:
                     movable[job] += 1
                 else:
-                    bound += 1
-            # Those that stay would come back where they are: they lose their machine for the others' sake.
-            if movable.total() > bound:
+                    unmovable += 1
+            # Replicas that may not move would recover in place; a release of the machine ends them, too.
+            if movable.total() > unmovable:
                 found.append((machine, movable.total()))
                 for job, count in movable.items():
-                    self._placeable[job] -= count
+                    self._placeable_elsewhere[job] -= count
         return found
 
-    def _is_not_worth_keeping(self, machine: Machine, now: int, since: int, alive_until: int) -> bool:
-        """It has no replica that could run elsewhere: is the rest of what it runs not worth keeping it?"""
+    def _should_release_unmovable(self, machine: Machine, now: int, since: int, alive_until: int) -> bool:
+        """Returns whether to release a machine without replicas, or most of whose replicas can't be moved."""
         if any(task.job.kind is JobKind.SERVICE and not task.job.cancelled for task in machine.tasks):
             return now - since > RELEASE_UNMOVABLE_AFTER
         if now > alive_until + micros(machine.type.boot_time_s):
@@ -150,7 +156,10 @@
         )
 
     def _predicted_completion(self, machine: Machine, since: int) -> int:
-        """When its tasks are done, as predicted; those of an earlier leader ran before it was last heard from."""
+        """Returns when the tasks of a machine are predicted to be completed.
+
+        Tasks without a start time were started under an earlier leader, and so no later than `since`.
+        """
         predictor = self.cluster.predictor
         return max(
             ((t.running_since or since) + predictor.run_time(t.job.job_id, t.job.spec) for t in machine.tasks),
