--- a/tests/test_connection_budget.py
+++ b/tests/test_connection_budget.py
@@ -1,4 +1,4 @@
-"""A node's connections: what grows with the machines, and who is refused first when they run out."""
+"""Connection budget: how connections scale with the machines, and which requests are refused first at the limit."""
 
 from __future__ import annotations
 
@@ -21,11 +21,12 @@
 
 @pytest.mark.parametrize(("sockets", "machines"), [(2044, 929), (1515, 836), (1208, 929), (1087, 836), (600, 28)])
 def test_a_leader_keeps_connections_free_for_all_workers_and_for_users_at_any_size(sockets: int, machines: int) -> None:
-    """1,873 of 2,044 were held at 929 machines: one for the reports of each, and one kept for 30 s after a command."""
+    """At 929 machines, 1,873 of 2,044 connections were open: one per machine for reports, one for 30 s per command."""
     budget = ConnectionBudget(sockets)
-    for a_second in (0.0, 3.0, 30.0, 300.0):
-        kept = budget.idle_timeout_us(machines, a_second) / SECOND * a_second
-        assert kept <= max(sockets * 0.72 - machines, 32, a_second) + 1  # what is commanded within a second is kept
+    for commands_per_s in (0.0, 3.0, 30.0, 300.0):
+        idle_connections = budget.idle_timeout_us(machines, commands_per_s) / SECOND * commands_per_s
+        # Connections for the commands of one second are always kept.
+        assert idle_connections <= max(sockets * 0.72 - machines, 32, commands_per_s) + 1
     assert budget.idle_timeout_us(machines, 0.0) == MAX_IDLE_TIMEOUT
     assert budget.idle_timeout_us(machines, 3000.0) == MIN_IDLE_TIMEOUT
     assert budget.is_exhausted(sockets)
@@ -33,27 +34,27 @@
     assert not budget.closes_after_response(machines)
 
 
-async def test_a_node_at_its_connection_limit_takes_heartbeats_and_refuses_users_at_once() -> None:
+async def test_a_node_at_its_connection_limit_accepts_heartbeats_and_refuses_users() -> None:
     node = Node(node_settings(), Tuning())
-    asked: list[str] = []
+    handled_paths: list[str] = []
 
     class JobApi:
         async def handle(self, method: str, path: str, body: Any) -> Response:
-            asked.append(path)
+            handled_paths.append(path)
             return Response(200)
 
     node.users = JobApi()  # type: ignore[assignment]
     node.state = FakeStateClient(KeyStore(lambda: 0))  # type: ignore[assignment]
-    most = node.settings.cluster.resources.sockets
-    held = 0
-    node.net.open_connections = lambda: held  # type: ignore[method-assign]
-    poll = ("GET", f"{wire.SUBMISSIONS_PATH}/j-000001", Body(None))
-    assert (await node.handle(*poll)).headers == {}  # type: ignore[arg-type]
-    held = most - node.connection_budget.concurrent_calls - 10
-    assert (await node.handle(*poll)).headers == {"Connection": "close"}  # type: ignore[arg-type]
-    held = most
-    answer = await node.handle(*poll)  # type: ignore[arg-type]
-    assert (answer.status, answer.headers["Connection"], len(asked)) == (503, "close", 2)
+    max_connections = node.settings.cluster.resources.sockets
+    used_connections = 0
+    node.net.open_connections = lambda: used_connections  # type: ignore[method-assign]
+    user_request = ("GET", f"{wire.SUBMISSIONS_PATH}/j-000001", Body(None))
+    assert (await node.handle(*user_request)).headers == {}  # type: ignore[arg-type]
+    used_connections = max_connections - node.connection_budget.concurrent_calls - 10
+    assert (await node.handle(*user_request)).headers == {"Connection": "close"}  # type: ignore[arg-type]
+    used_connections = max_connections
+    response = await node.handle(*user_request)  # type: ignore[arg-type]
+    assert (response.status, response.headers["Connection"], len(handled_paths)) == (503, "close", 2)
     assert (await node.handle("GET", wire.READY_PATH, Body(None))).status == 200  # type: ignore[arg-type]
     report = {
         "berth": "vm-000001",
@@ -83,17 +84,15 @@
     try:
         for _ in range(3):
             await net.client(address, ConnectionReuse.NEVER).request("GET", "/show", timeout_us=SECOND)
-        assert server.connection_count <= 1  # the last may just be closing
+        assert server.connection_count <= 1  # the last one may still be closing
         for _ in range(3):
             await net.client(address, ConnectionReuse.WHILE_SPARE).request("GET", "/show", timeout_us=SECOND)
-        before = net.client(address, ConnectionReuse.WHILE_SPARE)
+        previous_client = net.client(address, ConnectionReuse.WHILE_SPARE)
         net.expect(929, 30.0)
-        net.expect(929, 31.0)  # hardly different: the connections stay
+        net.expect(929, 31.0)  # a small difference: the connections remain
         assert len(net._replaced) == 1
-        for client in (
-            before,
-            net.client(address, ConnectionReuse.WHILE_SPARE),
-        ):  # what is under way on the one before goes on
+        # Requests in flight on the previous client complete.
+        for client in (previous_client, net.client(address, ConnectionReuse.WHILE_SPARE)):
             assert (await client.request("GET", "/show", timeout_us=SECOND))[0] == 200
     finally:
         await net.close()
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -1,4 +1,4 @@
-"""Submissions that all come at once: the state service is asked for what it takes, and nobody returns in vain."""
+"""Bursts of submissions: requests stay within the state service's limit, and retry times suffice."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 import pytest
 
-from oatport.api import submission_batcher as intake_module
+from oatport.api import submission_batcher as batcher_module
 from oatport.api.submission_batcher import SubmissionBatcher, SubmitOutcome
 from oatport.clients.http import RequestRefusedError
 from oatport.clients.state import Applied
@@ -16,14 +16,14 @@
 from oatport.times import MS, SECOND
 
 
-class Limit:
-    """The state service's limit on changes, with a burst of a second's worth."""
+class ChangeLimit:
+    """Simulates the state service's limit on changes, with a burst of one second."""
 
-    def __init__(self, a_second: float) -> None:
-        self.a_second, self.level, self.at, self.refused = a_second, a_second, 0, 0
+    def __init__(self, changes_per_s: float) -> None:
+        self.changes_per_s, self.level, self.at, self.refused = changes_per_s, changes_per_s, 0, 0
 
     def take(self, now: int, changes: int) -> bool:
-        self.level = min(self.a_second, self.level + (now - self.at) * self.a_second / SECOND)
+        self.level = min(self.changes_per_s, self.level + (now - self.at) * self.changes_per_s / SECOND)
         self.at = now
         if self.level < changes:
             self.refused += 1
@@ -32,25 +32,25 @@
         return True
 
 
-def crowd(nodes: int, up: int, jobs: int, limit: Limit, others: float = 0.0) -> list[int]:
-    """When each of so many jobs that come at once is accepted (us), by nodes of which only some are up.
+def submit_burst(nodes: int, live_nodes: int, jobs: int, limit: ChangeLimit, others: float = 0.0) -> list[int]:
+    """Returns when (us) each of `jobs` simultaneous submissions is accepted by `live_nodes` of `nodes` nodes.
 
-    `others`: changes a second that something else, such as a leader's claims, takes of the same limit.
+    `others`: changes per second that other writers, such as the leader with its bindings, take from the same limit.
     """
-    limiters = [AdaptiveRateLimiter(limit.a_second, nodes) for _ in range(up)]
+    limiters = [AdaptiveRateLimiter(limit.changes_per_s, nodes) for _ in range(live_nodes)]
     waiting = [(0, number) for number in range(jobs)]
     accepted: list[int] = []
-    now, taken = 0, 0.0
+    now, other_changes = 0, 0.0
     while waiting and now < 120 * SECOND:
         now += 20 * MS
-        taken += others * 0.02
-        if taken >= 1:
-            limit.take(now, int(taken))
-            taken -= int(taken)
+        other_changes += others * 0.02
+        if other_changes >= 1:
+            limit.take(now, int(other_changes))
+            other_changes -= int(other_changes)
         due = [row for row in waiting if row[0] <= now]
         waiting = [row for row in waiting if row[0] > now]
         for _, number in due:
-            limiter = limiters[number % up]
+            limiter = limiters[number % live_nodes]
             if limiter.wait_us(now, ACCEPT_KEYS):
                 limiter.request_more(now)
             elif limit.take(now, ACCEPT_KEYS):
@@ -65,71 +65,71 @@
     return accepted
 
 
-def test_a_crowd_is_accepted_about_as_fast_as_the_limit_allows_and_hardly_ever_refused() -> None:
-    """490 jobs at once on 120 changes a second: 736 requests were refused, since each node asked for all of it."""
-    limit = Limit(120.0)
-    assert crowd(3, 3, 490, limit)[-1] < 15 * SECOND  # 980 changes take 8 s at best
+def test_a_burst_is_accepted_near_the_limit_without_refusals() -> None:
+    """With 490 jobs at once and 120 changes per second, 736 requests were refused: each node used the whole limit."""
+    limit = ChangeLimit(120.0)
+    assert submit_burst(3, 3, 490, limit)[-1] < 15 * SECOND  # 980 changes take 8 s at best
     assert limit.refused == 0
 
 
-def test_a_node_that_serves_alone_goes_up_to_the_limit() -> None:
-    limit = Limit(120.0)
-    assert crowd(3, 1, 490, limit)[-1] < 30 * SECOND  # its share is a third at first
+def test_a_single_live_node_raises_its_rate_to_the_limit() -> None:
+    limit = ChangeLimit(120.0)
+    assert submit_burst(3, 1, 490, limit)[-1] < 30 * SECOND  # it starts at its share, a third
     assert limit.refused == 0
 
 
-def test_the_leaders_writes_keep_no_node_below_its_share() -> None:
-    """On a day with a swarm of guests refusals had every node at a tenth: 0.716 of all others' jobs were in time."""
-    limit = Limit(60.0)
-    assert crowd(3, 3, 200, limit, others=35.0)[-1] < 20 * SECOND  # 25 a second are left: 16 s at best
+def test_writes_of_the_leader_reduce_no_node_below_its_share() -> None:
+    """Refusals due to many best-effort jobs reduced every node to a tenth: 0.716 of all other jobs were in time."""
+    limit = ChangeLimit(60.0)
+    assert submit_burst(3, 3, 200, limit, others=35.0)[-1] < 20 * SECOND  # 25 per second are left: 16 s at best
     limiter = AdaptiveRateLimiter(60.0, 3)
-    part = limiter.rate
+    node_share = limiter.rate
     for second in range(1, 4):
         limiter.request_more(second * SECOND)
-    assert limiter.rate > part
+    assert limiter.rate > node_share
     for second in range(4, 9):
         limiter.on_throttled(second * SECOND)
-        assert limiter.rate == part
+        assert limiter.rate == node_share
         assert not limiter.wait_us(second * SECOND, ACCEPT_KEYS)
 
 
-def test_retry_times_are_spread_and_never_late() -> None:
+def test_retry_times_are_spread_and_bounded() -> None:
     limiter = AdaptiveRateLimiter(60.0, 3)
-    told = [limiter.retry_after_s(0, ACCEPT_KEYS) for _ in range(400)]
-    assert told[0] == 1
-    assert max(told) <= MAX_RETRY_AFTER_S
-    assert max(told.count(second) for second in set(told)) <= 70
-    assert told[:80] == sorted(told[:80])
-    assert limiter.retry_after_s(100 * SECOND, ACCEPT_KEYS) == 1  # long after that rush
+    retry_times = [limiter.retry_after_s(0, ACCEPT_KEYS) for _ in range(400)]
+    assert retry_times[0] == 1
+    assert max(retry_times) <= MAX_RETRY_AFTER_S
+    assert max(retry_times.count(second) for second in set(retry_times)) <= 70
+    assert retry_times[:80] == sorted(retry_times[:80])
+    assert limiter.retry_after_s(100 * SECOND, ACCEPT_KEYS) == 1  # long after the burst
 
 
-async def test_a_batch_that_is_refused_is_not_asked_again_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_refused_batch_is_not_retried_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     now = [SECOND]
-    monkeypatch.setattr(intake_module, "steady", lambda: now[0])
-    asked: list[int] = []
+    monkeypatch.setattr(batcher_module, "steady", lambda: now[0])
+    change_counts: list[int] = []
 
     class State:
         async def commit(self, conditions: dict[str, int], sets: dict[str, Any], *, timeout_us: int) -> Applied:
-            asked.append(len(sets))
-            if len(asked) == 1:
+            change_counts.append(len(sets))
+            if len(change_counts) == 1:
                 raise RequestRefusedError(429)
             return Applied(7)
 
-    intake = SubmissionBatcher(State(), 12, AdaptiveRateLimiter(60.0, 3))  # type: ignore[arg-type]
-    assert not intake.is_full()
-    assert (await intake.submit("j-000001", {"job": {}})).outcome is not SubmitOutcome.CREATED
-    assert intake.is_throttled()  # not the state service's fault: its user is told when there is room
-    assert intake.retry_after_s() >= 1
-    assert asked == [ACCEPT_KEYS]
+    batcher = SubmissionBatcher(State(), 12, AdaptiveRateLimiter(60.0, 3))  # type: ignore[arg-type]
+    assert not batcher.is_full()
+    assert (await batcher.submit("j-000001", {"job": {}})).outcome is not SubmitOutcome.CREATED
+    assert batcher.is_throttled()  # no failure of the state service: the user gets a retry time
+    assert batcher.retry_after_s() >= 1
+    assert change_counts == [ACCEPT_KEYS]
     now[0] += 2 * SECOND
-    assert not intake.is_throttled()
-    assert (await intake.submit("j-000001", {"job": {}})).outcome is SubmitOutcome.CREATED
+    assert not batcher.is_throttled()
+    assert (await batcher.submit("j-000001", {"job": {}})).outcome is SubmitOutcome.CREATED
 
 
-async def test_work_of_the_lowest_priority_that_waits_holds_up_nobody(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A batch once waited until there was room for all of it, guests' jobs in front."""
+async def test_pending_best_effort_jobs_do_not_delay_others(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A batch waited until the limit allowed all of it, with best-effort jobs at its head."""
     now = [SECOND]
-    monkeypatch.setattr(intake_module, "steady", lambda: now[0])
+    monkeypatch.setattr(batcher_module, "steady", lambda: now[0])
     sent: list[list[str]] = []
 
     class State:
@@ -138,15 +138,15 @@
             return Applied(7)
 
     limiter = AdaptiveRateLimiter(60.0, 3)
-    intake = SubmissionBatcher(State(), 12, limiter)  # type: ignore[arg-type]
+    batcher = SubmissionBatcher(State(), 12, limiter)  # type: ignore[arg-type]
     limiter.consume(now[0], 16)  # of 18
-    idle = [asyncio.create_task(intake.submit(f"j-00000{n}", {"job": {}}, best_effort=True)) for n in range(1, 6)]
+    idle = [asyncio.create_task(batcher.submit(f"j-00000{n}", {"job": {}}, best_effort=True)) for n in range(1, 6)]
     await asyncio.sleep(0)
     await asyncio.sleep(0)
-    assert len(sent[0]) == 1  # as much as there is room for
+    assert len(sent[0]) == 1  # as much as the limit allows
     now[0] += SECOND // 8
-    assert not intake.is_full()
-    assert (await intake.submit("j-000009", {"job": {}})).outcome is SubmitOutcome.CREATED
+    assert not batcher.is_full()
+    assert (await batcher.submit("j-000009", {"job": {}})).outcome is SubmitOutcome.CREATED
     assert sent[1] == ["j-000009"]
     now[0] += SECOND
     await asyncio.gather(*idle)
--- a/tests/test_schema_versions.py
+++ b/tests/test_schema_versions.py
@@ -1,4 +1,4 @@
-"""Values that fit the next limits, what an earlier version wrote larger, and when new formats are written."""
+"""Records that fit lowered limits, oversized records of earlier versions, and when new formats are written."""
 
 from __future__ import annotations
 
@@ -29,13 +29,15 @@
 from tests.cluster_fixture import FakeStateClient, World, job
 from tests.test_node_failures import FakePeer, leader
 
-SMALL = StateLimits(rps=100.0, write_rps=50.0, value_kb=32.0, txn_ops=16, next=NextLimits(value_kb=2.0, txn_ops=4))
-NO_LIMITS = [Team("crew")]
+STATE_LIMITS = StateLimits(
+    rps=100.0, write_rps=50.0, value_kb=32.0, txn_ops=16, next=NextLimits(value_kb=2.0, txn_ops=4)
+)
+UNLIMITED_TEAM = [Team("crew")]
 
 
-def world_of(machines: int, *, opened: bool) -> World:
-    world = World(NO_LIMITS, SMALL)
-    if opened:
+def make_world(machines: int, *, gate_open: bool) -> World:
+    world = World(UNLIMITED_TEAM, STATE_LIMITS)
+    if gate_open:
         world.state.commit({"if": [], "then": [{"set": SCHEMA_VERSION_KEY, "value": {"reads": SCHEMA_VERSION}}]})
         world.fail_over()
     for number in range(1, machines + 1):
@@ -44,25 +46,25 @@
     return world
 
 
-def fall(world: World) -> None:
-    """The limits fall: what is stored stays."""
+def lower_limits(world: World) -> None:
+    """Lowers the limits; existing records remain as they are."""
     world.state.value_limit, world.state.ops_limit = 2048, 4
 
 
-def opens(world: World) -> None:
-    """All nodes have answered; then the limits fall."""
+def open_gate_and_lower_limits(world: World) -> None:
+    """Opens the gate, as if all nodes had answered, and then lowers the limits."""
     world.state.commit({"if": [], "then": [{"set": SCHEMA_VERSION_KEY, "value": {"reads": SCHEMA_VERSION}}]})
     world.cluster.writes.enable_record_parts()
-    fall(world)
+    lower_limits(world)
 
 
-def placed(world: World, ref: str) -> dict[int, tuple[int, str | None]]:
+def task_placements(world: World, ref: str) -> dict[int, tuple[int, str | None]]:
     return {i: (t.attempt, t.machine.name if t.machine else None) for i, t in world.cluster.jobs[ref].tasks.items()}
 
 
 def test_every_record_fits_the_next_limits() -> None:
-    world = world_of(130, opened=True)
-    fall(world)
+    world = make_world(130, gate_open=True)
+    lower_limits(world)
     ref = world.submit(legs=250, voyageS=50.0)
     world.settle(6)
     assert len(world.live(ref)) == 250
@@ -70,32 +72,32 @@
     assert len(parts) == 5
     assert len([key for key in world.state.items if key.startswith(FLEET)]) == 10
     assert max(json_size(value) for value, _, _ in world.state.items.values()) <= 2048
-    before = placed(world, ref)
+    placements = task_placements(world, ref)
     world.fail_over()
-    assert placed(world, ref) == before
+    assert task_placements(world, ref) == placements
     assert len(world.cluster.machines) == 130
     world.settle(60)
     assert world.record(ref) == wire.JobStatus.COMPLETED
     assert not [key for key in world.state.items if key.startswith(LIVE)]
 
 
-def test_what_an_earlier_version_wrote_larger_is_split_when_it_is_written_again() -> None:
-    world = world_of(130, opened=False)
+def test_an_oversized_record_of_an_earlier_version_is_split_when_it_is_rewritten() -> None:
+    world = make_world(130, gate_open=False)
     ref = world.submit(legs=250, voyageS=50.0)
     world.settle(6)
     assert {len(value["t"]) for key, (value, _, _) in world.state.items.items() if key.startswith(LIVE)} == {100, 50}
     assert len([key for key in world.state.items if key.startswith(FLEET)]) == 4
-    opens(world)
-    before = placed(world, ref)
-    for number in (3, 40, 41, 77, 125):  # their tasks start elsewhere, under other attempts
+    open_gate_and_lower_limits(world)
+    placements = task_placements(world, ref)
+    for number in (3, 40, 41, 77, 125):  # their tasks start elsewhere, with new attempt numbers
         world.released(f"vm-{number:06d}")
     world.machine(500)
     world.settle(4)
     assert len(world.live(ref)) == 250
-    now = placed(world, ref)
-    assert now != before
+    new_placements = task_placements(world, ref)
+    assert new_placements != placements
     world.fail_over()
-    assert placed(world, ref) == now
+    assert task_placements(world, ref) == new_placements
     assert len(world.cluster.machines) == 126
     world.settle(120)
     assert world.record(ref) == wire.JobStatus.COMPLETED
@@ -103,13 +105,13 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_a_takeover_after_any_transaction_finds_what_was_committed(seed: int) -> None:
-    """Old records, parts beside them, and records that became smaller, in every order that the batches bring."""
+def test_a_new_leader_loads_all_committed_bindings_after_any_transaction(seed: int) -> None:
+    """Oversized records, parts beside them, and rewritten smaller records, in any order that batches can produce."""
     rng = random.Random(seed)
-    world = world_of(70, opened=False)
+    world = make_world(70, gate_open=False)
     refs = [world.submit(legs=rng.choice([60, 90, 120]), cores=1.0, voyageS=rng.uniform(20, 60)) for _ in range(3)]
     world.settle(4)
-    opens(world)
+    open_gate_and_lower_limits(world)
     for step in range(12):
         gone = rng.choice(sorted(world.cluster.machines))
         world.released(gone)
@@ -124,26 +126,26 @@
                 status, value = world.state.commit(world.transaction(batch))
                 assert status == 200, value
                 world.cluster.writes.committed(batch, value["ledgerRev"], world.now)
-        before = {
+        bound = {
             ref: {
                 i: row
-                for i, row in placed(world, ref).items()
+                for i, row in task_placements(world, ref).items()
                 if world.cluster.jobs[ref].tasks[i].phase is TaskPhase.BOUND
             }
             for ref in refs
             if ref in world.cluster.jobs
         }
         world.fail_over()
-        for ref, rows in before.items():
-            after = placed(world, ref)
-            # A machine that is gone may still be recorded; nothing that is placed may be missing.
+        for ref, rows in bound.items():
+            after = task_placements(world, ref)
+            # A machine that is gone may still be recorded; no placed task may be missing.
             assert all(after.get(i) == row for i, row in rows.items()), (seed, step, ref)
         world.settle(1)
     world.settle(150)
     assert {world.record(ref) for ref in refs} == {wire.JobStatus.COMPLETED}
 
 
-def test_a_job_whose_head_has_no_room_for_tasks() -> None:
+def test_a_head_record_without_space_holds_no_tasks() -> None:
     layout = RecordLayout(2048, 1, splits_records=True)
     large = Job(
         "j-1", wire.decode_submission(job("j-1", legs=300, berthKinds=[f"kind-{i:020d}" for i in range(60)])), 1, 0
@@ -157,14 +159,14 @@
     ][:300]
 
 
-def test_limits_that_hold_all_leave_records_as_they_were() -> None:
+def test_records_are_not_split_if_they_fit_the_limits() -> None:
     layout = RecordLayout(8192, 10, splits_records=True)
     small = Job("j-1", wire.decode_submission(job("j-1", legs=300)), 1, 0)
     assert list(layout.task_keys(small, 0, 300)) == ["live/j-1", "live/j-1/0001", "live/j-1/0002"]
     assert list(layout.fleet_keys("fleet/000003")) == ["fleet/000003"]
 
 
-def test_long_lists_lie_in_records_of_their_own() -> None:
+def test_long_lists_are_split_off_into_overflow_records() -> None:
     spec = wire.decode_submission(job("j-1", waitsOn=[f"j-{i:06d}" for i in range(2, 1002)]))
     record, parts = split_overflow(encode_submission(spec, 5, wire.JobStatus.QUEUED), 2048)
     assert json_size(record) <= 2048 - 300
@@ -173,26 +175,26 @@
     assert split_overflow(encode_submission(spec, 5, wire.JobStatus.QUEUED), 32 * 1024)[1] == []
 
 
-def test_the_predictor_is_recorded_in_parts_that_can_be_read_alone() -> None:
-    known = RuntimePredictor()
+def test_the_predictor_is_recorded_in_parts_that_can_be_loaded_separately() -> None:
+    predictor = RuntimePredictor()
     for number in range(60):
         spec = wire.decode_submission(job(cargo=f"class-{number:02d}", voyageS=10.0))
         for _ in range(3):
-            known.task_completed("j-1", spec, 20 * SECOND)
-        known.spot_machine_ended(number * SECOND, reclaimed=True)
-    parts = known.parts(2048)
+            predictor.task_completed("j-1", spec, 20 * SECOND)
+        predictor.spot_machine_ended(number * SECOND, reclaimed=True)
+    parts = predictor.parts(2048)
     assert len(parts) > 1
     assert max(map(json_size, parts)) <= 2048
-    assert len(known.parts(32 * 1024)) == 1
-    learnt = RuntimePredictor()
+    assert len(predictor.parts(32 * 1024)) == 1
+    loaded = RuntimePredictor()
     for part in parts:
-        learnt.load(part)
+        loaded.load(part)
     spec = wire.decode_submission(job(cargo="class-39", voyageS=10.0))
-    assert learnt.run_time("j-9", spec) == known.run_time("j-9", spec)
-    assert learnt.spot_half_life([]) == known.spot_half_life([])
+    assert loaded.run_time("j-9", spec) == predictor.run_time("j-9", spec)
+    assert loaded.spot_half_life([]) == predictor.spot_half_life([])
 
 
-async def test_a_catalog_in_parts() -> None:
+async def test_the_catalog_is_recorded_in_parts() -> None:
     kinds = wire.decode_catalog(
         {
             "berthKinds": [
@@ -223,13 +225,13 @@
 # --- the gate ---------------------------------------------------------------------------------------
 
 
-def answer(name: str, boot: str) -> PeerArray:
-    """What a node of this version replies."""
+def version_reply(name: str, boot: str) -> PeerArray:
+    """Returns the reply of a node of this version."""
     return SchemaVersionReply(name, boot, SCHEMA_VERSION).encode()
 
 
-def boots(rows: list[PeerArray]) -> dict[str, str]:
-    """What a round of replies shows."""
+def decode_boots(rows: list[PeerArray]) -> dict[str, str]:
+    """Returns the boot IDs that a round of replies shows."""
     replies: list[SchemaVersionReply | BaseException] = []
     for row in rows:
         try:
@@ -239,32 +241,33 @@
     return current_boots(replies)
 
 
-def test_the_gate_opens_when_the_same_processes_of_all_nodes_answered_twice() -> None:
+def test_the_gate_opens_after_two_rounds_with_replies_from_the_same_processes_of_all_nodes() -> None:
     gate = SchemaVersionGate(["n0", "n1"])
-    both = [answer("n0", "a"), answer("n1", "b")]
-    assert not gate.on_round(boots(both))
-    assert gate.on_round(boots(both))
-    assert not SchemaVersionGate(["n0", "n1"]).on_round(boots([*both, answer("n0", "a")]))
+    both = [version_reply("n0", "a"), version_reply("n1", "b")]
+    assert not gate.on_round(decode_boots(both))
+    assert gate.on_round(decode_boots(both))
+    assert not SchemaVersionGate(["n0", "n1"]).on_round(decode_boots([*both, version_reply("n0", "a")]))
 
 
 @pytest.mark.parametrize(
     "second",
     [
-        [answer("n0", "a")],  # silence
-        [answer("n0", "a"), answer("n1", "c")],  # it was started again, and may be an earlier version next time
-        [answer("n0", "a"), ["formats", "n1", "b", 1]],
-        [answer("n0", "a"), ["pong", "n1"]],
-        [answer("n0", "a"), answer("n0", "b")],
+        [version_reply("n0", "a")],  # n1 is silent
+        # n1 was restarted, and may run an earlier version next time.
+        [version_reply("n0", "a"), version_reply("n1", "c")],
+        [version_reply("n0", "a"), ["formats", "n1", "b", 1]],
+        [version_reply("n0", "a"), ["pong", "n1"]],
+        [version_reply("n0", "a"), version_reply("n0", "b")],
     ],
 )
-def test_the_gate_stays_shut(second: list[Any]) -> None:
+def test_the_gate_stays_closed_if_a_node_is_silent_restarted_or_older(second: list[Any]) -> None:
     gate = SchemaVersionGate(["n0", "n1"])
-    gate.on_round(boots([answer("n0", "a"), answer("n1", "b")]))
-    assert not gate.on_round(boots(second))
-    assert not gate.on_round(boots([answer("n0", "a"), answer("n1", "c")])) or second[-1][2] == "c"
+    gate.on_round(decode_boots([version_reply("n0", "a"), version_reply("n1", "b")]))
+    assert not gate.on_round(decode_boots(second))
+    assert not gate.on_round(decode_boots([version_reply("n0", "a"), version_reply("n1", "c")])) or second[-1][2] == "c"
 
 
-async def rounds(lead: Leader, times: int) -> None:
+async def run_poll_rounds(lead: Leader, times: int) -> None:
     gate = SchemaVersionGate([lead.node.node_name, *lead.node.peers])
     for _ in range(times):
         own = SchemaVersionReply(lead.node.node_name, lead.node.boot_id, SCHEMA_VERSION)
@@ -274,43 +277,43 @@
             await lead.schema_version_controller.open_gate(gate)
 
 
-async def test_what_all_read_is_recorded_once_and_by_the_leader_alone() -> None:
+async def test_the_schema_version_is_recorded_once_and_only_by_the_leader() -> None:
     state = KeyStore(lambda: 0)
     lead, client, home = leader(state)
-    home.peers["n1"] = FakePeer(answer("n1", "b"))
-    await rounds(lead, 1)
+    home.peers["n1"] = FakePeer(version_reply("n1", "b"))
+    await run_poll_rounds(lead, 1)
     assert SCHEMA_VERSION_KEY not in state.items
     assert not lead.cluster.writes.layout.splits_records
     client.faults = ["lose"]
     with pytest.raises(Exception, match="lose"):
-        await rounds(lead, 2)  # unsure: not taken for open
+        await run_poll_rounds(lead, 2)  # the outcome is unknown: the gate counts as closed
     assert not lead.cluster.writes.layout.splits_records
-    await rounds(lead, 2)
+    await run_poll_rounds(lead, 2)
     assert lead.cluster.writes.layout.splits_records
     assert state.items[SCHEMA_VERSION_KEY][0]["reads"] == SCHEMA_VERSION
     second, _, other = leader(state)
-    other.peers["n1"] = FakePeer(answer("n1", "b"))
-    await rounds(lead, 2)  # it leads no more, and finds what is recorded
-    await rounds(second, 2)
+    other.peers["n1"] = FakePeer(version_reply("n1", "b"))
+    await run_poll_rounds(lead, 2)  # it no longer leads, and finds the record
+    await run_poll_rounds(second, 2)
     assert second.cluster.writes.layout.splits_records
 
 
-async def test_a_refusal_for_size_before_the_gate_opens_is_not_tried_again() -> None:
-    """The limits fell while a node was away. Once it was an error that deposed one leader after the other."""
-    world = World(NO_LIMITS, SMALL)
+async def test_a_record_refused_for_its_size_before_the_gate_opens_is_not_retried() -> None:
+    """The limits are lowered while a node is down. The refusal once was an error that deposed leader after leader."""
+    world = World(UNLIMITED_TEAM, STATE_LIMITS)
     for number in range(1, 61):
         world.machine(number)
     world.settle(3)
     ref = world.submit(legs=100, voyageS=50.0, hull="img-" + 100 * "x")
     small = world.submit(legs=2, voyageS=5.0)
     world.plan()
-    fall(world)
+    lower_limits(world)
     lead, _, home = leader(world.state)
     lead.cluster = lead.commits.cluster = world.cluster
     world.cluster.fencing_token = lead.token
     refused = world.cluster.writes.take_batch(4)
     assert max(json_size(value) for value in refused.sets.values()) > 2048
-    world.state.commit = _counted(world.state.commit)  # type: ignore[method-assign]
+    world.state.commit = _fail_on_repeated_refusal(world.state.commit)  # type: ignore[method-assign]
     await lead.commits.commit(refused)
     assert not home.lost
     assert world.cluster.writes.value_limit_lowered
@@ -328,7 +331,7 @@
     assert any(key.startswith(f"{LIVE}{ref}/0000.") for key in world.state.items)
 
 
-def _counted(commit: Any) -> Any:
+def _fail_on_repeated_refusal(commit: Any) -> Any:
     def counted(body: dict[str, Any]) -> Any:
         status, value = commit(body)
         assert status != 400 or not counted.refused  # type: ignore[attr-defined]
@@ -339,9 +342,9 @@
     return counted
 
 
-def test_batches_hold_what_they_claim() -> None:
-    """A part that goes ahead of its record carries its own claims."""
-    world = world_of(60, opened=False)
+def test_a_batch_contains_the_records_of_all_its_bindings() -> None:
+    """A part that is written before its main record includes its own bindings."""
+    world = make_world(60, gate_open=False)
     world.submit(legs=100, voyageS=50.0)
     world.settle(3)
     world.cluster.writes.enable_record_parts()
@@ -361,8 +364,11 @@
     assert all(job_.tasks[i].phase is TaskPhase.BOUND for i in (5, 95))
 
 
-async def test_a_job_whose_types_lie_apart_is_taken_up_from_where_it_was_accepted() -> None:
-    """It names nobody, and lies under waits/ all the same: taken as lying under live/, its claim failed for ever."""
+async def test_a_job_with_overflow_records_and_no_dependencies_is_loaded_from_its_blocked_record() -> None:
+    """The job is stored under waits/ although it has no dependencies.
+
+    When it was assumed to be under live/, the write of its first binding failed forever.
+    """
     spec = wire.decode_submission(job("j-000001", berthKinds=["m8", *(f"kind-{number:050d}" for number in range(40))]))
     record, parts = split_overflow(encode_submission(spec, 5, wire.JobStatus.QUEUED), 2048)
     assert parts
--- a/tests/test_write_order.py
+++ b/tests/test_write_order.py
@@ -1,4 +1,4 @@
-"""What is written down, in which order, and what it costs the state service."""
+"""Write batches: which records are written in which order, and the number of state service changes."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from tests.cluster_fixture import World
 
 
-def test_first_chunks_of_an_earlier_version_are_taken_over() -> None:
-    """An upgrade in place: the first chunk once had a key of its own."""
+def test_first_chunk_with_its_own_key_is_migrated_from_an_earlier_version() -> None:
+    """In-place upgrade: versions before 0.3 stored the first chunk under a separate key."""
     world = World()
     world.machine(1)
     ref = world.submit()
@@ -27,7 +27,7 @@
         }
     )
     world.fail_over()
-    world.cluster.jobs[ref].version = head["rev"]  # the head had the revision of jobs/REF then
+    world.cluster.jobs[ref].version = head["rev"]  # the head record had the revision of jobs/REF then
     assert world.cluster.jobs[ref].on_machines == 2
     world.settle()
     assert len(world.live(ref)) == 2
@@ -38,25 +38,25 @@
     assert world.state.list("live/")[1]["rows"] == []
 
 
-def test_what_a_small_job_costs_the_state_service() -> None:
-    """Puts and deletes from accept to end: two, one for its claim, two for its end."""
+def test_a_small_job_takes_five_changes_of_the_state_service() -> None:
+    """Two changes to accept the job, one for its binding, and two for its completion."""
     world = World()
     world.machine(1)
     world.settle()
-    before = len(world.state.log)
+    log_length = len(world.state.log)
     ref = world.submit(legs=1)
     world.settle(40)
     assert world.record(ref) == wire.JobStatus.COMPLETED
-    writes = [key for _, key, _ in world.state.log[before:] if ref in key]
+    writes = [key for _, key, _ in world.state.log[log_length:] if ref in key]
     assert len(writes) == 5
 
 
-def test_a_swarms_claims_go_after_others_ends() -> None:
+def test_best_effort_bindings_are_written_after_completions_of_other_jobs() -> None:
     world = World([Team("crew")])
     for number in range(1, 9):
         world.machine(number)
     world.settle(2)
-    ended = world.submit(ref="j-000001", legs=1, voyageS=1.0)
+    completed = world.submit(ref="j-000001", legs=1, voyageS=1.0)
     world.settle(1)
     for number in range(10, 30):
         world.submit(ref=f"j-{number:06d}", urgency="idle", legs=1, cores=0.25)
@@ -66,11 +66,11 @@
     world.plan()
     batch = world.cluster.writes.take_batch(4)
     assert next(iter(batch.sets)) == live_key("j-000002")
-    assert [job.job_id for job in batch.completed_jobs] == [ended]
+    assert [job.job_id for job in batch.completed_jobs] == [completed]
 
 
-def test_a_cancelled_jobs_mark_goes_with_the_job() -> None:
-    """However little the budget holds: a job without its mark would run again after a takeover."""
+def test_a_cancellation_mark_is_deleted_in_the_same_batch_as_its_job() -> None:
+    """The budget may be too small for both: a job without its mark would run again after a failover."""
     world = World()
     world.machine(1)
     ref = world.submit()
@@ -89,8 +89,11 @@
     assert {live_key(ref), live_key(ref) + "/x"} <= set(batch.deletes)
 
 
-def test_ends_of_one_record_are_written_together_and_none_if_the_job_ends() -> None:
-    """Half of all changes were records written again for one more end; the job's own end needs none of them."""
+def test_completions_are_batched_per_record_and_omitted_if_the_job_completes() -> None:
+    """Without batching, half of all changes were records rewritten for one more completion.
+
+    The completion of the job makes recording the completions of its tasks unnecessary.
+    """
     world = World([Team("crew")])
     for number in range(1, 6):
         world.machine(number)
@@ -98,13 +101,13 @@
     ref = world.submit(legs=10, cores=4.0, voyageS=10.0)
     world.settle(2)
     tasks = list(world.cluster.jobs[ref].tasks.values())
-    ripe = 1_500_000
+    batching_window = 1_500_000
     written = 0
     for task in tasks[:8]:
         world.now += SECOND // 5
         world.cluster.now = world.now
         world.cluster.tasks.complete(task, world.now)
-        batch = world.cluster.writes.take_batch(12, 12, ripe)
+        batch = world.cluster.writes.take_batch(12, 12, batching_window)
         written += len(batch.sets)
         if batch.operation_count:
             world.cluster.writes.committed(
@@ -116,11 +119,11 @@
     )
     world.now += 2 * SECOND
     world.cluster.now = world.now
-    batch = world.cluster.writes.take_batch(12, 12, ripe)
+    batch = world.cluster.writes.take_batch(12, 12, batching_window)
     assert list(batch.sets) == [live_key(ref)]
     world.cluster.writes.restore_batch(batch)
     for task in tasks[8:]:
         world.cluster.tasks.complete(task, world.now)
-    batch = world.cluster.writes.take_batch(12, 12, ripe)
+    batch = world.cluster.writes.take_batch(12, 12, batching_window)
     assert [job.job_id for job in batch.completed_jobs] == [ref]
     assert set(batch.sets) == {f"jobs/{ref}"}
--- a/tests/test_zone_partitions.py
+++ b/tests/test_zone_partitions.py
@@ -1,4 +1,4 @@
-"""A zone that is cut off: who keeps its work alive, what is given up when, and what a new leader knows of it."""
+"""Partitioned zones: lease proxies, evacuation, and what a new leader loads about the partition."""
 
 from __future__ import annotations
 
@@ -45,23 +45,23 @@
 def test_an_isolated_node_is_a_lease_proxy_until_a_lease_could_outlast_a_cancellation() -> None:
     proxy, lost = lease_proxy(), 103 * SECOND
     assert proxy.may_answer(7, lost, 100 * SECOND, 102 * SECOND)
-    # A job cancelled just after the leader last told must be gone 35 s later, 10 s of which are the lease.
+    # A job cancelled just after the leader's last watermark must be gone 35 s later, 10 s of which are the lease.
     assert 115 * SECOND < proxy.valid_until() <= 125 * SECOND
     assert not proxy.may_answer(7, proxy.valid_until(), 100 * SECOND, 102 * SECOND)
     assert not proxy.may_answer(7, 100 * SECOND + ISOLATED_AFTER - 1, 99 * SECOND, 100 * SECOND)  # the leader answers
-    assert not proxy.may_answer(7, lost, 102 * SECOND, 101 * SECOND)  # the state service answers: others may lead
-    assert not proxy.may_answer(8, lost, 100 * SECOND, 102 * SECOND)  # that worker knows a later leader
+    assert not proxy.may_answer(7, lost, 102 * SECOND, 101 * SECOND)  # the state service answers: another node may lead
+    assert not proxy.may_answer(8, lost, 100 * SECOND, 102 * SECOND)  # that worker has seen a later leader
     assert not proxy.may_answer(6, lost, 100 * SECOND, 102 * SECOND)  # the leader never reached that worker
-    assert not LeaseProxy.create(SETTINGS).may_answer(0, lost, 0, lost)  # it was never told anything
+    assert not LeaseProxy.create(SETTINGS).may_answer(0, lost, 0, lost)  # no leader ever answered
 
 
 def test_an_older_cancellation_watermark_ends_a_lease_proxy_earlier() -> None:
-    at_once, late = lease_proxy(), lease_proxy(age=9 * SECOND)
-    assert at_once.valid_until() - late.valid_until() >= 9 * SECOND
-    late.update(7, 101 * SECOND, -1)  # nothing is known
-    assert late.leader_contact_at == 100 * SECOND
-    at_once.update(6, 200 * SECOND, 0)  # an earlier leader that does not know yet
-    assert at_once.valid_until() == lease_proxy().valid_until()
+    recent, older = lease_proxy(), lease_proxy(age=9 * SECOND)
+    assert recent.valid_until() - older.valid_until() >= 9 * SECOND
+    older.update(7, 101 * SECOND, -1)  # no valid watermark
+    assert older.leader_contact_at == 100 * SECOND
+    recent.update(6, 200 * SECOND, 0)  # an earlier leader that has not noticed the new one
+    assert recent.valid_until() == lease_proxy().valid_until()
 
 
 def test_the_cancellation_watermark_waits_until_tasks_are_proven_gone() -> None:
@@ -75,17 +75,17 @@
     world.cluster.job_lifecycle.cancel(ref, 0, known_at - SECOND)
     world.refused.add(worker.name)
     world.step(3.0)
-    assert world.cluster.job_lifecycle.cancellation_watermark(world.now) == known_at - SECOND  # its machine is silent
+    assert world.cluster.job_lifecycle.cancellation_watermark(world.now) == known_at - SECOND  # the machine is silent
     world.refused.clear()
     world.settle()
     assert world.cluster.job_lifecycle.cancellation_watermark(world.now) == world.now
     held = world.cluster.machines[worker.name]
-    held.orphaned_attempts[("j-999999/0", 1)] = (0.0, 0.0, 0.0)  # whose task is that? Perhaps of a cancelled job
+    held.orphaned_attempts[("j-999999/0", 1)] = (0.0, 0.0, 0.0)  # an unknown task, possibly of a cancelled job
     assert world.cluster.job_lifecycle.cancellation_watermark(world.now) == 0
 
 
 async def test_a_lease_proxy_renews_leases_and_starts_nothing(state: KeyStore) -> None:
-    """Half of all tasks were once killed by their leases while a node stood beside them."""
+    """Without a lease proxy, half of all tasks were killed when their leases expired although a node was reachable."""
     node = Node(node_settings(), Tuning())
     node.state = client = FakeStateClient(state)  # type: ignore[assignment]
     lead, _, _ = leader(state)
@@ -97,28 +97,31 @@
     worker.token = lead.token
     report: Any = worker.report()
 
-    assert (
-        node.answer_heartbeat(wire.decode_heartbeat(report)) is None
-    )  # it is not out of touch: the state service answers
+    # The node is not isolated: the state service answers.
+    assert node.answer_heartbeat(wire.decode_heartbeat(report)) is None
     client.last_served_at, client.last_failed_at = steady() - 3 * SECOND, steady()
     assert node.answer_heartbeat(wire.decode_heartbeat(report)) == {"helm": lead.token, "orders": []}
-    assert (await peer_reply(node, ["carried out"])) == ["no"]  # only the leader knows
+    assert (await peer_reply(node, ["carried out"])) == ["no"]  # only the leader has the watermark
 
 
 async def test_a_restarted_node_learns_the_watermark_from_another_lease_proxy(state: KeyStore) -> None:
-    """A zone was lost though its second node never ended: the first one back sent its workers into the cut."""
+    """A zone was lost although its second node never ended.
+
+    The first node, once restarted, redirected its workers to a leader beyond the partition.
+    """
     old, new = Node(node_settings(), Tuning()), Node(node_settings(), Tuning())
     for node in (old, new):
         node.state = FakeStateClient(state)  # type: ignore[assignment]
         node.state.last_served_at, node.state.last_failed_at = 0, steady()
-        node.election.leader_name = "n1"  # outside the cut
+        node.election.leader_name = "n1"  # outside the partition
     worker = Worker(lambda: 0, "vm-000001", "h:1", "m8", "a", False, 8.0, lambda ref: None)
     worker.token = 7
     report = wire.decode_heartbeat(worker.report())
-    assert await peer_reply(old, ["kept"]) == ["no"]  # it was never told anything
+    assert await peer_reply(old, ["kept"]) == ["no"]  # no leader ever answered it
     old.lease_proxy.proxy.update(7, steady() - 3 * SECOND, 0)
     peer = FakePeer(None, "n2")
-    for answer in (None, ["no"], ["kept", 7], ["kept", "x", 0, 0, True], ["pong"]):  # cut, an older node, a strange one
+    # Unreachable, an older node, and malformed replies.
+    for answer in (None, ["no"], ["kept", 7], ["kept", "x", 0, 0, True], ["pong"]):
         peer.answer = answer
         await new.lease_proxy.refresh_from_proxy(peer)  # type: ignore[arg-type]
         assert new.answer_heartbeat(report) is None
@@ -126,58 +129,58 @@
     peer.answer = await peer_reply(old, ["kept"])
     await new.lease_proxy.refresh_from_proxy(peer)  # type: ignore[arg-type]
     assert new.answer_heartbeat(report) == {"helm": 7, "orders": []}
-    assert new.leader_name() == "n2"  # for a worker that has another token
+    assert new.leader_name() == "n2"  # the node to which a worker with another token is redirected
     assert 0 < old.lease_proxy.proxy.valid_until() - new.lease_proxy.proxy.valid_until() < SECOND // 10
 
 
-def test_a_watermark_that_is_passed_on_in_a_circle_never_gets_later() -> None:
+def test_a_watermark_shared_in_a_circle_never_becomes_later() -> None:
     nodes = [lease_proxy(), LeaseProxy.create(SETTINGS)]
-    ends = nodes[0].valid_until()
+    initial_valid_until = nodes[0].valid_until()
     for now in range(101, 112):
-        giver, taker = nodes[now % 2 == 0], nodes[now % 2]
-        known = giver.share(now * SECOND)
+        sender, receiver = nodes[now % 2 == 0], nodes[now % 2]
+        known = sender.share(now * SECOND)
         if known is not None:
-            taker.update(known.fencing_token, now * SECOND, known.watermark_age_us, known.contact_age_us)
-    assert nodes[1].valid_until() <= nodes[0].valid_until() == ends
-    nodes[1].update(6, 200 * SECOND, 0, 0)  # of an earlier leader
-    assert nodes[1].valid_until() <= ends
+            receiver.update(known.fencing_token, now * SECOND, known.watermark_age_us, known.contact_age_us)
+    assert nodes[1].valid_until() <= nodes[0].valid_until() == initial_valid_until
+    nodes[1].update(6, 200 * SECOND, 0, 0)  # from an earlier leader
+    assert nodes[1].valid_until() <= initial_valid_until
 
 
-def cut(world: World, zone: str) -> list[Machine]:
-    """Nothing is heard from a zone for a while, and that is judged."""
+def partition_zone(world: World, zone: str) -> list[Machine]:
+    """Makes a zone silent for 3 s and marks it as partitioned; returns its machines."""
     for worker in world.workers.values():
         if worker.zone == zone:
             world.refused.add(worker.name)
     world.step(3.0)
-    there = [m for m in world.cluster.machines.values() if m.zone == zone]
-    assert world.cluster.zones.mark_partitioned(there, world.now) == {zone}
+    zone_machines = [m for m in world.cluster.machines.values() if m.zone == zone]
+    assert world.cluster.zones.mark_partitioned(zone_machines, world.now) == {zone}
     world.commit()
-    return there
+    return zone_machines
 
 
-def leaving(world: World, kept: bool) -> list[str]:
-    zones = frozenset({"b"}) if kept else frozenset[str]()
+def names_to_release(world: World, has_proxy: bool) -> list[str]:
+    zones = frozenset({"b"}) if has_proxy else frozenset[str]()
     return [m.name for m in ZoneEvacuation(world.cluster, world.fleet).machines_to_release(world.now, zones)]
 
 
-def test_replicas_that_may_run_nowhere_else_keep_their_machines() -> None:
-    """Two zones, one of them cut off: releasing its machines won nothing and cost images, room and boots."""
+def test_machines_of_replicas_that_may_not_move_are_kept() -> None:
+    """With one of two zones partitioned, releasing its machines gained nothing and cost images, capacity and boots."""
     world = World()
     for number in range(1, 7):
         world.machine(number, "a" if number < 4 else "b")
     ref = world.submit(rig="standing", legs=4, spread=True, driftwood=False, urgency="production")
     world.settle()
-    there = cut(world, "b")
-    with_replicas = {m.name for m in there if m.tasks}
-    assert sum(len(m.tasks) for m in there) == 2
+    zone_machines = partition_zone(world, "b")
+    with_replicas = {m.name for m in zone_machines if m.tasks}
+    assert sum(len(m.tasks) for m in zone_machines) == 2
     alive = tasks_alive_until(SETTINGS, world.cluster.zones.partitioned["b"], True)
     world.now = alive + SECOND
-    assert leaving(world, True) == []
+    assert names_to_release(world, True) == []
     world.now += 31 * SECOND  # a machine without replicas would have booted twice by now
-    assert set(leaving(world, True)) == {m.name for m in there} - with_replicas
+    assert set(names_to_release(world, True)) == {m.name for m in zone_machines} - with_replicas
     world.now += RELEASE_UNMOVABLE_AFTER
-    assert set(leaving(world, True)) == {m.name for m in there}
-    world.refused.clear()  # back: new sessions, and the replicas return to where their image is
+    assert set(names_to_release(world, True)) == {m.name for m in zone_machines}
+    world.refused.clear()  # the zone recovers: new agent sessions, and replicas return to the machines with their image
     world.now = alive + 10 * SECOND
     world.settle()
     assert not world.cluster.zones.partitioned
@@ -191,16 +194,16 @@
     ref = world.submit(rig="standing", legs=4, driftwood=False, urgency="production", cores=8.0)
     array = world.submit(ref="j-000002", legs=1, cores=8.0, voyageS=300.0)
     world.settle()
-    there = cut(world, "b")
-    movable = [m.name for m in there if any(t.job.job_id == ref for t in m.tasks)]
+    zone_machines = partition_zone(world, "b")
+    movable = [m.name for m in zone_machines if any(t.job.job_id == ref for t in m.tasks)]
     assert movable
-    assert leaving(world, True) == []  # a cut of a moment costs nothing
+    assert names_to_release(world, True) == []  # a short partition costs nothing
     world.now += 4 * SECOND
-    assert leaving(world, True) == movable
-    assert all(t.job.job_id != array for m in there if m.name in movable for t in m.tasks)
+    assert names_to_release(world, True) == movable
+    assert all(t.job.job_id != array for m in zone_machines if m.name in movable for t in m.tasks)
 
 
-def test_few_replicas_are_missed_at_a_time_during_evacuation() -> None:
+def test_evacuation_limits_the_replicas_without_a_machine() -> None:
     world = World([Team("crew")])
     for number in range(1, 31):
         world.machine(number, "a")
@@ -208,35 +211,35 @@
     for number in range(30):
         world.submit(ref=f"j-{number:06d}", rig="standing", legs=4, driftwood=False, urgency="production", cores=2.0)
     world.settle(8)
-    there = cut(world, "b")
+    zone_machines = partition_zone(world, "b")
     world.now += 4 * SECOND
-    chosen = leaving(world, True)
-    replicas = sum(len(m.tasks) for m in there if m.name in chosen)
-    assert 0 < replicas <= MAX_REPLICAS_MOVING < sum(len(m.tasks) for m in there)
+    chosen = names_to_release(world, True)
+    replicas = sum(len(m.tasks) for m in zone_machines if m.name in chosen)
+    assert 0 < replicas <= MAX_REPLICAS_MOVING < sum(len(m.tasks) for m in zone_machines)
 
 
-def test_a_machine_whose_work_is_done_is_released_if_a_replacement_is_available() -> None:
+def test_a_machine_with_completed_tasks_is_released_if_a_replacement_is_available() -> None:
     world = World([Team("crew")])
     for number in range(1, 7):
         world.machine(number, "a" if number < 4 else "b")
     world.submit(legs=12, voyageS=15.0)
     world.settle()
-    there = cut(world, "b")
-    world.now += 20 * SECOND  # what they ran is done by now, and will be done at once where it is started again
-    assert leaving(world, True) == []  # but who knows whether there are other machines?
+    zone_machines = partition_zone(world, "b")
+    world.now += 20 * SECOND  # the tasks are completed by now, and finish at once if they are started again
+    assert names_to_release(world, True) == []  # it is unknown whether other machines are available
     world.fleet.availability.grant(ScaleOutRequest("m8", "b", False, 1), world.now)
-    assert leaving(world, True) == []
+    assert names_to_release(world, True) == []
     world.fleet.availability.grant(ScaleOutRequest("m8", "a", False, 1), world.now)
-    assert leaving(world, True) == [m.name for m in there]
+    assert names_to_release(world, True) == [m.name for m in zone_machines]
 
 
 def test_a_partitioned_zone_is_recorded_for_the_next_leader() -> None:
-    """The next one began anew: five seconds more until the verdict, and rentals in the zone meanwhile."""
+    """Otherwise the next leader takes five more seconds to detect the partition, and rents machines in the zone."""
     world = World()
     for number in range(1, 7):
         world.machine(number, "a" if number < 4 else "b")
     world.settle()
-    cut(world, "b")
+    partition_zone(world, "b")
     since = world.cluster.zones.partitioned["b"]
     world.now += 5 * SECOND
     world.fail_over()
@@ -251,12 +254,12 @@
 
 
 def test_a_zone_with_a_lease_proxy_is_recorded_for_the_next_leader() -> None:
-    """All nodes ended; the next leader took the zone for dead after one lease: 300 replicas left at once."""
+    """All nodes ended; the next leader considered the zone dead after one lease and evacuated 300 replicas at once."""
     world = World()
     for number in range(1, 7):
         world.machine(number, "a" if number < 4 else "b")
     world.settle()
-    cut(world, "b")
+    partition_zone(world, "b")
     world.cluster.zones.mark_lease_proxied(["b"])
     world.commit()
     world.fail_over()
@@ -267,7 +270,7 @@
     assert world.state.items[PARTITIONED_ZONES_KEY][0] == {"zones": {}}
 
 
-def test_nothing_is_placed_in_a_partitioned_zone_though_it_was_heard_from_a_moment_ago() -> None:
+def test_no_task_is_placed_in_a_partitioned_zone_despite_a_recent_heartbeat() -> None:
     world = World()
     world.machine(1, "b")
     world.settle()
@@ -277,7 +280,7 @@
     assert world.cluster.jobs[ref].on_machines == 0
 
 
-def test_images_outlive_a_lease() -> None:
+def test_images_remain_on_a_machine_after_its_lease_expires() -> None:
     world = World()
     worker = world.machine(1)
     world.submit(legs=1, voyageS=500.0)
@@ -291,8 +294,13 @@
     assert machine.images == {"img-1": 1}
 
 
-def watched(state: KeyStore, count: int, silent_for: int) -> tuple[FailureDetector, Leader, FakeLeadingNode, list[str]]:
-    """A leader with so many machines, of which zone b's half is silent; and what it releases."""
+def detector_with_silent_zone(
+    state: KeyStore, count: int, silent_for: int
+) -> tuple[FailureDetector, Leader, FakeLeadingNode, list[str]]:
+    """Creates a leader with `count` machines, half of them in zone b and silent; returns what a test needs of it.
+
+    The last item of the result lists the machines that the detector released.
+    """
     lead, _, home = leader(state)
     released: list[str] = []
 
@@ -302,43 +310,46 @@
     lead.leader_lease.renewal_requested_at = now = steady()
     lead.led_since = now - 60 * SECOND
     for number in range(1, count + 1):
-        lit = number <= count // 2
-        machine = lead.cluster.add_machine(f"vm-{number:06d}", "m8", "a" if lit else "b", False, "", now, 0)
+        is_reachable = number <= count // 2
+        machine = lead.cluster.add_machine(f"vm-{number:06d}", "m8", "a" if is_reachable else "b", False, "", now, 0)
         assert machine is not None
         machine.ready_at = machine.probed_at = 1
-        machine.last_heartbeat_at = machine.known_since = now if lit else now - silent_for
+        machine.last_heartbeat_at = machine.known_since = now if is_reachable else now - silent_for
     return FailureDetector(lead, None, release, lead.cloud_controller.capacity_planner), lead, home, released  # type: ignore[arg-type]
 
 
-async def test_machines_that_are_heard_from_last_after_a_partition_are_not_taken_for_lost(state: KeyStore) -> None:
-    """A leader that could not judge a zone alone released what was not heard yet in the second after the cut."""
-    detector, lead, home, released = watched(state, 12, 20 * SECOND)
+async def test_machines_that_reconnect_last_after_a_partition_are_not_released(state: KeyStore) -> None:
+    """A leader that could not confirm a partition by itself released the machines that reconnected last.
+
+    They had not sent a heartbeat yet in the second after the partition ended.
+    """
+    detector, lead, home, released = detector_with_silent_zone(state, 12, 20 * SECOND)
     home.peers = {"n1": FakePeer(None), "n2": FakePeer(None)}
-    await detector.step()  # half of them: it is rather this node that is cut off
+    await detector.step()  # half of the machines are silent: this node is probably cut off
     machines = list(lead.cluster.machines.values())
     for machine in machines[6:9]:
         machine.last_heartbeat_at = steady()
     await detector.step()
     assert released == []
-    detector._node_suspected_at -= 6 * SECOND  # silent_s later they have all been asked
+    detector._node_suspected_at -= 6 * SECOND  # silent_s later, all of them were probed
     await detector.step()
     assert released == [m.name for m in machines[9:]]
 
 
 async def test_a_partitioned_zone_is_confirmed_again_before_anything_is_released(state: KeyStore) -> None:
-    detector, lead, home, released = watched(state, 6, 6 * SECOND)
+    detector, lead, home, released = detector_with_silent_zone(state, 6, 6 * SECOND)
     home.peers = {"n1": FakePeer(["seen", 0, True]), "n2": FakePeer(None)}
     await detector.step()
     assert "b" in lead.cluster.zones.partitioned
     assert released == []
-    lead.cluster.zones.partitioned["b"] -= 60 * SECOND  # dead by any reckoning: now they go
+    lead.cluster.zones.partitioned["b"] -= 60 * SECOND  # all leases have expired: the machines may be released
     for machine in lead.cluster.machines.values():
         if machine.zone == "b":
             machine.last_heartbeat_at -= 60 * SECOND
     detector.partitions.confirmed_at = 0
     home.peers = {"n1": FakePeer(None), "n2": FakePeer(None)}
     await detector.step()
-    assert released == []  # it may be this node that is cut off
+    assert released == []  # this node may be cut off
     home.peers = {"n1": FakePeer(["seen", 0, True]), "n2": FakePeer(None)}
     await detector.step()
     assert released == ["vm-000004", "vm-000005", "vm-000006"]
