--- a/oatport/control/leadership/election_priority.py
+++ b/oatport/control/leadership/election_priority.py
@@ -47,6 +47,6 @@
         # If the leader's zone is partitioned, workers outside the zone try the successor next. If the successor is in
         # the same zone, the two waits take 10 s of the workers' leases: with one further crash, 1,200 tasks were killed
         # although a node was reachable.
-        successor_is_near = self._zones.get(self.successor_of(self._node_name)) == self._zone
+        is_successor_in_zone = self._zones.get(self.successor_of(self._node_name)) == self._zone
         has_several_zones = set(self._zones.values()) != {self._zone}
-        return BACKOFF_SUCCESSOR_IN_ZONE if successor_is_near and has_several_zones else 0
+        return BACKOFF_SUCCESSOR_IN_ZONE if is_successor_in_zone and has_several_zones else 0
--- a/oatport/control/leadership/lease_proxy.py
+++ b/oatport/control/leadership/lease_proxy.py
@@ -92,5 +92,5 @@
 
     def is_isolated(self, now: int, state_ok_at: int, state_failed_at: int) -> bool:
         """Returns whether neither the leader nor the state service answers this node."""
-        state_service_is_lost = state_failed_at > state_ok_at and now - state_ok_at > SECOND
-        return now - self.leader_contact_at >= ISOLATED_AFTER and state_service_is_lost
+        is_state_service_unreachable = state_failed_at > state_ok_at and now - state_ok_at > SECOND
+        return now - self.leader_contact_at >= ISOLATED_AFTER and is_state_service_unreachable
--- a/oatport/control/limits/rate_limiter.py
+++ b/oatport/control/limits/rate_limiter.py
@@ -50,8 +50,8 @@
     def _refill(self, now: int) -> float:
         if self._refilled_at < 0:
             self._refilled_at = self._unthrottled_since = now
-        unthrottled = now - self._unthrottled_since > UNTHROTTLED_AFTER
-        self._burst = self._limit * (UNTHROTTLED_BURST_FRACTION if unthrottled else BURST_FRACTION)
+        is_unthrottled = now - self._unthrottled_since > UNTHROTTLED_AFTER
+        self._burst = self._limit * (UNTHROTTLED_BURST_FRACTION if is_unthrottled else BURST_FRACTION)
         self._level = min(self._burst, self._level + (now - self._refilled_at) * self.rate / SECOND)
         self._refilled_at = now
         return self._level
--- a/oatport/control/storage/job_records.py
+++ b/oatport/control/storage/job_records.py
@@ -74,9 +74,8 @@
 class LiveRecord(JobRecord, kw_only=True):
     """Holds an unfinished job with its first tasks; only the fields of JobRecord are set until the first binding."""
 
-    version: int | UnsetType = field(
-        name="rev", default=UNSET
-    )  # revision of jobs/JOB, a condition of writing its bindings
+    # Revision of jobs/JOB; a condition of all writes of bindings.
+    version: int | UnsetType = field(name="rev", default=UNSET)
     rows: list[Any] | UnsetType = field(name="t", default=UNSET)  # as in TasksRecord.rows
     tier: str | UnsetType = UNSET  # the last decision of the tier router
     loss_count: int | UnsetType = field(name="lost", default=UNSET)  # how often its tasks were lost
--- a/oatport/control/storage/schema_version.py
+++ b/oatport/control/storage/schema_version.py
@@ -36,10 +36,10 @@
 
         `boots`: node -> boot ID of the nodes that can read this version, including this node.
         """
-        complete = boots.keys() == set(self.nodes)
-        opens = complete and boots == self._previous_boots
-        self._previous_boots = boots if complete else {}
-        return opens
+        is_complete = boots.keys() == set(self.nodes)
+        is_opening = is_complete and boots == self._previous_boots
+        self._previous_boots = boots if is_complete else {}
+        return is_opening
 
     def record(self) -> dict[str, Any]:
         """Returns the value to record once the gate is open."""
--- a/oatport/control/storage/write_batch.py
+++ b/oatport/control/storage/write_batch.py
@@ -67,8 +67,8 @@
         self._add_completed_jobs()
         self._add_urgent(IDLE_RANK)
         if budget is not None:
-            left_urgent = len(self.writes.urgent_keys) + len(self.writes.jobs_to_complete)
-            self._max_operations = min(self._max_operations, max(self.batch.operation_count, budget - left_urgent))
+            remaining_urgent = len(self.writes.urgent_keys) + len(self.writes.jobs_to_complete)
+            self._max_operations = min(self._max_operations, max(self.batch.operation_count, budget - remaining_urgent))
         self._add_deleted_jobs()
         self._add_dirty(batching_window)
         while self.writes.orphaned_keys and self.batch.operation_count < self._max_operations:
--- a/oatport/control/storage/write_buffer.py
+++ b/oatport/control/storage/write_buffer.py
@@ -79,9 +79,9 @@
     def is_unwritten(self, job: Job, index: int) -> bool:
         """Returns whether a task's state may not be recorded yet: a record of the task is still to be written."""
         return any(
-            key in waits
+            key in pending_keys
             for key in self.task_record_keys(job, index)
-            for waits in (self.dirty_keys, self.urgent_keys, self.in_flight_keys, self._withheld_keys)
+            for pending_keys in (self.dirty_keys, self.urgent_keys, self.in_flight_keys, self._withheld_keys)
         )
 
     def mark_machine_dirty(self, machine: Machine, *, urgent: bool = False) -> None:
@@ -91,9 +91,9 @@
             self.urgent_keys[key] = 0
         else:
             self.dirty_keys[key] = None
-        main = group_key(machine.number // GROUP_MACHINES)
-        if main in self.oversized_records:
-            self.dirty_keys[main] = None  # otherwise a machine that is gone would remain in it
+        main_key = group_key(machine.number // GROUP_MACHINES)
+        if main_key in self.oversized_records:
+            self.dirty_keys[main_key] = None  # otherwise a machine that is gone would remain in it
 
     def fleet_value(self, key: str) -> dict[str, Any]:
         """Returns the value of a fleet record."""
@@ -111,8 +111,8 @@
 
     def forget_job(self, job: Job) -> None:
         """Discards the versions and pending writes of a job whose records were deleted."""
-        left = set(self.orphaned_keys)  # their versions are still needed for the deletion
-        for key in [k for k in self.job_keys(job) if k in self.versions and k not in left]:
+        orphaned = set(self.orphaned_keys)  # their versions are still needed for the deletion
+        for key in [k for k in self.job_keys(job) if k in self.versions and k not in orphaned]:
             self.versions.pop(key, None)
             self.discard_key(key)
 
@@ -144,12 +144,16 @@
         """Starts writing chunks and groups in parts, once all nodes can read them."""
         if self.layout.splits_records:
             return
-        waiting: dict[str, int | None] = {**dict.fromkeys(self._withheld_keys), **self.dirty_keys, **self.urgent_keys}
+        pending_ranks: dict[str, int | None] = {
+            **dict.fromkeys(self._withheld_keys),
+            **self.dirty_keys,
+            **self.urgent_keys,
+        }
         self._withheld_keys.clear()
         self.value_limit_lowered = False
         self.layout.splits_records = True
         self._mark_oversized_records()
-        for key, rank in waiting.items():
+        for key, rank in pending_ranks.items():
             for part in self._current_keys_of(key):
                 if rank is not None:
                     self.dirty_keys.pop(part, None)
@@ -228,7 +232,7 @@
         self._first_completion_at.pop(key, None)
 
     def withhold_if_too_large(self, key: str, value: Any) -> bool:
-        """Withholds a record that exceeds the value limit until records can be split; returns whether it did so."""
+        """Withholds a record that exceeds the value limit until records can be split; returns whether it does so."""
         if self.value_limit_lowered and json_size(value) > self.layout.max_value_bytes:
             self._withheld_keys[key] = None
             return True
@@ -282,13 +286,13 @@
             self.jobs_to_delete[job] = None
         for job in batch.cancelled_jobs:
             self.jobs_to_cancel[job.job_id] = job
-        bound = {self.layout.task_key(t.job, t.index): t.job.priority_rank for t, _, _ in batch.bindings}
+        bound_ranks = {self.layout.task_key(t.job, t.index): t.job.priority_rank for t, _, _ in batch.bindings}
         written = [(key, row_count(value)) for key, value in batch.sets.items() if not key.startswith(JOBS)]
         parts = [part for key, rows in written for part in self._current_keys_of(key, rows)]
-        for key in dict.fromkeys([*bound, *parts]):
-            if key in bound:
+        for key in dict.fromkeys([*bound_ranks, *parts]):
+            if key in bound_ranks:
                 self.dirty_keys.pop(key, None)
-                self.urgent_keys[key] = bound[key]
+                self.urgent_keys[key] = bound_ranks[key]
             elif key not in self.urgent_keys:
                 self.dirty_keys[key] = None
         self._restore_deletes(batch)
--- a/tests/test_zone_partitions.py
+++ b/tests/test_zone_partitions.py
@@ -43,16 +43,18 @@
 
 
 def test_an_isolated_node_is_a_lease_proxy_until_a_lease_could_outlast_a_cancellation() -> None:
-    proxy, lost = lease_proxy(), 103 * SECOND
-    assert proxy.may_answer(7, lost, 100 * SECOND, 102 * SECOND)
+    proxy, isolated_at = lease_proxy(), 103 * SECOND
+    assert proxy.may_answer(7, isolated_at, 100 * SECOND, 102 * SECOND)
     # A job cancelled just after the leader's last watermark must be gone 35 s later, 10 s of which are the lease.
     assert 115 * SECOND < proxy.valid_until() <= 125 * SECOND
     assert not proxy.may_answer(7, proxy.valid_until(), 100 * SECOND, 102 * SECOND)
     assert not proxy.may_answer(7, 100 * SECOND + ISOLATED_AFTER - 1, 99 * SECOND, 100 * SECOND)  # the leader answers
-    assert not proxy.may_answer(7, lost, 102 * SECOND, 101 * SECOND)  # the state service answers: another node may lead
-    assert not proxy.may_answer(8, lost, 100 * SECOND, 102 * SECOND)  # that worker has seen a later leader
-    assert not proxy.may_answer(6, lost, 100 * SECOND, 102 * SECOND)  # the leader never reached that worker
-    assert not LeaseProxy.create(SETTINGS).may_answer(0, lost, 0, lost)  # no leader ever answered
+    assert not proxy.may_answer(
+        7, isolated_at, 102 * SECOND, 101 * SECOND
+    )  # the state service answers: another node may lead
+    assert not proxy.may_answer(8, isolated_at, 100 * SECOND, 102 * SECOND)  # that worker has seen a later leader
+    assert not proxy.may_answer(6, isolated_at, 100 * SECOND, 102 * SECOND)  # the leader never reached that worker
+    assert not LeaseProxy.create(SETTINGS).may_answer(0, isolated_at, 0, isolated_at)  # no leader ever answered
 
 
 def test_an_older_cancellation_watermark_ends_a_lease_proxy_earlier() -> None:
@@ -79,8 +81,8 @@
     world.refused.clear()
     world.settle()
     assert world.cluster.job_lifecycle.cancellation_watermark(world.now) == world.now
-    held = world.cluster.machines[worker.name]
-    held.orphaned_attempts[("j-999999/0", 1)] = (0.0, 0.0, 0.0)  # an unknown task, possibly of a cancelled job
+    machine_state = world.cluster.machines[worker.name]
+    machine_state.orphaned_attempts[("j-999999/0", 1)] = (0.0, 0.0, 0.0)  # an unknown task, possibly of a cancelled job
     assert world.cluster.job_lifecycle.cancellation_watermark(world.now) == 0
 
 
@@ -138,9 +140,9 @@
     initial_valid_until = nodes[0].valid_until()
     for now in range(101, 112):
         sender, receiver = nodes[now % 2 == 0], nodes[now % 2]
-        known = sender.share(now * SECOND)
-        if known is not None:
-            receiver.update(known.fencing_token, now * SECOND, known.watermark_age_us, known.contact_age_us)
+        watermark = sender.share(now * SECOND)
+        if watermark is not None:
+            receiver.update(watermark.fencing_token, now * SECOND, watermark.watermark_age_us, watermark.contact_age_us)
     assert nodes[1].valid_until() <= nodes[0].valid_until() == initial_valid_until
     nodes[1].update(6, 200 * SECOND, 0, 0)  # from an earlier leader
     assert nodes[1].valid_until() <= initial_valid_until
