--- a/oatport/control/leadership/election_priority.py
+++ b/oatport/control/leadership/election_priority.py
@@ -29,7 +29,7 @@
         names = sorted([self._node_name, *self._zones])
         return names[(names.index(node_name) + 1) % len(names)]
 
-    def successor_answers(self, node_name: str, answering: Collection[str]) -> bool:
+    def is_successor_answering(self, node_name: str, answering: Collection[str]) -> bool:
         """Returns whether the successor of a node would answer the node's workers before their leases expire.
 
         `answering`: the other nodes that answer. If the successor is down too, workers wait for both nodes in turn,
@@ -42,7 +42,7 @@
 
     def backoff(self, answering: Collection[str]) -> int:
         """Returns how long (us) this node lets other candidates go first."""
-        if not self.successor_answers(self._node_name, answering):
+        if not self.is_successor_answering(self._node_name, answering):
             return BACKOFF_SUCCESSOR_DOWN
         # If the leader's zone is partitioned, workers outside the zone try the successor next. If the successor is in
         # the same zone, the two waits take 10 s of the workers' leases: with one further crash, 1,200 tasks were killed
--- a/oatport/control/leadership/lease_proxy.py
+++ b/oatport/control/leadership/lease_proxy.py
@@ -51,7 +51,9 @@
         """Creates a lease proxy that has not received a leader's answer yet."""
         return cls(LeaseRenewalLimit(settings, 0))
 
-    def update(self, fencing_token: int, requested_at: int, watermark_age_us: int, contact_age_us: int = 0) -> None:
+    def on_watermark(
+        self, fencing_token: int, requested_at: int, watermark_age_us: int, contact_age_us: int = 0
+    ) -> None:
         """Records a watermark: all cancellations confirmed more than `watermark_age_us` ago were carried out.
 
         `contact_age_us`: if another node shares the watermark, the time since that node asked the leader. The answer is
@@ -71,7 +73,7 @@
         if not self.fencing_token:
             return None
         return SharedWatermark(
-            self.fencing_token, now - self.renewal_limit.cancellations_known_at, now - self.leader_contact_at
+            self.fencing_token, now - self.renewal_limit.cancellations_read_at, now - self.leader_contact_at
         )
 
     def valid_until(self) -> int:
--- a/oatport/control/leadership/lease_renewal.py
+++ b/oatport/control/leadership/lease_renewal.py
@@ -15,13 +15,13 @@
     settings: ClusterSettings
     # Cancellation watermark (steady): all cancellations confirmed up to then were read. The value is the time at which
     # the read was *requested*.
-    cancellations_known_at: int
+    cancellations_read_at: int
 
     @property
     def until(self) -> int:
         """Returns the time (steady) until which heartbeats may be answered."""
-        return renewals_allowed_until(self.settings.workers, self.cancellations_known_at)
+        return renewals_allowed_until(self.settings.workers, self.cancellations_read_at)
 
     def on_cancellations_read(self, requested_at: int) -> None:
         """Records that all cancellations confirmed before `requested_at` (steady) were read."""
-        self.cancellations_known_at = max(self.cancellations_known_at, requested_at)
+        self.cancellations_read_at = max(self.cancellations_read_at, requested_at)
--- a/oatport/control/limits/connection_budget.py
+++ b/oatport/control/limits/connection_budget.py
@@ -39,7 +39,7 @@
         timeout = idle_connections / max(commands_per_s, MIN_COMMANDS_PER_S) * SECOND
         return round(min(MAX_IDLE_TIMEOUT, max(MIN_IDLE_TIMEOUT, timeout)))
 
-    def closes_after_response(self, open_connections: int) -> bool:
+    def should_close_after_response(self, open_connections: int) -> bool:
         """Returns whether to close a user's connection after the response, because few connections are left."""
         return open_connections > self.limit - self.concurrent_calls - RESERVED_FOR_USERS
 
--- a/oatport/control/limits/rate_limiter.py
+++ b/oatport/control/limits/rate_limiter.py
@@ -65,7 +65,7 @@
         missing = min(changes, self._burst) - self._refill(now)
         return round(missing / self.rate * SECOND) + 1 if missing > 0 else 0
 
-    def available_to_best_effort(self, now: int, changes: int) -> bool:
+    def is_available_to_best_effort(self, now: int, changes: int) -> bool:
         """Returns whether `changes` are available to the lowest priority, besides the reserve for all others."""
         # If a burst holds only a few changes, the reserve is capped so that a nearly full bucket admits one submission:
         # of a burst of 4.5, RESERVED_FROM_BEST_EFFORT_FRACTION left less than a submission needs, so that only a node
@@ -81,7 +81,7 @@
         self._refill(now)
         self._level -= changes
 
-    def request_more(self, now: int) -> None:
+    def raise_rate(self, now: int) -> None:
         """Raises the rate because demand exceeds the available tokens, unless the node was throttled recently."""
         elapsed = min(now - self._rate_raised_at, SECOND)
         self._rate_raised_at = now
--- a/oatport/control/storage/overflow_records.py
+++ b/oatport/control/storage/overflow_records.py
@@ -24,7 +24,7 @@
     return wire.DEPENDENCIES_FIELD in record["job"] or "more" in record
 
 
-def with_overflow(value: Any, parts: list[Any]) -> Any:
+def merge_overflow(value: Any, parts: list[Any]) -> Any:
     """Returns the record of a job with the lists of its overflow records (`more/`), given in order, merged in."""
     lists: dict[str, list[Any]] = {}
     for part in parts:
--- a/oatport/control/storage/schema_version.py
+++ b/oatport/control/storage/schema_version.py
@@ -31,7 +31,7 @@
     nodes: Collection[str]
     _previous_boots: dict[str, str] = field(default_factory=dict)
 
-    def on_round(self, boots: dict[str, str]) -> bool:
+    def on_poll_round(self, boots: dict[str, str]) -> bool:
         """Takes the replies of one round of requests and returns whether the gate opens.
 
         `boots`: node -> boot ID of the nodes that can read this version, including this node.
--- a/oatport/control/storage/write_buffer.py
+++ b/oatport/control/storage/write_buffer.py
@@ -14,13 +14,13 @@
     row_count,
 )
 from oatport.control.storage.keys import (
-    BLOCKED,
-    CHUNK_TASKS,
-    FLEET,
-    GROUP_MACHINES,
-    JOBS,
-    LIVE,
+    BLOCKED_PREFIX,
+    FLEET_PREFIX,
+    JOBS_PREFIX,
+    LIVE_PREFIX,
+    MACHINES_PER_GROUP,
     MODEL_KEY,
+    TASKS_PER_CHUNK,
     blocked_key,
     cancel_key,
     chunk_key,
@@ -46,7 +46,7 @@
         # Keys whose stored record covers more tasks or machines than the current layout allows -> end of its range.
         self.oversized_records: dict[str, int] = {}
         # The value limit was lowered, but not all nodes can read parts yet: larger records are not written.
-        self.value_limit_lowered = False
+        self.is_value_limit_lowered = False
         self._withheld_keys: dict[str, None] = {}  # keys of records that exceed the lowered limit
         # Keys with a single record of their kind -> function that returns the value to write.
         self.singleton_records: dict[str, Callable[[], dict[str, Any]]] = {MODEL_KEY: cluster.predictor.record}
@@ -74,7 +74,7 @@
 
     def task_record_keys(self, job: Job, index: int) -> set[str]:
         """Returns the key of a task's record, and the key that it had before all nodes could read parts."""
-        return {self.layout.task_key(job, index), chunk_key(job.job_id, index // CHUNK_TASKS)}
+        return {self.layout.task_key(job, index), chunk_key(job.job_id, index // TASKS_PER_CHUNK)}
 
     def is_unwritten(self, job: Job, index: int) -> bool:
         """Returns whether a task's state may not be recorded yet: a record of the task is still to be written."""
@@ -91,7 +91,7 @@
             self.urgent_keys[key] = 0
         else:
             self.dirty_keys[key] = None
-        main_key = group_key(machine.number // GROUP_MACHINES)
+        main_key = group_key(machine.number // MACHINES_PER_GROUP)
         if main_key in self.oversized_records:
             self.dirty_keys[main_key] = None  # otherwise a machine that is gone would remain in it
 
@@ -103,10 +103,10 @@
     def job_keys(self, job: Job) -> list[str]:
         """Returns all keys that a job may have: the blocked record first, then the head record."""
         heads = [blocked_key(job.job_id), live_key(job.job_id), cancel_key(job.job_id)]
-        chunks = (job.next_untouched + CHUNK_TASKS - 1) // CHUNK_TASKS if job.next_untouched else 0
+        chunks = (job.next_unbound_index + TASKS_PER_CHUNK - 1) // TASKS_PER_CHUNK if job.next_unbound_index else 0
         keys = dict.fromkeys([*heads, *(chunk_key(job.job_id, c) for c in range(1, chunks))])
-        if self.layout.splits_records:
-            keys |= dict.fromkeys(self.layout.task_keys(job, 0, job.next_untouched))
+        if self.layout.should_split_records:
+            keys |= dict.fromkeys(self.layout.task_keys(job, 0, job.next_unbound_index))
         return list(keys)
 
     def forget_job(self, job: Job) -> None:
@@ -124,11 +124,11 @@
 
     def update_oversized_records(self, key: str, value: Any) -> None:
         """Tracks whether a stored record covers more tasks or machines than the current layout allows."""
-        if key.startswith(FLEET):
+        if key.startswith(FLEET_PREFIX):
             low, high = self.layout.fleet_span(key)
             is_oversized = fleet_span(value) > high - low
-            end = low + GROUP_MACHINES
-        elif key.startswith(LIVE) and has_tasks(value):
+            end = low + MACHINES_PER_GROUP
+        elif key.startswith(LIVE_PREFIX) and has_tasks(value):
             job_id, low = first_task(key)
             job = self.cluster.jobs.get(job_id)
             end = low + row_count(value)
@@ -142,7 +142,7 @@
 
     def enable_record_parts(self) -> None:
         """Starts writing chunks and groups in parts, once all nodes can read them."""
-        if self.layout.splits_records:
+        if self.layout.should_split_records:
             return
         pending_ranks: dict[str, int | None] = {
             **dict.fromkeys(self._withheld_keys),
@@ -150,8 +150,8 @@
             **self.urgent_keys,
         }
         self._withheld_keys.clear()
-        self.value_limit_lowered = False
-        self.layout.splits_records = True
+        self.is_value_limit_lowered = False
+        self.layout.should_split_records = True
         self._mark_oversized_records()
         for key, rank in pending_ranks.items():
             for part in self._current_keys_of(key):
@@ -163,24 +163,27 @@
 
     def _mark_oversized_records(self) -> None:
         for job in self.cluster.jobs.values():
-            for low in range(0, job.next_untouched, CHUNK_TASKS):
-                key, end = chunk_key(job.job_id, low // CHUNK_TASKS), min(low + CHUNK_TASKS, job.next_untouched)
+            for low in range(0, job.next_unbound_index, TASKS_PER_CHUNK):
+                key, end = (
+                    chunk_key(job.job_id, low // TASKS_PER_CHUNK),
+                    min(low + TASKS_PER_CHUNK, job.next_unbound_index),
+                )
                 if self.versions.get(key) and end > self.layout.task_span(job, key)[1]:
                     self.oversized_records[key] = end
-        if self.layout.machines_per_part < GROUP_MACHINES:
+        if self.layout.machines_per_part < MACHINES_PER_GROUP:
             self.oversized_records |= {
-                key: first_machine(key)[1] + GROUP_MACHINES for key in self.versions if key.startswith(FLEET)
+                key: first_machine(key)[1] + MACHINES_PER_GROUP for key in self.versions if key.startswith(FLEET_PREFIX)
             }
 
-    def _current_keys_of(self, key: str, rows: int = CHUNK_TASKS) -> list[str]:
+    def _current_keys_of(self, key: str, rows: int = TASKS_PER_CHUNK) -> list[str]:
         """Returns the keys that now hold the contents of a key, which may date from before parts were written."""
-        if key.startswith(FLEET):
+        if key.startswith(FLEET_PREFIX):
             return list(self.layout.fleet_keys(key))
-        if not key.startswith(LIVE):
+        if not key.startswith(LIVE_PREFIX):
             return [key]
         job_id, low = first_task(key)
         job = self.cluster.jobs.get(job_id)
-        return [] if job is None else [key, *self.layout.task_keys(job, low, min(low + rows, job.next_untouched))]
+        return [] if job is None else [key, *self.layout.task_keys(job, low, min(low + rows, job.next_unbound_index))]
 
     def has_writes(self) -> bool:
         """Returns whether there are pending writes."""
@@ -233,7 +236,7 @@
 
     def withhold_if_too_large(self, key: str, value: Any) -> bool:
         """Withholds a record that exceeds the value limit until records can be split; returns whether it does so."""
-        if self.value_limit_lowered and json_size(value) > self.layout.max_value_bytes:
+        if self.is_value_limit_lowered and json_size(value) > self.layout.max_value_bytes:
             self._withheld_keys[key] = None
             return True
         return False
@@ -246,11 +249,11 @@
         for key in batch.deletes:
             self.versions.pop(key, None)
         for key, value in batch.sets.items():
-            if key.startswith(JOBS):
+            if key.startswith(JOBS_PREFIX):
                 continue
             self.versions[key] = revision
             self.update_oversized_records(key, value)
-            if key.startswith(FLEET):
+            if key.startswith(FLEET_PREFIX):
                 self._on_machines_persisted(decode_fleet(value))
         for task, attempt, machine in batch.bindings:
             # A binding that was withdrawn and replaced meanwhile is not the one that was written.
@@ -287,7 +290,7 @@
         for job in batch.cancelled_jobs:
             self.jobs_to_cancel[job.job_id] = job
         bound_ranks = {self.layout.task_key(t.job, t.index): t.job.priority_rank for t, _, _ in batch.bindings}
-        written = [(key, row_count(value)) for key, value in batch.sets.items() if not key.startswith(JOBS)]
+        written = [(key, row_count(value)) for key, value in batch.sets.items() if not key.startswith(JOBS_PREFIX)]
         parts = [part for key, rows in written for part in self._current_keys_of(key, rows)]
         for key in dict.fromkeys([*bound_ranks, *parts]):
             if key in bound_ranks:
@@ -300,9 +303,9 @@
     def _restore_deletes(self, batch: WriteBatch) -> None:
         finished_keys = {key for job in batch.finished_jobs for key in self.job_keys(job)}
         for key in batch.deletes:
-            if key.startswith((FLEET, MODEL_KEY)):
+            if key.startswith((FLEET_PREFIX, MODEL_KEY)):
                 self.dirty_keys[key] = None
-            elif key.startswith(BLOCKED) and key[len(BLOCKED) :] in self.cluster.jobs:
+            elif key.startswith(BLOCKED_PREFIX) and key[len(BLOCKED_PREFIX) :] in self.cluster.jobs:
                 continue  # deleted with the next attempt to write the first binding
             elif key not in finished_keys:
                 self.orphaned_keys.append(key)
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -12,7 +12,7 @@
 from oatport.clients.http import RequestRefusedError
 from oatport.clients.state import Applied
 from oatport.control.limits.rate_limiter import MAX_RETRY_AFTER_S, AdaptiveRateLimiter
-from oatport.control.storage.keys import ACCEPT_KEYS
+from oatport.control.storage.keys import KEYS_PER_ACCEPTED_JOB
 from oatport.times import MS, SECOND
 
 
@@ -51,16 +51,16 @@
         waiting = [row for row in waiting if row[0] > now]
         for _, number in due:
             limiter = limiters[number % live_nodes]
-            if limiter.wait_us(now, ACCEPT_KEYS):
-                limiter.request_more(now)
-            elif limit.take(now, ACCEPT_KEYS):
-                limiter.consume(now, ACCEPT_KEYS)
+            if limiter.wait_us(now, KEYS_PER_ACCEPTED_JOB):
+                limiter.raise_rate(now)
+            elif limit.take(now, KEYS_PER_ACCEPTED_JOB):
+                limiter.consume(now, KEYS_PER_ACCEPTED_JOB)
                 accepted.append(now)
                 continue
             else:
-                limiter.consume(now, ACCEPT_KEYS)
+                limiter.consume(now, KEYS_PER_ACCEPTED_JOB)
                 limiter.on_throttled(now)
-            waiting.append((now + limiter.retry_after_s(now, ACCEPT_KEYS) * SECOND, number))
+            waiting.append((now + limiter.retry_after_s(now, KEYS_PER_ACCEPTED_JOB) * SECOND, number))
     assert not waiting
     return accepted
 
@@ -85,22 +85,22 @@
     limiter = AdaptiveRateLimiter(60.0, 3)
     node_share = limiter.rate
     for second in range(1, 4):
-        limiter.request_more(second * SECOND)
+        limiter.raise_rate(second * SECOND)
     assert limiter.rate > node_share
     for second in range(4, 9):
         limiter.on_throttled(second * SECOND)
         assert limiter.rate == node_share
-        assert not limiter.wait_us(second * SECOND, ACCEPT_KEYS)
+        assert not limiter.wait_us(second * SECOND, KEYS_PER_ACCEPTED_JOB)
 
 
 def test_retry_times_are_spread_and_bounded() -> None:
     limiter = AdaptiveRateLimiter(60.0, 3)
-    retry_times = [limiter.retry_after_s(0, ACCEPT_KEYS) for _ in range(400)]
+    retry_times = [limiter.retry_after_s(0, KEYS_PER_ACCEPTED_JOB) for _ in range(400)]
     assert retry_times[0] == 1
     assert max(retry_times) <= MAX_RETRY_AFTER_S
     assert max(retry_times.count(second) for second in set(retry_times)) <= 70
     assert retry_times[:80] == sorted(retry_times[:80])
-    assert limiter.retry_after_s(100 * SECOND, ACCEPT_KEYS) == 1  # long after the burst
+    assert limiter.retry_after_s(100 * SECOND, KEYS_PER_ACCEPTED_JOB) == 1  # long after the burst
 
 
 async def test_a_refused_batch_is_not_retried_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -120,7 +120,7 @@
     assert (await batcher.submit("j-000001", {"job": {}})).outcome is not SubmitOutcome.CREATED
     assert batcher.is_throttled()  # no failure of the state service: the user gets a retry time
     assert batcher.retry_after_s() >= 1
-    assert change_counts == [ACCEPT_KEYS]
+    assert change_counts == [KEYS_PER_ACCEPTED_JOB]
     now[0] += 2 * SECOND
     assert not batcher.is_throttled()
     assert (await batcher.submit("j-000001", {"job": {}})).outcome is SubmitOutcome.CREATED
--- a/tests/test_schema_versions.py
+++ b/tests/test_schema_versions.py
@@ -12,21 +12,21 @@
 from oatport.control.state.job import Job
 from oatport.control.state.task import TaskPhase
 from oatport.control.storage.job_records import encode_job, encode_submission
-from oatport.control.storage.keys import FLEET, LIVE, SCHEMA_VERSION_KEY, blocked_key, live_key
-from oatport.control.storage.overflow_records import is_accepted_as_blocked, split_overflow, with_overflow
+from oatport.control.storage.keys import FLEET_PREFIX, LIVE_PREFIX, SCHEMA_VERSION_KEY, blocked_key, live_key
+from oatport.control.storage.overflow_records import is_accepted_as_blocked, merge_overflow, split_overflow
 from oatport.control.storage.record_layout import RecordLayout
 from oatport.control.storage.schema_version import SCHEMA_VERSION, SchemaVersionGate
 from oatport.control.storage.write_batch import WriteBatch
 from oatport.peer_codec import MalformedReplyError, PeerArray, decode_reply
 from oatport.peer_messages import SchemaVersionReply, SchemaVersionRequest
-from oatport.service.catalog import RecordedCatalog, read_types, type_values, write_types
+from oatport.service.catalog import RecordedCatalog, catalog_values, read_catalog, write_catalog
 from oatport.service.leader import Leader
-from oatport.service.schema_version_controller import current_boots
+from oatport.service.schema_version_controller import compatible_boots
 from oatport.settings import NextLimits, StateLimits, Team
 from oatport.simulation.state_service import KeyStore
 from oatport.sizes import json_size
 from oatport.times import SECOND
-from tests.cluster_fixture import FakeStateClient, World, job
+from tests.cluster_fixture import ClusterHarness, FakeStateClient, job
 from tests.test_node_failures import FakePeer, leader
 
 STATE_LIMITS = StateLimits(
@@ -35,122 +35,125 @@
 UNLIMITED_TEAM = [Team("crew")]
 
 
-def make_world(machines: int, *, gate_open: bool) -> World:
-    world = World(UNLIMITED_TEAM, STATE_LIMITS)
+def make_world(machines: int, *, gate_open: bool) -> ClusterHarness:
+    harness = ClusterHarness(UNLIMITED_TEAM, STATE_LIMITS)
     if gate_open:
-        world.state.commit({"if": [], "then": [{"set": SCHEMA_VERSION_KEY, "value": {"reads": SCHEMA_VERSION}}]})
-        world.fail_over()
+        harness.state.commit({"if": [], "then": [{"set": SCHEMA_VERSION_KEY, "value": {"reads": SCHEMA_VERSION}}]})
+        harness.fail_over()
     for number in range(1, machines + 1):
-        world.machine(number, zone="ab"[number % 2])
-    world.settle(3)
-    return world
+        harness.machine(number, zone="ab"[number % 2])
+    harness.settle(3)
+    return harness
 
 
-def lower_limits(world: World) -> None:
+def lower_limits(harness: ClusterHarness) -> None:
     """Lowers the limits; existing records remain as they are."""
-    world.state.value_limit, world.state.ops_limit = 2048, 4
+    harness.state.value_limit, harness.state.ops_limit = 2048, 4
 
 
-def open_gate_and_lower_limits(world: World) -> None:
+def open_gate_and_lower_limits(harness: ClusterHarness) -> None:
     """Opens the gate, as if all nodes had answered, and then lowers the limits."""
-    world.state.commit({"if": [], "then": [{"set": SCHEMA_VERSION_KEY, "value": {"reads": SCHEMA_VERSION}}]})
-    world.cluster.writes.enable_record_parts()
-    lower_limits(world)
+    harness.state.commit({"if": [], "then": [{"set": SCHEMA_VERSION_KEY, "value": {"reads": SCHEMA_VERSION}}]})
+    harness.cluster.writes.enable_record_parts()
+    lower_limits(harness)
 
 
-def task_placements(world: World, ref: str) -> dict[int, tuple[int, str | None]]:
-    return {i: (t.attempt, t.machine.name if t.machine else None) for i, t in world.cluster.jobs[ref].tasks.items()}
+def task_placements(harness: ClusterHarness, ref: str) -> dict[int, tuple[int, str | None]]:
+    return {i: (t.attempt, t.machine.name if t.machine else None) for i, t in harness.cluster.jobs[ref].tasks.items()}
 
 
 def test_every_record_fits_the_next_limits() -> None:
-    world = make_world(130, gate_open=True)
-    lower_limits(world)
-    ref = world.submit(legs=250, voyageS=50.0)
-    world.settle(6)
-    assert len(world.live(ref)) == 250
-    parts = [key for key in world.state.items if key.startswith(f"{LIVE}{ref}")]
+    harness = make_world(130, gate_open=True)
+    lower_limits(harness)
+    ref = harness.submit(legs=250, voyageS=50.0)
+    harness.settle(6)
+    assert len(harness.task_locations(ref)) == 250
+    parts = [key for key in harness.state.items if key.startswith(f"{LIVE_PREFIX}{ref}")]
     assert len(parts) == 5
-    assert len([key for key in world.state.items if key.startswith(FLEET)]) == 10
-    assert max(json_size(value) for value, _, _ in world.state.items.values()) <= 2048
-    placements = task_placements(world, ref)
-    world.fail_over()
-    assert task_placements(world, ref) == placements
-    assert len(world.cluster.machines) == 130
-    world.settle(60)
-    assert world.record(ref) == wire.JobStatus.COMPLETED
-    assert not [key for key in world.state.items if key.startswith(LIVE)]
+    assert len([key for key in harness.state.items if key.startswith(FLEET_PREFIX)]) == 10
+    assert max(json_size(value) for value, _, _ in harness.state.items.values()) <= 2048
+    placements = task_placements(harness, ref)
+    harness.fail_over()
+    assert task_placements(harness, ref) == placements
+    assert len(harness.cluster.machines) == 130
+    harness.settle(60)
+    assert harness.record(ref) == wire.JobStatus.COMPLETED
+    assert not [key for key in harness.state.items if key.startswith(LIVE_PREFIX)]
 
 
 def test_an_oversized_record_of_an_earlier_version_is_split_when_it_is_rewritten() -> None:
-    world = make_world(130, gate_open=False)
-    ref = world.submit(legs=250, voyageS=50.0)
-    world.settle(6)
-    assert {len(value["t"]) for key, (value, _, _) in world.state.items.items() if key.startswith(LIVE)} == {100, 50}
-    assert len([key for key in world.state.items if key.startswith(FLEET)]) == 4
-    open_gate_and_lower_limits(world)
-    placements = task_placements(world, ref)
+    harness = make_world(130, gate_open=False)
+    ref = harness.submit(legs=250, voyageS=50.0)
+    harness.settle(6)
+    assert {len(value["t"]) for key, (value, _, _) in harness.state.items.items() if key.startswith(LIVE_PREFIX)} == {
+        100,
+        50,
+    }
+    assert len([key for key in harness.state.items if key.startswith(FLEET_PREFIX)]) == 4
+    open_gate_and_lower_limits(harness)
+    placements = task_placements(harness, ref)
     for number in (3, 40, 41, 77, 125):  # their tasks start elsewhere, with new attempt numbers
-        world.released(f"vm-{number:06d}")
-    world.machine(500)
-    world.settle(4)
-    assert len(world.live(ref)) == 250
-    new_placements = task_placements(world, ref)
+        harness.confirm_release(f"vm-{number:06d}")
+    harness.machine(500)
+    harness.settle(4)
+    assert len(harness.task_locations(ref)) == 250
+    new_placements = task_placements(harness, ref)
     assert new_placements != placements
-    world.fail_over()
-    assert task_placements(world, ref) == new_placements
-    assert len(world.cluster.machines) == 126
-    world.settle(120)
-    assert world.record(ref) == wire.JobStatus.COMPLETED
-    assert not [key for key in world.state.items if key.startswith(LIVE)]
+    harness.fail_over()
+    assert task_placements(harness, ref) == new_placements
+    assert len(harness.cluster.machines) == 126
+    harness.settle(120)
+    assert harness.record(ref) == wire.JobStatus.COMPLETED
+    assert not [key for key in harness.state.items if key.startswith(LIVE_PREFIX)]
 
 
 @pytest.mark.parametrize("seed", range(12))
 def test_a_new_leader_loads_all_committed_bindings_after_any_transaction(seed: int) -> None:
     """Oversized records, parts beside them, and rewritten smaller records, in any order that batches can produce."""
     rng = random.Random(seed)
-    world = make_world(70, gate_open=False)
-    refs = [world.submit(legs=rng.choice([60, 90, 120]), cores=1.0, voyageS=rng.uniform(20, 60)) for _ in range(3)]
-    world.settle(4)
-    open_gate_and_lower_limits(world)
+    harness = make_world(70, gate_open=False)
+    refs = [harness.submit(legs=rng.choice([60, 90, 120]), cores=1.0, voyageS=rng.uniform(20, 60)) for _ in range(3)]
+    harness.settle(4)
+    open_gate_and_lower_limits(harness)
     for step in range(12):
-        gone = rng.choice(sorted(world.cluster.machines))
-        world.released(gone)
+        gone = rng.choice(sorted(harness.cluster.machines))
+        harness.confirm_release(gone)
         for ref in refs:
-            for task in list(world.cluster.jobs[ref].tasks.values()) if ref in world.cluster.jobs else []:
+            for task in list(harness.cluster.jobs[ref].tasks.values()) if ref in harness.cluster.jobs else []:
                 if rng.random() < 0.05 and task.phase is TaskPhase.BOUND:
-                    world.cluster.tasks.stop(task, 0.0)
-        world.plan()
-        if world.cluster.writes.has_writes():
-            batch = world.cluster.writes.take_batch(rng.choice([2, 3, 4]))
+                    harness.cluster.tasks.stop(task, 0.0)
+        harness.plan()
+        if harness.cluster.writes.has_writes():
+            batch = harness.cluster.writes.take_batch(rng.choice([2, 3, 4]))
             if batch.operation_count:
-                status, value = world.state.commit(world.transaction(batch))
+                status, value = harness.state.commit(harness.transaction(batch))
                 assert status == 200, value
-                world.cluster.writes.committed(batch, value["ledgerRev"], world.now)
+                harness.cluster.writes.committed(batch, value["ledgerRev"], harness.now)
         bound = {
             ref: {
                 i: row
-                for i, row in task_placements(world, ref).items()
-                if world.cluster.jobs[ref].tasks[i].phase is TaskPhase.BOUND
+                for i, row in task_placements(harness, ref).items()
+                if harness.cluster.jobs[ref].tasks[i].phase is TaskPhase.BOUND
             }
             for ref in refs
-            if ref in world.cluster.jobs
+            if ref in harness.cluster.jobs
         }
-        world.fail_over()
+        harness.fail_over()
         for ref, rows in bound.items():
-            after = task_placements(world, ref)
+            after = task_placements(harness, ref)
             # A machine that is gone may still be recorded; no placed task may be missing.
             assert all(after.get(i) == row for i, row in rows.items()), (seed, step, ref)
-        world.settle(1)
-    world.settle(150)
-    assert {world.record(ref) for ref in refs} == {wire.JobStatus.COMPLETED}
+        harness.settle(1)
+    harness.settle(150)
+    assert {harness.record(ref) for ref in refs} == {wire.JobStatus.COMPLETED}
 
 
 def test_a_head_record_without_space_holds_no_tasks() -> None:
-    layout = RecordLayout(2048, 1, splits_records=True)
+    layout = RecordLayout(2048, 1, should_split_records=True)
     large = Job(
         "j-1", wire.decode_submission(job("j-1", legs=300, berthKinds=[f"kind-{i:020d}" for i in range(60)])), 1, 0
     )
-    assert layout.head_tasks(large) == 0
+    assert layout.tasks_in_head_record(large) == 0
     keys = list(layout.task_keys(large, 0, 300))
     assert keys[0] == "live/j-1/0000.00"
     assert "live/j-1/0001" in keys
@@ -160,7 +163,7 @@
 
 
 def test_records_are_not_split_if_they_fit_the_limits() -> None:
-    layout = RecordLayout(8192, 10, splits_records=True)
+    layout = RecordLayout(8192, 10, should_split_records=True)
     small = Job("j-1", wire.decode_submission(job("j-1", legs=300)), 1, 0)
     assert list(layout.task_keys(small, 0, 300)) == ["live/j-1", "live/j-1/0001", "live/j-1/0002"]
     assert list(layout.fleet_keys("fleet/000003")) == ["fleet/000003"]
@@ -171,7 +174,7 @@
     record, parts = split_overflow(encode_submission(spec, 5, wire.JobStatus.QUEUED), 2048)
     assert json_size(record) <= 2048 - 300
     assert all(json_size(part) <= 2048 for part in parts)
-    assert with_overflow(record, parts)["job"]["waitsOn"] == spec.dependencies
+    assert merge_overflow(record, parts)["job"]["waitsOn"] == spec.dependencies
     assert split_overflow(encode_submission(spec, 5, wire.JobStatus.QUEUED), 32 * 1024)[1] == []
 
 
@@ -212,12 +215,12 @@
             ]
         }
     )
-    assert max(map(json_size, type_values(kinds.values(), 2048))) <= 2048
+    assert max(map(json_size, catalog_values(kinds.values(), 2048))) <= 2048
     state = KeyStore(lambda: 0, 2048, 4)
     token = state.commit({"if": [], "then": [{"set": "leader", "value": {}}]})[1]["ledgerRev"]
     client: Any = FakeStateClient(state)
-    await write_types(client, token, RecordedCatalog(kinds, 0), 2048)
-    found = await read_types(client)
+    await write_catalog(client, token, RecordedCatalog(kinds, 0), 2048)
+    found = await read_catalog(client)
     assert found is not None
     assert found.types == kinds
 
@@ -238,15 +241,15 @@
             replies.append(decode_reply(row, SchemaVersionReply.decode_reply))
         except MalformedReplyError as error:
             replies.append(error)
-    return current_boots(replies)
+    return compatible_boots(replies)
 
 
 def test_the_gate_opens_after_two_rounds_with_replies_from_the_same_processes_of_all_nodes() -> None:
     gate = SchemaVersionGate(["n0", "n1"])
     both = [version_reply("n0", "a"), version_reply("n1", "b")]
-    assert not gate.on_round(decode_boots(both))
-    assert gate.on_round(decode_boots(both))
-    assert not SchemaVersionGate(["n0", "n1"]).on_round(decode_boots([*both, version_reply("n0", "a")]))
+    assert not gate.on_poll_round(decode_boots(both))
+    assert gate.on_poll_round(decode_boots(both))
+    assert not SchemaVersionGate(["n0", "n1"]).on_poll_round(decode_boots([*both, version_reply("n0", "a")]))
 
 
 @pytest.mark.parametrize(
@@ -262,9 +265,12 @@
 )
 def test_the_gate_stays_closed_if_a_node_is_silent_restarted_or_older(second: list[Any]) -> None:
     gate = SchemaVersionGate(["n0", "n1"])
-    gate.on_round(decode_boots([version_reply("n0", "a"), version_reply("n1", "b")]))
-    assert not gate.on_round(decode_boots(second))
-    assert not gate.on_round(decode_boots([version_reply("n0", "a"), version_reply("n1", "c")])) or second[-1][2] == "c"
+    gate.on_poll_round(decode_boots([version_reply("n0", "a"), version_reply("n1", "b")]))
+    assert not gate.on_poll_round(decode_boots(second))
+    assert (
+        not gate.on_poll_round(decode_boots([version_reply("n0", "a"), version_reply("n1", "c")]))
+        or second[-1][2] == "c"
+    )
 
 
 async def run_poll_rounds(lead: Leader, times: int) -> None:
@@ -273,7 +279,7 @@
         own = SchemaVersionReply(lead.node.node_name, lead.node.boot_id, SCHEMA_VERSION)
         peers = lead.node.peers.values()
         replies = [await peer.ask(SchemaVersionRequest(), SchemaVersionReply.decode_reply) for peer in peers]
-        if gate.on_round(current_boots([own, *replies])):
+        if gate.on_poll_round(compatible_boots([own, *replies])):
             await lead.schema_version_controller.open_gate(gate)
 
 
@@ -283,52 +289,52 @@
     home.peers["n1"] = FakePeer(version_reply("n1", "b"))
     await run_poll_rounds(lead, 1)
     assert SCHEMA_VERSION_KEY not in state.items
-    assert not lead.cluster.writes.layout.splits_records
+    assert not lead.cluster.writes.layout.should_split_records
     client.faults = ["lose"]
     with pytest.raises(Exception, match="lose"):
         await run_poll_rounds(lead, 2)  # the outcome is unknown: the gate counts as closed
-    assert not lead.cluster.writes.layout.splits_records
+    assert not lead.cluster.writes.layout.should_split_records
     await run_poll_rounds(lead, 2)
-    assert lead.cluster.writes.layout.splits_records
+    assert lead.cluster.writes.layout.should_split_records
     assert state.items[SCHEMA_VERSION_KEY][0]["reads"] == SCHEMA_VERSION
     second, _, other = leader(state)
     other.peers["n1"] = FakePeer(version_reply("n1", "b"))
     await run_poll_rounds(lead, 2)  # it no longer leads, and finds the record
     await run_poll_rounds(second, 2)
-    assert second.cluster.writes.layout.splits_records
+    assert second.cluster.writes.layout.should_split_records
 
 
 async def test_a_record_refused_for_its_size_before_the_gate_opens_is_not_retried() -> None:
     """The limits are lowered while a node is down. The refusal once was an error that deposed leader after leader."""
-    world = World(UNLIMITED_TEAM, STATE_LIMITS)
+    harness = ClusterHarness(UNLIMITED_TEAM, STATE_LIMITS)
     for number in range(1, 61):
-        world.machine(number)
-    world.settle(3)
-    ref = world.submit(legs=100, voyageS=50.0, hull="img-" + 100 * "x")
-    small = world.submit(legs=2, voyageS=5.0)
-    world.plan()
-    lower_limits(world)
-    lead, _, home = leader(world.state)
-    lead.cluster = lead.commits.cluster = world.cluster
-    world.cluster.fencing_token = lead.token
-    refused = world.cluster.writes.take_batch(4)
+        harness.machine(number)
+    harness.settle(3)
+    ref = harness.submit(legs=100, voyageS=50.0, hull="img-" + 100 * "x")
+    small = harness.submit(legs=2, voyageS=5.0)
+    harness.plan()
+    lower_limits(harness)
+    lead, _, home = leader(harness.state)
+    lead.cluster = lead.commits.cluster = harness.cluster
+    harness.cluster.fencing_token = lead.token
+    refused = harness.cluster.writes.take_batch(4)
     assert max(json_size(value) for value in refused.sets.values()) > 2048
-    world.state.commit = _fail_on_repeated_refusal(world.state.commit)  # type: ignore[method-assign]
+    harness.state.commit = _fail_on_repeated_refusal(harness.state.commit)  # type: ignore[method-assign]
     await lead.commits.commit(refused)
     assert not home.lost
-    assert world.cluster.writes.value_limit_lowered
+    assert harness.cluster.writes.is_value_limit_lowered
     for _ in range(20):
-        batch = world.cluster.writes.take_batch(4)
+        batch = harness.cluster.writes.take_batch(4)
         if batch.operation_count:
             await lead.commits.commit(batch)
     assert not home.lost
-    assert live_key(small) in world.state.items
-    assert "t" in world.state.items[live_key(small)][0]
-    assert "t" not in world.state.items[live_key(ref)][0]
-    world.cluster.writes.enable_record_parts()
-    world.commit()
-    assert len(world.state.items[live_key(ref)][0]["t"]) < 100
-    assert any(key.startswith(f"{LIVE}{ref}/0000.") for key in world.state.items)
+    assert live_key(small) in harness.state.items
+    assert "t" in harness.state.items[live_key(small)][0]
+    assert "t" not in harness.state.items[live_key(ref)][0]
+    harness.cluster.writes.enable_record_parts()
+    harness.commit()
+    assert len(harness.state.items[live_key(ref)][0]["t"]) < 100
+    assert any(key.startswith(f"{LIVE_PREFIX}{ref}/0000.") for key in harness.state.items)
 
 
 def _fail_on_repeated_refusal(commit: Any) -> Any:
@@ -344,23 +350,23 @@
 
 def test_a_batch_contains_the_records_of_all_its_bindings() -> None:
     """A part that is written before its main record includes its own bindings."""
-    world = make_world(60, gate_open=False)
-    world.submit(legs=100, voyageS=50.0)
-    world.settle(3)
-    world.cluster.writes.enable_record_parts()
-    job_ = next(iter(world.cluster.jobs.values()))
+    harness = make_world(60, gate_open=False)
+    harness.submit(legs=100, voyageS=50.0)
+    harness.settle(3)
+    harness.cluster.writes.enable_record_parts()
+    job_ = next(iter(harness.cluster.jobs.values()))
     for index in (5, 95):
         task = job_.tasks[index]
-        world.cluster.tasks.requeue(task, lost=True)
-    world.plan()
+        harness.cluster.tasks.requeue(task, lost=True)
+    harness.plan()
     batch = WriteBatch()
-    while world.cluster.writes.has_urgent_writes():
-        batch = world.cluster.writes.take_batch(4)
-        held = {key for key in batch.sets if key.startswith(LIVE)}
-        assert {world.cluster.writes.layout.task_key(t.job, t.index) for t, _, _ in batch.bindings} <= held
-        status, value = world.state.commit(world.transaction(batch))
+    while harness.cluster.writes.has_urgent_writes():
+        batch = harness.cluster.writes.take_batch(4)
+        held = {key for key in batch.sets if key.startswith(LIVE_PREFIX)}
+        assert {harness.cluster.writes.layout.task_key(t.job, t.index) for t, _, _ in batch.bindings} <= held
+        status, value = harness.state.commit(harness.transaction(batch))
         assert status == 200, value
-        world.cluster.writes.committed(batch, value["ledgerRev"], world.now)
+        harness.cluster.writes.committed(batch, value["ledgerRev"], harness.now)
     assert all(job_.tasks[i].phase is TaskPhase.BOUND for i in (5, 95))
 
 
@@ -375,7 +381,7 @@
     assert is_accepted_as_blocked(record)
     assert not is_accepted_as_blocked(encode_submission(wire.decode_submission(job()), 5, wire.JobStatus.QUEUED))
     lead, _, _ = leader(KeyStore(lambda: 0))
-    lead.job_watch.admit("j-000001", with_overflow(record, parts), 7)
+    lead.job_watch.admit("j-000001", merge_overflow(record, parts), 7)
     taken = lead.cluster.jobs["j-000001"]
     assert taken.spec == spec
     assert taken in lead.cluster.pending
--- a/tests/test_zone_partitions.py
+++ b/tests/test_zone_partitions.py
@@ -24,7 +24,7 @@
 from oatport.simulation.state_service import KeyStore
 from oatport.simulation.worker import Worker
 from oatport.times import SECOND, steady
-from tests.cluster_fixture import FakeStateClient, World, cluster_settings, node_settings
+from tests.cluster_fixture import ClusterHarness, FakeStateClient, cluster_settings, node_settings
 from tests.test_node_failures import FakeLeadingNode, FakePeer, leader, peer_reply
 
 
@@ -38,7 +38,7 @@
 
 def lease_proxy(contact_at: int = 100 * SECOND, age: int = 0) -> LeaseProxy:
     proxy = LeaseProxy.create(SETTINGS)
-    proxy.update(7, contact_at, age)
+    proxy.on_watermark(7, contact_at, age)
     return proxy
 
 
@@ -60,30 +60,32 @@
 def test_an_older_cancellation_watermark_ends_a_lease_proxy_earlier() -> None:
     recent, older = lease_proxy(), lease_proxy(age=9 * SECOND)
     assert recent.valid_until() - older.valid_until() >= 9 * SECOND
-    older.update(7, 101 * SECOND, -1)  # no valid watermark
+    older.on_watermark(7, 101 * SECOND, -1)  # no valid watermark
     assert older.leader_contact_at == 100 * SECOND
-    recent.update(6, 200 * SECOND, 0)  # an earlier leader that has not noticed the new one
+    recent.on_watermark(6, 200 * SECOND, 0)  # an earlier leader that has not noticed the new one
     assert recent.valid_until() == lease_proxy().valid_until()
 
 
 def test_the_cancellation_watermark_waits_until_tasks_are_proven_gone() -> None:
-    world = World()
-    worker = world.machine(1)
-    ref = world.submit(rig="standing", legs=1, driftwood=False)
-    world.settle()
-    known_at = world.now
-    assert world.cluster.job_lifecycle.cancellation_watermark(known_at) == known_at
-    world.cancel(ref, tell=False)
-    world.cluster.job_lifecycle.cancel(ref, 0, known_at - SECOND)
-    world.refused.add(worker.name)
-    world.step(3.0)
-    assert world.cluster.job_lifecycle.cancellation_watermark(world.now) == known_at - SECOND  # the machine is silent
-    world.refused.clear()
-    world.settle()
-    assert world.cluster.job_lifecycle.cancellation_watermark(world.now) == world.now
-    machine_state = world.cluster.machines[worker.name]
+    harness = ClusterHarness()
+    worker = harness.machine(1)
+    ref = harness.submit(rig="standing", legs=1, driftwood=False)
+    harness.settle()
+    known_at = harness.now
+    assert harness.cluster.job_lifecycle.cancellation_watermark(known_at) == known_at
+    harness.cancel(ref, notify_leader=False)
+    harness.cluster.job_lifecycle.cancel(ref, 0, known_at - SECOND)
+    harness.unreachable_machines.add(worker.name)
+    harness.step(3.0)
+    assert (
+        harness.cluster.job_lifecycle.cancellation_watermark(harness.now) == known_at - SECOND
+    )  # the machine is silent
+    harness.unreachable_machines.clear()
+    harness.settle()
+    assert harness.cluster.job_lifecycle.cancellation_watermark(harness.now) == harness.now
+    machine_state = harness.cluster.machines[worker.name]
     machine_state.orphaned_attempts[("j-999999/0", 1)] = (0.0, 0.0, 0.0)  # an unknown task, possibly of a cancelled job
-    assert world.cluster.job_lifecycle.cancellation_watermark(world.now) == 0
+    assert harness.cluster.job_lifecycle.cancellation_watermark(harness.now) == 0
 
 
 async def test_a_lease_proxy_renews_leases_and_starts_nothing(state: KeyStore) -> None:
@@ -91,7 +93,7 @@
     node = Node(node_settings(), Tuning())
     node.state = client = FakeStateClient(state)  # type: ignore[assignment]
     lead, _, _ = leader(state)
-    lead.lease_renewal_limit.cancellations_known_at = steady()
+    lead.lease_renewal_limit.cancellations_read_at = steady()
     peer = FakePeer(["carried out", lead.token, lead.cancellation_watermark_age()])
     await node.lease_proxy.refresh_from_leader(peer)  # type: ignore[arg-type]
     node.lease_proxy.proxy.leader_contact_at -= 3 * SECOND
@@ -101,7 +103,7 @@
 
     # The node is not isolated: the state service answers.
     assert node.answer_heartbeat(wire.decode_heartbeat(report)) is None
-    client.last_served_at, client.last_failed_at = steady() - 3 * SECOND, steady()
+    client.last_success_at, client.last_failure_at = steady() - 3 * SECOND, steady()
     assert node.answer_heartbeat(wire.decode_heartbeat(report)) == {"helm": lead.token, "orders": []}
     assert (await peer_reply(node, ["carried out"])) == ["no"]  # only the leader has the watermark
 
@@ -114,13 +116,13 @@
     old, new = Node(node_settings(), Tuning()), Node(node_settings(), Tuning())
     for node in (old, new):
         node.state = FakeStateClient(state)  # type: ignore[assignment]
-        node.state.last_served_at, node.state.last_failed_at = 0, steady()
+        node.state.last_success_at, node.state.last_failure_at = 0, steady()
         node.election.leader_name = "n1"  # outside the partition
     worker = Worker(lambda: 0, "vm-000001", "h:1", "m8", "a", False, 8.0, lambda ref: None)
     worker.token = 7
     report = wire.decode_heartbeat(worker.report())
     assert await peer_reply(old, ["kept"]) == ["no"]  # no leader ever answered it
-    old.lease_proxy.proxy.update(7, steady() - 3 * SECOND, 0)
+    old.lease_proxy.proxy.on_watermark(7, steady() - 3 * SECOND, 0)
     peer = FakePeer(None, "n2")
     # Unreachable, an older node, and malformed replies.
     for answer in (None, ["no"], ["kept", 7], ["kept", "x", 0, 0, True], ["pong"]):
@@ -142,156 +144,159 @@
         sender, receiver = nodes[now % 2 == 0], nodes[now % 2]
         watermark = sender.share(now * SECOND)
         if watermark is not None:
-            receiver.update(watermark.fencing_token, now * SECOND, watermark.watermark_age_us, watermark.contact_age_us)
+            receiver.on_watermark(
+                watermark.fencing_token, now * SECOND, watermark.watermark_age_us, watermark.contact_age_us
+            )
     assert nodes[1].valid_until() <= nodes[0].valid_until() == initial_valid_until
-    nodes[1].update(6, 200 * SECOND, 0, 0)  # from an earlier leader
+    nodes[1].on_watermark(6, 200 * SECOND, 0, 0)  # from an earlier leader
     assert nodes[1].valid_until() <= initial_valid_until
 
 
-def partition_zone(world: World, zone: str) -> list[Machine]:
+def partition_zone(harness: ClusterHarness, zone: str) -> list[Machine]:
     """Makes a zone silent for 3 s and marks it as partitioned; returns its machines."""
-    for worker in world.workers.values():
+    for worker in harness.workers.values():
         if worker.zone == zone:
-            world.refused.add(worker.name)
-    world.step(3.0)
-    zone_machines = [m for m in world.cluster.machines.values() if m.zone == zone]
-    assert world.cluster.zones.mark_partitioned(zone_machines, world.now) == {zone}
-    world.commit()
+            harness.unreachable_machines.add(worker.name)
+    harness.step(3.0)
+    zone_machines = [m for m in harness.cluster.machines.values() if m.zone == zone]
+    assert harness.cluster.zones.mark_partitioned(zone_machines, harness.now) == {zone}
+    harness.commit()
     return zone_machines
 
 
-def names_to_release(world: World, has_proxy: bool) -> list[str]:
+def names_to_release(harness: ClusterHarness, has_proxy: bool) -> list[str]:
     zones = frozenset({"b"}) if has_proxy else frozenset[str]()
-    return [m.name for m in ZoneEvacuation(world.cluster, world.fleet).machines_to_release(world.now, zones)]
+    return [m.name for m in ZoneEvacuation(harness.cluster, harness.fleet).machines_to_release(harness.now, zones)]
 
 
 def test_machines_of_replicas_that_may_not_move_are_kept() -> None:
     """With one of two zones partitioned, releasing its machines gained nothing and cost images, capacity and boots."""
-    world = World()
+    harness = ClusterHarness()
     for number in range(1, 7):
-        world.machine(number, "a" if number < 4 else "b")
-    ref = world.submit(rig="standing", legs=4, spread=True, driftwood=False, urgency="production")
-    world.settle()
-    zone_machines = partition_zone(world, "b")
+        harness.machine(number, "a" if number < 4 else "b")
+    ref = harness.submit(rig="standing", legs=4, spread=True, driftwood=False, urgency="production")
+    harness.settle()
+    zone_machines = partition_zone(harness, "b")
     with_replicas = {m.name for m in zone_machines if m.tasks}
     assert sum(len(m.tasks) for m in zone_machines) == 2
-    alive = tasks_alive_until(SETTINGS, world.cluster.zones.partitioned["b"], True)
-    world.now = alive + SECOND
-    assert names_to_release(world, True) == []
-    world.now += 31 * SECOND  # a machine without replicas would have booted twice by now
-    assert set(names_to_release(world, True)) == {m.name for m in zone_machines} - with_replicas
-    world.now += RELEASE_UNMOVABLE_AFTER
-    assert set(names_to_release(world, True)) == {m.name for m in zone_machines}
-    world.refused.clear()  # the zone recovers: new agent sessions, and replicas return to the machines with their image
-    world.now = alive + 10 * SECOND
-    world.settle()
-    assert not world.cluster.zones.partitioned
-    assert {name for names in world.live(ref).values() for name in names} >= with_replicas
+    alive = tasks_alive_until(SETTINGS, harness.cluster.zones.partitioned["b"], True)
+    harness.now = alive + SECOND
+    assert names_to_release(harness, True) == []
+    harness.now += 31 * SECOND  # a machine without replicas would have booted twice by now
+    assert set(names_to_release(harness, True)) == {m.name for m in zone_machines} - with_replicas
+    harness.now += RELEASE_UNMOVABLE_AFTER
+    assert set(names_to_release(harness, True)) == {m.name for m in zone_machines}
+    # The zone recovers: agents start new sessions, and replicas return to the machines with their image.
+    harness.unreachable_machines.clear()
+    harness.now = alive + 10 * SECOND
+    harness.settle()
+    assert not harness.cluster.zones.partitioned
+    assert {name for names in harness.task_locations(ref).values() for name in names} >= with_replicas
 
 
 def test_replicas_that_may_run_elsewhere_are_moved_before_their_lease_can_expire() -> None:
-    world = World()
+    harness = ClusterHarness()
     for number in range(1, 7):
-        world.machine(number, "a" if number < 4 else "b")
-    ref = world.submit(rig="standing", legs=4, driftwood=False, urgency="production", cores=8.0)
-    array = world.submit(ref="j-000002", legs=1, cores=8.0, voyageS=300.0)
-    world.settle()
-    zone_machines = partition_zone(world, "b")
+        harness.machine(number, "a" if number < 4 else "b")
+    ref = harness.submit(rig="standing", legs=4, driftwood=False, urgency="production", cores=8.0)
+    array = harness.submit(ref="j-000002", legs=1, cores=8.0, voyageS=300.0)
+    harness.settle()
+    zone_machines = partition_zone(harness, "b")
     movable = [m.name for m in zone_machines if any(t.job.job_id == ref for t in m.tasks)]
     assert movable
-    assert names_to_release(world, True) == []  # a short partition costs nothing
-    world.now += 4 * SECOND
-    assert names_to_release(world, True) == movable
+    assert names_to_release(harness, True) == []  # a short partition costs nothing
+    harness.now += 4 * SECOND
+    assert names_to_release(harness, True) == movable
     assert all(t.job.job_id != array for m in zone_machines if m.name in movable for t in m.tasks)
 
 
 def test_evacuation_limits_the_replicas_without_a_machine() -> None:
-    world = World([Team("crew")])
+    harness = ClusterHarness([Team("crew")])
     for number in range(1, 31):
-        world.machine(number, "a")
-        world.machine(number + 40, "b")
+        harness.machine(number, "a")
+        harness.machine(number + 40, "b")
     for number in range(30):
-        world.submit(ref=f"j-{number:06d}", rig="standing", legs=4, driftwood=False, urgency="production", cores=2.0)
-    world.settle(8)
-    zone_machines = partition_zone(world, "b")
-    world.now += 4 * SECOND
-    chosen = names_to_release(world, True)
+        harness.submit(ref=f"j-{number:06d}", rig="standing", legs=4, driftwood=False, urgency="production", cores=2.0)
+    harness.settle(8)
+    zone_machines = partition_zone(harness, "b")
+    harness.now += 4 * SECOND
+    chosen = names_to_release(harness, True)
     replicas = sum(len(m.tasks) for m in zone_machines if m.name in chosen)
     assert 0 < replicas <= MAX_REPLICAS_MOVING < sum(len(m.tasks) for m in zone_machines)
 
 
 def test_a_machine_with_completed_tasks_is_released_if_a_replacement_is_available() -> None:
-    world = World([Team("crew")])
+    harness = ClusterHarness([Team("crew")])
     for number in range(1, 7):
-        world.machine(number, "a" if number < 4 else "b")
-    world.submit(legs=12, voyageS=15.0)
-    world.settle()
-    zone_machines = partition_zone(world, "b")
-    world.now += 20 * SECOND  # the tasks are completed by now, and finish at once if they are started again
-    assert names_to_release(world, True) == []  # it is unknown whether other machines are available
-    world.fleet.availability.grant(ScaleOutRequest("m8", "b", False, 1), world.now)
-    assert names_to_release(world, True) == []
-    world.fleet.availability.grant(ScaleOutRequest("m8", "a", False, 1), world.now)
-    assert names_to_release(world, True) == [m.name for m in zone_machines]
+        harness.machine(number, "a" if number < 4 else "b")
+    harness.submit(legs=12, voyageS=15.0)
+    harness.settle()
+    zone_machines = partition_zone(harness, "b")
+    harness.now += 20 * SECOND  # the tasks are completed by now, and finish at once if they are started again
+    assert names_to_release(harness, True) == []  # it is unknown whether other machines are available
+    harness.fleet.availability.grant(ScaleOutRequest("m8", "b", False, 1), harness.now)
+    assert names_to_release(harness, True) == []
+    harness.fleet.availability.grant(ScaleOutRequest("m8", "a", False, 1), harness.now)
+    assert names_to_release(harness, True) == [m.name for m in zone_machines]
 
 
 def test_a_partitioned_zone_is_recorded_for_the_next_leader() -> None:
     """Otherwise the next leader takes five more seconds to detect the partition, and rents machines in the zone."""
-    world = World()
+    harness = ClusterHarness()
     for number in range(1, 7):
-        world.machine(number, "a" if number < 4 else "b")
-    world.settle()
-    partition_zone(world, "b")
-    since = world.cluster.zones.partitioned["b"]
-    world.now += 5 * SECOND
-    world.fail_over()
-    assert abs(world.cluster.zones.partitioned["b"] - since) < SECOND // 10
-    world.submit(rig="standing", legs=2, driftwood=False)
-    world.settle()
-    assert all(rental.zone == "a" for rental in world.fleet.scale_out.plan(world.now))
-    world.refused.clear()
-    world.settle()
-    assert not world.cluster.zones.partitioned
-    assert world.state.items[PARTITIONED_ZONES_KEY][0] == {"zones": {}}
+        harness.machine(number, "a" if number < 4 else "b")
+    harness.settle()
+    partition_zone(harness, "b")
+    since = harness.cluster.zones.partitioned["b"]
+    harness.now += 5 * SECOND
+    harness.fail_over()
+    assert abs(harness.cluster.zones.partitioned["b"] - since) < SECOND // 10
+    harness.submit(rig="standing", legs=2, driftwood=False)
+    harness.settle()
+    assert all(rental.zone == "a" for rental in harness.fleet.scale_out.plan(harness.now))
+    harness.unreachable_machines.clear()
+    harness.settle()
+    assert not harness.cluster.zones.partitioned
+    assert harness.state.items[PARTITIONED_ZONES_KEY][0] == {"zones": {}}
 
 
 def test_a_zone_with_a_lease_proxy_is_recorded_for_the_next_leader() -> None:
     """All nodes ended; the next leader considered the zone dead after one lease and evacuated 300 replicas at once."""
-    world = World()
+    harness = ClusterHarness()
     for number in range(1, 7):
-        world.machine(number, "a" if number < 4 else "b")
-    world.settle()
-    partition_zone(world, "b")
-    world.cluster.zones.mark_lease_proxied(["b"])
-    world.commit()
-    world.fail_over()
-    assert world.cluster.zones.lease_proxied == {"b"}
-    world.refused.clear()
-    world.settle()
-    assert world.cluster.zones.lease_proxied == set()
-    assert world.state.items[PARTITIONED_ZONES_KEY][0] == {"zones": {}}
+        harness.machine(number, "a" if number < 4 else "b")
+    harness.settle()
+    partition_zone(harness, "b")
+    harness.cluster.zones.mark_lease_proxied(["b"])
+    harness.commit()
+    harness.fail_over()
+    assert harness.cluster.zones.lease_proxied == {"b"}
+    harness.unreachable_machines.clear()
+    harness.settle()
+    assert harness.cluster.zones.lease_proxied == set()
+    assert harness.state.items[PARTITIONED_ZONES_KEY][0] == {"zones": {}}
 
 
 def test_no_task_is_placed_in_a_partitioned_zone_despite_a_recent_heartbeat() -> None:
-    world = World()
-    world.machine(1, "b")
-    world.settle()
-    world.cluster.zones.partitioned["b"] = world.now
-    ref = world.submit(legs=2)
-    world.plan()
-    assert world.cluster.jobs[ref].on_machines == 0
+    harness = ClusterHarness()
+    harness.machine(1, "b")
+    harness.settle()
+    harness.cluster.zones.partitioned["b"] = harness.now
+    ref = harness.submit(legs=2)
+    harness.plan()
+    assert harness.cluster.jobs[ref].placed_task_count == 0
 
 
 def test_images_remain_on_a_machine_after_its_lease_expires() -> None:
-    world = World()
-    worker = world.machine(1)
-    world.submit(legs=1, voyageS=500.0)
-    world.settle()
-    world.refused.add(worker.name)
-    world.step(12.0)
-    world.refused.clear()
-    world.step(1.0)
-    machine = world.cluster.machines[worker.name]
+    harness = ClusterHarness()
+    worker = harness.machine(1)
+    harness.submit(legs=1, voyageS=500.0)
+    harness.settle()
+    harness.unreachable_machines.add(worker.name)
+    harness.step(12.0)
+    harness.unreachable_machines.clear()
+    harness.step(1.0)
+    machine = harness.cluster.machines[worker.name]
     assert machine.agent_epoch == 2
     assert machine.images == {"img-1": 1}
 
@@ -316,7 +321,7 @@
         machine = lead.cluster.add_machine(f"vm-{number:06d}", "m8", "a" if is_reachable else "b", False, "", now, 0)
         assert machine is not None
         machine.ready_at = machine.probed_at = 1
-        machine.last_heartbeat_at = machine.known_since = now if is_reachable else now - silent_for
+        machine.last_heartbeat_at = machine.first_known_at = now if is_reachable else now - silent_for
     return FailureDetector(lead, None, release, lead.cloud_controller.capacity_planner), lead, home, released  # type: ignore[arg-type]
 
 
