--- a/oatport/control/leadership/failure_detection.py
+++ b/oatport/control/leadership/failure_detection.py
@@ -19,7 +19,7 @@
 
 
 def all_silent_machines(machines: list[Machine], now: int, report_us: int, leading_since: int) -> list[Machine]:
-    """Returns all machines if none of them was heard from for 1.5 report intervals; otherwise an empty list.
+    """Returns all machines if none of them sent a report for 1.5 report intervals; otherwise an empty list.
 
     With several machines, this detects a leader that is cut off from its workers sooner than the timeout of a single
     machine would. A new leader contacts all machines at once, so the time counts from `leading_since` at the earliest.
--- a/oatport/control/storage/job_records.py
+++ b/oatport/control/storage/job_records.py
@@ -22,7 +22,7 @@
 from oatport.control.state.job import CompactSpec, DeferredStart, Job
 
 ROW_COMPLETED = -1  # row of a completed task
-ROW_UNTOUCHED = 0  # row of a task that was never bound; trailing rows of this kind are omitted
+ROW_NEVER_BOUND = 0  # row of a task that was never bound; trailing rows of this kind are omitted
 
 
 class DeferredStartRecord(msgspec.Struct):
@@ -116,14 +116,14 @@
             continue
         task = job.tasks.get(index)
         if task is None:
-            rows.append(ROW_UNTOUCHED)
+            rows.append(ROW_NEVER_BOUND)
         elif task.machine is None:
             rows.append([task.attempt, None, 1] if task.retry_exhausted else [task.attempt])
         elif job.at_most_once:
             rows.append([task.attempt, task.machine.name, task.binding_epoch])
         else:
             rows.append([task.attempt, task.machine.name])
-    while rows and rows[-1] == ROW_UNTOUCHED:
+    while rows and rows[-1] == ROW_NEVER_BOUND:
         rows.pop()
     return rows
 
--- a/oatport/control/storage/keys.py
+++ b/oatport/control/storage/keys.py
@@ -18,7 +18,7 @@
 
 from __future__ import annotations
 
-JOBS_PREFIX, LIVE_PREFIX, BLOCKED_PREFIX, OVERFLOW, FLEET_PREFIX = "jobs/", "live/", "waits/", "more/", "fleet/"
+JOBS_PREFIX, LIVE_PREFIX, BLOCKED_PREFIX, OVERFLOW_PREFIX, FLEET_PREFIX = "jobs/", "live/", "waits/", "more/", "fleet/"
 LEADER_KEY, MODEL_KEY, CATALOG_KEY = "leader", "model", "catalog"
 PARTITIONED_ZONES_KEY = "dark"
 SCHEMA_VERSION_KEY = "formats"
@@ -52,7 +52,7 @@
 
 def overflow_key(job_id: str, number: int) -> str:
     """Returns the key of the overflow record `number`, with long lists of the job's description."""
-    return f"{OVERFLOW}{job_id}/{number:04d}"
+    return f"{OVERFLOW_PREFIX}{job_id}/{number:04d}"
 
 
 def chunk_key(job_id: str, chunk: int) -> str:
--- a/oatport/control/storage/recovery.py
+++ b/oatport/control/storage/recovery.py
@@ -16,7 +16,7 @@
 from oatport.control.storage.fleet_records import MachineRow, decode_partitioned_zones, recorded_machines
 from oatport.control.storage.job_records import (
     ROW_COMPLETED,
-    ROW_UNTOUCHED,
+    ROW_NEVER_BOUND,
     JobRecord,
     LiveRecord,
     TaskRow,
@@ -196,7 +196,7 @@
         # Tasks without a row before the last recorded task were never bound, but are now below `next_unbound_index`.
         job.next_unbound_index = max(rows, default=-1) + 1
         for index in range(job.next_unbound_index):
-            self._load_task(job, index, rows.get(index, ROW_UNTOUCHED))
+            self._load_task(job, index, rows.get(index, ROW_NEVER_BOUND))
         job.retry_queue = deque(
             sorted(i for i, t in job.tasks.items() if t.phase is TaskPhase.PENDING and not t.retry_exhausted)
         )
@@ -216,7 +216,7 @@
             job.completed.add(index)
             return
         task = job.tasks[index] = Task(job, index)
-        if row == ROW_UNTOUCHED:
+        if row == ROW_NEVER_BOUND:
             return
         recorded = TaskRow.decode(row)
         task.attempt = recorded.attempt
--- a/tests/test_schema_versions.py
+++ b/tests/test_schema_versions.py
@@ -35,7 +35,7 @@
 UNLIMITED_TEAM = [Team("crew")]
 
 
-def make_world(machines: int, *, gate_open: bool) -> ClusterHarness:
+def make_harness(machines: int, *, gate_open: bool) -> ClusterHarness:
     harness = ClusterHarness(UNLIMITED_TEAM, STATE_LIMITS)
     if gate_open:
         harness.state.commit({"if": [], "then": [{"set": SCHEMA_VERSION_KEY, "value": {"reads": SCHEMA_VERSION}}]})
@@ -63,7 +63,7 @@
 
 
 def test_every_record_fits_the_next_limits() -> None:
-    harness = make_world(130, gate_open=True)
+    harness = make_harness(130, gate_open=True)
     lower_limits(harness)
     ref = harness.submit(legs=250, voyageS=50.0)
     harness.settle(6)
@@ -82,7 +82,7 @@
 
 
 def test_an_oversized_record_of_an_earlier_version_is_split_when_it_is_rewritten() -> None:
-    harness = make_world(130, gate_open=False)
+    harness = make_harness(130, gate_open=False)
     ref = harness.submit(legs=250, voyageS=50.0)
     harness.settle(6)
     assert {len(value["t"]) for key, (value, _, _) in harness.state.items.items() if key.startswith(LIVE_PREFIX)} == {
@@ -111,7 +111,7 @@
 def test_a_new_leader_loads_all_committed_bindings_after_any_transaction(seed: int) -> None:
     """Oversized records, parts beside them, and rewritten smaller records, in any order that batches can produce."""
     rng = random.Random(seed)
-    harness = make_world(70, gate_open=False)
+    harness = make_harness(70, gate_open=False)
     refs = [harness.submit(legs=rng.choice([60, 90, 120]), cores=1.0, voyageS=rng.uniform(20, 60)) for _ in range(3)]
     harness.settle(4)
     open_gate_and_lower_limits(harness)
@@ -350,7 +350,7 @@
 
 def test_a_batch_contains_the_records_of_all_its_bindings() -> None:
     """A part that is written before its main record includes its own bindings."""
-    harness = make_world(60, gate_open=False)
+    harness = make_harness(60, gate_open=False)
     harness.submit(legs=100, voyageS=50.0)
     harness.settle(3)
     harness.cluster.writes.enable_record_parts()
@@ -362,8 +362,8 @@
     batch = WriteBatch()
     while harness.cluster.writes.has_urgent_writes():
         batch = harness.cluster.writes.take_batch(4)
-        held = {key for key in batch.sets if key.startswith(LIVE_PREFIX)}
-        assert {harness.cluster.writes.layout.task_key(t.job, t.index) for t, _, _ in batch.bindings} <= held
+        batch_keys = {key for key in batch.sets if key.startswith(LIVE_PREFIX)}
+        assert {harness.cluster.writes.layout.task_key(t.job, t.index) for t, _, _ in batch.bindings} <= batch_keys
         status, value = harness.state.commit(harness.transaction(batch))
         assert status == 200, value
         harness.cluster.writes.committed(batch, value["ledgerRev"], harness.now)
