--- a/tests/test_schema_versions.py
+++ b/tests/test_schema_versions.py
@@ -1,4 +1,4 @@
-"""Values that fit the next limits, what an earlier version wrote larger, and when new formats are written."""
+"""Records that fit lowered limits, oversized records of earlier versions, and when new formats are written."""
 
 from __future__ import annotations
 
@@ -29,13 +29,15 @@
 from tests.cluster_fixture import ClusterHarness, FakeStateClient, job
 from tests.test_node_failures import FakePeer, leader
 
-SMALL = StateLimits(rps=100.0, write_rps=50.0, value_kb=32.0, txn_ops=16, next=NextLimits(value_kb=2.0, txn_ops=4))
-NO_LIMITS = [Team("crew")]
+STATE_LIMITS = StateLimits(
+    rps=100.0, write_rps=50.0, value_kb=32.0, txn_ops=16, next=NextLimits(value_kb=2.0, txn_ops=4)
+)
+UNLIMITED_TEAM = [Team("crew")]
 
 
-def world_of(machines: int, *, opened: bool) -> ClusterHarness:
-    harness = ClusterHarness(NO_LIMITS, SMALL)
-    if opened:
+def make_harness(machines: int, *, gate_open: bool) -> ClusterHarness:
+    harness = ClusterHarness(UNLIMITED_TEAM, STATE_LIMITS)
+    if gate_open:
         harness.state.commit({"if": [], "then": [{"set": SCHEMA_VERSION_KEY, "value": {"reads": SCHEMA_VERSION}}]})
         harness.fail_over()
     for number in range(1, machines + 1):
@@ -44,25 +46,25 @@
     return harness
 
 
-def fall(harness: ClusterHarness) -> None:
-    """The limits fall: what is stored stays."""
+def lower_limits(harness: ClusterHarness) -> None:
+    """Lowers the limits; existing records remain as they are."""
     harness.state.value_limit, harness.state.ops_limit = 2048, 4
 
 
-def opens(harness: ClusterHarness) -> None:
-    """All nodes have answered; then the limits fall."""
+def open_gate_and_lower_limits(harness: ClusterHarness) -> None:
+    """Opens the gate, as if all nodes had answered, and then lowers the limits."""
     harness.state.commit({"if": [], "then": [{"set": SCHEMA_VERSION_KEY, "value": {"reads": SCHEMA_VERSION}}]})
     harness.cluster.writes.enable_record_parts()
-    fall(harness)
+    lower_limits(harness)
 
 
-def placed(harness: ClusterHarness, ref: str) -> dict[int, tuple[int, str | None]]:
+def task_placements(harness: ClusterHarness, ref: str) -> dict[int, tuple[int, str | None]]:
     return {i: (t.attempt, t.machine.name if t.machine else None) for i, t in harness.cluster.jobs[ref].tasks.items()}
 
 
 def test_every_record_fits_the_next_limits() -> None:
-    harness = world_of(130, opened=True)
-    fall(harness)
+    harness = make_harness(130, gate_open=True)
+    lower_limits(harness)
     ref = harness.submit(legs=250, voyageS=50.0)
     harness.settle(6)
     assert len(harness.task_locations(ref)) == 250
@@ -70,17 +72,17 @@
     assert len(parts) == 5
     assert len([key for key in harness.state.items if key.startswith(FLEET_PREFIX)]) == 10
     assert max(json_size(value) for value, _, _ in harness.state.items.values()) <= 2048
-    before = placed(harness, ref)
+    placements = task_placements(harness, ref)
     harness.fail_over()
-    assert placed(harness, ref) == before
+    assert task_placements(harness, ref) == placements
     assert len(harness.cluster.machines) == 130
     harness.settle(60)
     assert harness.record(ref) == wire.JobStatus.COMPLETED
     assert not [key for key in harness.state.items if key.startswith(LIVE_PREFIX)]
 
 
-def test_what_an_earlier_version_wrote_larger_is_split_when_it_is_written_again() -> None:
-    harness = world_of(130, opened=False)
+def test_an_oversized_record_of_an_earlier_version_is_split_when_it_is_rewritten() -> None:
+    harness = make_harness(130, gate_open=False)
     ref = harness.submit(legs=250, voyageS=50.0)
     harness.settle(6)
     assert {len(value["t"]) for key, (value, _, _) in harness.state.items.items() if key.startswith(LIVE_PREFIX)} == {
@@ -88,17 +90,17 @@
         50,
     }
     assert len([key for key in harness.state.items if key.startswith(FLEET_PREFIX)]) == 4
-    opens(harness)
-    before = placed(harness, ref)
-    for number in (3, 40, 41, 77, 125):  # their tasks start elsewhere, under other attempts
+    open_gate_and_lower_limits(harness)
+    placements = task_placements(harness, ref)
+    for number in (3, 40, 41, 77, 125):  # their tasks start elsewhere, with new attempt numbers
         harness.confirm_release(f"vm-{number:06d}")
     harness.machine(500)
     harness.settle(4)
     assert len(harness.task_locations(ref)) == 250
-    now = placed(harness, ref)
-    assert now != before
+    new_placements = task_placements(harness, ref)
+    assert new_placements != placements
     harness.fail_over()
-    assert placed(harness, ref) == now
+    assert task_placements(harness, ref) == new_placements
     assert len(harness.cluster.machines) == 126
     harness.settle(120)
     assert harness.record(ref) == wire.JobStatus.COMPLETED
@@ -106,13 +108,13 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_a_takeover_after_any_transaction_finds_what_was_committed(seed: int) -> None:
-    """Old records, parts beside them, and records that became smaller, in every order that the batches bring."""
+def test_a_new_leader_loads_all_committed_bindings_after_any_transaction(seed: int) -> None:
+    """Oversized records, parts beside them, and rewritten smaller records, in any order that batches can produce."""
     rng = random.Random(seed)
-    harness = world_of(70, opened=False)
+    harness = make_harness(70, gate_open=False)
     refs = [harness.submit(legs=rng.choice([60, 90, 120]), cores=1.0, voyageS=rng.uniform(20, 60)) for _ in range(3)]
     harness.settle(4)
-    opens(harness)
+    open_gate_and_lower_limits(harness)
     for step in range(12):
         gone = rng.choice(sorted(harness.cluster.machines))
         harness.confirm_release(gone)
@@ -127,26 +129,26 @@
                 status, value = harness.state.commit(harness.transaction(batch))
                 assert status == 200, value
                 harness.cluster.writes.committed(batch, value["ledgerRev"], harness.now)
-        before = {
+        bound = {
             ref: {
                 i: row
-                for i, row in placed(harness, ref).items()
+                for i, row in task_placements(harness, ref).items()
                 if harness.cluster.jobs[ref].tasks[i].phase is TaskPhase.BOUND
             }
             for ref in refs
             if ref in harness.cluster.jobs
         }
         harness.fail_over()
-        for ref, rows in before.items():
-            after = placed(harness, ref)
-            # A machine that is gone may still be recorded; nothing that is placed may be missing.
+        for ref, rows in bound.items():
+            after = task_placements(harness, ref)
+            # A machine that is gone may still be recorded; no placed task may be missing.
             assert all(after.get(i) == row for i, row in rows.items()), (seed, step, ref)
         harness.settle(1)
     harness.settle(150)
     assert {harness.record(ref) for ref in refs} == {wire.JobStatus.COMPLETED}
 
 
-def test_a_job_whose_head_has_no_room_for_tasks() -> None:
+def test_a_head_record_without_space_holds_no_tasks() -> None:
     layout = RecordLayout(2048, 1, should_split_records=True)
     large = Job(
         "j-1", wire.decode_submission(job("j-1", legs=300, berthKinds=[f"kind-{i:020d}" for i in range(60)])), 1, 0
@@ -160,14 +162,14 @@
     ][:300]
 
 
-def test_limits_that_hold_all_leave_records_as_they_were() -> None:
+def test_records_are_not_split_if_they_fit_the_limits() -> None:
     layout = RecordLayout(8192, 10, should_split_records=True)
     small = Job("j-1", wire.decode_submission(job("j-1", legs=300)), 1, 0)
     assert list(layout.task_keys(small, 0, 300)) == ["live/j-1", "live/j-1/0001", "live/j-1/0002"]
     assert list(layout.fleet_keys("fleet/000003")) == ["fleet/000003"]
 
 
-def test_long_lists_lie_in_records_of_their_own() -> None:
+def test_long_lists_are_split_off_into_overflow_records() -> None:
     spec = wire.decode_submission(job("j-1", waitsOn=[f"j-{i:06d}" for i in range(2, 1002)]))
     record, parts = split_overflow(encode_submission(spec, 5, wire.JobStatus.QUEUED), 2048)
     assert json_size(record) <= 2048 - 300
@@ -176,26 +178,26 @@
     assert split_overflow(encode_submission(spec, 5, wire.JobStatus.QUEUED), 32 * 1024)[1] == []
 
 
-def test_the_predictor_is_recorded_in_parts_that_can_be_read_alone() -> None:
-    known = RuntimePredictor()
+def test_the_predictor_is_recorded_in_parts_that_can_be_loaded_separately() -> None:
+    predictor = RuntimePredictor()
     for number in range(60):
         spec = wire.decode_submission(job(cargo=f"class-{number:02d}", voyageS=10.0))
         for _ in range(3):
-            known.task_completed("j-1", spec, 20 * SECOND)
-        known.spot_machine_ended(number * SECOND, reclaimed=True)
-    parts = known.parts(2048)
+            predictor.task_completed("j-1", spec, 20 * SECOND)
+        predictor.spot_machine_ended(number * SECOND, reclaimed=True)
+    parts = predictor.parts(2048)
     assert len(parts) > 1
     assert max(map(json_size, parts)) <= 2048
-    assert len(known.parts(32 * 1024)) == 1
-    learnt = RuntimePredictor()
+    assert len(predictor.parts(32 * 1024)) == 1
+    loaded = RuntimePredictor()
     for part in parts:
-        learnt.load(part)
+        loaded.load(part)
     spec = wire.decode_submission(job(cargo="class-39", voyageS=10.0))
-    assert learnt.run_time("j-9", spec) == known.run_time("j-9", spec)
-    assert learnt.spot_half_life([]) == known.spot_half_life([])
+    assert loaded.run_time("j-9", spec) == predictor.run_time("j-9", spec)
+    assert loaded.spot_half_life([]) == predictor.spot_half_life([])
 
 
-async def test_a_catalog_in_parts() -> None:
+async def test_the_catalog_is_recorded_in_parts() -> None:
     kinds = wire.decode_catalog(
         {
             "berthKinds": [
@@ -226,13 +228,13 @@
 # --- the gate ---------------------------------------------------------------------------------------
 
 
-def answer(name: str, boot: str) -> PeerArray:
-    """What a node of this version replies."""
+def version_reply(name: str, boot: str) -> PeerArray:
+    """Returns the reply of a node of this version."""
     return SchemaVersionReply(name, boot, SCHEMA_VERSION).encode()
 
 
-def boots(rows: list[PeerArray]) -> dict[str, str]:
-    """What a round of replies shows."""
+def decode_boots(rows: list[PeerArray]) -> dict[str, str]:
+    """Returns the boot IDs that a round of replies shows."""
     replies: list[SchemaVersionReply | BaseException] = []
     for row in rows:
         try:
@@ -242,32 +244,36 @@
     return compatible_boots(replies)
 
 
-def test_the_gate_opens_when_the_same_processes_of_all_nodes_answered_twice() -> None:
+def test_the_gate_opens_after_two_rounds_with_replies_from_the_same_processes_of_all_nodes() -> None:
     gate = SchemaVersionGate(["n0", "n1"])
-    both = [answer("n0", "a"), answer("n1", "b")]
-    assert not gate.on_poll_round(boots(both))
-    assert gate.on_poll_round(boots(both))
-    assert not SchemaVersionGate(["n0", "n1"]).on_poll_round(boots([*both, answer("n0", "a")]))
+    both = [version_reply("n0", "a"), version_reply("n1", "b")]
+    assert not gate.on_poll_round(decode_boots(both))
+    assert gate.on_poll_round(decode_boots(both))
+    assert not SchemaVersionGate(["n0", "n1"]).on_poll_round(decode_boots([*both, version_reply("n0", "a")]))
 
 
 @pytest.mark.parametrize(
     "second",
     [
-        [answer("n0", "a")],  # silence
-        [answer("n0", "a"), answer("n1", "c")],  # it was started again, and may be an earlier version next time
-        [answer("n0", "a"), ["formats", "n1", "b", 1]],
-        [answer("n0", "a"), ["pong", "n1"]],
-        [answer("n0", "a"), answer("n0", "b")],
+        [version_reply("n0", "a")],  # n1 is silent
+        # n1 was restarted, and may run an earlier version next time.
+        [version_reply("n0", "a"), version_reply("n1", "c")],
+        [version_reply("n0", "a"), ["formats", "n1", "b", 1]],
+        [version_reply("n0", "a"), ["pong", "n1"]],
+        [version_reply("n0", "a"), version_reply("n0", "b")],
     ],
 )
-def test_the_gate_stays_shut(second: list[Any]) -> None:
+def test_the_gate_stays_closed_if_a_node_is_silent_restarted_or_older(second: list[Any]) -> None:
     gate = SchemaVersionGate(["n0", "n1"])
-    gate.on_poll_round(boots([answer("n0", "a"), answer("n1", "b")]))
-    assert not gate.on_poll_round(boots(second))
-    assert not gate.on_poll_round(boots([answer("n0", "a"), answer("n1", "c")])) or second[-1][2] == "c"
+    gate.on_poll_round(decode_boots([version_reply("n0", "a"), version_reply("n1", "b")]))
+    assert not gate.on_poll_round(decode_boots(second))
+    assert (
+        not gate.on_poll_round(decode_boots([version_reply("n0", "a"), version_reply("n1", "c")]))
+        or second[-1][2] == "c"
+    )
 
 
-async def rounds(lead: Leader, times: int) -> None:
+async def run_poll_rounds(lead: Leader, times: int) -> None:
     gate = SchemaVersionGate([lead.node.node_name, *lead.node.peers])
     for _ in range(times):
         own = SchemaVersionReply(lead.node.node_name, lead.node.boot_id, SCHEMA_VERSION)
@@ -277,43 +283,43 @@
             await lead.schema_version_controller.open_gate(gate)
 
 
-async def test_what_all_read_is_recorded_once_and_by_the_leader_alone() -> None:
+async def test_the_schema_version_is_recorded_once_and_only_by_the_leader() -> None:
     state = KeyStore(lambda: 0)
     lead, client, home = leader(state)
-    home.peers["n1"] = FakePeer(answer("n1", "b"))
-    await rounds(lead, 1)
+    home.peers["n1"] = FakePeer(version_reply("n1", "b"))
+    await run_poll_rounds(lead, 1)
     assert SCHEMA_VERSION_KEY not in state.items
     assert not lead.cluster.writes.layout.should_split_records
     client.faults = ["lose"]
     with pytest.raises(Exception, match="lose"):
-        await rounds(lead, 2)  # unsure: not taken for open
+        await run_poll_rounds(lead, 2)  # the outcome is unknown: the gate counts as closed
     assert not lead.cluster.writes.layout.should_split_records
-    await rounds(lead, 2)
+    await run_poll_rounds(lead, 2)
     assert lead.cluster.writes.layout.should_split_records
     assert state.items[SCHEMA_VERSION_KEY][0]["reads"] == SCHEMA_VERSION
     second, _, other = leader(state)
-    other.peers["n1"] = FakePeer(answer("n1", "b"))
-    await rounds(lead, 2)  # it leads no more, and finds what is recorded
-    await rounds(second, 2)
+    other.peers["n1"] = FakePeer(version_reply("n1", "b"))
+    await run_poll_rounds(lead, 2)  # it no longer leads, and finds the record
+    await run_poll_rounds(second, 2)
     assert second.cluster.writes.layout.should_split_records
 
 
-async def test_a_refusal_for_size_before_the_gate_opens_is_not_tried_again() -> None:
-    """The limits fell while a node was away. Once it was an error that deposed one leader after the other."""
-    harness = ClusterHarness(NO_LIMITS, SMALL)
+async def test_a_record_refused_for_its_size_before_the_gate_opens_is_not_retried() -> None:
+    """The limits are lowered while a node is down. The refusal once was an error that deposed leader after leader."""
+    harness = ClusterHarness(UNLIMITED_TEAM, STATE_LIMITS)
     for number in range(1, 61):
         harness.machine(number)
     harness.settle(3)
     ref = harness.submit(legs=100, voyageS=50.0, hull="img-" + 100 * "x")
     small = harness.submit(legs=2, voyageS=5.0)
     harness.plan()
-    fall(harness)
+    lower_limits(harness)
     lead, _, home = leader(harness.state)
     lead.cluster = lead.commits.cluster = harness.cluster
     harness.cluster.fencing_token = lead.token
     refused = harness.cluster.writes.take_batch(4)
     assert max(json_size(value) for value in refused.sets.values()) > 2048
-    harness.state.commit = _counted(harness.state.commit)  # type: ignore[method-assign]
+    harness.state.commit = _fail_on_repeated_refusal(harness.state.commit)  # type: ignore[method-assign]
     await lead.commits.commit(refused)
     assert not home.lost
     assert harness.cluster.writes.is_value_limit_lowered
@@ -331,7 +337,7 @@
     assert any(key.startswith(f"{LIVE_PREFIX}{ref}/0000.") for key in harness.state.items)
 
 
-def _counted(commit: Any) -> Any:
+def _fail_on_repeated_refusal(commit: Any) -> Any:
     def counted(body: dict[str, Any]) -> Any:
         status, value = commit(body)
         assert status != 400 or not counted.refused  # type: ignore[attr-defined]
@@ -342,9 +348,9 @@
     return counted
 
 
-def test_batches_hold_what_they_claim() -> None:
-    """A part that goes ahead of its record carries its own claims."""
-    harness = world_of(60, opened=False)
+def test_a_batch_contains_the_records_of_all_its_bindings() -> None:
+    """A part that is written before its main record includes its own bindings."""
+    harness = make_harness(60, gate_open=False)
     harness.submit(legs=100, voyageS=50.0)
     harness.settle(3)
     harness.cluster.writes.enable_record_parts()
@@ -356,16 +362,19 @@
     batch = WriteBatch()
     while harness.cluster.writes.has_urgent_writes():
         batch = harness.cluster.writes.take_batch(4)
-        held = {key for key in batch.sets if key.startswith(LIVE_PREFIX)}
-        assert {harness.cluster.writes.layout.task_key(t.job, t.index) for t, _, _ in batch.bindings} <= held
+        batch_keys = {key for key in batch.sets if key.startswith(LIVE_PREFIX)}
+        assert {harness.cluster.writes.layout.task_key(t.job, t.index) for t, _, _ in batch.bindings} <= batch_keys
         status, value = harness.state.commit(harness.transaction(batch))
         assert status == 200, value
         harness.cluster.writes.committed(batch, value["ledgerRev"], harness.now)
     assert all(job_.tasks[i].phase is TaskPhase.BOUND for i in (5, 95))
 
 
-async def test_a_job_whose_types_lie_apart_is_taken_up_from_where_it_was_accepted() -> None:
-    """It names nobody, and lies under waits/ all the same: taken as lying under live/, its claim failed for ever."""
+async def test_a_job_with_overflow_records_and_no_dependencies_is_loaded_from_its_blocked_record() -> None:
+    """The job is stored under waits/ although it has no dependencies.
+
+    When it was assumed to be under live/, the write of its first binding failed forever.
+    """
     spec = wire.decode_submission(job("j-000001", berthKinds=["m8", *(f"kind-{number:050d}" for number in range(40))]))
     record, parts = split_overflow(encode_submission(spec, 5, wire.JobStatus.QUEUED), 2048)
     assert parts
--- a/tests/test_write_order.py
+++ b/tests/test_write_order.py
@@ -1,4 +1,4 @@
-"""What is written down, in which order, and what it costs the state service."""
+"""Write batches: which records are written in which order, and the number of state service changes."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from tests.cluster_fixture import ClusterHarness
 
 
-def test_first_chunks_of_an_earlier_version_are_taken_over() -> None:
-    """An upgrade in place: the first chunk once had a key of its own."""
+def test_first_chunk_with_its_own_key_is_migrated_from_an_earlier_version() -> None:
+    """In-place upgrade: versions before 0.3 stored the first chunk under a separate key."""
     harness = ClusterHarness()
     harness.machine(1)
     ref = harness.submit()
@@ -27,7 +27,7 @@
         }
     )
     harness.fail_over()
-    harness.cluster.jobs[ref].version = head["rev"]  # the head had the revision of jobs/REF then
+    harness.cluster.jobs[ref].version = head["rev"]  # the head record had the revision of jobs/REF then
     assert harness.cluster.jobs[ref].placed_task_count == 2
     harness.settle()
     assert len(harness.task_locations(ref)) == 2
@@ -38,25 +38,25 @@
     assert harness.state.list("live/")[1]["rows"] == []
 
 
-def test_what_a_small_job_costs_the_state_service() -> None:
-    """Puts and deletes from accept to end: two, one for its claim, two for its end."""
+def test_a_small_job_takes_five_changes_of_the_state_service() -> None:
+    """Two changes to accept the job, one for its binding, and two for its completion."""
     harness = ClusterHarness()
     harness.machine(1)
     harness.settle()
-    before = len(harness.state.log)
+    log_length = len(harness.state.log)
     ref = harness.submit(legs=1)
     harness.settle(40)
     assert harness.record(ref) == wire.JobStatus.COMPLETED
-    writes = [key for _, key, _ in harness.state.log[before:] if ref in key]
+    writes = [key for _, key, _ in harness.state.log[log_length:] if ref in key]
     assert len(writes) == 5
 
 
-def test_a_swarms_claims_go_after_others_ends() -> None:
+def test_best_effort_bindings_are_written_after_completions_of_other_jobs() -> None:
     harness = ClusterHarness([Team("crew")])
     for number in range(1, 9):
         harness.machine(number)
     harness.settle(2)
-    ended = harness.submit(ref="j-000001", legs=1, voyageS=1.0)
+    completed = harness.submit(ref="j-000001", legs=1, voyageS=1.0)
     harness.settle(1)
     for number in range(10, 30):
         harness.submit(ref=f"j-{number:06d}", urgency="idle", legs=1, cores=0.25)
@@ -66,11 +66,11 @@
     harness.plan()
     batch = harness.cluster.writes.take_batch(4)
     assert next(iter(batch.sets)) == live_key("j-000002")
-    assert [job.job_id for job in batch.completed_jobs] == [ended]
+    assert [job.job_id for job in batch.completed_jobs] == [completed]
 
 
-def test_a_cancelled_jobs_mark_goes_with_the_job() -> None:
-    """However little the budget holds: a job without its mark would run again after a takeover."""
+def test_a_cancellation_mark_is_deleted_in_the_same_batch_as_its_job() -> None:
+    """The budget may be too small for both: a job without its mark would run again after a failover."""
     harness = ClusterHarness()
     harness.machine(1)
     ref = harness.submit()
@@ -89,8 +89,11 @@
     assert {live_key(ref), live_key(ref) + "/x"} <= set(batch.deletes)
 
 
-def test_ends_of_one_record_are_written_together_and_none_if_the_job_ends() -> None:
-    """Half of all changes were records written again for one more end; the job's own end needs none of them."""
+def test_completions_are_batched_per_record_and_omitted_if_the_job_completes() -> None:
+    """Without batching, half of all changes were records rewritten for one more completion.
+
+    The completion of the job makes recording the completions of its tasks unnecessary.
+    """
     harness = ClusterHarness([Team("crew")])
     for number in range(1, 6):
         harness.machine(number)
@@ -98,13 +101,13 @@
     ref = harness.submit(legs=10, cores=4.0, voyageS=10.0)
     harness.settle(2)
     tasks = list(harness.cluster.jobs[ref].tasks.values())
-    ripe = 1_500_000
+    batching_window = 1_500_000
     written = 0
     for task in tasks[:8]:
         harness.now += SECOND // 5
         harness.cluster.now = harness.now
         harness.cluster.tasks.complete(task, harness.now)
-        batch = harness.cluster.writes.take_batch(12, 12, ripe)
+        batch = harness.cluster.writes.take_batch(12, 12, batching_window)
         written += len(batch.sets)
         if batch.operation_count:
             harness.cluster.writes.committed(
@@ -116,11 +119,11 @@
     )
     harness.now += 2 * SECOND
     harness.cluster.now = harness.now
-    batch = harness.cluster.writes.take_batch(12, 12, ripe)
+    batch = harness.cluster.writes.take_batch(12, 12, batching_window)
     assert list(batch.sets) == [live_key(ref)]
     harness.cluster.writes.restore_batch(batch)
     for task in tasks[8:]:
         harness.cluster.tasks.complete(task, harness.now)
-    batch = harness.cluster.writes.take_batch(12, 12, ripe)
+    batch = harness.cluster.writes.take_batch(12, 12, batching_window)
     assert [job.job_id for job in batch.completed_jobs] == [ref]
     assert set(batch.sets) == {f"jobs/{ref}"}
