--- a/oatport/control/state/cancellations.py
+++ b/oatport/control/state/cancellations.py
@@ -1,10 +1,12 @@
-"""Cancellations that were confirmed to users, and what follows from them for agents' leases.
-
-A leader whom the state service refuses can't read what other nodes confirm to users. So each node keeps a list of what
-it confirmed to its own users, whichever way it knew of it, written before the response is sent; and a leader asks all
-nodes for theirs. What it learns so it stops; when every configured node reported all since the moment up to which
-cancellations were known, that moment moves on to when the request was sent. A node that can't be asked, that began
-later, that left something out, or that is of an earlier version leaves the moment where it is, and with it the bound.
+"""Cancellations that were confirmed to users, and the bound that they put on the renewal of agents' leases.
+
+A leader whose requests the state service refuses can't read the cancellations that other nodes confirm. Each node
+therefore logs the cancellations that it confirmed to its own users, however it learnt of them, and adds the entry
+before it sends the response. The leader requests these logs from all nodes and stops the jobs listed. The leader's
+watermark is the time up to which all confirmed cancellations are known: it advances to the time at which the request
+was sent once every configured node returned a log that is complete since the previous watermark. A node that can't be
+reached, that started later, that dropped entries or that runs an earlier version leaves the watermark, and with it the
+bound, unchanged.
 """
 
 from __future__ import annotations
@@ -14,61 +16,61 @@
 from oatport.settings import Workers
 from oatport.times import MS, SECOND, micros, with_drift
 
-MARGIN = 2 * SECOND  # of `renewals_allowed_until`
-MAX_CONFIRMED = 4_000  # in one response: 64 KiB of job ids, and more than any state service here records in `cancel_s`
-SLACK = 2 * SECOND  # reported beyond the moment asked for: the request was on its way for less
-MAX_RESPONSE_TIME = 1_500 * MS  # else the request may have been on its way for longer than SLACK
+MARGIN = 2 * SECOND  # for clock drift and timer delays in `renewals_allowed_until`
+# In one response: 64 KiB of job ids, more than any state service here records in `cancel_s`.
+MAX_LOG_ENTRIES = 4_000
+SLACK = 2 * SECOND  # added to the requested age: upper bound on the transit time of the request
+MAX_RESPONSE_TIME = 1_500 * MS  # after a slower reply, the transit of the request may have exceeded that bound
 
 
 def renewals_allowed_until(workers: Workers, known_at: int) -> int:
-    """Until when (steady, us) a heartbeat may be answered, by who knows all cancellations confirmed up to `known_at`.
-
-    A cancellation may be confirmed by another node at any moment; its tasks must be gone `cancel_s`
-    later, and an agent that receives nothing more kills them after `lease_s`, counted from when it *sent* the report:
-    before the answer was given, however late that goes out. So with K up to which cancellations are known, an
-    answer at t < K + cancel_s - lease_s - MARGIN renews a lease that ends before K + cancel_s - MARGIN, and a
-    cancellation that is not known was confirmed after K. A start that a partition held finds the epoch only for as
-    long. The answer itself stops the tasks of those that are known. What is left for the margin are clocks (0.05% of
-    both spans, 20 ms) and timers.
+    """Returns until when (steady, us) a leader that knows all cancellations up to `known_at` may answer heartbeats.
+
+    Another node may confirm a cancellation at any time, and the job's tasks must be gone `cancel_s` later. An agent
+    that receives nothing more kills its tasks `lease_s` after it *sent* its report, which precedes the response,
+    however late the response goes out. With K = `known_at`, a response at t < K + cancel_s - lease_s - margin renews a
+    lease that ends before K + cancel_s - margin, and an unknown cancellation was confirmed after K. A start command
+    delayed by a partition finds its agent epoch still valid for no longer than that. The response itself stops the
+    tasks of known cancellations. The margin covers clock drift (0.05% of both spans, 20 ms) and timer delays.
     """
     return known_at + with_drift(micros(workers.cancel_s - workers.lease_s)) - MARGIN
 
 
 @dataclass(frozen=True, slots=True)
 class ConfirmedCancellations:
-    """One node's response: jobs whose cancellation it confirmed, and for how long back (us) these are all."""
+    """One node's response: jobs whose cancellation it confirmed, and the age (us) up to which the list is complete."""
 
     job_ids: list[str]
     complete_for_us: int
 
     def covers(self, since: int, asked: int, answered: int) -> bool:
-        """Nothing that this node confirmed after `since` is missing. All three by the asker's steady clock (us).
+        """Returns whether the list has all confirmations after `since`; times are on the requester's steady clock (us).
 
-        The node's clock may run fast, and it answered at the latest when its answer was there.
+        The node's clock may run fast, and the node responded no later than `answered`, when its response arrived.
         """
         return answered - asked <= MAX_RESPONSE_TIME and answered - with_drift(self.complete_for_us) <= since
 
 
 @dataclass(slots=True)
 class CancellationLog:
-    """The cancellations that this node confirmed: each job once, and when that was first (steady, us).
+    """The cancellations that this node confirmed: each job once, with the time of its first confirmation (steady, us).
 
-    A moment is enough: a leader knows what was confirmed up to its own, and whoever leads later reads the records, in
-    which a cancellation stands before it is confirmed to anybody. `began_at`: what an earlier process confirmed is not
-    known here.
+    The first time suffices: a leader knows all cancellations up to its watermark, and a later leader reads the records,
+    which contain a cancellation before it is confirmed to any user. Confirmations by an earlier process, before
+    `started_at`, are not in the log.
     """
 
-    began_at: int
-    retention_us: int  # for longer no lease rests on what isn't known
-    max_entries: int = MAX_CONFIRMED
-    _confirmed: dict[str, int] = field(default_factory=dict)  # in the order of their moments
-    _complete_since: int = field(init=False)  # what was confirmed after this is all there
+    started_at: int
+    retention_us: int  # no lease depends on whether an older cancellation is known
+    max_entries: int = MAX_LOG_ENTRIES
+    _confirmed: dict[str, int] = field(default_factory=dict)  # job id -> time of confirmation, oldest first
+    _complete_since: int = field(init=False)  # the log has all confirmations after this time
 
     def __post_init__(self) -> None:
-        self._complete_since = self.began_at
+        self._complete_since = self.started_at
 
     def record(self, job_id: str, now: int) -> bool:
-        """It is about to be confirmed to its user; False if it was before."""
+        """Adds a cancellation that is about to be confirmed to its user; returns False if the log has it already."""
         while self._confirmed and next(iter(self._confirmed.values())) < now - self.retention_us:
             self._drop_oldest()
         if job_id in self._confirmed:
@@ -82,12 +84,12 @@
         self._complete_since = self._confirmed.pop(next(iter(self._confirmed)))
 
     def confirmed_within(self, now: int, age: int) -> ConfirmedCancellations:
-        """All that was confirmed within the last `age` us by the asker's clock, when it sent its request."""
-        after = now - age - age // 500 - SLACK
+        """Returns the cancellations confirmed in the `age` us, by the requester's clock, before it sent its request."""
+        cutoff = now - age - age // 500 - SLACK
         return ConfirmedCancellations(
-            [job_id for job_id, at in self._confirmed.items() if at > after], max(0, now - self._complete_since)
+            [job_id for job_id, at in self._confirmed.items() if at > cutoff], max(0, now - self._complete_since)
         )
 
     def quiet_us(self, now: int) -> int:
-        """For so long (us) nothing new was confirmed: what leaders of before 0.8 go by."""
+        """Returns the time (us) since the last new confirmation, which leaders of versions before 0.8 rely on."""
         return now - max([self._complete_since, *list(self._confirmed.values())[-1:]])
--- a/oatport/control/state/capacity.py
+++ b/oatport/control/state/capacity.py
@@ -1,4 +1,4 @@
-"""How many tasks of a job fit into some capacity: bin packing of one task size, machine type by machine type."""
+"""Bin packing of tasks of one size: how many tasks of a job fit into given capacity or into a machine type."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def task_slots(spec: wire.Submission, cpus: float, gpus: float, memory_gb: float) -> int:
-    """How many tasks of a job this much free capacity holds."""
+    """Returns how many tasks of a job fit into the given free capacity."""
     count = int((cpus + 1e-9) // spec.cpus)
     if spec.gpus > 0:
         count = min(count, int((gpus + 1e-9) // spec.gpus))
@@ -15,22 +15,22 @@
     return max(count, 0)
 
 
-def task_slots_when_empty(kind: wire.MachineType, spec: wire.Submission) -> int:
-    """How many tasks of a job an empty machine of a type holds."""
-    return task_slots(spec, kind.cpus, kind.gpus, kind.memory_gb)
+def task_slots_when_empty(machine_type: wire.MachineType, spec: wire.Submission) -> int:
+    """Returns how many tasks of a job fit on an empty machine of a type."""
+    return task_slots(spec, machine_type.cpus, machine_type.gpus, machine_type.memory_gb)
 
 
 def max_tasks_per_zone(spec: wire.Submission) -> int:
-    """How many of a job's tasks may be in one zone."""
+    """Returns how many of a job's tasks may be in one zone."""
     return (spec.task_count + 1) // 2 if spec.spread else spec.task_count
 
 
 def feasible_machine_types(spec: wire.Submission, types: dict[str, wire.MachineType]) -> list[wire.MachineType]:
-    """The machine types that can run a task of a job, in the order of the catalog."""
+    """Returns the machine types that can run a task of a job, in catalog order."""
     return [
-        kind
-        for kind in types.values()
-        if (spec.machine_types is None or kind.name in spec.machine_types)
-        and (spec.zone is None or spec.zone in kind.zones)
-        and task_slots_when_empty(kind, spec) > 0
+        machine_type
+        for machine_type in types.values()
+        if (spec.machine_types is None or machine_type.name in spec.machine_types)
+        and (spec.zone is None or spec.zone in machine_type.zones)
+        and task_slots_when_empty(machine_type, spec) > 0
     ]
--- a/oatport/control/state/cluster_state.py
+++ b/oatport/control/state/cluster_state.py
@@ -1,7 +1,7 @@
-"""The leader's view of jobs and machines: fed events and the time, it decides what to write and send.
+"""The leader's in-memory view of jobs and machines: events and the time go in, records and commands to send come out.
 
-Writing comes first: a task is bound only when the commit of its binding is known to be applied, and only then is its
-start sent. A task stays on its machine until it is proven gone.
+Records are written ahead of commands: a task is bound only once the commit of its binding is known to be applied, and
+only then is its start command sent. A task stays on its machine until it is proven gone.
 """
 
 from __future__ import annotations
@@ -39,11 +39,12 @@
 
 
 class ClusterState:
-    """Jobs and machines as the leader knows them, and the parts that decide about them.
+    """The leader's view of jobs and machines, and the components that decide about them.
 
-    Each part has one job and reaches the others through this object: `writes` (records to write), `dependencies`
-    (blocked jobs), `job_lifecycle`, `tasks`, `orphans` (attempts without a record), `completions` (those without
-    one), `heartbeats`, `commands`, `zones` (partitioned ones), `catalog` (machine types), `objectives`, `accounting`.
+    Each component has one responsibility and reaches the others through this object: `writes` (records to write),
+    `dependencies` (blocked jobs), `job_lifecycle`, `tasks`, `orphans` (attempts without a record), `completions`
+    (completions without a record), `heartbeats`, `commands`, `zones` (partitioned zones), `catalog` (machine types),
+    `objectives`, `accounting`.
     """
 
     def __init__(
@@ -58,8 +59,8 @@
         self.settings = settings
         self.tuning = tuning
         self.predictor = predictor
-        self.now = 0  # the time of the last event or pass
-        self.wall_offset = 0  # the time of day less the steady clock, at the last heartbeat
+        self.now = 0  # time of the last event or scheduling pass
+        self.wall_offset = 0  # time of day minus the steady clock, at the last heartbeat
         self.heartbeat_us = micros(settings.workers.report_s)
         self.lease_us = micros(settings.workers.lease_s)
         self.heartbeat_fresh_us = 2 * self.heartbeat_us + SECOND
@@ -67,14 +68,14 @@
 
         self.jobs: dict[str, Job] = {}
         self.pending = PendingQueue()
-        self.jobs_with_changed_counts: dict[Job, None] = {}  # whose counts, as users are shown them, may have changed
-        # Deferred jobs that are released soon, and how many tasks of them: they count as ahead.
+        self.jobs_with_changed_counts: dict[Job, None] = {}  # task counts for users may have changed
+        # Deferred jobs about to be released, and how many of their tasks: predicted queue waits include their work.
         self.upcoming_starts: list[tuple[Job, int]] = []
         self.machines: dict[str, Machine] = {}
         self.usable_machines: list[Machine] = []
-        self.released_machines: set[str] = set()  # names whose release was answered: gone for good
-        self.machines_to_command: set[Machine] = set()  # machines with commands that should not wait for a heartbeat
-        self.unacknowledged_tasks: set[Task] = set()  # bound by this leader; no heartbeat lists them yet
+        self.released_machines: set[str] = set()  # names of machines whose release was confirmed; they never return
+        self.machines_to_command: set[Machine] = set()  # machines with commands to send before the next heartbeat
+        self.unacknowledged_tasks: set[Task] = set()  # started by this leader, not yet listed in a heartbeat
         self.planning_needed = True
 
         self.objectives = ServiceObjectives(settings.objectives)
@@ -107,9 +108,10 @@
         return router
 
     def idle_timeout(self, machine: Machine) -> int:
-        """How long an idle machine is kept; those with GPUs are few, and longer in coming back.
+        """Returns how long an idle machine is kept; GPU machines for longer, as they are few and slow to rent again.
 
-        Of those, the expensive ones for less: an ordinary one costs twice or thrice what a spot one does.
+        Expensive GPU machines are kept for a shorter time than cheap ones: a non-spot machine costs two to three
+        times as much as a spot machine.
         """
         idle = self.tuning.us("idle_s")
         if machine.type.gpus <= 0:
@@ -118,7 +120,7 @@
         return max(idle, round(idle * self.tuning.gpu_idle_factor * cheap / max(machine.price, 1e-9)))
 
     def refresh_usable_machines(self, now: int) -> list[Machine]:
-        """The machines that tasks may be placed on now."""
+        """Recomputes and returns the machines on which tasks may be placed now."""
         self.usable_machines = [
             m
             for m in self.machines.values()
@@ -127,11 +129,11 @@
         return self.usable_machines
 
     def may_backfill(self, job: Job, machine: Machine, now: int) -> bool:
-        """May an array task without need of GPUs use a machine that has them?
+        """Returns whether an array task that needs no GPUs may use a machine that has them.
 
-        Beside work that needs them, or while the machine is kept for such work anyway and the task will
-        be done by the time that it goes back: so it is never kept for the array, and whoever needs the
-        GPUs preempts it.
+        The task may run beside GPU work, or while the machine is kept idle for GPU work anyway if the task will be done
+        before the machine's idle timeout. The machine is thus never kept for the array job, and GPU work preempts the
+        task.
         """
         if job.kind is not JobKind.ARRAY:
             return False
@@ -142,9 +144,10 @@
         )
 
     def may_use_free_spot(self, job: Job) -> bool:
-        """Routed to spot; or long work that loses little there and is expected to start soon.
+        """Returns whether a job may use idle spot machines: it is routed to spot, or is GPU work as described below.
 
-        Such a gang waited for an ordinary machine to boot while a spot one was idle, kept for jobs of its kind.
+        GPU work that checkpoints and has a start objective loses little on spot machines. A gang of such work waited
+        for a non-spot machine to boot while a spot machine was idle and kept for jobs of this kind.
         """
         if job.tier in (SPOT, ""):
             return True
@@ -159,7 +162,10 @@
     def add_machine(
         self, name: str, type_name: str, zone: str, spot: bool, address: str, now: int, wall: int, age: int = 0
     ) -> Machine | None:
-        """A machine rented, listed, recorded or reporting; None if it can't be one of ours."""
+        """Returns a machine that was rented, listed, recorded or reporting, and adds it if it is new.
+
+        Returns None if the machine can't belong to this cluster: its type is unknown or it was released.
+        """
         machine = self.machines.get(name)
         if machine is None:
             kind = self.catalog.types.get(type_name)
@@ -176,7 +182,7 @@
         return machine
 
     def on_machine_removed(self, machine: Machine, now: int, reason: str) -> None:
-        """Proven gone: a release was answered, or the list says `failed`."""
+        """Removes a machine that is proven gone: its release was confirmed, or the cloud lists it as `failed`."""
         if machine.removed:
             return
         machine.removed = True
@@ -195,7 +201,7 @@
         self.planning_needed = True
 
     def on_process_pause(self, gap: int, now: int) -> None:
-        """This process did not run for a while: nobody was silent or idle for it meanwhile."""
+        """Discounts a pause of this process of `gap` us from the silent and idle times of machines and waiting jobs."""
         for machine in self.machines.values():
             machine.on_process_pause(gap, now)
         for job in self.pending:
--- a/oatport/control/state/heartbeats.py
+++ b/oatport/control/state/heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats of agents: what a report changes in the leader's view."""
+"""Processing of agents' heartbeats, which update the leader's view of machines and tasks."""
 
 from __future__ import annotations
 
@@ -19,20 +19,20 @@
 
 log = logging.getLogger(__name__)
 
-START_UNSEEN_AFTER = 6 * SECOND  # after a binding: heartbeats still don't list the task that was started
-INSUFFICIENT_CAPACITY_PAUSE = 3 * SECOND  # for which nothing is placed on a machine that refused a start
+UNREPORTED_START_TIMEOUT = 6 * SECOND  # after a binding, if heartbeats still don't list the started task
+INSUFFICIENT_CAPACITY_PAUSE = 3 * SECOND  # no placement on a machine for this long after it refused a start
 OTHER_ATTEMPT_PAUSE = SECOND
 UNKNOWN_TASK_BACKOFF = 2 * SECOND
 
 
 class HeartbeatReceiver:
-    """Takes in heartbeats, and the reports with which agents answer commands: both have the same form."""
+    """Applies heartbeats and agents' responses to commands, which have the same form, to the cluster state."""
 
     def __init__(self, cluster: ClusterState) -> None:
         self.cluster = cluster
 
     def receive(self, report: wire.Heartbeat, now: int, wall: int) -> Machine | None:
-        """Take in an agent's report; None if it is of no machine of ours. `wall`: the time of day."""
+        """Applies an agent's report; returns its machine, or None if it is unknown or released. `wall`: time of day."""
         cluster = self.cluster
         machine = cluster.add_machine(
             report.machine_name, report.machine_type, report.zone, report.spot, report.address, now, wall
@@ -41,11 +41,11 @@
             return None
         if (report.agent_epoch, report.heartbeat_seq) <= (machine.agent_epoch, machine.heartbeat_seq):
             cluster.now = now
-            cluster.completions.apply_late(machine, report)
-            return machine  # an older message that came late: of all the rest it tells nothing
+            cluster.completions.apply_stale_heartbeat(machine, report)
+            return machine  # an older message that arrived late: only its completions are still valid
         is_new_epoch = report.agent_epoch != machine.agent_epoch
         if now - machine.last_heartbeat_at > cluster.heartbeat_fresh_us:
-            cluster.planning_needed = True  # its free capacity counts again
+            cluster.planning_needed = True  # its free capacity is usable again
         machine.last_heartbeat_at = cluster.now = now
         cluster.wall_offset = wall - now
         if machine.zone in cluster.zones.partitioned:
@@ -57,12 +57,12 @@
         if is_new_epoch:
             self._on_new_epoch(machine, now)
         elif machine.command_unreachable and now - machine.agent_epoch_since > cluster.lease_us:
-            machine.command_unreachable = False  # else its epoch would have ended
+            machine.command_unreachable = False  # without a response its lease, and so its epoch, would have ended
         machine.agent_epoch, machine.heartbeat_seq = report.agent_epoch, report.heartbeat_seq
         machine.fencing_token = report.fencing_token
         self._apply_reclamation_notice(machine, report.reclamation_notice_s, now)
         if machine.settled_heartbeat is not None and not is_new_epoch and machine.settled_heartbeat == report.tasks:
-            return machine  # what it runs is as it was reported before, and as it should be
+            return machine  # its tasks are unchanged since the last report, and as intended
         self._apply_tasks(machine, report, now)
         return machine
 
@@ -72,23 +72,23 @@
         machine.ready_at = machine.gpus_idle_since = now
         if not machine.tasks:
             machine.idle_since = now
-        # Nothing is placed on it before it is recorded.
+        # Nothing is placed on the machine before it is recorded.
         self.cluster.writes.mark_machine_dirty(machine, urgent=not machine.persisted)
         self.cluster.planning_needed = True
 
     @staticmethod
     def _on_new_epoch(machine: Machine, now: int) -> None:
-        """Its agent began a new epoch: all its tasks ended, and starts of earlier epochs are refused."""
+        """Handles a new agent epoch: all tasks of the machine ended, and starts of earlier epochs are refused."""
         if machine.agent_epoch:
-            # It received no response for a lease, while its heartbeats may have arrived all the time: empty as it is
-            # then, it looks like the best place for the next tasks.
+            # The agent received no response for a whole lease, though its heartbeats may have arrived all the time.
+            # The machine is now empty and would otherwise look like the best place for the next tasks.
             machine.command_unreachable = True
         machine.agent_epoch_since = now
-        # Starts sent under an earlier epoch are refused from now on, and so are those of an earlier token once the
-        # agent has seen ours.
+        # From now on the agent refuses starts sent under an earlier epoch, and starts under an earlier fencing token
+        # once it has seen this leader's token.
         machine.unacknowledged_starts.clear()
         machine.starts_in_response.clear()
-        # Its images are kept, but a fetch that nobody waits for any more is given up.
+        # Images on the machine stay, but fetches in progress are dropped, as no task waits for them any more.
         machine.images = {image: at for image, at in machine.images.items() if at == 1}
 
     def _apply_reclamation_notice(self, machine: Machine, notice_s: float | None, now: int) -> None:
@@ -103,17 +103,17 @@
         machine.reclaimed_at = min(machine.reclaimed_at, reclaimed_at)
 
     def _on_reclamation_notice(self, machine: Machine, notice_s: float, now: int) -> None:
-        """The cloud reclaims it soon: what can't finish in time leaves now, saving if it can.
+        """Drains a machine that the cloud reclaims soon: tasks that can't finish in time stop, saving if possible.
 
-        What may not run again stays: it may just be done before.
+        Tasks that may not run again stay, as they may complete before the reclamation.
         """
         log.info("spot reclamation notice machine=%s in_s=%.0f", machine.name, notice_s)
         self.cluster.planning_needed = True
-        left = micros(notice_s)
+        time_left = micros(notice_s)
         for task in list(machine.tasks):
-            self.cluster.tasks.drain(task, left, now)
+            self.cluster.tasks.drain(task, time_left, now)
 
-    # --- its tasks ----------------------------------------------------------------------------
+    # --- the tasks ----------------------------------------------------------------------------
 
     def _apply_tasks(self, machine: Machine, report: wire.Heartbeat, now: int) -> None:
         listed = {(row.task_name, row.attempt): row for row in report.tasks}
@@ -122,9 +122,9 @@
                 continue
             row = listed.get((task.name, task.attempt))
             if row is None:
-                self._on_absent(task, machine, report, now)
+                self._on_unlisted_task(task, machine, report, now)
             else:
-                self._on_listed(task, machine, row, report, now)
+                self._on_listed_task(task, machine, row, report, now)
         self._on_unbound_attempts(machine, report.tasks)
         if machine.tasks or machine.orphaned_attempts:
             machine.idle_since = 0
@@ -134,9 +134,9 @@
 
     @staticmethod
     def _is_settled(machine: Machine, listed_count: int) -> bool:
-        """The same report once more would change nothing: all that should be there is, and nothing else.
+        """Returns whether the same report again would change nothing: the machine runs exactly the intended tasks.
 
-        `TaskLifecycle` and `MachineCommands` undo this with whatever they change about the machine.
+        `TaskLifecycle` and `MachineCommands` clear `settled_heartbeat` with every change to the machine.
         """
         return (
             not machine.orphaned_attempts
@@ -152,7 +152,9 @@
             )
         )
 
-    def _on_listed(self, task: Task, machine: Machine, row: wire.TaskReport, report: wire.Heartbeat, now: int) -> None:
+    def _on_listed_task(
+        self, task: Task, machine: Machine, row: wire.TaskReport, report: wire.Heartbeat, now: int
+    ) -> None:
         if task.start_acknowledged is None and task.start_epoch == report.agent_epoch:
             machine.command_unreachable = False
         task.start_acknowledged = (report.agent_epoch, report.heartbeat_seq)
@@ -165,7 +167,7 @@
     def _on_status(self, task: Task, machine: Machine, status: str, now: int) -> None:
         job = task.job
         if status != wire.TaskStatus.FETCHING_IMAGE:
-            machine.images[job.spec.image] = 1  # it has it
+            machine.images[job.spec.image] = 1  # the image is on the machine
         if status == wire.TaskStatus.RUNNING and not task.running_since:
             task.running_since = now
             self.cluster.job_statistics.on_started(job)
@@ -205,31 +207,31 @@
         is_loss = reason in (wire.ExitReason.GANG_MEMBER_LOST, wire.ExitReason.STOPPED)
         self.cluster.tasks.requeue(task, lost=is_loss and not was_stopped, unexecuted=reason in REFUSAL_REASONS)
 
-    def _on_absent(self, task: Task, machine: Machine, report: wire.Heartbeat, now: int) -> None:
-        """A bound task that the newest report does not list: gone only if nothing can still bring it."""
+    def _on_unlisted_task(self, task: Task, machine: Machine, report: wire.Heartbeat, now: int) -> None:
+        """Requeues a bound task that the newest report does not list, unless a start command may still create it."""
         if report.fencing_token != self.cluster.fencing_token:
-            return  # a start of an earlier leader may still land
+            return  # a start of an earlier leader may still arrive
         if task.binding_at and not task.start_epoch:
-            self.cluster.machines_to_command.add(machine)  # bound by this leader, its first start is just due
+            self.cluster.machines_to_command.add(machine)  # bound by this leader, and its first start is due now
             return
-        is_start_under_way = bool(machine.unacknowledged_starts.get((task.name, task.attempt)))
+        is_start_in_flight = bool(machine.unacknowledged_starts.get((task.name, task.attempt)))
         if task.start_epoch and report.agent_epoch <= task.start_epoch:
-            if self._is_cancelled_and_never_there(task, machine):
-                pass  # no start of it is under way, and none goes out any more: it isn't there and won't be
-            elif task.start_acknowledged is None or is_start_under_way:
-                self.cluster.machines_to_command.add(machine)  # our start is on its way or was lost: repeat it
-                if task.binding_at and now - task.binding_at > START_UNSEEN_AFTER:
+            if self._is_cancelled_and_not_started(task, machine):
+                pass  # no start is in flight and none will be sent: the task is not on the machine and never will be
+            elif task.start_acknowledged is None or is_start_in_flight:
+                self.cluster.machines_to_command.add(machine)  # this leader's start is in flight or was lost: repeat it
+                if task.binding_at and now - task.binding_at > UNREPORTED_START_TIMEOUT:
                     machine.command_unreachable = True
                 return
         log.info("task gone from machine task=%s attempt=%d machine=%s", task.name, task.attempt, machine.name)
-        # In the epoch in which it was bound, and never seen by this leader: no start of it was executed.
+        # Same epoch as at the binding, and never reported to this leader: no start of the attempt was executed.
         unexecuted = (
-            task.start_acknowledged is None and report.agent_epoch == task.binding_epoch and not is_start_under_way
+            task.start_acknowledged is None and report.agent_epoch == task.binding_epoch and not is_start_in_flight
         )
         self.cluster.tasks.requeue(task, lost=bool(task.start_epoch), unexecuted=unexecuted)
 
     @staticmethod
-    def _is_cancelled_and_never_there(task: Task, machine: Machine) -> bool:
+    def _is_cancelled_and_not_started(task: Task, machine: Machine) -> bool:
         key = (task.name, task.attempt)
         return (
             task.job.cancelled
@@ -239,7 +241,7 @@
         )
 
     def _on_unbound_attempts(self, machine: Machine, rows: list[wire.TaskReport]) -> None:
-        """Attempts in the report that no record puts there."""
+        """Updates the terminated attempts, and the orphaned ones: in the report, but not bound to this machine."""
         terminated: set[tuple[str, int]] = set()
         orphaned: dict[tuple[str, int], None] = {}
         bound = {(task.name, task.attempt) for task in machine.tasks if task.phase is not TaskPhase.PENDING}
@@ -256,4 +258,4 @@
             if key not in machine.orphaned_attempts:
                 self.cluster.orphans.add(machine, key)
         if machine.reclaimed_at:
-            self.cluster.completions.expedite(machine)  # soon it can't report them any more
+            self.cluster.completions.expedite(machine)  # the machine can't report them after its reclamation
--- a/oatport/control/state/job.py
+++ b/oatport/control/state/job.py
@@ -1,4 +1,4 @@
-"""A job as the leader sees it: what it asks for, which of its tasks were touched, and what was found out about it."""
+"""A job in the leader's view: its specification, the state of its tasks and what the scheduler derived about it."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class JobKind(StrEnum):
-    """How the tasks of a job relate; the values are the protocol's."""
+    """The relation between the tasks of a job; the values are those of the protocol."""
 
     ARRAY = "array"
     GANG = "gang"
@@ -26,78 +26,78 @@
 
 @dataclass(slots=True)
 class DeferredStart:
-    """Why some of a job's tasks may not start yet; recorded with the job, so that the next leader goes on from it."""
+    """The deferral of some of a job's tasks; recorded with the job, so that the next leader continues it."""
 
-    plan: list[tuple[int, int]]  # from when (time of day) how many more may start
+    plan: list[tuple[int, int]]  # (time of day, number of further tasks that may start from then)
     reason: str
-    write_count: int = 0  # times that it was written: bounded
-    paused_until: int = 0  # time of day; running tasks were stopped for a cheaper hour
+    write_count: int = 0  # number of writes of the deferral, which is limited
+    paused_until: int = 0  # time of day; running tasks were stopped until a cheaper hour
     pause_count: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class CompactSpec:
-    """What of a job's description lies in its own record, where lists of it lie in overflow records."""
+    """The part of a job's description in its own record, if lists of the description are in overflow records."""
 
     description: dict[str, Any]
-    overflow: list[Any]  # how many overflow records there are, and the names of the lists in them
+    overflow: list[Any]  # number of overflow records, and the names of the lists in them
 
 
 @dataclass(slots=True, eq=False)
 class Job:
-    """An unfinished job. Times are steady microseconds where it isn't said that they are times of day."""
+    """An unfinished job. Times are in microseconds of the steady clock, except those marked as times of day."""
 
     job_id: str
     spec: wire.Submission
     version: int  # revision of jobs/JOB, the condition of every commit of a binding
-    submitted_at: int  # time of day, since it must mean the same on the next leader
+    submitted_at: int  # time of day, as the next leader has another steady clock
     kind: JobKind = field(init=False)
     priority_rank: int = field(init=False)
     cancelled: bool = False
-    cancelled_after: int = 0  # its cancellation was confirmed after this; 0: not known
+    cancelled_after: int = 0  # lower bound (steady) on when its cancellation was confirmed; 0: unknown
     tasks: dict[int, Task] = field(default_factory=dict)
-    next_untouched: int = 0  # tasks from here on were never touched
-    start_limit: int = -1  # tasks from here on are deferred (-1: none is)
+    next_untouched: int = 0  # tasks from this index on were never bound
+    start_limit: int = -1  # tasks from this index on are deferred; -1: none
     deferral: DeferredStart | None = None
-    retry_queue: deque[int] = field(default_factory=deque)  # tasks that were bound before and are pending again
+    retry_queue: deque[int] = field(default_factory=deque)  # tasks bound before that are pending again
     completed: set[int] = field(default_factory=set)
     on_machines: int = 0  # tasks binding or bound
     gang_attempt: int = 0
-    loss_count: int = 0  # how often its tasks were lost with machines or preempted: the retry count
-    tier: str = ""  # what the router decided last
-    retry_at: int = 0  # backing off after errors (steady)
-    errors: int = 0  # since a task of it was completed last
+    loss_count: int = 0  # retry count: tasks lost with machines or preempted
+    tier: str = ""  # the router's last decision
+    retry_at: int = 0  # end of the backoff after errors (steady)
+    errors: int = 0  # since the last completion of one of its tasks
     error_machines: set[str] = field(default_factory=set)
-    suspected_faulty: bool = False  # it failed on several machines and completed on none: rather its fault
+    suspected_faulty: bool = False  # failed on several machines, completed on none: the job is the likely cause
     tasks_by_zone: dict[str, int] = field(default_factory=dict)  # tasks on machines, by zone
     completing: bool = False  # its completion is being committed
-    started: bool = False  # a task of it was seen running
-    starving: bool = False  # it is pending for so long that no equal goes before it any more
-    at_most_once: bool = False  # its class limits retries: rows of its records tell more
-    failure_reason: str = ""  # a task of it may not run again: it fails
-    orphaned_attempt_count: int = 0  # orphaned attempts of it: nothing of it is placed meanwhile
-    deadline_at: int = 0  # time of day of the deadline that it can still meet
-    deadline_missed: bool = False  # it can meet none any more
-    attainable_deadline: int = 0  # time of day, the first that it could meet if it ran now; 0: not judged
-    within_guarantee: bool = False  # it fits its team's guarantee together with the team's earlier jobs
-    unplaced_since: int = 0  # when it last began to wait without getting a machine
-    preempt_after: int = 0  # one round of preemption at a time
+    started: bool = False  # one of its tasks was seen running
+    starving: bool = False  # pending for so long that no job of equal priority may overtake it
+    at_most_once: bool = False  # its class limits retries: its task records have more fields
+    failure_reason: str = ""  # set if the job fails because a task may not run again
+    orphaned_attempt_count: int = 0  # while above 0, none of its tasks is placed
+    deadline_at: int = 0  # time of day of the next deadline that it can still meet
+    deadline_missed: bool = False  # it can't meet any deadline any more
+    attainable_deadline: int = 0  # time of day, the first that it meets if it runs now; 0: not computed
+    within_guarantee: bool = False  # fits its team's guarantee along with the team's earlier jobs
+    unplaced_since: int = 0  # start of the current wait for a machine
+    preempt_after: int = 0  # no further round of preemption before this time
     predicted_runtime: int = 0  # as of the last routing
-    runtime_bucket: int = 0  # the same in coarse steps
-    queue_entry: object = None  # its place in the pending queue (`control/queueing/pending_queue.py`)
-    deadlines: list[int] | None = None  # times of day by which its completion is measured: they never change
-    # Machine types that can run it, the names of those that suit it, and the catalog that they were found in.
+    runtime_bucket: int = 0  # `predicted_runtime` in coarse steps
+    queue_entry: object = None  # its entry in the pending queue (`control/queueing/pending_queue.py`)
+    deadlines: list[int] | None = None  # times of day against which its completion is measured; constant
+    # Machine types that can run the job, and the preferred ones with their names, each with the catalog generation.
     feasible_types: tuple[int, list[wire.MachineType]] | None = None
     preferred_types: tuple[int, list[wire.MachineType], tuple[str, ...]] | None = None
 
     number: int = 0  # the digits of its id
-    # Time of day from which all times but its deadline count: its submission, or when its last dependency completed.
+    # Time of day from which all its times except the deadline count: submission, or completion of its last dependency.
     eligible_at: int = 0
     inherited_deadlines: list[int] = field(default_factory=list)  # times of day, from jobs that depend on it
-    tasks_in_first_record: int = -1  # tasks that lie with the job in one record; -1: not computed yet
+    tasks_in_first_record: int = -1  # tasks stored in the job's own record; -1: not computed yet
     dependencies: tuple[str, ...] = ()
     in_statistics: bool = False  # it is counted in JobStatistics
-    compact_spec: CompactSpec | None = None  # set if lists of its description lie in overflow records
+    compact_spec: CompactSpec | None = None  # set if lists of its description are in overflow records
 
     def __post_init__(self) -> None:
         self.kind = JobKind(self.spec.kind)
@@ -111,25 +111,25 @@
 
     @property
     def pending(self) -> int:
-        """Tasks that want a machine now; deferred ones don't."""
+        """The number of tasks that wait for a machine now, without the deferred ones."""
         if self.start_limit < 0:
             return self.spec.task_count - self.next_untouched + len(self.retry_queue)
         return max(self.start_limit - self.next_untouched, 0) + len(self.retry_queue)
 
     @property
     def deferred(self) -> int:
-        """Tasks that may not start yet."""
+        """The number of tasks that may not start yet."""
         return 0 if self.start_limit < 0 else self.spec.task_count - max(self.start_limit, self.next_untouched)
 
     @property
     def deadline(self) -> int | None:
-        """Time of day by which it should be complete: its own deadline, else what jobs that depend on it leave it."""
+        """Time of day by which the job should complete: its own deadline, else the first inherited from dependents."""
         if self.spec.deadline_s is None:
             return self.inherited_deadlines[0] if self.inherited_deadlines else None
         return self.submitted_at + micros(self.spec.deadline_s)
 
     def next_pending(self) -> int | None:
-        """Index of the first pending task; None if there is none."""
+        """Returns the index of the first pending task; None if there is none."""
         if self.retry_queue:
             return self.retry_queue[0]
         return (
@@ -139,7 +139,7 @@
         )
 
     def take_pending(self) -> Task:
-        """Remove the first pending task from the queue; the caller binds it."""
+        """Removes and returns the first pending task; the caller binds it."""
         if self.retry_queue:
             return self.tasks[self.retry_queue.popleft()]
         task = Task(self, self.next_untouched)
--- a/oatport/control/state/job_lifecycle.py
+++ b/oatport/control/state/job_lifecycle.py
@@ -1,4 +1,4 @@
-"""Jobs in the leader's view: accepted, deferred, cancelled, failed and removed."""
+"""The lifecycle of jobs in the leader's view: acceptance, deferral, cancellation, failure and removal."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 
 
 class JobLifecycle:
-    """The steps of a job as a whole, from its acceptance to the removal of its records."""
+    """Carries out the state changes of whole jobs, from acceptance to the removal of their records."""
 
     def __init__(self, cluster: ClusterState) -> None:
         self.cluster = cluster
 
     def add(self, job_id: str, spec: wire.Submission, version: int, submitted_at: int) -> Job:
-        """An accepted job that is blocked by no other; the known one if it is known already."""
+        """Adds an accepted job that no other job blocks, and returns it; returns the existing job if there is one."""
         job = self.cluster.jobs.get(job_id)
         if job is None:
             job = self.cluster.jobs[job_id] = Job(job_id, spec, version, submitted_at)
@@ -39,7 +39,7 @@
         return job
 
     def admit(self, job: Job) -> None:
-        """It may start from now on."""
+        """Makes a job eligible to start: adds it to the pending queue."""
         policy = self.cluster.retry_policies.get(job.spec.job_class, RetryPolicy.ANY)
         job.at_most_once = policy is not RetryPolicy.ANY and job.kind is not JobKind.SERVICE
         job.unplaced_since = self.cluster.now or 1
@@ -49,12 +49,12 @@
         self.cluster.dependencies.graph.dirty[job.job_id] = None
 
     def on_accepted(self, job: Job) -> None:
-        """It was accepted."""
+        """Counts an accepted job in the statistics."""
         job.in_statistics = True
         self.cluster.job_statistics.on_accepted(job)
 
     def set_urgency(self, job: Job, priority_rank: int, inherited_deadlines: list[int]) -> None:
-        """It inherits this from jobs that depend on it. Its tasks on machines count with its priority."""
+        """Sets the priority and deadlines that a job inherits from dependents, and recounts its tasks by priority."""
         if priority_rank == job.priority_rank and inherited_deadlines == job.inherited_deadlines:
             return
         for task in job.tasks.values():
@@ -70,10 +70,11 @@
         self.cluster.planning_needed = True
 
     def cancel(self, job_id: str, mark_version: int, confirmed_after: int = 0) -> None:
-        """Its cancellation was confirmed to its user: nothing of it starts any more, all its tasks must stop.
+        """Cancels a job whose cancellation was confirmed to its user: none of its tasks starts any more, all must stop.
 
-        So are all jobs that depend on it. `mark_version`: of its mark under `live/`; 0: confirmed, but not read in the
-        records yet. `confirmed_after` (steady): not before that, as far as is known.
+        All jobs that depend on it are cancelled too. `mark_version` is the version of its cancellation mark under
+        `live/`; 0 if the cancellation is confirmed but not yet read from the records. `confirmed_after` (steady) is a
+        lower bound on the time of the confirmation, as far as known.
         """
         self.cluster.dependencies.cancel_dependents(job_id)
         job = self.cluster.jobs.get(job_id)
@@ -82,7 +83,7 @@
             return
         if mark_version:
             self.cluster.writes.versions[cancel_key(job_id)] = mark_version
-        if job.failure_reason:  # its user was faster than the record of that
+        if job.failure_reason:  # the user cancelled the job before its failure was recorded
             job.failure_reason, job.completing, job.cancelled_after = "", False, confirmed_after
             self.cluster.writes.jobs_to_complete.pop(job, None)
         if job.cancelled:
@@ -95,7 +96,7 @@
         self._cancel_tasks(job)
 
     def cancel_confirmed(self, job_id: str, mark_version: int, confirmed_after: int) -> None:
-        """A node confirmed its cancellation to its user, which may not be known here."""
+        """Cancels a job whose cancellation a node confirmed to its user, even if the job is not in the view yet."""
         if (
             job_id not in self.cluster.jobs
             and job_id not in self.cluster.dependencies.blocked_jobs
@@ -105,7 +106,7 @@
         self.cancel(job_id, mark_version, confirmed_after)
 
     def _cancel_tasks(self, job: Job) -> None:
-        """No task of it starts any more, and those on machines leave."""
+        """Unbinds tasks that are not started yet, and stops those on machines."""
         for task in list(job.tasks.values()):
             if task.phase is TaskPhase.BINDING:
                 self.cluster.tasks.unbind(task)
@@ -114,9 +115,9 @@
         self.delete_if_gone(job)
 
     def fail(self, task: Task, cause: str) -> None:
-        """A task may not run again, so the job fails: the rest of it is stopped, then that is recorded.
+        """Fails the job of a task that may not run again: stops its other tasks, then has the failure recorded.
 
-        The task's own row says so from its next record on, whatever leader reads it.
+        The next record of the task itself marks it as not to be retried, which holds for any later leader.
         """
         job = task.job
         if task.machine is not None:
@@ -132,21 +133,22 @@
         self._cancel_tasks(job)
 
     def cancellation_watermark(self, known_at: int) -> int:
-        """The moment (steady) up to which all confirmed cancellations are known and their tasks proven gone; 0: none.
+        """Returns the time (steady) up to which all confirmed cancellations are known and their tasks proven gone.
 
-        `known_at`: up to which they are known. Tasks that nobody knows may be of a cancelled job.
+        `known_at` is the time up to which they are known. Returns 0 while there are orphaned attempts, as these may
+        belong to a cancelled job.
         """
         if any(machine.orphaned_attempts for machine in self.cluster.machines.values()):
             return 0
-        left = [
+        remaining = [
             job.cancelled_after
             for job in self.cluster.jobs.values()
             if job.cancelled and (job.on_machines or job.orphaned_attempt_count)
         ]
-        return min([known_at, *left])
+        return min([known_at, *remaining])
 
     def defer(self, job: Job, start_limit: int, deferral: DeferredStart) -> None:
-        """Of its tasks only the first `start_limit` may start; recorded, so that the next leader defers it as well."""
+        """Lets only the first `start_limit` tasks of a job start; recorded, so that the next leader defers it too."""
         job.start_limit, job.deferral = start_limit, deferral
         if not job.pending:
             self.cluster.pending.discard(job)
@@ -157,7 +159,7 @@
         self.cluster.writes.dirty_keys[live_key(job.job_id)] = None
 
     def release_deferred(self, job: Job, count: int) -> None:
-        """So many more tasks of a deferred job may start. Not written by itself: the plan that is recorded says so."""
+        """Lets `count` more tasks of a deferred job start; not written, as the recorded plan already includes them."""
         if job.start_limit < 0 or job.cancelled or job.completing:
             return
         job.start_limit = min(max(job.start_limit, job.next_untouched) + count, job.spec.task_count)
@@ -167,22 +169,22 @@
         self.cluster.planning_needed = True
 
     def delete_if_gone(self, job: Job) -> None:
-        """Have a cancelled job's records deleted, once none of its attempts is on a machine any more."""
+        """Has a cancelled job's records deleted, or its failure recorded, once none of its attempts is on a machine."""
         if not job.cancelled or job.on_machines or job.orphaned_attempt_count:
             return
         if job.failure_reason:
             job.completing = True
             self.cluster.writes.jobs_to_complete[job] = None
         elif self.cluster.writes.versions.get(cancel_key(job.job_id)):
-            # Without the mark's version its keys wait for the record: the mark goes with them.
+            # The keys are deleted only once the mark's version was read, since the mark is deleted along with them.
             self.cluster.writes.jobs_to_delete[job] = None
 
     def lease_renewal_bound(self, job: Job) -> int:
-        """A cancelled job: until when (steady) a worker's lease may be renewed that might let a task of it run on."""
+        """Returns until when (steady) leases may be renewed of workers that may still run tasks of a cancelled job."""
         return renewals_allowed_until(self.cluster.settings.workers, job.cancelled_after)
 
     def remove(self, job: Job) -> None:
-        """Its completion, or the deletion of its records, is committed."""
+        """Removes a job from the view after its completion or the deletion of its records was committed."""
         self.cluster.jobs.pop(job.job_id, None)
         if job.in_statistics:
             job.in_statistics = False
--- a/oatport/control/state/job_statistics.py
+++ b/oatport/control/state/job_statistics.py
@@ -1,6 +1,6 @@
-"""Jobs accepted, started and completed, by class and by team, for as long as this leader leads.
+"""Counts of jobs accepted, started and completed during this leader's term, by class and by team.
 
-Counted as it happens. What completed under an earlier leader is not counted; what that left unfinished is.
+Jobs that completed under an earlier leader are not counted; jobs that it left unfinished are.
 """
 
 from __future__ import annotations
@@ -10,42 +10,42 @@
 
 from oatport.control.state.job import Job
 
-MAX_SIZES = 2_000  # jobs of a class whose sizes are known; of more, the smaller half is dropped
+MAX_TRACKED_JOBS = 2_000  # jobs per class whose sizes are stored; beyond that, all but the largest half are dropped
 
 
 @dataclass(slots=True)
 class JobCounts:
-    """Jobs that their users cancelled are not counted any more."""
+    """Counts of jobs, without those that their users cancelled."""
 
     accepted: int = 0
-    started: int = 0  # a task of it ran
+    started: int = 0  # at least one task ran
     completed: int = 0
 
 
 @dataclass(slots=True)
 class JobStatistics:
-    """Counts of jobs by class and by team."""
+    """Counts of jobs by class and by team, and the sizes of each class's largest jobs."""
 
     classes: dict[str, JobCounts] = field(default_factory=dict)
     teams: dict[str, JobCounts] = field(default_factory=dict)
-    # class -> job -> what it takes, and whether a task of it ran
+    # class -> job id -> CPUs of all its tasks, and whether a task of it ran
     _sizes: dict[str, dict[str, tuple[float, bool]]] = field(default_factory=dict)
 
-    def _rows(self, job: Job) -> Iterator[JobCounts]:
+    def _counts_of(self, job: Job) -> Iterator[JobCounts]:
         yield self.classes.setdefault(job.spec.job_class, JobCounts())
         yield self.teams.setdefault(job.spec.team, JobCounts())
 
     def on_accepted(self, job: Job) -> None:
-        """It was accepted."""
-        for row in self._rows(job):
+        """Counts an accepted job and stores its size."""
+        for row in self._counts_of(job):
             row.accepted += 1
         sizes = self._sizes.setdefault(job.spec.job_class, {})
         sizes[job.job_id] = (job.spec.cpus * job.spec.task_count, job.started)
-        if len(sizes) > MAX_SIZES:
-            largest = sorted(sizes.items(), key=lambda item: item[1], reverse=True)[: MAX_SIZES // 2]
+        if len(sizes) > MAX_TRACKED_JOBS:
+            largest = sorted(sizes.items(), key=lambda item: item[1], reverse=True)[: MAX_TRACKED_JOBS // 2]
             self._sizes[job.spec.job_class] = dict(largest)
 
-    def _mark(self, job: Job, started: bool) -> None:
+    def _set_started(self, job: Job, started: bool) -> None:
         sizes = self._sizes.get(job.spec.job_class, {})
         if job.job_id not in sizes:
             return
@@ -55,27 +55,27 @@
             sizes[job.job_id] = (sizes[job.job_id][0], started)
 
     def largest(self) -> dict[str, tuple[int, int]]:
-        """Of each class's largest tenth by what a job takes, one at least: how many began, and how many there are."""
+        """Returns, for the largest tenth of each class (by CPUs, at least one job), the started jobs and all jobs."""
         found = {}
         for name, sizes in sorted(self._sizes.items()):
             rows = sorted(sizes.values(), key=lambda row: row[0], reverse=True)
             top = rows[: max(1, len(rows) // 10)]
             if top:
-                found[name] = (sum(began for _, began in top), len(top))
+                found[name] = (sum(started_count for _, started_count in top), len(top))
         return found
 
     def on_started(self, job: Job) -> None:
-        """A task of it was seen running."""
+        """Counts a job as started when one of its tasks is first seen running."""
         if not job.started:
             job.started = True
-            self._mark(job, True)
-            for row in self._rows(job):
+            self._set_started(job, True)
+            for row in self._counts_of(job):
                 row.started += 1
 
     def on_finished(self, job: Job) -> None:
-        """It is completed, failed or cancelled."""
-        self._mark(job, True)
-        for row in self._rows(job):
+        """Counts a completed or failed job as completed, and removes a cancelled one from the counts."""
+        self._set_started(job, True)
+        for row in self._counts_of(job):
             if job.cancelled:
                 row.accepted -= 1
                 row.started -= job.started
@@ -85,7 +85,7 @@
         job.started = True
 
     def summary(self) -> str:
-        """Started of accepted, and done, of each."""
+        """Returns one line with the started, accepted and completed jobs of each class and team."""
         rows = [("class", self.classes), ("team", self.teams)]
         return (
             "served (started/accepted, done): "
@@ -95,5 +95,5 @@
                 for name, row in sorted(named.items())
             )
             + "; largest "
-            + " ".join(f"{name} {began}/{count}" for name, (began, count) in self.largest().items())
+            + " ".join(f"{name} {started_count}/{count}" for name, (started_count, count) in self.largest().items())
         )
--- a/oatport/control/state/machine_commands.py
+++ b/oatport/control/state/machine_commands.py
@@ -1,4 +1,4 @@
-"""Commands for machines: which are due, and what became of those that were sent."""
+"""Commands to machines: which ones are due, and the outcome of those that were sent."""
 
 from __future__ import annotations
 
@@ -17,20 +17,20 @@
 
 
 class MachineCommands:
-    """What agents are to start, stop and forget."""
+    """Determines the start, stop and forget commands for agents, and tracks start commands in flight."""
 
     def __init__(self, cluster: ClusterState) -> None:
         self.cluster = cluster
 
     def for_machine(self, machine: Machine, now: int, *, direct: bool) -> tuple[list[wire.Command], list[Task]]:
-        """The commands for a machine now, and the tasks whose start is among them. `direct`: not in a response."""
+        """Returns the commands due for a machine, and the tasks that they start. `direct`: not in a response."""
         commands: list[wire.Command] = []
         starts: list[Task] = []
         confirmed = machine.fencing_token == self.cluster.fencing_token
         for task in machine.tasks:
             if task.phase is not TaskPhase.BOUND:
                 continue
-            if self._start_is_due(task, now, direct=direct, confirmed=confirmed):
+            if self._is_start_due(task, now, direct=direct, confirmed=confirmed):
                 commands.append(wire.StartCommand(task.name, task.attempt))
                 starts.append(task)
             if task.stop_grace_s is not None:
@@ -43,32 +43,33 @@
                     commands.append(wire.ForgetCommand(name, attempt))
         return commands, starts
 
-    def _start_is_due(self, task: Task, now: int, *, direct: bool, confirmed: bool) -> bool:
-        """Its start is to be sent now, or once more. `confirmed`: the machine's newest heartbeat has our token."""
+    def _is_start_due(self, task: Task, now: int, *, direct: bool, confirmed: bool) -> bool:
+        """Returns whether a task's start is to be sent or repeated. `confirmed`: the newest heartbeat has our token."""
         if not task.start_epoch and (not confirmed or task.binding_at == 0):
-            # Of an earlier leader's: its first heartbeat under our token tells whether it is there.
+            # Started by an earlier leader: the first heartbeat under this leader's token shows whether it is there.
             return False
         waits_for_retry = direct and task.start_retry_at > now
         return task.start_acknowledged is None and not waits_for_retry and self._may_start(task, now)
 
     def _may_start(self, task: Task, now: int) -> bool:
-        """A gang starts whole: all its bindings must be committed.
+        """Returns whether a start may be sent; a gang starts as a whole, so all its bindings must be committed.
 
-        Of a cancelled job a start that may be under way is repeated, and stopped at once: so the attempt is known
-        there, and what comes late does nothing. But not when its user was told long ago, as after an outage.
+        A start of a cancelled job that may be in flight is repeated, and stopped at once: the agent then knows the
+        attempt, and a start that arrives late has no effect. It is not repeated if the cancellation was confirmed too
+        long ago, as after an outage.
         """
         job = task.job
         if job.cancelled and not job.failure_reason and now >= self.cluster.job_lifecycle.lease_renewal_bound(job):
             return False
         if job.kind is not JobKind.GANG:
             return True
-        return all(mate.phase is not TaskPhase.BINDING for mate in job.tasks.values())
+        return all(member.phase is not TaskPhase.BINDING for member in job.tasks.values())
 
     def must_let_lease_expire(self, machine: Machine, now: int) -> bool:
-        """May a start of a cancelled job still land there, so late that only another epoch is proof against it?
+        """Returns whether a start of a cancelled job may arrive so late that only a new agent epoch can refuse it.
 
-        A start that a link holds for long is neither there to be stopped nor proven lost: the machine's lease has to
-        end before `cancel_s` is over.
+        A start delayed in the network is neither on the machine, to be stopped, nor proven lost: the machine's lease
+        has to end before `cancel_s` is over.
         """
         return bool(machine.unacknowledged_starts) and any(
             task.job.cancelled
@@ -81,7 +82,11 @@
         )
 
     def _may_forget(self, machine: Machine, name: str, attempt: int) -> bool:
-        """Not while a start of it may land (it would start again), nor before its completion is committed."""
+        """Returns whether an agent may forget an attempt.
+
+        It may not while a start may still arrive, which would start the attempt again, nor before the attempt's
+        completion is committed.
+        """
         if machine.unacknowledged_starts.get((name, attempt)) or (name, attempt) in machine.starts_in_response:
             return False
         parts = split_task(name)
@@ -98,15 +103,18 @@
         return not self.cluster.writes.is_unwritten(job, parts[1])
 
     def on_heartbeat_delivered(self, machine: Machine, report: wire.Heartbeat) -> None:
-        """A report that is about to be answered. A worker has one in flight at a time: what the answer to an earlier
-        one told it has been executed by now, or is dropped (PROTOCOL, "Workers -> controller nodes")."""
-        number = (report.agent_epoch, report.heartbeat_seq)
-        if number > machine.answered_heartbeat:  # not one that a partition held
-            machine.answered_heartbeat = number
+        """Handles a heartbeat that is about to be answered: starts in the response to an earlier one are settled.
+
+        A worker has one heartbeat in flight at a time, so the commands in an earlier response have been executed by now
+        or are dropped (PROTOCOL, "Workers -> controller nodes").
+        """
+        heartbeat_id = (report.agent_epoch, report.heartbeat_seq)
+        if heartbeat_id > machine.answered_heartbeat:  # not a heartbeat that a partition delayed
+            machine.answered_heartbeat = heartbeat_id
             machine.starts_in_response.clear()
 
     def on_sent(self, machine: Machine, starts: Iterable[Task], now: int, *, direct: bool) -> None:
-        """Starts are about to be sent under the machine's present epoch."""
+        """Records starts that are about to be sent under the machine's present epoch."""
         for task in starts:
             task.start_epoch = machine.agent_epoch
             self.cluster.unacknowledged_tasks.add(task)
@@ -115,18 +123,18 @@
                 machine.unacknowledged_starts[key] = machine.unacknowledged_starts.get(key, 0) + 1
                 task.start_retry_at = now + SECOND
             else:
-                # On a slow link direct commands overtake an answer: a task was started by one, stopped and forgotten,
-                # and then started again by the answer, while it ran elsewhere.
+                # On a slow link direct commands overtake a heartbeat response: a task was started by a direct command,
+                # stopped and forgotten, then started again by the response while it ran on another machine.
                 machine.starts_in_response.add((task.name, task.attempt))
 
     def on_contact(self, machine: Machine) -> None:
-        """It answered a direct request."""
+        """Clears `command_unreachable` of a machine that answered a direct request."""
         if machine.command_unreachable:
             machine.command_unreachable = False
             self.cluster.planning_needed = True
 
     def on_answered(self, machine: Machine, starts: Iterable[tuple[str, int]]) -> None:
-        """A direct command was answered, whether executed or refused: its starts can't land later."""
+        """Clears the starts of a direct command that was answered, executed or refused: they can't arrive later."""
         for key in starts:
             count = machine.unacknowledged_starts.get(key, 0) - 1
             if count > 0:
--- a/oatport/control/state/objectives.py
+++ b/oatport/control/state/objectives.py
@@ -1,4 +1,4 @@
-"""The operators' service objectives by class of jobs, as the scheduler uses them."""
+"""The operators' service objectives by job class, in the form that the scheduler uses."""
 
 from __future__ import annotations
 
@@ -10,24 +10,32 @@
 
 
 class ServiceObjectives:
-    """How soon jobs of a class should start and be done, and by which multiples of their deadlines."""
+    """How soon jobs of each class should start and complete, and the multiples of their deadlines that count."""
 
     def __init__(self, objectives: Iterable[Objective]) -> None:
         rows = list(objectives)
-        # class -> how soon its jobs should start
-        self.start_within = {aim.job_class: micros(aim.within_s) for aim in rows if aim.kind == "wait"}
-        # class -> the multiples of its jobs' deadlines that users look at, the nearest first
+        # class -> time within which its jobs should start
+        self.start_within = {
+            objective.job_class: micros(objective.within_s) for objective in rows if objective.kind == "wait"
+        }
+        # class -> the multiples of its jobs' deadlines that the objectives name, in ascending order
         self.deadline_multiples: dict[str, tuple[float, ...]] = {}
-        self.completion_within: dict[str, tuple[int, ...]] = {}  # class -> how soon its jobs should be done
-        for aim in sorted(rows, key=lambda a: a.times):
-            if aim.kind == "finished":
-                within = micros(aim.within_s)
-                self.completion_within[aim.job_class] = (*self.completion_within.get(aim.job_class, ()), within)
-            if aim.kind == "deadline":
-                self.deadline_multiples[aim.job_class] = (*self.deadline_multiples.get(aim.job_class, ()), aim.times)
+        self.completion_within: dict[str, tuple[int, ...]] = {}  # class -> times within which its jobs should complete
+        for objective in sorted(rows, key=lambda a: a.times):
+            if objective.kind == "finished":
+                within = micros(objective.within_s)
+                self.completion_within[objective.job_class] = (
+                    *self.completion_within.get(objective.job_class, ()),
+                    within,
+                )
+            if objective.kind == "deadline":
+                self.deadline_multiples[objective.job_class] = (
+                    *self.deadline_multiples.get(objective.job_class, ()),
+                    objective.times,
+                )
 
     def deadlines_of(self, job: Job) -> list[int]:
-        """Times of day by which its users look for its end: its deadline, and the multiples of it that they name."""
+        """Returns the times of day by which a job should complete: its deadline times each multiple of its class."""
         if job.spec.deadline_s is None:
             return []
         multiples = self.deadline_multiples.get(job.spec.job_class) or (1.0,)
--- a/oatport/control/state/partitioned_zones.py
+++ b/oatport/control/state/partitioned_zones.py
@@ -1,4 +1,4 @@
-"""Partitioned zones: found, recorded and recovered."""
+"""Partitioned zones: their detection, record and recovery."""
 
 from __future__ import annotations
 
@@ -18,52 +18,53 @@
 
 
 class PartitionedZones:
-    """The partitioned zones, and those of them where a node renews the agents' leases."""
+    """The partitioned zones, and those of them in which another node renews the agents' leases."""
 
     def __init__(self, cluster: ClusterState) -> None:
         self.cluster = cluster
-        self.partitioned: dict[str, int] = {}  # no heartbeat arrives from these zones -> since when (steady)
-        # Of these, zones with a node in the same partition that renews the agents' leases.
+        self.partitioned: dict[str, int] = {}  # zone without heartbeats -> since when (steady)
+        # Partitioned zones with a node in the same partition that renews the agents' leases.
         self.lease_proxied: set[str] = set()
-        self.recovered: set[str] = set()  # heartbeats arrive again: their machines are to be probed at once
+        self.recovered: set[str] = set()  # heartbeats arrive again; machines to be probed at once
 
     def record(self) -> dict[str, Any]:
-        """The value of their record."""
+        """Returns the value of the record of partitioned zones."""
         zones = {zone: since + self.cluster.wall_offset for zone, since in self.partitioned.items()}
         return encode_partitioned_zones(zones, self.lease_proxied)
 
     def mark_partitioned(self, silent: list[Machine], now: int) -> set[str]:
-        """Silent machines that most nodes can't reach either: zones of theirs without any heartbeat are partitioned.
+        """Marks zones without any heartbeat as partitioned, given silent machines that most nodes can't reach either.
 
-        Nothing is rented or placed there; what is rented would be charged and not come up before the partition ends.
+        Returns the zones found. Nothing is rented or placed in them: a rented machine would be charged but not come up
+        before the partition ends.
         """
         found: set[str] = set()
         for zone in {m.zone for m in silent}:
-            last = max(m.last_heartbeat_at for m in self.cluster.machines.values() if m.zone == zone)
-            is_heard_from = last > now - self.cluster.tuning.us("silent_s") // 2
-            if not is_heard_from and sum(m.zone == zone for m in silent) >= MIN_PARTITION_MACHINES:
+            newest_heartbeat_at = max(m.last_heartbeat_at for m in self.cluster.machines.values() if m.zone == zone)
+            has_recent_heartbeat = newest_heartbeat_at > now - self.cluster.tuning.us("silent_s") // 2
+            if not has_recent_heartbeat and sum(m.zone == zone for m in silent) >= MIN_PARTITION_MACHINES:
                 found.add(zone)
                 if zone not in self.partitioned:
                     log.warning("zone partitioned zone=%s", zone)
-                    # No heartbeat since this leader began: then it was partitioned before.
-                    self.partitioned[zone] = last or min(m.known_since for m in silent if m.zone == zone)
+                    # Without any heartbeat since this leader's term began, the zone was partitioned before.
+                    self.partitioned[zone] = newest_heartbeat_at or min(m.known_since for m in silent if m.zone == zone)
                     self.cluster.writes.dirty_keys[PARTITIONED_ZONES_KEY] = None
                     self.cluster.planning_needed = True
         return found
 
     def mark_lease_proxied(self, zones: Iterable[str]) -> None:
-        """Nodes that fell silent with these partitioned zones renew the leases there.
+        """Marks partitioned zones in which nodes that became silent along with the zone renew the leases.
 
-        Recorded: a leader that was started again never heard of those nodes, took the zone's tasks for dead after one
-        lease and released the machines of all replicas at once.
+        The mark is recorded: a restarted leader that had never had contact with those nodes assumed that the zone's
+        tasks were dead after one lease, and released the machines of all replicas at once.
         """
-        new = set(zones) - self.lease_proxied
-        if new:
-            self.lease_proxied |= new
+        added = set(zones) - self.lease_proxied
+        if added:
+            self.lease_proxied |= added
             self.cluster.writes.dirty_keys[PARTITIONED_ZONES_KEY] = None
 
     def on_recovered(self, zone: str, now: int) -> None:
-        """A zone is back: its machines were silent for its sake, and have a moment to send heartbeats."""
+        """Marks a zone as recovered; its machines, silent due to the partition, get time to send heartbeats."""
         log.info("zone recovered zone=%s", zone)
         del self.partitioned[zone]
         self.lease_proxied.discard(zone)
--- a/oatport/control/state/task.py
+++ b/oatport/control/state/task.py
@@ -1,4 +1,4 @@
-"""A task of a job and its binding to a machine, as the leader sees it."""
+"""A task of a job and its binding to a machine, in the leader's view."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 
 
 class TaskPhase(IntEnum):
-    """How far the binding of a task to a machine is."""
+    """The progress of the binding of a task to a machine."""
 
-    PENDING = 0  # on no machine, wants one
-    BINDING = 1  # a machine is chosen, the commit is not known to be applied: no start was sent
-    BOUND = 2  # committed: on its machine until proven gone
+    PENDING = 0  # on no machine, waiting for one
+    BINDING = 1  # machine selected, commit not known to be applied: no start sent
+    BOUND = 2  # binding committed: on its machine until proven gone
 
 
 @dataclass(slots=True, eq=False)
 class Task:
-    """A task that was bound at least once and is not completed; all others are just numbers in their job."""
+    """A task that was bound at least once and is not completed; other tasks are only indexes in their job."""
 
     job: Job
     index: int
@@ -32,27 +32,27 @@
     start_epoch: int = 0
     # Agent epoch and number of the first report that listed this attempt, after a start.
     start_acknowledged: tuple[int, int] | None = None
-    status: str = ""  # as last reported
+    status: str = ""  # as in the last report
     binding_at: int = 0
     running_since: int = 0
-    # Set when the task is to leave its machine: grace in seconds, and when the first stop was sent.
+    # Set when the task is to leave its machine: the grace period (s), and the time of the first stop.
     stop_grace_s: float | None = None
     stop_sent_at: int = 0
     start_retry_at: int = 0
-    binding_epoch: int = 0  # the agent epoch when it was bound (recorded for classes that limit retries)
+    binding_epoch: int = 0  # agent epoch at the binding (recorded for classes that limit retries)
     retry_exhausted: bool = False  # it may not run again
 
     def __hash__(self) -> int:
-        """The same in every run, so that sets of them are gone through in the same order."""
+        """Returns a hash that is the same in every run, so that sets of tasks are iterated in the same order."""
         return self.job.number * 131_071 + self.index
 
     @property
     def name(self) -> str:
-        """As in the protocol: job and index."""
+        """The name of the task in the protocol: job id and index."""
         return f"{self.job.job_id}/{self.index}"
 
     def reset_to_pending(self) -> None:
-        """It is on no machine; its attempt number stays."""
+        """Resets the task to pending on no machine; its attempt number stays."""
         self.phase = TaskPhase.PENDING
         self.machine = None
         self.start_epoch = 0
--- a/oatport/control/state/task_lifecycle.py
+++ b/oatport/control/state/task_lifecycle.py
@@ -1,4 +1,4 @@
-"""Tasks and the machines that they are bound to: bound, stopped, drained, requeued and completed."""
+"""The lifecycle of tasks on machines: binding, stop, drain, requeue and completion."""
 
 from __future__ import annotations
 
@@ -21,16 +21,16 @@
 
 
 class TaskLifecycle:
-    """The steps of a task, from its binding to a machine to its completion."""
+    """Carries out the state changes of tasks, from the binding to a machine to the completion."""
 
     def __init__(self, cluster: ClusterState) -> None:
         self.cluster = cluster
-        self.binding_changes = 0  # goes up when a task comes to a machine or leaves it
+        self.binding_changes = 0  # incremented when a task is bound to a machine or unbound
         self.bound_by_priority = [0] * len(PRIORITIES)  # tasks on machines, by priority
-        self.on_runtime_measured: Callable[[Job, int], None] = lambda job, took: None  # a task's run time was seen
+        self.on_runtime_measured: Callable[[Job, int], None] = lambda job, duration: None  # each measured run time
 
     def begin_binding(self, job: Job, machine: Machine, now: int, attempt: int | None = None) -> Task:
-        """Choose a machine for the first pending task of a job; it starts once the record of that is committed."""
+        """Begins to bind the first pending task of a job to a machine; it starts once the binding is committed."""
         task = job.take_pending()
         task.attempt = attempt if attempt is not None else task.attempt + 1
         task.phase = TaskPhase.BINDING
@@ -46,7 +46,7 @@
         return task
 
     def bind(self, task: Task, machine: Machine) -> None:
-        """Put a task on a machine, with its resources."""
+        """Binds a task to a machine and reserves its resources there."""
         job, spec = task.job, task.job.spec
         task.machine = machine
         self.binding_changes += 1
@@ -61,9 +61,10 @@
         job.on_machines += 1
 
     def count_usage(self, job: Job | None, spec: wire.Submission, machine: Machine, sign: int) -> None:
-        """An attempt is on a machine from now on (1), or proven gone from it (-1): the one place where that is counted.
+        """Counts an attempt that is on a machine from now on (`sign` 1), or proven gone from it (-1).
 
-        For its machine, its team and its job's zones; whether a record puts it there or only a report shows it.
+        This is the only place that counts attempts, recorded or only reported, for their machine, their team and their
+        job's zones.
         """
         machine.reserve(sign * spec.cpus, sign * spec.gpus, sign * spec.memory_gb)
         self.cluster.quotas.count_usage(spec, sign)
@@ -73,16 +74,16 @@
                 del job.tasks_by_zone[machine.zone]
 
     def count_priority(self, task: Task, machine: Machine, sign: int) -> None:
-        """A task is on a machine from now on (`sign` 1), or no longer (-1): counted with its priority."""
+        """Counts a task by its priority when it is placed on a machine (`sign` 1) or is no longer there (-1)."""
         job, spec = task.job, task.job.spec
         machine.cpus_by_priority[job.priority_rank] += sign * spec.cpus
         self.bound_by_priority[job.priority_rank] += sign
-        use = self.cluster.quotas.get(spec.team)
-        if use and job.kind is JobKind.ARRAY:
-            use.array_tasks_by_priority[job.priority_rank] += sign
+        usage = self.cluster.quotas.get(spec.team)
+        if usage and job.kind is JobKind.ARRAY:
+            usage.array_tasks_by_priority[job.priority_rank] += sign
 
     def unbind(self, task: Task) -> None:
-        """The task is on no machine: it never got there, or is proven gone."""
+        """Unbinds a task that never started on its machine or is proven gone from it."""
         job, spec, machine = task.job, task.job.spec, task.machine
         assert machine is not None
         machine.tasks.discard(task)
@@ -102,13 +103,14 @@
         self.cluster.planning_needed = True
 
     def requeue(self, task: Task, *, lost: bool, unexecuted: bool = False) -> None:
-        """A task that left its machine without being completed wants another, if its class allows that.
+        """Requeues a task that left its machine without completing; its job fails if the class allows no retry.
 
-        `unexecuted`: it is proven that the attempt never started.
+        `lost`: the attempt was lost or preempted, and counts as a retry. `unexecuted`: the attempt is proven never to
+        have started.
         """
         job = task.job
         if job.kind is JobKind.GANG and job.completed and not job.cancelled:
-            self.complete(task, self.cluster.now, measured=False)  # one of them is completed, so it is as well
+            self.complete(task, self.cluster.now, measured=False)  # one member is completed, so all are
             return
         policy = self.cluster.retry_policies.get(job.spec.job_class, RetryPolicy.ANY)
         if not job.cancelled and not may_retry(policy, task, unexecuted):
@@ -125,16 +127,16 @@
             return
         self._return_to_queue(job)
         if job.kind is JobKind.GANG:
-            self._gang_lost_task(job)
+            self._stop_waiting_members(job)
 
     def _return_to_queue(self, job: Job) -> None:
         job.unplaced_since = job.unplaced_since or self.cluster.now or 1
         self.cluster.pending.add(job)
 
-    def _gang_lost_task(self, job: Job) -> None:
-        """A gang runs whole or not: what is left of this attempt is stopped.
+    def _stop_waiting_members(self, job: Job) -> None:
+        """Stops the gang members that are not running yet, as a gang runs as a whole or not at all.
 
-        Running tasks exit with `mates_gone` by themselves and a stopped one would do no harm.
+        Running members exit with `mates_gone` without a command, and a stop would do them no harm.
         """
         for task in list(job.tasks.values()):
             if task.phase is TaskPhase.BOUND and task.status in (
@@ -145,11 +147,11 @@
                 self.stop(task, 0.0)
 
     def stop(self, task: Task, grace_s: float) -> None:
-        """Have a bound task leave its machine; repeated until a heartbeat shows it gone."""
+        """Stops a bound task; the stop command is repeated until a heartbeat shows that the task is gone."""
         if task.stop_grace_s is not None and grace_s >= task.stop_grace_s:
             return
         if task.binding_at and not task.start_epoch:
-            # Committed by this leader, but its start never went out: it is nowhere.
+            # The binding was committed by this leader, but no start was sent: the task is on no machine.
             job = task.job
             self.unbind(task)
             if job.kind is JobKind.GANG and job.completed and not job.cancelled:
@@ -167,31 +169,34 @@
             task.machine.settled_heartbeat = None
             self.cluster.machines_to_command.add(task.machine)
 
-    def drain(self, task: Task, left: int, now: int) -> None:
-        """Have a task leave a machine that is gone in `left`; what completes before, or may not run again, stays."""
+    def drain(self, task: Task, time_left: int, now: int) -> None:
+        """Stops a task on a machine that is gone in `time_left` us.
+
+        A task that completes before, or that may not run again, stays. For a gang member, all members are stopped.
+        """
         job, spec = task.job, task.job.spec
         if task.phase is not TaskPhase.BOUND or job.at_most_once:
             return
         if job.kind is not JobKind.SERVICE:
-            ran = now - task.running_since if task.running_since else 0
-            remaining = max(self.cluster.predictor.run_time(job.job_id, spec) - ran, 0)
-            if task.running_since and remaining < left * 3 // 4:
-                return  # it will be completed before
+            elapsed = now - task.running_since if task.running_since else 0
+            remaining = max(self.cluster.predictor.run_time(job.job_id, spec) - elapsed, 0)
+            if task.running_since and remaining < time_left * 3 // 4:
+                return  # the task will complete before that
         grace = spec.stop_grace_s
-        if micros(grace) > left:
+        if micros(grace) > time_left:
             grace = 0.0
         if job.kind is JobKind.GANG:
-            for mate in list(job.tasks.values()):
-                if mate.phase is TaskPhase.BOUND:
-                    self.stop(mate, grace)
+            for member in list(job.tasks.values()):
+                if member.phase is TaskPhase.BOUND:
+                    self.stop(member, grace)
         else:
             self.stop(task, grace)
 
     def complete(self, task: Task, now: int, *, measured: bool = True) -> None:
-        """A task is completed. `measured`: its run time was seen, and may be learned from."""
+        """Marks a task as completed. `measured`: its run time was observed, and updates the predictions."""
         job = task.job
         machine = task.machine
-        # What an earlier leader started seems to run only since this one first learnt of it.
+        # Only for tasks that this leader bound: `running_since` of others is when this leader first saw them running.
         if (
             measured
             and task.binding_at
@@ -199,17 +204,17 @@
             and job.kind is not JobKind.SERVICE
             and not task.stop_grace_s
         ):
-            took = now - task.running_since
+            duration = now - task.running_since
             if machine is not None:
-                self._learn_speed(machine, took, self.cluster.predictor.run_time(job.job_id, job.spec))
-            self.on_runtime_measured(job, took)
-            self.cluster.predictor.task_completed(job.job_id, job.spec, took)
+                self._update_slowdown(machine, duration, self.cluster.predictor.run_time(job.job_id, job.spec))
+            self.on_runtime_measured(job, duration)
+            self.cluster.predictor.task_completed(job.job_id, job.spec, duration)
         if machine is not None:
             failure_attribution.record_success(job, machine, self.cluster.machines, now)
             self.unbind(task)
         job.tasks.pop(task.index, None)
         job.completed.add(task.index)
-        self.cluster.completions.note(task)
+        self.cluster.completions.on_completed(task)
         self.cluster.jobs_with_changed_counts[job] = None
         self.cluster.writes.mark_dirty(task)
         if job.kind is JobKind.GANG and not job.cancelled:
@@ -222,10 +227,10 @@
             self.cluster.writes.jobs_to_complete[job] = None
 
     def complete_gang(self, job: Job) -> None:
-        """One of its tasks is completed, so all are (PROTOCOL, "Gangs").
+        """Completes a gang of which one task is completed, which completes all others (PROTOCOL, "Gangs").
 
-        What is on no machine is completed now, the rest once it is proven gone. A task whose machine failed in the
-        moment of the completion was once started again by itself, though it was completed.
+        Tasks on no machine are completed now, the others once they are proven gone. Before this rule, a completed task
+        whose machine failed at the moment of the completion was started again alone.
         """
         for task in list(job.tasks.values()):
             if task.phase is TaskPhase.BOUND and not never_sent(task):
@@ -234,7 +239,7 @@
                 self.unbind(task)
             del job.tasks[task.index]
             job.completed.add(task.index)
-            self.cluster.completions.note(task)
+            self.cluster.completions.on_completed(task)
             self.cluster.writes.mark_dirty(task)
         job.retry_queue.clear()
         job.completed.update(range(job.next_untouched, job.spec.task_count))
@@ -242,7 +247,7 @@
         self.cluster.pending.discard(job)
 
     @staticmethod
-    def _learn_speed(machine: Machine, took: int, predicted: int) -> None:
+    def _update_slowdown(machine: Machine, duration: int, predicted: int) -> None:
         if predicted > 0:
             machine.slowdown_samples += 1
-            machine.slowdown += (min(took / predicted, 10.0) - machine.slowdown) / min(machine.slowdown_samples, 4)
+            machine.slowdown += (min(duration / predicted, 10.0) - machine.slowdown) / min(machine.slowdown_samples, 4)
--- a/oatport/control/state/unwritten_completions.py
+++ b/oatport/control/state/unwritten_completions.py
@@ -1,4 +1,4 @@
-"""Completions of tasks that no record says yet: replicated to the other nodes, taken over from earlier leaders."""
+"""Task completions that are in no record yet: replicated to the other nodes, and taken over from earlier leaders."""
 
 from __future__ import annotations
 
@@ -19,22 +19,22 @@
 
 
 class UnwrittenCompletions:
-    """Completions that were reported and may be in no record yet."""
+    """The completions that were reported and may be in no record yet."""
 
     def __init__(self, cluster: ClusterState) -> None:
         self.cluster = cluster
-        self.earlier_may_be_lost = False  # earlier leaders may have received some that nobody reports now
-        self.unwritten: dict[tuple[Job, int], int] = {}  # completed tasks -> the attempt; maybe in no record
-        self.new: list[Completion] = []  # of these, not replicated yet
+        self.earlier_may_be_lost = False  # earlier leaders may have received some that no node has
+        self.unwritten: dict[tuple[Job, int], int] = {}  # completed task -> its attempt; possibly in no record
+        self.unreplicated: list[Completion] = []  # those of `unwritten` that are not replicated yet
 
-    def note(self, task: Task) -> None:
-        """A task was completed: to be replicated until it is recorded."""
+    def on_completed(self, task: Task) -> None:
+        """Adds the completion of a task, to be replicated until it is recorded."""
         self.unwritten[task.job, task.index] = task.attempt
-        if len(self.new) < MAX_COMPLETIONS:
-            self.new.append((task.job.job_id, task.index, task.attempt))
+        if len(self.unreplicated) < MAX_COMPLETIONS:
+            self.unreplicated.append((task.job.job_id, task.index, task.attempt))
 
-    def _known_only_from(self, machine: Machine) -> list[tuple[Job, int]]:
-        """Completed tasks that are in no record yet: the next leader would hear of them from this machine alone."""
+    def _unwritten_on(self, machine: Machine) -> list[tuple[Job, int]]:
+        """Returns completed tasks in no record yet, which only this machine could report to the next leader."""
         found: list[tuple[Job, int]] = []
         for name, _ in machine.terminated_attempts:
             parts = split_task(name)
@@ -46,7 +46,7 @@
         return found
 
     def to_replicate(self) -> list[Completion]:
-        """Those that are in no record yet."""
+        """Returns the completions that are in no record yet, and drops the recorded ones."""
         for job, index in list(self.unwritten):
             if (
                 self.cluster.jobs.get(job.job_id) is not job
@@ -57,14 +57,14 @@
         return [(job.job_id, index, attempt) for (job, index), attempt in self.unwritten.items()][:MAX_COMPLETIONS]
 
     def take_new(self) -> list[Completion]:
-        """Those that came since this was last asked."""
-        new, self.new = self.new, []
-        return new
+        """Returns the completions added since the last call, and clears them."""
+        unreplicated, self.unreplicated = self.unreplicated, []
+        return unreplicated
 
     def apply(self, completions: list[Completion]) -> None:
-        """What earlier leaders received and may not have recorded.
+        """Applies completions that earlier leaders received and may not have recorded.
 
-        The attempt was reported as terminated, so it is on no machine; one that began since is left to its own report.
+        The attempt was reported as terminated, so it is on no machine. A later attempt is left to its own reports.
         """
         for job_id, index, attempt in completions:
             job = self.cluster.jobs.get(job_id)
@@ -80,27 +80,28 @@
             if not job.pending:
                 self.cluster.pending.discard(job)
 
-    def apply_late(self, machine: Machine, report: wire.Heartbeat) -> None:
-        """That an attempt was completed is true in a message of any age.
+    def apply_stale_heartbeat(self, machine: Machine, report: wire.Heartbeat) -> None:
+        """Applies the completions of an out-of-order heartbeat, as a completion is final whatever the message's age.
 
-        The epochs of a machine that was back at once began anew: what it reported after an old copy had arrived was
-        taken for older, and answered all the same.
+        A machine that returned at once counted its epochs from the start: after an old copy of a message had arrived,
+        its new reports were taken for older ones, though they were answered.
         """
-        done = {
+        finished = {
             (row.task_name, row.attempt)
             for row in report.tasks
             if row.status == wire.TaskStatus.EXITED and row.exit_reason == wire.ExitReason.COMPLETED
         }
-        for task in [task for task in machine.tasks if (task.name, task.attempt) in done] if done else ():
+        for task in [task for task in machine.tasks if (task.name, task.attempt) in finished] if finished else ():
             if task.phase is TaskPhase.BOUND and task.job.kind is not JobKind.SERVICE:
                 self.cluster.tasks.complete(task, self.cluster.now, measured=False)
 
     def may_report_unknown(self, machine: Machine, now: int, until: int) -> bool:
-        """A silent machine that may come back and report completions that nobody else knows any more.
+        """Returns whether a silent machine may return and report completions that no node has any more.
 
-        All nodes ended in an outage, and with them what had been reported and not recorded; or the last leader was
-        partitioned from the others as well as from the state service, and still received heartbeats. `until` (steady):
-        by then the leases have ended that an earlier leader gave, and with them what the machine could report.
+        This happens when all nodes stopped in an outage, losing reported but unrecorded completions, or when the last
+        leader was partitioned from the other nodes and the state service but still received heartbeats. `until`
+        (steady) is when the leases granted by earlier leaders have expired, and with them what the machine could
+        report.
         """
         return (
             self.earlier_may_be_lost
@@ -110,19 +111,19 @@
         )
 
     def holds_unwritten(self, machine: Machine) -> bool:
-        """It must not be released yet: it holds completions that are written nowhere else.
+        """Returns whether a machine may not be released yet, as it reports completions in no record; expedites these.
 
-        Machines that were drained, or silent for 5 s, were once released between a report of a completion and its
-        record. When that record was late and the leader ended, the next one found the task on a machine that was gone,
-        and ran it again.
+        Machines that were drained, or silent for 5 s, were released between the report of a completion and its record.
+        When the record was delayed and the leader's term ended, the next leader found the task bound to a machine that
+        was gone, and ran the task again.
         """
-        found = self._known_only_from(machine)
+        found = self._unwritten_on(machine)
         self._expedite(found)
         return bool(found)
 
     def expedite(self, machine: Machine) -> None:
-        """What only this machine reports is written at once: it will soon report nothing any more."""
-        self._expedite(self._known_only_from(machine))
+        """Expedites the records of completions that only this machine reports, as its reports will end soon."""
+        self._expedite(self._unwritten_on(machine))
 
     def _expedite(self, completions: list[tuple[Job, int]]) -> None:
         for job, index in completions:
--- a/oatport/control/state/utilization.py
+++ b/oatport/control/state/utilization.py
@@ -1,4 +1,4 @@
-"""What machines did and cost, counted for the status line."""
+"""The use and cost of machines, for the status line."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True)
 class FleetUtilization:
-    """Machines and waiting tasks as last counted (`FleetAccounting.update`)."""
+    """Counts of machines and pending tasks as of the last `FleetAccounting.update`."""
 
     ready: int = 0
     ready_spot: int = 0
@@ -26,31 +26,31 @@
 
 
 class FleetAccounting:
-    """Counts machines, and the money and time that they took, for the status line."""
+    """Counts machines, and adds up their cost and the time of replicas, for the status line."""
 
     def __init__(self, cluster: ClusterState) -> None:
         self.cluster = cluster
         self.utilization = FleetUtilization()
-        self.cost_by_use: defaultdict[str, float] = defaultdict(float)  # money by what machines did
+        self.cost_by_use: defaultdict[str, float] = defaultdict(float)  # cost by what the machines did
         self.accounted_at = 0
-        self.replica_us = 0  # time that replicas were on machines, all in all
-        self.moved_us = 0  # and what they missed by being moved
+        self.replica_us = 0  # total time of service replicas on machines
+        self.moved_us = 0  # total downtime of replicas due to moves
 
     def update(self, now: int) -> None:
-        """Add up what the time since the last call cost, by what machines did, and count them."""
+        """Adds the cost of the time since the last call, by what the machines did, and counts machines and tasks."""
         since = self.accounted_at
         hours = (now - since) / (3600 * SECOND) if since else 0.0
         counted = FleetUtilization()
         for job in self.cluster.pending:
             counted.pending_tasks[job.tier or "?"] = counted.pending_tasks.get(job.tier or "?", 0) + job.pending
         for machine in self.cluster.machines.values():
-            kind, money = machine.type, machine.price * hours
+            machine_type, cost = machine.type, machine.price * hours
             if not machine.ready_at:
                 counted.not_ready += 1
-                self.cost_by_use["boot"] += money
+                self.cost_by_use["boot"] += cost
                 continue
             counted.ready += 1
-            counted.cpus += kind.cpus
+            counted.cpus += machine_type.cpus
             if machine.spot:
                 counted.ready_spot += 1
                 counted.free_spot += machine.free_cpus
@@ -59,14 +59,14 @@
             running = fetching = 0.0
             for task in machine.tasks:
                 spec = task.job.spec
-                share = max(spec.cpus / kind.cpus, spec.gpus / kind.gpus if kind.gpus else 0.0)
+                share = max(spec.cpus / machine_type.cpus, spec.gpus / machine_type.gpus if machine_type.gpus else 0.0)
                 if task.running_since:
                     running += share
                 else:
                     fetching += share
-            self.cost_by_use["run"] += money * min(running, 1.0)
-            self.cost_by_use["fetch"] += money * fetching
-            idle = "idle gpu" if kind.gpus else "idle spot" if machine.spot else "idle owned"
-            self.cost_by_use[idle] += money * max(1.0 - running - fetching, 0.0)
+            self.cost_by_use["run"] += cost * min(running, 1.0)
+            self.cost_by_use["fetch"] += cost * fetching
+            idle = "idle gpu" if machine_type.gpus else "idle spot" if machine.spot else "idle owned"
+            self.cost_by_use[idle] += cost * max(1.0 - running - fetching, 0.0)
         self.utilization = counted
         self.accounted_at = now
