--- a/tests/cluster_fixture.py
+++ b/tests/cluster_fixture.py
@@ -1,4 +1,4 @@
-"""A small world in memory: state service, workers and a leader's cluster on one injected clock."""
+"""In-memory test harness: a state service, workers and a leader's cluster state that share one simulated clock."""
 
 from __future__ import annotations
 
@@ -78,6 +78,7 @@
 
 
 def cluster_settings(teams: list[Team] | None = None) -> ClusterSettings:
+    """Returns the settings of a cluster of three nodes and two zones."""
     return ClusterSettings(
         workers=Workers(report_s=1.0, lease_s=10.0, gang_wait_s=40.0, gang_peer_s=4.0, cancel_s=35.0),
         state=StateLimits(rps=100.0, write_rps=50.0, value_kb=8.0, txn_ops=12),
@@ -89,6 +90,7 @@
 
 
 def node_settings() -> Settings:
+    """Returns the settings of node n0 with one peer."""
     return Settings(
         node_name="n0",
         bind="127.0.0.1:1",
@@ -101,6 +103,7 @@
 
 
 def job(ref: str = "j-000001", **changes: Any) -> dict[str, Any]:
+    """Returns the body of a submission, with the given fields changed."""
     return {
         "ref": ref,
         "cargo": "train",
@@ -127,6 +130,8 @@
 
 
 class World:
+    """A cluster in memory whose time passes only when a test advances it."""
+
     def __init__(self, teams: list[Team] | None = None, state: StateLimits | None = None) -> None:
         self.now = 1_000 * SECOND
         self.state = KeyStore(lambda: self.now)
@@ -136,15 +141,15 @@
         self.ops = self.settings.state.least_txn_ops
         self.workers: dict[str, Worker] = {}
         self.jobs: dict[str, dict[str, Any]] = {}
-        self.refused: set[str] = set()
-        self.mute: set[str] = set()  # machines whose reports arrive, and that hear nothing
+        self.refused: set[str] = set()  # machines that send and receive nothing
+        self.mute: set[str] = set()  # machines whose reports arrive but which receive nothing
         self.retry_policies: RetryPolicies = {}
         self.fail_over()
 
     # --- the leader ---------------------------------------------------------------------------
 
     def fail_over(self) -> ClusterState:
-        """A new leader with a higher token loads the records."""
+        """Replaces the leader's cluster state by that of a new leader, with a higher token, loaded from the records."""
         version = self.state.items[LEADER_KEY][1] if LEADER_KEY in self.state.items else 0
         status, value = self.state.commit(
             {"if": [{"path": LEADER_KEY, "entryRev": version}], "then": [{"set": LEADER_KEY, "value": {"node": "n"}}]}
@@ -160,6 +165,7 @@
         return self.cluster
 
     def transaction(self, batch: WriteBatch) -> dict[str, Any]:
+        """Returns the request body that commits a batch under the leader's fencing token."""
         conditions = {LEADER_KEY: self.cluster.fencing_token, **batch.conditions}
         return {
             "if": [{"path": k, "entryRev": v} for k, v in conditions.items()],
@@ -167,6 +173,7 @@
         }
 
     def commit(self) -> None:
+        """Commits batches until nothing is left to write."""
         for _ in range(500):
             if not self.cluster.writes.has_writes():
                 return
@@ -179,43 +186,45 @@
             status, value = self.state.commit(self.transaction(batch))
             assert status == 200, value
             self.cluster.writes.committed(batch, value["ledgerRev"], self.now)
-        raise AssertionError("there is always more to write")
+        raise AssertionError("still writes pending after 500 batches")
 
     def plan(self) -> None:
+        """Routes the pending jobs and places their tasks."""
         route_pending(self.cluster, self.fleet.availability, self.now, self.now)
         self.placer.plan(self.now)
 
     def send(self) -> None:
-        """Direct commands; a refused machine's are lost without an answer."""
+        """Sends direct commands; those to unreachable machines are lost without a response."""
         for machine in list(self.cluster.machines_to_command):
             self.cluster.machines_to_command.discard(machine)
-            orders, starts = self.cluster.commands.for_machine(machine, self.now, direct=True)
-            if not orders:
+            due_commands, starts = self.cluster.commands.for_machine(machine, self.now, direct=True)
+            if not due_commands:
                 continue
             self.cluster.commands.on_sent(machine, starts, self.now, direct=True)
             if machine.name in self.refused | self.mute or machine.name not in self.workers:
                 continue
-            body = wire.command_request(self.cluster.fencing_token, machine.agent_epoch, orders)
+            body = wire.command_request(self.cluster.fencing_token, machine.agent_epoch, due_commands)
             _, report = self.workers[machine.name].commands(body)
             self.cluster.commands.on_answered(machine, [(t.name, t.attempt) for t in starts])
             self.cluster.heartbeats.receive(wire.decode_heartbeat(report), self.now, self.now)
 
     def report(self, worker: Worker) -> None:
+        """Delivers a worker's heartbeat to the leader, and the response to the worker."""
         sent, session = self.now, worker.session
         report = wire.decode_heartbeat(worker.report())
         machine = self.cluster.heartbeats.receive(report, self.now, self.now)
-        orders: list[wire.Command] = []
+        due_commands: list[wire.Command] = []
         if machine is not None and worker.name not in self.mute:
-            self.cluster.commands.on_contact(machine)  # asked at once, if it is doubted that it hears
+            self.cluster.commands.on_contact(machine)  # replaces the probe of a machine with `command_unreachable`
         if machine is not None and not machine.releasing:
             self.cluster.commands.on_heartbeat_delivered(machine, report)
-            orders, starts = self.cluster.commands.for_machine(machine, self.now, direct=False)
+            due_commands, starts = self.cluster.commands.for_machine(machine, self.now, direct=False)
             self.cluster.commands.on_sent(machine, starts, self.now, direct=False)
         if worker.name not in self.mute:
-            worker.answer(sent, session, wire.heartbeat_response(self.cluster.fencing_token, orders))
+            worker.answer(sent, session, wire.heartbeat_response(self.cluster.fencing_token, due_commands))
 
     def step(self, seconds: float = 0.0) -> None:
-        """Time passes, everybody reports, and the leader acts."""
+        """Advances the clock, delivers all heartbeats, then lets the leader commit, plan and send commands."""
         self.now += round(seconds * SECOND)
         for name, worker in list(self.workers.items()):
             if name not in self.refused:
@@ -227,7 +236,7 @@
         self.send()
 
     def look_up(self) -> None:
-        """The leader reads how needed jobs stand of which it has no record."""
+        """Reads the records of dependencies that the leader does not know, and applies their states."""
         for ref in list(self.cluster.dependencies.graph.unresolved):
             found = self.state.items.get(job_key(ref))
             record = found[0] if found else {}
@@ -237,12 +246,14 @@
                 self.cluster.dependencies.cancel_dependents(ref)
 
     def settle(self, rounds: int = 4) -> None:
+        """Makes `rounds` steps of one second."""
         for _ in range(rounds):
             self.step(1.0)
 
     # --- users and machines -----------------------------------------------------------------------
 
     def submit(self, **changes: Any) -> str:
+        """Records a submission and adds the job to the leader's cluster state; returns its id."""
         numbers = chain((1,), range(len(self.jobs) + 1, 10**6))
         free = next(ref for number in numbers if (ref := f"j-{number:06d}") not in self.jobs)
         body = job(**{"ref": free, **changes})
@@ -266,6 +277,7 @@
         return spec.job_id
 
     def cancel(self, ref: str, *, tell: bool = True) -> None:
+        """Records a cancellation; without `tell`, the leader is not notified of it."""
         record, version, _ = self.state.items[job_key(ref)]
         status, value = self.state.commit(
             {
@@ -281,18 +293,19 @@
             self.cluster.job_lifecycle.cancel(ref, value["ledgerRev"])
 
     def machine(self, number: int, zone: str = "a", *, spot: bool = False, kind: str = "m8") -> Worker:
+        """Adds a machine; the leader learns of it by its first heartbeat."""
         name = f"vm-{number:06d}"
         worker = Worker(lambda: self.now, name, f"10.0.0.{number}:1", kind, zone, spot, TYPES[kind].cpus, self.jobs.get)
         self.workers[name] = worker
         return worker
 
     def released(self, name: str) -> None:
-        """The cloud answered a release."""
+        """Removes a machine, as after the cloud's response to its release."""
         self.workers.pop(name, None)
         self.cluster.on_machine_removed(self.cluster.machines[name], self.now, "returned")
 
     def live(self, ref: str) -> dict[str, list[str]]:
-        """Where a job's tasks are: task -> machines that have it unfinished."""
+        """Returns the locations of a job's tasks: task name -> machines on which an attempt has not ended."""
         places: dict[str, list[str]] = {}
         for worker in self.workers.values():
             worker.advance()
@@ -302,11 +315,12 @@
         return places
 
     def record(self, ref: str) -> str:
+        """Returns the recorded status of a job."""
         return str(self.state.items[job_key(ref)][0]["state"])
 
 
 class Unplugged:
-    """A network on which nobody is reached."""
+    """A network on which every request fails before it is sent."""
 
     session = None
 
@@ -321,7 +335,10 @@
 
 
 class FakeStateClient:
-    """StateClient's calls on a KeyStore, with faults: "refuse", "lose" (applied, no answer), "late"."""
+    """The calls of StateClient on a KeyStore, with faults for the next requests.
+
+    Faults: "refuse"; "lose" (applied, but without a response); "late" (applied only by `deliver_late`).
+    """
 
     def __init__(self, state: KeyStore) -> None:
         self.state = state
@@ -349,8 +366,10 @@
         if self._fault():
             raise NoResponseError("some")
         page = names[:100]
-        there = {name: self.state.get(prefix + name) for name in page}
-        return PartialRead({n: wire.decode_stored_value(v) for n, (status, v) in there.items() if status == 200}, page)
+        responses = {name: self.state.get(prefix + name) for name in page}
+        return PartialRead(
+            {n: wire.decode_stored_value(v) for n, (status, v) in responses.items() if status == 200}, page
+        )
 
     async def current_revision(self, prefix: str, timeout_us: int = 0) -> int:
         self.reads += 1
@@ -391,7 +410,7 @@
         return Applied(value["ledgerRev"]) if status == 200 else Conflict(tuple(value["failed"]))
 
     def deliver_late(self) -> list[int]:
-        """Held transactions arrive; their statuses."""
+        """Applies the transactions delayed by "late" faults; returns their statuses."""
         held, self.held = self.held, []
         return [self.state.commit(body)[0] for body in held]
 
--- a/tests/test_failure_attribution.py
+++ b/tests/test_failure_attribution.py
@@ -1,4 +1,4 @@
-"""Faulty jobs and faulty machines, told apart by both sides of the evidence."""
+"""Attribution of failures to faulty jobs or faulty machines, by where else jobs and machines fail or succeed."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def fail_all(world: World, ref: str) -> int:
-    """Every task of a job on any machine fails; how many there were."""
+    """Fails all unfinished tasks of a job; returns their number."""
     failed = 0
     for worker in world.workers.values():
         for (name, _), task in worker.tasks.items():
@@ -24,7 +24,7 @@
 
 
 def test_jobs_that_fail_everywhere_drain_no_machine() -> None:
-    # Each of two such jobs failed on two healthy machines, which were drained for good and returned.
+    # Two faulty jobs each failed on two healthy machines, which were drained permanently and released.
     world = World()
     for number in (1, 2):
         world.machine(number)
@@ -60,15 +60,15 @@
     assert 1 <= sum(failures[2:]) <= 6
     assert (
         world.cluster.predictor.run_time(ref, world.cluster.jobs[ref].spec) == 30_000_000
-    )  # nothing is learnt from it
-    # It stops nobody else's work, and nothing is rented for it.
+    )  # failures don't change the prediction
+    # The suspected job preempts no other job, and no machine is rented for it.
     assert len(world.live(idle)) == 1
     job = world.cluster.jobs[ref]
     job.retry_at = 0
     world.plan()
     assert job.tier != OWNED
     assert world.fleet.scale_out.plan(world.now) == []
-    # Its cancellation is met, and it is never called done.
+    # Its cancellation is carried out, and the job is never reported as done.
     world.cancel(ref)
     world.settle()
     assert world.live(ref) == {}
@@ -84,14 +84,14 @@
         assert fail_all(world, ref) == 1
     good = world.machine(2)
     world.settle()
-    assert len(good.started_attempts) == 2  # they run elsewhere at once
-    assert not world.cluster.machines[bad.name].draining  # not confirmed yet: it may be the jobs
+    assert len(good.started_attempts) == 2  # both jobs run on another machine at once
+    assert not world.cluster.machines[bad.name].draining  # not confirmed yet: the jobs may be faulty
     world.settle(32)
     assert world.cluster.machines[bad.name].draining
     assert [m.name for m in world.fleet.scale_in.machines_to_release(world.now)] == [bad.name]
 
 
-def test_a_job_wrongly_suspected_is_cleared_by_its_first_completed_task() -> None:
+def test_a_wrongly_suspected_job_is_cleared_by_its_first_completed_task() -> None:
     world = World()
     bad: list[Worker] = [world.machine(1), world.machine(2)]
     ref = world.submit(legs=4)
@@ -108,7 +108,7 @@
     assert world.record(ref) == "done"
 
 
-def test_a_suspicion_outlives_a_failover() -> None:
+def test_a_suspicion_survives_a_failover() -> None:
     world = World()
     for number in (1, 2):
         world.machine(number)
--- a/tests/test_limits_properties.py
+++ b/tests/test_limits_properties.py
@@ -1,4 +1,7 @@
-"""Any order of events keeps `quota` and `ran_twice`: recounted from the workers, never from the leader's own sums."""
+"""Property test: `quota` and `ran_twice` hold under any order of events.
+
+Usage is counted from the workers' state, never from the leader's own sums.
+"""
 
 from __future__ import annotations
 
@@ -17,33 +20,32 @@
 from oatport.times import SECOND
 from tests.cluster_fixture import World
 
-LIMITS = {"crew": 12.0, "other": 8.0}
-PLACES = st.integers(1, 6)
+CPU_LIMITS = {"crew": 12.0, "other": 8.0}
+MACHINE_NUMBERS = st.integers(1, 6)
 
 
 class Deployment(RuleBasedStateMachine):
-    """A leader, its successors, four machines; what is sent may be late, lost, or come again."""
+    """A leader, its successors and four machines, with messages that may be delayed, lost or duplicated."""
 
     @initialize()
     def begin(self) -> None:
-        self.world = World([Team(name, cpus_max=most) for name, most in LIMITS.items()])
-        self.reports: list[wire.Heartbeat] = []  # sent, of which copies may arrive
-        self.commands: list[tuple[str, dict[str, Any]]] = []  # under way
-        self.late: list[dict[str, Any]] = []  # transactions that got no answer
-        self.unsure: WriteBatch | None = None
-        self.ends: list[Completion] = []  # as told to the other nodes
-        self.known: set[str] = set()  # tasks whose end a leader took in, and told or wrote
-        self.untold: set[str] = (
-            set()
-        )  # of these, what a leader neither wrote nor told the next one, nor a machine since
-        self.led_since = 0
-        self.broken: list[str] = []
-        self.results: set[str] = set()  # tasks that completed, wherever
+        self.world = World([Team(name, cpus_max=cpu_limit) for name, cpu_limit in CPU_LIMITS.items()])
+        self.reports: list[wire.Heartbeat] = []  # sent reports, which may arrive again
+        self.commands: list[tuple[str, dict[str, Any]]] = []  # in flight
+        self.delayed_transactions: list[dict[str, Any]] = []  # transactions without a response
+        self.unconfirmed_batch: WriteBatch | None = None
+        self.replicated: list[Completion] = []  # replicated to the other nodes
+        self.known_completions: set[str] = set()  # tasks whose completion a leader received, and replicated or wrote
+        # Those that a leader neither wrote nor replicated to the next one, and that no machine reported since.
+        self.unreplicated: set[str] = set()
+        self.leader_since = 0
+        self.violations: list[str] = []
+        self.results: set[str] = set()  # tasks that completed on any machine
         self.machines = 4
-        self.everybody: list[Worker] = []  # also those that are gone
+        self.all_workers: list[Worker] = []  # including removed ones
         self.cancelled: set[str] = set()
         for number in range(1, 5):
-            self._watch(self.world.machine(number, "ab"[number % 2]))
+            self._observe(self.world.machine(number, "ab"[number % 2]))
         self.world.settle(2)
         for team, kind, tasks, run in (
             ("crew", "array", 6, 5.0),
@@ -52,15 +54,15 @@
             ("other", "standing", 2, 30.0),
         ):
             self.submit(team, kind, tasks, run)
-        self._usual()
-        self._usual()
+        self._ordinary_second()
+        self._ordinary_second()
 
-    def _watch(self, worker: Worker) -> None:
-        self.everybody.append(worker)
+    def _observe(self, worker: Worker) -> None:
+        self.all_workers.append(worker)
         worker.completed_tasks = self.results
-        worker.on_task_started = self._began
+        worker.on_task_started = self._on_task_started
 
-    def _began(self, worker: Worker, task: str, attempt: int) -> None:
+    def _on_task_started(self, worker: Worker, task: str, attempt: int) -> None:
         now = self.world.now
         for other in self.world.workers.values():
             held = [
@@ -72,15 +74,15 @@
                 and now - other.lease_renewed_at <= other.lease_us
             ]
             if other is not worker and held:
-                self.broken.append(f"{task} attempt {attempt} starts on {worker.name}, and is on {other.name}")
-        is_known = task in self.known and not self._lost_with_a_lease(task)
-        if is_known and task.rsplit("/", 1)[0] not in self.cancelled:
-            self.broken.append(f"{task} attempt {attempt} starts on {worker.name} though its end is known")
+                self.violations.append(f"{task} attempt {attempt} starts on {worker.name}, and is on {other.name}")
+        is_completion_known = task in self.known_completions and not self._is_lost_with_lease(task)
+        if is_completion_known and task.rsplit("/", 1)[0] not in self.cancelled:
+            self.violations.append(f"{task} attempt {attempt} starts on {worker.name} though its end is known")
 
     # --- users ------------------------------------------------------------------------------
 
     @rule(
-        team=st.sampled_from(sorted(LIMITS)),
+        team=st.sampled_from(sorted(CPU_LIMITS)),
         kind=st.sampled_from(["array", "gang", "standing"]),
         tasks=st.integers(1, 3),
         run=st.sampled_from([2.0, 6.0, 30.0]),
@@ -103,57 +105,57 @@
             ref = refs[pick % len(refs)]
             self.world.cancel(ref, tell=tell)
             self.cancelled.add(ref)
-            if not tell:  # the leader learns it from the records a moment later
+            if not tell:  # the leader learns of it from the records a moment later
                 self.world.cluster.job_lifecycle.cancel(ref, self.world.state.revision)
 
     # --- the leader ---------------------------------------------------------------------------
 
-    def _usual(self) -> None:
-        """A second as it mostly goes: everybody reports, what is decided is written and sent."""
-        if self.unsure is not None:
+    def _ordinary_second(self) -> None:
+        """Simulates one second without faults: all workers report, and decisions are written and sent."""
+        if self.unconfirmed_batch is not None:
             return
         for worker in self.world.workers.values():
             self.reports.append(wire.decode_heartbeat(worker.report()))
         self.world.step(1.0)
-        self._learn()
+        self._record_completions()
 
-    # Several times, so that it is drawn as often as all the rest: else next to nothing ever runs.
-    usual = rule()(_usual)
-    usual_2 = rule()(_usual)
-    usual_3 = rule()(_usual)
-    usual_4 = rule()(_usual)
+    # Registered several times, so that it is drawn as often as all other rules; otherwise hardly any task runs.
+    ordinary_second = rule()(_ordinary_second)
+    ordinary_second_2 = rule()(_ordinary_second)
+    ordinary_second_3 = rule()(_ordinary_second)
+    ordinary_second_4 = rule()(_ordinary_second)
 
     @rule()
     def plan(self) -> None:
-        if self.unsure is None:
+        if self.unconfirmed_batch is None:
             self.world.plan()
 
-    @rule(fate=st.sampled_from(["applied", "applied", "lost", "no answer", "late"]))
-    def commit(self, fate: str) -> None:
-        """The next transaction, or the unsure one again."""
+    @rule(outcome=st.sampled_from(["applied", "applied", "lost", "no answer", "late"]))
+    def commit(self, outcome: str) -> None:
+        """Sends the next transaction, or again the one whose outcome is unknown."""
         cluster = self.world.cluster
-        batch = self.unsure or cluster.writes.take_batch(self.world.ops)
+        batch = self.unconfirmed_batch or cluster.writes.take_batch(self.world.ops)
         if not batch.operation_count:
             for ended in (*batch.completed_jobs, *batch.deleted_jobs, *batch.cancelled_jobs):
                 cluster.job_lifecycle.remove(ended)
             cluster.writes.in_flight_keys = set()
             return
         body = self.world.transaction(batch)
-        if fate == "late":
-            self.late.append(body)
-        if fate in ("late", "lost"):
-            self.unsure = batch
+        if outcome == "late":
+            self.delayed_transactions.append(body)
+        if outcome in ("late", "lost"):
+            self.unconfirmed_batch = batch
             return
         status, value = self.world.state.commit(body)
-        if fate == "no answer" and status == 200:
-            self.unsure = batch
+        if outcome == "no answer" and status == 200:
+            self.unconfirmed_batch = batch
             return
-        self.unsure = None
+        self.unconfirmed_batch = None
         if status == 200:
             cluster.writes.committed(batch, value["ledgerRev"], self.world.now)
         elif self._was_applied(batch):
             cluster.writes.committed(batch, self.world.state.revision, self.world.now)
-            self.fail_over()  # which revision its keys have is for the next leader to read
+            self.fail_over()  # the next leader reads the revisions of the keys
         else:
             cluster.writes.restore_batch(batch)
             self.fail_over()
@@ -167,22 +169,22 @@
             and not any(key in items for key in batch.deletes)
         )
 
-    @precondition(lambda self: self.late)
+    @precondition(lambda self: self.delayed_transactions)
     @rule()
-    def late_transaction(self) -> None:
-        self.world.state.commit(self.late.pop(0))
+    def delayed_transaction_arrives(self) -> None:
+        self.world.state.commit(self.delayed_transactions.pop(0))
 
     @rule(sent=st.booleans())
     def send(self, sent: bool) -> None:
-        """Direct commands go out; some are under way for long."""
+        """Sends direct commands; unless `sent`, they stay in flight."""
         cluster = self.world.cluster
         for machine in list(cluster.machines_to_command):
             cluster.machines_to_command.discard(machine)
-            orders, starts = cluster.commands.for_machine(machine, self.world.now, direct=True)
-            if not orders or not machine.agent_epoch:
+            due_commands, starts = cluster.commands.for_machine(machine, self.world.now, direct=True)
+            if not due_commands or not machine.agent_epoch:
                 continue
             cluster.commands.on_sent(machine, starts, self.world.now, direct=True)
-            body = wire.command_request(cluster.fencing_token, machine.agent_epoch, orders)
+            body = wire.command_request(cluster.fencing_token, machine.agent_epoch, due_commands)
             if sent and machine.name in self.world.workers:
                 _, report = self.world.workers[machine.name].commands(body)
                 cluster.commands.on_answered(machine, [(t.name, t.attempt) for t in starts])
@@ -192,52 +194,56 @@
 
     @precondition(lambda self: self.commands)
     @rule()
-    def command_arrives(self) -> None:
-        """Late, and its answer is lost."""
+    def delayed_command_arrives(self) -> None:
+        """Delivers a delayed command whose response is lost."""
         name, body = self.commands.pop(0)
         if name in self.world.workers:
             self.world.workers[name].commands(body)
 
-    @rule(heard=st.booleans())
-    def fail_over(self, heard: bool = True) -> None:
-        """The next leader; what the one before told the others is known, or that nothing is."""
-        self.unsure = None
-        ends = self.world.cluster.completions.to_replicate()
+    @rule(completions_received=st.booleans())
+    def fail_over(self, completions_received: bool = True) -> None:
+        """Starts the next leader's term, with or without the completions that the previous leader replicated."""
+        self.unconfirmed_batch = None
+        replicated = self.world.cluster.completions.to_replicate()
         self.world.fail_over()
-        self.world.cluster.now = self.led_since = self.world.now
-        names = {f"{ref}/{index}" for ref, index, _ in ends}
-        if heard:
-            self.world.cluster.completions.apply(ends)
-            self.untold -= names
-        else:  # only their machines tell of them, if they still can
+        self.world.cluster.now = self.leader_since = self.world.now
+        names = {f"{ref}/{index}" for ref, index, _ in replicated}
+        if completions_received:
+            self.world.cluster.completions.apply(replicated)
+            self.unreplicated -= names
+        else:  # only the machines can report these, if they still have them
             self.world.cluster.completions.earlier_may_be_lost = True
-            self.untold |= names
+            self.unreplicated |= names
 
-    def _lost_with_a_lease(self, task: str) -> bool:
-        """No leader knows of its end any more, and the machine that could tell lost the result with its lease."""
-        return task in self.untold and any(worker.lost_completions.get(task) == "lease" for worker in self.everybody)
+    def _is_lost_with_lease(self, task: str) -> bool:
+        """Returns whether no leader has the completion and the machine lost the result with its lease."""
+        return task in self.unreplicated and any(
+            worker.lost_completions.get(task) == "lease" for worker in self.all_workers
+        )
 
     @rule()
-    def change_of_leader_before_the_commit(self) -> None:
-        """What was decided and not written goes with the leader; whatever it sent arrives."""
+    def fail_over_before_commit(self) -> None:
+        """Fails over with decisions unwritten, though the commands of the previous leader arrive."""
         self.plan()
         self.send(True)
         self.fail_over(False)
 
-    @rule(number=PLACES, pick=st.integers(0, 12))
-    def change_of_leader_and_a_copy(self, number: int, pick: int) -> None:
-        """The first that the next leader hears of a machine is old."""
+    @rule(number=MACHINE_NUMBERS, pick=st.integers(0, 12))
+    def fail_over_then_duplicate_report(self, number: int, pick: int) -> None:
+        """Fails over, and delivers an old report as the first one that the next leader receives from a machine."""
         self.fail_over(True)
-        mine = [report for report in self.reports if report.machine_name == f"vm-{number:06d}"]
-        if mine:
-            self.world.cluster.heartbeats.receive(mine[-1 - pick % len(mine)], self.world.now, self.world.now)
+        machine_reports = [report for report in self.reports if report.machine_name == f"vm-{number:06d}"]
+        if machine_reports:
+            self.world.cluster.heartbeats.receive(
+                machine_reports[-1 - pick % len(machine_reports)], self.world.now, self.world.now
+            )
         self.world.plan()
         self.world.commit()
         self.send(True)
 
     # --- machines ---------------------------------------------------------------------------------
 
-    @rule(number=PLACES, seconds=st.sampled_from([0.1, 0.5, 2.0]))
+    @rule(number=MACHINE_NUMBERS, seconds=st.sampled_from([0.1, 0.5, 2.0]))
     def report(self, number: int, seconds: float) -> None:
         worker = self.world.workers.get(f"vm-{number:06d}")
         self.world.now += round(seconds * SECOND)
@@ -248,16 +254,16 @@
         self.reports.append(report)
         cluster = self.world.cluster
         machine = cluster.heartbeats.receive(report, self.world.now, self.world.now)
-        self._learn()
+        self._record_completions()
         if machine is None or report.fencing_token > cluster.fencing_token:
             return
         cluster.commands.on_heartbeat_delivered(machine, report)
-        orders, starts = cluster.commands.for_machine(machine, self.world.now, direct=False)
+        due_commands, starts = cluster.commands.for_machine(machine, self.world.now, direct=False)
         cluster.commands.on_sent(machine, starts, self.world.now, direct=False)
-        worker.answer(sent, session, wire.heartbeat_response(cluster.fencing_token, orders))
+        worker.answer(sent, session, wire.heartbeat_response(cluster.fencing_token, due_commands))
 
     def _reports(self) -> None:
-        """All report, and nothing that follows is written yet."""
+        """Delivers reports of all machines without writing anything."""
         for number in range(1, self.machines + 1):
             self.report(number, 0.1)
 
@@ -265,21 +271,21 @@
     reports_2 = rule()(_reports)
     reports_3 = rule()(_reports)
 
-    def _learn(self) -> None:
+    def _record_completions(self) -> None:
         completed = {f"{job.job_id}/{index}" for job in self.world.cluster.jobs.values() for index in job.completed}
-        self.known |= completed
-        self.untold -= completed
+        self.known_completions |= completed
+        self.unreplicated -= completed
 
     @precondition(lambda self: self.reports)
     @rule(pick=st.integers(0, 30))
-    def copy_arrives(self, pick: int) -> None:
-        """Of any age, at whoever leads now."""
+    def duplicate_report_arrives(self, pick: int) -> None:
+        """Delivers an old report of any age to the present leader."""
         report = self.reports[-1 - pick % len(self.reports)]
         if report.fencing_token <= self.world.cluster.fencing_token:
             self.world.cluster.heartbeats.receive(report, self.world.now, self.world.now)
 
-    @rule(number=PLACES)
-    def lease_ends(self, number: int) -> None:
+    @rule(number=MACHINE_NUMBERS)
+    def lease_expires(self, number: int) -> None:
         worker = self.world.workers.get(f"vm-{number:06d}")
         if worker is not None:
             worker.lease_renewed_at = self.world.now - worker.lease_us - 1
@@ -287,82 +293,88 @@
 
     @rule()
     def release(self) -> None:
-        """What is idle, drained or given up goes, if nothing speaks against it."""
+        """Releases the idle, drained and given-up machines that scale-in has no reason to hold."""
         for machine in self.world.fleet.scale_in.machines_to_release(self.world.now):
-            self._gone(machine.name)
+            self._release_machine(machine.name)
 
-    @rule(number=PLACES)
+    @rule(number=MACHINE_NUMBERS)
     def drain(self, number: int) -> None:
         machine = self.world.cluster.machines.get(f"vm-{number:06d}")
         if machine is not None:
             machine.draining = True
 
-    @rule(number=PLACES)
-    def give_up(self, number: int) -> None:
-        """As silent: not if it alone tells of an end, nor while it may be the only one that can."""
+    @rule(number=MACHINE_NUMBERS)
+    def release_silent_machine(self, number: int) -> None:
+        """Releases a machine as silent, unless it reports unwritten completions or may be the only one that can."""
         cluster = self.world.cluster
         machine = cluster.machines.get(f"vm-{number:06d}")
         if machine is None or cluster.completions.holds_unwritten(machine):
             return
-        if cluster.completions.may_report_unknown(machine, self.world.now, self.led_since + cluster.lease_us):
+        if cluster.completions.may_report_unknown(machine, self.world.now, self.leader_since + cluster.lease_us):
             return
         for worker in self.world.workers.values():
-            worker.advance()  # a lease that ran out by now takes its results along
-        self._gone(machine.name)
+            worker.advance()  # results are lost with leases that expired by now
+        self._release_machine(machine.name)
 
-    def _gone(self, name: str) -> None:
+    def _release_machine(self, name: str) -> None:
         if name in self.world.workers:
             self.world.workers[name].kill("released")
         self.world.released(name)
         if len(self.world.workers) < 3:
             self.machines += 1
-            self._watch(self.world.machine(self.machines, "ab"[self.machines % 2]))
+            self._observe(self.world.machine(self.machines, "ab"[self.machines % 2]))
 
-    # --- the rules --------------------------------------------------------------------------------
+    # --- the invariants ---------------------------------------------------------------------------
 
     @invariant()
-    def no_rule_breaks(self) -> None:
+    def no_invariant_is_violated(self) -> None:
         for worker in self.world.workers.values():
             worker.advance()
-        assert not self.broken, self.broken
-        use: Counter[str] = Counter()
-        seen: Counter[str] = Counter()
+        assert not self.violations, self.violations
+        usage: Counter[str] = Counter()
+        unfinished_attempts: Counter[str] = Counter()
         for worker in self.world.workers.values():
             for (task, _), held in worker.tasks.items():
                 if held.status != "ended":
-                    use[str(held.job["crew"])] += float(held.job["cores"])
-                    seen[task] += 1
-        assert all(use[team] <= most + 1e-6 for team, most in LIMITS.items()), use
-        assert all(count == 1 for count in seen.values()), seen
+                    usage[str(held.job["crew"])] += float(held.job["cores"])
+                    unfinished_attempts[task] += 1
+        assert all(usage[team] <= cpu_limit + 1e-6 for team, cpu_limit in CPU_LIMITS.items()), usage
+        assert all(count == 1 for count in unfinished_attempts.values()), unfinished_attempts
 
 
 def test_a_machine_that_may_report_unknown_completions_is_not_given_up() -> None:
-    """Found by the properties: an end went with its leader, and the machine that could tell of it was returned."""
+    """Case found by the property test.
+
+    A completion was lost with its leader, and the machine that could report the completion was released.
+    """
     deployment = Deployment()
     deployment.begin()
     for _ in range(11):
         deployment._reports()
-    deployment.change_of_leader_before_the_commit()
-    assert deployment.untold
-    deployment.give_up(1)
+    deployment.fail_over_before_commit()
+    assert deployment.unreplicated
+    deployment.release_silent_machine(1)
     assert "vm-000001" in deployment.world.workers
     deployment._reports()
-    deployment._usual()
-    deployment.no_rule_breaks()
+    deployment._ordinary_second()
+    deployment.no_invariant_is_violated()
+
 
+def test_a_task_whose_unreplicated_result_is_lost_with_a_lease_runs_again() -> None:
+    """Case found by the property test.
 
-def test_a_result_that_is_lost_with_a_lease_and_was_told_to_no_leader_runs_again() -> None:
-    """Found by the properties: it counted as known, though its leader and then its machine's lease were gone."""
+    The completion counted as known, though its leader's term and then its machine's lease had ended.
+    """
     deployment = Deployment()
     deployment.begin()
     for _ in range(11):
         deployment._reports()
-    deployment.change_of_leader_before_the_commit()
-    deployment.lease_ends(1)
-    assert any(deployment._lost_with_a_lease(task) for task in deployment.untold)
+    deployment.fail_over_before_commit()
+    deployment.lease_expires(1)
+    assert any(deployment._is_lost_with_lease(task) for task in deployment.unreplicated)
     deployment._reports()
-    deployment._usual()
-    deployment.no_rule_breaks()
+    deployment._ordinary_second()
+    deployment.no_invariant_is_violated()
 
 
 TestDeployment = Deployment.TestCase
--- a/tests/test_task_locations.py
+++ b/tests/test_task_locations.py
@@ -1,4 +1,4 @@
-"""Where a task may be, what its team takes, and what is known of its end, across leaders."""
+"""Task locations, usage of teams and unrecorded completions across failovers."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 from tests.cluster_fixture import World, job, node_settings
 from tests.test_node_failures import leader, peer_reply
 
-# --- ends that no record says yet -----------------------------------------------------------------------
+# --- completions without a record -----------------------------------------------------------------------
 
 
 @pytest.fixture
@@ -35,8 +35,8 @@
     return KeyStore(lambda: 0)
 
 
-def _until_done(world: World, worker: Worker) -> None:
-    """Time passes, all report and nothing is written, until a task of this worker has ended and it has told so."""
+def _run_until_task_ends(world: World, worker: Worker) -> None:
+    """Advances time, with reports but no writes, until a task of this worker has ended and been reported."""
     for _ in range(400):
         world.now += SECOND // 4
         worker.advance()
@@ -48,32 +48,38 @@
     raise AssertionError("no task ended")
 
 
-def _done_unwritten(world: World) -> tuple[str, Worker]:
-    """A job of two tasks on two machines, of which one is done; that is reported, and not written."""
+def _job_with_unwritten_completion(world: World) -> tuple[str, Worker]:
+    """Submits a job with two tasks on two machines; the first completes, which is reported but not written."""
     workers = [world.machine(1), world.machine(2)]
     world.settle(2)
     ref = world.submit(legs=2, cores=8.0, voyageS=20.0)
     world.settle(3)
     first = next(w for w in workers if f"{ref}/0" in {task for task, _ in w.tasks})
-    _until_done(world, first)
+    _run_until_task_ends(world, first)
     assert world.cluster.jobs[ref].completed == {0}
     return ref, first
 
 
-def test_a_machine_that_alone_tells_of_an_end_is_not_returned() -> None:
-    """Drained machines were returned at once; with the record late and the leader gone the task ran again."""
+def test_a_machine_with_the_only_report_of_a_completion_is_not_released() -> None:
+    """Drained machines were released at once.
+
+    When the record was delayed and the leader's term ended, the task ran again.
+    """
     world = World()
-    ref, worker = _done_unwritten(world)
+    ref, worker = _job_with_unwritten_completion(world)
     machine = world.cluster.machines[worker.name]
     machine.draining = True
     assert world.fleet.scale_in.machines_to_release(world.now) == []
-    assert live_key(ref) in world.cluster.writes.urgent_keys  # and it is written at once
+    assert live_key(ref) in world.cluster.writes.urgent_keys  # the completion is written at once
     world.commit()
     assert world.fleet.scale_in.machines_to_release(world.now) == [machine]
 
 
-def test_a_release_without_an_answer_is_repeated_though_tasks_are_recorded_there() -> None:
-    """It was given up as silent while the cloud was down: nobody else asks again."""
+def test_a_release_without_a_response_is_repeated_though_tasks_are_recorded_there() -> None:
+    """The machine was given up as silent while the cloud was down.
+
+    The request is repeated here, as no other component repeats it.
+    """
     world = World()
     worker = world.machine(1)
     world.settle(2)
@@ -86,19 +92,19 @@
     assert world.fleet.scale_in.machines_to_release(world.now) == [machine]
 
 
-def test_ends_on_machines_that_stay_wait_for_others_of_their_record() -> None:
-    """Written at once for every machine, they used up the changes that submissions wait for."""
+def test_completions_on_machines_that_stay_are_batched_with_others_of_their_record() -> None:
+    """Completions written at once for every machine used up the write limit that submissions need."""
     world = World()
-    ref, worker = _done_unwritten(world)
+    ref, worker = _job_with_unwritten_completion(world)
     assert world.fleet.scale_in.machines_to_release(world.now) == []
     assert live_key(ref) in world.cluster.writes.dirty_keys
     assert live_key(ref) not in world.cluster.writes.urgent_keys
     assert not world.cluster.machines[worker.name].releasing
 
 
-def test_an_end_under_way_to_its_record_holds_the_machine_as_well() -> None:
+def test_a_completion_in_an_uncommitted_batch_holds_the_machine() -> None:
     world = World()
-    ref, worker = _done_unwritten(world)
+    ref, worker = _job_with_unwritten_completion(world)
     world.cluster.machines[worker.name].draining = True
     batch = world.cluster.writes.take_batch(world.ops)
     assert live_key(ref) in batch.sets
@@ -109,45 +115,48 @@
     assert len(world.fleet.scale_in.machines_to_release(world.now)) == 1
 
 
-def test_an_end_held_back_for_its_size_is_not_forgotten() -> None:
-    """Records that are too large are not written for a while: such an end counted as written, and was forgotten."""
+def test_a_completion_in_an_oversized_record_is_not_forgotten() -> None:
+    """Records that are too large are not written for a while.
+
+    A completion in such a record counted as written, and the agent was told to forget the attempt.
+    """
     world = World()
-    ref, worker = _done_unwritten(world)
+    ref, worker = _job_with_unwritten_completion(world)
     world.cluster.writes.value_limit_lowered = True
     world.cluster.writes.layout.max_value_bytes = 10
     batch = world.cluster.writes.take_batch(world.ops)
     assert live_key(ref) not in batch.sets
     world.cluster.writes.in_flight_keys = set()
     machine = world.cluster.machines[worker.name]
-    orders, _ = world.cluster.commands.for_machine(machine, world.now, direct=True)
-    assert not [order for order in orders if isinstance(order, wire.ForgetCommand)]
+    due_commands, _ = world.cluster.commands.for_machine(machine, world.now, direct=True)
+    assert not [command for command in due_commands if isinstance(command, wire.ForgetCommand)]
     assert world.cluster.completions.holds_unwritten(machine)
 
 
-async def test_nothing_that_alone_tells_of_an_end_is_given_up(state: KeyStore) -> None:
-    """Whatever the reason: silent, cut off, not listed, idle."""
+async def test_a_machine_with_the_only_report_of_a_completion_is_not_given_up(state: KeyStore) -> None:
+    """The rule applies to releases for any reason: silent, partitioned, not listed or idle."""
     lead, _, _ = leader(state)
-    asked: list[list[str]] = []
+    requests: list[list[str]] = []
 
     async def release(names: list[str]) -> None:
-        asked.append(names)
+        requests.append(names)
 
     lead.cloud_controller.cloud.release = release  # type: ignore[method-assign]
     world = World()
-    _, worker = _done_unwritten(world)
+    _, worker = _job_with_unwritten_completion(world)
     lead.cluster = lead.cloud_controller.cluster = world.cluster
     machine = world.cluster.machines[worker.name]
     await lead.cloud_controller.release([machine], "silent")
-    assert asked == []
+    assert requests == []
     assert not machine.releasing
     assert worker.name in world.cluster.machines
     world.commit()
     await lead.cloud_controller.release([machine], "silent")
-    assert asked == [[worker.name]]
+    assert requests == [[worker.name]]
     assert worker.name not in world.cluster.machines
 
 
-def test_what_a_machine_with_a_notice_tells_is_written_at_once() -> None:
+def test_a_completion_on_a_machine_with_a_reclamation_notice_is_written_at_once() -> None:
     world = World()
     workers = [world.machine(1), world.machine(2)]
     world.settle(2)
@@ -156,20 +165,20 @@
     workers[0].reclaimed_at = world.now + 40 * SECOND
     world.report(workers[0])
     world.commit()
-    _until_done(world, workers[0])
+    _run_until_task_ends(world, workers[0])
     assert live_key(ref) in world.cluster.writes.urgent_keys
 
 
-def test_the_next_leader_goes_by_ends_that_it_is_told() -> None:
-    """The machine hung after its report and was given up: the task is not started again."""
+def test_the_next_leader_applies_replicated_completions() -> None:
+    """The machine hung after its report and was given up; the task must not start again."""
     world = World()
-    ref, worker = _done_unwritten(world)
-    ends = world.cluster.completions.to_replicate()
-    assert [end[:2] for end in ends] == [(ref, 0)]
-    world.refused.add(worker.name)  # it is not heard any more
+    ref, worker = _job_with_unwritten_completion(world)
+    replicated = world.cluster.completions.to_replicate()
+    assert [completion[:2] for completion in replicated] == [(ref, 0)]
+    world.refused.add(worker.name)  # none of its heartbeats arrives any more
     world.fail_over()
     assert world.cluster.jobs[ref].tasks[0].phase is TaskPhase.BOUND  # as recorded
-    world.cluster.completions.apply(ends)
+    world.cluster.completions.apply(replicated)
     assert world.cluster.jobs[ref].completed == {0}
     world.released(worker.name)
     for _ in range(25):
@@ -178,20 +187,20 @@
     assert not any(task == f"{ref}/0" for w in world.workers.values() for task, _ in w.started_attempts)
 
 
-def test_told_ends_are_taken_for_pending_tasks_too_and_not_for_newer_attempts() -> None:
+def test_replicated_completions_apply_to_pending_tasks_but_not_to_newer_attempts() -> None:
     world = World()
-    ref, worker = _done_unwritten(world)
-    ends = world.cluster.completions.to_replicate()
+    ref, worker = _job_with_unwritten_completion(world)
+    replicated = world.cluster.completions.to_replicate()
     world.refused.add(worker.name)
     world.fail_over()
     world.released(worker.name)
     task = world.cluster.jobs[ref].tasks[0]
     assert task.phase is TaskPhase.PENDING
     assert world.cluster.jobs[ref].pending == 1
-    world.cluster.completions.apply(ends)
+    world.cluster.completions.apply(replicated)
     assert world.cluster.jobs[ref].completed == {0}
     assert not world.cluster.jobs[ref].pending
-    world.cluster.completions.apply(ends)  # told again
+    world.cluster.completions.apply(replicated)  # replicated again
     other = world.submit(legs=1, cores=1.0, voyageS=50.0)
     world.settle(3)
     placed = world.cluster.jobs[other].tasks[0]
@@ -201,9 +210,9 @@
     assert not world.cluster.jobs[other].completed
 
 
-def test_ends_are_told_until_they_are_recorded() -> None:
+def test_completions_are_replicated_until_they_are_recorded() -> None:
     world = World()
-    ref, _ = _done_unwritten(world)
+    ref, _ = _job_with_unwritten_completion(world)
     assert world.cluster.completions.to_replicate()
     world.commit()
     assert world.cluster.completions.to_replicate() == []
@@ -211,9 +220,9 @@
     assert world.cluster.jobs[ref].completed == {0}
 
 
-def test_where_nobody_knows_of_ends_a_machine_never_heard_of_has_its_lease() -> None:
+def test_a_silent_machine_may_hold_unknown_completions_until_its_lease_ends() -> None:
     world = World()
-    _, worker = _done_unwritten(world)
+    _, worker = _job_with_unwritten_completion(world)
     world.refused |= set(world.workers)
     cluster = world.fail_over()
     machine, until = cluster.machines[worker.name], world.now + cluster.lease_us
@@ -223,25 +232,25 @@
     assert not cluster.completions.may_report_unknown(machine, until, until)
     world.refused.clear()
     world.report(worker)
-    assert not cluster.completions.may_report_unknown(machine, world.now, until)  # it has told
+    assert not cluster.completions.may_report_unknown(machine, world.now, until)  # it has reported
 
 
-def test_a_node_keeps_what_the_newest_leaders_told() -> None:
-    ends = CompletionLog()
-    assert ends.before_token(100) is None
+def test_a_node_stores_the_completions_of_the_newest_leaders() -> None:
+    log = CompletionLog()
+    assert log.before_token(100) is None
     for token in range(1, MAX_LEADERS + 3):
-        ends.add(token, [(f"j-{token:06d}", 0, 1)])
-    assert ends.before_token(3) is None
-    assert ends.before_token(4) == [("j-000003", 0, 1)]
-    assert len(ends.before_token(100) or []) == MAX_LEADERS
-    ends.add(MAX_LEADERS + 2, [("j-000099", 0, 1)])
-    assert (ends.before_token(100) or [])[:2] == [
+        log.add(token, [(f"j-{token:06d}", 0, 1)])
+    assert log.before_token(3) is None
+    assert log.before_token(4) == [("j-000003", 0, 1)]
+    assert len(log.before_token(100) or []) == MAX_LEADERS
+    log.add(MAX_LEADERS + 2, [("j-000099", 0, 1)])
+    assert (log.before_token(100) or [])[:2] == [
         ("j-000099", 0, 1),
         (f"j-{MAX_LEADERS + 2:06d}", 0, 1),
-    ]  # the newest first
+    ]  # newest first
     for number in range(2 * MAX_COMPLETIONS):
-        ends.add(99, [("j-000001", number, 1)])
-    found = ends.before_token(100) or []
+        log.add(99, [("j-000001", number, 1)])
+    found = log.before_token(100) or []
     assert len(found) == MAX_COMPLETIONS
     assert found[0] == ("j-000001", 2 * MAX_COMPLETIONS - 1, 1)
 
@@ -260,19 +269,19 @@
         [["j-000001", 0, 1]] * 3000,
     ],
 )
-def test_what_are_no_ends_proves_nothing(rows: Any) -> None:
+def test_malformed_completions_are_rejected(rows: Any) -> None:
     with pytest.raises((ValueError, TypeError)):
         decode_completions(rows)
 
 
 class Peer:
-    """Another node, of this version or an earlier one."""
+    """A peer that gives a fixed answer, as of this version or an earlier one."""
 
     def __init__(self, answer: Any) -> None:
-        self.answer, self.asked = answer, list[Any]()
+        self.answer, self.requests = answer, list[Any]()
 
     async def ask(self, request: PeerMessage, decode: Callable[[PeerArray], Any], *, timeout_us: int = 0) -> Any:
-        self.asked.append(request.encode())
+        self.requests.append(request.encode())
         if isinstance(self.answer, Exception):
             raise self.answer
         return decode_reply(self.answer, decode)
@@ -281,7 +290,7 @@
         await self.ask(request, any_reply)
 
 
-async def test_a_takeover_asks_all_nodes_and_strange_or_missing_answers_are_none() -> None:
+async def test_a_takeover_asks_all_nodes_and_ignores_malformed_or_missing_answers() -> None:
     node = Node(node_settings(), Tuning())
     node.peers = {
         name: Peer(answer)
@@ -303,7 +312,9 @@
     assert set(earlier.completions) == {("j-000001", 2, 1), ("j-000002", 0, 1)}
     assert earlier.complete
     node.peers["cut"] = Peer(NoResponseError("timeout"))  # type: ignore[assignment]
-    assert not (await node.completion_replicator.completions_before(9)).complete  # it may have led, and know more
+    assert not (
+        await node.completion_replicator.completions_before(9)
+    ).complete  # it may have been leader, and have more completions
     node.election.learn_leader("n3", 8)
     assert (await node.completion_replicator.completions_before(9)).complete
     node.election.learn_leader("cut", 9)
@@ -318,17 +329,17 @@
             await peer_reply(node, message)
 
 
-async def test_a_deposed_leader_tells_what_it_could_not_record(state: KeyStore) -> None:
+async def test_a_deposed_leader_replicates_what_it_could_not_record(state: KeyStore) -> None:
     lead, _, _ = leader(state)
     world = World()
-    ref, _ = _done_unwritten(world)
+    ref, _ = _job_with_unwritten_completion(world)
     lead.cluster = world.cluster
     node = Node(node_settings(), Tuning())
     reached = Peer(["ok"])
     node.peers = {"n1": reached}  # type: ignore[dict-item]
     node.completion_replicator.on_deposed(lead)
     await asyncio.sleep(0.01)
-    assert reached.asked == [["ends", lead.token, [(ref, 0, 1)]]]
+    assert reached.requests == [["ends", lead.token, [(ref, 0, 1)]]]
     assert node.completion_replicator.log.before_token(lead.token + 1) == [(ref, 0, 1)]
     node.background.close()
 
@@ -336,37 +347,37 @@
 # --- gangs ----------------------------------------------------------------------------------------------
 
 
-def test_a_gang_of_which_one_task_is_done_is_done_whole() -> None:
-    """The other's machine died before it could tell: that task was started again by itself."""
+def test_a_gang_completes_when_one_of_its_tasks_completes() -> None:
+    """The machine of the other task failed before it could report its completion: that task was started again alone."""
     world = World()
     workers = [world.machine(1), world.machine(2)]
     world.settle(2)
     ref = world.submit(rig="gang", legs=2, cores=8.0, voyageS=20.0)
     world.settle(3)
     assert len(world.live(ref)) == 2
-    _until_done(world, workers[0])
-    told = next(iter(workers[0].started_attempts))[0]
+    _run_until_task_ends(world, workers[0])
+    started_task = next(iter(workers[0].started_attempts))[0]
     assert len(world.cluster.jobs[ref].completed) == 1
     world.released(workers[1].name)
     world.machine(3)
     world.settle(6)
     assert world.record(ref) == wire.JobStatus.COMPLETED
     assert not world.workers["vm-000003"].started_attempts
-    assert told.startswith(ref)
+    assert started_task.startswith(ref)
 
 
-def test_a_leader_that_reads_of_a_done_task_of_a_gang_starts_none_of_the_others() -> None:
+def test_a_leader_that_reads_a_completed_gang_task_starts_none_of_the_others() -> None:
     world = World()
     workers = [world.machine(1), world.machine(2)]
     world.settle(2)
     ref = world.submit(rig="gang", legs=2, cores=8.0, voyageS=20.0)
     world.settle(3)
-    _until_done(world, workers[0])
+    _run_until_task_ends(world, workers[0])
     world.commit()
     assert world.record(ref) == wire.JobStatus.QUEUED
     world.refused.add(workers[1].name)
     world.fail_over()
-    assert world.cluster.jobs[ref].on_machines == 1  # where it is recorded, until that is disproved
+    assert world.cluster.jobs[ref].on_machines == 1  # on its recorded machine, until proven gone
     world.released(workers[1].name)
     world.machine(3)
     world.settle(6)
@@ -377,7 +388,7 @@
 # --- teams ----------------------------------------------------------------------------------------------
 
 
-def _start_behind_its_back(world: World, worker: Worker, ref: str, index: int = 0, attempt: int = 9) -> None:
+def _start_unrecorded_attempt(world: World, worker: Worker, ref: str, index: int = 0, attempt: int = 9) -> None:
     worker.commands(
         {
             "helm": worker.token,
@@ -388,52 +399,55 @@
     world.cluster.heartbeats.receive(wire.decode_heartbeat(worker.report()), world.now, world.now)
 
 
-def test_attempts_that_no_record_knows_count_for_their_team_and_zone() -> None:
-    """They took room of their machine alone: the team's limit was passed with what was placed beside them."""
+def test_orphaned_attempts_count_for_their_team_and_zone() -> None:
+    """Orphaned attempts counted for their machine only.
+
+    The team's limit was exceeded by the tasks placed in addition to them.
+    """
     world = World([Team("crew", cpus_max=8.0)])
     worker, other = world.machine(1), world.machine(2)
     world.settle(2)
     ref = world.submit(legs=2, cores=4.0, voyageS=500.0)
     world.cluster.jobs[ref].retry_at = world.now + 100 * SECOND  # not placed yet
-    _start_behind_its_back(world, worker, ref)
-    use = world.cluster.quotas["crew"]
-    assert use.cpus == 4.0
+    _start_unrecorded_attempt(world, worker, ref)
+    usage = world.cluster.quotas["crew"]
+    assert usage.cpus == 4.0
     assert world.cluster.jobs[ref].tasks_by_zone == {"a": 1}
     second = world.submit(legs=2, cores=4.0, voyageS=500.0)
     world.plan()
     assert world.cluster.jobs[second].on_machines == 1  # of two: the limit is eight CPUs
-    assert use.cpus == 8.0
-    world.settle(2)  # it was told to stop
+    assert usage.cpus == 8.0
+    world.settle(2)  # the orphaned attempt is stopped
     assert world.cluster.jobs[ref].orphaned_attempt_count == 0
     assert world.cluster.jobs[second].on_machines == 2
-    assert use.cpus == 8.0
+    assert usage.cpus == 8.0
     assert other.name in world.cluster.machines
 
 
-def test_while_a_task_of_an_unknown_job_runs_no_team_has_room() -> None:
+def test_no_team_has_quota_left_while_a_task_of_an_unknown_job_runs() -> None:
     world = World()
     worker = world.machine(1)
     world.settle(2)
     world.jobs["j-000777"] = job("j-000777")
-    _start_behind_its_back(world, worker, "j-000777")
+    _start_unrecorded_attempt(world, worker, "j-000777")
     ref = world.submit(legs=1, cores=1.0)
     world.plan()
     assert world.cluster.quotas.unknown_attempts == {"j-000777": 1}
     assert not world.cluster.jobs[ref].on_machines
-    world.cluster.orphans.resolve("j-000777", None)  # nobody ever submitted it
+    world.cluster.orphans.resolve("j-000777", None)  # the job was never submitted
     world.plan()
     assert world.cluster.jobs[ref].on_machines == 1
     world.settle(2)
     assert not world.cluster.machines[worker.name].orphaned_attempts
 
 
-def test_an_attempt_of_a_job_that_comes_to_be_known_counts_from_then() -> None:
+def test_an_orphaned_attempt_counts_once_its_job_is_known() -> None:
     world = World([Team("crew", cpus_max=8.0)])
     worker = world.machine(1)
     world.settle(2)
     spec = wire.decode_submission(job("j-000777", cores=6.0))
     world.jobs["j-000777"] = job("j-000777", cores=6.0)
-    _start_behind_its_back(world, worker, "j-000777")
+    _start_unrecorded_attempt(world, worker, "j-000777")
     world.cluster.job_lifecycle.add("j-000777", spec, 1, world.now)
     assert not world.cluster.quotas.unknown_attempts
     assert world.cluster.quotas["crew"].cpus == 6.0
@@ -443,7 +457,7 @@
     assert world.cluster.jobs["j-000777"].orphaned_attempt_count == 0
 
 
-async def test_the_team_of_an_unknown_attempt_is_read(state: KeyStore) -> None:
+async def test_the_team_of_an_unknown_job_is_read(state: KeyStore) -> None:
     lead, client, _ = leader(state)
     world = World([Team("crew", cpus_max=8.0)])
     lead.cluster = world.cluster
@@ -452,10 +466,10 @@
     world.jobs["j-000777"] = job("j-000777", cores=6.0)
     record = {"state": "queued", "at": 0, "job": job("j-000777", cores=6.0)}
     state.commit({"if": [], "then": [{"set": job_key("j-000777"), "value": record}]})
-    _start_behind_its_back(world, worker, "j-000777")
+    _start_unrecorded_attempt(world, worker, "j-000777")
     client.faults = ["refuse"]
     await lead.orphaned_job_lookup.read("j-000777")
-    assert world.cluster.quotas.unknown_attempts  # it is still not known
+    assert world.cluster.quotas.unknown_attempts  # still unknown
     await lead.orphaned_job_lookup.read("j-000777")
     assert not world.cluster.quotas.unknown_attempts
     assert world.cluster.quotas["crew"].cpus == 6.0
@@ -463,8 +477,11 @@
     assert world.cluster.quotas["crew"].cpus == 0.0
 
 
-async def test_unknown_jobs_are_looked_up_a_few_at_a_time(state: KeyStore) -> None:
-    """Copies from before a takeover tell of many that are over: a read for each at once would use up the requests."""
+async def test_lookups_of_unknown_jobs_are_limited_in_number(state: KeyStore) -> None:
+    """Reports delayed from before a takeover list many attempts of jobs that have ended.
+
+    One read for each of them at once would use up the request limit.
+    """
     lead, client, _ = leader(state)
     world = World()
     lead.cluster = world.cluster
@@ -473,7 +490,7 @@
     for number in range(20):
         ref = f"j-{700 + number:06d}"
         world.jobs[ref] = job(ref, cores=0.1, memoryGb=0.1)
-        _start_behind_its_back(world, worker, ref)
+        _start_unrecorded_attempt(world, worker, ref)
     lead.orphaned_job_lookup.look_up()
     assert len(lead.orphaned_job_lookup.in_flight) == MAX_CONCURRENT_LOOKUPS
     await asyncio.sleep(0.05)
@@ -482,8 +499,8 @@
     assert not lead.orphaned_job_lookup.in_flight
 
 
-def test_an_attempt_that_refuses_another_keeps_its_task_from_other_machines() -> None:
-    """`in_use` says that the task is there: it doesn't start elsewhere meanwhile."""
+def test_a_start_refused_as_in_use_keeps_the_task_from_other_machines() -> None:
+    """`in_use` means that the task is on that machine, so it must not start on another one while it is there."""
     world = World()
     worker = world.machine(1)
     world.settle(2)
@@ -504,11 +521,12 @@
     assert len(world.live(ref)[f"{ref}/0"]) == 1
 
 
-# --- unsure commits, and what is told late -------------------------------------------------------------
+# --- commits with unknown outcome, and delayed notifications
+# -------------------------------------------------------------
 
 
-async def test_a_users_cancellation_in_the_same_words_does_not_make_a_commit_applied(state: KeyStore) -> None:
-    """One key was compared: claims that went along counted as written, and were started."""
+async def test_an_identical_cancellation_by_a_user_does_not_make_a_commit_count_as_applied(state: KeyStore) -> None:
+    """Only one key was compared: bindings in the same transaction counted as written, and were started."""
     lead, client, _ = leader(state)
     world = World()
     lead.cluster = lead.commits.cluster = world.cluster
@@ -531,14 +549,14 @@
         sets={job_key(waiting): cancelled, live_key(claimed): {"t": [[1, "vm-000001"]]}},
     )
     client.faults = ["late"]
-    state.commit({"if": [], "then": [{"set": job_key(waiting), "value": cancelled}]})  # by its user
+    state.commit({"if": [], "then": [{"set": job_key(waiting), "value": cancelled}]})  # by the user
     assert not await lead.commits._was_applied(batch)
     state.commit({"if": [], "then": [{"set": k, "value": v} for k, v in batch.sets.items()]})
     client.faults = ["refuse", "lose"]
     assert await lead.commits._was_applied(batch)
 
 
-async def test_two_transactions_are_not_taken_for_one(state: KeyStore) -> None:
+async def test_values_of_two_transactions_do_not_count_as_one_commit(state: KeyStore) -> None:
     lead, _, _ = leader(state)
     sets: dict[str, Any] = {"fleet/000000": {"m": []}, "fleet/000001": {"m": []}}
     for key, value in sets.items():
@@ -546,8 +564,8 @@
     assert not await lead.commits._was_applied(WriteBatch(conditions=dict.fromkeys(sets, 0), sets=sets))
 
 
-async def test_a_job_that_is_over_is_not_taken_up_from_an_older_change(state: KeyStore) -> None:
-    """Its claims failed on keys that were gone, which cost the lead."""
+async def test_a_deleted_job_is_not_added_again_by_an_older_notification(state: KeyStore) -> None:
+    """Bindings of the job failed on deleted keys, which cost the leader its leadership."""
     lead, _, _ = leader(state)
     record = {"state": "queued", "at": 0, "job": job("j-000001")}
     lead.job_watch.apply_hint(JobAccepted("j-000001", record, 50))
