--- a/oatport/control/state/cancellations.py
+++ b/oatport/control/state/cancellations.py
@@ -14,12 +14,12 @@
 from dataclasses import dataclass, field
 
 from oatport.settings import Workers
-from oatport.times import MS, SECOND, micros, with_drift
+from oatport.times import MS, SECOND, micros, shortened_by_drift
 
-MARGIN = 2 * SECOND  # for clock drift and timer delays in `renewals_allowed_until`
+RENEWAL_MARGIN = 2 * SECOND  # for clock drift and timer delays in `renewals_allowed_until`
 # In one response: 64 KiB of job ids, more than any state service here records in `cancel_s`.
 MAX_LOG_ENTRIES = 4_000
-SLACK = 2 * SECOND  # added to the requested age: upper bound on the transit time of the request
+REQUEST_DELAY_ALLOWANCE = 2 * SECOND  # added to the requested age: upper bound on the transit time of the request
 MAX_RESPONSE_TIME = 1_500 * MS  # after a slower reply, the transit of the request may have exceeded that bound
 
 
@@ -33,7 +33,7 @@
     delayed by a partition finds its agent epoch still valid for no longer than that. The response itself stops the
     tasks of known cancellations. The margin covers clock drift (0.05% of both spans, 20 ms) and timer delays.
     """
-    return known_at + with_drift(micros(workers.cancel_s - workers.lease_s)) - MARGIN
+    return known_at + shortened_by_drift(micros(workers.cancel_s - workers.lease_s)) - RENEWAL_MARGIN
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,14 +41,14 @@
     """One node's response: jobs whose cancellation it confirmed, and the age (us) up to which the list is complete."""
 
     job_ids: list[str]
-    complete_for_us: int
+    complete_within_us: int
 
     def covers(self, since: int, asked: int, answered: int) -> bool:
         """Returns whether the list has all confirmations after `since`; times are on the requester's steady clock (us).
 
         The node's clock may run fast, and the node responded no later than `answered`, when its response arrived.
         """
-        return answered - asked <= MAX_RESPONSE_TIME and answered - with_drift(self.complete_for_us) <= since
+        return answered - asked <= MAX_RESPONSE_TIME and answered - shortened_by_drift(self.complete_within_us) <= since
 
 
 @dataclass(slots=True)
@@ -85,7 +85,7 @@
 
     def confirmed_within(self, now: int, age: int) -> ConfirmedCancellations:
         """Returns the cancellations confirmed in the `age` us, by the requester's clock, before it sent its request."""
-        cutoff = now - age - age // 500 - SLACK
+        cutoff = now - age - age // 500 - REQUEST_DELAY_ALLOWANCE
         return ConfirmedCancellations(
             [job_id for job_id, at in self._confirmed.items() if at > cutoff], max(0, now - self._complete_since)
         )
--- a/oatport/control/state/job.py
+++ b/oatport/control/state/job.py
@@ -56,12 +56,12 @@
     cancelled: bool = False
     cancelled_after: int = 0  # lower bound (steady) on when its cancellation was confirmed; 0: unknown
     tasks: dict[int, Task] = field(default_factory=dict)
-    next_untouched: int = 0  # tasks from this index on were never bound
+    next_unbound_index: int = 0  # tasks from this index on were never bound
     start_limit: int = -1  # tasks from this index on are deferred; -1: none
     deferral: DeferredStart | None = None
     retry_queue: deque[int] = field(default_factory=deque)  # tasks bound before that are pending again
     completed: set[int] = field(default_factory=set)
-    on_machines: int = 0  # tasks binding or bound
+    placed_task_count: int = 0  # tasks binding or bound
     gang_attempt: int = 0
     loss_count: int = 0  # retry count: tasks lost with machines or preempted
     tier: str = ""  # the router's last decision
@@ -113,13 +113,13 @@
     def pending(self) -> int:
         """The number of tasks that wait for a machine now, without the deferred ones."""
         if self.start_limit < 0:
-            return self.spec.task_count - self.next_untouched + len(self.retry_queue)
-        return max(self.start_limit - self.next_untouched, 0) + len(self.retry_queue)
+            return self.spec.task_count - self.next_unbound_index + len(self.retry_queue)
+        return max(self.start_limit - self.next_unbound_index, 0) + len(self.retry_queue)
 
     @property
     def deferred(self) -> int:
         """The number of tasks that may not start yet."""
-        return 0 if self.start_limit < 0 else self.spec.task_count - max(self.start_limit, self.next_untouched)
+        return 0 if self.start_limit < 0 else self.spec.task_count - max(self.start_limit, self.next_unbound_index)
 
     @property
     def deadline(self) -> int | None:
@@ -133,8 +133,8 @@
         if self.retry_queue:
             return self.retry_queue[0]
         return (
-            self.next_untouched
-            if self.next_untouched < (self.spec.task_count if self.start_limit < 0 else self.start_limit)
+            self.next_unbound_index
+            if self.next_unbound_index < (self.spec.task_count if self.start_limit < 0 else self.start_limit)
             else None
         )
 
@@ -142,7 +142,7 @@
         """Removes and returns the first pending task; the caller binds it."""
         if self.retry_queue:
             return self.tasks[self.retry_queue.popleft()]
-        task = Task(self, self.next_untouched)
-        self.tasks[self.next_untouched] = task
-        self.next_untouched += 1
+        task = Task(self, self.next_unbound_index)
+        self.tasks[self.next_unbound_index] = task
+        self.next_unbound_index += 1
         return task
--- a/oatport/control/state/job_statistics.py
+++ b/oatport/control/state/job_statistics.py
@@ -42,8 +42,8 @@
         sizes = self._sizes.setdefault(job.spec.job_class, {})
         sizes[job.job_id] = (job.spec.cpus * job.spec.task_count, job.started)
         if len(sizes) > MAX_TRACKED_JOBS:
-            largest = sorted(sizes.items(), key=lambda item: item[1], reverse=True)[: MAX_TRACKED_JOBS // 2]
-            self._sizes[job.spec.job_class] = dict(largest)
+            started_of_largest = sorted(sizes.items(), key=lambda item: item[1], reverse=True)[: MAX_TRACKED_JOBS // 2]
+            self._sizes[job.spec.job_class] = dict(started_of_largest)
 
     def _set_started(self, job: Job, started: bool) -> None:
         sizes = self._sizes.get(job.spec.job_class, {})
@@ -54,7 +54,7 @@
         else:
             sizes[job.job_id] = (sizes[job.job_id][0], started)
 
-    def largest(self) -> dict[str, tuple[int, int]]:
+    def started_of_largest(self) -> dict[str, tuple[int, int]]:
         """Returns, for the largest tenth of each class (by CPUs, at least one job), the started jobs and all jobs."""
         found = {}
         for name, sizes in sorted(self._sizes.items()):
@@ -95,5 +95,7 @@
                 for name, row in sorted(named.items())
             )
             + "; largest "
-            + " ".join(f"{name} {started_count}/{count}" for name, (started_count, count) in self.largest().items())
+            + " ".join(
+                f"{name} {started_count}/{count}" for name, (started_count, count) in self.started_of_largest().items()
+            )
         )
--- a/oatport/control/state/machine.py
+++ b/oatport/control/state/machine.py
@@ -33,7 +33,7 @@
     heartbeat_seq: int = -1
     fencing_token: int = 0  # as in the newest heartbeat
     last_heartbeat_at: int = 0
-    known_since: int = 0  # when this leader first learnt of the machine
+    first_known_at: int = 0  # when this leader first learnt of the machine
     reclaimed_at: int = 0  # time of the cloud's reclamation; 0: no notice
     tasks: set[Task] = field(default_factory=set)
     finite_tasks: set[Task] = field(default_factory=set)  # those of `tasks` that run to completion: no service replicas
@@ -85,7 +85,7 @@
     def __hash__(self) -> int:
         return self.number
 
-    def could_hold(self, spec: wire.Submission) -> bool:
+    def can_hold_when_empty(self, spec: wire.Submission) -> bool:
         """Returns whether the machine, if empty, would have capacity for one task."""
         machine_type = self.type
         return (
@@ -126,7 +126,7 @@
     def on_process_pause(self, gap: int, now: int) -> None:
         """Discounts a pause of this leader's process of `gap` us from the machine's silent and idle times."""
         self.last_heartbeat_at = _shifted(self.last_heartbeat_at, gap, now)
-        self.known_since = _shifted(self.known_since, gap, now)
+        self.first_known_at = _shifted(self.first_known_at, gap, now)
         self.idle_since = _shifted(self.idle_since, gap, now)
         self.gpus_idle_since = _shifted(self.gpus_idle_since, gap, now)
 
@@ -136,7 +136,7 @@
         self.free_gpus -= gpus
         self.free_memory_gb -= memory
 
-    def is_confirmed(self, token: int) -> bool:
+    def has_reported_under(self, token: int) -> bool:
         """Returns whether the newest heartbeat is under this token; attempts that it does not list are not there."""
         return self.ready_at > 0 and self.fencing_token == token
 
--- a/oatport/control/state/machine_commands.py
+++ b/oatport/control/state/machine_commands.py
@@ -133,7 +133,7 @@
             machine.command_unreachable = False
             self.cluster.planning_needed = True
 
-    def on_answered(self, machine: Machine, starts: Iterable[tuple[str, int]]) -> None:
+    def on_start_response(self, machine: Machine, starts: Iterable[tuple[str, int]]) -> None:
         """Clears the starts of a direct command that was answered, executed or refused: they can't arrive later."""
         for key in starts:
             count = machine.unacknowledged_starts.get(key, 0) - 1
--- a/oatport/control/state/orphaned_attempts.py
+++ b/oatport/control/state/orphaned_attempts.py
@@ -40,7 +40,7 @@
             job.orphaned_attempt_count += 1
             self.cluster.tasks.count_usage(job, job.spec, machine, 1)
         else:
-            self.cluster.quotas.unknown_attempts[job_id] += 1
+            self.cluster.quotas.attempts_of_unknown_jobs[job_id] += 1
         self.cluster.machines_to_command.add(machine)
 
     def remove(self, machine: Machine, key: tuple[str, int]) -> None:
@@ -49,7 +49,7 @@
         job_id = _job_id_of(key[0])
         if spec is not None:
             self.cluster.tasks.count_usage(job, spec, machine, -1)
-        elif job_id in self.cluster.quotas.unknown_attempts:  # otherwise the job was never submitted
+        elif job_id in self.cluster.quotas.attempts_of_unknown_jobs:  # otherwise the job was never submitted
             self.cluster.quotas.on_unknown_job_attempt_gone(job_id)
         self.cluster.planning_needed = True
         if job is not None and self.cluster.jobs.get(job_id) is job:  # otherwise its completion is recorded
@@ -68,5 +68,5 @@
                     self.cluster.tasks.count_usage(job, spec, machine, 1)
                 if job is not None:
                     job.orphaned_attempt_count += 1
-        self.cluster.quotas.unknown_attempts.pop(job_id, None)
+        self.cluster.quotas.attempts_of_unknown_jobs.pop(job_id, None)
         self.cluster.planning_needed = True
--- a/oatport/control/state/partitioned_zones.py
+++ b/oatport/control/state/partitioned_zones.py
@@ -41,13 +41,15 @@
         found: set[str] = set()
         for zone in {m.zone for m in silent}:
             newest_heartbeat_at = max(m.last_heartbeat_at for m in self.cluster.machines.values() if m.zone == zone)
-            has_recent_heartbeat = newest_heartbeat_at > now - self.cluster.tuning.us("silent_s") // 2
+            has_recent_heartbeat = newest_heartbeat_at > now - self.cluster.tuning.duration_us("silent_s") // 2
             if not has_recent_heartbeat and sum(m.zone == zone for m in silent) >= MIN_PARTITION_MACHINES:
                 found.add(zone)
                 if zone not in self.partitioned:
                     log.warning("zone partitioned zone=%s", zone)
                     # Without any heartbeat since this leader's term began, the zone was partitioned before.
-                    self.partitioned[zone] = newest_heartbeat_at or min(m.known_since for m in silent if m.zone == zone)
+                    self.partitioned[zone] = newest_heartbeat_at or min(
+                        m.first_known_at for m in silent if m.zone == zone
+                    )
                     self.cluster.writes.dirty_keys[PARTITIONED_ZONES_KEY] = None
                     self.cluster.planning_needed = True
         return found
@@ -72,4 +74,4 @@
         self.cluster.writes.dirty_keys[PARTITIONED_ZONES_KEY] = None
         for machine in self.cluster.machines.values():
             if machine.zone == zone:
-                machine.known_since = now
+                machine.first_known_at = now
--- a/oatport/control/state/quota.py
+++ b/oatport/control/state/quota.py
@@ -38,7 +38,7 @@
             count = min(count, int((self.limits.gpus_max - self.gpus + 1e-9) // spec.gpus))
         return max(count, 0)
 
-    def beyond_guarantee(self) -> bool:
+    def exceeds_guarantee(self) -> bool:
         """Returns whether the team uses more than its guarantee."""
         return self.cpus > self.limits.cpus + 1e-9 or self.gpus > self.limits.gpus + 1e-9
 
@@ -48,12 +48,12 @@
 
     def __init__(self, teams: Iterable[Team]) -> None:
         super().__init__((team.name, TeamUsage(team)) for team in teams)
-        self.unknown_attempts: Counter[str] = Counter()  # id of an unknown job -> its attempts on machines
+        self.attempts_of_unknown_jobs: Counter[str] = Counter()  # id of an unknown job -> its attempts on machines
 
     def remaining_tasks(self, spec: wire.Submission) -> int:
         """Returns how many more tasks of a job its team's limit allows now; 0 if that can't be determined."""
         usage = self.get(spec.team)
-        return 0 if usage is None or self.unknown_attempts else usage.remaining_tasks(spec)
+        return 0 if usage is None or self.attempts_of_unknown_jobs else usage.remaining_tasks(spec)
 
     def count_usage(self, spec: wire.Submission, sign: int) -> None:
         """Counts a task of the job that was placed on a machine (`sign` 1) or is proven gone from one (-1)."""
@@ -64,6 +64,6 @@
 
     def on_unknown_job_attempt_gone(self, job_id: str) -> None:
         """Discounts an attempt of an unknown job that is gone or whose job is known now."""
-        self.unknown_attempts[job_id] -= 1
-        if self.unknown_attempts[job_id] <= 0:
-            del self.unknown_attempts[job_id]
+        self.attempts_of_unknown_jobs[job_id] -= 1
+        if self.attempts_of_unknown_jobs[job_id] <= 0:
+            del self.attempts_of_unknown_jobs[job_id]
--- a/oatport/control/state/unwritten_completions.py
+++ b/oatport/control/state/unwritten_completions.py
@@ -23,7 +23,7 @@
 
     def __init__(self, cluster: ClusterState) -> None:
         self.cluster = cluster
-        self.earlier_may_be_lost = False  # earlier leaders may have received some that no node has
+        self.may_miss_earlier_completions = False  # earlier leaders may have received some that no node has
         self.unwritten: dict[tuple[Job, int], int] = {}  # completed task -> its attempt; possibly in no record
         self.unreplicated: list[Completion] = []  # those of `unwritten` that are not replicated yet
 
@@ -56,7 +56,7 @@
                 del self.unwritten[job, index]
         return [(job.job_id, index, attempt) for (job, index), attempt in self.unwritten.items()][:MAX_COMPLETIONS]
 
-    def take_new(self) -> list[Completion]:
+    def drain_new(self) -> list[Completion]:
         """Returns the completions added since the last call, and clears them."""
         unreplicated, self.unreplicated = self.unreplicated, []
         return unreplicated
@@ -95,7 +95,7 @@
             if task.phase is TaskPhase.BOUND and task.job.kind is not JobKind.SERVICE:
                 self.cluster.tasks.complete(task, self.cluster.now, measured=False)
 
-    def may_report_unknown(self, machine: Machine, now: int, until: int) -> bool:
+    def may_hold_unknown_completions(self, machine: Machine, now: int, until: int) -> bool:
         """Returns whether a silent machine may return and report completions that no node has any more.
 
         This happens when all nodes stopped in an outage, losing reported but unrecorded completions, or when the last
@@ -104,13 +104,13 @@
         report.
         """
         return (
-            self.earlier_may_be_lost
+            self.may_miss_earlier_completions
             and now < until
             and not machine.last_heartbeat_at
             and any(not task.binding_at for task in machine.finite_tasks)
         )
 
-    def holds_unwritten(self, machine: Machine) -> bool:
+    def has_unwritten_completions(self, machine: Machine) -> bool:
         """Returns whether a machine may not be released yet, as it reports completions in no record; expedites these.
 
         Machines that were drained, or silent for 5 s, were released between the report of a completion and its record.
--- a/oatport/control/state/utilization.py
+++ b/oatport/control/state/utilization.py
@@ -20,8 +20,8 @@
     ready_spot: int = 0
     not_ready: int = 0
     cpus: float = 0.0
-    free_owned: float = 0.0
-    free_spot: float = 0.0
+    owned_free_cpus: float = 0.0
+    spot_free_cpus: float = 0.0
     pending_tasks: dict[str, int] = field(default_factory=dict)  # tier -> tasks
 
 
@@ -33,8 +33,8 @@
         self.utilization = FleetUtilization()
         self.cost_by_use: defaultdict[str, float] = defaultdict(float)  # cost by what the machines did
         self.accounted_at = 0
-        self.replica_us = 0  # total time of service replicas on machines
-        self.moved_us = 0  # total downtime of replicas due to moves
+        self.replica_bound_us = 0  # total time of service replicas on machines
+        self.replica_downtime_us = 0  # total downtime of replicas due to moves
 
     def update(self, now: int) -> None:
         """Adds the cost of the time since the last call, by what the machines did, and counts machines and tasks."""
@@ -53,9 +53,9 @@
             counted.cpus += machine_type.cpus
             if machine.spot:
                 counted.ready_spot += 1
-                counted.free_spot += machine.free_cpus
+                counted.spot_free_cpus += machine.free_cpus
             else:
-                counted.free_owned += machine.free_cpus
+                counted.owned_free_cpus += machine.free_cpus
             running = fetching = 0.0
             for task in machine.tasks:
                 spec = task.job.spec
--- a/tests/test_limits_properties.py
+++ b/tests/test_limits_properties.py
@@ -18,7 +18,7 @@
 from oatport.settings import Team
 from oatport.simulation.worker import Worker
 from oatport.times import SECOND
-from tests.cluster_fixture import World
+from tests.cluster_fixture import ClusterHarness
 
 CPU_LIMITS = {"crew": 12.0, "other": 8.0}
 MACHINE_NUMBERS = st.integers(1, 6)
@@ -29,7 +29,7 @@
 
     @initialize()
     def begin(self) -> None:
-        self.world = World([Team(name, cpus_max=cpu_limit) for name, cpu_limit in CPU_LIMITS.items()])
+        self.harness = ClusterHarness([Team(name, cpus_max=cpu_limit) for name, cpu_limit in CPU_LIMITS.items()])
         self.reports: list[wire.Heartbeat] = []  # sent reports, which may arrive again
         self.commands: list[tuple[str, dict[str, Any]]] = []  # in flight
         self.delayed_transactions: list[dict[str, Any]] = []  # transactions without a response
@@ -45,8 +45,8 @@
         self.all_workers: list[Worker] = []  # including removed ones
         self.cancelled: set[str] = set()
         for number in range(1, 5):
-            self._observe(self.world.machine(number, "ab"[number % 2]))
-        self.world.settle(2)
+            self._observe(self.harness.machine(number, "ab"[number % 2]))
+        self.harness.settle(2)
         for team, kind, tasks, run in (
             ("crew", "array", 6, 5.0),
             ("other", "array", 3, 30.0),
@@ -63,8 +63,8 @@
         worker.on_task_started = self._on_task_started
 
     def _on_task_started(self, worker: Worker, task: str, attempt: int) -> None:
-        now = self.world.now
-        for other in self.world.workers.values():
+        now = self.harness.now
+        for other in self.harness.workers.values():
             held = [
                 row
                 for (name, _), row in other.tasks.items()
@@ -88,8 +88,8 @@
         run=st.sampled_from([2.0, 6.0, 30.0]),
     )
     def submit(self, team: str, kind: str, tasks: int, run: float) -> None:
-        if len(self.world.jobs) < 8:
-            self.world.submit(
+        if len(self.harness.jobs) < 8:
+            self.harness.submit(
                 crew=team,
                 rig=kind,
                 legs=tasks,
@@ -98,15 +98,15 @@
                 spread=kind == "standing",
             )
 
-    @rule(pick=st.integers(0, 7), tell=st.booleans())
-    def cancel(self, pick: int, tell: bool) -> None:
-        refs = sorted(ref for ref in self.world.jobs if self.world.record(ref) == wire.JobStatus.QUEUED)
+    @rule(pick=st.integers(0, 7), notify_leader=st.booleans())
+    def cancel(self, pick: int, notify_leader: bool) -> None:
+        refs = sorted(ref for ref in self.harness.jobs if self.harness.record(ref) == wire.JobStatus.QUEUED)
         if refs:
             ref = refs[pick % len(refs)]
-            self.world.cancel(ref, tell=tell)
+            self.harness.cancel(ref, notify_leader=notify_leader)
             self.cancelled.add(ref)
-            if not tell:  # the leader learns of it from the records a moment later
-                self.world.cluster.job_lifecycle.cancel(ref, self.world.state.revision)
+            if not notify_leader:  # the leader learns of it from the records a moment later
+                self.harness.cluster.job_lifecycle.cancel(ref, self.harness.state.revision)
 
     # --- the leader ---------------------------------------------------------------------------
 
@@ -114,9 +114,9 @@
         """Simulates one second without faults: all workers report, and decisions are written and sent."""
         if self.unconfirmed_batch is not None:
             return
-        for worker in self.world.workers.values():
+        for worker in self.harness.workers.values():
             self.reports.append(wire.decode_heartbeat(worker.report()))
-        self.world.step(1.0)
+        self.harness.step(1.0)
         self._record_completions()
 
     # Registered several times, so that it is drawn as often as all other rules; otherwise hardly any task runs.
@@ -128,40 +128,40 @@
     @rule()
     def plan(self) -> None:
         if self.unconfirmed_batch is None:
-            self.world.plan()
+            self.harness.plan()
 
     @rule(outcome=st.sampled_from(["applied", "applied", "lost", "no answer", "late"]))
     def commit(self, outcome: str) -> None:
         """Sends the next transaction, or again the one whose outcome is unknown."""
-        cluster = self.world.cluster
-        batch = self.unconfirmed_batch or cluster.writes.take_batch(self.world.ops)
+        cluster = self.harness.cluster
+        batch = self.unconfirmed_batch or cluster.writes.take_batch(self.harness.ops)
         if not batch.operation_count:
             for ended in (*batch.completed_jobs, *batch.deleted_jobs, *batch.cancelled_jobs):
                 cluster.job_lifecycle.remove(ended)
             cluster.writes.in_flight_keys = set()
             return
-        body = self.world.transaction(batch)
+        body = self.harness.transaction(batch)
         if outcome == "late":
             self.delayed_transactions.append(body)
         if outcome in ("late", "lost"):
             self.unconfirmed_batch = batch
             return
-        status, value = self.world.state.commit(body)
+        status, value = self.harness.state.commit(body)
         if outcome == "no answer" and status == 200:
             self.unconfirmed_batch = batch
             return
         self.unconfirmed_batch = None
         if status == 200:
-            cluster.writes.committed(batch, value["ledgerRev"], self.world.now)
+            cluster.writes.committed(batch, value["ledgerRev"], self.harness.now)
         elif self._was_applied(batch):
-            cluster.writes.committed(batch, self.world.state.revision, self.world.now)
+            cluster.writes.committed(batch, self.harness.state.revision, self.harness.now)
             self.fail_over()  # the next leader reads the revisions of the keys
         else:
             cluster.writes.restore_batch(batch)
             self.fail_over()
 
     def _was_applied(self, batch: WriteBatch) -> bool:
-        items = self.world.state.items
+        items = self.harness.state.items
         rows = [items.get(key) for key in batch.sets]
         return (
             all(row is not None and row[0] == value for row, value in zip(rows, batch.sets.values(), strict=True))
@@ -172,23 +172,23 @@
     @precondition(lambda self: self.delayed_transactions)
     @rule()
     def delayed_transaction_arrives(self) -> None:
-        self.world.state.commit(self.delayed_transactions.pop(0))
+        self.harness.state.commit(self.delayed_transactions.pop(0))
 
     @rule(sent=st.booleans())
     def send(self, sent: bool) -> None:
         """Sends direct commands; unless `sent`, they stay in flight."""
-        cluster = self.world.cluster
+        cluster = self.harness.cluster
         for machine in list(cluster.machines_to_command):
             cluster.machines_to_command.discard(machine)
-            due_commands, starts = cluster.commands.for_machine(machine, self.world.now, direct=True)
+            due_commands, starts = cluster.commands.for_machine(machine, self.harness.now, direct=True)
             if not due_commands or not machine.agent_epoch:
                 continue
-            cluster.commands.on_sent(machine, starts, self.world.now, direct=True)
+            cluster.commands.on_sent(machine, starts, self.harness.now, direct=True)
             body = wire.command_request(cluster.fencing_token, machine.agent_epoch, due_commands)
-            if sent and machine.name in self.world.workers:
-                _, report = self.world.workers[machine.name].commands(body)
-                cluster.commands.on_answered(machine, [(t.name, t.attempt) for t in starts])
-                cluster.heartbeats.receive(wire.decode_heartbeat(report), self.world.now, self.world.now)
+            if sent and machine.name in self.harness.workers:
+                _, report = self.harness.workers[machine.name].commands(body)
+                cluster.commands.on_start_response(machine, [(t.name, t.attempt) for t in starts])
+                cluster.heartbeats.receive(wire.decode_heartbeat(report), self.harness.now, self.harness.now)
             else:
                 self.commands.append((machine.name, body))
 
@@ -197,22 +197,22 @@
     def delayed_command_arrives(self) -> None:
         """Delivers a delayed command whose response is lost."""
         name, body = self.commands.pop(0)
-        if name in self.world.workers:
-            self.world.workers[name].commands(body)
+        if name in self.harness.workers:
+            self.harness.workers[name].commands(body)
 
     @rule(completions_received=st.booleans())
     def fail_over(self, completions_received: bool = True) -> None:
         """Starts the next leader's term, with or without the completions that the previous leader replicated."""
         self.unconfirmed_batch = None
-        replicated = self.world.cluster.completions.to_replicate()
-        self.world.fail_over()
-        self.world.cluster.now = self.leader_since = self.world.now
+        replicated = self.harness.cluster.completions.to_replicate()
+        self.harness.fail_over()
+        self.harness.cluster.now = self.leader_since = self.harness.now
         names = {f"{ref}/{index}" for ref, index, _ in replicated}
         if completions_received:
-            self.world.cluster.completions.apply(replicated)
+            self.harness.cluster.completions.apply(replicated)
             self.unreplicated -= names
         else:  # only the machines can report these, if they still have them
-            self.world.cluster.completions.earlier_may_be_lost = True
+            self.harness.cluster.completions.may_miss_earlier_completions = True
             self.unreplicated |= names
 
     def _is_lost_with_lease(self, task: str) -> bool:
@@ -234,32 +234,32 @@
         self.fail_over(True)
         machine_reports = [report for report in self.reports if report.machine_name == f"vm-{number:06d}"]
         if machine_reports:
-            self.world.cluster.heartbeats.receive(
-                machine_reports[-1 - pick % len(machine_reports)], self.world.now, self.world.now
+            self.harness.cluster.heartbeats.receive(
+                machine_reports[-1 - pick % len(machine_reports)], self.harness.now, self.harness.now
             )
-        self.world.plan()
-        self.world.commit()
+        self.harness.plan()
+        self.harness.commit()
         self.send(True)
 
     # --- machines ---------------------------------------------------------------------------------
 
     @rule(number=MACHINE_NUMBERS, seconds=st.sampled_from([0.1, 0.5, 2.0]))
     def report(self, number: int, seconds: float) -> None:
-        worker = self.world.workers.get(f"vm-{number:06d}")
-        self.world.now += round(seconds * SECOND)
+        worker = self.harness.workers.get(f"vm-{number:06d}")
+        self.harness.now += round(seconds * SECOND)
         if worker is None:
             return
-        sent, session = self.world.now, worker.session
+        sent, session = self.harness.now, worker.session
         report = wire.decode_heartbeat(worker.report())
         self.reports.append(report)
-        cluster = self.world.cluster
-        machine = cluster.heartbeats.receive(report, self.world.now, self.world.now)
+        cluster = self.harness.cluster
+        machine = cluster.heartbeats.receive(report, self.harness.now, self.harness.now)
         self._record_completions()
         if machine is None or report.fencing_token > cluster.fencing_token:
             return
         cluster.commands.on_heartbeat_delivered(machine, report)
-        due_commands, starts = cluster.commands.for_machine(machine, self.world.now, direct=False)
-        cluster.commands.on_sent(machine, starts, self.world.now, direct=False)
+        due_commands, starts = cluster.commands.for_machine(machine, self.harness.now, direct=False)
+        cluster.commands.on_sent(machine, starts, self.harness.now, direct=False)
         worker.answer(sent, session, wire.heartbeat_response(cluster.fencing_token, due_commands))
 
     def _reports(self) -> None:
@@ -272,7 +272,7 @@
     reports_3 = rule()(_reports)
 
     def _record_completions(self) -> None:
-        completed = {f"{job.job_id}/{index}" for job in self.world.cluster.jobs.values() for index in job.completed}
+        completed = {f"{job.job_id}/{index}" for job in self.harness.cluster.jobs.values() for index in job.completed}
         self.known_completions |= completed
         self.unreplicated -= completed
 
@@ -281,59 +281,61 @@
     def duplicate_report_arrives(self, pick: int) -> None:
         """Delivers an old report of any age to the present leader."""
         report = self.reports[-1 - pick % len(self.reports)]
-        if report.fencing_token <= self.world.cluster.fencing_token:
-            self.world.cluster.heartbeats.receive(report, self.world.now, self.world.now)
+        if report.fencing_token <= self.harness.cluster.fencing_token:
+            self.harness.cluster.heartbeats.receive(report, self.harness.now, self.harness.now)
 
     @rule(number=MACHINE_NUMBERS)
     def lease_expires(self, number: int) -> None:
-        worker = self.world.workers.get(f"vm-{number:06d}")
+        worker = self.harness.workers.get(f"vm-{number:06d}")
         if worker is not None:
-            worker.lease_renewed_at = self.world.now - worker.lease_us - 1
+            worker.lease_renewed_at = self.harness.now - worker.lease_us - 1
             worker.advance()
 
     @rule()
     def release(self) -> None:
         """Releases the idle, drained and given-up machines that scale-in has no reason to hold."""
-        for machine in self.world.fleet.scale_in.machines_to_release(self.world.now):
+        for machine in self.harness.fleet.scale_in.machines_to_release(self.harness.now):
             self._release_machine(machine.name)
 
     @rule(number=MACHINE_NUMBERS)
     def drain(self, number: int) -> None:
-        machine = self.world.cluster.machines.get(f"vm-{number:06d}")
+        machine = self.harness.cluster.machines.get(f"vm-{number:06d}")
         if machine is not None:
             machine.draining = True
 
     @rule(number=MACHINE_NUMBERS)
     def release_silent_machine(self, number: int) -> None:
         """Releases a machine as silent, unless it reports unwritten completions or may be the only one that can."""
-        cluster = self.world.cluster
+        cluster = self.harness.cluster
         machine = cluster.machines.get(f"vm-{number:06d}")
-        if machine is None or cluster.completions.holds_unwritten(machine):
+        if machine is None or cluster.completions.has_unwritten_completions(machine):
             return
-        if cluster.completions.may_report_unknown(machine, self.world.now, self.leader_since + cluster.lease_us):
+        if cluster.completions.may_hold_unknown_completions(
+            machine, self.harness.now, self.leader_since + cluster.lease_us
+        ):
             return
-        for worker in self.world.workers.values():
+        for worker in self.harness.workers.values():
             worker.advance()  # results are lost with leases that expired by now
         self._release_machine(machine.name)
 
     def _release_machine(self, name: str) -> None:
-        if name in self.world.workers:
-            self.world.workers[name].kill("released")
-        self.world.released(name)
-        if len(self.world.workers) < 3:
+        if name in self.harness.workers:
+            self.harness.workers[name].kill("released")
+        self.harness.confirm_release(name)
+        if len(self.harness.workers) < 3:
             self.machines += 1
-            self._observe(self.world.machine(self.machines, "ab"[self.machines % 2]))
+            self._observe(self.harness.machine(self.machines, "ab"[self.machines % 2]))
 
     # --- the invariants ---------------------------------------------------------------------------
 
     @invariant()
     def no_invariant_is_violated(self) -> None:
-        for worker in self.world.workers.values():
+        for worker in self.harness.workers.values():
             worker.advance()
         assert not self.violations, self.violations
         usage: Counter[str] = Counter()
         unfinished_attempts: Counter[str] = Counter()
-        for worker in self.world.workers.values():
+        for worker in self.harness.workers.values():
             for (task, _), held in worker.tasks.items():
                 if held.status != "ended":
                     usage[str(held.job["crew"])] += float(held.job["cores"])
@@ -354,7 +356,7 @@
     deployment.fail_over_before_commit()
     assert deployment.unreplicated
     deployment.release_silent_machine(1)
-    assert "vm-000001" in deployment.world.workers
+    assert "vm-000001" in deployment.harness.workers
     deployment._reports()
     deployment._ordinary_second()
     deployment.no_invariant_is_violated()
--- a/tests/test_task_locations.py
+++ b/tests/test_task_locations.py
@@ -15,7 +15,7 @@
 from oatport.control.state.task import TaskPhase
 from oatport.control.storage.keys import blocked_key, job_key, live_key
 from oatport.control.storage.write_batch import WriteBatch
-from oatport.peer_codec import PeerArray, PeerMessage, any_reply, decode_reply
+from oatport.peer_codec import PeerArray, PeerMessage, decode_reply, ignore_reply
 from oatport.peer_messages import JobAccepted
 from oatport.service.leader_context import EarlierCompletions
 from oatport.service.node import Node
@@ -24,7 +24,7 @@
 from oatport.simulation.state_service import KeyStore
 from oatport.simulation.worker import Worker
 from oatport.times import SECOND, steady
-from tests.cluster_fixture import World, job, node_settings
+from tests.cluster_fixture import ClusterHarness, job, node_settings
 from tests.test_node_failures import leader, peer_reply
 
 # --- completions without a record -----------------------------------------------------------------------
@@ -35,28 +35,28 @@
     return KeyStore(lambda: 0)
 
 
-def _run_until_task_ends(world: World, worker: Worker) -> None:
+def _run_until_task_ends(harness: ClusterHarness, worker: Worker) -> None:
     """Advances time, with reports but no writes, until a task of this worker has ended and been reported."""
     for _ in range(400):
-        world.now += SECOND // 4
+        harness.now += SECOND // 4
         worker.advance()
         ended = any(held.status == "ended" for held in worker.tasks.values())
-        for other in [worker] if ended else world.workers.values():
-            world.report(other)
+        for other in [worker] if ended else harness.workers.values():
+            harness.report(other)
         if ended:
             return
     raise AssertionError("no task ended")
 
 
-def _job_with_unwritten_completion(world: World) -> tuple[str, Worker]:
+def _job_with_unwritten_completion(harness: ClusterHarness) -> tuple[str, Worker]:
     """Submits a job with two tasks on two machines; the first completes, which is reported but not written."""
-    workers = [world.machine(1), world.machine(2)]
-    world.settle(2)
-    ref = world.submit(legs=2, cores=8.0, voyageS=20.0)
-    world.settle(3)
+    workers = [harness.machine(1), harness.machine(2)]
+    harness.settle(2)
+    ref = harness.submit(legs=2, cores=8.0, voyageS=20.0)
+    harness.settle(3)
     first = next(w for w in workers if f"{ref}/0" in {task for task, _ in w.tasks})
-    _run_until_task_ends(world, first)
-    assert world.cluster.jobs[ref].completed == {0}
+    _run_until_task_ends(harness, first)
+    assert harness.cluster.jobs[ref].completed == {0}
     return ref, first
 
 
@@ -65,14 +65,14 @@
 
     When the record was delayed and the leader's term ended, the task ran again.
     """
-    world = World()
-    ref, worker = _job_with_unwritten_completion(world)
-    machine = world.cluster.machines[worker.name]
+    harness = ClusterHarness()
+    ref, worker = _job_with_unwritten_completion(harness)
+    machine = harness.cluster.machines[worker.name]
     machine.draining = True
-    assert world.fleet.scale_in.machines_to_release(world.now) == []
-    assert live_key(ref) in world.cluster.writes.urgent_keys  # the completion is written at once
-    world.commit()
-    assert world.fleet.scale_in.machines_to_release(world.now) == [machine]
+    assert harness.fleet.scale_in.machines_to_release(harness.now) == []
+    assert live_key(ref) in harness.cluster.writes.urgent_keys  # the completion is written at once
+    harness.commit()
+    assert harness.fleet.scale_in.machines_to_release(harness.now) == [machine]
 
 
 def test_a_release_without_a_response_is_repeated_though_tasks_are_recorded_there() -> None:
@@ -80,39 +80,39 @@
 
     The request is repeated here, as no other component repeats it.
     """
-    world = World()
-    worker = world.machine(1)
-    world.settle(2)
-    world.submit(legs=1, cores=8.0, voyageS=500.0)
-    world.settle(3)
-    machine = world.cluster.machines[worker.name]
+    harness = ClusterHarness()
+    worker = harness.machine(1)
+    harness.settle(2)
+    harness.submit(legs=1, cores=8.0, voyageS=500.0)
+    harness.settle(3)
+    machine = harness.cluster.machines[worker.name]
     assert machine.tasks
-    assert world.fleet.scale_in.machines_to_release(world.now) == []
+    assert harness.fleet.scale_in.machines_to_release(harness.now) == []
     machine.releasing = True
-    assert world.fleet.scale_in.machines_to_release(world.now) == [machine]
+    assert harness.fleet.scale_in.machines_to_release(harness.now) == [machine]
 
 
 def test_completions_on_machines_that_stay_are_batched_with_others_of_their_record() -> None:
     """Completions written at once for every machine used up the write limit that submissions need."""
-    world = World()
-    ref, worker = _job_with_unwritten_completion(world)
-    assert world.fleet.scale_in.machines_to_release(world.now) == []
-    assert live_key(ref) in world.cluster.writes.dirty_keys
-    assert live_key(ref) not in world.cluster.writes.urgent_keys
-    assert not world.cluster.machines[worker.name].releasing
+    harness = ClusterHarness()
+    ref, worker = _job_with_unwritten_completion(harness)
+    assert harness.fleet.scale_in.machines_to_release(harness.now) == []
+    assert live_key(ref) in harness.cluster.writes.dirty_keys
+    assert live_key(ref) not in harness.cluster.writes.urgent_keys
+    assert not harness.cluster.machines[worker.name].releasing
 
 
 def test_a_completion_in_an_uncommitted_batch_holds_the_machine() -> None:
-    world = World()
-    ref, worker = _job_with_unwritten_completion(world)
-    world.cluster.machines[worker.name].draining = True
-    batch = world.cluster.writes.take_batch(world.ops)
+    harness = ClusterHarness()
+    ref, worker = _job_with_unwritten_completion(harness)
+    harness.cluster.machines[worker.name].draining = True
+    batch = harness.cluster.writes.take_batch(harness.ops)
     assert live_key(ref) in batch.sets
-    assert world.fleet.scale_in.machines_to_release(world.now) == []
-    world.cluster.writes.restore_batch(batch)
-    assert world.fleet.scale_in.machines_to_release(world.now) == []
-    world.commit()
-    assert len(world.fleet.scale_in.machines_to_release(world.now)) == 1
+    assert harness.fleet.scale_in.machines_to_release(harness.now) == []
+    harness.cluster.writes.restore_batch(batch)
+    assert harness.fleet.scale_in.machines_to_release(harness.now) == []
+    harness.commit()
+    assert len(harness.fleet.scale_in.machines_to_release(harness.now)) == 1
 
 
 def test_a_completion_in_an_oversized_record_is_not_forgotten() -> None:
@@ -120,17 +120,17 @@
 
     A completion in such a record counted as written, and the agent was told to forget the attempt.
     """
-    world = World()
-    ref, worker = _job_with_unwritten_completion(world)
-    world.cluster.writes.value_limit_lowered = True
-    world.cluster.writes.layout.max_value_bytes = 10
-    batch = world.cluster.writes.take_batch(world.ops)
+    harness = ClusterHarness()
+    ref, worker = _job_with_unwritten_completion(harness)
+    harness.cluster.writes.is_value_limit_lowered = True
+    harness.cluster.writes.layout.max_value_bytes = 10
+    batch = harness.cluster.writes.take_batch(harness.ops)
     assert live_key(ref) not in batch.sets
-    world.cluster.writes.in_flight_keys = set()
-    machine = world.cluster.machines[worker.name]
-    due_commands, _ = world.cluster.commands.for_machine(machine, world.now, direct=True)
+    harness.cluster.writes.in_flight_keys = set()
+    machine = harness.cluster.machines[worker.name]
+    due_commands, _ = harness.cluster.commands.for_machine(machine, harness.now, direct=True)
     assert not [command for command in due_commands if isinstance(command, wire.ForgetCommand)]
-    assert world.cluster.completions.holds_unwritten(machine)
+    assert harness.cluster.completions.has_unwritten_completions(machine)
 
 
 async def test_a_machine_with_the_only_report_of_a_completion_is_not_given_up(state: KeyStore) -> None:
@@ -142,97 +142,97 @@
         requests.append(names)
 
     lead.cloud_controller.cloud.release = release  # type: ignore[method-assign]
-    world = World()
-    _, worker = _job_with_unwritten_completion(world)
-    lead.cluster = lead.cloud_controller.cluster = world.cluster
-    machine = world.cluster.machines[worker.name]
+    harness = ClusterHarness()
+    _, worker = _job_with_unwritten_completion(harness)
+    lead.cluster = lead.cloud_controller.cluster = harness.cluster
+    machine = harness.cluster.machines[worker.name]
     await lead.cloud_controller.release([machine], "silent")
     assert requests == []
     assert not machine.releasing
-    assert worker.name in world.cluster.machines
-    world.commit()
+    assert worker.name in harness.cluster.machines
+    harness.commit()
     await lead.cloud_controller.release([machine], "silent")
     assert requests == [[worker.name]]
-    assert worker.name not in world.cluster.machines
+    assert worker.name not in harness.cluster.machines
 
 
 def test_a_completion_on_a_machine_with_a_reclamation_notice_is_written_at_once() -> None:
-    world = World()
-    workers = [world.machine(1), world.machine(2)]
-    world.settle(2)
-    ref = world.submit(legs=2, cores=8.0, voyageS=20.0)
-    world.settle(3)
-    workers[0].reclaimed_at = world.now + 40 * SECOND
-    world.report(workers[0])
-    world.commit()
-    _run_until_task_ends(world, workers[0])
-    assert live_key(ref) in world.cluster.writes.urgent_keys
+    harness = ClusterHarness()
+    workers = [harness.machine(1), harness.machine(2)]
+    harness.settle(2)
+    ref = harness.submit(legs=2, cores=8.0, voyageS=20.0)
+    harness.settle(3)
+    workers[0].reclaimed_at = harness.now + 40 * SECOND
+    harness.report(workers[0])
+    harness.commit()
+    _run_until_task_ends(harness, workers[0])
+    assert live_key(ref) in harness.cluster.writes.urgent_keys
 
 
 def test_the_next_leader_applies_replicated_completions() -> None:
     """The machine hung after its report and was given up; the task must not start again."""
-    world = World()
-    ref, worker = _job_with_unwritten_completion(world)
-    replicated = world.cluster.completions.to_replicate()
+    harness = ClusterHarness()
+    ref, worker = _job_with_unwritten_completion(harness)
+    replicated = harness.cluster.completions.to_replicate()
     assert [completion[:2] for completion in replicated] == [(ref, 0)]
-    world.refused.add(worker.name)  # none of its heartbeats arrives any more
-    world.fail_over()
-    assert world.cluster.jobs[ref].tasks[0].phase is TaskPhase.BOUND  # as recorded
-    world.cluster.completions.apply(replicated)
-    assert world.cluster.jobs[ref].completed == {0}
-    world.released(worker.name)
+    harness.unreachable_machines.add(worker.name)  # none of its heartbeats arrives any more
+    harness.fail_over()
+    assert harness.cluster.jobs[ref].tasks[0].phase is TaskPhase.BOUND  # as recorded
+    harness.cluster.completions.apply(replicated)
+    assert harness.cluster.jobs[ref].completed == {0}
+    harness.confirm_release(worker.name)
     for _ in range(25):
-        world.step(1.0)
-    assert world.record(ref) == wire.JobStatus.COMPLETED
-    assert not any(task == f"{ref}/0" for w in world.workers.values() for task, _ in w.started_attempts)
+        harness.step(1.0)
+    assert harness.record(ref) == wire.JobStatus.COMPLETED
+    assert not any(task == f"{ref}/0" for w in harness.workers.values() for task, _ in w.started_attempts)
 
 
 def test_replicated_completions_apply_to_pending_tasks_but_not_to_newer_attempts() -> None:
-    world = World()
-    ref, worker = _job_with_unwritten_completion(world)
-    replicated = world.cluster.completions.to_replicate()
-    world.refused.add(worker.name)
-    world.fail_over()
-    world.released(worker.name)
-    task = world.cluster.jobs[ref].tasks[0]
+    harness = ClusterHarness()
+    ref, worker = _job_with_unwritten_completion(harness)
+    replicated = harness.cluster.completions.to_replicate()
+    harness.unreachable_machines.add(worker.name)
+    harness.fail_over()
+    harness.confirm_release(worker.name)
+    task = harness.cluster.jobs[ref].tasks[0]
     assert task.phase is TaskPhase.PENDING
-    assert world.cluster.jobs[ref].pending == 1
-    world.cluster.completions.apply(replicated)
-    assert world.cluster.jobs[ref].completed == {0}
-    assert not world.cluster.jobs[ref].pending
-    world.cluster.completions.apply(replicated)  # replicated again
-    other = world.submit(legs=1, cores=1.0, voyageS=50.0)
-    world.settle(3)
-    placed = world.cluster.jobs[other].tasks[0]
+    assert harness.cluster.jobs[ref].pending == 1
+    harness.cluster.completions.apply(replicated)
+    assert harness.cluster.jobs[ref].completed == {0}
+    assert not harness.cluster.jobs[ref].pending
+    harness.cluster.completions.apply(replicated)  # replicated again
+    other = harness.submit(legs=1, cores=1.0, voyageS=50.0)
+    harness.settle(3)
+    placed = harness.cluster.jobs[other].tasks[0]
     assert placed.phase is TaskPhase.BOUND
-    world.cluster.completions.apply([(other, 0, placed.attempt), (other, 0, 7), (other, 5, 1), ("j-999999", 0, 1)])
+    harness.cluster.completions.apply([(other, 0, placed.attempt), (other, 0, 7), (other, 5, 1), ("j-999999", 0, 1)])
     assert placed.phase is TaskPhase.BOUND
-    assert not world.cluster.jobs[other].completed
+    assert not harness.cluster.jobs[other].completed
 
 
 def test_completions_are_replicated_until_they_are_recorded() -> None:
-    world = World()
-    ref, _ = _job_with_unwritten_completion(world)
-    assert world.cluster.completions.to_replicate()
-    world.commit()
-    assert world.cluster.completions.to_replicate() == []
-    assert not world.cluster.completions.unwritten
-    assert world.cluster.jobs[ref].completed == {0}
+    harness = ClusterHarness()
+    ref, _ = _job_with_unwritten_completion(harness)
+    assert harness.cluster.completions.to_replicate()
+    harness.commit()
+    assert harness.cluster.completions.to_replicate() == []
+    assert not harness.cluster.completions.unwritten
+    assert harness.cluster.jobs[ref].completed == {0}
 
 
 def test_a_silent_machine_may_hold_unknown_completions_until_its_lease_ends() -> None:
-    world = World()
-    _, worker = _job_with_unwritten_completion(world)
-    world.refused |= set(world.workers)
-    cluster = world.fail_over()
-    machine, until = cluster.machines[worker.name], world.now + cluster.lease_us
-    assert not cluster.completions.may_report_unknown(machine, world.now, until)
-    cluster.completions.earlier_may_be_lost = True
-    assert cluster.completions.may_report_unknown(machine, world.now, until)
-    assert not cluster.completions.may_report_unknown(machine, until, until)
-    world.refused.clear()
-    world.report(worker)
-    assert not cluster.completions.may_report_unknown(machine, world.now, until)  # it has reported
+    harness = ClusterHarness()
+    _, worker = _job_with_unwritten_completion(harness)
+    harness.unreachable_machines |= set(harness.workers)
+    cluster = harness.fail_over()
+    machine, until = cluster.machines[worker.name], harness.now + cluster.lease_us
+    assert not cluster.completions.may_hold_unknown_completions(machine, harness.now, until)
+    cluster.completions.may_miss_earlier_completions = True
+    assert cluster.completions.may_hold_unknown_completions(machine, harness.now, until)
+    assert not cluster.completions.may_hold_unknown_completions(machine, until, until)
+    harness.unreachable_machines.clear()
+    harness.report(worker)
+    assert not cluster.completions.may_hold_unknown_completions(machine, harness.now, until)  # it has reported
 
 
 def test_a_node_stores_the_completions_of_the_newest_leaders() -> None:
@@ -287,7 +287,7 @@
         return decode_reply(self.answer, decode)
 
     async def notify(self, request: PeerMessage) -> None:
-        await self.ask(request, any_reply)
+        await self.ask(request, ignore_reply)
 
 
 async def test_a_takeover_asks_all_nodes_and_ignores_malformed_or_missing_answers() -> None:
@@ -331,9 +331,9 @@
 
 async def test_a_deposed_leader_replicates_what_it_could_not_record(state: KeyStore) -> None:
     lead, _, _ = leader(state)
-    world = World()
-    ref, _ = _job_with_unwritten_completion(world)
-    lead.cluster = world.cluster
+    harness = ClusterHarness()
+    ref, _ = _job_with_unwritten_completion(harness)
+    lead.cluster = harness.cluster
     node = Node(node_settings(), Tuning())
     reached = Peer(["ok"])
     node.peers = {"n1": reached}  # type: ignore[dict-item]
@@ -349,46 +349,48 @@
 
 def test_a_gang_completes_when_one_of_its_tasks_completes() -> None:
     """The machine of the other task failed before it could report its completion: that task was started again alone."""
-    world = World()
-    workers = [world.machine(1), world.machine(2)]
-    world.settle(2)
-    ref = world.submit(rig="gang", legs=2, cores=8.0, voyageS=20.0)
-    world.settle(3)
-    assert len(world.live(ref)) == 2
-    _run_until_task_ends(world, workers[0])
+    harness = ClusterHarness()
+    workers = [harness.machine(1), harness.machine(2)]
+    harness.settle(2)
+    ref = harness.submit(rig="gang", legs=2, cores=8.0, voyageS=20.0)
+    harness.settle(3)
+    assert len(harness.task_locations(ref)) == 2
+    _run_until_task_ends(harness, workers[0])
     started_task = next(iter(workers[0].started_attempts))[0]
-    assert len(world.cluster.jobs[ref].completed) == 1
-    world.released(workers[1].name)
-    world.machine(3)
-    world.settle(6)
-    assert world.record(ref) == wire.JobStatus.COMPLETED
-    assert not world.workers["vm-000003"].started_attempts
+    assert len(harness.cluster.jobs[ref].completed) == 1
+    harness.confirm_release(workers[1].name)
+    harness.machine(3)
+    harness.settle(6)
+    assert harness.record(ref) == wire.JobStatus.COMPLETED
+    assert not harness.workers["vm-000003"].started_attempts
     assert started_task.startswith(ref)
 
 
 def test_a_leader_that_reads_a_completed_gang_task_starts_none_of_the_others() -> None:
-    world = World()
-    workers = [world.machine(1), world.machine(2)]
-    world.settle(2)
-    ref = world.submit(rig="gang", legs=2, cores=8.0, voyageS=20.0)
-    world.settle(3)
-    _run_until_task_ends(world, workers[0])
-    world.commit()
-    assert world.record(ref) == wire.JobStatus.QUEUED
-    world.refused.add(workers[1].name)
-    world.fail_over()
-    assert world.cluster.jobs[ref].on_machines == 1  # on its recorded machine, until proven gone
-    world.released(workers[1].name)
-    world.machine(3)
-    world.settle(6)
-    assert world.record(ref) == wire.JobStatus.COMPLETED
-    assert not world.workers["vm-000003"].started_attempts
+    harness = ClusterHarness()
+    workers = [harness.machine(1), harness.machine(2)]
+    harness.settle(2)
+    ref = harness.submit(rig="gang", legs=2, cores=8.0, voyageS=20.0)
+    harness.settle(3)
+    _run_until_task_ends(harness, workers[0])
+    harness.commit()
+    assert harness.record(ref) == wire.JobStatus.QUEUED
+    harness.unreachable_machines.add(workers[1].name)
+    harness.fail_over()
+    assert harness.cluster.jobs[ref].placed_task_count == 1  # on its recorded machine, until proven gone
+    harness.confirm_release(workers[1].name)
+    harness.machine(3)
+    harness.settle(6)
+    assert harness.record(ref) == wire.JobStatus.COMPLETED
+    assert not harness.workers["vm-000003"].started_attempts
 
 
 # --- teams ----------------------------------------------------------------------------------------------
 
 
-def _start_unrecorded_attempt(world: World, worker: Worker, ref: str, index: int = 0, attempt: int = 9) -> None:
+def _start_unrecorded_attempt(
+    harness: ClusterHarness, worker: Worker, ref: str, index: int = 0, attempt: int = 9
+) -> None:
     worker.commands(
         {
             "helm": worker.token,
@@ -396,7 +398,7 @@
             "orders": [{"orderKind": "start", "leg": f"{ref}/{index}", "sailing": attempt}],
         }
     )
-    world.cluster.heartbeats.receive(wire.decode_heartbeat(worker.report()), world.now, world.now)
+    harness.cluster.heartbeats.receive(wire.decode_heartbeat(worker.report()), harness.now, harness.now)
 
 
 def test_orphaned_attempts_count_for_their_team_and_zone() -> None:
@@ -404,77 +406,77 @@
 
     The team's limit was exceeded by the tasks placed in addition to them.
     """
-    world = World([Team("crew", cpus_max=8.0)])
-    worker, other = world.machine(1), world.machine(2)
-    world.settle(2)
-    ref = world.submit(legs=2, cores=4.0, voyageS=500.0)
-    world.cluster.jobs[ref].retry_at = world.now + 100 * SECOND  # not placed yet
-    _start_unrecorded_attempt(world, worker, ref)
-    usage = world.cluster.quotas["crew"]
+    harness = ClusterHarness([Team("crew", cpus_max=8.0)])
+    worker, other = harness.machine(1), harness.machine(2)
+    harness.settle(2)
+    ref = harness.submit(legs=2, cores=4.0, voyageS=500.0)
+    harness.cluster.jobs[ref].retry_at = harness.now + 100 * SECOND  # not placed yet
+    _start_unrecorded_attempt(harness, worker, ref)
+    usage = harness.cluster.quotas["crew"]
     assert usage.cpus == 4.0
-    assert world.cluster.jobs[ref].tasks_by_zone == {"a": 1}
-    second = world.submit(legs=2, cores=4.0, voyageS=500.0)
-    world.plan()
-    assert world.cluster.jobs[second].on_machines == 1  # of two: the limit is eight CPUs
+    assert harness.cluster.jobs[ref].tasks_by_zone == {"a": 1}
+    second = harness.submit(legs=2, cores=4.0, voyageS=500.0)
+    harness.plan()
+    assert harness.cluster.jobs[second].placed_task_count == 1  # of two: the limit is eight CPUs
     assert usage.cpus == 8.0
-    world.settle(2)  # the orphaned attempt is stopped
-    assert world.cluster.jobs[ref].orphaned_attempt_count == 0
-    assert world.cluster.jobs[second].on_machines == 2
+    harness.settle(2)  # the orphaned attempt is stopped
+    assert harness.cluster.jobs[ref].orphaned_attempt_count == 0
+    assert harness.cluster.jobs[second].placed_task_count == 2
     assert usage.cpus == 8.0
-    assert other.name in world.cluster.machines
+    assert other.name in harness.cluster.machines
 
 
 def test_no_team_has_quota_left_while_a_task_of_an_unknown_job_runs() -> None:
-    world = World()
-    worker = world.machine(1)
-    world.settle(2)
-    world.jobs["j-000777"] = job("j-000777")
-    _start_unrecorded_attempt(world, worker, "j-000777")
-    ref = world.submit(legs=1, cores=1.0)
-    world.plan()
-    assert world.cluster.quotas.unknown_attempts == {"j-000777": 1}
-    assert not world.cluster.jobs[ref].on_machines
-    world.cluster.orphans.resolve("j-000777", None)  # the job was never submitted
-    world.plan()
-    assert world.cluster.jobs[ref].on_machines == 1
-    world.settle(2)
-    assert not world.cluster.machines[worker.name].orphaned_attempts
+    harness = ClusterHarness()
+    worker = harness.machine(1)
+    harness.settle(2)
+    harness.jobs["j-000777"] = job("j-000777")
+    _start_unrecorded_attempt(harness, worker, "j-000777")
+    ref = harness.submit(legs=1, cores=1.0)
+    harness.plan()
+    assert harness.cluster.quotas.attempts_of_unknown_jobs == {"j-000777": 1}
+    assert not harness.cluster.jobs[ref].placed_task_count
+    harness.cluster.orphans.resolve("j-000777", None)  # the job was never submitted
+    harness.plan()
+    assert harness.cluster.jobs[ref].placed_task_count == 1
+    harness.settle(2)
+    assert not harness.cluster.machines[worker.name].orphaned_attempts
 
 
 def test_an_orphaned_attempt_counts_once_its_job_is_known() -> None:
-    world = World([Team("crew", cpus_max=8.0)])
-    worker = world.machine(1)
-    world.settle(2)
+    harness = ClusterHarness([Team("crew", cpus_max=8.0)])
+    worker = harness.machine(1)
+    harness.settle(2)
     spec = wire.decode_submission(job("j-000777", cores=6.0))
-    world.jobs["j-000777"] = job("j-000777", cores=6.0)
-    _start_unrecorded_attempt(world, worker, "j-000777")
-    world.cluster.job_lifecycle.add("j-000777", spec, 1, world.now)
-    assert not world.cluster.quotas.unknown_attempts
-    assert world.cluster.quotas["crew"].cpus == 6.0
-    assert world.cluster.jobs["j-000777"].orphaned_attempt_count == 1
-    world.released(worker.name)
-    assert world.cluster.quotas["crew"].cpus == 0.0
-    assert world.cluster.jobs["j-000777"].orphaned_attempt_count == 0
+    harness.jobs["j-000777"] = job("j-000777", cores=6.0)
+    _start_unrecorded_attempt(harness, worker, "j-000777")
+    harness.cluster.job_lifecycle.add("j-000777", spec, 1, harness.now)
+    assert not harness.cluster.quotas.attempts_of_unknown_jobs
+    assert harness.cluster.quotas["crew"].cpus == 6.0
+    assert harness.cluster.jobs["j-000777"].orphaned_attempt_count == 1
+    harness.confirm_release(worker.name)
+    assert harness.cluster.quotas["crew"].cpus == 0.0
+    assert harness.cluster.jobs["j-000777"].orphaned_attempt_count == 0
 
 
 async def test_the_team_of_an_unknown_job_is_read(state: KeyStore) -> None:
     lead, client, _ = leader(state)
-    world = World([Team("crew", cpus_max=8.0)])
-    lead.cluster = world.cluster
-    worker = world.machine(1)
-    world.settle(2)
-    world.jobs["j-000777"] = job("j-000777", cores=6.0)
+    harness = ClusterHarness([Team("crew", cpus_max=8.0)])
+    lead.cluster = harness.cluster
+    worker = harness.machine(1)
+    harness.settle(2)
+    harness.jobs["j-000777"] = job("j-000777", cores=6.0)
     record = {"state": "queued", "at": 0, "job": job("j-000777", cores=6.0)}
     state.commit({"if": [], "then": [{"set": job_key("j-000777"), "value": record}]})
-    _start_unrecorded_attempt(world, worker, "j-000777")
+    _start_unrecorded_attempt(harness, worker, "j-000777")
     client.faults = ["refuse"]
     await lead.orphaned_job_lookup.read("j-000777")
-    assert world.cluster.quotas.unknown_attempts  # still unknown
+    assert harness.cluster.quotas.attempts_of_unknown_jobs  # still unknown
     await lead.orphaned_job_lookup.read("j-000777")
-    assert not world.cluster.quotas.unknown_attempts
-    assert world.cluster.quotas["crew"].cpus == 6.0
-    world.released(worker.name)
-    assert world.cluster.quotas["crew"].cpus == 0.0
+    assert not harness.cluster.quotas.attempts_of_unknown_jobs
+    assert harness.cluster.quotas["crew"].cpus == 6.0
+    harness.confirm_release(worker.name)
+    assert harness.cluster.quotas["crew"].cpus == 0.0
 
 
 async def test_lookups_of_unknown_jobs_are_limited_in_number(state: KeyStore) -> None:
@@ -483,42 +485,42 @@
     One read for each of them at once would use up the request limit.
     """
     lead, client, _ = leader(state)
-    world = World()
-    lead.cluster = world.cluster
-    worker = world.machine(1)
-    world.settle(2)
+    harness = ClusterHarness()
+    lead.cluster = harness.cluster
+    worker = harness.machine(1)
+    harness.settle(2)
     for number in range(20):
         ref = f"j-{700 + number:06d}"
-        world.jobs[ref] = job(ref, cores=0.1, memoryGb=0.1)
-        _start_unrecorded_attempt(world, worker, ref)
+        harness.jobs[ref] = job(ref, cores=0.1, memoryGb=0.1)
+        _start_unrecorded_attempt(harness, worker, ref)
     lead.orphaned_job_lookup.look_up()
     assert len(lead.orphaned_job_lookup.in_flight) == MAX_CONCURRENT_LOOKUPS
     await asyncio.sleep(0.05)
-    assert not world.cluster.quotas.unknown_attempts
+    assert not harness.cluster.quotas.attempts_of_unknown_jobs
     assert client.reads == 20
     assert not lead.orphaned_job_lookup.in_flight
 
 
 def test_a_start_refused_as_in_use_keeps_the_task_from_other_machines() -> None:
     """`in_use` means that the task is on that machine, so it must not start on another one while it is there."""
-    world = World()
-    worker = world.machine(1)
-    world.settle(2)
-    ref = world.submit(legs=1, cores=1.0, voyageS=500.0)
+    harness = ClusterHarness()
+    worker = harness.machine(1)
+    harness.settle(2)
+    ref = harness.submit(legs=1, cores=1.0, voyageS=500.0)
     worker.commands(
         {"helm": worker.token, "watch": 1, "orders": [{"orderKind": "start", "leg": f"{ref}/0", "sailing": 9}]}
     )
-    world.plan()
-    world.commit()
-    world.send()
-    other = world.machine(2)
-    world.cluster.heartbeats.receive(wire.decode_heartbeat(other.report()), world.now, world.now)
-    assert world.cluster.jobs[ref].orphaned_attempt_count == 1
-    world.plan()
-    assert not world.cluster.jobs[ref].on_machines
-    world.settle(3)
-    assert len(world.live(ref)) == 1
-    assert len(world.live(ref)[f"{ref}/0"]) == 1
+    harness.plan()
+    harness.commit()
+    harness.send()
+    other = harness.machine(2)
+    harness.cluster.heartbeats.receive(wire.decode_heartbeat(other.report()), harness.now, harness.now)
+    assert harness.cluster.jobs[ref].orphaned_attempt_count == 1
+    harness.plan()
+    assert not harness.cluster.jobs[ref].placed_task_count
+    harness.settle(3)
+    assert len(harness.task_locations(ref)) == 1
+    assert len(harness.task_locations(ref)[f"{ref}/0"]) == 1
 
 
 # --- commits with unknown outcome, and delayed notifications
@@ -528,8 +530,8 @@
 async def test_an_identical_cancellation_by_a_user_does_not_make_a_commit_count_as_applied(state: KeyStore) -> None:
     """Only one key was compared: bindings in the same transaction counted as written, and were started."""
     lead, client, _ = leader(state)
-    world = World()
-    lead.cluster = lead.commits.cluster = world.cluster
+    harness = ClusterHarness()
+    lead.cluster = lead.commits.cluster = harness.cluster
     claimed, waiting = "j-000001", "j-000002"
     record = {"state": "queued", "at": 0, "job": job(waiting)}
     version = state.commit(
