--- a/oatport/control/state/cluster_state.py
+++ b/oatport/control/state/cluster_state.py
@@ -63,7 +63,7 @@
         self.wall_offset = 0  # time of day minus the steady clock, at the last heartbeat
         self.heartbeat_us = micros(settings.workers.report_s)
         self.lease_us = micros(settings.workers.lease_s)
-        self.heartbeat_fresh_us = 2 * self.heartbeat_us + SECOND
+        self.max_heartbeat_age_us = 2 * self.heartbeat_us + SECOND
         self.retry_policies: RetryPolicies = {}
 
         self.jobs: dict[str, Job] = {}
@@ -124,7 +124,7 @@
         self.usable_machines = [
             m
             for m in self.machines.values()
-            if m.is_usable(self.fencing_token, now, self.heartbeat_fresh_us) and m.zone not in self.zones.partitioned
+            if m.is_usable(self.fencing_token, now, self.max_heartbeat_age_us) and m.zone not in self.zones.partitioned
         ]
         return self.usable_machines
 
@@ -200,12 +200,12 @@
             self.tasks.requeue(task, lost=True)
         self.planning_needed = True
 
-    def on_process_pause(self, gap: int, now: int) -> None:
-        """Discounts a pause of this process of `gap` us from the silent and idle times of machines and waiting jobs."""
+    def on_process_pause(self, pause_us: int, now: int) -> None:
+        """Discounts a pause of this process from the silent and idle times of machines and the waits of jobs."""
         for machine in self.machines.values():
-            machine.on_process_pause(gap, now)
+            machine.on_process_pause(pause_us, now)
         for job in self.pending:
             if job.unplaced_since:
-                job.unplaced_since += gap
+                job.unplaced_since += pause_us
         if self.accounting.accounted_at:
-            self.accounting.accounted_at += gap
+            self.accounting.accounted_at += pause_us
--- a/oatport/control/state/heartbeats.py
+++ b/oatport/control/state/heartbeats.py
@@ -19,7 +19,7 @@
 
 log = logging.getLogger(__name__)
 
-UNREPORTED_START_TIMEOUT = 6 * SECOND  # after a binding, if heartbeats still don't list the started task
+UNREPORTED_START_TIMEOUT = 6 * SECOND  # time after a binding by which heartbeats must list the started task
 INSUFFICIENT_CAPACITY_PAUSE = 3 * SECOND  # no placement on a machine for this long after it refused a start
 OTHER_ATTEMPT_PAUSE = SECOND
 UNKNOWN_TASK_BACKOFF = 2 * SECOND
@@ -44,7 +44,7 @@
             cluster.completions.apply_stale_heartbeat(machine, report)
             return machine  # an older message that arrived late: only its completions are still valid
         is_new_epoch = report.agent_epoch != machine.agent_epoch
-        if now - machine.last_heartbeat_at > cluster.heartbeat_fresh_us:
+        if now - machine.last_heartbeat_at > cluster.max_heartbeat_age_us:
             cluster.planning_needed = True  # its free capacity is usable again
         machine.last_heartbeat_at = cluster.now = now
         cluster.wall_offset = wall - now
@@ -56,8 +56,8 @@
             cluster.planning_needed = True
         if is_new_epoch:
             self._on_new_epoch(machine, now)
-        elif machine.command_unreachable and now - machine.agent_epoch_since > cluster.lease_us:
-            machine.command_unreachable = False  # without a response its lease, and so its epoch, would have ended
+        elif machine.command_unreachable and now - machine.agent_epoch_seen_at > cluster.lease_us:
+            machine.command_unreachable = False  # otherwise the agent's lease and epoch would have ended
         machine.agent_epoch, machine.heartbeat_seq = report.agent_epoch, report.heartbeat_seq
         machine.fencing_token = report.fencing_token
         self._apply_reclamation_notice(machine, report.reclamation_notice_s, now)
@@ -83,7 +83,7 @@
             # The agent received no response for a whole lease, though its heartbeats may have arrived all the time.
             # The machine is now empty and would otherwise look like the best place for the next tasks.
             machine.command_unreachable = True
-        machine.agent_epoch_since = now
+        machine.agent_epoch_seen_at = now
         # From now on the agent refuses starts sent under an earlier epoch, and starts under an earlier fencing token
         # once it has seen this leader's token.
         machine.unacknowledged_starts.clear()
--- a/oatport/control/state/job.py
+++ b/oatport/control/state/job.py
@@ -70,15 +70,15 @@
     error_machines: set[str] = field(default_factory=set)
     suspected_faulty: bool = False  # failed on several machines, completed on none: the job is the likely cause
     tasks_by_zone: dict[str, int] = field(default_factory=dict)  # tasks on machines, by zone
-    completing: bool = False  # its completion is being committed
+    completing: bool = False  # the completion is being committed
     started: bool = False  # one of its tasks was seen running
     starving: bool = False  # pending for so long that no job of equal priority may overtake it
     at_most_once: bool = False  # its class limits retries: its task records have more fields
     failure_reason: str = ""  # set if the job fails because a task may not run again
     orphaned_attempt_count: int = 0  # while above 0, none of its tasks is placed
-    deadline_at: int = 0  # time of day of the next deadline that it can still meet
-    deadline_missed: bool = False  # it can't meet any deadline any more
-    attainable_deadline: int = 0  # time of day, the first that it meets if it runs now; 0: not computed
+    deadline_at: int = 0  # time of day of the next deadline that can still be met
+    deadline_missed: bool = False  # no deadline can be met any more
+    attainable_deadline: int = 0  # time of day of the first deadline met if the job runs now; 0: not computed
     within_guarantee: bool = False  # fits its team's guarantee along with the team's earlier jobs
     unplaced_since: int = 0  # start of the current wait for a machine
     preempt_after: int = 0  # no further round of preemption before this time
@@ -96,7 +96,7 @@
     inherited_deadlines: list[int] = field(default_factory=list)  # times of day, from jobs that depend on it
     tasks_in_first_record: int = -1  # tasks stored in the job's own record; -1: not computed yet
     dependencies: tuple[str, ...] = ()
-    in_statistics: bool = False  # it is counted in JobStatistics
+    in_statistics: bool = False  # counted in JobStatistics
     compact_spec: CompactSpec | None = None  # set if lists of its description are in overflow records
 
     def __post_init__(self) -> None:
--- a/oatport/control/state/machine.py
+++ b/oatport/control/state/machine.py
@@ -37,7 +37,7 @@
     reclaimed_at: int = 0  # time of the cloud's reclamation; 0: no notice
     tasks: set[Task] = field(default_factory=set)
     finite_tasks: set[Task] = field(default_factory=set)  # those of `tasks` that run to completion: no service replicas
-    # Attempts in its newest report that no record binds to it -> their job, and its specification if known.
+    # Attempts in the newest report that no record binds to this machine -> their job, and its specification if known.
     orphaned_attempts: dict[tuple[str, int], tuple[Job | None, wire.Submission | None]] = field(default_factory=dict)
     # Terminated attempts that the agent's reports still list.
     terminated_attempts: set[tuple[str, int]] = field(default_factory=set)
@@ -67,14 +67,14 @@
     listed_by_cloud: bool = False
     probing: bool = False
     probed_at: int = 0
-    persisted: bool = False  # it is in a committed fleet record, so tasks may be placed
+    persisted: bool = False  # in a committed fleet record, so tasks may be placed
     # The tasks of its newest heartbeat, if the same list again would change nothing.
     settled_heartbeat: list[wire.TaskReport] | None = None
-    agent_epoch_since: int = 0  # when this leader first received its present epoch
-    # One-way partition: its heartbeats arrive here, but neither responses nor commands seem to reach it. It gets no
-    # tasks until it has shown that they do.
+    agent_epoch_seen_at: int = 0  # when this leader first received its present epoch
+    # One-way partition: the heartbeats arrive, but neither responses nor commands seem to reach the machine. No tasks
+    # are placed on the machine until it has shown that they do.
     command_unreachable: bool = False
-    cordoned_until: int = 0  # it refused a start, e.g. for insufficient capacity: this view of it is outdated
+    cordoned_until: int = 0  # refused a start, e.g. for insufficient capacity: the leader's view is outdated
     removed: bool = False
 
     def __post_init__(self) -> None:
@@ -123,12 +123,12 @@
             return self.fencing_token != token and not self.tasks  # ready, and about to receive this leader's token
         return not self.was_ready and now - self.rented_at < 2 * micros(self.type.boot_time_s) + 5 * SECOND
 
-    def on_process_pause(self, gap: int, now: int) -> None:
-        """Discounts a pause of this leader's process of `gap` us from the machine's silent and idle times."""
-        self.last_heartbeat_at = _shifted(self.last_heartbeat_at, gap, now)
-        self.first_known_at = _shifted(self.first_known_at, gap, now)
-        self.idle_since = _shifted(self.idle_since, gap, now)
-        self.gpus_idle_since = _shifted(self.gpus_idle_since, gap, now)
+    def on_process_pause(self, pause_us: int, now: int) -> None:
+        """Discounts a pause of this leader's process from the machine's silent and idle times."""
+        self.last_heartbeat_at = _shifted(self.last_heartbeat_at, pause_us, now)
+        self.first_known_at = _shifted(self.first_known_at, pause_us, now)
+        self.idle_since = _shifted(self.idle_since, pause_us, now)
+        self.gpus_idle_since = _shifted(self.gpus_idle_since, pause_us, now)
 
     def reserve(self, cpus: float, gpus: float, memory: float) -> None:
         """Takes the resources of an attempt from the free capacity; negative amounts give them back."""
@@ -140,8 +140,8 @@
         """Returns whether the newest heartbeat is under this token; attempts that it does not list are not there."""
         return self.ready_at > 0 and self.fencing_token == token
 
-    def is_usable(self, token: int, now: int, fresh_us: int) -> bool:
-        """Returns whether tasks may be placed on it. `fresh_us`: maximum age of its newest heartbeat."""
+    def is_usable(self, token: int, now: int, max_age_us: int) -> bool:
+        """Returns whether tasks may be placed here. `max_age_us`: maximum age of the newest heartbeat."""
         return (
             self.persisted
             and self.fencing_token == token
@@ -151,7 +151,7 @@
             and not self.cordoned_for_scale_in
             and not self.command_unreachable
             and not self.reclaimed_at
-            and now - self.last_heartbeat_at <= fresh_us
+            and now - self.last_heartbeat_at <= max_age_us
             and now >= self.cordoned_until
         )
 
@@ -161,6 +161,6 @@
         return self.type.spot_price if self.spot else self.type.price
 
 
-def _shifted(at: int, gap: int, now: int) -> int:
+def _shifted(at: int, pause_us: int, now: int) -> int:
     """Returns a time shifted forward by a pause, at most to `now`; 0 (never) stays 0."""
-    return min(at + gap, now) if at else at
+    return min(at + pause_us, now) if at else at
--- a/tests/cluster_fixture.py
+++ b/tests/cluster_fixture.py
@@ -277,7 +277,7 @@
         return spec.job_id
 
     def cancel(self, ref: str, *, notify_leader: bool = True) -> None:
-        """Records a cancellation; without `tell`, the leader is not notified of it."""
+        """Records a cancellation, and notifies the leader if `notify_leader`."""
         record, version, _ = self.state.items[job_key(ref)]
         status, value = self.state.commit(
             {
