--- a/oatport/api/__init__.py
+++ b/oatport/api/__init__.py
@@ -1,1 +1,1 @@
-"""What calls oatport: users, workers and the other nodes."""
+"""The HTTP interfaces that a node serves to users, workers and the other controller nodes."""
--- a/oatport/api/concurrency_limit.py
+++ b/oatport/api/concurrency_limit.py
@@ -1,4 +1,4 @@
-"""How many calls of users' requests on the state service are under way at a time."""
+"""Limits how many state service calls made for users' requests run concurrently."""
 
 from __future__ import annotations
 
@@ -9,28 +9,28 @@
 from oatport.errors import OatportError
 from oatport.times import MS, seconds
 
-MAX_WAIT = 150 * MS  # for one of the calls
+ACQUIRE_TIMEOUT = 150 * MS
 
 
 class OverloadedError(OatportError):
-    """Too many calls are under way: the caller has to come back later."""
+    """Too many operations are in progress; the caller has to retry later."""
 
 
 class ConcurrencyLimit:
-    """Lets a bounded number of calls run at a time; the others wait, but not for long."""
+    """Runs a bounded number of calls concurrently; further calls wait for up to `ACQUIRE_TIMEOUT`."""
 
     def __init__(self, max_calls: int) -> None:
-        self._free = asyncio.Semaphore(max_calls)
+        self._slots = asyncio.Semaphore(max_calls)
 
     @asynccontextmanager
     async def acquire(self) -> AsyncIterator[None]:
-        """Run the body as one of the calls. Raises OverloadedError if there is none soon."""
+        """Holds a slot while the body runs. Raises OverloadedError if no slot is free within `ACQUIRE_TIMEOUT`."""
         try:
-            async with asyncio.timeout(seconds(MAX_WAIT)):
-                await self._free.acquire()
+            async with asyncio.timeout(seconds(ACQUIRE_TIMEOUT)):
+                await self._slots.acquire()
         except TimeoutError as error:
-            raise OverloadedError("too many calls are under way") from error
+            raise OverloadedError("too many concurrent state service calls") from error
         try:
             yield
         finally:
-            self._free.release()
+            self._slots.release()
--- a/oatport/api/heartbeat_api.py
+++ b/oatport/api/heartbeat_api.py
@@ -1,4 +1,4 @@
-"""Workers' heartbeats: the leader answers them, the others name the leader."""
+"""The workers' interface: the leader answers heartbeats, other nodes redirect workers to the leader."""
 
 from __future__ import annotations
 
@@ -9,19 +9,22 @@
 
 
 class HeartbeatNode(Protocol):
-    """What the workers' interface needs of its node."""
+    """The controller node as the workers' interface uses it."""
 
     node_name: str
 
     def answer_heartbeat(self, heartbeat: wire.Heartbeat) -> dict[str, Any] | None:
-        """The answer, or None if this node may not renew leases now."""
+        """Processes a heartbeat and returns the response, or None if this node may not renew leases now."""
 
     def leader_name(self) -> str | None:
-        """The node that the worker is sent to; None if none is known."""
+        """Returns the name of the node to redirect workers to, or None if the leader is unknown."""
 
 
 async def handle_heartbeat(node: HeartbeatNode, method: str, body: BodyReader) -> Response:
-    """Answer one heartbeat. Raises wire.InvalidMessageError and BodyTooLargeError, which the server answers."""
+    """Returns the response to one heartbeat.
+
+    Raises wire.InvalidMessageError and BodyTooLargeError, which the server turns into error responses.
+    """
     if method != "POST":
         return Response(405, {"error": "wrong method"}, {"Allow": "POST"})
     heartbeat = wire.decode_heartbeat(await body.read())
--- a/oatport/api/job_api.py
+++ b/oatport/api/job_api.py
@@ -1,4 +1,7 @@
-"""Users: submit, show, cancel, ready. Any node answers; all it needs is the state service."""
+"""The users' interface: submit, show and cancel jobs, and the readiness check.
+
+Every node serves it, since the requests need only the state service, not the leader.
+"""
 
 from __future__ import annotations
 
@@ -25,35 +28,35 @@
 
 log = logging.getLogger(__name__)
 
-MAX_REQUESTS = 250  # of users under way
+MAX_CONCURRENT_REQUESTS = 250
 OVERLOADED_RETRY_S = 2
 BEST_EFFORT_PRIORITY = "idle"
 BEST_EFFORT_RETRY_S = 3
 MAX_DEPENDENCIES_SHOWN = 20
-MAX_STATE_CALLS = 24  # of users' requests at a time
+MAX_CONCURRENT_STATE_CALLS = 24  # made for users' requests
 QUOTA_TOLERANCE = 1e-9
 
-NO_STATE_SERVICE = (NoResponseError, RequestRefusedError, OverloadedError)
+STATE_SERVICE_ERRORS = (NoResponseError, RequestRefusedError, OverloadedError)
 
 
 class ControllerNode(Protocol):
-    """What the users' interface needs of its node."""
+    """The controller node as the users' interface uses it."""
 
     types: dict[str, wire.MachineType]
-    job_progress: dict[str, tuple[int, int]]  # completed and running tasks, as the leader has notified this node
+    job_progress: dict[str, tuple[int, int]]  # job id -> completed and running tasks, as last published by the leader
 
     def ready(self) -> bool:
-        """Whether the node can serve users."""
+        """Returns whether the node can serve users."""
 
     def notify_accepted(self, job_id: str, record: dict[str, Any], revision: int) -> None:
-        """A job was accepted here: notify the leader."""
+        """Notifies the leader that this node accepted a job."""
 
     def notify_cancelled(self, job_id: str, revision: int = 0) -> None:
-        """A user is about to receive that a job is cancelled: notify the other nodes."""
+        """Notifies the other nodes that this node is about to confirm a cancellation to a user."""
 
 
 class JobApi:
-    """Answers users' requests."""
+    """Handles users' requests."""
 
     def __init__(self, settings: Settings, state: StateClient, node: ControllerNode) -> None:
         self._state = state
@@ -61,16 +64,19 @@
         self._teams = {team.name: team for team in settings.cluster.teams}
         self._zones = set(settings.cluster.zones)
         limits = settings.cluster.state
-        self._state_calls = ConcurrencyLimit(MAX_STATE_CALLS)
+        self._state_calls = ConcurrencyLimit(MAX_CONCURRENT_STATE_CALLS)
         self._jobs = JobStatusCache(state, self._state_calls, limits.least_rps)
         limiter = AdaptiveRateLimiter(limits.write_rps, settings.cluster.size, limits.least_write_rps)
         self._batcher = SubmissionBatcher(state, limits.least_txn_ops, limiter)
         self._max_value_bytes = limits.least_value_bytes
         self._best_effort_share = BestEffortShare(limits.write_rps)
-        self._requests = 0  # under way
+        self._active_requests = 0
 
     async def handle(self, method: str, path: str, body: BodyReader) -> Response:
-        """Answer one request. Raises wire.InvalidMessageError and BodyTooLargeError, which the server answers."""
+        """Returns the response to one request.
+
+        Raises wire.InvalidMessageError and BodyTooLargeError, which the server turns into error responses.
+        """
         if path == wire.READY_PATH:
             return self._ready(method)
         parts = path.strip("/").split("/")
@@ -79,13 +85,13 @@
         allowed = "GET" if len(parts) == 2 else "POST"
         if method != allowed:
             return Response(405, {"error": "wrong method"}, {"Allow": allowed})
-        # What can be answered without the state service is answered under full load too.
+        # Requests that need no state service call get their response under full load too.
         submission = wire.decode_submission(await body.read()) if len(parts) == 1 else None
         if submission is None and not wire.is_job_id(parts[1]):
             return Response(404, {"error": "no such job"})
-        if self._requests >= MAX_REQUESTS:
+        if self._active_requests >= MAX_CONCURRENT_REQUESTS:
             return retry_later(OVERLOADED_RETRY_S)
-        self._requests += 1
+        self._active_requests += 1
         try:
             if submission is not None:
                 response = await self.submit(submission)
@@ -93,21 +99,22 @@
                 response = await self.show(parts[1])
             else:
                 response = await self.cancel(parts[1])
-            return self._with_cancellation_noted(response)
+            return self._notify_if_cancelled(response)
         finally:
-            self._requests -= 1
+            self._active_requests -= 1
 
     def _ready(self, method: str) -> Response:
         if method not in ("GET", "HEAD"):
             return Response(405, None, {"Allow": "GET"})
         return Response(200, {"ready": True}) if self._node.ready() else retry_later()
 
-    def _with_cancellation_noted(self, response: Response) -> Response:
-        """All that users receive about a job goes through here.
+    def _notify_if_cancelled(self, response: Response) -> Response:
+        """Returns the response after recording the cancellation that it reports, if any.
 
-        A cancellation is noted before the response leaves, however this node observed it: committed, read back, seen by
-        a poll, kept from before, or following from a job that it depends on. A leader that can't read the records needs
-        that: what another node had observed, and answered during an outage, was in no list, and the tasks ran on.
+        Every response about a job passes through this method, so a cancellation is recorded before the response is
+        sent, however this node observed it: committed, read back, seen by a poll, cached, or implied by a cancelled
+        dependency. A leader that can't read the records relies on this: cancellations that another node had observed
+        and confirmed during an outage were in no list, and the tasks ran on.
         """
         if isinstance(response.value, dict) and response.value.get("status") == wire.JobStatus.CANCELLED:
             self._node.notify_cancelled(str(response.value["ref"]))
@@ -116,30 +123,33 @@
     # --- submit -----------------------------------------------------------------------------
 
     async def submit(self, submission: wire.Submission) -> Response:
-        """Answer POST /submissions."""
+        """Returns the response to POST /submissions."""
         if not self._node.types:
-            return retry_later()  # the machine types are not known yet: it can't be judged
+            return retry_later()  # without the machine types the submission can't be validated
         reason = self.why_infeasible(submission)
         if reason is not None:
-            return await self._refuse_unless_known(submission.job_id, reason)
+            return await self._refuse_unless_accepted(submission.job_id, reason)
         if submission.dependencies and not self._jobs.known(submission.job_id):
             refused = await self._check_dependencies(submission, submission.dependencies)
             if refused is not None:
                 return refused
         return await self._accept(submission)
 
-    async def _refuse_unless_known(self, job_id: str, reason: str) -> Response:
-        """A known job is never refused, whatever the machine types have become meanwhile (rule `forgotten`)."""
+    async def _refuse_unless_accepted(self, job_id: str, reason: str) -> Response:
+        """Returns the job's status if it was accepted earlier, otherwise a refusal with `reason`.
+
+        An accepted job is never refused, even if the machine types have changed since (rule `forgotten`).
+        """
         value = await self._read(job_id)
         if value is None:
             return retry_later()
         return Response(200, value) if value else Response(422, {"error": reason})
 
     async def _check_dependencies(self, submission: wire.Submission, dependencies: list[str]) -> Response | None:
-        """The response to a submission that names jobs it can't depend on; None if it can depend on all of them."""
+        """Returns a refusal if the job can't depend on one of `dependencies`, otherwise None."""
         try:
             unusable = await self._jobs.find_unusable(dependencies)
-        except NO_STATE_SERVICE:
+        except STATE_SERVICE_ERRORS:
             return retry_later()
         if unusable.never_accepted is not None:
             reason = f"{unusable.never_accepted} was never accepted"
@@ -147,10 +157,10 @@
             reason = f"{unusable.service} is a service, which is never done"
         else:
             return None
-        return await self._refuse_unless_known(submission.job_id, f"{wire.DEPENDENCIES_FIELD}: {reason}")
+        return await self._refuse_unless_accepted(submission.job_id, f"{wire.DEPENDENCIES_FIELD}: {reason}")
 
     def why_infeasible(self, submission: wire.Submission) -> str | None:
-        """Why the job could never run; None if it could."""
+        """Returns why the job could never run, or None if it could."""
         team = self._teams.get(submission.team)
         if team is None:
             return "unknown team"
@@ -168,22 +178,22 @@
         return None
 
     async def _accept(self, submission: wire.Submission) -> Response:
-        """Commit the job, or say at once when to come back."""
+        """Commits the job, or returns at once a response that says when to retry."""
         job_id = submission.job_id
         if self._batcher.is_full():
             value = await self._read(job_id) if self._jobs.known(job_id) else None
             return Response(200, value) if value else retry_later(self._batcher.retry_after_s())
         best_effort = self._is_best_effort(submission)
         if best_effort and not (self._batcher.has_capacity_for_best_effort() and self._best_effort_share.try_acquire()):
-            return retry_later(BEST_EFFORT_RETRY_S)  # the others' submissions and the leader's bindings go first
+            return retry_later(BEST_EFFORT_RETRY_S)  # other submissions and the leader's bindings have priority
         record = encode_submission(submission, time_of_day(), wire.JobStatus.QUEUED)
         record, overflow = split_overflow(record, self._max_value_bytes)
         if overflow and not await self._batcher.write_overflow(job_id, overflow):
             return retry_later()
-        mark = self._jobs.mark()
+        eviction_count = self._jobs.eviction_count()
         result = await self._batcher.submit(job_id, record, best_effort=best_effort)
         if result.outcome is SubmitOutcome.CREATED:
-            self._jobs.on_created(job_id, record, result.revision, mark)
+            self._jobs.on_created(job_id, record, result.revision, eviction_count)
             self._node.notify_accepted(job_id, record, result.revision)
             if submission.dependencies:
                 dependencies = list_job_ids(submission.dependencies)
@@ -195,7 +205,10 @@
         return retry_later(self._batcher.retry_after_s() if self._batcher.is_throttled() else 1)
 
     def _is_best_effort(self, submission: wire.Submission) -> bool:
-        """What names others is part of a pipeline that somebody waits for, whatever its own priority."""
+        """Returns whether the submission may be deferred in favour of others.
+
+        A job with dependencies is not best-effort whatever its priority: a user waits for its pipeline.
+        """
         return (
             submission.priority == BEST_EFFORT_PRIORITY
             and not submission.dependencies
@@ -205,22 +218,22 @@
     # --- show -------------------------------------------------------------------------------
 
     async def show(self, job_id: str) -> Response:
-        """Answer GET /submissions/ID."""
+        """Returns the response to GET /submissions/ID."""
         value = await self._read(job_id)
         if value is None:
             return retry_later()
         return Response(200, value) if value else Response(404, {"error": "no such job"})
 
     async def _read(self, job_id: str) -> dict[str, Any] | None:
-        """A job's status as its record has it; {} if there is none, None if the records can't be read."""
+        """Returns the status of a job from its record; {} if there is no record, None if it can't be read."""
         try:
             known = await self._jobs.find(job_id)
-        except NO_STATE_SERVICE:
+        except STATE_SERVICE_ERRORS:
             return None
         return self._status_value(job_id, known) if known else {}
 
     def _status_value(self, job_id: str, known: KnownJob) -> dict[str, Any]:
-        if known.terminal:
+        if known.is_terminal:
             completed = known.task_count if known.state == wire.JobStatus.COMPLETED else 0
             return {"ref": job_id, "status": known.state, "done": completed, "running": 0}
         completed, running = self._node.job_progress.get(job_id, (0, 0))
@@ -231,19 +244,20 @@
             "running": running,
         }
         if known.dependencies and not (completed or running):
-            # Those that it still waits for.
+            # Only the dependencies that are not completed.
             value[wire.DEPENDENCIES_FIELD] = list(known.dependencies[:MAX_DEPENDENCIES_SHOWN])
         return value
 
     # --- cancel -----------------------------------------------------------------------------
 
     async def cancel(self, job_id: str) -> Response:
-        """Answer POST /submissions/ID/cancel."""
-        # The second try settles a commit of unknown outcome by reading it back, or one that another change came before.
+        """Returns the response to POST /submissions/ID/cancel."""
+        # The second attempt reads the record again: it settles a commit whose outcome is unknown and a conflict with
+        # another change.
         for timeout_us in COMMIT_TIMEOUTS:
-            terminal = self._terminal_response(job_id)
-            if terminal is not None:
-                return terminal
+            terminal_response = self._terminal_response(job_id)
+            if terminal_response is not None:
+                return terminal_response
             try:
                 response = await self._try_cancel(job_id, timeout_us)
             except NoResponseError:
@@ -255,21 +269,24 @@
         return self._terminal_response(job_id) or retry_later()
 
     def _terminal_response(self, job_id: str) -> Response | None:
-        """The response for a job that is known to have terminated."""
+        """Returns the response for a job whose cached state is terminal, otherwise None."""
         known = self._jobs.known(job_id)
-        return Response(200, {"ref": job_id, "status": known.state}) if known and known.terminal else None
+        return Response(200, {"ref": job_id, "status": known.state}) if known and known.is_terminal else None
 
     async def _try_cancel(self, job_id: str, timeout_us: int) -> Response | None:
-        """Commit the cancellation on the record as it is now; None if it has terminated or was changed meanwhile."""
-        mark = self._jobs.mark()
+        """Commits the cancellation on top of the current record.
+
+        Returns None if the job is terminal or another change of the record conflicts.
+        """
+        eviction_count = self._jobs.eviction_count()
         async with self._state_calls.acquire():
             stored = await self._state.get(job_key(job_id), timeout_us=READ_TIMEOUT)
             if stored is None:
                 return Response(404, {"error": "no such job"})
             record, revision = stored
-            if self._jobs.learn(job_id, record, revision, mark).terminal:
+            if self._jobs.update_job(job_id, record, revision, eviction_count).is_terminal:
                 return None
-            # The second key tells a later leader of it among the live jobs.
+            # The second key lets a later leader find the cancellation among the live jobs.
             cancelled = {**record, "state": wire.JobStatus.CANCELLED}
             result = await self._state.commit(
                 {job_key(job_id): revision, cancel_key(job_id): 0},
@@ -278,6 +295,6 @@
             )
         if not isinstance(result, Applied):
             return None
-        self._jobs.learn(job_id, cancelled, result.revision, mark)
+        self._jobs.update_job(job_id, cancelled, result.revision, eviction_count)
         self._node.notify_cancelled(job_id, result.revision)
         return Response(200, {"ref": job_id, "status": wire.JobStatus.CANCELLED})
--- a/oatport/api/job_status.py
+++ b/oatport/api/job_status.py
@@ -1,4 +1,4 @@
-"""What the record of a job says of it, as far as users see it."""
+"""The part of a job's record that determines the status shown to users."""
 
 from __future__ import annotations
 
@@ -10,35 +10,39 @@
 
 @dataclass(frozen=True, slots=True)
 class KnownJob:
-    """A job as its record has it. `dependencies`: without those known to be completed."""
+    """The state of a job at one revision of its record.
+
+    `dependencies` leaves out jobs that are known to be completed. `overflow_records` is the number of records that hold
+    the job's long lists, if these have not been read.
+    """
 
     state: str
     task_count: int
     revision: int
     dependencies: tuple[str, ...] = ()
-    overflow_records: int = 0  # so many records hold its long lists, which have not been read
+    overflow_records: int = 0
     is_service: bool = False
 
     @property
-    def terminal(self) -> bool:
-        """Its state is terminal, as users see it, and holds for good."""
+    def is_terminal(self) -> bool:
+        """Whether the state is terminal as users see it, and so never changes."""
         return self.state in wire.PUBLIC_TERMINAL_STATUSES
 
     @property
-    def may_depend(self) -> bool:
-        """It names other jobs, or may do so in a list that has not been read."""
+    def may_have_dependencies(self) -> bool:
+        """Whether the job has dependencies, or may have them in an overflow record that has not been read."""
         return bool(self.dependencies or self.overflow_records)
 
     @classmethod
     def from_record(cls, record: dict[str, Any], revision: int) -> KnownJob:
-        """From the value under jobs/."""
+        """Builds the object from a stored value under jobs/ and its revision."""
         job, state = record["job"], str(record["state"])
-        terminal = state in wire.PUBLIC_TERMINAL_STATUSES
+        is_terminal = state in wire.PUBLIC_TERMINAL_STATUSES
         return cls(
             state,
             int(job[wire.TASK_COUNT_FIELD]),
             revision,
-            () if terminal else tuple(map(str, job.get(wire.DEPENDENCIES_FIELD) or ())),
-            int(record["more"][0]) if "more" in record and not terminal else 0,
+            () if is_terminal else tuple(map(str, job.get(wire.DEPENDENCIES_FIELD) or ())),
+            int(record["more"][0]) if "more" in record and not is_terminal else 0,
             job.get(wire.KIND_FIELD) == wire.SERVICE_KIND,
         )
--- a/oatport/api/job_status_cache.py
+++ b/oatport/api/job_status_cache.py
@@ -1,8 +1,8 @@
-"""Jobs as their records have them at the moment of asking, read for all who ask at once.
+"""A cache of job states for users' requests, refreshed with one request that concurrent callers share.
 
-One read for each poll would take the whole budget of the state service with a few hundred unfinished jobs. So
-those who wait share one question: what has changed under jobs/ since the last one? It is asked after they came,
-so its answer is never older than what another node answered before.
+One read for each poll would use the whole budget of the state service with a few hundred unfinished jobs. Concurrent
+callers therefore share one request for the changes under jobs/ since the previous refresh. It is sent after they
+arrived, so its result is never older than what another node reported earlier.
 """
 
 from __future__ import annotations
@@ -24,162 +24,165 @@
 
 MAX_KNOWN_JOBS = 20_000
 READ_TIMEOUT = 800 * MS
-REFRESH_REQUESTS = 15  # interval of refreshes: so many requests' worth of the state service's budget
-# And no shorter than this: users wait 2 s for a poll's answer, while twenty refreshes a second at each node were two
-# thirds of all requests on the state service, and a fifth of a calm day's cost.
+REFRESH_REQUESTS = 15  # the refresh interval is the time in which the state service allows this many requests
+# Lower bound of the refresh interval. Users wait up to 2 s for the response to a poll, while 20 refreshes per second at
+# each node caused two thirds of all state service requests and a fifth of the cost of a day with low load.
 MIN_REFRESH_INTERVAL = 250 * MS
 
 
 @dataclass(frozen=True, slots=True)
 class UnusableDependencies:
-    """Of the jobs that a submission names one that was never accepted, and one that is a service, if there are any."""
+    """The first of a submission's dependencies that was never accepted and the first that is a service, if any."""
 
     never_accepted: str | None
     service: str | None
 
 
 class JobStatusCache:
-    """The jobs that one node has read, refreshed when users ask."""
+    """Caches the jobs that one node has read, and refreshes them on users' requests."""
 
     def __init__(self, state: StateClient, calls: ConcurrencyLimit, rps: float) -> None:
         self._state = state
         self._calls = calls
-        self._reader = JobReader(state, self.mark, self._learn_stored)
+        self._reader = JobReader(state, self.eviction_count, self._update_from_stored)
         self._refresh_interval = max(MIN_REFRESH_INTERVAL, round(REFRESH_REQUESTS * SECOND / rps))
         self._known: OrderedDict[str, KnownJob] = OrderedDict()
-        self._revision = 0  # all changes up to it are in
-        self._evictions = 0  # how often something was forgotten
-        self._refreshed_at = -SECOND  # when the last refresh was asked
-        self._next_refresh: asyncio.Future[None] | None = None  # the refresh that has not been asked yet
+        self._revision = 0  # all changes up to this revision are applied; 0: none has been read
+        self._evictions = 0
+        self._refreshed_at = -SECOND  # when the last refresh was sent
+        self._next_refresh: asyncio.Future[None] | None = None  # done when the refresh that is not sent yet completes
         self._refreshing: asyncio.Task[None] | None = None
 
-    # --- questions --------------------------------------------------------------------------
+    # --- queries ----------------------------------------------------------------------------
 
     async def find(self, job_id: str) -> KnownJob | None:
-        """A job's state now; None if it has never been accepted.
+        """Returns the current state of a job, or None if it was never accepted.
 
         Raises NoResponseError, RequestRefusedError or OverloadedError.
         """
         known = self._known.get(job_id)
-        fresh = not self._revision or (known is not None and not known.terminal)
-        if fresh:
+        is_fresh = not self._revision or (known is not None and not known.is_terminal)
+        if is_fresh:
             await self._refresh()
             known = self._known.get(job_id)
         if known is None:
             known = await self._reader.read(job_id)
             if known is None:
                 return None
-            fresh = False
-        if known.terminal or not known.may_depend:
+            is_fresh = False
+        if known.is_terminal or not known.may_have_dependencies:
             return known
-        return await self._with_dependencies(job_id, known, fresh)
+        return await self._with_dependencies(job_id, known, is_fresh)
 
     def known(self, job_id: str) -> KnownJob | None:
-        """What was last received of it; only a terminal state is sure to hold still."""
+        """Returns the cached state of a job, or None; only a terminal state is certain to be current."""
         return self._known.get(job_id)
 
     async def find_unusable(self, job_ids: list[str]) -> UnusableDependencies:
-        """Of jobs named in a submission those that it can't depend on; read no earlier than now.
+        """Returns which of the jobs a submission can't depend on. Jobs that are not cached are read now.
 
-        Jobs are never removed: one that is known was accepted. Raises NoResponseError, RequestRefusedError or
-        OverloadedError; what was read by then is kept, so that a repeated submission gets on.
+        Jobs are never removed from the store, so a cached job was accepted. Raises NoResponseError, RequestRefusedError
+        or OverloadedError; jobs read up to then stay cached, so that a repeated submission makes progress.
         """
         found: dict[str, KnownJob] = {}
-        await self._learn_all(job_ids, found, self.mark())
+        await self._load_all(job_ids, found, self.eviction_count())
         return UnusableDependencies(
             next((job_id for job_id in job_ids if job_id not in found), None),
             next((job_id for job_id in job_ids if job_id in found and found[job_id].is_service), None),
         )
 
-    # --- what is learnt ---------------------------------------------------------------------
+    # --- updates ----------------------------------------------------------------------------
 
-    def mark(self) -> int:
-        """To be taken before a read or a commit whose result is to be learnt."""
+    def eviction_count(self) -> int:
+        """Returns the number of evictions so far; to be taken before a read or commit passed to `update_job`."""
         return self._evictions
 
-    def learn(self, job_id: str, record: dict[str, Any], revision: int, mark: int) -> KnownJob:
-        """What a read or a commit of this node's showed; later changes follow from the refreshes.
+    def update_job(self, job_id: str, record: dict[str, Any], revision: int, eviction_count: int) -> KnownJob:
+        """Caches and returns a job that this node read or committed; refreshes apply the later changes.
 
-        Not kept if something was forgotten since it was asked: a later change may have been among that, and
-        no refresh would bring it again.
+        `eviction_count` is the number of evictions before the read or commit. The job is not cached if an eviction has
+        happened since: a later change of the job may have been evicted, and no refresh would return it again.
         """
         known = self._known.get(job_id)
         if known is not None and (
             known.revision > revision
-            or (known.revision == revision and (known.terminal or len(known.dependencies) > 0))
+            or (known.revision == revision and (known.is_terminal or len(known.dependencies) > 0))
         ):
-            return known  # what was found out about the jobs that it names holds
+            return known  # it may record that dependencies are completed or cancelled
         known = KnownJob.from_record(record, revision)
-        if mark == self._evictions:
+        if eviction_count == self._evictions:
             self._known[job_id] = known
             if len(self._known) > MAX_KNOWN_JOBS:
                 self._known.popitem(last=False)
                 self._evictions += 1
         return known
 
-    def _learn_stored(self, job_id: str, stored: wire.StoredValue, mark: int) -> KnownJob:
-        return self.learn(job_id, stored.value, stored.revision, mark)
+    def _update_from_stored(self, job_id: str, stored: wire.StoredValue, eviction_count: int) -> KnownJob:
+        return self.update_job(job_id, stored.value, stored.revision, eviction_count)
 
-    def on_created(self, job_id: str, record: dict[str, Any], revision: int, mark: int) -> None:
-        """This node's own commit made the job."""
+    def on_created(self, job_id: str, record: dict[str, Any], revision: int, eviction_count: int) -> None:
+        """Caches a job that this node's own commit created."""
         if not self._revision:
-            self._forget_unfinished(revision)
-            mark = self._evictions
-        self.learn(job_id, record, revision, mark)
+            self._evict_unfinished(revision)
+            eviction_count = self._evictions
+        self.update_job(job_id, record, revision, eviction_count)
 
-    def _forget_unfinished(self, revision: int) -> None:
-        """Follow the changes from here on; what is not terminal may have changed before."""
-        for job_id in [job_id for job_id, known in self._known.items() if not known.terminal]:
+    def _evict_unfinished(self, revision: int) -> None:
+        """Evicts the jobs that may have changed before `revision`, from which on changes are followed."""
+        for job_id in [job_id for job_id, known in self._known.items() if not known.is_terminal]:
             del self._known[job_id]
         self._evictions += 1
         self._revision = revision
 
     # --- dependencies -----------------------------------------------------------------------
 
-    async def _with_dependencies(self, job_id: str, known: KnownJob, fresh: bool) -> KnownJob:
-        """Cancelled, if a job that it depends on is, directly or through others.
+    async def _with_dependencies(self, job_id: str, known: KnownJob, is_fresh: bool) -> KnownJob:
+        """Returns the job as cancelled if one of its direct or transitive dependencies is cancelled.
 
-        That follows from their records, and holds as long as theirs: so after any node has answered that, all
-        nodes answer the same, however long it takes the leader to record it. `fresh`: changes up to now are in.
+        The result follows from the dependencies' records and is as permanent as their cancellation. Once one node has
+        reported it, all nodes report the same, however long the leader takes to record it. `is_fresh`: all changes up
+        to now are applied.
         """
-        if not fresh:
+        if not is_fresh:
             await self._refresh()
             known = self._known.get(job_id, known)
         seen = {job_id}
-        left = [job_id]
-        mark = self.mark()
-        found = {job_id: known}  # of this question, should the memory be full
-        while left:
-            here = left.pop()
-            dependent = await self._with_list(here, found[here])
+        remaining = [job_id]
+        eviction_count = self.eviction_count()
+        found = {job_id: known}  # kept for this call, in case the cache evicts them
+        while remaining:
+            visited_id = remaining.pop()
+            dependent = await self._load_overflow_dependencies(visited_id, found[visited_id])
             unseen = [dependency for dependency in dependent.dependencies if dependency not in seen]
-            await self._learn_all(unseen, found, mark)
+            await self._load_all(unseen, found, eviction_count)
             for dependency in dependent.dependencies:
-                other = found.get(dependency)
-                if other is not None and other.state == wire.JobStatus.CANCELLED:
-                    return self._note_cancelled(job_id, known)
-                if other is not None and dependency not in seen and _must_follow(other):
-                    left.append(dependency)
+                status = found.get(dependency)
+                if status is not None and status.state == wire.JobStatus.CANCELLED:
+                    return self._mark_cancelled(job_id, known)
+                if status is not None and dependency not in seen and _can_propagate_cancellation(status):
+                    remaining.append(dependency)
                 seen.add(dependency)
-            self._note_incomplete(here, [d for d in dependent.dependencies if not _is_completed(found.get(d))])
+            self._drop_completed_dependencies(
+                visited_id, [d for d in dependent.dependencies if not _is_completed(found.get(d))]
+            )
         return self._known.get(job_id, known)
 
-    def _note_cancelled(self, job_id: str, known: KnownJob) -> KnownJob:
+    def _mark_cancelled(self, job_id: str, known: KnownJob) -> KnownJob:
         cancelled = replace(known, state=wire.JobStatus.CANCELLED, dependencies=(), overflow_records=0)
         if job_id in self._known:
             self._known[job_id] = cancelled
         return cancelled
 
-    def _note_incomplete(self, job_id: str, left: list[str]) -> None:
-        """Of the jobs that it names only these are not completed: the others need not be looked at again."""
+    def _drop_completed_dependencies(self, job_id: str, remaining: list[str]) -> None:
+        """Reduces a cached job's dependencies to those not completed, so that the others are not checked again."""
         known = self._known.get(job_id)
-        if known is None or known.terminal or known.overflow_records:
+        if known is None or known.is_terminal or known.overflow_records:
             return
-        if len(left) < len(known.dependencies):
-            self._known[job_id] = replace(known, dependencies=tuple(left))
+        if len(remaining) < len(known.dependencies):
+            self._known[job_id] = replace(known, dependencies=tuple(remaining))
 
-    async def _with_list(self, job_id: str, known: KnownJob) -> KnownJob:
-        """With the list of the jobs that it names, if that lies in records of its own."""
+    async def _load_overflow_dependencies(self, job_id: str, known: KnownJob) -> KnownJob:
+        """Returns the job with the dependencies that are stored in overflow records, if there are any."""
         if not known.overflow_records:
             return known
         parts = []
@@ -187,7 +190,7 @@
             async with self._calls.acquire():
                 found = await self._state.get(overflow_key(job_id, number), timeout_us=READ_TIMEOUT)
             if found is None:
-                raise NoResponseError("a part of a list is missing")
+                raise NoResponseError(f"overflow record {number} of job {job_id} is missing")
             parts.append(found.value)
         dependencies = with_overflow({"job": {}}, parts)["job"].get(wire.DEPENDENCIES_FIELD, ())
         known = replace(known, dependencies=tuple(dependencies), overflow_records=0)
@@ -195,8 +198,8 @@
             self._known[job_id] = known
         return known
 
-    async def _learn_all(self, job_ids: list[str], found: dict[str, KnownJob], mark: int) -> None:
-        """What is known of jobs into `found`; what is not is read, some together. Those never accepted are left out."""
+    async def _load_all(self, job_ids: list[str], found: dict[str, KnownJob], eviction_count: int) -> None:
+        """Adds jobs to `found`, from the cache or read in batches; jobs that were never accepted are left out."""
         missing = []
         for job_id in job_ids:
             known = self._known.get(job_id)
@@ -209,13 +212,13 @@
             async with self._calls.acquire():
                 page = await self._state.get_many(JOBS, missing)
             for job_id, stored in page.found.items():
-                found[job_id] = self._learn_stored(job_id, stored, mark)
+                found[job_id] = self._update_from_stored(job_id, stored, eviction_count)
             missing = missing[len(page.looked_up) :]
 
     # --- refreshes --------------------------------------------------------------------------
 
     async def _refresh(self) -> None:
-        """Return once all changes up to now are in."""
+        """Returns once all changes up to the time of the call are applied."""
         if self._next_refresh is None:
             self._next_refresh = asyncio.get_running_loop().create_future()
             self._next_refresh.add_done_callback(retrieve_exception)
@@ -244,17 +247,17 @@
             if found is not None:
                 for change in found.changes:
                     if not change.deleted:
-                        self.learn(change.key[len(JOBS) :], change.value, change.revision, self._evictions)
+                        self.update_job(change.key[len(JOBS) :], change.value, change.revision, self._evictions)
                 self._revision = max(self._revision, found.revision)
                 return
-        # The first time, or too long ago: what is known may be out of date, and is read again job by job.
-        self._forget_unfinished(await self._state.current_revision(JOBS, timeout_us=READ_TIMEOUT))
+        # First refresh, or the changes go too far back: cached jobs may be out of date and are read again one by one.
+        self._evict_unfinished(await self._state.current_revision(JOBS, timeout_us=READ_TIMEOUT))
 
 
 def _is_completed(known: KnownJob | None) -> bool:
     return known is not None and known.state == wire.JobStatus.COMPLETED
 
 
-def _must_follow(known: KnownJob) -> bool:
-    """A job whose own dependencies matter to those that depend on it."""
-    return known.may_depend and not _is_completed(known)
+def _can_propagate_cancellation(known: KnownJob) -> bool:
+    """Returns whether the job's own dependencies can cancel the jobs that depend on it."""
+    return known.may_have_dependencies and not _is_completed(known)
--- a/oatport/api/peer_api.py
+++ b/oatport/api/peer_api.py
@@ -1,4 +1,4 @@
-"""The interface that the other controller nodes call: tagged arrays in, tagged arrays out."""
+"""The interface for the other controller nodes; requests and replies are tagged arrays (`oatport.peer_messages`)."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 
 class PeerApi:
-    """Dispatches on the tag. A message of an unknown kind or form gets 400 and disturbs nothing."""
+    """Dispatches requests by tag. A message with an unknown tag or a malformed one gets 400 and has no effect."""
 
     def __init__(self) -> None:
         self._handlers: dict[str, Callable[[PeerArray], Awaitable[PeerMessage]]] = {}
 
     def on(self, request_type: type[RequestT], handler: Callable[[RequestT], Awaitable[PeerMessage]]) -> None:
-        """Have messages of this type answered by `handler`."""
+        """Registers the handler for requests of one type."""
 
         async def decode_and_handle(message: PeerArray) -> PeerMessage:
             return await handler(request_type.decode(message))
@@ -27,7 +27,7 @@
         self._handlers[request_type.tag()] = decode_and_handle
 
     async def handle(self, method: str, path: str, body: BodyReader) -> Response:
-        """Answer one request. Raises wire.InvalidMessageError, which the server answers with 400."""
+        """Returns the response to one request. Raises wire.InvalidMessageError, which the server turns into 400."""
         if path != wire.PEER_PATH:
             return Response(404, {"error": "no such path"})
         if method != "POST":
--- a/oatport/api/server.py
+++ b/oatport/api/server.py
@@ -1,4 +1,4 @@
-"""The HTTP server: bounded bodies, CBOR responses, and no request that ends the process."""
+"""The HTTP server: limits the size of bodies, encodes responses as CBOR and survives any error of a request."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 BODY_TIMEOUT_S = 5.0
 KEEPALIVE_TIMEOUT_S = 75.0
-BACKLOG = 256  # connections that wait to be accepted
+LISTEN_BACKLOG = 256
 
 
 @dataclass(slots=True)
 class Response:
-    """What a handler answers; `value` is sent as CBOR, None as an empty body."""
+    """A handler's response; `value` is sent as CBOR, None as an empty body."""
 
     status: int
     value: Any = None
@@ -30,7 +30,7 @@
 
 
 def retry_later(after_s: int = 1) -> Response:
-    """Can't be decided now; tells the caller when to come back."""
+    """Returns the response to a request that can't be decided now; `after_s` is the time to wait before a retry."""
     return Response(503, {"error": "try again later"}, {"Retry-After": str(after_s)})
 
 
@@ -46,20 +46,23 @@
 
 
 class BodyReader:
-    """A request's body, read only when wanted and only up to the limit."""
+    """Reads a request's body on demand and only up to a limit."""
 
     def __init__(self, request: web.BaseRequest, limit: int) -> None:
         self._request = request
         self._limit = limit
 
     async def read(self) -> Any:
-        """The decoded body. Raises BodyTooLargeError, wire.InvalidMessageError, or TimeoutError if it doesn't come."""
+        """Returns the decoded body.
+
+        Raises BodyTooLargeError, wire.InvalidMessageError, or TimeoutError if the body doesn't arrive in time.
+        """
         length = self._request.content_length
         if length is not None and length > self._limit:
             raise BodyTooLargeError(self._limit)
         content = self._request.content
         if content.is_eof():
-            # All of it came along with the head, as nearly always: no timer, no wait.
+            # The body arrived together with the header, as nearly always: it needs no timer and no wait.
             body = content.read_nowait()
             if len(body) > self._limit:
                 raise BodyTooLargeError(self._limit)
@@ -76,7 +79,7 @@
 
 
 class Server:
-    """One listening address."""
+    """Serves HTTP on one address."""
 
     def __init__(self, address: str, handler: Handler, *, body_limit: int = wire.MAX_BODY_BYTES) -> None:
         host, _, port = address.rpartition(":")
@@ -86,21 +89,21 @@
         self._runner: web.ServerRunner | None = None
 
     async def start(self) -> None:
-        """Listen. Raises OSError if the address can't be had."""
+        """Starts listening. Raises OSError if the address can't be bound."""
         server = web.Server(self._serve, access_log=None, keepalive_timeout=KEEPALIVE_TIMEOUT_S)
         self._runner = web.ServerRunner(server, handle_signals=False)
         await self._runner.setup()
-        site = web.TCPSite(self._runner, self._host, self._port, backlog=BACKLOG, reuse_address=True)
+        site = web.TCPSite(self._runner, self._host, self._port, backlog=LISTEN_BACKLOG, reuse_address=True)
         await site.start()
 
     @property
     def connection_count(self) -> int:
-        """Open connections."""
+        """The number of open connections."""
         server = self._runner.server if self._runner is not None else None
         return len(server.connections) if server is not None else 0
 
     async def close(self) -> None:
-        """Stop listening, and let requests under way end."""
+        """Stops listening and waits for requests in progress."""
         if self._runner is not None:
             await self._runner.cleanup()
 
@@ -115,7 +118,7 @@
         return response
 
     async def _handle(self, request: web.BaseRequest) -> Response:
-        """The handler's response, or one for the error that it raised."""
+        """Returns the handler's response, or one for the error that the handler raised."""
         try:
             body = BodyReader(request, self._body_limit)
             return await self._handler(request.method, request.rel_url.raw_path, body)
@@ -129,6 +132,6 @@
         except asyncio.CancelledError:
             raise
         except Exception:
-            # Guards against one strange request ending more than itself.
+            # An unexpected error fails only the request that caused it.
             log.exception("request failed method=%s path=%s", request.method, request.path)
             return Response(500, {"error": "internal error"}, {"Retry-After": "1"})
--- a/oatport/api/submission_batcher.py
+++ b/oatport/api/submission_batcher.py
@@ -1,4 +1,4 @@
-"""Accepted jobs are committed together: those that come while a commit is under way go into the next one."""
+"""Commits accepted jobs in batches: submissions that arrive during a commit go into the next one."""
 
 from __future__ import annotations
 
@@ -16,25 +16,25 @@
 from oatport.control.storage.overflow_records import is_accepted_as_blocked
 from oatport.times import MS, seconds, steady
 
-COMMIT_TIMEOUTS = (700 * MS, 400 * MS)  # of each try; the state service mostly takes 10 ms, at times a few hundred
+COMMIT_TIMEOUTS = (700 * MS, 400 * MS)  # per attempt; the state service takes 10 ms mostly, a few hundred at times
 MAX_PENDING = 100
 BEST_EFFORT_SHARE = 0.6
-MAX_COMMITS = 4  # at a time
+MAX_CONCURRENT_COMMITS = 4
 MAX_SEND_DELAY = 150 * MS
-MAX_BATCH_BYTES = 24 * 1024  # of records in one transaction: well below its limit
+MAX_BATCH_BYTES = 24 * 1024  # of records in one transaction: well below the limit of a transaction
 
 
 class SubmitOutcome(Enum):
-    """What became of a submission."""
+    """The outcome of a submission."""
 
     CREATED = auto()
-    ALREADY_KNOWN = auto()  # there is a record
-    UNKNOWN = auto()  # its user must come back
+    ALREADY_KNOWN = auto()  # the job has a record
+    UNKNOWN = auto()  # the user has to retry
 
 
 @dataclass(frozen=True, slots=True)
 class SubmitResult:
-    """The outcome, and the revision that the job was created with."""
+    """The outcome of a submission, and the revision at which the job was created."""
 
     outcome: SubmitOutcome
     revision: int = 0
@@ -42,7 +42,10 @@
 
 @dataclass(slots=True, eq=False)
 class PendingSubmission:
-    """A submission that waits to be committed. Those of best effort go last."""
+    """A submission that waits to be committed. Best-effort submissions are committed last.
+
+    `sent` is done once the commit is sent, `result` once the outcome is decided.
+    """
 
     record: dict[str, Any]
     best_effort: bool
@@ -51,7 +54,7 @@
 
 
 class SubmissionBatcher:
-    """Commits submissions within the node's share of the state service's limit for writes."""
+    """Commits submissions within the node's share of the state service's write limit."""
 
     def __init__(self, state: StateClient, transaction_operations: int, limiter: AdaptiveRateLimiter) -> None:
         self._state = state
@@ -61,7 +64,11 @@
         self._commits: set[asyncio.Task[None]] = set()
 
     def is_full(self) -> bool:
-        """One more would wait in vain: it could not be sent soon. Best-effort jobs go last, and don't count."""
+        """Returns whether another submission could not be sent within `MAX_SEND_DELAY`.
+
+        Best-effort submissions don't count, since they are sent last. If the batcher is full, it requests a larger
+        share of the write limit.
+        """
         now = steady()
         ahead = (sum(not pending.best_effort for pending in self._pending.values()) + 1) * ACCEPT_KEYS
         if len(self._pending) < MAX_PENDING and self._limiter.wait_us(now, ahead) <= MAX_SEND_DELAY:
@@ -70,19 +77,22 @@
         return True
 
     def has_capacity_for_best_effort(self) -> bool:
-        """The limit leaves something once all that wait are sent."""
+        """Returns whether the limit has capacity left after all waiting submissions are sent."""
         return self._limiter.available_to_best_effort(steady(), (len(self._pending) + 1) * ACCEPT_KEYS)
 
     def is_throttled(self) -> bool:
-        """Writes are scarce, rather than the state service away."""
+        """Returns whether the write limit, rather than an outage of the state service, delays submissions."""
         return self._limiter.is_throttled(steady())
 
     def retry_after_s(self) -> int:
-        """When somebody who was sent away finds capacity, in whole seconds."""
+        """Returns after how many whole seconds a rejected submission will find capacity."""
         return self._limiter.retry_after_s(steady(), ACCEPT_KEYS)
 
     async def write_overflow(self, job_id: str, parts: list[Any]) -> bool:
-        """Write long lists of a job ahead of its accept, which they count with. False: its user must come back."""
+        """Writes the overflow records of a job before its own record, without which they have no effect.
+
+        Returns False if the user has to retry.
+        """
         for number, part in enumerate(parts):
             wait = self._limiter.wait_us(steady(), 1)
             await asyncio.sleep(seconds(wait))
@@ -92,16 +102,16 @@
             except (NoResponseError, RequestRefusedError):
                 return False
             if not isinstance(result, Applied):
-                return True  # it is known: its submission will find that
+                return True  # the job has a record, which the submission will find
         return True
 
     async def submit(self, job_id: str, record: dict[str, Any], *, best_effort: bool = False) -> SubmitResult:
-        """Commit a job if it isn't known."""
+        """Commits a job unless it has a record, and returns the outcome."""
         pending = self._pending.get(job_id)
-        first = pending is None
+        is_first = pending is None
         if pending is None:
             pending = self._pending[job_id] = PendingSubmission(record, best_effort)
-        if len(self._commits) < MAX_COMMITS:
+        if len(self._commits) < MAX_CONCURRENT_COMMITS:
             task = asyncio.get_running_loop().create_task(self._commit_pending())
             self._commits.add(task)
             task.add_done_callback(self._commits.discard)
@@ -109,17 +119,17 @@
             async with asyncio.timeout(seconds(MAX_SEND_DELAY)):
                 await asyncio.shield(pending.sent)
         except TimeoutError:
-            # All calls hang: it was never sent, and its user gets that answer rather than being kept waiting.
+            # All commits hang and this submission was never sent, so its user gets a response without further waiting.
             if self._pending.get(job_id) is pending:
                 del self._pending[job_id]
                 pending.result.set_result(SubmitResult(SubmitOutcome.UNKNOWN))
         result = await asyncio.shield(pending.result)
-        if not first and result.outcome is SubmitOutcome.CREATED:
-            return SubmitResult(SubmitOutcome.ALREADY_KNOWN)  # submitted twice at once: the other one created it
+        if not is_first and result.outcome is SubmitOutcome.CREATED:
+            return SubmitResult(SubmitOutcome.ALREADY_KNOWN)  # a concurrent submission created the job
         return result
 
     async def _commit_pending(self) -> None:
-        """Commit one batch after the other until none waits."""
+        """Commits one batch after another until no submission waits."""
         while self._pending:
             wait = self._limiter.wait_us(steady(), ACCEPT_KEYS)
             if wait:
@@ -137,7 +147,7 @@
                 pending.result.set_result(results.get(job_id, SubmitResult(SubmitOutcome.UNKNOWN)))
 
     def _take_batch(self) -> dict[str, PendingSubmission]:
-        """As many as a transaction and the limit allow, those of best effort last."""
+        """Removes and returns as many submissions as a transaction and the limit allow, best-effort ones last."""
         batch: dict[str, PendingSubmission] = {}
         size = 0
         max_batch = min(self._max_batch, max(1, self._limiter.available(steady()) // ACCEPT_KEYS))
@@ -150,14 +160,17 @@
         return batch
 
     async def _commit(self, records: dict[str, dict[str, Any]]) -> dict[str, SubmitResult]:
-        """Only a commit of unknown outcome is tried again: a conflict then shows that the job is there."""
+        """Commits a batch and returns the outcomes that are decided.
+
+        Only a commit of unknown outcome is repeated: a conflict then shows that the job has a record.
+        """
         results: dict[str, SubmitResult] = {}
-        left = dict(records)
+        remaining = dict(records)
         for timeout_us in COMMIT_TIMEOUTS:
-            while left:
-                conditions = {job_key(job_id): 0 for job_id in left}
+            while remaining:
+                conditions = {job_key(job_id): 0 for job_id in remaining}
                 try:
-                    result = await self._state.commit(conditions, _records_to_set(left), timeout_us=timeout_us)
+                    result = await self._state.commit(conditions, _records_to_set(remaining), timeout_us=timeout_us)
                 except NoResponseError:
                     break
                 except RequestRefusedError as error:
@@ -166,16 +179,19 @@
                     return results
                 if isinstance(result, Applied):
                     created = SubmitResult(SubmitOutcome.CREATED, result.revision)
-                    return results | dict.fromkeys(left, created)
-                known = [job_id for job_id in left if job_key(job_id) in result.failed_keys] or list(left)
-                for job_id in known:  # the others are none the worse for it
+                    return results | dict.fromkeys(remaining, created)
+                existing = [job_id for job_id in remaining if job_key(job_id) in result.failed_keys] or list(remaining)
+                for job_id in existing:  # the other jobs of the batch are committed without them
                     results[job_id] = SubmitResult(SubmitOutcome.ALREADY_KNOWN)
-                    del left[job_id]
+                    del remaining[job_id]
         return results
 
 
 def _records_to_set(records: dict[str, dict[str, Any]]) -> dict[str, Any]:
-    """Jobs are under jobs/ and live/; one that names others not there, where an earlier version would start it."""
+    """Returns the keys to write: a job is stored under jobs/ and live/, a blocked job under jobs/ and `blocked_key`.
+
+    A blocked job is not under live/ because an earlier version would start it there.
+    """
     sets: dict[str, Any] = {}
     for job_id, record in records.items():
         second_key = blocked_key(job_id) if is_accepted_as_blocked(record) else live_key(job_id)
@@ -185,16 +201,17 @@
 
 
 class BestEffortShare:
-    """What best-effort jobs may take of the limit for writes at each node, so that the rest always finds some.
+    """The part of the write limit that best-effort jobs may use at each node, so that other jobs always have capacity.
 
-    Not divided by the nodes: two may have to serve for three, and connections are not spread evenly.
+    The part is not divided by the number of nodes: two nodes may have to serve the load of three, and users'
+    connections are not spread evenly.
     """
 
     def __init__(self, write_rps: float) -> None:
         self._bucket = TokenBucket(BEST_EFFORT_SHARE * write_rps / ACCEPT_KEYS)
 
     def try_acquire(self) -> bool:
-        """Take one submission's worth, if there is one."""
+        """Takes the capacity for one submission and returns True, or returns False if there is none."""
         if self._bucket.available() < 1:
             return False
         self._bucket.reserve()
--- a/oatport/cli.py
+++ b/oatport/cli.py
@@ -22,11 +22,11 @@
     from oatport.control.placement.retry_policy import RetryPolicies
     from oatport.windows.settings import WindowSettings
 
-CONNECTIONS = 64  # of one command
-TIMEOUT = 5 * SECOND  # of a request to a node
+MAX_CONNECTIONS = 64  # of one command
+REQUEST_TIMEOUT = 5 * SECOND  # of a request to a node
 EXIT_REFUSED, EXIT_FAILED, EXIT_INTERRUPTED = 1, 2, 130
 
-LEVELS = {"error": logging.ERROR, "warning": logging.WARNING, "info": logging.INFO, "debug": logging.DEBUG}
+LOG_LEVELS = {"error": logging.ERROR, "warning": logging.WARNING, "info": logging.INFO, "debug": logging.DEBUG}
 
 
 def _parser() -> argparse.ArgumentParser:
@@ -64,9 +64,9 @@
 def set_up_logging() -> None:
     """Log to the standard error, at the level that $LOG_LEVEL names. Raises SettingsError."""
     name = os.environ.get("LOG_LEVEL", "info").lower()
-    level = LEVELS.get(name)
+    level = LOG_LEVELS.get(name)
     if level is None:
-        raise SettingsError(f"LOG_LEVEL: must be one of {', '.join(LEVELS)}, got {name!r}")
+        raise SettingsError(f"LOG_LEVEL: must be one of {', '.join(LOG_LEVELS)}, got {name!r}")
     logging.basicConfig(
         level=level, stream=sys.stderr, format="%(asctime)s %(levelname)s %(name)s: %(message)s", force=True
     )
@@ -131,9 +131,9 @@
     """Print a node's response as JSON."""
     from oatport.clients.http import HttpClient, NoResponseError, make_session
 
-    session = make_session(CONNECTIONS)
+    session = make_session(MAX_CONNECTIONS)
     try:
-        status, value = await HttpClient(session, node).request(method, path, body, timeout_us=TIMEOUT)
+        status, value = await HttpClient(session, node).request(method, path, body, timeout_us=REQUEST_TIMEOUT)
     except NoResponseError as error:
         return _fail(f"{node}: no answer: {error}")
     finally:
@@ -153,17 +153,17 @@
     from oatport.clients.peer import PeerClient
     from oatport.peer_messages import ExplainJob, No, decode_explanation
 
-    session = make_session(CONNECTIONS)
+    session = make_session(MAX_CONNECTIONS)
     try:
         client = PeerClient(HttpConnector(session), node, node)
-        answer = await client.ask(ExplainJob(job_id), decode_explanation, timeout_us=TIMEOUT)
+        reply = await client.ask(ExplainJob(job_id), decode_explanation, timeout_us=REQUEST_TIMEOUT)
     except (NoResponseError, ValueError) as error:
         return _fail(f"{node}: no answer: {error}")
     finally:
         await session.close()
-    if isinstance(answer, No):
-        return _fail(f"{node}: {answer.reason}", EXIT_REFUSED)
-    print(json.dumps(answer.explanation, indent=2))
+    if isinstance(reply, No):
+        return _fail(f"{node}: {reply.reason}", EXIT_REFUSED)
+    print(json.dumps(reply.explanation, indent=2))
     return 0
 
 
--- a/oatport/clients/http.py
+++ b/oatport/clients/http.py
@@ -1,4 +1,4 @@
-"""One HTTP client for all that oatport calls: CBOR bodies, a timeout on every request."""
+"""The HTTP client that all service clients share: CBOR bodies, a timeout on every request."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 from oatport.times import SECOND, seconds
 
 HEADERS = {"Content-Type": wire.CBOR_CONTENT_TYPE}
-MIN_CONNECTIONS = 16  # of a session, however few sockets there are
+MIN_CONNECTIONS = 16  # of a session, even if the socket limit is lower
 MAX_CONNECTIONS_PER_HOST = 12
-KEEP_IDLE = 30 * SECOND
+IDLE_TIMEOUT = 30 * SECOND
 
 
 class NoResponseError(OatportError):
-    """No response came: the request may have been executed, or may still be."""
+    """No response arrived: the request may have been executed, or may still be."""
 
 
 class RequestNotSentError(NoResponseError):
-    """No connection came about: the request can't be executed (PROTOCOL, "Delayed messages")."""
+    """No connection was established, so the request can't be executed (PROTOCOL, "Delayed messages")."""
 
 
 class RequestRefusedError(OatportError):
@@ -38,20 +38,23 @@
 
 
 def jitter(base_us: int) -> float:
-    """A pause in seconds of half to one and a half times `base_us`."""
+    """Returns a random pause in seconds, between 0.5 and 1.5 times `base_us`."""
     return seconds(base_us) * random.uniform(0.5, 1.5)
 
 
 class ConnectionReuse(StrEnum):
-    """What becomes of a connection after its response."""
+    """Whether a connection is kept open after a response."""
 
-    KEEP_ALIVE = "keep_alive"  # kept for KEEP_IDLE
-    WHILE_SPARE = "while_spare"  # kept for as long as there are sockets to spare
+    KEEP_ALIVE = "keep_alive"  # kept for IDLE_TIMEOUT
+    WHILE_SPARE = "while_spare"  # kept as long as enough sockets are free
     NEVER = "never"  # closed
 
 
-def make_session(sockets: int, *, idle_us: int = KEEP_IDLE) -> aiohttp.ClientSession:
-    """`sockets` // 4 connections in use at a time; `idle_us`: how long an idle one is kept, 0 for not at all."""
+def make_session(sockets: int, *, idle_us: int = IDLE_TIMEOUT) -> aiohttp.ClientSession:
+    """Returns a session with up to `sockets` // 4 concurrent connections (at least `MIN_CONNECTIONS`).
+
+    `idle_us`: how long an idle connection is kept; 0 closes it at once.
+    """
     connector = aiohttp.TCPConnector(
         limit=max(MIN_CONNECTIONS, sockets // 4),
         limit_per_host=MAX_CONNECTIONS_PER_HOST,
@@ -68,29 +71,32 @@
 
 
 class Requester(Protocol):
-    """Sends requests to one address: an HTTP client, or its like on the simulation's network."""
+    """Sends requests to one address: an HTTP client, or its counterpart on the simulated network."""
 
     async def request(
         self, method: str, path: str, body: Any = None, *, timeout_us: int, query: str = ""
     ) -> tuple[int, Any]:
-        """Status and decoded body. Raises NoResponseError, or RequestNotSentError if it surely never arrived."""
+        """Sends a request and returns the status and the decoded body.
+
+        Raises NoResponseError, or RequestNotSentError if the request certainly never arrived.
+        """
 
 
 class Connector(Protocol):
-    """Makes the clients of a node."""
+    """Creates a node's clients."""
 
     def client(self, address: str, reuse: ConnectionReuse = ConnectionReuse.KEEP_ALIVE) -> Requester:
-        """A client of the service at `address`."""
+        """Returns a client for the service at `address`."""
 
 
 class HttpConnector:
-    """Clients that share a session's connections, whatever reuse they ask for."""
+    """Creates clients that share the connections of one session; `reuse` is ignored."""
 
     def __init__(self, session: aiohttp.ClientSession) -> None:
         self._session = session
 
     def client(self, address: str, reuse: ConnectionReuse = ConnectionReuse.KEEP_ALIVE) -> Requester:
-        """A client of the service at `address`."""
+        """Returns a client for the service at `address`."""
         return HttpClient(self._session, address)
 
 
@@ -104,8 +110,11 @@
     async def request(
         self, method: str, path: str, body: Any = None, *, timeout_us: int, query: str = ""
     ) -> tuple[int, Any]:
-        """Status and decoded body. Raises NoResponseError, or RequestNotSentError if it surely never arrived."""
-        # Built encoded, since slashes in keys go over the wire as they are.
+        """Sends a request and returns the status and the decoded body.
+
+        Raises NoResponseError, or RequestNotSentError if the request certainly never arrived.
+        """
+        # The URL is passed as encoded, since the protocol sends slashes in keys unescaped.
         url = URL(f"{self._base_url}{path}{'?' + query if query else ''}", encoded=True)
         data = None if body is None else wire.encode(body)
         try:
--- a/oatport/clients/peer.py
+++ b/oatport/clients/peer.py
@@ -1,4 +1,4 @@
-"""Client for the other controller nodes; the messages are in `oatport.peer_messages`."""
+"""Client for the other controller nodes; `oatport.peer_messages` defines the messages."""
 
 from __future__ import annotations
 
@@ -10,29 +10,29 @@
 from oatport.peer_codec import PeerArray, PeerMessage, any_reply, decode_reply
 from oatport.times import MS
 
-TIMEOUT = 800 * MS
+REQUEST_TIMEOUT = 800 * MS
 
 ReplyT = TypeVar("ReplyT")
 
 
 class UnexpectedReplyError(NoResponseError):
-    """The peer answered with an error status or no message: one of an earlier version does, for a tag unknown to it."""
+    """The peer replied with an error status or without a message, as an earlier version does for an unknown tag."""
 
 
 class PeerClient:
     """Sends messages to one other node."""
 
-    def __init__(self, net: Connector, name: str, address: str) -> None:
+    def __init__(self, connector: Connector, name: str, address: str) -> None:
         self.name = name
-        self._http = net.client(address)
+        self._http = connector.client(address)
 
     async def ask(
-        self, request: PeerMessage, decode: Callable[[PeerArray], ReplyT], *, timeout_us: int = TIMEOUT
+        self, request: PeerMessage, decode: Callable[[PeerArray], ReplyT], *, timeout_us: int = REQUEST_TIMEOUT
     ) -> ReplyT:
-        """Send a request and decode its reply.
+        """Sends a request and returns the decoded reply.
 
-        Raises NoResponseError, its subclass UnexpectedReplyError for a reply that is no message, and
-        `oatport.peer_messages.MalformedReplyError` for a message that `decode` doesn't take.
+        Raises NoResponseError, its subclass UnexpectedReplyError for a reply that is not a message, and
+        `oatport.peer_messages.MalformedReplyError` for a message that `decode` rejects.
         """
         status, value = await self._http.request("POST", wire.PEER_PATH, request.encode(), timeout_us=timeout_us)
         if status != 200 or not isinstance(value, list) or not value:
@@ -40,5 +40,5 @@
         return decode_reply(value, decode)
 
     async def notify(self, request: PeerMessage) -> None:
-        """Send a message; any reply will do. Raises NoResponseError."""
+        """Sends a message and ignores the content of the reply. Raises NoResponseError."""
         await self.ask(request, any_reply)
--- a/oatport/clients/state.py
+++ b/oatport/clients/state.py
@@ -1,4 +1,4 @@
-"""The state service: a key-value store with revisions, conditional transactions, leases and watches."""
+"""Client for the state service, a key-value store with revisions, conditional transactions, leases and watches."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 
 log = logging.getLogger(__name__)
 
-TIMEOUT = 1_200 * MS
+REQUEST_TIMEOUT = 1_200 * MS
 PAGE_TIMEOUT = 3 * SECOND
-PAGE_ENTRIES = 1000  # entries in one response of `list_prefix`
-GET_MANY_ENTRIES = 100  # entries in one response of `get_many`
+ENTRIES_PER_PAGE = 1000  # entries in one response of `list_prefix`
+ENTRIES_PER_LOOKUP = 100  # entries in one response of `get_many`
 
 
 class Listing(NamedTuple):
-    """All entries under a prefix. `revision`: that of the store when the first page was read."""
+    """All entries under a prefix; `revision` is the store's revision when the first page was read."""
 
     entries: list[wire.StoredEntry]
     revision: int
 
 
 class PartialRead(NamedTuple):
-    """Some of the names that were asked for: the values of those that exist, and all that were looked up."""
+    """The result of looking up some of the requested names: the values of those that exist, and all names covered."""
 
     found: dict[str, wire.StoredValue]
     looked_up: list[str]
@@ -36,20 +36,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Applied:
-    """The transaction was executed; its keys have this revision now."""
+    """The transaction was executed; `revision` is the new revision of its keys."""
 
     revision: int
 
 
 @dataclass(frozen=True, slots=True)
 class Conflict:
-    """The transaction was not executed, since these keys have other revisions than its conditions say."""
+    """The transaction was not executed, since the revisions of `failed_keys` differ from its conditions."""
 
     failed_keys: tuple[str, ...]
 
 
 class LeaseExpiredError(OatportError):
-    """The lease has ended: the state service dropped it, and the keys written under it."""
+    """The lease has ended: the state service removed the lease and the keys attached to it."""
 
     def __init__(self, lease: int | None = None) -> None:
         super().__init__("the lease has ended" if lease is None else f"lease {lease} has ended")
@@ -62,19 +62,21 @@
 
 
 class StateClient:
-    """Every call raises NoResponseError (outcome unknown) or RequestRefusedError (surely not executed) if it fails.
+    """Calls the state service and tracks whether the service responds.
 
-    `last_served_at` and `last_failed_at` (steady): when the last request was sent that was answered, or failed.
+    Every call raises NoResponseError (outcome unknown) or RequestRefusedError (certainly not executed) if it fails.
+    `last_served_at` and `last_failed_at` (steady clock): when the last request that got a response, or that failed, was
+    sent.
     """
 
-    def __init__(self, net: Connector, address: str) -> None:
-        self._http = net.client(address)
+    def __init__(self, connector: Connector, address: str) -> None:
+        self._http = connector.client(address)
         self.last_served_at = 0
         self.last_failed_at = 0
         self.on_response: Callable[[bool], None] = lambda served: None
 
     async def _call(
-        self, method: str, path: str, body: Any = None, *, query: str = "", timeout_us: int = TIMEOUT
+        self, method: str, path: str, body: Any = None, *, query: str = "", timeout_us: int = REQUEST_TIMEOUT
     ) -> tuple[int, Any]:
         sent_at = steady()
         try:
@@ -95,8 +97,8 @@
         self.last_failed_at = sent_at
         self.on_response(False)
 
-    async def get(self, key: str, timeout_us: int = TIMEOUT) -> wire.StoredValue | None:
-        """The value of a key; None if there is none."""
+    async def get(self, key: str, timeout_us: int = REQUEST_TIMEOUT) -> wire.StoredValue | None:
+        """Returns the value of a key, or None if the key doesn't exist."""
         status, value = await self._call("GET", f"{wire.STORE_PATH}/{key}", timeout_us=timeout_us)
         if status == 404:
             return None
@@ -104,11 +106,11 @@
         return wire.decode_stored_value(value)
 
     async def list_prefix(self, prefix: str) -> Listing:
-        """All entries under a prefix, read page by page."""
+        """Returns all entries under a prefix, read page by page."""
         entries: list[wire.StoredEntry] = []
-        after, revision = "", 0
+        last_key, revision = "", 0
         while True:
-            query = f"under={prefix}&page={PAGE_ENTRIES}" + (f"&from={after}" if after else "")
+            query = f"under={prefix}&page={ENTRIES_PER_PAGE}" + (f"&from={last_key}" if last_key else "")
             status, value = await self._call("GET", wire.STORE_PATH, query=query, timeout_us=PAGE_TIMEOUT)
             _expect_ok(status, value)
             page = wire.decode_entry_page(value)
@@ -116,19 +118,19 @@
             revision = revision or page.revision
             if not page.has_next or not page.entries:
                 return Listing(entries, revision)
-            after = page.entries[-1].key
+            last_key = page.entries[-1].key
 
     async def get_many(self, prefix: str, names: list[str]) -> PartialRead:
-        """Of sorted names under a prefix, as many as one request can look up.
+        """Looks up as many of the sorted names under a prefix as one request can cover.
 
-        Names that lie close together share a request, and each request settles one at least.
+        Names that are close together share a request, and each request covers at least one name.
         """
         first = names[0]
         if len(names) == 1:
             stored = await self.get(prefix + first)
             return PartialRead({first: stored} if stored else {}, [first])
-        before = first[:-1] + chr(ord(first[-1]) - 1) + "~"  # comes before the first, and after what is before it
-        query = f"under={prefix}&from={prefix}{before}&page={GET_MANY_ENTRIES}"
+        start_after = first[:-1] + chr(ord(first[-1]) - 1) + "~"  # sorts before `first` and after the keys preceding it
+        query = f"under={prefix}&from={prefix}{start_after}&page={ENTRIES_PER_LOOKUP}"
         status, value = await self._call("GET", wire.STORE_PATH, query=query)
         _expect_ok(status, value)
         page = wire.decode_entry_page(value)
@@ -144,17 +146,17 @@
         self,
         conditions: dict[str, int],
         sets: dict[str, Any],
-        drops: list[str] | None = None,
+        deletes: list[str] | None = None,
         lease: int | None = None,
-        timeout_us: int = TIMEOUT,
+        timeout_us: int = REQUEST_TIMEOUT,
     ) -> Applied | Conflict:
-        """A transaction: `conditions` are the revisions that keys must have, 0 for those that must not exist.
+        """Executes a transaction if all keys in `conditions` have the given revisions; 0: the key must not exist.
 
-        Writes may arrive late, so none goes without a condition. The keys that are set end with the lease, if one is
-        given. Raises LeaseExpiredError if that has ended.
+        Writes may be delivered late, so every transaction needs a condition. If `lease` is given, the keys that are set
+        are removed when the lease ends. Raises LeaseExpiredError if the lease has ended.
         """
         assert conditions
-        body = wire.transaction_request(conditions, sets, drops or [], lease)
+        body = wire.transaction_request(conditions, sets, deletes or [], lease)
         status, value = await self._call("POST", wire.COMMIT_PATH, body, timeout_us=timeout_us)
         if status == 200:
             return Applied(wire.decode_revision(value))
@@ -166,29 +168,31 @@
         raise RequestRefusedError(status, value)
 
     async def grant_lease(self, ttl_us: int) -> int:
-        """A new lease, which ends unless it is renewed within `ttl_us`."""
+        """Creates a lease that ends unless it is renewed within `ttl_us`, and returns its id."""
         status, value = await self._call("POST", wire.LEASES_PATH, wire.lease_request(ttl_us))
         _expect_ok(status, value)
         return wire.decode_lease(value)
 
     async def renew_lease(self, lease: int, timeout_us: int) -> None:
-        """Let the lease last for its whole time from now on. Raises LeaseExpiredError if it has ended."""
+        """Restarts the lease's time to live. Raises LeaseExpiredError if the lease has ended."""
         status, value = await self._call("POST", f"{wire.LEASES_PATH}/{lease}/touch", {}, timeout_us=timeout_us)
         if status == 404:
             raise LeaseExpiredError(lease)
         _expect_ok(status, value)
 
-    async def current_revision(self, prefix: str, timeout_us: int = TIMEOUT) -> int:
-        """The revision of the whole store now."""
+    async def current_revision(self, prefix: str, timeout_us: int = REQUEST_TIMEOUT) -> int:
+        """Returns the current revision of the whole store."""
         query = f"under={prefix}&page=1"
         status, value = await self._call("GET", wire.STORE_PATH, query=query, timeout_us=timeout_us)
         _expect_ok(status, value)
         return wire.decode_revision(value)
 
-    async def watch(self, prefix: str, revision: int, wait_us: int, timeout_us: int = TIMEOUT) -> wire.ChangeSet | None:
-        """Changes under a prefix after a revision, waiting up to `wait_us` for the first.
+    async def watch(
+        self, prefix: str, revision: int, wait_us: int, timeout_us: int = REQUEST_TIMEOUT
+    ) -> wire.ChangeSet | None:
+        """Returns the changes under a prefix after a revision, waiting up to `wait_us` for the first change.
 
-        None if they go too far back: the keys have to be read again.
+        Returns None if the changes go too far back, so that the keys have to be read again.
         """
         query = f"under={prefix}&from={revision}&waitMs={wait_us // MS}"
         status, value = await self._call("GET", wire.WATCH_PATH, query=query, timeout_us=wait_us + timeout_us)
--- a/oatport/clients/token_bucket.py
+++ b/oatport/clients/token_bucket.py
@@ -1,4 +1,4 @@
-"""A token bucket: so many a second, with bursts of a second's worth."""
+"""A token bucket: a rate per second, with bursts of up to one second's tokens."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class TokenBucket:
-    """A rate limit whose tokens may be reserved ahead of time: `tokens` is below 0 while they are."""
+    """A rate limit whose tokens can be reserved in advance, which takes `tokens` below 0."""
 
     def __init__(self, rate_per_s: float) -> None:
         self.rate_per_s = max(rate_per_s, MIN_RATE_PER_S)
@@ -18,7 +18,7 @@
         self.refilled_at = steady()
 
     def available(self) -> float:
-        """What can be used without waiting; below 0 if more was reserved."""
+        """Returns the number of tokens that can be used without waiting; negative if more are reserved."""
         now = steady()
         refill = (now - self.refilled_at) * self.rate_per_s / SECOND
         self.tokens = min(self.rate_per_s, self.tokens + refill)
@@ -26,13 +26,13 @@
         return self.tokens
 
     def reserve(self, count: float = 1.0) -> int:
-        """Reserve `count` tokens; the time to wait before using them."""
+        """Reserves `count` tokens and returns the time to wait before using them."""
         self.available()
         self.tokens -= count
         return 0 if self.tokens >= 0 else round(-self.tokens / self.rate_per_s * SECOND)
 
     async def acquire(self, count: float = 1.0) -> None:
-        """Reserve `count` tokens and wait until they may be used."""
+        """Reserves `count` tokens and waits until they can be used."""
         wait = self.reserve(count)
         if wait:
             await asyncio.sleep(seconds(wait))
--- a/oatport/clients/worker.py
+++ b/oatport/clients/worker.py
@@ -1,4 +1,4 @@
-"""Workers, one on each machine."""
+"""Client for the workers; one worker runs on each machine."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 STATUS_TIMEOUT = 1_000 * MS
 
 
-async def count_reachable(net: Connector, addresses: list[str]) -> int:
-    """How many of these workers answer."""
+async def count_reachable(connector: Connector, addresses: list[str]) -> int:
+    """Returns how many of the workers at these addresses respond."""
 
     async def is_reachable(address: str) -> bool:
         try:
-            await WorkerClient(net, address, ConnectionReuse.NEVER).fetch_status()
+            await WorkerClient(connector, address, ConnectionReuse.NEVER).fetch_status()
         except NoResponseError:
             return False
         return True
@@ -26,24 +26,26 @@
 
 
 class WorkerClient:
-    """Calls of one worker. Each raises NoResponseError if it fails, or if the response is no heartbeat."""
+    """Calls one worker. Every call raises NoResponseError if it fails, or if the response is not a heartbeat."""
 
-    def __init__(self, net: Connector, address: str, reuse: ConnectionReuse = ConnectionReuse.WHILE_SPARE) -> None:
-        self._http = net.client(address, reuse)
+    def __init__(
+        self, connector: Connector, address: str, reuse: ConnectionReuse = ConnectionReuse.WHILE_SPARE
+    ) -> None:
+        self._http = connector.client(address, reuse)
 
     async def send_commands(self, fencing_token: int, agent_epoch: int, commands: list[wire.Command]) -> wire.Heartbeat:
-        """The worker's heartbeat after the commands, or after refusing them (409): either way it has answered."""
+        """Sends commands and returns the worker's heartbeat, also if the worker refused the commands (409)."""
         body = wire.command_request(fencing_token, agent_epoch, commands)
         status, value = await self._http.request("POST", wire.COMMANDS_PATH, body, timeout_us=COMMANDS_TIMEOUT)
-        return self._heartbeat(status, value)
+        return self._decode_response(status, value)
 
     async def fetch_status(self) -> wire.Heartbeat:
-        """The worker's heartbeat as of now."""
+        """Returns the worker's current heartbeat."""
         status, value = await self._http.request("GET", wire.WORKER_STATUS_PATH, timeout_us=STATUS_TIMEOUT)
-        return self._heartbeat(status, value)
+        return self._decode_response(status, value)
 
     @staticmethod
-    def _heartbeat(status: int, value: object) -> wire.Heartbeat:
+    def _decode_response(status: int, value: object) -> wire.Heartbeat:
         if status not in (200, 409):
             raise NoResponseError(f"status {status}")
         try:
--- a/oatport/peer_messages.py
+++ b/oatport/peer_messages.py
@@ -37,7 +37,7 @@
 from oatport.control.state.completions import Completion
 from oatport.peer_codec import PeerArray, PeerMessage
 
-PROBED_WORKERS_MOST = 50  # addresses of one probe that are looked at
+MAX_PROBED_WORKERS = 50  # addresses of one probe that are looked at
 
 
 # --- answers that several requests have in common ---------------------------------------------
@@ -124,7 +124,7 @@
     @classmethod
     def decode(cls, message: PeerArray) -> ProbeWorkers:
         """["probe", addresses]; further elements are ignored."""
-        return cls([str(address) for address in message[1][:PROBED_WORKERS_MOST]])
+        return cls([str(address) for address in message[1][:MAX_PROBED_WORKERS]])
 
 
 class ProbeResult(PeerMessage, frozen=True, tag="seen"):
--- a/oatport/times.py
+++ b/oatport/times.py
@@ -12,7 +12,7 @@
 
 # Steady clocks drift by up to 0.05 % against one another (PROTOCOL, first part); bounds that
 # must hold on two machines at once are widened by this much.
-DRIFT_PER_MILLION = 1_000
+DRIFT_MARGIN_PPM = 1_000
 
 
 def micros(seconds: float) -> int:
@@ -27,7 +27,7 @@
 
 def with_drift(us: int) -> int:
     """A bound shortened so that it holds by every machine's steady clock."""
-    return us - us * DRIFT_PER_MILLION // SECOND
+    return us - us * DRIFT_MARGIN_PPM // SECOND
 
 
 class Clock(Protocol):
--- a/tests/test_client_consistency.py
+++ b/tests/test_client_consistency.py
@@ -258,9 +258,9 @@
     users, _, _ = node(state)
     record = {"state": "queued", "job": {"legs": 1}}
     view = users._jobs
-    mark = view.mark()
+    eviction_count = view.eviction_count()
     await users.show("j-000002")  # the first refresh forgets all
-    view.learn("j-000001", record, 1, mark)
+    view.update_job("j-000001", record, 1, eviction_count)
     assert view.known("j-000001") is None
 
 
@@ -292,7 +292,7 @@
 
 async def test_bad_requests_are_told_so_under_full_load(state: KeyStore) -> None:
     users, _, _ = node(state)
-    users._requests = 10_000
+    users._active_requests = 10_000
 
     class Body:
         def __init__(self, value: Any) -> None:
