--- a/oatport/cli.py
+++ b/oatport/cli.py
@@ -1,4 +1,4 @@
-"""The command line: serve, check settings, and submit, show or cancel a job."""
+"""The command line: run a node or a gateway, check settings, manage jobs, and run the lab."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
     from oatport.control.placement.retry_policy import RetryPolicies
     from oatport.windows.settings import WindowSettings
 
-MAX_CONNECTIONS = 64  # of one command
-REQUEST_TIMEOUT = 5 * SECOND  # of a request to a node
+SOCKETS = 64  # socket limit of a command that calls a node
+REQUEST_TIMEOUT = 5 * SECOND
 EXIT_REFUSED, EXIT_FAILED, EXIT_INTERRUPTED = 1, 2, 130
 
 LOG_LEVELS = {"error": logging.ERROR, "warning": logging.WARNING, "info": logging.INFO, "debug": logging.DEBUG}
@@ -62,7 +62,7 @@
 
 
 def set_up_logging() -> None:
-    """Log to the standard error, at the level that $LOG_LEVEL names. Raises SettingsError."""
+    """Configures logging to the standard error at the level in $LOG_LEVEL. Raises SettingsError."""
     name = os.environ.get("LOG_LEVEL", "info").lower()
     level = LOG_LEVELS.get(name)
     if level is None:
@@ -97,7 +97,7 @@
 
     retry_policies = _load_retry_policies(arguments.tuning)
 
-    # What was imported lives as long as the process: keep the collector off it.
+    # Imported modules live as long as the process, so they are excluded from garbage collection.
     gc.collect()
     gc.freeze()
     asyncio.run(Node(settings, tuning, windows, retry_policies).run())
@@ -128,10 +128,10 @@
 
 
 async def _call(node: str, method: str, path: str, body: Any = None) -> int:
-    """Print a node's response as JSON."""
+    """Calls a node, prints its response as JSON and returns the exit status."""
     from oatport.clients.http import HttpClient, NoResponseError, make_session
 
-    session = make_session(MAX_CONNECTIONS)
+    session = make_session(SOCKETS)
     try:
         status, value = await HttpClient(session, node).request(method, path, body, timeout_us=REQUEST_TIMEOUT)
     except NoResponseError as error:
@@ -153,7 +153,7 @@
     from oatport.clients.peer import PeerClient
     from oatport.peer_messages import ExplainJob, No, decode_explanation
 
-    session = make_session(MAX_CONNECTIONS)
+    session = make_session(SOCKETS)
     try:
         client = PeerClient(HttpConnector(session), node, node)
         reply = await client.ask(ExplainJob(job_id), decode_explanation, timeout_us=REQUEST_TIMEOUT)
@@ -168,7 +168,7 @@
 
 
 def _queues(arguments: argparse.Namespace) -> int:
-    """Run a gateway; its libraries belong to an extra."""
+    """Runs a gateway, whose libraries are installed by the extra `queues`."""
     try:
         from oatport.queues.link import run_forever
         from oatport.queues.settings import load_gateway_settings
@@ -203,7 +203,7 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run a command; its exit status: 0 done, 1 refused by a node, 2 failed, 130 interrupted."""
+    """Runs a command and returns its exit status: 0 done, 1 refused by a node, 2 failed, 130 interrupted."""
     arguments = _parser().parse_args(argv)
     command = arguments.command or ("serve" if arguments.config else None)
     if command is None:
--- a/oatport/errors.py
+++ b/oatport/errors.py
@@ -1,11 +1,11 @@
-"""The base class of all errors that oatport raises on purpose.
+"""The base class of all errors that oatport raises deliberately.
 
-Each error is defined next to what raises it. One that callers used to catch as a built-in error is a kind of that, too:
-`class InvalidMessageError(OatportError, ValueError)`.
+Each error is defined in the module that raises it. An error that callers used to catch as a built-in exception also
+derives from that exception: `class InvalidMessageError(OatportError, ValueError)`.
 """
 
 from __future__ import annotations
 
 
 class OatportError(Exception):
-    """Something that oatport can't do, with a text of one line for people."""
+    """Base class of oatport's errors; the text is a single line for people to read."""
--- a/oatport/peer_codec.py
+++ b/oatport/peer_codec.py
@@ -1,6 +1,6 @@
-"""What all messages between controller nodes have in common: tagged arrays, encoded and taken apart.
+"""Encoding and decoding of the tagged arrays that controller nodes exchange.
 
-The messages themselves are in `oatport.peer_messages`.
+`oatport.peer_messages` defines the messages.
 """
 
 from __future__ import annotations
@@ -12,18 +12,15 @@
 
 from oatport.errors import OatportError
 
-PeerArray = list[Any]  # a message as it is on the wire: the tag, then the fields
+PeerArray = list[Any]  # a message in its wire form: the tag, then the fields
 ReplyT = TypeVar("ReplyT")
 
-# What a decoder may raise for an array of another form.
+# The exceptions that a decoder may raise for a malformed array.
 DECODE_ERRORS = (ValueError, TypeError, KeyError, IndexError, AttributeError)
 
 
 class MalformedReplyError(OatportError, ValueError):
-    """A peer answered, in a form that is none of those expected.
-
-    `tag` is the first element of its reply.
-    """
+    """A peer's reply has none of the expected forms; `tag` is the reply's first element."""
 
     def __init__(self, tag: Any, reason: str) -> None:
         super().__init__(f"reply {str(tag)[:40]!r}: {reason}")
@@ -34,35 +31,35 @@
     """A message to or from another node."""
 
     def encode(self) -> PeerArray:
-        """The array that goes over the wire."""
+        """Returns the array to send."""
         array: PeerArray = msgspec.to_builtins(self)
         return array
 
     @classmethod
     def tag(cls) -> str:
-        """The first element of the array."""
+        """Returns the message type's tag, the first element of the array."""
         return str(cls.__struct_config__.tag)
 
     @classmethod
     def decode(cls, message: PeerArray) -> Self:
-        """Take an array with this class's tag apart; the default is for messages without fields."""
+        """Parses an array with this class's tag; the default is for messages without fields."""
         return cls()
 
     @classmethod
     def decode_reply(cls, reply: PeerArray) -> Self:
-        """Take a reply apart that must have this class's tag."""
+        """Parses a reply. Raises ValueError if the reply doesn't have this class's tag."""
         if reply[0] != cls.tag():
             raise ValueError(f"not {cls.tag()!r}")
         return cls.decode(reply)
 
     @classmethod
     def decode_if_known(cls, reply: PeerArray) -> Self | None:
-        """Take a reply apart; None if it has another tag, as from a node that does not know."""
+        """Parses a reply; returns None if it has another tag, as from a node that doesn't have the information."""
         return cls.decode(reply) if reply[0] == cls.tag() else None
 
 
 def decode_reply(reply: PeerArray, decode: Callable[[PeerArray], ReplyT]) -> ReplyT:
-    """Decode a reply. Raises MalformedReplyError."""
+    """Returns a decoded reply. Raises MalformedReplyError if `decode` fails."""
     try:
         return decode(reply)
     except DECODE_ERRORS as error:
@@ -70,4 +67,4 @@
 
 
 def any_reply(reply: PeerArray) -> None:
-    """Decoder for requests whose reply says nothing beyond that they arrived."""
+    """Accepts any reply; the decoder for requests whose reply only confirms that they arrived."""
--- a/oatport/peer_messages.py
+++ b/oatport/peer_messages.py
@@ -1,10 +1,10 @@
-"""The messages between controller nodes: one struct each, a tagged CBOR array on the wire.
+"""The messages between controller nodes: one struct per message, a tagged CBOR array on the wire.
 
-`PeerMessage.encode` gives the array: the tag, then the fields in the order in which they are declared. `decode` takes
-such an array apart. It accepts exactly what released versions accepted, which differs from message to message (some
-ignore further elements, some refuse them), so that nodes of different versions go on understanding one another
-during an upgrade; for that reason it is written out instead of being left to `msgspec.convert`. For an array of
-another form it raises one of `oatport.peer_codec.DECODE_ERRORS`.
+`PeerMessage.encode` returns the array: the tag, then the fields in the order of their declaration. `decode` parses such
+an array. It accepts exactly what released versions accepted, so that nodes of different versions stay compatible during
+an upgrade. This differs from message to message (some ignore further elements, some refuse them), so each `decode` is
+written out instead of using `msgspec.convert`. For a malformed array it raises one of
+`oatport.peer_codec.DECODE_ERRORS`.
 
 Requests and their replies:
 
@@ -37,41 +37,41 @@
 from oatport.control.state.completions import Completion
 from oatport.peer_codec import PeerArray, PeerMessage
 
-MAX_PROBED_WORKERS = 50  # addresses of one probe that are looked at
+MAX_PROBED_WORKERS = 50  # further addresses of a probe are ignored
 
 
-# --- answers that several requests have in common ---------------------------------------------
+# --- replies shared by several requests -------------------------------------------------------
 
 
 class Ok(PeerMessage, frozen=True, tag="ok"):
-    """Received, or agreed to."""
+    """The reply to a request that was received, or agreed to."""
 
 
 class No(PeerMessage, frozen=True, tag="no"):
-    """Refused, or not known to this node."""
+    """The reply to a request that was refused, or whose answer the node doesn't have."""
 
     reason: str = ""
 
     def encode(self) -> PeerArray:
-        """The array; a reason that isn't given is left out."""
+        """Returns the array; an empty reason is left out."""
         return ["no", self.reason] if self.reason else ["no"]
 
     @classmethod
     def decode(cls, message: PeerArray) -> No:
-        """["no"] or ["no", reason]."""
+        """Parses ["no"] or ["no", reason]."""
         return cls(str(message[1])) if len(message) > 1 else cls()
 
 
 def is_ok(reply: PeerArray) -> bool:
-    """Decoder for requests that a peer agrees to or refuses."""
+    """Returns whether the reply is `Ok`; the decoder for requests that a peer agrees to or refuses."""
     return bool(reply[0] == Ok.tag())
 
 
-# --- who leads -----------------------------------------------------------------------------
+# --- leadership ----------------------------------------------------------------------------
 
 
 class Ping(PeerMessage, frozen=True, tag="ping"):
-    """Who the sender takes for the leader, and whether the state service answers the sender."""
+    """The leader as known to the sender, and whether the state service answers the sender."""
 
     node_name: str
     leader_name: str | None
@@ -80,15 +80,15 @@
 
     @classmethod
     def decode(cls, message: PeerArray) -> Ping:
-        """["ping", node, leader or None, token, state service answers]."""
+        """Parses ["ping", node, leader or None, token, state service answers]."""
         _, node_name, leader_name, leader_token, answers = message
         return cls(str(node_name), str(leader_name) if leader_name else None, int(leader_token), bool(answers))
 
 
 class Pong(PeerMessage, frozen=True, tag="pong"):
-    """The same about the node that was asked.
+    """The reply to `Ping`, with the same information about the replying node.
 
-    `quiet_us`: for how long it confirmed no cancellation; leaders of versions before 0.8 go by it.
+    `quiet_us`: the time since the node last confirmed a cancellation; leaders of versions before 0.8 rely on it.
     """
 
     node_name: str
@@ -99,43 +99,43 @@
 
     @classmethod
     def decode(cls, message: PeerArray) -> Pong:
-        """["pong", node, leader or None, token, state service answers, quiet for]."""
+        """Parses ["pong", node, leader or None, token, state service answers, quiet for]."""
         _, node_name, leader_name, leader_token, answers, quiet_us = message
         leader = str(leader_name) if leader_name else None
         return cls(str(node_name), leader, int(leader_token), bool(answers), quiet_us)
 
 
 class Handover(PeerMessage, frozen=True, tag="handover"):
-    """The leader with this fencing token asks a better placed node to replace it."""
+    """A request of the leader with this fencing token to a better placed node, to take over as the leader."""
 
     fencing_token: int
 
     @classmethod
     def decode(cls, message: PeerArray) -> Handover:
-        """["handover", token]; further elements are ignored."""
+        """Parses ["handover", token]; further elements are ignored."""
         return cls(int(message[1]))
 
 
 class ProbeWorkers(PeerMessage, frozen=True, tag="probe"):
-    """How many of the workers at these addresses can the receiver reach?"""
+    """A request for how many of the workers at these addresses the receiver can reach."""
 
     addresses: list[str]
 
     @classmethod
     def decode(cls, message: PeerArray) -> ProbeWorkers:
-        """["probe", addresses]; further elements are ignored."""
+        """Parses ["probe", addresses]; further elements are ignored."""
         return cls([str(address) for address in message[1][:MAX_PROBED_WORKERS]])
 
 
 class ProbeResult(PeerMessage, frozen=True, tag="seen"):
-    """How many workers were reached, and whether the state service answers that node."""
+    """The number of workers that were reached, and whether the state service answers the replying node."""
 
     reached: int
     state_service_answers: bool
 
     @classmethod
     def decode(cls, message: PeerArray) -> ProbeResult:
-        """["seen", reached, state service answers]."""
+        """Parses ["seen", reached, state service answers]."""
         _, reached, answers = message
         return cls(int(reached), bool(answers))
 
@@ -152,7 +152,7 @@
 
     @classmethod
     def decode(cls, message: PeerArray) -> JobAccepted:
-        """["accepted", job, record, revision]."""
+        """Parses ["accepted", job, record, revision]."""
         _, job_id, record, revision = message
         return cls(str(job_id), record, int(revision))
 
@@ -160,7 +160,7 @@
 class JobCancelled(PeerMessage, frozen=True, tag="cancelled"):
     """A hint for the leader: a cancellation was confirmed to a user.
 
-    `revision`: of the sender's own commit; 0 if it learnt of the cancellation in another way.
+    `revision`: that of the sender's own commit; 0 if the sender observed the cancellation in another way.
     """
 
     job_id: str
@@ -169,37 +169,40 @@
 
     @classmethod
     def decode(cls, message: PeerArray) -> JobCancelled:
-        """["cancelled", job, None, revision]."""
+        """Parses ["cancelled", job, None, revision]."""
         _, job_id, _, revision = message
         return cls(str(job_id), None, int(revision))
 
 
 class JobProgressUpdate(PeerMessage, frozen=True, tag="display"):
-    """From the leader: counts of completed and running tasks that changed, and jobs that reached a terminal state."""
+    """An update from the leader: changed counts of completed and running tasks, and jobs that became terminal."""
 
     changed: dict[str, tuple[int, int]]
     removed: list[str]
 
     @classmethod
     def decode(cls, message: PeerArray) -> JobProgressUpdate:
-        """["display", {job: [completed, running]}, [job, ...]]; further elements are ignored."""
+        """Parses ["display", {job: [completed, running]}, [job, ...]]; further elements are ignored."""
         changed = {str(job_id): (int(done), int(running)) for job_id, (done, running) in message[1].items()}
         return cls(changed, list(message[2]))
 
 
 class ExplainJob(PeerMessage, frozen=True, tag="explain"):
-    """Why does a job wait? `forwarded`: by a node that does not lead, which happens once."""
+    """A request to explain why a job waits.
+
+    `forwarded`: the request was forwarded by a node that is not the leader; requests are forwarded once only.
+    """
 
     job_id: str
     forwarded: bool = False
 
     def encode(self) -> PeerArray:
-        """The array; it has a third element only if the question is forwarded."""
+        """Returns the array; it has a third element only if the request is forwarded."""
         return ["explain", self.job_id, True] if self.forwarded else ["explain", self.job_id]
 
     @classmethod
     def decode(cls, message: PeerArray) -> ExplainJob:
-        """["explain", job], with any further element if it was forwarded."""
+        """Parses ["explain", job], with any further element if the request was forwarded."""
         return cls(str(message[1]), len(message) > 2)
 
 
@@ -210,13 +213,13 @@
 
     @classmethod
     def decode(cls, message: PeerArray) -> JobExplanation:
-        """["explained", map]."""
+        """Parses ["explained", map]."""
         _, explanation = message
         return cls(explanation)
 
 
 def decode_explanation(reply: PeerArray) -> JobExplanation | No:
-    """Decoder for the reply to `ExplainJob`."""
+    """Decodes the reply to `ExplainJob`."""
     return JobExplanation.decode(reply) if reply[0] == JobExplanation.tag() else No.decode(reply)
 
 
@@ -224,13 +227,13 @@
 
 
 class SchemaVersionRequest(PeerMessage, frozen=True, tag="formats"):
-    """Which schema version of the records does the receiver read? Versions before 0.7 don't know the question."""
+    """A request for the schema version of records that the receiver reads; versions before 0.7 don't support it."""
 
 
 class SchemaVersionReply(PeerMessage, frozen=True, tag="formats"):
-    """The schema version that a process reads; `boot_id` tells it from earlier processes of the same node.
+    """The schema version that a process reads.
 
-    Versions before 0.7 don't answer.
+    `boot_id` distinguishes the process from earlier processes of the same node. Versions before 0.7 don't send this.
     """
 
     node_name: str
@@ -239,7 +242,7 @@
 
     @classmethod
     def decode(cls, message: PeerArray) -> SchemaVersionReply:
-        """["formats", node, boot, version]; further elements are ignored."""
+        """Parses ["formats", node, boot, version]; further elements are ignored."""
         if len(message) < 4 or not isinstance(message[3], int):
             raise ValueError("not a schema version")
         return cls(str(message[1]), str(message[2]), message[3])
@@ -249,30 +252,33 @@
 
 
 class CancellationWatermarkRequest(PeerMessage, frozen=True, tag="carried out"):
-    """Up to when are confirmed cancellations carried out? Only the leader knows."""
+    """A request for the cancellation watermark, the time up to which confirmed cancellations are carried out.
+
+    Only the leader has a watermark.
+    """
 
 
 class CancellationWatermark(PeerMessage, frozen=True, tag="carried out"):
-    """The leader's token, and how long ago the cancellation watermark was; -1: there is none."""
+    """The leader's fencing token and the age of the cancellation watermark; -1: there is no watermark."""
 
     fencing_token: int
     age_us: int
 
     @classmethod
     def decode(cls, message: PeerArray) -> CancellationWatermark:
-        """["carried out", token, age]; further elements are ignored."""
+        """Parses ["carried out", token, age]; further elements are ignored."""
         return cls(int(message[1]), int(message[2]))
 
 
 class LeaseProxyStateRequest(PeerMessage, frozen=True, tag="kept"):
-    """What does the receiver go by as a lease proxy? Versions before 0.8 don't know the question."""
+    """A request for the receiver's state as a lease proxy; versions before 0.8 don't support it."""
 
 
 class LeaseProxyState(PeerMessage, frozen=True, tag="kept"):
-    """What a lease proxy goes by.
+    """The state on which a lease proxy bases its decisions.
 
-    `watermark_age_us`: how long ago the cancellation watermark was; `contact_age_us`: how long ago the leader was asked
-    for it; `answering`: the node answers workers in the leader's name.
+    `watermark_age_us`: the age of the cancellation watermark; `contact_age_us`: the time since the leader was asked for
+    the watermark; `answering`: whether the node answers workers on behalf of the leader.
     """
 
     fencing_token: int
@@ -282,19 +288,19 @@
 
     @classmethod
     def decode(cls, message: PeerArray) -> LeaseProxyState:
-        """["kept", token, watermark's age, contact's age, answering]; further elements are ignored."""
+        """Parses ["kept", token, watermark age, contact age, answering]; further elements are ignored."""
         _, token, watermark_age_us, contact_age_us, answering = message[:5]
         return cls(int(token), int(watermark_age_us), int(contact_age_us), answering is True)
 
 
 class ConfirmedCancellationsRequest(PeerMessage, frozen=True, tag="told"):
-    """Which cancellations did the receiver confirm to users, within so long before the question was sent?"""
+    """A request for the cancellations that the receiver confirmed to users within `age_us` before it was sent."""
 
     age_us: int
 
     @classmethod
     def decode(cls, message: PeerArray) -> ConfirmedCancellationsRequest:
-        """["told", age]; further elements are ignored."""
+        """Parses ["told", age]; further elements are ignored."""
         age_us = message[1]
         if not isinstance(age_us, int) or isinstance(age_us, bool) or age_us < 0:
             raise ValueError("not a time")
@@ -302,9 +308,9 @@
 
 
 class ConfirmedCancellationsReply(PeerMessage, frozen=True, tag="told"):
-    """Those jobs, and for how long back that is all.
+    """The jobs whose cancellation the node confirmed; the list is complete for the last `complete_us`.
 
-    A strange reply must not pass for one that lists no cancellation, so every element is checked.
+    A malformed reply must not be mistaken for one that lists no cancellations, so every element is validated.
     """
 
     complete_us: int
@@ -312,7 +318,7 @@
 
     @classmethod
     def decode(cls, message: PeerArray) -> ConfirmedCancellationsReply:
-        """["told", complete for, [job, ...]]; further elements are ignored."""
+        """Parses ["told", complete for, [job, ...]]; further elements are ignored."""
         match message:
             case ["told", int() as complete_us, list() as job_ids, *_] if not isinstance(complete_us, bool) and all(
                 isinstance(job_id, str) for job_id in job_ids
@@ -321,18 +327,18 @@
         raise ValueError("not what was told")
 
 
-# --- completions that no record has yet --------------------------------------------------------
+# --- completions that are not in a record yet --------------------------------------------------
 
 
 class ReplicateCompletions(PeerMessage, frozen=True, tag="ends"):
-    """Completions that the leader with this token received and has not recorded yet."""
+    """Completions that the leader with this fencing token has received but not recorded yet."""
 
     fencing_token: int
     completions: list[Completion]
 
     @classmethod
     def decode(cls, message: PeerArray) -> ReplicateCompletions:
-        """["ends", token, [[job, task, attempt], ...]]."""
+        """Parses ["ends", token, [[job, task, attempt], ...]]."""
         _, token, rows = message
         if type(token) is not int:
             raise ValueError("not a token")
@@ -340,24 +346,24 @@
 
 
 class CompletionsRequest(PeerMessage, frozen=True, tag="ended"):
-    """What did leaders before this token receive and maybe not record?"""
+    """A request for completions that leaders with lower tokens received and may not have recorded."""
 
     before_token: int
 
     @classmethod
     def decode(cls, message: PeerArray) -> CompletionsRequest:
-        """["ended", token]; further elements are ignored."""
+        """Parses ["ended", token]; further elements are ignored."""
         if type(message[1]) is not int:
             raise ValueError("not a token")
         return cls(message[1])
 
 
 class CompletionsReply(PeerMessage, frozen=True, tag="ended"):
-    """Those completions, of the newest leader first; None: nothing is known of any earlier leader."""
+    """The requested completions, those of the newest leader first; None: the node has none of any earlier leader."""
 
     completions: list[Completion] | None
 
     @classmethod
     def decode(cls, message: PeerArray) -> CompletionsReply:
-        """["ended", [[job, task, attempt], ...] or None]; further elements are ignored."""
+        """Parses ["ended", [[job, task, attempt], ...] or None]; further elements are ignored."""
         return cls(None if message[1] is None else completions.decode_completions(message[1]))
--- a/oatport/settings.py
+++ b/oatport/settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file (TOML) and the operators' own (INI), validated in one place."""
+"""Reads and validates the platform's settings file (TOML) and the operators' tuning file (INI)."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 
 
 class SettingsError(OatportError):
-    """A settings file can't be used; the text is one line that names the field."""
+    """A settings file is invalid; the text is one line that names the field."""
 
 
 class Peer(msgspec.Struct, frozen=True):
-    """Another controller node; `endpoint` is its internal address, host:port."""
+    """Another controller node; `endpoint` is its internal address as host:port."""
 
     node_name: str
     endpoint: str
@@ -30,14 +30,14 @@
 
 
 class Services(msgspec.Struct, frozen=True):
-    """The addresses of the services that a node calls, host:port."""
+    """The addresses of the services that a node calls, as host:port."""
 
     cloud: str
     state: str
 
 
 class Team(msgspec.Struct, frozen=True):
-    """A team's guaranteed cpus and gpus, and the most that it may use at a time; 0: no limit."""
+    """A team's guaranteed cpus and gpus, and the maximum that it may use at a time; 0: no maximum."""
 
     name: str
     cpus: float = 0.0
@@ -47,7 +47,7 @@
 
 
 class Objective(msgspec.Struct, frozen=True):
-    """What is expected of a class of jobs; repeats the users' aims at start and finish."""
+    """A service objective for the start or the finish of a class of jobs; repeats the users' objectives."""
 
     kind: str
     job_class: str = msgspec.field(name="class", default="")
@@ -57,9 +57,9 @@
 
 
 class Workers(msgspec.Struct, frozen=True):
-    """What the workers go by: the interval of their heartbeats, the lease of their tasks, and waits of gangs.
+    """Timing of the workers: the heartbeat interval, the lease of their tasks, and the wait times of gangs.
 
-    `cancel_s`: by when a cancelled job's tasks have to be gone.
+    `cancel_s`: the time within which a cancelled job's tasks have to be stopped.
     """
 
     report_s: float
@@ -70,7 +70,7 @@
 
 
 class NextLimits(msgspec.Struct, frozen=True):
-    """What the state service will allow from an unknown moment on; a field that is missing stays as it is."""
+    """Limits of the state service from an unknown time in the future on; a missing field keeps its present limit."""
 
     rps: float | None = None
     write_rps: float | None = None
@@ -79,7 +79,10 @@
 
 
 class StateLimits(msgspec.Struct, frozen=True):
-    """Limits of the state service; sizes are those of values as JSON."""
+    """Limits of the state service. Sizes are those of values encoded as JSON.
+
+    The `least_` properties are the lower of the present and the next limit, so they hold now and later.
+    """
 
     rps: float
     write_rps: float
@@ -89,34 +92,34 @@
 
     @property
     def least_rps(self) -> float:
-        """Requests a second that hold now and later."""
+        """Allowed requests per second."""
         return min(self.rps, self.next.rps or self.rps)
 
     @property
     def least_write_rps(self) -> float:
-        """Operations that write a second, now and later."""
+        """Allowed write operations per second."""
         return min(self.write_rps, self.next.write_rps or self.write_rps)
 
     @property
     def least_value_bytes(self) -> int:
-        """What a value may take as JSON, now and later."""
+        """Allowed size of a value as JSON."""
         return int(min(self.value_kb, self.next.value_kb or self.value_kb) * 1024)
 
     @property
     def least_txn_ops(self) -> int:
-        """Operations in one transaction, now and later."""
+        """Allowed operations in one transaction."""
         return min(self.txn_ops, self.next.txn_ops or self.txn_ops)
 
 
 class CloudLimits(msgspec.Struct, frozen=True):
-    """Limits of the cloud; `list_lag_s`: how old its list of machines may be."""
+    """Limits of the cloud; `list_lag_s` is the maximum age of the machine list that it returns."""
 
     rps: float
     list_lag_s: float
 
 
 class Resources(msgspec.Struct, frozen=True):
-    """What one node may use."""
+    """Resources that one node may use."""
 
     cpu_share: float = 1.0
     mem_mb: float = 512.0
@@ -124,7 +127,7 @@
 
 
 class ClusterSettings(msgspec.Struct, frozen=True):
-    """What holds for all nodes."""
+    """Settings that are the same for all nodes."""
 
     workers: Workers
     state: StateLimits
@@ -150,12 +153,12 @@
 
 
 MAX_PORT = 65535
-SECTIONS_CHECKED_ELSEWHERE = ("windows", "repeat")  # of the same file, by the packages that they are for
+SECTIONS_VALIDATED_ELSEWHERE = ("windows", "repeat")  # of the tuning file, by the packages that use them
 
 
 @dataclass(frozen=True, slots=True)
 class Tuning:
-    """Operators' own settings (INI), all optional. Times in seconds; docs/operations.md explains them."""
+    """Operators' settings (INI), all optional. Times are in seconds; docs/operations.md documents each setting."""
 
     # [leadership]
     leader_lease_s: float = field(default=3.0, metadata={"section": "leadership", "min": 0.5, "max": 60.0})
@@ -176,7 +179,7 @@
     silent_s: float = field(default=5.0, metadata={"section": "fleet", "min": 1.0, "max": 3600.0})
 
     def us(self, name: str) -> int:
-        """A setting in seconds as microseconds."""
+        """Returns a setting that is in seconds as microseconds."""
         return micros(getattr(self, name))
 
 
@@ -197,7 +200,7 @@
 
 
 def validate(settings: Settings) -> Settings:
-    """Refuse values that would make the service misbehave later. Raises SettingsError that names the field."""
+    """Returns the settings if all values are valid, otherwise raises a SettingsError that names the field."""
     if not settings.node_name:
         raise SettingsError("node_name: must not be empty")
     _check_address(settings.bind, "bind")
@@ -250,7 +253,7 @@
 
 
 def load_settings(path: str | Path) -> Settings:
-    """Read the platform's file. Raises SettingsError."""
+    """Reads and validates the platform's settings file. Raises SettingsError."""
     try:
         raw: Any = tomllib.loads(Path(path).read_text(encoding="utf-8"))
     except OSError as error:
@@ -266,7 +269,7 @@
 
 
 def read_ini(path: str | Path, *, keep_case: bool = False) -> configparser.ConfigParser:
-    """An INI file of the operators' own. Raises SettingsError."""
+    """Reads an operators' INI file; `keep_case` keeps upper case in the names of settings. Raises SettingsError."""
     parser = configparser.ConfigParser(interpolation=None)
     if keep_case:
         parser.optionxform = str  # type: ignore[assignment,method-assign]
@@ -280,31 +283,31 @@
 
 
 def parse_ini_number(text: str, where: str, low: float, high: float) -> float:
-    """The number in a setting. Raises SettingsError; `where` names the file, section and setting."""
+    """Returns the number in a setting's text. Raises SettingsError; `where` names the file, section and setting."""
     try:
         value = float(text)
     except ValueError as error:
         raise SettingsError(f"{where}: not a number: {text!r}") from error
-    if not low <= value <= high:  # NaN neither
+    if not low <= value <= high:  # also true for NaN
         raise SettingsError(f"{where}: must be {low:g} to {high:g}, got {text}")
     return value
 
 
 def unknown_setting_error(name: str, known: Iterable[str], where: str) -> SettingsError:
-    """The error for a setting that doesn't exist, with the one that was probably meant."""
+    """Returns the error for a setting that doesn't exist, with the most similar existing setting as a suggestion."""
     near = difflib.get_close_matches(name, list(known), 1)
     return SettingsError(f"{where} {name}: no such setting" + (f", did you mean {near[0]}?" if near else ""))
 
 
 def load_tuning(path: str | Path | None) -> Tuning:
-    """Read the operators' INI file; without one the documented defaults hold. Raises SettingsError."""
+    """Reads the operators' tuning file; without a file the documented defaults apply. Raises SettingsError."""
     if path is None:
         return Tuning()
     parser = read_ini(path)
     known = {(setting.metadata["section"], setting.name): setting for setting in fields(Tuning)}
     values: dict[str, float] = {}
     for section in parser.sections():
-        if section.split(" ")[0] in SECTIONS_CHECKED_ELSEWHERE:
+        if section.split(" ")[0] in SECTIONS_VALIDATED_ELSEWHERE:
             continue
         for name, text in parser.items(section):
             setting = known.get((section, name))
--- a/oatport/sizes.py
+++ b/oatport/sizes.py
@@ -1,4 +1,4 @@
-"""How the state service counts the size of a value."""
+"""Measures the size of values as the state service counts it."""
 
 from __future__ import annotations
 
@@ -7,5 +7,5 @@
 
 
 def json_size(value: Any) -> int:
-    """Bytes of a value in the form that limits are counted in (PROTOCOL: bodies are CBOR, sizes those of JSON)."""
+    """Returns the size of a value in bytes, encoded as JSON (PROTOCOL: bodies are CBOR, limits apply to JSON sizes)."""
     return len(json.dumps(value, separators=(",", ":"), ensure_ascii=False).encode())
--- a/oatport/times.py
+++ b/oatport/times.py
@@ -1,6 +1,6 @@
-"""Times are whole microseconds of the steady clock everywhere in the code, unless a name says otherwise.
+"""Clocks and time units. Times are whole microseconds of the steady clock unless a name says otherwise.
 
-Names that end in `_s` are seconds, as the wire, settings and libraries have them; `_wall` is the time of day.
+Names that end in `_s` are in seconds, as on the wire, in settings and in libraries; `_wall` is the time of day.
 """
 
 import time
@@ -10,23 +10,23 @@
 MS = 1_000
 SECOND = 1_000_000
 
-# Steady clocks drift by up to 0.05 % against one another (PROTOCOL, first part); bounds that
-# must hold on two machines at once are widened by this much.
+# Steady clocks drift by up to 0.05 % relative to one another (PROTOCOL, first part). Bounds that must hold on two
+# machines at once are shortened by this margin.
 DRIFT_MARGIN_PPM = 1_000
 
 
 def micros(seconds: float) -> int:
-    """Seconds from the wire or a settings file, as microseconds."""
+    """Converts seconds, as on the wire and in settings files, to microseconds."""
     return round(seconds * SECOND)
 
 
 def seconds(us: int) -> float:
-    """Microseconds as seconds, for the wire, libraries and logs."""
+    """Converts microseconds to seconds, for the wire, libraries and logs."""
     return us / SECOND
 
 
 def with_drift(us: int) -> int:
-    """A bound shortened so that it holds by every machine's steady clock."""
+    """Returns a time bound shortened by the drift margin, so that it holds on every machine's steady clock."""
     return us - us * DRIFT_MARGIN_PPM // SECOND
 
 
@@ -34,23 +34,23 @@
     """The two clocks of one machine."""
 
     def steady(self) -> int:
-        """Microseconds from an arbitrary start; never set back."""
+        """Returns microseconds from an arbitrary start; never goes backwards."""
 
     def time_of_day(self) -> int:
-        """Microseconds since 1970, by the machine's clock."""
+        """Returns microseconds since 1970 by the machine's clock."""
 
 
-# The machine's own clocks, unless whoever started the node set others: in the simulation each node has its own.
+# Replaces the machine's clocks if set: in the simulation each node has its own clocks.
 CLOCK: ContextVar[Clock | None] = ContextVar("clock", default=None)
 
 
 def steady() -> int:
-    """The steady clock."""
+    """Returns the time of the steady clock in microseconds."""
     clock = CLOCK.get()
     return time.monotonic_ns() // 1_000 if clock is None else clock.steady()
 
 
 def time_of_day() -> int:
-    """The time of day; only for what has to mean the same on another node."""
+    """Returns the time of day in microseconds since 1970; only for values that other nodes have to interpret."""
     clock = CLOCK.get()
     return time.time_ns() // 1_000 if clock is None else clock.time_of_day()
--- a/oatport/wire/__init__.py
+++ b/oatport/wire/__init__.py
@@ -1,7 +1,7 @@
-"""Messages of all interfaces: CBOR bodies, typed, one module an interface.
+"""Typed messages of all interfaces, encoded as CBOR; one module per interface.
 
-The protocol's names of fields are mapped to the terms of the field here and nowhere else. The records of the state
-service hold submissions in the form that they have on the wire.
+Only this package maps the protocol's field names to the names used in the code. Records in the state service store
+submissions in their wire form.
 """
 
 from oatport.wire.cloud import (
--- a/oatport/wire/cloud.py
+++ b/oatport/wire/cloud.py
@@ -26,7 +26,7 @@
 
 
 def decode_catalog(value: Any) -> dict[str, MachineType]:
-    """The machine types by name, from a decoded GET /catalog. Raises InvalidMessageError."""
+    """Returns the machine types by name from a decoded response of GET /catalog. Raises InvalidMessageError."""
     try:
         types = msgspec.convert(value["berthKinds"], list[MachineType], strict=False)
     except (msgspec.ValidationError, KeyError, TypeError) as error:
@@ -35,14 +35,14 @@
 
 
 class MachineStatus(StrEnum):
-    """What the cloud says of a machine, as far as oatport looks at it."""
+    """The machine states of the cloud that oatport evaluates; the cloud may report others."""
 
     BOOTING = "booting"
     FAILED = "failed"
 
 
 class ListedMachine(msgspec.Struct, frozen=True):
-    """One machine of GET /hosts."""
+    """One machine in a response of GET /hosts."""
 
     machine_name: str = msgspec.field(name="ref")
     address: str
@@ -54,14 +54,14 @@
 
 
 class MachinePage(msgspec.Struct, frozen=True):
-    """One answer of GET /hosts."""
+    """One page of GET /hosts."""
 
     machines: list[ListedMachine]
     has_next: bool
 
 
 def decode_machine_page(value: Any) -> MachinePage:
-    """A page of the machine list, from a decoded GET /hosts. Raises InvalidMessageError."""
+    """Returns a page of the machine list from a decoded response of GET /hosts. Raises InvalidMessageError."""
     try:
         machines = msgspec.convert(value["berths"], list[ListedMachine], strict=False)
         return MachinePage(machines, bool(value.get("hasNext")))
@@ -70,15 +70,15 @@
 
 
 def rental_request(request_id: str, machine_type: str, zone: str, spot: bool, count: int) -> dict[str, Any]:
-    """The body of POST /hosts; `request_id` is never reused."""
+    """Returns the body of POST /hosts; `request_id` is never reused."""
     return {"charter": request_id, "berthKind": machine_type, "harbor": zone, "driftwood": spot, "howMany": count}
 
 
 def rented_machines(value: Any) -> list[str]:
-    """The names of the machines that a rental got, from a decoded answer of POST /hosts."""
+    """Returns the names of the rented machines from a decoded response of POST /hosts."""
     return [str(name) for name in value["berths"]]
 
 
 def release_request(machine_names: list[str]) -> dict[str, Any]:
-    """The body of POST /hosts/release."""
+    """Returns the body of POST /hosts/release."""
     return {"berths": machine_names}
--- a/oatport/wire/codec.py
+++ b/oatport/wire/codec.py
@@ -1,4 +1,4 @@
-"""CBOR bodies: one value each, encoded and decoded in one place for all interfaces."""
+"""Encodes and decodes the CBOR bodies of all interfaces; a body holds one value."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 
 
 class InvalidMessageError(OatportError, ValueError):
-    """A message that can't be read; the sender gets 400 with this text."""
+    """A message is malformed; the sender gets 400 with the error's text."""
 
 
 def encode(value: Any) -> bytes:
-    """The value as CBOR."""
+    """Returns the value encoded as CBOR."""
     return cbor2.dumps(value)
 
 
 def decode(body: bytes) -> Any:
-    """The one CBOR value of a body, of the kinds that the protocol allows. Raises InvalidMessageError."""
+    """Returns the single CBOR value of a body. Raises InvalidMessageError."""
     try:
         stream = io.BytesIO(body)
         value = cbor2.CBORDecoder(stream).decode()
@@ -33,5 +33,5 @@
         return value
     except InvalidMessageError:
         raise
-    except Exception as error:  # whatever a decoder throws at strange bytes is the sender's doing
+    except Exception as error:  # any exception of the decoder means that the sender's bytes are invalid
         raise InvalidMessageError(f"not CBOR: {type(error).__name__}") from error
--- a/oatport/wire/paths.py
+++ b/oatport/wire/paths.py
@@ -1,4 +1,4 @@
-"""The paths of all interfaces."""
+"""The URL paths of all interfaces."""
 
 from __future__ import annotations
 
--- a/oatport/wire/state_service.py
+++ b/oatport/wire/state_service.py
@@ -8,14 +8,14 @@
 
 
 class StoredValue(NamedTuple):
-    """The value of a key, and the revision of its last change."""
+    """The value of a key and the revision of its last change."""
 
     value: Any
     revision: int
 
 
 class StoredEntry(NamedTuple):
-    """A key with its value, and the revision of its last change."""
+    """A key, its value and the revision of its last change."""
 
     key: str
     value: Any
@@ -23,7 +23,7 @@
 
 
 class EntryPage(NamedTuple):
-    """One answer of GET /store. `revision`: that of the whole store."""
+    """One page of GET /store; `revision` is that of the whole store."""
 
     entries: list[StoredEntry]
     revision: int
@@ -40,30 +40,30 @@
 
 
 class ChangeSet(NamedTuple):
-    """Changes in their order, complete up to `revision` of the store."""
+    """Changes in revision order, complete up to the store's `revision`."""
 
     revision: int
     changes: list[Change]
 
 
 def decode_stored_value(value: Any) -> StoredValue:
-    """From a decoded GET /store/KEY."""
+    """Returns the value from a decoded response of GET /store/KEY."""
     return StoredValue(value["value"], int(value["entryRev"]))
 
 
 def decode_entry_page(value: Any) -> EntryPage:
-    """From a decoded GET /store."""
+    """Returns the page from a decoded response of GET /store."""
     entries = [StoredEntry(row["path"], row["value"], int(row["entryRev"])) for row in value["rows"]]
     return EntryPage(entries, decode_revision(value), bool(value.get("hasNext")))
 
 
 def decode_revision(value: Any) -> int:
-    """The revision of the whole store, which most answers tell."""
+    """Returns the revision of the whole store, which most responses contain."""
     return int(value["ledgerRev"])
 
 
 def decode_changes(value: Any) -> ChangeSet:
-    """From a decoded GET /changes."""
+    """Returns the changes from a decoded response of GET /changes."""
     return ChangeSet(decode_revision(value), [_decode_change(item) for item in value.get("news") or []])
 
 
@@ -77,7 +77,7 @@
 def transaction_request(
     conditions: dict[str, int], sets: dict[str, Any], deletes: list[str], lease: int | None
 ) -> dict[str, Any]:
-    """The body of POST /commit; keys that are set end with the lease, if one is given."""
+    """Returns the body of POST /commit; if a lease is given, the keys that are set are removed when the lease ends."""
     operations: list[dict[str, Any]] = []
     for key, value in sets.items():
         operation = {"set": key, "value": value}
@@ -92,20 +92,20 @@
 
 
 def decode_failed_keys(value: Any) -> tuple[str, ...]:
-    """The keys whose conditions didn't hold, from the answer 409 of POST /commit."""
+    """Returns the keys whose conditions failed, from a decoded 409 response of POST /commit."""
     return tuple(value.get("failed") or ())
 
 
 def is_lease_missing(value: Any) -> bool:
-    """Whether the answer 400 of POST /commit says that its lease has ended."""
+    """Returns whether a decoded 400 response of POST /commit says that the lease has ended."""
     return isinstance(value, dict) and value.get("error") == "no such lease"
 
 
 def lease_request(ttl_us: int) -> dict[str, Any]:
-    """The body of POST /holds."""
+    """Returns the body of POST /holds."""
     return {"lifeMs": ttl_us // MS}
 
 
 def decode_lease(value: Any) -> int:
-    """The number of a lease, from a decoded answer of POST /holds."""
+    """Returns the lease id from a decoded response of POST /holds."""
     return int(value["permit"])
--- a/oatport/wire/submission.py
+++ b/oatport/wire/submission.py
@@ -1,4 +1,4 @@
-"""The users' interface: the description of a job, and its status."""
+"""The users' interface: job submissions and job status values."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from oatport.wire.codec import InvalidMessageError
 
-# Names of fields on the wire, which the records of the state service have too.
+# Field names on the wire, also used in the records of the state service.
 DEPENDENCIES_FIELD = "waitsOn"
 MACHINE_TYPES_FIELD = "berthKinds"
 KIND_FIELD = "rig"
@@ -19,30 +19,30 @@
 
 MAX_JOB_ID_LENGTH = 64
 MAX_TASKS = 100_000
-MAX_NUMBER = 1e9  # of any field that is a quantity
+MAX_QUANTITY = 1e9
 MAX_TEXT_LENGTH = 200
 MAX_MACHINE_TYPES = 64
 MAX_MACHINE_TYPE_LENGTH = 64
 
 
 class JobStatus(StrEnum):
-    """The state of a job, as users see it and as its record has it."""
+    """The state of a job, as shown to users and as stored in the job's record."""
 
     QUEUED = "queued"
     RUNNING = "running"
     COMPLETED = "done"
     CANCELLED = "aborted"
-    # In records only: the job terminated, since a task of it may not run again. PROTOCOL has no word for that, so users
-    # who poll get `queued`, which is true: none of its tasks runs, and it is neither done nor cancelled.
+    # In records only: the job terminated because one of its tasks may not run again. PROTOCOL has no status for this,
+    # so users who poll get `queued`, which is true: no task runs, and the job is neither done nor cancelled.
     FAILED = "lost"
 
 
-PUBLIC_TERMINAL_STATUSES = frozenset((JobStatus.COMPLETED, JobStatus.CANCELLED))  # those that users see
+PUBLIC_TERMINAL_STATUSES = frozenset((JobStatus.COMPLETED, JobStatus.CANCELLED))  # as shown to users
 TERMINAL_STATUSES = PUBLIC_TERMINAL_STATUSES | {JobStatus.FAILED}
 
 
 class Submission(msgspec.Struct, frozen=True, kw_only=True):
-    """POST /submissions: a job as its user describes it. Quantities are those of one task."""
+    """The body of POST /submissions: a user's description of a job. Quantities are per task."""
 
     job_id: str = msgspec.field(name="ref")
     job_class: str = msgspec.field(name="cargo")
@@ -64,23 +64,23 @@
     checkpoint_interval_s: float = msgspec.field(name="mooringS")
     checkpoint_duration_s: float = msgspec.field(name="stowS")
     deadline_s: float | None = msgspec.field(name="tideS", default=None)
-    # Jobs that must be completed before any task of this one starts.
+    # Jobs that must be completed before any task of this job starts.
     dependencies: list[str] | None = msgspec.field(name=DEPENDENCIES_FIELD, default=None)
 
     @property
     def stop_grace_s(self) -> float:
-        """How long a task gets to exit when it is stopped: as long as it takes to save, if it saves at all."""
+        """The time that a stopped task gets to exit: enough to save a checkpoint, or 0 if the job has none."""
         return self.checkpoint_duration_s + 1.0 if self.checkpoint_interval_s > 0 else 0.0
 
 
 def is_job_id(text: str) -> bool:
-    """`j-` and digits: the one form that job ids have (PROTOCOL, POST /submissions)."""
+    """Returns whether the text is a valid job id: `j-` and digits (PROTOCOL, POST /submissions)."""
     digits = text[2:]
     return text.startswith("j-") and digits.isascii() and digits.isdigit() and len(text) <= MAX_JOB_ID_LENGTH
 
 
 def decode_submission(value: Any) -> Submission:
-    """A submission from a decoded body, all fields checked. Raises InvalidMessageError naming the field on the wire."""
+    """Returns the validated submission of a decoded body. Raises InvalidMessageError with the field's wire name."""
     if not isinstance(value, dict):
         raise InvalidMessageError("not a map")
     try:
@@ -109,7 +109,7 @@
         ("stowS", submission.checkpoint_duration_s),
         ("tideS", submission.deadline_s or 0.0),
     ):
-        if not math.isfinite(quantity) or not 0 <= quantity <= MAX_NUMBER:
+        if not math.isfinite(quantity) or not 0 <= quantity <= MAX_QUANTITY:
             raise InvalidMessageError(f"{name}: out of range")
 
 
@@ -123,7 +123,7 @@
 
 
 def _with_checked_dependencies(submission: Submission) -> Submission:
-    """The submission with each dependency once; None for an empty list."""
+    """Returns the submission with validated, deduplicated dependencies; an empty list becomes None."""
     if submission.dependencies is None:
         return submission
     for job_id in submission.dependencies:
--- a/oatport/wire/worker.py
+++ b/oatport/wire/worker.py
@@ -1,4 +1,4 @@
-"""The workers' interface: heartbeats, their answers, and commands."""
+"""The workers' interface: heartbeats, their responses, and commands."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class TaskStatus(StrEnum):
-    """What a worker says that a task is doing; other words may come and are kept as they are."""
+    """The phases of a task that workers report; other values may occur and are stored unchanged."""
 
     FETCHING_IMAGE = "pulling"
     WAITING_FOR_GANG = "waiting"
@@ -21,7 +21,7 @@
 
 
 class ExitReason(StrEnum):
-    """Why a task exited, or why its start was refused."""
+    """The reason why a task exited or its start was refused."""
 
     COMPLETED = "done"
     STOPPED = "halted"
@@ -34,7 +34,7 @@
 
 
 class TaskReport(msgspec.Struct, frozen=True):
-    """One task in a worker's heartbeat. `checkpointed`: its progress was saved before it exited."""
+    """One task in a worker's heartbeat. `checkpointed`: the task's progress was saved before the task exited."""
 
     task_name: str = msgspec.field(name="leg")
     attempt: int = msgspec.field(name="sailing")
@@ -44,10 +44,11 @@
 
 
 class Heartbeat(msgspec.Struct, frozen=True):
-    """POST /hello, and the body of every answer of /commands and /show.
+    """The body of POST /hello, and of every response of /commands and /show.
 
-    `agent_epoch` counts the starts of the worker, `heartbeat_seq` its heartbeats since then; `fencing_token` is the
-    highest that it has seen of a leader; `reclamation_notice_s` is set once the cloud is going to reclaim the machine.
+    `agent_epoch` counts the worker's starts, `heartbeat_seq` the heartbeats since the last start; `fencing_token` is
+    the highest token of a leader that the worker has seen; `reclamation_notice_s` is set once the cloud has announced
+    that it will reclaim the machine.
     """
 
     machine_name: str = msgspec.field(name="berth")
@@ -63,7 +64,7 @@
 
 
 def decode_heartbeat(value: Any) -> Heartbeat:
-    """A heartbeat from a decoded body. Raises InvalidMessageError."""
+    """Returns the heartbeat of a decoded body. Raises InvalidMessageError."""
     try:
         return msgspec.convert(value, Heartbeat, strict=True)
     except msgspec.ValidationError as error:
@@ -71,14 +72,14 @@
 
 
 class StartCommand(msgspec.Struct, frozen=True, tag_field="orderKind", tag="start"):
-    """Start an attempt of a task."""
+    """Starts an attempt of a task."""
 
     task_name: str = msgspec.field(name="leg")
     attempt: int = msgspec.field(name="sailing")
 
 
 class StopCommand(msgspec.Struct, frozen=True, tag_field="orderKind", tag="stop"):
-    """Stop an attempt; one that has checkpoints may save first if `grace_s` suffices."""
+    """Stops an attempt; a task with checkpoints may save one first if `grace_s` suffices."""
 
     task_name: str = msgspec.field(name="leg")
     attempt: int = msgspec.field(name="sailing")
@@ -86,7 +87,7 @@
 
 
 class ForgetCommand(msgspec.Struct, frozen=True, tag_field="orderKind", tag="forget"):
-    """Leave a terminated attempt out of the heartbeats from now on."""
+    """Makes the worker omit a terminated attempt from further heartbeats."""
 
     task_name: str = msgspec.field(name="leg")
     attempt: int = msgspec.field(name="sailing")
@@ -96,15 +97,15 @@
 
 
 def heartbeat_response(fencing_token: int, commands: list[Command]) -> dict[str, Any]:
-    """The leader's answer to a heartbeat: it renews the lease of the worker, and carries commands."""
+    """Returns the leader's response to a heartbeat, which renews the worker's lease and carries commands."""
     return {"helm": fencing_token, "orders": msgspec.to_builtins(commands)}
 
 
 def command_request(fencing_token: int, agent_epoch: int, commands: list[Command]) -> dict[str, Any]:
-    """The body of POST /commands; a worker that was restarted since `agent_epoch` refuses it."""
+    """Returns the body of POST /commands; a worker that was restarted since `agent_epoch` refuses the request."""
     return {"helm": fencing_token, "watch": agent_epoch, "orders": msgspec.to_builtins(commands)}
 
 
 def leader_redirect(leader: str | None) -> dict[str, Any]:
-    """The answer of a node that doesn't lead: the node that does, if known."""
+    """Returns the response of a node that is not the leader; it names the leader, if known."""
     return {"harbormaster": leader} if leader else {}
--- a/run.py
+++ b/run.py
@@ -1,4 +1,4 @@
-"""Start the program with the libraries that the build put under target/deps."""
+"""Starts the command line with the libraries that the build installed under target/deps."""
 
 import sys
 from pathlib import Path
