--- a/tests/test_client_consistency.py
+++ b/tests/test_client_consistency.py
@@ -1,4 +1,4 @@
-"""Users' stories: answers that stay true whatever happens to the commits behind them."""
+"""Responses to users stay consistent when commits are lost, delayed or refused."""
 
 from __future__ import annotations
 
@@ -16,6 +16,8 @@
 
 
 class FakeControllerNode:
+    """Records the notifications of accepted jobs in `told`, those of cancelled jobs with the prefix "x"."""
+
     def __init__(self) -> None:
         self.types = dict(TYPES)
         self.job_progress: dict[str, tuple[int, int]] = {}
@@ -40,105 +42,105 @@
     return KeyStore(lambda: 0)
 
 
-def node(state: KeyStore) -> tuple[JobApi, FakeStateClient, FakeControllerNode]:
-    client, desk = FakeStateClient(state), FakeControllerNode()
-    return JobApi(node_settings(), client, desk), client, desk  # type: ignore[arg-type]
+def make_api(state: KeyStore) -> tuple[JobApi, FakeStateClient, FakeControllerNode]:
+    client, controller = FakeStateClient(state), FakeControllerNode()
+    return JobApi(node_settings(), client, controller), client, controller  # type: ignore[arg-type]
 
 
-async def test_accepted_once_for_ever(state: KeyStore) -> None:
-    users, _, desk = node(state)
-    other, _, _ = node(state)
-    assert (await users.submit(job())).status == 201
+async def test_a_job_is_accepted_only_once(state: KeyStore) -> None:
+    api, _, controller = make_api(state)
+    other, _, _ = make_api(state)
+    assert (await api.submit(job())).status == 201
     assert (await other.submit(job())).status == 200
     assert state.revision == 1
-    assert desk.told == ["j-000001"]
+    assert controller.told == ["j-000001"]
     assert (await other.cancel("j-000001")).value == {"ref": "j-000001", "status": "aborted"}
-    again = await users.submit(job())  # a retry may come when the job is over
+    again = await api.submit(job())  # a retry may arrive after the job has terminated
     assert (again.status, again.value["status"]) == (200, "aborted")
 
 
-async def test_a_lost_answer_to_the_commit_is_read_back(state: KeyStore) -> None:
-    users, client, _ = node(state)
+async def test_a_commit_with_a_lost_response_is_read_back(state: KeyStore) -> None:
+    api, client, _ = make_api(state)
     client.faults = ["lose"]
-    assert (await users.submit(job())).status == 200
-    assert (await users.show("j-000001")).value["status"] == "queued"
+    assert (await api.submit(job())).status == 200
+    assert (await api.show("j-000001")).value["status"] == "queued"
 
 
-async def test_a_late_commit_makes_no_second_job(state: KeyStore) -> None:
-    users, client, _ = node(state)
+async def test_a_delayed_commit_creates_no_second_job(state: KeyStore) -> None:
+    api, client, _ = make_api(state)
     client.faults = ["late"]
-    assert (await users.submit(job())).status == 201
-    await users.cancel("j-000001")
+    assert (await api.submit(job())).status == 201
+    await api.cancel("j-000001")
     assert client.deliver_late() == [409]
-    assert (await users.show("j-000001")).value["status"] == "aborted"
+    assert (await api.show("j-000001")).value["status"] == "aborted"
 
 
-async def test_what_cannot_be_decided_is_503_at_once(state: KeyStore) -> None:
-    users, client, desk = node(state)
+async def test_requests_that_cannot_be_decided_get_503_at_once(state: KeyStore) -> None:
+    api, client, controller = make_api(state)
     client.faults = ["refuse"] * 4
     for answer in (
-        await users.submit(job()),
-        await users.show("j-000001"),
-        await users.cancel("j-000001"),
-        await users.submit(job(crew="nobody")),  # not even 422: it might be a known job
+        await api.submit(job()),
+        await api.show("j-000001"),
+        await api.cancel("j-000001"),
+        await api.submit(job(crew="nobody")),  # 422 would be wrong, since the job may have been accepted earlier
     ):
         assert answer.status == 503
         assert answer.headers["Retry-After"]
-    desk.types = {}
-    assert (await users.submit(job())).status == 503  # machine types unknown
+    controller.types = {}
+    assert (await api.submit(job())).status == 503  # machine types unknown
 
 
-async def test_a_submission_that_stays_unsure_is_sent_away_after_two_tries(state: KeyStore) -> None:
-    """It was once held back for seconds, so that the user would not ask again."""
-    users, client, _ = node(state)
+async def test_a_submission_with_unknown_outcome_gets_503_after_two_attempts(state: KeyStore) -> None:
+    """Such a submission was once delayed for seconds, so that the user would not retry."""
+    api, client, _ = make_api(state)
     client.faults = ["late"] * 9
-    answer = await users.submit(job())
+    answer = await api.submit(job())
     assert answer.status == 503
     assert answer.headers["Retry-After"]
     assert len(client.held) == 2
     client.faults = []
-    client.deliver_late()  # whichever arrives, the user who comes back learns that the job is there
-    assert (await users.submit(job())).status == 200
+    client.deliver_late()  # whichever commit arrives first, a retry finds the job
+    assert (await api.submit(job())).status == 200
 
 
-async def test_nobody_waits_long_for_a_slot(state: KeyStore) -> None:
-    users, client, _ = node(state)
+async def test_a_submission_gets_503_soon_if_all_commits_hang(state: KeyStore) -> None:
+    api, client, _ = make_api(state)
 
     async def hang(*_: Any, **__: Any) -> Any:
         await asyncio.sleep(30)
 
     client.commit = hang  # type: ignore[method-assign]
-    busy = []
+    hanging = []
     for n in range(4):
-        busy.append(asyncio.create_task(users.submit(job(f"j-{n:06d}"))))
+        hanging.append(asyncio.create_task(api.submit(job(f"j-{n:06d}"))))
         await asyncio.sleep(0.01)
-    assert (await asyncio.wait_for(users.submit(job("j-000099")), 2)).status == 503
-    for task in busy:
+    assert (await asyncio.wait_for(api.submit(job("j-000099")), 2)).status == 503
+    for task in hanging:
         task.cancel()
 
 
-async def test_a_known_job_is_never_refused(state: KeyStore) -> None:
-    """forgotten: a repeated submission gets 200 even if it would be judged otherwise today."""
-    users, _, desk = node(state)
-    await users.submit(job())
-    desk.types = {"g16": TYPES["g16"]}
-    assert (await users.submit(job(berthKinds=["m8"]))).status == 200
-    assert (await users.submit(job("j-000002", berthKinds=["m8"]))).status == 422
+async def test_an_accepted_job_is_never_refused(state: KeyStore) -> None:
+    """Rule `forgotten`: a repeated submission gets 200 even if a new one like it would be refused now."""
+    api, _, controller = make_api(state)
+    await api.submit(job())
+    controller.types = {"g16": TYPES["g16"]}
+    assert (await api.submit(job(berthKinds=["m8"]))).status == 200
+    assert (await api.submit(job("j-000002", berthKinds=["m8"]))).status == 422
 
 
-async def test_cancel_is_committed_before_it_is_told(state: KeyStore) -> None:
-    users, client, _ = node(state)
-    await users.submit(job())
+async def test_a_cancellation_is_committed_before_it_is_confirmed(state: KeyStore) -> None:
+    api, client, _ = make_api(state)
+    await api.submit(job())
     client.faults = ["", "lose"]
-    assert (await users.cancel("j-000001")).value["status"] == "aborted"
+    assert (await api.cancel("j-000001")).value["status"] == "aborted"
     assert state.get(job_key("j-000001"))[1]["value"]["state"] == wire.JobStatus.CANCELLED
-    assert (await users.cancel("j-000009")).status == 404
+    assert (await api.cancel("j-000009")).status == 404
 
 
-async def test_done_wins_over_a_late_cancel(state: KeyStore) -> None:
-    """went_back: the cancel's commit is conditioned on the version that it read."""
-    users, client, _ = node(state)
-    await users.submit(job())
+async def test_a_completion_wins_over_a_delayed_cancellation(state: KeyStore) -> None:
+    """Rule `went_back`: the commit of a cancellation is conditional on the revision that was read."""
+    api, client, _ = make_api(state)
+    await api.submit(job())
     record, version, _ = state.items[job_key("j-000001")]
     done = {**record, "state": wire.JobStatus.COMPLETED}
     client.faults = ["", "late"]
@@ -151,14 +153,14 @@
         return await original(key)
 
     client.get = finish_first  # type: ignore[method-assign]
-    assert (await users.cancel("j-000001")).value["status"] == "done"
+    assert (await api.cancel("j-000001")).value["status"] == "done"
     assert client.deliver_late() == [409]
-    assert (await users.show("j-000001")).value["status"] == "done"
+    assert (await api.show("j-000001")).value["status"] == "done"
 
 
-async def test_unknown_jobs_are_404_and_nothing_is_invented(state: KeyStore) -> None:
-    users, _, _ = node(state)
-    assert (await users.show("j-000404")).status == 404
+async def test_unknown_jobs_get_404(state: KeyStore) -> None:
+    api, _, _ = make_api(state)
+    assert (await api.show("j-000404")).status == 404
 
 
 @pytest.mark.parametrize(
@@ -182,12 +184,12 @@
         {"cores": None},
     ],
 )
-def test_malformed_submissions(change: dict[str, Any]) -> None:
+def test_malformed_submissions_are_rejected(change: dict[str, Any]) -> None:
     with pytest.raises(wire.InvalidMessageError):
         wire.decode_submission(body_of(**{"ref": "j-1", **change}))
 
 
-def test_missing_fields_and_bodies_that_are_no_map() -> None:
+def test_missing_fields_and_bodies_that_are_not_a_map_are_rejected() -> None:
     body = body_of()
     del body["cores"]
     for value in (body, [], None, 3, "x"):
@@ -199,8 +201,8 @@
     assert wire.decode_submission({**body_of(), "unheardOf": 1}).task_count == 2
 
 
-async def test_what_can_never_run(state: KeyStore) -> None:
-    users, _, _ = node(state)
+async def test_a_job_that_can_never_run_gets_422(state: KeyStore) -> None:
+    api, _, _ = make_api(state)
     for change in (
         {"crew": "nobody"},
         {"cores": 99.0},
@@ -209,90 +211,90 @@
         {"rig": "gang", "legs": 9},
         {"rig": "standing", "legs": 9},
     ):
-        assert (await users.submit(job(**change))).status == 422
-    assert (await users.submit(job(legs=9))).status == 201  # an array: one task at a time is enough
+        assert (await api.submit(job(**change))).status == 422
+    assert (await api.submit(job(legs=9))).status == 201  # an array can run one task at a time
 
 
-async def test_polls_that_wait_share_one_read_and_are_never_stale(state: KeyStore) -> None:
-    """A swarm of one-task jobs: a read for each poll took the whole budget of the state service."""
-    users, client, _ = node(state)
+async def test_concurrent_polls_share_one_read_and_are_never_stale(state: KeyStore) -> None:
+    """With many one-task jobs, one read for each poll used the whole budget of the state service."""
+    api, client, _ = make_api(state)
     refs = [f"j-{n:06d}" for n in range(40)]
     for ref in refs:
-        assert (await users.submit(job(ref, legs=1))).status == 201
-    await users.show(refs[0])
-    other, _, _ = node(state)
-    assert (await other.cancel(refs[7])).status == 200  # told by another node: nobody may say less from now on
+        assert (await api.submit(job(ref, legs=1))).status == 201
+    await api.show(refs[0])
+    other, _, _ = make_api(state)
+    assert (await other.cancel(refs[7])).status == 200  # once one node has confirmed it, every node has to report it
     client.reads = 0
-    answers = await asyncio.gather(*(users.show(ref) for ref in refs))
+    answers = await asyncio.gather(*(api.show(ref) for ref in refs))
     assert [a.status for a in answers] == [200] * 40
     assert answers[7].value["status"] == "aborted"
     assert sum(a.value["status"] == "queued" for a in answers) == 39
     assert client.reads <= 2
-    assert (await users.show("j-999999")).status == 404
+    assert (await api.show("j-999999")).status == 404
 
 
-async def test_a_poll_is_answered_from_a_question_asked_after_it(state: KeyStore) -> None:
-    users, client, _ = node(state)
-    await users.submit(job())
-    await users.show("j-000001")
-    other, _, _ = node(state)
-    asked = asyncio.Event()
-    real = client.watch
+async def test_a_poll_is_answered_by_a_refresh_sent_after_its_arrival(state: KeyStore) -> None:
+    api, client, _ = make_api(state)
+    await api.submit(job())
+    await api.show("j-000001")
+    other, _, _ = make_api(state)
+    changes_read = asyncio.Event()
+    original = client.watch
 
     async def slow(*args: Any, **more: Any) -> Any:
-        found = await real(*args, **more)
-        asked.set()
+        found = await original(*args, **more)
+        changes_read.set()
         await asyncio.sleep(0.01)
         return found
 
     client.watch = slow  # type: ignore[method-assign]
-    early = asyncio.create_task(users.show("j-000001"))
-    await asked.wait()
+    first_poll = asyncio.create_task(api.show("j-000001"))
+    await changes_read.wait()
     await other.cancel("j-000001")
-    late = await users.show("j-000001")  # comes while the question of the first is under way
-    assert (await early).value["status"] == "queued"
-    assert late.value["status"] == "aborted"
+    second_poll = await api.show("j-000001")  # arrives while the refresh for the first poll is in progress
+    assert (await first_poll).value["status"] == "queued"
+    assert second_poll.value["status"] == "aborted"
 
 
-async def test_what_was_forgotten_meanwhile_is_not_learnt_from_an_older_read(state: KeyStore) -> None:
-    users, _, _ = node(state)
+async def test_a_read_from_before_an_eviction_is_not_cached(state: KeyStore) -> None:
+    api, _, _ = make_api(state)
     record = {"state": "queued", "job": {"legs": 1}}
-    view = users._jobs
-    eviction_count = view.eviction_count()
-    await users.show("j-000002")  # the first refresh forgets all
-    view.update_job("j-000001", record, 1, eviction_count)
-    assert view.known("j-000001") is None
+    cache = api._jobs
+    eviction_count = cache.eviction_count()
+    await api.show("j-000002")  # the first refresh evicts all unfinished jobs
+    cache.update_job("j-000001", record, 1, eviction_count)
+    assert cache.known("j-000001") is None
 
 
-async def test_jobs_that_come_at_once_are_committed_together(state: KeyStore) -> None:
-    users, client, _ = node(state)
-    await users.submit(job("j-000003"))
-    real = client.commit
+async def test_concurrent_submissions_are_committed_in_batches(state: KeyStore) -> None:
+    api, client, _ = make_api(state)
+    await api.submit(job("j-000003"))
+    original = client.commit
 
     async def slow(*args: Any, **more: Any) -> Any:
         await asyncio.sleep(0.01)
-        return await real(*args, **more)
+        return await original(*args, **more)
 
     client.commit = slow  # type: ignore[method-assign]
     before = state.commit_count
-    answers = await asyncio.gather(*(users.submit(job(f"j-{n:06d}")) for n in range(1, 8)))
-    # The known one in a transaction does not hurt the others.
+    answers = await asyncio.gather(*(api.submit(job(f"j-{n:06d}")) for n in range(1, 8)))
+    # The job that exists already does not make the other jobs in its transaction fail.
     assert sorted(a.status for a in answers) == [200] + [201] * 6
     assert state.commit_count - before <= 6
 
 
-async def test_idle_work_is_told_to_come_back_before_the_rest_is(state: KeyStore) -> None:
-    users, _, _ = node(state)
-    idle = await asyncio.gather(*(users.submit(job(f"j-{n:06d}", urgency="idle")) for n in range(60)))
-    told = [a for a in idle if a.status == 503]
-    assert told
-    assert all(int(a.headers["Retry-After"]) >= 1 for a in told)
-    assert (await users.submit(job("j-000100", urgency="production"))).status == 201
+async def test_best_effort_jobs_get_503_before_other_jobs(state: KeyStore) -> None:
+    api, _, _ = make_api(state)
+    idle = await asyncio.gather(*(api.submit(job(f"j-{n:06d}", urgency="idle")) for n in range(60)))
+    rejected = [a for a in idle if a.status == 503]
+    assert rejected
+    assert all(int(a.headers["Retry-After"]) >= 1 for a in rejected)
+    assert (await api.submit(job("j-000100", urgency="production"))).status == 201
 
 
-async def test_bad_requests_are_told_so_under_full_load(state: KeyStore) -> None:
-    users, _, _ = node(state)
-    users._active_requests = 10_000
+async def test_invalid_requests_get_their_error_under_full_load(state: KeyStore) -> None:
+    api, _, _ = make_api(state)
+    api._active_requests = 10_000
 
     class Body:
         def __init__(self, value: Any) -> None:
@@ -302,7 +304,7 @@
             return self.value
 
     async def ask(method: str, path: str, value: Any = None) -> int:
-        return (await users.handle(method, path, Body(value))).status  # type: ignore[arg-type]
+        return (await api.handle(method, path, Body(value))).status  # type: ignore[arg-type]
 
     assert await ask("GET", "/submissions/strange") == 404
     assert await ask("POST", "/submissions/strange/cancel") == 404
--- a/tests/test_dependency_submissions.py
+++ b/tests/test_dependency_submissions.py
@@ -1,4 +1,4 @@
-"""Submissions that name other jobs, and what users are told of them by nodes that know nothing of one another."""
+"""Submissions with dependencies, and the consistency of their status between nodes with different caches."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from oatport.simulation.state_service import KeyStore
 from tests.cluster_fixture import FakeStateClient, node_settings
 from tests.cluster_fixture import job as body_of
-from tests.test_client_consistency import FakeControllerNode, job, node
+from tests.test_client_consistency import FakeControllerNode, job, make_api
 
 
 @pytest.fixture
@@ -23,7 +23,7 @@
     return KeyStore(lambda: 0)
 
 
-def done(state: KeyStore, ref: str) -> None:
+def complete_job(state: KeyStore, ref: str) -> None:
     record, version, _ = state.items[job_key(ref)]
     assert (
         state.commit(
@@ -37,7 +37,7 @@
 
 
 @pytest.mark.parametrize(
-    "named",
+    "dependencies",
     [
         "j-000001",
         [1],
@@ -49,12 +49,12 @@
         [["j-1"]],
     ],
 )
-def test_lists_that_are_none(named: Any) -> None:
+def test_invalid_dependency_lists_are_rejected(dependencies: Any) -> None:
     with pytest.raises(wire.InvalidMessageError, match="waitsOn"):
-        wire.decode_submission(body_of("j-000009", waitsOn=named))
+        wire.decode_submission(body_of("j-000009", waitsOn=dependencies))
 
 
-def test_null_missing_and_empty_are_none_and_doubles_count_once() -> None:
+def test_null_missing_and_empty_lists_are_none_and_duplicates_are_removed() -> None:
     assert (
         wire.decode_submission(body_of()).dependencies
         is wire.decode_submission(body_of(waitsOn=None)).dependencies
@@ -64,137 +64,137 @@
     assert wire.decode_submission(body_of("j-9", waitsOn=["j-2", "j-1", "j-2"])).dependencies == ["j-2", "j-1"]
 
 
-async def test_a_waiting_job_is_laid_where_an_earlier_version_finds_nothing(state: KeyStore) -> None:
-    users, _, _ = node(state)
-    assert (await users.submit(job("j-000001"))).status == 201
-    assert (await users.submit(job("j-000002", waitsOn=["j-000001"]))).status == 201
+async def test_a_blocked_job_is_stored_where_an_earlier_version_finds_nothing(state: KeyStore) -> None:
+    api, _, _ = make_api(state)
+    assert (await api.submit(job("j-000001"))).status == 201
+    assert (await api.submit(job("j-000002", waitsOn=["j-000001"]))).status == 201
     assert blocked_key("j-000002") in state.items
     assert live_key("j-000002") not in state.items
-    shown = (await users.show("j-000002")).value
-    assert shown["status"] == "queued"
-    assert shown["waitsOn"] == ["j-000001"]
-    again = await users.submit(job("j-000002", waitsOn=["j-000001"]))
+    job_status = (await api.show("j-000002")).value
+    assert job_status["status"] == "queued"
+    assert job_status["waitsOn"] == ["j-000001"]
+    again = await api.submit(job("j-000002", waitsOn=["j-000001"]))
     assert (again.status, again.value["status"]) == (200, "queued")
 
 
-async def test_what_was_never_accepted_can_not_be_waited_for(state: KeyStore) -> None:
-    users, client, _ = node(state)
-    other, _, _ = node(state)
-    await users.submit(job("j-000001"))
-    refused = await users.submit(job("j-000003", waitsOn=["j-000001", "j-000002"]))
+async def test_a_dependency_that_was_never_accepted_is_refused(state: KeyStore) -> None:
+    api, client, _ = make_api(state)
+    other, _, _ = make_api(state)
+    await api.submit(job("j-000001"))
+    refused = await api.submit(job("j-000003", waitsOn=["j-000001", "j-000002"]))
     assert refused.status == 422
     assert "j-000002" in refused.value["error"]
-    # Accepted a moment ago by the node beside it.
+    # Another node accepts the missing dependency.
     assert (await other.submit(job("j-000002"))).status == 201
-    assert (await users.submit(job("j-000003", waitsOn=["j-000001", "j-000002"]))).status == 201
+    assert (await api.submit(job("j-000003", waitsOn=["j-000001", "j-000002"]))).status == 201
     client.faults = ["refuse", "refuse"]
-    unsure = await users.submit(job("j-000005", waitsOn=["j-000004"]))
-    assert unsure.status == 503
-    assert unsure.headers["Retry-After"]
+    undecided = await api.submit(job("j-000005", waitsOn=["j-000004"]))
+    assert undecided.status == 503
+    assert undecided.headers["Retry-After"]
 
 
-async def test_a_service_is_never_done(state: KeyStore) -> None:
-    users, _, _ = node(state)
-    await users.submit(job("j-000001", rig="standing", legs=1))
-    refused = await users.submit(job("j-000002", waitsOn=["j-000001"]))
+async def test_a_dependency_on_a_service_is_refused(state: KeyStore) -> None:
+    api, _, _ = make_api(state)
+    await api.submit(job("j-000001", rig="standing", legs=1))
+    refused = await api.submit(job("j-000002", waitsOn=["j-000001"]))
     assert refused.status == 422
     assert "service" in refused.value["error"]
     assert job_key("j-000002") not in state.items
 
 
-async def test_a_job_whose_needed_one_is_cancelled_is_called_so_by_every_node_at_once(state: KeyStore) -> None:
-    """Nobody has recorded that yet, and one of the nodes knows an older state of the needed job."""
-    users, _, _ = node(state)
-    lagging, _, _ = node(state)
-    for ref, needs in (("j-000001", None), ("j-000002", ["j-000001"]), ("j-000003", ["j-000002"])):
-        await users.submit(job(ref, waitsOn=needs))
-        assert (await lagging.show(ref)).value["status"] == "queued"
-    assert (await users.cancel("j-000001")).value["status"] == "aborted"
-    fresh, _, _ = node(state)
-    for asked in (users, lagging, fresh):
-        assert [(await asked.show(f"j-00000{n}")).value["status"] for n in (3, 2, 1)] == ["aborted"] * 3
+async def test_every_node_reports_dependents_of_a_cancelled_job_as_cancelled_at_once(state: KeyStore) -> None:
+    """The dependents' cancellation is not recorded yet, and one node has an older state of the dependency cached."""
+    api, _, _ = make_api(state)
+    stale, _, _ = make_api(state)
+    for ref, waits_on in (("j-000001", None), ("j-000002", ["j-000001"]), ("j-000003", ["j-000002"])):
+        await api.submit(job(ref, waitsOn=waits_on))
+        assert (await stale.show(ref)).value["status"] == "queued"
+    assert (await api.cancel("j-000001")).value["status"] == "aborted"
+    fresh, _, _ = make_api(state)
+    for api_of_node in (api, stale, fresh):
+        assert [(await api_of_node.show(f"j-00000{n}")).value["status"] for n in (3, 2, 1)] == ["aborted"] * 3
     assert (await fresh.submit(job("j-000003", waitsOn=["j-000002"]))).value["status"] == "aborted"
     late = await fresh.submit(job("j-000004", waitsOn=["j-000003"]))
     assert late.status == 201
-    assert (await lagging.show("j-000004")).value["status"] == "aborted"
-    assert state.items[job_key("j-000003")][0]["state"] == "queued"  # as recorded
-
-
-async def test_a_node_that_knew_nothing_of_the_job_still_asks_what_became_of_those_it_names(state: KeyStore) -> None:
-    """It knew the needed one from before: read alone, the waiting job would be called queued again."""
-    users, _, _ = node(state)
-    lagging, _, _ = node(state)
-    await users.submit(job("j-000001"))
-    await lagging.show("j-000001")
-    await users.submit(job("j-000002", waitsOn=["j-000001"]))
-    await users.cancel("j-000001")
-    assert (await users.show("j-000002")).value["status"] == "aborted"
-    assert (await lagging.show("j-000002")).value["status"] == "aborted"
-
-
-async def test_done_before_the_cancellation_and_the_others_go_on(state: KeyStore) -> None:
-    users, _, _ = node(state)
-    await users.submit(job("j-000001"))
-    await users.submit(job("j-000002", waitsOn=["j-000001"]))
-    done(state, "j-000001")
-    assert (await users.cancel("j-000001")).value["status"] == "done"
-    assert (await users.show("j-000002")).value["status"] == "queued"
-
-
-async def test_a_waiting_job_is_cancelled_by_its_own_user(state: KeyStore) -> None:
-    users, _, _ = node(state)
-    await users.submit(job("j-000001"))
-    await users.submit(job("j-000002", waitsOn=["j-000001"]))
-    assert (await users.cancel("j-000002")).value["status"] == "aborted"
+    assert (await stale.show("j-000004")).value["status"] == "aborted"
+    assert state.items[job_key("j-000003")][0]["state"] == "queued"  # the record is not updated yet
+
+
+async def test_a_node_that_reads_a_job_for_the_first_time_refreshes_its_cached_dependencies(state: KeyStore) -> None:
+    """A node with an outdated cached dependency would report the dependent as queued if it read only the dependent."""
+    api, _, _ = make_api(state)
+    stale, _, _ = make_api(state)
+    await api.submit(job("j-000001"))
+    await stale.show("j-000001")
+    await api.submit(job("j-000002", waitsOn=["j-000001"]))
+    await api.cancel("j-000001")
+    assert (await api.show("j-000002")).value["status"] == "aborted"
+    assert (await stale.show("j-000002")).value["status"] == "aborted"
+
+
+async def test_a_completed_dependency_can_not_be_cancelled_and_its_dependents_continue(state: KeyStore) -> None:
+    api, _, _ = make_api(state)
+    await api.submit(job("j-000001"))
+    await api.submit(job("j-000002", waitsOn=["j-000001"]))
+    complete_job(state, "j-000001")
+    assert (await api.cancel("j-000001")).value["status"] == "done"
+    assert (await api.show("j-000002")).value["status"] == "queued"
+
+
+async def test_a_blocked_job_can_be_cancelled(state: KeyStore) -> None:
+    api, _, _ = make_api(state)
+    await api.submit(job("j-000001"))
+    await api.submit(job("j-000002", waitsOn=["j-000001"]))
+    assert (await api.cancel("j-000002")).value["status"] == "aborted"
     assert cancel_key("j-000002") in state.items
-    assert (await users.show("j-000001")).value["status"] == "queued"
+    assert (await api.show("j-000001")).value["status"] == "queued"
 
 
-async def test_a_job_that_names_a_thousand_and_one_that_thousands_name(state: KeyStore) -> None:
-    """Requests are counted: names that lie together share one, and what is known costs none."""
-    users, client, _ = node(state)
-    spec = job("j-000001")
+async def test_a_job_with_a_thousand_dependencies_needs_few_reads(state: KeyStore) -> None:
+    """Counts the requests: jobs that are close together share one, and cached jobs need none."""
+    api, client, _ = make_api(state)
+    submission = job("j-000001")
     for number in range(1, 1001):
         ref = f"j-{number:06d}"
-        record = {"state": "queued", "at": 0, "job": {**wire_of(spec), "ref": ref}}
+        record = {"state": "queued", "at": 0, "job": {**wire_of(submission), "ref": ref}}
         state.commit({"if": [], "then": [{"set": job_key(ref), "value": record}]})
     before = client.reads
-    assert (await users.submit(job("j-005000", waitsOn=[f"j-{n:06d}" for n in range(1, 1001)]))).status == 201
+    assert (await api.submit(job("j-005000", waitsOn=[f"j-{n:06d}" for n in range(1, 1001)]))).status == 201
     assert client.reads - before <= 12
-    await users.show("j-005000")
+    await api.show("j-005000")
     before = client.reads
-    await asyncio.gather(*(users.show("j-005000") for _ in range(50)))
+    await asyncio.gather(*(api.show("j-005000") for _ in range(50)))
     assert client.reads - before <= 2
     for number in range(1, 1001):
-        done(state, f"j-{number:06d}")
-    await users.show("j-005000")
-    assert users._jobs.known("j-005000").dependencies == ()  # type: ignore[union-attr]  # not looked at again
+        complete_job(state, f"j-{number:06d}")
+    await api.show("j-005000")
+    assert api._jobs.known("j-005000").dependencies == ()  # type: ignore[union-attr]  # completed ones are not checked again
 
 
-def wire_of(spec: wire.Submission) -> dict[str, Any]:
-    return dict(msgspec.to_builtins(spec))
+def wire_of(submission: wire.Submission) -> dict[str, Any]:
+    return dict(msgspec.to_builtins(submission))
 
 
-async def test_a_list_longer_than_a_value_is_written_ahead_and_counts_with_the_accept(state: KeyStore) -> None:
-    small = KeyStore(lambda: 0, 2048, 4)
+async def test_a_dependency_list_larger_than_a_value_is_written_before_the_job(state: KeyStore) -> None:
+    store = KeyStore(lambda: 0, 2048, 4)
     limits = StateLimits(rps=100.0, write_rps=50.0, value_kb=32.0, txn_ops=16, next=NextLimits(value_kb=2.0, txn_ops=4))
     settings = node_settings()
     settings = msgspec.structs.replace(settings, cluster=msgspec.structs.replace(settings.cluster, state=limits))
-    client: Any = FakeStateClient(small)
-    users = JobApi(settings, client, FakeControllerNode())
-    named = [f"j-{number:06d}" for number in range(1, 701)]
-    for ref in named:
+    client: Any = FakeStateClient(store)
+    api = JobApi(settings, client, FakeControllerNode())
+    dependencies = [f"j-{number:06d}" for number in range(1, 701)]
+    for ref in dependencies:
         record = {"state": "queued", "at": 0, "job": {**wire_of(job(ref)), "ref": ref}}
-        small.commit({"if": [], "then": [{"set": job_key(ref), "value": record}]})
-    client.faults = [""] * 20  # reads; then the accept is lost for good
-    assert (await users.submit(job("j-005000", waitsOn=named))).status == 201
-    assert (await users.show("j-005000")).value["waitsOn"][:2] == named[:2]
+        store.commit({"if": [], "then": [{"set": job_key(ref), "value": record}]})
+    client.faults = [""] * 20  # none of the next 20 calls fails
+    assert (await api.submit(job("j-005000", waitsOn=dependencies))).status == 201
+    assert (await api.show("j-005000")).value["waitsOn"][:2] == dependencies[:2]
     other = JobApi(settings, client, FakeControllerNode())
     assert (await other.cancel("j-000700")).value["status"] == "aborted"
     assert (await other.show("j-005000")).value["status"] == "aborted"
 
 
-def test_the_next_limits_are_checked_like_the_present_ones() -> None:
+def test_the_next_limits_are_validated_like_the_present_limits() -> None:
     settings = node_settings()
     for name in ("rps", "write_rps", "value_kb", "txn_ops"):
         limits = msgspec.structs.replace(settings.cluster.state, next=NextLimits(**{name: -1}))
@@ -205,59 +205,62 @@
     assert larger.least_txn_ops == 12
 
 
-async def test_five_thousand_known_jobs_after_all_nodes_ended(state: KeyStore) -> None:
-    """Polls of all at once at a node that knows nothing: each is answered, and none for a request of its own."""
-    spec = job("j-000001")
+async def test_polls_of_five_thousand_jobs_after_a_restart_of_all_nodes_share_reads(state: KeyStore) -> None:
+    """Concurrent polls of all jobs at a node with an empty cache share reads; every poll is answered in 15 rounds."""
+    submission = job("j-000001")
     refs = [f"j-{number * 37 % 5003:06d}" for number in range(1, 5001)]
     for ref in refs:
         state.commit(
             {
                 "if": [],
                 "then": [
-                    {"set": job_key(ref), "value": {"state": "queued", "at": 0, "job": {**wire_of(spec), "ref": ref}}}
+                    {
+                        "set": job_key(ref),
+                        "value": {"state": "queued", "at": 0, "job": {**wire_of(submission), "ref": ref}},
+                    }
                 ],
             }
         )
-    users, client, _ = node(state)
+    api, client, _ = make_api(state)
     waiting, rounds = list(refs), 0
-    while waiting and rounds < 15:  # users come back every 5 s: 75 s
+    while waiting and rounds < 15:  # users retry every 5 s, so 15 rounds are 75 s
         rounds += 1
-        answers = await asyncio.gather(*(users.show(ref) for ref in waiting))
+        answers = await asyncio.gather(*(api.show(ref) for ref in waiting))
         waiting = [ref for ref, answer in zip(waiting, answers, strict=True) if answer.status != 200]
     assert not waiting
     assert client.reads <= 120
-    assert (await users.show("j-999999")).status == 404
+    assert (await api.show("j-999999")).status == 404
 
 
-async def test_a_reader_that_fails_sends_away_who_waits_and_the_next_ask_anew(state: KeyStore) -> None:
-    users, client, _ = node(state)
-    other, _, _ = node(state)
+async def test_a_failed_read_rejects_its_callers_and_a_retry_reads_again(state: KeyStore) -> None:
+    api, client, _ = make_api(state)
+    other, _, _ = make_api(state)
     await other.submit(job("j-000001"))
-    await users.show("j-000009")
+    await api.show("j-000009")
     client.faults = ["refuse"]
-    assert (await users.show("j-000001")).status == 503
-    assert (await users.show("j-000001")).status == 200
+    assert (await api.show("j-000001")).status == 503
+    assert (await api.show("j-000001")).status == 200
 
 
-async def test_a_poll_shares_no_read_that_was_asked_before_it_came(state: KeyStore) -> None:
-    """Another node told the cancellation in between: the older answer was an answer that went back."""
-    users, client, _ = node(state)
-    other, _, _ = node(state)
+async def test_a_poll_does_not_share_a_read_sent_before_its_arrival(state: KeyStore) -> None:
+    """Another node confirmed the cancellation in between: sharing the older read reverted a reported state."""
+    api, client, _ = make_api(state)
+    other, _, _ = make_api(state)
     await other.submit(job("j-000001"))
-    await users.show("j-000009")
-    some, held = client.get_many, asyncio.Event()
+    await api.show("j-000009")
+    original, release_read = client.get_many, asyncio.Event()
 
     async def slow(prefix: str, names: list[str]) -> Any:
-        found = await some(prefix, names)
-        await held.wait()
+        found = await original(prefix, names)
+        await release_read.wait()
         return found
 
     client.get_many = slow  # type: ignore[method-assign]
-    first = asyncio.ensure_future(users.show("j-000001"))
+    first_poll = asyncio.ensure_future(api.show("j-000001"))
     await asyncio.sleep(0.01)
     assert (await other.cancel("j-000001")).value["status"] == "aborted"
-    second = asyncio.ensure_future(users.show("j-000001"))
+    second_poll = asyncio.ensure_future(api.show("j-000001"))
     await asyncio.sleep(0.01)
-    held.set()
-    assert (await second).value["status"] == "aborted"
-    assert (await first).status == 200
+    release_read.set()
+    assert (await second_poll).value["status"] == "aborted"
+    assert (await first_poll).status == 200
--- a/tests/test_peer_messages.py
+++ b/tests/test_peer_messages.py
@@ -1,4 +1,4 @@
-"""Messages between nodes: the arrays on the wire are those of version 0.8 as released, and so are the answers."""
+"""Messages between nodes: the arrays on the wire and the replies are those of the released version 0.8."""
 
 from __future__ import annotations
 
@@ -46,8 +46,8 @@
 from tests.cluster_fixture import FakeStateClient, node_settings
 from tests.test_node_failures import Body
 
-# Written by the code before the messages were typed: a request to a node that does not lead, its status, and the reply
-# or the text of the refusal. Times in replies are 0.
+# Recorded from the code before the messages were typed: a request to a node that is not the leader, the response's
+# status, and the reply or the error text. Times in replies are 0.
 REPLIES = Path(__file__).parent / "fixtures" / "peer_replies.jsonl"
 
 RECORD = {"state": "queued", "at": 5, "job": {"ref": "j-000001", "cores": 0.5, "tideS": None}}
@@ -84,23 +84,23 @@
 
 
 @pytest.mark.parametrize(("message", "array"), ARRAYS, ids=lambda value: str(value)[:40])
-def test_each_message_is_its_tag_and_its_fields_in_order(message: PeerMessage, array: list[Any]) -> None:
+def test_each_message_encodes_to_its_tag_and_its_fields_in_order(message: PeerMessage, array: list[Any]) -> None:
     assert wire.encode(message.encode()) == wire.encode(array)
 
 
 @pytest.mark.parametrize(("message", "array"), ARRAYS, ids=lambda value: str(value)[:40])
-def test_each_message_is_read_back_as_it_was_sent(message: PeerMessage, array: list[Any]) -> None:
+def test_each_encoded_message_decodes_to_an_equal_message(message: PeerMessage, array: list[Any]) -> None:
     assert type(message).decode(wire.decode(wire.encode(array))) == message
 
 
 @pytest.mark.parametrize("line", REPLIES.read_text(encoding="utf-8").splitlines(), ids=lambda line: line[:40])
-async def test_each_request_gets_the_answer_of_the_released_version(line: str) -> None:
+async def test_each_request_gets_the_reply_of_the_released_version(line: str) -> None:
     request, (status, expected) = json.loads(line)
     node = Node(node_settings(), Tuning(), boot="boot")
     node.state = FakeStateClient(KeyStore(lambda: 0))  # type: ignore[assignment]
     api, body = node.peer_api(), Body(request)
     if status == 400:
-        with pytest.raises(wire.InvalidMessageError) as refused:  # the server's answer is this text and status 400
+        with pytest.raises(wire.InvalidMessageError) as refused:  # the server responds with this text and status 400
             await api.handle("POST", wire.PEER_PATH, body)  # type: ignore[arg-type]
         assert str(refused.value) == expected
         return
@@ -135,7 +135,7 @@
 
 
 @pytest.mark.parametrize("reply", [(400, {"error": "unknown tag"}), (200, None), (200, []), (200, {"pong": 1})])
-async def test_a_reply_that_is_no_message_counts_as_no_response(reply: tuple[int, Any]) -> None:
+async def test_a_reply_that_is_not_a_message_raises_an_unexpected_reply_error(reply: tuple[int, Any]) -> None:
     client = PeerClient(FixedReply(*reply), "n1", "h:1")
     with pytest.raises(UnexpectedReplyError):
         await client.ask(Ping("n0", None, 0, True), Pong.decode_reply)
@@ -144,17 +144,17 @@
 @pytest.mark.parametrize(
     "reply", [["pong"], ["pong", "n1", None, 0, True], ["no"], ["pong", "n1", None, "x", True, 0], [7]]
 )
-async def test_a_message_of_another_kind_or_form_is_malformed(reply: list[Any]) -> None:
+async def test_a_reply_with_another_tag_or_form_raises_a_malformed_reply_error(reply: list[Any]) -> None:
     network = FixedReply(200, reply)
     client = PeerClient(network, "n1", "h:1")
     with pytest.raises(MalformedReplyError) as found:
         await client.ask(Ping("n0", None, 0, True), Pong.decode_reply)
     assert found.value.tag == reply[0]
     assert network.sent == [("POST", wire.PEER_PATH, ["ping", "n0", None, 0, True])]
-    await client.notify(Ping("n0", None, 0, True))  # of which any reply will do
+    await client.notify(Ping("n0", None, 0, True))  # accepts any reply
 
 
-def test_replies_of_several_kinds_are_told_apart() -> None:
+def test_decoders_distinguish_the_types_of_replies() -> None:
     assert decode_explanation(["explained", {"held": True}]) == JobExplanation({"held": True})
     assert decode_explanation(["no", "ask again"]) == No("ask again")
     assert CancellationWatermark.decode_if_known(["carried out", 7, 5, "more"]) == CancellationWatermark(7, 5)
