--- a/oatport/api/job_api.py
+++ b/oatport/api/job_api.py
@@ -10,7 +10,7 @@
 
 from oatport import wire
 from oatport.api.concurrency_limit import ConcurrencyLimit, OverloadedError
-from oatport.api.job_status import KnownJob
+from oatport.api.job_status import JobSnapshot
 from oatport.api.job_status_cache import READ_TIMEOUT, JobStatusCache
 from oatport.api.server import BodyReader, Response, retry_later
 from oatport.api.submission_batcher import COMMIT_TIMEOUTS, BestEffortShare, SubmissionBatcher, SubmitOutcome
@@ -45,7 +45,7 @@
     types: dict[str, wire.MachineType]
     job_progress: dict[str, tuple[int, int]]  # job id -> completed and running tasks, as last published by the leader
 
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Returns whether the node can serve users."""
 
     def notify_accepted(self, job_id: str, record: dict[str, Any], revision: int) -> None:
@@ -65,10 +65,10 @@
         self._zones = set(settings.cluster.zones)
         limits = settings.cluster.state
         self._state_calls = ConcurrencyLimit(MAX_CONCURRENT_STATE_CALLS)
-        self._jobs = JobStatusCache(state, self._state_calls, limits.least_rps)
-        limiter = AdaptiveRateLimiter(limits.write_rps, settings.cluster.size, limits.least_write_rps)
-        self._batcher = SubmissionBatcher(state, limits.least_txn_ops, limiter)
-        self._max_value_bytes = limits.least_value_bytes
+        self._jobs = JobStatusCache(state, self._state_calls, limits.min_rps)
+        limiter = AdaptiveRateLimiter(limits.write_rps, settings.cluster.size, limits.min_write_rps)
+        self._batcher = SubmissionBatcher(state, limits.min_txn_ops, limiter)
+        self._max_value_bytes = limits.min_value_bytes
         self._best_effort_share = BestEffortShare(limits.write_rps)
         self._active_requests = 0
 
@@ -106,7 +106,7 @@
     def _ready(self, method: str) -> Response:
         if method not in ("GET", "HEAD"):
             return Response(405, None, {"Allow": "GET"})
-        return Response(200, {"ready": True}) if self._node.ready() else retry_later()
+        return Response(200, {"ready": True}) if self._node.is_ready() else retry_later()
 
     def _notify_if_cancelled(self, response: Response) -> Response:
         """Returns the response after recording the cancellation that it reports, if any.
@@ -126,10 +126,10 @@
         """Returns the response to POST /submissions."""
         if not self._node.types:
             return retry_later()  # without the machine types the submission can't be validated
-        reason = self.why_infeasible(submission)
+        reason = self.infeasibility_reason(submission)
         if reason is not None:
             return await self._refuse_unless_accepted(submission.job_id, reason)
-        if submission.dependencies and not self._jobs.known(submission.job_id):
+        if submission.dependencies and not self._jobs.snapshot(submission.job_id):
             refused = await self._check_dependencies(submission, submission.dependencies)
             if refused is not None:
                 return refused
@@ -159,7 +159,7 @@
             return None
         return await self._refuse_unless_accepted(submission.job_id, f"{wire.DEPENDENCIES_FIELD}: {reason}")
 
-    def why_infeasible(self, submission: wire.Submission) -> str | None:
+    def infeasibility_reason(self, submission: wire.Submission) -> str | None:
         """Returns why the job could never run, or None if it could."""
         team = self._teams.get(submission.team)
         if team is None:
@@ -181,7 +181,7 @@
         """Commits the job, or returns at once a response that says when to retry."""
         job_id = submission.job_id
         if self._batcher.is_full():
-            value = await self._read(job_id) if self._jobs.known(job_id) else None
+            value = await self._read(job_id) if self._jobs.snapshot(job_id) else None
             return Response(200, value) if value else retry_later(self._batcher.retry_after_s())
         best_effort = self._is_best_effort(submission)
         if best_effort and not (self._batcher.has_capacity_for_best_effort() and self._best_effort_share.try_acquire()):
@@ -212,7 +212,7 @@
         return (
             submission.priority == BEST_EFFORT_PRIORITY
             and not submission.dependencies
-            and not self._jobs.known(submission.job_id)
+            and not self._jobs.snapshot(submission.job_id)
         )
 
     # --- show -------------------------------------------------------------------------------
@@ -227,25 +227,25 @@
     async def _read(self, job_id: str) -> dict[str, Any] | None:
         """Returns the status of a job from its record; {} if there is no record, None if it can't be read."""
         try:
-            known = await self._jobs.find(job_id)
+            snapshot = await self._jobs.find(job_id)
         except STATE_SERVICE_ERRORS:
             return None
-        return self._status_value(job_id, known) if known else {}
+        return self._status_value(job_id, snapshot) if snapshot else {}
 
-    def _status_value(self, job_id: str, known: KnownJob) -> dict[str, Any]:
-        if known.is_terminal:
-            completed = known.task_count if known.state == wire.JobStatus.COMPLETED else 0
-            return {"ref": job_id, "status": known.state, "done": completed, "running": 0}
+    def _status_value(self, job_id: str, snapshot: JobSnapshot) -> dict[str, Any]:
+        if snapshot.is_terminal:
+            completed = snapshot.task_count if snapshot.state == wire.JobStatus.COMPLETED else 0
+            return {"ref": job_id, "status": snapshot.state, "done": completed, "running": 0}
         completed, running = self._node.job_progress.get(job_id, (0, 0))
         value: dict[str, Any] = {
             "ref": job_id,
             "status": wire.JobStatus.RUNNING if running else wire.JobStatus.QUEUED,
-            "done": min(completed, known.task_count),
+            "done": min(completed, snapshot.task_count),
             "running": running,
         }
-        if known.dependencies and not (completed or running):
+        if snapshot.dependencies and not (completed or running):
             # Only the dependencies that are not completed.
-            value[wire.DEPENDENCIES_FIELD] = list(known.dependencies[:MAX_DEPENDENCIES_SHOWN])
+            value[wire.DEPENDENCIES_FIELD] = list(snapshot.dependencies[:MAX_DEPENDENCIES_SHOWN])
         return value
 
     # --- cancel -----------------------------------------------------------------------------
@@ -270,8 +270,8 @@
 
     def _terminal_response(self, job_id: str) -> Response | None:
         """Returns the response for a job whose cached state is terminal, otherwise None."""
-        known = self._jobs.known(job_id)
-        return Response(200, {"ref": job_id, "status": known.state}) if known and known.is_terminal else None
+        snapshot = self._jobs.snapshot(job_id)
+        return Response(200, {"ref": job_id, "status": snapshot.state}) if snapshot and snapshot.is_terminal else None
 
     async def _try_cancel(self, job_id: str, timeout_us: int) -> Response | None:
         """Commits the cancellation on top of the current record.
--- a/oatport/api/job_reader.py
+++ b/oatport/api/job_reader.py
@@ -14,10 +14,10 @@
 
 from oatport import wire
 from oatport.api.concurrency_limit import OverloadedError
-from oatport.api.job_status import KnownJob
+from oatport.api.job_status import JobSnapshot
 from oatport.clients.http import NoResponseError, RequestRefusedError
 from oatport.clients.state import StateClient
-from oatport.control.storage.keys import JOBS
+from oatport.control.storage.keys import JOBS_PREFIX
 from oatport.times import MS, seconds
 
 ANSWER_TIMEOUT = 800 * MS  # for one call of `JobReader.read`
@@ -26,10 +26,10 @@
 MAX_WAITERS_PER_JOB = 100
 MAX_JOBS_PER_READ = 2_000
 
-JobFuture = asyncio.Future[KnownJob | None]
+JobFuture = asyncio.Future[JobSnapshot | None]
 
 
-def retrieve_exception(future: asyncio.Future[KnownJob | None] | asyncio.Future[None]) -> None:
+def retrieve_exception(future: asyncio.Future[JobSnapshot | None] | asyncio.Future[None]) -> None:
     """Marks the exception of a done future as retrieved, so that asyncio doesn't log it if no caller awaits it."""
     if not future.cancelled():
         future.exception()
@@ -45,7 +45,7 @@
         self,
         state: StateClient,
         eviction_count: Callable[[], int],
-        update_job: Callable[[str, wire.StoredValue, int], KnownJob],
+        update_job: Callable[[str, wire.StoredValue, int], JobSnapshot],
     ) -> None:
         self._state = state
         self._eviction_count = eviction_count
@@ -55,7 +55,7 @@
         self._in_progress: set[str] = set()  # jobs that a reader is reading now
         self._readers: set[asyncio.Task[None]] = set()
 
-    async def read(self, job_id: str) -> KnownJob | None:
+    async def read(self, job_id: str) -> JobSnapshot | None:
         """Returns a job, or None if it doesn't exist.
 
         Raises NoResponseError, RequestRefusedError or OverloadedError.
@@ -85,7 +85,7 @@
             waiter_counts = {job_id: len(self._waiters[job_id]) for job_id in job_ids}
             eviction_count = self._eviction_count()
             try:
-                found, looked_up = await self._state.get_many(JOBS, job_ids)
+                found, looked_up = await self._state.get_many(JOBS_PREFIX, job_ids)
             except Exception as error:
                 # All callers of the batch get the error at once instead of waiting; a retry starts a new read.
                 for job_id in job_ids:
@@ -98,9 +98,9 @@
                 self._in_progress.difference_update(job_ids)
             for job_id in looked_up:
                 stored = found.get(job_id)
-                known = None if stored is None else self._update_job(job_id, stored, eviction_count)
+                snapshot = None if stored is None else self._update_job(job_id, stored, eviction_count)
                 for future in self._pop_waiters(job_id, waiter_counts[job_id]):
-                    future.set_result(known)
+                    future.set_result(snapshot)
 
     def _next_batch(self) -> list[str]:
         """Returns the job that has waited longest and the unread jobs that follow it in key order."""
--- a/oatport/api/job_status.py
+++ b/oatport/api/job_status.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class KnownJob:
+class JobSnapshot:
     """The state of a job at one revision of its record.
 
     `dependencies` leaves out jobs that are known to be completed. `overflow_records` is the number of records that hold
@@ -34,7 +34,7 @@
         return bool(self.dependencies or self.overflow_records)
 
     @classmethod
-    def from_record(cls, record: dict[str, Any], revision: int) -> KnownJob:
+    def from_record(cls, record: dict[str, Any], revision: int) -> JobSnapshot:
         """Builds the object from a stored value under jobs/ and its revision."""
         job, state = record["job"], str(record["state"])
         is_terminal = state in wire.PUBLIC_TERMINAL_STATUSES
--- a/oatport/api/job_status_cache.py
+++ b/oatport/api/job_status_cache.py
@@ -15,11 +15,11 @@
 from oatport import wire
 from oatport.api.concurrency_limit import ConcurrencyLimit
 from oatport.api.job_reader import JobReader, retrieve_exception
-from oatport.api.job_status import KnownJob
+from oatport.api.job_status import JobSnapshot
 from oatport.clients.http import NoResponseError
 from oatport.clients.state import StateClient
-from oatport.control.storage.keys import JOBS, overflow_key
-from oatport.control.storage.overflow_records import with_overflow
+from oatport.control.storage.keys import JOBS_PREFIX, overflow_key
+from oatport.control.storage.overflow_records import merge_overflow
 from oatport.times import MS, SECOND, seconds, steady
 
 MAX_KNOWN_JOBS = 20_000
@@ -46,7 +46,7 @@
         self._calls = calls
         self._reader = JobReader(state, self.eviction_count, self._update_from_stored)
         self._refresh_interval = max(MIN_REFRESH_INTERVAL, round(REFRESH_REQUESTS * SECOND / rps))
-        self._known: OrderedDict[str, KnownJob] = OrderedDict()
+        self._snapshots: OrderedDict[str, JobSnapshot] = OrderedDict()
         self._revision = 0  # all changes up to this revision are applied; 0: none has been read
         self._evictions = 0
         self._refreshed_at = -SECOND  # when the last refresh was sent
@@ -55,28 +55,28 @@
 
     # --- queries ----------------------------------------------------------------------------
 
-    async def find(self, job_id: str) -> KnownJob | None:
+    async def find(self, job_id: str) -> JobSnapshot | None:
         """Returns the current state of a job, or None if it was never accepted.
 
         Raises NoResponseError, RequestRefusedError or OverloadedError.
         """
-        known = self._known.get(job_id)
-        is_fresh = not self._revision or (known is not None and not known.is_terminal)
+        snapshot = self._snapshots.get(job_id)
+        is_fresh = not self._revision or (snapshot is not None and not snapshot.is_terminal)
         if is_fresh:
             await self._refresh()
-            known = self._known.get(job_id)
-        if known is None:
-            known = await self._reader.read(job_id)
-            if known is None:
+            snapshot = self._snapshots.get(job_id)
+        if snapshot is None:
+            snapshot = await self._reader.read(job_id)
+            if snapshot is None:
                 return None
             is_fresh = False
-        if known.is_terminal or not known.may_have_dependencies:
-            return known
-        return await self._with_dependencies(job_id, known, is_fresh)
+        if snapshot.is_terminal or not snapshot.may_have_dependencies:
+            return snapshot
+        return await self._propagate_cancellation(job_id, snapshot, is_fresh)
 
-    def known(self, job_id: str) -> KnownJob | None:
+    def snapshot(self, job_id: str) -> JobSnapshot | None:
         """Returns the cached state of a job, or None; only a terminal state is certain to be current."""
-        return self._known.get(job_id)
+        return self._snapshots.get(job_id)
 
     async def find_unusable(self, job_ids: list[str]) -> UnusableDependencies:
         """Returns which of the jobs a submission can't depend on. Jobs that are not cached are read now.
@@ -84,7 +84,7 @@
         Jobs are never removed from the store, so a cached job was accepted. Raises NoResponseError, RequestRefusedError
         or OverloadedError; jobs read up to then stay cached, so that a repeated submission makes progress.
         """
-        found: dict[str, KnownJob] = {}
+        found: dict[str, JobSnapshot] = {}
         await self._load_all(job_ids, found, self.eviction_count())
         return UnusableDependencies(
             next((job_id for job_id in job_ids if job_id not in found), None),
@@ -97,27 +97,27 @@
         """Returns the number of evictions so far; to be taken before a read or commit passed to `update_job`."""
         return self._evictions
 
-    def update_job(self, job_id: str, record: dict[str, Any], revision: int, eviction_count: int) -> KnownJob:
+    def update_job(self, job_id: str, record: dict[str, Any], revision: int, eviction_count: int) -> JobSnapshot:
         """Caches and returns a job that this node read or committed; refreshes apply the later changes.
 
         `eviction_count` is the number of evictions before the read or commit. The job is not cached if an eviction has
         happened since: a later change of the job may have been evicted, and no refresh would return it again.
         """
-        known = self._known.get(job_id)
-        if known is not None and (
-            known.revision > revision
-            or (known.revision == revision and (known.is_terminal or len(known.dependencies) > 0))
+        snapshot = self._snapshots.get(job_id)
+        if snapshot is not None and (
+            snapshot.revision > revision
+            or (snapshot.revision == revision and (snapshot.is_terminal or len(snapshot.dependencies) > 0))
         ):
-            return known  # it may record that dependencies are completed or cancelled
-        known = KnownJob.from_record(record, revision)
+            return snapshot  # it may record that dependencies are completed or cancelled
+        snapshot = JobSnapshot.from_record(record, revision)
         if eviction_count == self._evictions:
-            self._known[job_id] = known
-            if len(self._known) > MAX_KNOWN_JOBS:
-                self._known.popitem(last=False)
+            self._snapshots[job_id] = snapshot
+            if len(self._snapshots) > MAX_KNOWN_JOBS:
+                self._snapshots.popitem(last=False)
                 self._evictions += 1
-        return known
+        return snapshot
 
-    def _update_from_stored(self, job_id: str, stored: wire.StoredValue, eviction_count: int) -> KnownJob:
+    def _update_from_stored(self, job_id: str, stored: wire.StoredValue, eviction_count: int) -> JobSnapshot:
         return self.update_job(job_id, stored.value, stored.revision, eviction_count)
 
     def on_created(self, job_id: str, record: dict[str, Any], revision: int, eviction_count: int) -> None:
@@ -129,14 +129,14 @@
 
     def _evict_unfinished(self, revision: int) -> None:
         """Evicts the jobs that may have changed before `revision`, from which on changes are followed."""
-        for job_id in [job_id for job_id, known in self._known.items() if not known.is_terminal]:
-            del self._known[job_id]
+        for job_id in [job_id for job_id, snapshot in self._snapshots.items() if not snapshot.is_terminal]:
+            del self._snapshots[job_id]
         self._evictions += 1
         self._revision = revision
 
     # --- dependencies -----------------------------------------------------------------------
 
-    async def _with_dependencies(self, job_id: str, known: KnownJob, is_fresh: bool) -> KnownJob:
+    async def _propagate_cancellation(self, job_id: str, snapshot: JobSnapshot, is_fresh: bool) -> JobSnapshot:
         """Returns the job as cancelled if one of its direct or transitive dependencies is cancelled.
 
         The result follows from the dependencies' records and is as permanent as their cancellation. Once one node has
@@ -145,11 +145,11 @@
         """
         if not is_fresh:
             await self._refresh()
-            known = self._known.get(job_id, known)
+            snapshot = self._snapshots.get(job_id, snapshot)
         seen = {job_id}
         remaining = [job_id]
         eviction_count = self.eviction_count()
-        found = {job_id: known}  # kept for this call, in case the cache evicts them
+        found = {job_id: snapshot}  # kept for this call, in case the cache evicts them
         while remaining:
             visited_id = remaining.pop()
             dependent = await self._load_overflow_dependencies(visited_id, found[visited_id])
@@ -158,59 +158,59 @@
             for dependency in dependent.dependencies:
                 status = found.get(dependency)
                 if status is not None and status.state == wire.JobStatus.CANCELLED:
-                    return self._mark_cancelled(job_id, known)
+                    return self._mark_cancelled(job_id, snapshot)
                 if status is not None and dependency not in seen and _can_propagate_cancellation(status):
                     remaining.append(dependency)
                 seen.add(dependency)
             self._drop_completed_dependencies(
                 visited_id, [d for d in dependent.dependencies if not _is_completed(found.get(d))]
             )
-        return self._known.get(job_id, known)
+        return self._snapshots.get(job_id, snapshot)
 
-    def _mark_cancelled(self, job_id: str, known: KnownJob) -> KnownJob:
-        cancelled = replace(known, state=wire.JobStatus.CANCELLED, dependencies=(), overflow_records=0)
-        if job_id in self._known:
-            self._known[job_id] = cancelled
+    def _mark_cancelled(self, job_id: str, snapshot: JobSnapshot) -> JobSnapshot:
+        cancelled = replace(snapshot, state=wire.JobStatus.CANCELLED, dependencies=(), overflow_records=0)
+        if job_id in self._snapshots:
+            self._snapshots[job_id] = cancelled
         return cancelled
 
     def _drop_completed_dependencies(self, job_id: str, remaining: list[str]) -> None:
         """Reduces a cached job's dependencies to those not completed, so that the others are not checked again."""
-        known = self._known.get(job_id)
-        if known is None or known.is_terminal or known.overflow_records:
+        snapshot = self._snapshots.get(job_id)
+        if snapshot is None or snapshot.is_terminal or snapshot.overflow_records:
             return
-        if len(remaining) < len(known.dependencies):
-            self._known[job_id] = replace(known, dependencies=tuple(remaining))
+        if len(remaining) < len(snapshot.dependencies):
+            self._snapshots[job_id] = replace(snapshot, dependencies=tuple(remaining))
 
-    async def _load_overflow_dependencies(self, job_id: str, known: KnownJob) -> KnownJob:
+    async def _load_overflow_dependencies(self, job_id: str, snapshot: JobSnapshot) -> JobSnapshot:
         """Returns the job with the dependencies that are stored in overflow records, if there are any."""
-        if not known.overflow_records:
-            return known
+        if not snapshot.overflow_records:
+            return snapshot
         parts = []
-        for number in range(known.overflow_records):
+        for number in range(snapshot.overflow_records):
             async with self._calls.acquire():
                 found = await self._state.get(overflow_key(job_id, number), timeout_us=READ_TIMEOUT)
             if found is None:
                 raise NoResponseError(f"overflow record {number} of job {job_id} is missing")
             parts.append(found.value)
-        dependencies = with_overflow({"job": {}}, parts)["job"].get(wire.DEPENDENCIES_FIELD, ())
-        known = replace(known, dependencies=tuple(dependencies), overflow_records=0)
-        if job_id in self._known:
-            self._known[job_id] = known
-        return known
+        dependencies = merge_overflow({"job": {}}, parts)["job"].get(wire.DEPENDENCIES_FIELD, ())
+        snapshot = replace(snapshot, dependencies=tuple(dependencies), overflow_records=0)
+        if job_id in self._snapshots:
+            self._snapshots[job_id] = snapshot
+        return snapshot
 
-    async def _load_all(self, job_ids: list[str], found: dict[str, KnownJob], eviction_count: int) -> None:
+    async def _load_all(self, job_ids: list[str], found: dict[str, JobSnapshot], eviction_count: int) -> None:
         """Adds jobs to `found`, from the cache or read in batches; jobs that were never accepted are left out."""
         missing = []
         for job_id in job_ids:
-            known = self._known.get(job_id)
-            if known is not None:
-                found[job_id] = known
+            snapshot = self._snapshots.get(job_id)
+            if snapshot is not None:
+                found[job_id] = snapshot
             else:
                 missing.append(job_id)
         missing.sort()
         while missing:
             async with self._calls.acquire():
-                page = await self._state.get_many(JOBS, missing)
+                page = await self._state.get_many(JOBS_PREFIX, missing)
             for job_id, stored in page.found.items():
                 found[job_id] = self._update_from_stored(job_id, stored, eviction_count)
             missing = missing[len(page.looked_up) :]
@@ -243,21 +243,21 @@
 
     async def _read_changes(self) -> None:
         if self._revision:
-            found = await self._state.watch(JOBS, self._revision, 0, timeout_us=READ_TIMEOUT)
+            found = await self._state.watch(JOBS_PREFIX, self._revision, 0, timeout_us=READ_TIMEOUT)
             if found is not None:
                 for change in found.changes:
                     if not change.deleted:
-                        self.update_job(change.key[len(JOBS) :], change.value, change.revision, self._evictions)
+                        self.update_job(change.key[len(JOBS_PREFIX) :], change.value, change.revision, self._evictions)
                 self._revision = max(self._revision, found.revision)
                 return
         # First refresh, or the changes go too far back: cached jobs may be out of date and are read again one by one.
-        self._evict_unfinished(await self._state.current_revision(JOBS, timeout_us=READ_TIMEOUT))
+        self._evict_unfinished(await self._state.current_revision(JOBS_PREFIX, timeout_us=READ_TIMEOUT))
 
 
-def _is_completed(known: KnownJob | None) -> bool:
-    return known is not None and known.state == wire.JobStatus.COMPLETED
+def _is_completed(snapshot: JobSnapshot | None) -> bool:
+    return snapshot is not None and snapshot.state == wire.JobStatus.COMPLETED
 
 
-def _can_propagate_cancellation(known: KnownJob) -> bool:
+def _can_propagate_cancellation(snapshot: JobSnapshot) -> bool:
     """Returns whether the job's own dependencies can cancel the jobs that depend on it."""
-    return known.may_have_dependencies and not _is_completed(known)
+    return snapshot.may_have_dependencies and not _is_completed(snapshot)
--- a/oatport/api/submission_batcher.py
+++ b/oatport/api/submission_batcher.py
@@ -12,7 +12,7 @@
 from oatport.clients.state import Applied, StateClient
 from oatport.clients.token_bucket import TokenBucket
 from oatport.control.limits.rate_limiter import AdaptiveRateLimiter
-from oatport.control.storage.keys import ACCEPT_KEYS, blocked_key, job_key, live_key, overflow_key
+from oatport.control.storage.keys import KEYS_PER_ACCEPTED_JOB, blocked_key, job_key, live_key, overflow_key
 from oatport.control.storage.overflow_records import is_accepted_as_blocked
 from oatport.times import MS, seconds, steady
 
@@ -58,7 +58,7 @@
 
     def __init__(self, state: StateClient, transaction_operations: int, limiter: AdaptiveRateLimiter) -> None:
         self._state = state
-        self._max_batch = max(1, transaction_operations // ACCEPT_KEYS)
+        self._max_batch = max(1, transaction_operations // KEYS_PER_ACCEPTED_JOB)
         self._limiter = limiter
         self._pending: dict[str, PendingSubmission] = {}
         self._commits: set[asyncio.Task[None]] = set()
@@ -70,15 +70,15 @@
         share of the write limit.
         """
         now = steady()
-        ahead = (sum(not pending.best_effort for pending in self._pending.values()) + 1) * ACCEPT_KEYS
+        ahead = (sum(not pending.best_effort for pending in self._pending.values()) + 1) * KEYS_PER_ACCEPTED_JOB
         if len(self._pending) < MAX_PENDING and self._limiter.wait_us(now, ahead) <= MAX_SEND_DELAY:
             return False
-        self._limiter.request_more(now)
+        self._limiter.raise_rate(now)
         return True
 
     def has_capacity_for_best_effort(self) -> bool:
         """Returns whether the limit has capacity left after all waiting submissions are sent."""
-        return self._limiter.available_to_best_effort(steady(), (len(self._pending) + 1) * ACCEPT_KEYS)
+        return self._limiter.is_available_to_best_effort(steady(), (len(self._pending) + 1) * KEYS_PER_ACCEPTED_JOB)
 
     def is_throttled(self) -> bool:
         """Returns whether the write limit, rather than an outage of the state service, delays submissions."""
@@ -86,7 +86,7 @@
 
     def retry_after_s(self) -> int:
         """Returns after how many whole seconds a rejected submission will find capacity."""
-        return self._limiter.retry_after_s(steady(), ACCEPT_KEYS)
+        return self._limiter.retry_after_s(steady(), KEYS_PER_ACCEPTED_JOB)
 
     async def write_overflow(self, job_id: str, parts: list[Any]) -> bool:
         """Writes the overflow records of a job before its own record, without which they have no effect.
@@ -131,12 +131,12 @@
     async def _commit_pending(self) -> None:
         """Commits one batch after another until no submission waits."""
         while self._pending:
-            wait = self._limiter.wait_us(steady(), ACCEPT_KEYS)
+            wait = self._limiter.wait_us(steady(), KEYS_PER_ACCEPTED_JOB)
             if wait:
                 await asyncio.sleep(seconds(wait))
                 continue
             batch = self._take_batch()
-            self._limiter.consume(steady(), len(batch) * ACCEPT_KEYS)
+            self._limiter.consume(steady(), len(batch) * KEYS_PER_ACCEPTED_JOB)
             try:
                 results = await self._commit({job_id: pending.record for job_id, pending in batch.items()})
             except Exception:
@@ -150,9 +150,9 @@
         """Removes and returns as many submissions as a transaction and the limit allow, best-effort ones last."""
         batch: dict[str, PendingSubmission] = {}
         size = 0
-        max_batch = min(self._max_batch, max(1, self._limiter.available(steady()) // ACCEPT_KEYS))
+        max_batch = min(self._max_batch, max(1, self._limiter.available(steady()) // KEYS_PER_ACCEPTED_JOB))
         for job_id in sorted(self._pending, key=lambda job_id: self._pending[job_id].best_effort):
-            size += len(wire.encode(self._pending[job_id].record)) * ACCEPT_KEYS
+            size += len(wire.encode(self._pending[job_id].record)) * KEYS_PER_ACCEPTED_JOB
             if batch and (len(batch) >= max_batch or size > MAX_BATCH_BYTES):
                 break
             batch[job_id] = self._pending.pop(job_id)
@@ -208,7 +208,7 @@
     """
 
     def __init__(self, write_rps: float) -> None:
-        self._bucket = TokenBucket(BEST_EFFORT_SHARE * write_rps / ACCEPT_KEYS)
+        self._bucket = TokenBucket(BEST_EFFORT_SHARE * write_rps / KEYS_PER_ACCEPTED_JOB)
 
     def try_acquire(self) -> bool:
         """Takes the capacity for one submission and returns True, or returns False if there is none."""
--- a/oatport/service/background_tasks.py
+++ b/oatport/service/background_tasks.py
@@ -23,7 +23,7 @@
         self._tasks: dict[asyncio.Task[Any], None] = {}  # in the order in which they began: runs can be repeated
         self.closed = False
 
-    def keep(self, name: str, loop: Callable[[], Awaitable[None]], pause_s: float = 0.5) -> None:
+    def supervise(self, name: str, loop: Callable[[], Awaitable[None]], pause_s: float = 0.5) -> None:
         """Run a loop for as long as the group lives; if it fails, log that and start it again `pause_s` later."""
 
         async def run() -> None:
@@ -39,7 +39,7 @@
 
         self._add(run())
 
-    def once(self, name: str, work: Coroutine[Any, Any, Any]) -> None:
+    def spawn(self, name: str, work: Coroutine[Any, Any, Any]) -> None:
         """Run something in the background; a failure is logged."""
 
         async def run() -> None:
--- a/oatport/service/catalog.py
+++ b/oatport/service/catalog.py
@@ -34,7 +34,7 @@
     version: int
 
 
-async def read_types(state: StateClient) -> RecordedCatalog | None:
+async def read_catalog(state: StateClient) -> RecordedCatalog | None:
     """The recorded types; None if there are none.
 
     Raises NoResponseError or RequestRefusedError.
@@ -51,7 +51,7 @@
     return RecordedCatalog(types, found[1])
 
 
-def type_values(types: Iterable[wire.MachineType], limit: int) -> list[dict[str, Any]]:
+def catalog_values(types: Iterable[wire.MachineType], limit: int) -> list[dict[str, Any]]:
     """Values of at most `limit` bytes as JSON; the first tells how many there are, if it is not the only one."""
     values: list[dict[str, Any]] = [{"berthKinds": []}]
     for kind in types:
@@ -64,12 +64,12 @@
     return values
 
 
-async def write_types(state: StateClient, token: int, catalog: RecordedCatalog, limit: int) -> None:
+async def write_catalog(state: StateClient, token: int, catalog: RecordedCatalog, limit: int) -> None:
     """Record them for a leader, in values of at most `limit` bytes; `catalog.version` is that of the record before.
 
     Raises NoResponseError or RequestRefusedError.
     """
-    values = type_values(catalog.types.values(), limit)
+    values = catalog_values(catalog.types.values(), limit)
     for number in range(1, len(values)):  # the first value, which tells of the others, comes last
         result = await state.commit({LEADER_KEY: token}, {f"{CATALOG_KEY}/{number}": values[number]})
         if not isinstance(result, Applied):
@@ -94,7 +94,7 @@
         """Read until there are types, then every 20 s."""
         while True:
             with contextlib.suppress(NoResponseError, RequestRefusedError):
-                found = await read_types(self._node.state)
+                found = await read_catalog(self._node.state)
                 if found is not None:
                     self._node.types = found.types
             await asyncio.sleep(jitter(REREAD_INTERVAL if self._node.types else READ_RETRY))
--- a/oatport/service/command_sender.py
+++ b/oatport/service/command_sender.py
@@ -57,7 +57,7 @@
             commands, _ = cluster.commands.for_machine(machine, now, direct=True)
             if commands:  # there are mostly none: they are on their way already
                 self._sending.add(machine)
-                self._leader.background.once("send", self.send(machine))
+                self._leader.background.spawn("send", self.send(machine))
 
     async def send(self, machine: Machine) -> None:
         """Send a machine its commands, and take in the report that it answers."""
@@ -84,7 +84,7 @@
             client = WorkerClient(self._net, machine.address)
             report = await client.send_commands(leader.token, machine.agent_epoch, commands)
         except RequestNotSentError:
-            cluster.commands.on_answered(machine, sent_starts)  # no connection: it can't land later
+            cluster.commands.on_start_response(machine, sent_starts)  # no connection: it can't land later
             return
         except NoResponseError as error:
             log.debug('commands got no response machine=%s error="%s"', machine.name, error)
@@ -92,6 +92,6 @@
         if report.fencing_token > leader.token:
             leader.step_down(f"a worker has seen token {report.fencing_token}")
             return
-        cluster.commands.on_answered(machine, sent_starts)
+        cluster.commands.on_start_response(machine, sent_starts)
         cluster.commands.on_contact(machine)
         leader.receive_heartbeat(report, steady())
--- a/oatport/service/dependency_controller.py
+++ b/oatport/service/dependency_controller.py
@@ -6,7 +6,7 @@
 
 from oatport import wire
 from oatport.clients.http import NoResponseError, RequestRefusedError, jitter
-from oatport.control.storage.keys import JOBS
+from oatport.control.storage.keys import JOBS_PREFIX
 from oatport.service.leader_context import LeaderContext
 from oatport.times import SECOND
 
@@ -26,7 +26,7 @@
 
     def start(self) -> None:
         """Start the loop."""
-        self._leader.background.keep("dependencies", self.loop)
+        self._leader.background.supervise("dependencies", self.loop)
 
     async def loop(self) -> None:
         """Read unknown dependencies until the leader stops."""
@@ -40,7 +40,7 @@
         """Some together, one request at a time."""
         while unknown and not self._leader.stopped:
             try:
-                found, asked = await self.state.get_many(JOBS, unknown)
+                found, asked = await self.state.get_many(JOBS_PREFIX, unknown)
             except (NoResponseError, RequestRefusedError):
                 await asyncio.sleep(jitter(RETRY_INTERVAL))
                 return
--- a/oatport/service/failover.py
+++ b/oatport/service/failover.py
@@ -13,15 +13,15 @@
 from oatport.clients.worker import WorkerClient
 from oatport.control.state.machine import Machine
 from oatport.control.storage.keys import (
-    BLOCKED,
-    FLEET,
-    LIVE,
+    BLOCKED_PREFIX,
+    FLEET_PREFIX,
+    LIVE_PREFIX,
     MODEL_KEY,
     PARTITIONED_ZONES_KEY,
     SCHEMA_VERSION_KEY,
     overflow_key,
 )
-from oatport.control.storage.overflow_records import with_overflow
+from oatport.control.storage.overflow_records import merge_overflow
 from oatport.service.leader_context import LeaderContext
 from oatport.service.network import Network
 from oatport.times import SECOND, steady
@@ -45,10 +45,10 @@
 
     Raises NoResponseError or RequestRefusedError.
     """
-    live, revision = await state.list_prefix(LIVE)
+    live, revision = await state.list_prefix(LIVE_PREFIX)
     # After `live/`: only a leader moves a job from here to there, and no other one can any more.
-    waits, _ = await state.list_prefix(BLOCKED)
-    fleet, _ = await state.list_prefix(FLEET)
+    waits, _ = await state.list_prefix(BLOCKED_PREFIX)
+    fleet, _ = await state.list_prefix(FLEET_PREFIX)
     rows, _ = await state.list_prefix(MODEL_KEY)
     for key in (PARTITIONED_ZONES_KEY, SCHEMA_VERSION_KEY):
         found = await state.get(key)
@@ -72,21 +72,21 @@
                 f"{overflow_key(job_id, number)} is missing"
             )  # it was written before its job was accepted
         parts.append(found[0])
-    return with_overflow(value, parts)
+    return merge_overflow(value, parts)
 
 
 def introduce_all(leader: LeaderContext, net: Network) -> None:
     """Introduce the leader to all machines whose addresses are known."""
     for machine in list(leader.cluster.machines.values()):
         if machine.address:
-            leader.background.once("introduce", introduce(leader, net, machine))
+            leader.background.spawn("introduce", introduce(leader, net, machine))
 
 
 async def introduce(leader: LeaderContext, net: Network, machine: Machine) -> None:
     """Let a machine know the new token, and learn what is on it, without waiting for its report."""
     client = WorkerClient(net, machine.address)
     for _ in range(INTRODUCTION_TRIES):
-        if leader.stopped or machine.removed or machine.is_confirmed(leader.token):
+        if leader.stopped or machine.removed or machine.has_reported_under(leader.token):
             return
         try:
             report = await client.fetch_status()
--- a/oatport/service/failure_detector.py
+++ b/oatport/service/failure_detector.py
@@ -40,7 +40,7 @@
         self._release = release
         self.reachability = Reachability(leader, net)
         self.partitions = PartitionController(leader, self.reachability, release, capacity_planner)
-        self._silent_us = leader.tuning.us("silent_s")
+        self._silent_us = leader.tuning.duration_us("silent_s")
         self._peers_asked_at = 0  # about machines that were all silent at once
         self._peers_asked_about_commands_at = 0
         self._node_suspected_at = NEVER  # when many were silent, and it was rather this node that was partitioned
@@ -96,7 +96,7 @@
         return [
             machine
             for machine in silent_machines(quiet, now, self._silent_us)
-            if not leader.cluster.completions.may_report_unknown(machine, now, leases_expired_at)
+            if not leader.cluster.completions.may_hold_unknown_completions(machine, now, leases_expired_at)
         ]
 
     async def _judge(self, suspects: list[Machine], *, zones_suspected: bool) -> None:
@@ -128,7 +128,7 @@
         if is_isolated(len(unreachable), connected) and not asked_recently:
             self._peers_asked_about_commands_at = now
             check = self.reachability.step_down_if_commands_reach_from_peer(unreachable)
-            self._leader.background.once("commands unreachable", check)
+            self._leader.background.spawn("commands unreachable", check)
 
     def _probe_partitioned(self, machines: list[Machine], now: int) -> None:
         """A few at a time, in turn: enough to see at once that a zone is back."""
@@ -144,4 +144,4 @@
         recovered, cluster.zones.recovered = cluster.zones.recovered, set()
         there = [m for m in machines if m.zone in recovered and m.address and not m.removed]
         for machine in sorted(there, key=lambda m: -m.service_cpus):
-            self._leader.background.once("introduce", introduce(self._leader, self._net, machine))
+            self._leader.background.spawn("introduce", introduce(self._leader, self._net, machine))
--- a/oatport/service/group_commit.py
+++ b/oatport/service/group_commit.py
@@ -10,7 +10,7 @@
 from oatport.clients.http import NoResponseError, RequestRefusedError, jitter
 from oatport.clients.state import Applied
 from oatport.clients.token_bucket import TokenBucket
-from oatport.control.storage.keys import ACCEPT_KEYS, JOBS, LEADER_KEY, job_key
+from oatport.control.storage.keys import JOBS_PREFIX, KEYS_PER_ACCEPTED_JOB, LEADER_KEY, job_key
 from oatport.control.storage.write_batch import WriteBatch
 from oatport.service.leader_context import LeaderContext
 from oatport.times import MS, SECOND, seconds, steady
@@ -37,8 +37,8 @@
         self.state = leader.state
         limits = leader.settings.cluster.state
         self._budget = TokenBucket(limits.write_rps * WRITE_SHARE)
-        self._reduced_rate = limits.least_write_rps * WRITE_SHARE
-        self._transaction_operations = limits.least_txn_ops
+        self._reduced_rate = limits.min_write_rps * WRITE_SHARE
+        self._transaction_operations = limits.min_txn_ops
         self.wanted = asyncio.Event()
         self._trying_since = 0  # when the commit under way was first tried
         self._deferrable_at = 0  # when what can wait was written last
@@ -49,7 +49,7 @@
         But a burst of small jobs makes no debt that bindings wait for.
         """
         if self._budget.available() > 0:
-            self._budget.reserve(ACCEPT_KEYS)
+            self._budget.reserve(KEYS_PER_ACCEPTED_JOB)
 
     def is_stuck(self, now: int) -> bool:
         """The commit under way has been without an answer for long."""
@@ -126,14 +126,14 @@
             log.info('commit was refused fencing_token=%d error="%s"', self._leader.token, error)
 
     def _on_malformed(self, batch: WriteBatch) -> None:
-        if self.cluster.writes.layout.splits_records or self.cluster.writes.value_limit_lowered:
+        if self.cluster.writes.layout.should_split_records or self.cluster.writes.is_value_limit_lowered:
             self._leader.step_down("the state service calls a transaction malformed")
             return
         # The limits have fallen while a node was away, so that it isn't known whether it reads parts:
         # what is too large waits for that, and the rest goes on.
         log.error("transaction refused as malformed, large records are held back operations=%d", batch.operation_count)
         self._trying_since = 0
-        self.cluster.writes.value_limit_lowered = True
+        self.cluster.writes.is_value_limit_lowered = True
         self.cluster.writes.restore_batch(batch)
 
     async def _on_conflict(self, batch: WriteBatch, failed: tuple[str, ...], tries: int) -> None:
@@ -142,16 +142,16 @@
             return
         if tries and await self._was_applied(batch):
             return
-        others = [key for key in failed if not key.startswith(JOBS)]
+        others = [key for key in failed if not key.startswith(JOBS_PREFIX)]
         if others or not failed:
             # Somebody else wrote what only the leader writes: what we believe is not what is recorded.
             log.error("records differ from the view fencing_token=%d keys=%s", self._leader.token, ",".join(others))
             self._leader.step_down("records differ from what was expected")
             return
-        cancelled = {key: await self._refresh_job(key[len(JOBS) :]) for key in failed}
+        cancelled = {key: await self._refresh_job(key[len(JOBS_PREFIX) :]) for key in failed}
         self.cluster.writes.restore_batch(batch)
         for key, version in cancelled.items():
-            job_id = key[len(JOBS) :]
+            job_id = key[len(JOBS_PREFIX) :]
             if version:
                 self.cluster.dependencies.cancel_blocked(
                     job_id, version
@@ -160,9 +160,7 @@
             if job is not None and job.cancelled:
                 job.completing = False
                 self.cluster.writes.jobs_to_complete.pop(job, None)
-                self.cluster.job_lifecycle.cancel(
-                    job.job_id, 0, self._leader.lease_renewal_limit.cancellations_known_at
-                )
+                self.cluster.job_lifecycle.cancel(job.job_id, 0, self._leader.lease_renewal_limit.cancellations_read_at)
 
     async def _was_applied(self, batch: WriteBatch) -> bool:
         """After a try with unknown outcome: did it get through? All that it wrote then has the commit's revision.
@@ -173,7 +171,7 @@
         """
         revisions: set[int] = set()
         for key in (*batch.sets, *batch.deletes):
-            found = await self.read_until_answered(key)
+            found = await self.read_with_retry(key)
             if self._leader.stopped:
                 return False
             if key in batch.deletes:
@@ -188,7 +186,7 @@
         self.cluster.writes.committed(batch, revisions.pop() if revisions else 0, steady())
         return True
 
-    async def read_until_answered(self, key: str) -> tuple[Any, int] | None:
+    async def read_with_retry(self, key: str) -> tuple[Any, int] | None:
         """What is recorded under a key, however often it has to be asked for."""
         while not self._leader.stopped:
             try:
@@ -199,11 +197,11 @@
 
     async def _refresh_job(self, job_id: str) -> int:
         """Take in how a job stands; the version of its record if it is cancelled, else 0."""
-        found = await self.read_until_answered(job_key(job_id))
+        found = await self.read_with_retry(job_key(job_id))
         job = self.cluster.jobs.get(job_id)
         state = None if found is None else found[0].get("state")
         if found is not None and state == wire.JobStatus.CANCELLED:
-            self.cluster.job_lifecycle.cancel(job_id, found[1], self._leader.lease_renewal_limit.cancellations_known_at)
+            self.cluster.job_lifecycle.cancel(job_id, found[1], self._leader.lease_renewal_limit.cancellations_read_at)
             return found[1]
         if found is not None and state in wire.TERMINAL_STATUSES and job is not None:
             self.cluster.job_lifecycle.remove(job)
--- a/oatport/service/machine_list_controller.py
+++ b/oatport/service/machine_list_controller.py
@@ -89,6 +89,6 @@
             for machine in self._leader.cluster.machines.values()
             if machine.listed_by_cloud
             and machine.name not in listed
-            and now - max(machine.last_heartbeat_at, machine.known_since) > SILENT_FOR
+            and now - max(machine.last_heartbeat_at, machine.first_known_at) > SILENT_FOR
             and not machine.releasing
         ]
--- a/oatport/service/network.py
+++ b/oatport/service/network.py
@@ -42,7 +42,7 @@
     def session(self) -> aiohttp.ClientSession:
         """For what is no part of the cluster, such as a price feed."""
 
-    def expect(self, machines: int, commands_per_s: float) -> None:
+    def set_expected_load(self, machines: int, commands_per_s: float) -> None:
         """There are so many machines, and so many commands a second to them."""
 
     def open_connections(self) -> int:
@@ -83,7 +83,7 @@
         """What to send requests to an address by."""
         return HttpClient(self._sessions[reuse], address)
 
-    def expect(self, machines: int, commands_per_s: float) -> None:
+    def set_expected_load(self, machines: int, commands_per_s: float) -> None:
         """Keep idle connections for as long as there are enough for so many machines and commands."""
         idle_timeout_us = self._budget.idle_timeout_us(machines, commands_per_s)
         ratio = idle_timeout_us / self._idle_timeout_us
--- a/oatport/service/partition_controller.py
+++ b/oatport/service/partition_controller.py
@@ -63,7 +63,7 @@
         leaving = self._evacuation.machines_to_release(now, self._zones_with_proxy())
         # A leader that was partitioned along with them answers for so long, and nobody can ask what it received.
         answered_until = leader.led_since + micros(leader.settings.cluster.workers.cancel_s)
-        return [m for m in leaving if not cluster.completions.may_report_unknown(m, now, answered_until)]
+        return [m for m in leaving if not cluster.completions.may_hold_unknown_completions(m, now, answered_until)]
 
     def _zones_with_proxy(self) -> frozenset[str]:
         """Partitioned zones with a node that was partitioned along with them: it is a lease proxy for their workers."""
--- a/oatport/service/peer_notifications.py
+++ b/oatport/service/peer_notifications.py
@@ -27,7 +27,7 @@
 from oatport.times import MS, micros, steady
 
 COLLECT_INTERVAL = 400 * MS
-RECORDS_ARE_STALE = 2_500 * MS  # the watch on jobs answers every second, if it does
+RECORDS_STALE_AFTER = 2_500 * MS  # the watch on jobs answers every second, if it does
 NOTIFY_TRIES = 2
 NOTIFY_RETRY = 100 * MS
 
@@ -83,7 +83,7 @@
         if leader is not None:
             leader.on_job_hint(hint)
         elif peer is not None:
-            self._node.background.once("job hint", notify_with_retry(peer, hint))
+            self._node.background.spawn("job hint", notify_with_retry(peer, hint))
 
     async def on_job_hint(self, hint: JobAccepted | JobCancelled) -> Ok:
         """Another node accepted a job, or confirmed its cancellation."""
@@ -98,7 +98,7 @@
     ) -> ConfirmedCancellationsReply:
         """Which cancellations were confirmed within so long before the question was sent?"""
         confirmed = self.confirmed_cancellations.confirmed_within(steady(), request.age_us)
-        return ConfirmedCancellationsReply(confirmed.complete_for_us, confirmed.job_ids)
+        return ConfirmedCancellationsReply(confirmed.complete_within_us, confirmed.job_ids)
 
     async def collect_loop(self) -> None:
         """As the leader: while the records can't be read, go by what all nodes confirmed."""
@@ -107,14 +107,14 @@
             if (
                 leader is not None
                 and leader.loaded
-                and steady() - leader.lease_renewal_limit.cancellations_known_at > RECORDS_ARE_STALE
+                and steady() - leader.lease_renewal_limit.cancellations_read_at > RECORDS_STALE_AFTER
             ):
                 await self.collect(leader)
             await asyncio.sleep(jitter(COLLECT_INTERVAL))
 
     async def collect(self, leader: Leader) -> None:
         """Carry out what was confirmed to users, and move the watermark on if all nodes told all."""
-        asked_at, since = steady(), leader.lease_renewal_limit.cancellations_known_at
+        asked_at, since = steady(), leader.lease_renewal_limit.cancellations_read_at
         request = ConfirmedCancellationsRequest(asked_at - since)
         replies = await asyncio.gather(
             *(peer.ask(request, ConfirmedCancellationsReply.decode) for peer in self._node.peers.values()),
@@ -126,7 +126,7 @@
         complete = True
         job_ids: dict[str, None] = {}
         own = self.confirmed_cancellations.confirmed_within(steady(), answered_at - since)
-        for reply in (ConfirmedCancellationsReply(own.complete_for_us, own.job_ids), *replies):
+        for reply in (ConfirmedCancellationsReply(own.complete_within_us, own.job_ids), *replies):
             if isinstance(reply, NoResponseError | MalformedReplyError):
                 complete = False  # it can't be asked, is of an earlier version, or says something strange
                 continue
--- a/oatport/service/planning_loop.py
+++ b/oatport/service/planning_loop.py
@@ -42,7 +42,7 @@
                 await asyncio.sleep(PAUSED_INTERVAL_S)
                 continue
             router.step(now, wall)
-            if self.placer.due(now):
+            if self.placer.is_due(now):
                 self.placer.plan(now)
                 leader.wake()
             # However much there is to plan, reports and renewals get most of the processor.
--- a/oatport/service/reachability.py
+++ b/oatport/service/reachability.py
@@ -50,7 +50,7 @@
         for machine in machines:
             if not machine.probing and now - machine.probed_at > PROBE_INTERVAL and machine.address:
                 machine.probing, machine.probed_at = True, now
-                self._leader.background.once("probe", self._probe(machine))
+                self._leader.background.spawn("probe", self._probe(machine))
 
     async def _probe(self, machine: Machine) -> None:
         try:
@@ -70,9 +70,9 @@
         Its request to release might be held by the partition and executed minutes later, when all those machines
         are at work for another leader.
         """
-        return self._leader.holds_lease() and await self.still_leading()
+        return self._leader.holds_lease() and await self.verify_leadership()
 
-    async def still_leading(self) -> bool:
+    async def verify_leadership(self) -> bool:
         """The state service answers, and the leader key is still this leader's."""
         try:
             found = await self._leader.state.get(LEADER_KEY)
--- a/oatport/times.py
+++ b/oatport/times.py
@@ -25,7 +25,7 @@
     return us / SECOND
 
 
-def with_drift(us: int) -> int:
+def shortened_by_drift(us: int) -> int:
     """Returns a time bound shortened by the drift margin, so that it holds on every machine's steady clock."""
     return us - us * DRIFT_MARGIN_PPM // SECOND
 
--- a/tests/test_client_consistency.py
+++ b/tests/test_client_consistency.py
@@ -23,7 +23,7 @@
         self.job_progress: dict[str, tuple[int, int]] = {}
         self.told: list[str] = []
 
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         return True
 
     def notify_accepted(self, ref: str, record: dict[str, Any], revision: int) -> None:
@@ -263,7 +263,7 @@
     eviction_count = cache.eviction_count()
     await api.show("j-000002")  # the first refresh evicts all unfinished jobs
     cache.update_job("j-000001", record, 1, eviction_count)
-    assert cache.known("j-000001") is None
+    assert cache.snapshot("j-000001") is None
 
 
 async def test_concurrent_submissions_are_committed_in_batches(state: KeyStore) -> None:
--- a/tests/test_dependency_submissions.py
+++ b/tests/test_dependency_submissions.py
@@ -168,7 +168,7 @@
     for number in range(1, 1001):
         complete_job(state, f"j-{number:06d}")
     await api.show("j-005000")
-    assert api._jobs.known("j-005000").dependencies == ()  # type: ignore[union-attr]  # completed ones are not checked again
+    assert api._jobs.snapshot("j-005000").dependencies == ()  # type: ignore[union-attr]  # completed ones are not checked again
 
 
 def wire_of(submission: wire.Submission) -> dict[str, Any]:
@@ -201,8 +201,8 @@
         with pytest.raises(SettingsError, match=f"cluster.state.next.{name}"):
             validate(msgspec.structs.replace(settings, cluster=msgspec.structs.replace(settings.cluster, state=limits)))
     larger = msgspec.structs.replace(settings.cluster.state, next=NextLimits(value_kb=64.0))
-    assert larger.least_value_bytes == 8 * 1024
-    assert larger.least_txn_ops == 12
+    assert larger.min_value_bytes == 8 * 1024
+    assert larger.min_txn_ops == 12
 
 
 async def test_polls_of_five_thousand_jobs_after_a_restart_of_all_nodes_share_reads(state: KeyStore) -> None:
--- a/tests/test_process_pauses.py
+++ b/tests/test_process_pauses.py
@@ -13,7 +13,7 @@
 from oatport.clients.cloud import CloudClient
 from oatport.clients.http import NoResponseError, RequestNotSentError
 from oatport.control.leadership.failure_detection import all_silent_machines, is_isolated, silent_machines
-from oatport.control.leadership.leader_lease import HANDOVER_UNDECIDED_FOR, LeaderLease, PauseDetector
+from oatport.control.leadership.leader_lease import HANDOVER_OUTCOME_TIMEOUT, LeaderLease, PauseDetector
 from oatport.control.scaling.cloud_availability import ScaleOutRequest
 from oatport.service import heartbeat_controller
 from oatport.service import leader as lead_module
@@ -23,7 +23,7 @@
 from oatport.settings import Peer, Tuning
 from oatport.simulation.state_service import KeyStore
 from oatport.times import MS, SECOND
-from tests.cluster_fixture import FakeStateClient, Unplugged, World, node_settings
+from tests.cluster_fixture import ClusterHarness, FakeStateClient, UnreachableNetwork, node_settings
 from tests.test_node_failures import FakePeer, leader, peer_reply
 
 
@@ -59,13 +59,13 @@
     lease = LeaderLease(3 * SECOND, renewal_requested_at=0)
     assert lease.is_held(2_700 * MS)
     assert not lease.is_held(2_800 * MS)  # clocks drift, and a request takes a moment to go out
-    lease.renewed(2 * SECOND)
-    lease.renewed(1 * SECOND)  # an older answer that came late
+    lease.on_renewed(2 * SECOND)
+    lease.on_renewed(1 * SECOND)  # an older answer that came late
     assert lease.is_held(4_700 * MS)
-    lease.handover_requested(4 * SECOND)  # another node was asked to take over: the lease says nothing about the key
+    lease.on_handover_requested(4 * SECOND)  # another node was asked to take over: the lease says nothing about the key
     assert not lease.is_held(4_100 * MS)
-    lease.renewed(4 * SECOND + HANDOVER_UNDECIDED_FOR)
-    assert lease.is_held(4 * SECOND + HANDOVER_UNDECIDED_FOR)
+    lease.on_renewed(4 * SECOND + HANDOVER_OUTCOME_TIMEOUT)
+    assert lease.is_held(4 * SECOND + HANDOVER_OUTCOME_TIMEOUT)
 
 
 def test_a_process_pause_is_noticed_once() -> None:
@@ -78,7 +78,7 @@
     lead, _, home = leader(state)
     lead.leader_lease.renewal_requested_at = clock.at
     http_client = Asked()
-    cloud = CloudClient(Unplugged(), "h:1", 5.0, lead.holds_lease)  # type: ignore[arg-type]
+    cloud = CloudClient(UnreachableNetwork(), "h:1", 5.0, lead.holds_lease)  # type: ignore[arg-type]
     cloud._http = http_client  # type: ignore[assignment]
     lead.cloud_controller.cloud = cloud
     await cloud.release(["vm-000001"])
@@ -124,7 +124,7 @@
     state: KeyStore, clock: Clock
 ) -> None:
     lead, _, _ = leader(state)
-    lead.leader_lease.renewal_requested_at = lead.lease_renewal_limit.cancellations_known_at = clock.at
+    lead.leader_lease.renewal_requested_at = lead.lease_renewal_limit.cancellations_read_at = clock.at
     report = wire.Heartbeat("vm-000001", "h:1", "m8", "a", False, 1, 1, lead.token, [])
     assert lead.answer_heartbeat(report) is not None
     clock.at += 7 * SECOND
@@ -136,42 +136,42 @@
 
 
 def test_a_pause_makes_no_machine_silent_or_idle() -> None:
-    world = World()
+    harness = ClusterHarness()
     for number in (1, 2, 3):
-        world.machine(number)
-    world.settle(3)
-    machines = list(world.cluster.machines.values())
+        harness.machine(number)
+    harness.settle(3)
+    machines = list(harness.cluster.machines.values())
     gap = 20 * SECOND
-    world.now += gap
-    assert len(silent_machines(machines, world.now, 5 * SECOND)) == 3  # as it would look
-    assert world.fleet.scale_in.machines_to_release(world.now)
+    harness.now += gap
+    assert len(silent_machines(machines, harness.now, 5 * SECOND)) == 3  # as it would look
+    assert harness.fleet.scale_in.machines_to_release(harness.now)
     for machine in machines:
         machine.releasing = False
-    machines[0].last_heartbeat_at = world.now  # its answer was read first
-    world.cluster.on_process_pause(gap, world.now)
-    assert machines[0].last_heartbeat_at == world.now
-    assert silent_machines(machines, world.now, 5 * SECOND) == []
-    assert world.fleet.scale_in.machines_to_release(world.now) == []
+    machines[0].last_heartbeat_at = harness.now  # its answer was read first
+    harness.cluster.on_process_pause(gap, harness.now)
+    assert machines[0].last_heartbeat_at == harness.now
+    assert silent_machines(machines, harness.now, 5 * SECOND) == []
+    assert harness.fleet.scale_in.machines_to_release(harness.now) == []
     # What really passes meanwhile is not moved: a spot notice, a boot.
-    assert all(machine.rented_at < world.now - gap for machine in machines)
+    assert all(machine.rented_at < harness.now - gap for machine in machines)
 
 
 def test_a_leader_that_hears_from_no_machine_judges_none() -> None:
     """Cut off from workers, a leader once released the machines that passed the mark first."""
-    world = World()
+    harness = ClusterHarness()
     for number in range(1, 7):
-        world.machine(number)
-    world.settle(3)
-    machines = list(world.cluster.machines.values())
+        harness.machine(number)
+    harness.settle(3)
+    machines = list(harness.cluster.machines.values())
     report_us = SECOND
-    assert all_silent_machines(machines, world.now + 1_400 * MS, report_us, 0) == []
-    assert len(all_silent_machines(machines, world.now + 1_600 * MS, report_us, 0)) == 6
+    assert all_silent_machines(machines, harness.now + 1_400 * MS, report_us, 0) == []
+    assert len(all_silent_machines(machines, harness.now + 1_600 * MS, report_us, 0)) == 6
     assert (
-        all_silent_machines(machines, world.now + 1_600 * MS, report_us, world.now + SECOND) == []
+        all_silent_machines(machines, harness.now + 1_600 * MS, report_us, harness.now + SECOND) == []
     )  # it has just begun
-    machines[0].last_heartbeat_at = world.now + 1_000 * MS
-    assert all_silent_machines(machines, world.now + 1_600 * MS, report_us, 0) == []
-    now = world.now + 4 * SECOND
+    machines[0].last_heartbeat_at = harness.now + 1_000 * MS
+    assert all_silent_machines(machines, harness.now + 1_600 * MS, report_us, 0) == []
+    now = harness.now + 4 * SECOND
     quiet = silent_machines(machines, now, 5 * SECOND // 2)
     assert silent_machines(machines, now, 5 * SECOND) == []
     assert is_isolated(len(quiet), machines)
@@ -269,6 +269,6 @@
         return RecordSnapshot([], 0)
 
     monkeypatch.setattr(lead_module, "read_records", slow)
-    monkeypatch.setattr(lead.background, "keep", lambda *_: None)  # none of its loops is what is looked at
+    monkeypatch.setattr(lead.background, "supervise", lambda *_: None)  # none of its loops is what is looked at
     await lead.fail_over()
-    assert lead.lease_renewal_limit.cancellations_known_at == began
+    assert lead.lease_renewal_limit.cancellations_read_at == began
