--- a/oatport/api/job_status_cache.py
+++ b/oatport/api/job_status_cache.py
@@ -22,7 +22,7 @@
 from oatport.control.storage.overflow_records import merge_overflow
 from oatport.times import MS, SECOND, seconds, steady
 
-MAX_KNOWN_JOBS = 20_000
+MAX_CACHED_JOBS = 20_000
 READ_TIMEOUT = 800 * MS
 REFRESH_REQUESTS = 15  # the refresh interval is the time in which the state service allows this many requests
 # Lower bound of the refresh interval. Users wait up to 2 s for the response to a poll, while 20 refreshes per second at
@@ -112,7 +112,7 @@
         snapshot = JobSnapshot.from_record(record, revision)
         if eviction_count == self._evictions:
             self._snapshots[job_id] = snapshot
-            if len(self._snapshots) > MAX_KNOWN_JOBS:
+            if len(self._snapshots) > MAX_CACHED_JOBS:
                 self._snapshots.popitem(last=False)
                 self._evictions += 1
         return snapshot
--- a/oatport/clients/state.py
+++ b/oatport/clients/state.py
@@ -65,8 +65,7 @@
     """Calls the state service and tracks whether the service responds.
 
     Every call raises NoResponseError (outcome unknown) or RequestRefusedError (certainly not executed) if it fails.
-    `last_served_at` and `last_failed_at` (steady clock): when the last request that got a response, or that failed, was
-    sent.
+    `last_success_at` and `last_failure_at` (steady clock): when the last answered and the last failed request was sent.
     """
 
     def __init__(self, connector: Connector, address: str) -> None:
--- a/oatport/settings.py
+++ b/oatport/settings.py
@@ -81,7 +81,7 @@
 class StateLimits(msgspec.Struct, frozen=True):
     """Limits of the state service. Sizes are those of values encoded as JSON.
 
-    The `least_` properties are the lower of the present and the next limit, so they hold now and later.
+    The `min_` properties are the lower of the present and the next limit, so they hold now and later.
     """
 
     rps: float
