--- a/oatport/cli.py
+++ b/oatport/cli.py
@@ -1,4 +1,4 @@
-"""The command line: serve, check settings, and submit, show or cancel a job."""
+"""The command line: run a node or a gateway, check settings, manage jobs, and run the lab."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
     from oatport.control.placement.retry_policy import RetryPolicies
     from oatport.windows.settings import WindowSettings
 
-CONNECTIONS = 64  # of one command
-TIMEOUT = 5 * SECOND  # of a request to a node
+SOCKETS = 64  # socket limit of a command that calls a node
+REQUEST_TIMEOUT = 5 * SECOND
 EXIT_REFUSED, EXIT_FAILED, EXIT_INTERRUPTED = 1, 2, 130
 
-LEVELS = {"error": logging.ERROR, "warning": logging.WARNING, "info": logging.INFO, "debug": logging.DEBUG}
+LOG_LEVELS = {"error": logging.ERROR, "warning": logging.WARNING, "info": logging.INFO, "debug": logging.DEBUG}
 
 
 def _parser() -> argparse.ArgumentParser:
@@ -62,11 +62,11 @@
 
 
 def set_up_logging() -> None:
-    """Log to the standard error, at the level that $LOG_LEVEL names. Raises SettingsError."""
+    """Configures logging to the standard error at the level in $LOG_LEVEL. Raises SettingsError."""
     name = os.environ.get("LOG_LEVEL", "info").lower()
-    level = LEVELS.get(name)
+    level = LOG_LEVELS.get(name)
     if level is None:
-        raise SettingsError(f"LOG_LEVEL: must be one of {', '.join(LEVELS)}, got {name!r}")
+        raise SettingsError(f"LOG_LEVEL: must be one of {', '.join(LOG_LEVELS)}, got {name!r}")
     logging.basicConfig(
         level=level, stream=sys.stderr, format="%(asctime)s %(levelname)s %(name)s: %(message)s", force=True
     )
@@ -97,7 +97,7 @@
 
     retry_policies = _load_retry_policies(arguments.tuning)
 
-    # What was imported lives as long as the process: keep the collector off it.
+    # Imported modules live as long as the process, so they are excluded from garbage collection.
     gc.collect()
     gc.freeze()
     asyncio.run(Node(settings, tuning, windows, retry_policies).run())
@@ -128,12 +128,12 @@
 
 
 async def _call(node: str, method: str, path: str, body: Any = None) -> int:
-    """Print a node's response as JSON."""
+    """Calls a node, prints its response as JSON and returns the exit status."""
     from oatport.clients.http import HttpClient, NoResponseError, make_session
 
-    session = make_session(CONNECTIONS)
+    session = make_session(SOCKETS)
     try:
-        status, value = await HttpClient(session, node).request(method, path, body, timeout_us=TIMEOUT)
+        status, value = await HttpClient(session, node).request(method, path, body, timeout_us=REQUEST_TIMEOUT)
     except NoResponseError as error:
         return _fail(f"{node}: no answer: {error}")
     finally:
@@ -153,22 +153,22 @@
     from oatport.clients.peer import PeerClient
     from oatport.peer_messages import ExplainJob, No, decode_explanation
 
-    session = make_session(CONNECTIONS)
+    session = make_session(SOCKETS)
     try:
         client = PeerClient(HttpConnector(session), node, node)
-        answer = await client.ask(ExplainJob(job_id), decode_explanation, timeout_us=TIMEOUT)
+        reply = await client.ask(ExplainJob(job_id), decode_explanation, timeout_us=REQUEST_TIMEOUT)
     except (NoResponseError, ValueError) as error:
         return _fail(f"{node}: no answer: {error}")
     finally:
         await session.close()
-    if isinstance(answer, No):
-        return _fail(f"{node}: {answer.reason}", EXIT_REFUSED)
-    print(json.dumps(answer.explanation, indent=2))
+    if isinstance(reply, No):
+        return _fail(f"{node}: {reply.reason}", EXIT_REFUSED)
+    print(json.dumps(reply.explanation, indent=2))
     return 0
 
 
 def _queues(arguments: argparse.Namespace) -> int:
-    """Run a gateway; its libraries belong to an extra."""
+    """Runs a gateway, whose libraries are installed by the extra `queues`."""
     try:
         from oatport.queues.link import run_forever
         from oatport.queues.settings import load_gateway_settings
@@ -203,7 +203,7 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run a command; its exit status: 0 done, 1 refused by a node, 2 failed, 130 interrupted."""
+    """Runs a command and returns its exit status: 0 done, 1 refused by a node, 2 failed, 130 interrupted."""
     arguments = _parser().parse_args(argv)
     command = arguments.command or ("serve" if arguments.config else None)
     if command is None:
