--- a/oatport/service/__init__.py
+++ b/oatport/service/__init__.py
@@ -1,1 +1,1 @@
-"""Lifecycle of a node: leadership, group commit, outages."""
+"""Runs a controller node: leader election, the controllers of the leader, and contact with peers and services."""
--- a/oatport/service/background_tasks.py
+++ b/oatport/service/background_tasks.py
@@ -1,9 +1,9 @@
-"""Supervised background tasks: no failure goes unnoticed, and a failure of one task does not end the others.
+"""Supervised background tasks: every failure is logged, and a failure of one task does not end the others.
 
-This is no `asyncio.TaskGroup`: that cancels all its tasks when one of them fails, and waits for them where it is left.
-Here a loop that fails is logged and started again, since a leader that goes on without one of its loops for half a
-second is better than one that steps down; tasks are added from callbacks, without a block that they belong to; and
-`close` ends them from within one of them, without waiting, as a leader that steps down has to.
+`asyncio.TaskGroup` does not fit: it cancels all its tasks when one of them fails, and waits for them on exit. Here a
+failed loop is logged and restarted, since a leader that runs without one of its loops for half a second is better than
+one that steps down. Tasks are added from callbacks, outside of any `async with` block. `close` can be called from one
+of the tasks and does not wait, as a leader that steps down requires.
 """
 
 from __future__ import annotations
@@ -17,14 +17,14 @@
 
 
 class BackgroundTasks:
-    """A set of background tasks that are cancelled together; the names are for the log."""
+    """Holds background tasks that are cancelled together; their names appear only in the log."""
 
     def __init__(self) -> None:
-        self._tasks: dict[asyncio.Task[Any], None] = {}  # in the order in which they began: runs can be repeated
+        self._tasks: dict[asyncio.Task[Any], None] = {}  # in start order, so that simulation runs are reproducible
         self.closed = False
 
     def keep(self, name: str, loop: Callable[[], Awaitable[None]], pause_s: float = 0.5) -> None:
-        """Run a loop for as long as the group lives; if it fails, log that and start it again `pause_s` later."""
+        """Runs a loop until the group is closed; a loop that fails is logged and restarted `pause_s` later."""
 
         async def run() -> None:
             while not self.closed:
@@ -40,7 +40,7 @@
         self._add(run())
 
     def once(self, name: str, work: Coroutine[Any, Any, Any]) -> None:
-        """Run something in the background; a failure is logged."""
+        """Runs a coroutine in the background; a failure is logged."""
 
         async def run() -> None:
             try:
@@ -53,8 +53,8 @@
         if self.closed:
             work.close()
             return
-        # Cancelled before its first step, `run` never gets to `work`: a deposed leader left coroutines behind
-        # that were never awaited. Closing one that ran changes nothing.
+        # If `run` is cancelled before its first step, `work` is never awaited: deposed leaders left such coroutines
+        # behind. Closing a coroutine that has finished has no effect.
         self._add(run()).add_done_callback(lambda _: work.close())
 
     def _add(self, work: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
@@ -64,7 +64,7 @@
         return task
 
     def close(self) -> None:
-        """Cancel all tasks but the one that calls this."""
+        """Cancels all tasks except the one that calls this method."""
         self.closed = True
         for task in list(self._tasks):
             if task is not asyncio.current_task():
--- a/oatport/service/catalog.py
+++ b/oatport/service/catalog.py
@@ -1,4 +1,4 @@
-"""The machine types as recorded: one value, or several where one can't hold them."""
+"""Stores the machine catalog in the state service: as one value, or as several if it exceeds the value size limit."""
 
 from __future__ import annotations
 
@@ -18,24 +18,24 @@
 from oatport.times import MS, SECOND
 
 REREAD_INTERVAL = 20 * SECOND
-READ_RETRY = 500 * MS  # while no types are known
+READ_RETRY_INTERVAL = 500 * MS  # while no types are known
 ROW_OVERHEAD_BYTES = 32
 
-ONE_VALUE = 1 << 30  # bytes: the limit while some node may not read several values
+UNLIMITED_VALUE_BYTES = 1 << 30  # the limit while some node may be unable to read a catalog of several values
 
 Types = dict[str, wire.MachineType]
 
 
 @dataclass(frozen=True, slots=True)
 class RecordedCatalog:
-    """The types, and the version of the first value; 0 if there is none."""
+    """Holds the recorded machine types and the version of the first value (0 if nothing is recorded)."""
 
     types: Types
     version: int
 
 
 async def read_types(state: StateClient) -> RecordedCatalog | None:
-    """The recorded types; None if there are none.
+    """Returns the recorded machine types, or None if nothing is recorded.
 
     Raises NoResponseError or RequestRefusedError.
     """
@@ -46,16 +46,16 @@
     for number in range(1, int(found[0].get("parts", 1))):
         part = await state.get(f"{CATALOG_KEY}/{number}")
         if part is None:
-            raise NoResponseError("a part of the catalog is missing")  # it was written before the first value
+            raise NoResponseError(f"{CATALOG_KEY}/{number} is missing")  # parts are written before the first value
         types |= wire.decode_catalog(part[0])
     return RecordedCatalog(types, found[1])
 
 
 def type_values(types: Iterable[wire.MachineType], limit: int) -> list[dict[str, Any]]:
-    """Values of at most `limit` bytes as JSON; the first tells how many there are, if it is not the only one."""
+    """Splits the types into values of at most `limit` JSON bytes; if there are several, the first holds their count."""
     values: list[dict[str, Any]] = [{"berthKinds": []}]
-    for kind in types:
-        row = msgspec.to_builtins(kind)
+    for machine_type in types:
+        row = msgspec.to_builtins(machine_type)
         if values[-1]["berthKinds"] and json_size(values[-1]) + json_size(row) + ROW_OVERHEAD_BYTES > limit:
             values.append({"berthKinds": []})
         values[-1]["berthKinds"].append(row)
@@ -65,12 +65,12 @@
 
 
 async def write_types(state: StateClient, token: int, catalog: RecordedCatalog, limit: int) -> None:
-    """Record them for a leader, in values of at most `limit` bytes; `catalog.version` is that of the record before.
+    """Records the catalog for a leader in values of at most `limit` bytes, replacing the record of `catalog.version`.
 
     Raises NoResponseError or RequestRefusedError.
     """
     values = type_values(catalog.types.values(), limit)
-    for number in range(1, len(values)):  # the first value, which tells of the others, comes last
+    for number in range(1, len(values)):  # the first value is written last, because it refers to the others
         result = await state.commit({LEADER_KEY: token}, {f"{CATALOG_KEY}/{number}": values[number]})
         if not isinstance(result, Applied):
             return
@@ -78,23 +78,23 @@
 
 
 class CatalogNode(Protocol):
-    """The node whose machine types are kept up to date."""
+    """The node whose machine types `CatalogReader` keeps up to date."""
 
     types: Types
     state: StateClient
 
 
 class CatalogReader:
-    """Reads the recorded machine types again and again."""
+    """Reads the recorded machine types periodically."""
 
     def __init__(self, node: CatalogNode) -> None:
         self._node = node
 
     async def loop(self) -> None:
-        """Read until there are types, then every 20 s."""
+        """Reads every 0.5 s until types are found, then every 20 s."""
         while True:
             with contextlib.suppress(NoResponseError, RequestRefusedError):
                 found = await read_types(self._node.state)
                 if found is not None:
                     self._node.types = found.types
-            await asyncio.sleep(jitter(REREAD_INTERVAL if self._node.types else READ_RETRY))
+            await asyncio.sleep(jitter(REREAD_INTERVAL if self._node.types else READ_RETRY_INTERVAL))
--- a/oatport/service/cloud_controller.py
+++ b/oatport/service/cloud_controller.py
@@ -1,4 +1,4 @@
-"""Requests to the cloud: the machine catalog, renting and releasing machines."""
+"""Requests to the cloud API: reads the machine catalog, rents and releases machines."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from oatport.control.scaling.capacity_planner import CapacityPlanner
 from oatport.control.scaling.cloud_availability import ScaleOutRequest
 from oatport.control.state.machine import Machine
-from oatport.service.catalog import ONE_VALUE, RecordedCatalog, read_types, write_types
+from oatport.service.catalog import UNLIMITED_VALUE_BYTES, RecordedCatalog, read_types, write_types
 from oatport.service.failure_detector import FailureDetector
 from oatport.service.leader_context import LeaderContext
 from oatport.service.machine_list_controller import MachineListController
@@ -21,15 +21,15 @@
 
 log = logging.getLogger(__name__)
 
-RENT_WITHIN = 20 * SECOND  # a request without an answer is repeated for so long
-RENT_RETRY_REFUSED = SECOND
-RENT_RETRY_UNANSWERED = 300 * MS
-NO_CAPACITY = "no capacity"  # the cloud's reason for a refusal that is no fault of the request
+RENT_TIMEOUT = 20 * SECOND  # how long an unanswered rent request is retried
+RENT_REFUSED_RETRY_INTERVAL = SECOND
+RENT_UNANSWERED_RETRY_INTERVAL = 300 * MS
+NO_CAPACITY = "no capacity"  # the cloud's error text if it has no machines of the requested kind
 RETRYABLE_STATUSES = (429, 503)
 
 
 class CloudController:
-    """Acts for a leader; all it decides by is the leader's view of the cluster."""
+    """Sends cloud requests for a leader; all decisions are based on the leader's `ClusterState`."""
 
     def __init__(self, leader: LeaderContext, net: Network) -> None:
         self._leader = leader
@@ -40,17 +40,17 @@
         self.failure_detector = FailureDetector(leader, net, self.release, self.capacity_planner)
         self.machine_list = MachineListController(leader, self)
         self.scaling = ScalingController(leader, self, self.machine_list)
-        self._requests = 0
+        self._request_count = 0
 
     def start(self) -> None:
-        """Start the loops that scale, list and watch machines."""
+        """Starts the scaling loop, the machine list loop and the failure detector."""
         background = self._leader.background
         background.keep("scaling", self.scaling.loop)
         background.keep("machine list", self.machine_list.loop)
         background.keep("failure detector", self.failure_detector.loop)
 
     async def refresh_catalog(self) -> None:
-        """The machine types: from the cloud, kept in the state service for when it is away."""
+        """Reads the machine types from the cloud, and records them for times when the cloud API is unavailable."""
         leader = self._leader
         try:
             types = await self.cloud.catalog()
@@ -59,23 +59,26 @@
             return
         if not types.keys() <= self.cluster.catalog.types.keys():
             found = await read_types(leader.state)
-            # What the cloud does not tell any more stays recorded: there may be machines of it.
+            # Types that the cloud no longer lists stay recorded: machines of these types may still exist.
             recorded = found or RecordedCatalog({}, 0)
             leader.node.types = types
             layout = self.cluster.writes.layout
             merged = RecordedCatalog({**recorded.types, **types}, recorded.version)
             await write_types(
-                leader.state, leader.token, merged, layout.max_value_bytes if layout.splits_records else ONE_VALUE
+                leader.state,
+                leader.token,
+                merged,
+                layout.max_value_bytes if layout.splits_records else UNLIMITED_VALUE_BYTES,
             )
         self.cluster.catalog.update(types)
 
     # --- rent -------------------------------------------------------------------------------
 
     async def rent(self, request: ScaleOutRequest) -> None:
-        """Rent machines; `request` is among the requests in flight, and is taken off them."""
-        self._requests += 1
-        # Token and counter: never used before, nor by another node.
-        request_id = f"r-{self._leader.token}-{self._requests}"
+        """Rents machines, and removes `request` from the requests in flight when the outcome is known."""
+        self._request_count += 1
+        # The fencing token and a counter make the id unique across nodes and restarts.
+        request_id = f"r-{self._leader.token}-{self._request_count}"
         try:
             names = await self._rent_with_retries(request_id, request)
             if names is not None:
@@ -85,9 +88,9 @@
             self._leader.wake()
 
     async def _rent_with_retries(self, request_id: str, request: ScaleOutRequest) -> list[str] | None:
-        """The rented machines; None if the request was refused or not answered in time."""
-        until = steady() + RENT_WITHIN
-        while steady() < until and not self._leader.stopped:
+        """Returns the names of the rented machines, or None if the request was refused or timed out."""
+        give_up_at = steady() + RENT_TIMEOUT
+        while steady() < give_up_at and not self._leader.stopped:
             try:
                 return await self.cloud.rent(request_id, request.type, request.zone, request.spot, request.count)
             except RequestRefusedError as error:
@@ -96,11 +99,13 @@
                     self.capacity_planner.availability.refuse(request, steady())
                     log.info("no capacity type=%s zone=%s spot=%s", request.type, request.zone, request.spot)
                     return None
-                await asyncio.sleep(jitter(RENT_RETRY_REFUSED))
+                await asyncio.sleep(jitter(RENT_REFUSED_RETRY_INTERVAL))
                 if error.status not in RETRYABLE_STATUSES:
                     return None
             except NoResponseError:
-                await asyncio.sleep(jitter(RENT_RETRY_UNANSWERED))  # the same id again: it rents once
+                await asyncio.sleep(
+                    jitter(RENT_UNANSWERED_RETRY_INTERVAL)
+                )  # the id is unchanged, so a retry rents no second time
         return None
 
     def _on_rented(self, request: ScaleOutRequest, names: list[str]) -> None:
@@ -120,9 +125,10 @@
     # --- release ----------------------------------------------------------------------------
 
     async def release(self, machines: list[Machine], reason: str) -> None:
-        """Release machines; the answer proves that they and all on them are gone.
+        """Releases machines; the cloud's response proves that they and all tasks on them are gone.
 
-        Not those that alone know of a completion: they are asked for again once that is recorded.
+        Machines that hold the only copy of a completion are skipped: callers request their release again after the
+        completion has been recorded.
         """
         machines = [m for m in machines if not self.cluster.completions.holds_unwritten(m)]
         if not machines:
--- a/oatport/service/cluster_status.py
+++ b/oatport/service/cluster_status.py
@@ -1,4 +1,4 @@
-"""The line that a leader logs about its cluster every ten seconds."""
+"""Formats the status line that a leader logs about its cluster every ten seconds."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def status_line(cluster: ClusterState, capacity_planner: CapacityPlanner, now: int) -> str:
-    """How things stand; all of it was counted on other occasions."""
+    """Returns the status line, built only from figures that are already maintained elsewhere."""
     utilization, availability = cluster.accounting.utilization, capacity_planner.availability
     values = {
         "machines_up": utilization.ready,
--- a/oatport/service/command_sender.py
+++ b/oatport/service/command_sender.py
@@ -1,4 +1,4 @@
-"""Sends commands to workers directly, without waiting for their next report."""
+"""Sends commands to workers directly, without waiting for their next heartbeat."""
 
 from __future__ import annotations
 
@@ -14,33 +14,33 @@
 
 log = logging.getLogger(__name__)
 
-MAX_CONCURRENT_SENDS = 64  # machines that are sent commands at a time
+MAX_CONCURRENT_SENDS = 64  # machines with a request in flight
 
 
 class CommandSender:
-    """Sends commands to the machines in `machines_to_command`, one request to each at a time."""
+    """Sends commands to the machines in `machines_to_command`, with at most one request in flight per machine."""
 
     def __init__(self, leader: LeaderContext, net: Network) -> None:
         self._leader = leader
         self._net = net
-        self.wanted = asyncio.Event()
+        self.wakeup = asyncio.Event()
         self._sending: set[Machine] = set()
-        self._requests = 0  # since they were last taken
+        self._requests = 0  # since the last call of `take_request_count`
 
     def is_sending(self, machine: Machine) -> bool:
-        """A request to this machine is under way."""
+        """Returns whether a request to this machine is in flight."""
         return machine in self._sending
 
     def take_request_count(self) -> int:
-        """How many requests went out since this was last asked."""
+        """Returns the number of requests sent since the last call, and resets the counter."""
         requests, self._requests = self._requests, 0
         return requests
 
     async def loop(self) -> None:
-        """Send whenever there is something to send."""
+        """Sends commands whenever `wakeup` is set, until the leader stops."""
         while not self._leader.stopped:
-            await self.wanted.wait()
-            self.wanted.clear()
+            await self.wakeup.wait()
+            self.wakeup.clear()
             self._send_to_all()
 
     def _send_to_all(self) -> None:
@@ -48,32 +48,32 @@
         cluster = self._leader.cluster
         for machine in list(cluster.machines_to_command):
             if len(self._sending) >= MAX_CONCURRENT_SENDS:
-                break  # the others keep their place; once half a second passed until they were thought of again
+                break  # the rest stay in the set; `send` sets `wakeup` when a slot is free, else they would wait 0.5 s
             if machine in self._sending or machine.releasing:
                 continue
             cluster.machines_to_command.discard(machine)
             if not machine.address or not machine.agent_epoch:
                 continue
             commands, _ = cluster.commands.for_machine(machine, now, direct=True)
-            if commands:  # there are mostly none: they are on their way already
+            if commands:  # usually empty: most commands are already in flight
                 self._sending.add(machine)
                 self._leader.background.once("send", self.send(machine))
 
     async def send(self, machine: Machine) -> None:
-        """Send a machine its commands, and take in the report that it answers."""
+        """Sends a machine its commands, and applies the report in its response."""
         try:
             await self._send(machine)
         finally:
             self._sending.discard(machine)
-            is_wanted_again = machine in self._leader.cluster.machines_to_command
-            if is_wanted_again or len(self._sending) == MAX_CONCURRENT_SENDS - 1:
-                self.wanted.set()
+            has_new_commands = machine in self._leader.cluster.machines_to_command
+            if has_new_commands or len(self._sending) == MAX_CONCURRENT_SENDS - 1:
+                self.wakeup.set()
 
     async def _send(self, machine: Machine) -> None:
         leader, cluster = self._leader, self._leader.cluster
         now = leader.now()
         if not leader.holds_lease() or machine.removed:
-            return  # reports' answers still carry the stops
+            return  # stop commands are still sent in heartbeat responses
         commands, starts = cluster.commands.for_machine(machine, now, direct=True)
         if not commands:
             return
@@ -84,7 +84,9 @@
             client = WorkerClient(self._net, machine.address)
             report = await client.send_commands(leader.token, machine.agent_epoch, commands)
         except RequestNotSentError:
-            cluster.commands.on_answered(machine, sent_starts)  # no connection: it can't land later
+            cluster.commands.on_answered(
+                machine, sent_starts
+            )  # no connection was made, so the commands can't arrive later
             return
         except NoResponseError as error:
             log.debug('commands got no response machine=%s error="%s"', machine.name, error)
--- a/oatport/service/completion_replication.py
+++ b/oatport/service/completion_replication.py
@@ -1,6 +1,6 @@
-"""Replication of completions that no record has yet: from the leader to the other nodes, and to the next leader.
+"""Replicates unrecorded completions from the leader to the other nodes, and from them to the next leader.
 
-A leader that ends loses what it received and did not record, but not what it replicated to the other nodes
+If a leader's process ends, completions that it received but did not record are lost unless they were replicated
 (`control/state/completions.py`).
 """
 
@@ -20,36 +20,36 @@
 from oatport.service.peer_notifications import notify_with_retry
 from oatport.times import MS, seconds
 
-REPLICATION_INTERVAL = 50 * MS  # the shorter, the less is lost with a leader that ends
-REQUEST_TIMEOUT = 300 * MS  # a failover waits no longer for what others know
+REPLICATION_INTERVAL = 50 * MS  # a shorter interval loses fewer completions when a leader ends
+REQUEST_TIMEOUT = 300 * MS  # limits how long a failover waits for the peers' completions
 DEPOSED_RETRY_INTERVAL = 300 * MS
-DEPOSED_TRIES = 60  # a deposed leader's, at peers that it doesn't reach
+DEPOSED_NOTIFY_ATTEMPTS = 60  # of a deposed leader to send its completions to an unreachable peer
 
 
 class ReplicatingNode(Protocol):
-    """The node that it belongs to."""
+    """The node that a `CompletionReplicator` belongs to."""
 
     peers: dict[str, PeerClient]
     background: BackgroundTasks
 
     @property
     def leader(self) -> Leader | None:
-        """What acts as the leader on this node."""
+        """Returns the `Leader` of this node, or None while the node does not lead."""
 
     @property
     def last_other_leader(self) -> str:
-        """The last leader known beside this node; "" if there was none."""
+        """Returns the name of the last known leader other than this node, or "" if there was none."""
 
 
 class CompletionReplicator:
-    """Sends a leader's unrecorded completions to the other nodes, and keeps theirs."""
+    """Sends a leader's unrecorded completions to the other nodes, and stores those received from other leaders."""
 
     def __init__(self, node: ReplicatingNode) -> None:
         self._node = node
         self.log = CompletionLog()
 
     async def on_replicate(self, message: ReplicateCompletions) -> Ok:
-        """A leader sends what it received."""
+        """Handles completions replicated by a leader."""
         self.log.add(message.fencing_token, message.completions)
         leader = self._node.leader
         if leader is not None and message.fencing_token < leader.token:
@@ -57,11 +57,11 @@
         return Ok()
 
     async def on_request(self, request: CompletionsRequest) -> CompletionsReply:
-        """A new leader asks for what earlier ones did not record, as far as this node knows."""
+        """Returns to a new leader the unrecorded completions of earlier leaders that this node has stored."""
         return CompletionsReply(self.log.before_token(request.before_token))
 
     async def loop(self) -> None:
-        """As the leader: send unrecorded completions at once, and first of all an empty list, which says who leads."""
+        """Sends a leader's new completions to all peers; the first message may be empty, and announces the leader."""
         announced_token = 0
         while True:
             leader = self._node.leader
@@ -75,7 +75,7 @@
             await asyncio.sleep(seconds(REPLICATION_INTERVAL))
 
     def on_deposed(self, leader: Leader) -> None:
-        """Send what a leader leaves unrecorded to the others, who may not be reached just now."""
+        """Sends the unrecorded completions of a deposed leader to all peers, with retries for unreachable ones."""
         unrecorded = leader.cluster.completions.to_replicate()
         self.log.add(leader.token, unrecorded)
         if unrecorded:
@@ -84,7 +84,7 @@
                 self._node.background.once("completions", self._notify_until_received(peer, message))
 
     async def _notify_until_received(self, peer: PeerClient, message: ReplicateCompletions) -> None:
-        for _ in range(DEPOSED_TRIES):
+        for _ in range(DEPOSED_NOTIFY_ATTEMPTS):
             try:
                 await peer.notify(message)
                 return
@@ -92,10 +92,10 @@
                 await asyncio.sleep(jitter(DEPOSED_RETRY_INTERVAL))
 
     async def completions_before(self, token: int) -> EarlierCompletions:
-        """What leaders before this token received and did not record, as far as any node knows.
+        """Returns the completions that leaders before this token received but did not record, collected from all nodes.
 
-        Not complete if no node knows anything, or the last leader may know more and can't be asked, since it is
-        partitioned or paused. One whose process ended knows nothing any more.
+        The result is incomplete if no node has any such log, or if the last leader may hold more and can't be asked
+        because it is partitioned or paused. A leader whose process has ended holds nothing.
         """
         request = CompletionsRequest(token)
         replies = await asyncio.gather(
@@ -105,22 +105,22 @@
             ),
             return_exceptions=True,
         )
-        known = [self.log.before_token(token)]
+        replicated = [self.log.before_token(token)]
         complete = True
         for name, reply in zip(self._node.peers, replies, strict=True):
-            if self._may_know_more(name, reply):
+            if self._may_hold_more(name, reply):
                 complete = False
             if isinstance(reply, NoResponseError | MalformedReplyError):
-                continue  # away, of an earlier version, or strange: less is known, and nothing else follows
+                continue  # skips a peer that is unreachable, runs an earlier version, or sent a malformed reply
             if isinstance(reply, BaseException):
                 raise reply
-            known.append(reply.completions)
-        logs = [completions for completions in known if completions is not None]
+            replicated.append(reply.completions)
+        logs = [completions for completions in replicated if completions is not None]
         merged = list(dict.fromkeys(completion for completions in logs for completion in completions))
         return EarlierCompletions(merged, complete and bool(logs))
 
-    def _may_know_more(self, name: str, reply: CompletionsReply | BaseException) -> bool:
-        """It may have led last, and did not answer; where no last leader is known that may be any node."""
+    def _may_hold_more(self, name: str, reply: CompletionsReply | BaseException) -> bool:
+        """Returns whether this peer did not answer and may have been the last leader (any peer, if none is known)."""
         unreached = isinstance(reply, NoResponseError) and not isinstance(
             reply, RequestNotSentError | UnexpectedReplyError
         )
--- a/oatport/service/dependency_controller.py
+++ b/oatport/service/dependency_controller.py
@@ -1,4 +1,4 @@
-"""The dependency controller: how jobs stand on which others depend, and of which no record is known."""
+"""Resolves the dependencies of blocked jobs whose state is not known to the leader, by reading their records."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from oatport.times import SECOND
 
 INTERVAL_S = 0.2
-READ_INTERVAL_S = INTERVAL_S / 4  # between requests of one round
-REREAD_INTERVAL_S = 1.0  # until a dependency that is not over is looked at again, if nothing was received about it
+READ_INTERVAL_S = INTERVAL_S / 4  # between the requests of one round
+REREAD_INTERVAL_S = 1.0  # before an unfinished dependency is read again, unless the watch reports a change
 RETRY_INTERVAL = SECOND
 
 
 class DependencyController:
-    """Reads the records of such dependencies for a leader."""
+    """Reads the records of unresolved dependencies for a leader."""
 
     def __init__(self, leader: LeaderContext) -> None:
         self._leader = leader
@@ -25,34 +25,34 @@
         self.state = leader.state
 
     def start(self) -> None:
-        """Start the loop."""
+        """Starts the loop."""
         self._leader.background.keep("dependencies", self.loop)
 
     async def loop(self) -> None:
-        """Read unknown dependencies until the leader stops."""
+        """Reads unresolved dependencies until the leader stops."""
         while not self._leader.stopped:
             await asyncio.sleep(INTERVAL_S)
             await self._read(sorted(self.cluster.dependencies.graph.unresolved))
             if self.cluster.dependencies.graph.unresolved:
-                await asyncio.sleep(REREAD_INTERVAL_S)  # accepted a moment ago: the watch brings it
+                await asyncio.sleep(REREAD_INTERVAL_S)  # a job accepted just now arrives through the watch
 
-    async def _read(self, unknown: list[str]) -> None:
-        """Some together, one request at a time."""
-        while unknown and not self._leader.stopped:
+    async def _read(self, pending_ids: list[str]) -> None:
+        """Reads several records per request, with one request in flight at a time."""
+        while pending_ids and not self._leader.stopped:
             try:
-                found, asked = await self.state.get_many(JOBS, unknown)
+                found, requested = await self.state.get_many(JOBS, pending_ids)
             except (NoResponseError, RequestRefusedError):
                 await asyncio.sleep(jitter(RETRY_INTERVAL))
                 return
-            for job_id in asked:
+            for job_id in requested:
                 record = found[job_id][0] if job_id in found else {}
                 self._apply_state(job_id, str(record.get("state")), int(record.get("ended", 0)))
-            unknown = unknown[len(asked) :]
+            pending_ids = pending_ids[len(requested) :]
             self._leader.wake()
             await asyncio.sleep(READ_INTERVAL_S)
 
     def _apply_state(self, job_id: str, state: str, ended: int) -> None:
-        """Its record says so: a terminal state holds for good, anything else may have changed since."""
+        """Applies the recorded state of a dependency: terminal states are final, any other may have changed since."""
         if state == wire.JobStatus.COMPLETED:
             self.cluster.dependencies.on_completion_recorded(job_id, ended)
         elif state == wire.JobStatus.CANCELLED:
--- a/oatport/service/election.py
+++ b/oatport/service/election.py
@@ -1,4 +1,4 @@
-"""Leader election: the watch on the leader key, candidacy, taking the lead and stepping down."""
+"""Leader election: watches the leader key, runs for leader, and steps down."""
 
 from __future__ import annotations
 
@@ -23,20 +23,20 @@
 
 log = logging.getLogger(__name__)
 
-BACKOFF_AFTER_STEP_DOWN = 6 * SECOND  # to let others take over
+BACKOFF_AFTER_STEP_DOWN = 6 * SECOND  # gives other nodes time to take over
 BACKOFF_AFTER_FAILED_LOAD = SECOND
 BACKOFF_WORKERS_UNREACHABLE = 1_500 * MS
-HANDOVER_IS_VALID = 2 * SECOND  # a handover that was agreed to is off after this
-WATCH_WAIT = 5 * SECOND
-WATCH_RETRY = 300 * MS
+HANDOVER_VALIDITY = 2 * SECOND  # an accepted handover request expires after this time
+WATCH_TIMEOUT = 5 * SECOND
+WATCH_RETRY_INTERVAL = 300 * MS
 CANDIDACY_INTERVAL_S = 1.0
-CANDIDACY_RETRY = 200 * MS
+CANDIDACY_RETRY_INTERVAL = 200 * MS
 
-LeaderFactory = Callable[[int, int, int], Leader]  # fencing token, lease, when the lease was requested (steady)
+LeaderFactory = Callable[[int, int, int], Leader]  # fencing token, lease id, time of the lease request (steady)
 
 
 class Election:
-    """Which node leads, and this node's own candidacy."""
+    """Tracks which node leads, and runs for leader on behalf of this node."""
 
     def __init__(
         self,
@@ -60,19 +60,19 @@
         self.leader_token = 0
         self.last_other_leader = ""
         self.backoff_until = 0
-        self.handover_token = 0  # token of a leader that handed over to this node
+        self.handover_token = 0  # fencing token of the leader that this node may replace
         self.handover_until = 0
-        self._wanted = asyncio.Event()
-        self._unreachable_workers: list[str] = []  # not reached by this node as the leader, while another one did
+        self._wakeup = asyncio.Event()
+        self._unreachable_workers: list[str] = []  # a peer reached them while this node led and did not
 
     def mark_workers_unreachable(self, addresses: list[str]) -> None:
-        """These workers are reached by another node, but not by this one."""
+        """Records that a peer reaches these workers and this node does not."""
         self._unreachable_workers = addresses
 
     # --- who leads --------------------------------------------------------------------------
 
     def learn_leader(self, name: str | None, token: int) -> None:
-        """A node leads with this token, or led; the highest token tells who leads now."""
+        """Records that a node leads or led with this token; the node with the highest token is the current leader."""
         if token <= self.leader_token:
             return
         self.leader_name, self.leader_token = name, token
@@ -82,19 +82,22 @@
             self.step_down(f"{name} leads with token {token}")
 
     async def watch_loop(self) -> None:
-        """Follow the leader key."""
+        """Watches the leader key until cancelled."""
         while True:
             try:
                 await self._follow_leader_key()
             except (NoResponseError, RequestRefusedError):
-                await asyncio.sleep(jitter(WATCH_RETRY))
+                await asyncio.sleep(jitter(WATCH_RETRY_INTERVAL))
 
     async def _follow_leader_key(self) -> None:
-        """Until the watch fell too far behind. Raises NoResponseError or RequestRefusedError."""
+        """Applies changes of the leader key until the watch has fallen too far behind and must be restarted.
+
+        Raises NoResponseError or RequestRefusedError.
+        """
         found = await self._node.state.get(LEADER_KEY)
         revision = self._on_leader_record(found)
         while True:
-            result = await self._node.state.watch(LEADER_KEY, revision, WATCH_WAIT)
+            result = await self._node.state.watch(LEADER_KEY, revision, WATCH_TIMEOUT)
             if result is None:
                 return
             revision = result.revision
@@ -104,56 +107,56 @@
                     self._on_leader_record(record)
 
     def _on_leader_record(self, found: wire.StoredValue | None) -> int:
-        """Take in the leader record or its absence; its version, which is the fencing token."""
+        """Applies the leader record or its absence; returns its version, which is the fencing token, or 0."""
         if found is None:
             if self.leader is None:
                 self.leader_name = None
-                self._wanted.set()
+                self._wakeup.set()
             return 0
         value, version = found
         name = value.get("node")
         self.learn_leader(name, version)
         if name == self._node.node_name and value.get("boot") != self._node.boot_id and self.leader is None:
-            # Left by an earlier process of this node's: no use waiting for its lease to expire.
+            # An earlier process of this node wrote the record: it is replaced without waiting for its lease to expire.
             self.handover_token = version
-            self.handover_until = steady() + HANDOVER_IS_VALID
-            self._wanted.set()
+            self.handover_until = steady() + HANDOVER_VALIDITY
+            self._wakeup.set()
         return version
 
     # --- candidacy --------------------------------------------------------------------------
 
     async def on_handover(self, handover: Handover) -> Ok | No:
-        """The leader asks this node to replace it."""
+        """Accepts or declines a handover request of the leader."""
         if steady() <= self.backoff_until or self._unreachable_workers:
             return No()
         try:
-            # Asked just now: at the start of an outage for all, what was known a moment ago is wrong,
-            # and without a leader nobody would keep the workers' leases alive until it ends.
+            # This reads the state service instead of using the last known status, which is outdated when an outage
+            # for all nodes begins. If a node accepted then, no leader would renew the workers' leases until it ends.
             await self._node.state.get(LEADER_KEY)
         except (NoResponseError, RequestRefusedError):
             return No()
         self.handover_token = max(self.handover_token, handover.fencing_token)
-        self.handover_until = steady() + HANDOVER_IS_VALID
-        self._wanted.set()
+        self.handover_until = steady() + HANDOVER_VALIDITY
+        self._wakeup.set()
         return Ok()
 
     async def loop(self) -> None:
-        """Become the leader whenever there is none."""
+        """Runs for leader whenever there is none, until cancelled."""
         while True:
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(CANDIDACY_INTERVAL_S):
-                    await self._wanted.wait()
-            self._wanted.clear()
+                    await self._wakeup.wait()
+            self._wakeup.clear()
             if self.leader is not None or steady() < self.backoff_until:
                 continue
             try:
                 await self._run_for_leader()
             except (NoResponseError, RequestRefusedError, LeaseExpiredError) as error:
                 log.debug('candidacy failed error="%s"', error)
-                await asyncio.sleep(jitter(CANDIDACY_RETRY))
+                await asyncio.sleep(jitter(CANDIDACY_RETRY_INTERVAL))
 
     async def backoff(self) -> int:
-        """How long (us) to let the others go first, where they are better placed."""
+        """Returns how long (us) this node waits before running for leader, so that better placed nodes go first."""
         if self._unreachable_workers:
             if not await self._count_reached(self._unreachable_workers):
                 return BACKOFF_WORKERS_UNREACHABLE
@@ -164,7 +167,10 @@
         return await count_reachable(self._net, addresses)
 
     async def _run_for_leader(self) -> None:
-        """Become the leader if there is none, or if the one there is handed over."""
+        """Becomes the leader if there is none, or if the current leader has handed over to this node.
+
+        Raises NoResponseError, RequestRefusedError or LeaseExpiredError.
+        """
         found = await self._node.state.get(LEADER_KEY)
         version = 0
         if found is None:
@@ -176,29 +182,30 @@
                 return
             version = found[1]
         requested_at = steady()
-        lease = await self._node.state.grant_lease(self._lease_us)
-        token = await self._take_leader_key(version, lease)
+        lease_id = await self._node.state.grant_lease(self._lease_us)
+        token = await self._take_leader_key(version, lease_id)
         if token:
-            await self._become_leader(token, lease, requested_at)
+            await self._become_leader(token, lease_id, requested_at)
 
-    async def _take_leader_key(self, version: int, lease: int) -> int:
-        """Write the leader record over the one of this version; the fencing token, or 0 if another node was faster."""
-        value = {"node": self._node.node_name, "boot": self._node.boot_id, "lease": lease}
+    async def _take_leader_key(self, version: int, lease_id: int) -> int:
+        """Replaces the leader record of this version; returns the fencing token, or 0 if another node was faster."""
+        value = {"node": self._node.node_name, "boot": self._node.boot_id, "lease": lease_id}
         try:
-            result = await self._node.state.commit({LEADER_KEY: version}, {LEADER_KEY: value}, lease=lease)
+            result = await self._node.state.commit({LEADER_KEY: version}, {LEADER_KEY: value}, lease=lease_id)
         except (NoResponseError, RequestRefusedError):
-            # Outcome unknown: read it back. A late one is conditioned on what it replaces.
+            # The outcome is unknown, so the record is read back. If the commit arrives later, its condition on the
+            # replaced version makes it fail.
             found = await self._node.state.get(LEADER_KEY)
-            if found is not None and found[0].get("boot") == self._node.boot_id and found[0].get("lease") == lease:
+            if found is not None and found[0].get("boot") == self._node.boot_id and found[0].get("lease") == lease_id:
                 return found[1]
             return 0
         return result.revision if isinstance(result, Applied) else 0
 
-    async def _become_leader(self, token: int, lease: int, requested_at: int) -> None:
+    async def _become_leader(self, token: int, lease_id: int, requested_at: int) -> None:
         self.handover_token = 0
         self.leader_name, self.leader_token = self._node.node_name, token
         self._peer_status.successor_answered_at = steady()
-        leader = self._make_leader(token, lease, requested_at)
+        leader = self._make_leader(token, lease_id, requested_at)
         self.leader = leader
         try:
             await leader.fail_over()
@@ -214,7 +221,7 @@
     # --- stepping down ----------------------------------------------------------------------
 
     def step_down(self, reason: str) -> None:
-        """Stop leading, if this node leads, and let others take over."""
+        """Stops leading, if this node leads, so that other nodes can take over."""
         leader, self.leader = self.leader, None
         if leader is None:
             return
@@ -228,6 +235,6 @@
             self._node.background.once("release leader key", self._release_leader_key(leader))
 
     async def _release_leader_key(self, leader: Leader) -> None:
-        """Free the leader key at once, so that nobody has to wait for the lease to expire."""
+        """Deletes the leader key at once, so that no node has to wait for the lease to expire."""
         with contextlib.suppress(NoResponseError, RequestRefusedError, LeaseExpiredError):
             await self._node.state.commit({LEADER_KEY: leader.token}, {}, [LEADER_KEY])
--- a/oatport/service/failover.py
+++ b/oatport/service/failover.py
@@ -1,4 +1,4 @@
-"""Failover: the records are read, and the recorded machines are asked what runs on them."""
+"""Failover: reads all records, and announces the new leader to the recorded machines, which report their tasks."""
 
 from __future__ import annotations
 
@@ -28,64 +28,64 @@
 
 log = logging.getLogger(__name__)
 
-INTRODUCTION_TRIES = 3  # after that the machine's own report has to come
-INTRODUCTION_RETRY = SECOND
+ANNOUNCE_ATTEMPTS = 3  # after that the leader waits for the machine's own heartbeat
+ANNOUNCE_RETRY_INTERVAL = SECOND
 
 
 @dataclass(frozen=True, slots=True)
 class RecordSnapshot:
-    """All that earlier leaders left: rows for `recovery.load`, and the revision to watch jobs from."""
+    """Holds the rows that earlier leaders recorded, and the revision from which jobs are to be watched."""
 
     rows: list[wire.StoredEntry]
     revision: int
 
 
 async def read_records(state: StateClient) -> RecordSnapshot:
-    """Read all records that a leader goes by.
+    """Reads all records that a new leader needs.
 
     Raises NoResponseError or RequestRefusedError.
     """
     live, revision = await state.list_prefix(LIVE)
-    # After `live/`: only a leader moves a job from here to there, and no other one can any more.
-    waits, _ = await state.list_prefix(BLOCKED)
+    # Blocked jobs are read after `live/`: only a leader moves a job from blocked to live, and earlier leaders are
+    # fenced by now, so no job can be missed between the two reads.
+    blocked, _ = await state.list_prefix(BLOCKED)
     fleet, _ = await state.list_prefix(FLEET)
     rows, _ = await state.list_prefix(MODEL_KEY)
     for key in (PARTITIONED_ZONES_KEY, SCHEMA_VERSION_KEY):
         found = await state.get(key)
         if found is not None:
             rows.append(wire.StoredEntry(key, *found))
-    for entries in (live, waits):
+    for entries in (live, blocked):
         for number, entry in enumerate(entries):
             if "more" in entry.value:
-                entries[number] = entry._replace(value=await read_whole(state, entry.value))
-    return RecordSnapshot(rows + fleet + live + waits, revision)
+                entries[number] = entry._replace(value=await read_full_record(state, entry.value))
+    return RecordSnapshot(rows + fleet + live + blocked, revision)
 
 
-async def read_whole(state: StateClient, value: Any) -> Any:
-    """The record of a job with its long lists. Raises NoResponseError or RequestRefusedError."""
+async def read_full_record(state: StateClient, value: Any) -> Any:
+    """Returns a job's record joined with its overflow records. Raises NoResponseError or RequestRefusedError."""
     count, job_id = int(value["more"][0]), str(value["job"]["ref"])
     parts = []
     for number in range(count):
         found = await state.get(overflow_key(job_id, number))
         if found is None:
-            raise NoResponseError(
-                f"{overflow_key(job_id, number)} is missing"
-            )  # it was written before its job was accepted
+            # Overflow records are written before their job is accepted.
+            raise NoResponseError(f"{overflow_key(job_id, number)} is missing")
         parts.append(found[0])
     return with_overflow(value, parts)
 
 
-def introduce_all(leader: LeaderContext, net: Network) -> None:
-    """Introduce the leader to all machines whose addresses are known."""
+def announce_leader_to_all(leader: LeaderContext, net: Network) -> None:
+    """Announces the leader to all machines whose addresses are known."""
     for machine in list(leader.cluster.machines.values()):
         if machine.address:
-            leader.background.once("introduce", introduce(leader, net, machine))
+            leader.background.once("announce leader", announce_leader(leader, net, machine))
 
 
-async def introduce(leader: LeaderContext, net: Network, machine: Machine) -> None:
-    """Let a machine know the new token, and learn what is on it, without waiting for its report."""
+async def announce_leader(leader: LeaderContext, net: Network, machine: Machine) -> None:
+    """Reads a machine's status and sends it the new fencing token, without waiting for its heartbeat."""
     client = WorkerClient(net, machine.address)
-    for _ in range(INTRODUCTION_TRIES):
+    for _ in range(ANNOUNCE_ATTEMPTS):
         if leader.stopped or machine.removed or machine.is_confirmed(leader.token):
             return
         try:
@@ -95,4 +95,4 @@
             if report.fencing_token < leader.token:
                 leader.receive_heartbeat(await client.send_commands(leader.token, report.agent_epoch, []), steady())
         except NoResponseError:
-            await asyncio.sleep(jitter(INTRODUCTION_RETRY))
+            await asyncio.sleep(jitter(ANNOUNCE_RETRY_INTERVAL))
--- a/oatport/service/group_commit.py
+++ b/oatport/service/group_commit.py
@@ -1,4 +1,4 @@
-"""Group commit: what the leader's view wants written, one conditioned transaction at a time."""
+"""Group commit: writes the changes of the leader's `ClusterState`, one conditional transaction at a time."""
 
 from __future__ import annotations
 
@@ -17,19 +17,19 @@
 
 log = logging.getLogger(__name__)
 
-BATCHING_WINDOW = 250 * MS  # completions may wait this long for others to go in the same transaction
-COMPLETIONS_WAIT = 1_500 * MS
-DEFERRABLE_WAIT = 4 * SECOND  # what can wait does so for no longer, however much is urgent
+BATCHING_WINDOW = 250 * MS  # how long non-urgent writes, such as completions, wait for others to join them
+MAX_COMPLETIONS_WAIT = 1_500 * MS
+MAX_DEFERRABLE_WAIT = 4 * SECOND  # deferrable writes wait no longer than this, even if many urgent ones are pending
 EMPTY_BATCH_INTERVAL_S = 0.04
-WRITE_SHARE = 0.85  # of the changes a second; the rest is for users' requests
+WRITE_SHARE = 0.85  # of the changes per second; the rest is for users' requests
 STUCK_AFTER = SECOND
-RETRY_STEP, MAX_RETRY = 60 * MS, 400 * MS
-READ_RETRY = 200 * MS
+RETRY_DELAY_STEP, MAX_RETRY_DELAY = 60 * MS, 400 * MS
+READ_RETRY_INTERVAL = 200 * MS
 TOO_MANY_REQUESTS = 429
 
 
 class GroupCommit:
-    """Writes batches for a leader, within its share of the rate limit."""
+    """Writes batches for a leader, within its share of the state service's rate limit."""
 
     def __init__(self, leader: LeaderContext) -> None:
         self._leader = leader
@@ -39,28 +39,28 @@
         self._budget = TokenBucket(limits.write_rps * WRITE_SHARE)
         self._reduced_rate = limits.least_write_rps * WRITE_SHARE
         self._transaction_operations = limits.least_txn_ops
-        self.wanted = asyncio.Event()
-        self._trying_since = 0  # when the commit under way was first tried
-        self._deferrable_at = 0  # when what can wait was written last
+        self.wakeup = asyncio.Event()
+        self._commit_started_at = 0  # time of the first attempt of the commit in flight; 0 if there is none
+        self._deferrable_written_at = 0  # when deferrable writes were last written
 
     def charge_acceptance(self) -> None:
-        """A job was accepted: what nodes wrote for it is off the same budget.
+        """Charges the budget for the keys that a node wrote to accept a job.
 
-        But a burst of small jobs makes no debt that bindings wait for.
+        Nothing is charged if the budget is used up, so that bindings need not wait for a burst of small jobs.
         """
         if self._budget.available() > 0:
             self._budget.reserve(ACCEPT_KEYS)
 
     def is_stuck(self, now: int) -> bool:
-        """The commit under way has been without an answer for long."""
-        return bool(self._trying_since and now - self._trying_since > STUCK_AFTER)
+        """Returns whether the commit in flight has been unanswered for more than `STUCK_AFTER`."""
+        return bool(self._commit_started_at and now - self._commit_started_at > STUCK_AFTER)
 
     async def loop(self) -> None:
-        """Write whenever there is something to write."""
-        self._deferrable_at = steady()
+        """Writes batches whenever `wakeup` is set, until the leader stops."""
+        self._deferrable_written_at = steady()
         while not self._leader.stopped:
-            await self.wanted.wait()
-            self.wanted.clear()
+            await self.wakeup.wait()
+            self.wakeup.clear()
             while self.cluster.writes.has_writes() and not self._leader.stopped:
                 if not self.cluster.writes.has_urgent_writes():
                     await asyncio.sleep(seconds(BATCHING_WINDOW))
@@ -79,24 +79,24 @@
         self._leader.wake()
 
     def _take_batch(self, now: int) -> WriteBatch:
-        """What can wait leaves half a second's worth to bindings, and to users' requests."""
-        budget, completions_wait = int(self._budget.available() - self._budget.rate_per_s / 2), COMPLETIONS_WAIT
-        if now - self._deferrable_at > DEFERRABLE_WAIT:
+        """Takes the next batch; deferrable writes leave half a second's budget to bindings and to users' requests."""
+        budget, completions_wait = int(self._budget.available() - self._budget.rate_per_s / 2), MAX_COMPLETIONS_WAIT
+        if now - self._deferrable_written_at > MAX_DEFERRABLE_WAIT:
             budget, completions_wait = self._transaction_operations, 0
         batch = self.cluster.writes.take_batch(self._transaction_operations, max(budget, 0), completions_wait)
         if not self.cluster.writes.dirty_keys or batch.operation_count > 1:
-            self._deferrable_at = now
+            self._deferrable_written_at = now
         return batch
 
     async def commit(self, batch: WriteBatch) -> None:
-        """Commit a batch, trying the same transaction until its outcome is known.
+        """Commits a batch, retrying the same transaction until its outcome is known.
 
-        While it is unknown, nothing else is written: each key's version is a condition, so once the answer
-        is known no earlier try can be applied any more.
+        Nothing else is written meanwhile. Each key's version is a condition of the transaction, so once the outcome is
+        known no earlier attempt can be applied any more.
         """
         conditions = {LEADER_KEY: self._leader.token, **batch.conditions}
         tries = 0
-        self._trying_since = steady()
+        self._commit_started_at = steady()
         while not self._leader.stopped:
             try:
                 result = await self.state.commit(conditions, batch.sets, batch.deletes)
@@ -109,30 +109,30 @@
                     return
                 self._on_refused(error)
             else:
-                self._trying_since = 0
+                self._commit_started_at = 0
                 if isinstance(result, Applied):
                     self.cluster.writes.committed(batch, result.revision, steady())
                 else:
                     await self._on_conflict(batch, result.failed_keys, tries)
                 return
             tries += 1
-            await asyncio.sleep(jitter(min(RETRY_STEP * tries, MAX_RETRY)))
+            await asyncio.sleep(jitter(min(RETRY_DELAY_STEP * tries, MAX_RETRY_DELAY)))
 
     def _on_refused(self, error: RequestRefusedError) -> None:
         if error.status == TOO_MANY_REQUESTS:
-            # The first sign that the limits have fallen; until then their full rate is used.
+            # The first sign that the limits were lowered; until then their full rate is used.
             self._budget.rate_per_s = min(self._budget.rate_per_s, self._reduced_rate)
         else:
             log.info('commit was refused fencing_token=%d error="%s"', self._leader.token, error)
 
     def _on_malformed(self, batch: WriteBatch) -> None:
         if self.cluster.writes.layout.splits_records or self.cluster.writes.value_limit_lowered:
-            self._leader.step_down("the state service calls a transaction malformed")
+            self._leader.step_down("the state service refused a transaction as malformed")
             return
-        # The limits have fallen while a node was away, so that it isn't known whether it reads parts:
-        # what is too large waits for that, and the rest goes on.
+        # The limits were lowered while a node was unreachable, so it is not known whether that node can read record
+        # parts. Records that are too large are held back until it is known; all others are written.
         log.error("transaction refused as malformed, large records are held back operations=%d", batch.operation_count)
-        self._trying_since = 0
+        self._commit_started_at = 0
         self.cluster.writes.value_limit_lowered = True
         self.cluster.writes.restore_batch(batch)
 
@@ -144,7 +144,7 @@
             return
         others = [key for key in failed if not key.startswith(JOBS)]
         if others or not failed:
-            # Somebody else wrote what only the leader writes: what we believe is not what is recorded.
+            # Another process wrote a key that only the leader writes: the leader's view differs from the records.
             log.error("records differ from the view fencing_token=%d keys=%s", self._leader.token, ",".join(others))
             self._leader.step_down("records differ from what was expected")
             return
@@ -153,9 +153,8 @@
         for key, version in cancelled.items():
             job_id = key[len(JOBS) :]
             if version:
-                self.cluster.dependencies.cancel_blocked(
-                    job_id, version
-                )  # its user was faster than the job that it depends on
+                # The user cancelled the blocked job before the outcome of its dependency was applied.
+                self.cluster.dependencies.cancel_blocked(job_id, version)
             job = self.cluster.jobs.get(job_id)
             if job is not None and job.cancelled:
                 job.completing = False
@@ -165,11 +164,11 @@
                 )
 
     async def _was_applied(self, batch: WriteBatch) -> bool:
-        """After a try with unknown outcome: did it get through? All that it wrote then has the commit's revision.
+        """Returns whether an earlier attempt with unknown outcome was applied: all its keys then have one revision.
 
-        One key tells nothing: a job that it cancelled may have been cancelled by its user, in the same words, while
-        bindings that went along were never written. A record that somebody has changed since leaves it to the others;
-        `jobs/REF` alone is ever written by others, and only where the commit did not come first.
+        One key proves nothing: a job that the batch cancels may have been cancelled by its user with an identical
+        record, while bindings of the same batch were never written. A record that was changed since does not match, so
+        the batch counts as not applied. Others write only `jobs/REF`, and only if the commit was not applied first.
         """
         revisions: set[int] = set()
         for key in (*batch.sets, *batch.deletes):
@@ -179,7 +178,11 @@
             if key in batch.deletes:
                 if found is not None:
                     return False
-            elif found is None or found[1] <= batch.conditions.get(key, 0) or not _same(found[0], batch.sets[key]):
+            elif (
+                found is None
+                or found[1] <= batch.conditions.get(key, 0)
+                or not _is_same_value(found[0], batch.sets[key])
+            ):
                 return False
             else:
                 revisions.add(found[1])
@@ -189,16 +192,16 @@
         return True
 
     async def read_until_answered(self, key: str) -> tuple[Any, int] | None:
-        """What is recorded under a key, however often it has to be asked for."""
+        """Reads a key, retrying until the state service answers; returns None if the leader stops first."""
         while not self._leader.stopped:
             try:
                 return await self.state.get(key)
             except (NoResponseError, RequestRefusedError):
-                await asyncio.sleep(jitter(READ_RETRY))
+                await asyncio.sleep(jitter(READ_RETRY_INTERVAL))
         return None
 
     async def _refresh_job(self, job_id: str) -> int:
-        """Take in how a job stands; the version of its record if it is cancelled, else 0."""
+        """Reads a job's record and applies its state; returns the record's version if the job is cancelled, else 0."""
         found = await self.read_until_answered(job_key(job_id))
         job = self.cluster.jobs.get(job_id)
         state = None if found is None else found[0].get("state")
@@ -213,6 +216,6 @@
         return 0
 
 
-def _same(found: Any, written: Any) -> bool:
-    """A value as it was written, and as it came back."""
+def _is_same_value(found: Any, written: Any) -> bool:
+    """Returns whether a value that was read back equals the value that was written."""
     return bool(found == written) or wire.encode(found) == wire.encode(written)
--- a/oatport/service/handover.py
+++ b/oatport/service/handover.py
@@ -1,4 +1,4 @@
-"""Handing leadership over to a node that is better placed."""
+"""Hands leadership over to a node that is better placed."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 log = logging.getLogger(__name__)
 
-SUCCESSOR_DOWN_FOR = 4 * SECOND  # before leadership is offered to another node
+SUCCESSOR_DOWN_TIMEOUT = 4 * SECOND  # before leadership is offered to another node
 HANDOVER_TIMEOUT = 2 * SECOND
 
 
@@ -32,12 +32,15 @@
         self._priority = priority
 
     def better_placed_peer(self) -> PeerClient | None:
-        """A node that should rather lead: its successor answers, while this node's has been down for a while."""
+        """Returns a peer whose successor answers, if this node's has been down for `SUCCESSOR_DOWN_TIMEOUT`, else None.
+
+        The successor of a node is the node that its workers try next if it fails.
+        """
         now = steady()
         answering = self._peer_status.state_service_answers
         if self._priority.successor_answers(self._node.node_name, answering):
             self._peer_status.successor_answered_at = now
-        if now - self._peer_status.successor_answered_at < SUCCESSOR_DOWN_FOR:
+        if now - self._peer_status.successor_answered_at < SUCCESSOR_DOWN_TIMEOUT:
             return None
         return next(
             (
@@ -49,8 +52,8 @@
         )
 
     def offer_in_background(self, leader: Leader, peer: PeerClient) -> None:
-        """Offer leadership to a better placed peer."""
-        self._peer_status.successor_answered_at = steady()  # not again at once, if it declines
+        """Offers leadership to a better placed peer in a background task."""
+        self._peer_status.successor_answered_at = steady()  # no immediate retry if the peer declines
         self._node.background.once("offer", self._offer(leader, peer))
 
     async def _offer(self, leader: Leader, peer: PeerClient) -> None:
@@ -60,13 +63,13 @@
             log.info('handover failed peer=%s error="%s"', peer.name, error)
 
     async def hand_over_if_isolated(self, leader: Leader, peer: PeerClient) -> None:
-        """Hand over to a peer that the state service answers, if it does not answer this node."""
+        """Hands over to a peer that the state service answers, if the state service does not answer this node."""
         if leader.state_service_down(steady()):
             await self.hand_over(leader, peer, "the state service answers it")
 
     async def hand_over(self, leader: Leader, peer: PeerClient, reason: str) -> None:
-        """Ask that peer to lead, and step down if it agrees. Raises NoResponseError."""
-        leader.leader_lease.handover_requested(steady())  # it may take over though its answer is lost
+        """Asks a peer to lead, and steps down if it agrees. Raises NoResponseError."""
+        leader.leader_lease.handover_requested(steady())  # the peer may take over even if its answer is lost
         agreed = await peer.ask(Handover(leader.token), is_ok, timeout_us=HANDOVER_TIMEOUT)
         if not agreed:
             leader.leader_lease.handover_declined()
--- a/oatport/service/heartbeat_controller.py
+++ b/oatport/service/heartbeat_controller.py
@@ -1,4 +1,4 @@
-"""Heartbeats: what machines report, and the leader's answers, which renew their leases and carry commands."""
+"""Handles machines' heartbeats; the leader's responses renew their leases and carry commands."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class HeartbeatController:
-    """Answers workers' reports for a leader."""
+    """Answers workers' heartbeats for a leader."""
 
     def __init__(
         self,
@@ -26,19 +26,19 @@
         orphaned_job_lookup: OrphanedJobLookup,
         probe: Callable[[list[Machine], int], None],
     ) -> None:
-        """`probe` asks machines directly whether commands reach them."""
+        """Creates the controller; `probe` checks directly whether commands reach the given machines."""
         self._leader = leader
         self._command_sender = command_sender
         self._orphaned_job_lookup = orphaned_job_lookup
         self._probe = probe
 
     def may_answer(self) -> bool:
-        """Entitled to renew workers' leases."""
+        """Returns whether this leader may renew workers' leases now."""
         leader = self._leader
         return leader.loaded and not leader.stopped and steady() < leader.lease_renewal_limit.until
 
     def answer(self, report: wire.Heartbeat) -> dict[str, Any] | None:
-        """The answer to a report; None if there must be none."""
+        """Returns the response to a heartbeat, or None if the heartbeat must stay unanswered."""
         if not self.may_answer():
             return None
         leader, cluster = self._leader, self._leader.cluster
@@ -54,16 +54,16 @@
         if machine.command_unreachable:
             self._probe([machine], now)
         if cluster.commands.must_let_lease_expire(machine, now):
-            # A start of a cancelled job may be on its way there.
+            # A start command of a cancelled job may still be in flight to this machine.
             log.warning("lease is left to expire machine=%s", machine.name)
             return None
         commands, starts = cluster.commands.for_machine(machine, now, direct=False)
-        # A late copy of a report, or one that a command's answer overtook: where the answer goes isn't known, so that
-        # no start in it counts as sent.
+        # An outdated report is a late copy, or was overtaken by the response to a command. Its sender may not receive
+        # the answer, so no start in it may count as sent.
         if is_outdated or not leader.holds_lease() or machine.releasing:
-            # Tasks live on, but nothing starts while the state service can't be reached, or after a pause. What
-            # is to be released is still sent stops: without the cloud's answer it may go on for long, and with
-            # every answer lives the lease of a task whose cancellation was confirmed to its user.
+            # Tasks keep running, but none is started while the state service is unreachable, or after a process pause.
+            # Machines that are being released are still sent stops: their release may stay unanswered for long, and
+            # every heartbeat response renews the lease of tasks whose cancellation was confirmed to the user.
             commands = [command for command in commands if not isinstance(command, wire.StartCommand)]
             starts = []
         cluster.commands.on_sent(machine, starts, now, direct=False)
@@ -72,7 +72,7 @@
         return wire.heartbeat_response(leader.token, commands)
 
     def _is_outdated(self, report: wire.Heartbeat) -> bool:
-        """The machine was heard from with this report or a later one before."""
+        """Returns whether this heartbeat or a later one of the same machine was received before."""
         known = self._leader.cluster.machines.get(report.machine_name)
         return known is not None and (report.agent_epoch, report.heartbeat_seq) <= (
             known.agent_epoch,
@@ -80,7 +80,7 @@
         )
 
     def receive(self, report: wire.Heartbeat, now: int) -> Machine | None:
-        """Take in what a machine reports; None if it is unknown and can't be added."""
+        """Applies a machine's report; returns None if the machine is unknown and cannot be added."""
         cluster = self._leader.cluster
         machine = cluster.heartbeats.receive(report, now, time_of_day())
         if cluster.quotas.unknown_attempts:
--- a/oatport/service/job_progress_publisher.py
+++ b/oatport/service/job_progress_publisher.py
@@ -1,4 +1,4 @@
-"""Publishes the counts of completed and running tasks that users are shown to all nodes."""
+"""Publishes the counts of completed and running tasks, which users are shown, to all nodes."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 from oatport.service.leader_context import LeaderContext
 
 INTERVAL_S = 1.0
-FULL_UPDATE_ROUNDS = 10  # a node that was started meanwhile knows no counts
+FULL_UPDATE_ROUNDS = 10  # a full update for nodes that were restarted and have no counts
 
 
 class JobProgressPublisher:
-    """Sends changed counts once a second, and all of them every ten."""
+    """Sends changed counts every second, and all counts every ten seconds."""
 
     def __init__(self, leader: LeaderContext) -> None:
         self._leader = leader
 
     async def loop(self) -> None:
-        """Publish until the leader stops."""
+        """Publishes counts until the leader stops."""
         rounds = 0
         self._leader.node.job_progress.clear()
         while not self._leader.stopped:
@@ -35,7 +35,7 @@
                     self._leader.background.once("job progress", _notify(peer, update))
 
     def _collect(self, *, full: bool) -> JobProgressUpdate:
-        """Update this node's own counts; what the others have to change in theirs."""
+        """Updates this node's counts, and returns the changes that the other nodes have to apply to theirs."""
         cluster, counts = self._leader.cluster, self._leader.node.job_progress
         jobs = cluster.jobs
         dirty = list(cluster.jobs_with_changed_counts)
--- a/oatport/service/job_watch.py
+++ b/oatport/service/job_watch.py
@@ -1,4 +1,4 @@
-"""The watch on jobs: accepted and cancelled ones, from hints of other nodes and from the records."""
+"""Watches for accepted and cancelled jobs, through hints of other nodes and through the job records."""
 
 from __future__ import annotations
 
@@ -14,30 +14,30 @@
 from oatport.control.storage.keys import JOBS
 from oatport.control.storage.overflow_records import is_accepted_as_blocked
 from oatport.peer_messages import JobAccepted, JobCancelled
-from oatport.service.failover import read_whole
+from oatport.service.failover import read_full_record
 from oatport.service.group_commit import GroupCommit
 from oatport.service.leader_context import LeaderContext
 from oatport.times import MS, steady
 
 log = logging.getLogger(__name__)
 
-WATCH_WAIT = 1_000 * MS
+WATCH_TIMEOUT = 1_000 * MS
 RETRY_INTERVAL = 300 * MS
 MAX_EARLY_HINTS = 10_000
 
 
 class JobWatch:
-    """Keeps the leader's view up to date with what nodes accept and cancel."""
+    """Keeps the leader's `ClusterState` up to date with jobs that nodes accept and cancel."""
 
     def __init__(self, leader: LeaderContext, commits: GroupCommit) -> None:
         self._leader = leader
         self._commits = commits
-        self.on_admitted: Callable[[Job], None] | None = None  # called for each job that may be queued at once
-        self.revision = 0  # up to which changes of the records are known
+        self.on_admitted: Callable[[Job], None] | None = None  # called for each job that is not blocked
+        self.revision = 0  # all changes of job records up to this revision are known
         self._early_hints: list[JobAccepted | JobCancelled] = []  # received before the records were loaded
 
-    def begin(self, revision: int) -> None:
-        """The records were loaded as of this revision."""
+    def start_from(self, revision: int) -> None:
+        """Starts the watch after the records were loaded as of this revision, and applies hints received before."""
         self.revision = revision
         for hint in self._early_hints:
             self.apply_hint(hint)
@@ -46,29 +46,29 @@
     # --- hints ------------------------------------------------------------------------------
 
     def on_hint(self, hint: JobAccepted | JobCancelled) -> None:
-        """A node accepted a job, or confirmed its cancellation."""
+        """Handles a node's hint that it accepted or cancelled a job; until the records are loaded, hints are stored."""
         if self._leader.loaded:
             self.apply_hint(hint)
         elif len(self._early_hints) < MAX_EARLY_HINTS:
             self._early_hints.append(hint)
 
     def apply_hint(self, hint: JobAccepted | JobCancelled) -> None:
-        """Take a hint in, once the records are loaded."""
+        """Applies a hint; the records must have been loaded."""
         leader = self._leader
         if isinstance(hint, JobCancelled):
             leader.cluster.job_lifecycle.cancel_confirmed(
                 hint.job_id, hint.revision, leader.lease_renewal_limit.cancellations_known_at
             )
         elif not self._is_known(hint.job_id) and hint.revision > self.revision and "more" not in hint.record:
-            # An older one was seen by the load or by the watch, and may be over already.
+            # The load or the watch has seen an older job, which may have ended already.
             self.admit(hint.job_id, hint.record, hint.revision)
         leader.wake()
 
     def _is_known(self, job_id: str) -> bool:
-        """It is at work, or its terminal state is recorded, which the watch has not told yet.
+        """Returns whether a job is active, or has a recorded terminal state that the watch has not reported yet.
 
-        Taken up again from an older change, a job that is over cost the leadership: its bindings fail on keys that
-        are gone.
+        A job that has ended must not be admitted again from an older change: its bindings failed on deleted keys, and
+        the leader had to step down.
         """
         cluster = self._leader.cluster
         return (
@@ -78,7 +78,7 @@
         )
 
     def admit(self, job_id: str, record: Any, revision: int) -> None:
-        """Take a job in from its whole record."""
+        """Adds a job from its complete record."""
         cluster = self._leader.cluster
         decoded = decode_job(record)
         spec, submitted_at_wall = decoded.spec(), decoded.submitted_at
@@ -96,12 +96,12 @@
     # --- watch ------------------------------------------------------------------------------
 
     async def loop(self) -> None:
-        """Follow the records: accepted and cancelled jobs, and up to when all cancellations are known."""
+        """Watches the job records, and records up to when all cancellations are known, until the leader stops."""
         leader = self._leader
         while not leader.stopped:
             asked_at = steady()
             try:
-                found = await leader.state.watch(JOBS, self.revision, WATCH_WAIT)
+                found = await leader.state.watch(JOBS, self.revision, WATCH_TIMEOUT)
             except (NoResponseError, RequestRefusedError):
                 await asyncio.sleep(jitter(RETRY_INTERVAL))
                 continue
@@ -109,7 +109,7 @@
                 log.warning("job watch fell behind fencing_token=%d revision=%d", leader.token, self.revision)
                 leader.step_down("the watch on jobs fell behind")
                 return
-            # Of each job only the last: one that came and ended meanwhile is not taken up again.
+            # Only the last change of each job counts: a job that was accepted and has ended since is not admitted.
             latest = {change.key: change for change in found.changes if not change.deleted}
             try:
                 await self._read_overflow(latest)
@@ -123,10 +123,10 @@
             leader.wake()
 
     async def _read_overflow(self, latest: dict[str, wire.Change]) -> None:
-        """Complete the records of jobs whose lists lie apart. Raises NoResponseError or RequestRefusedError."""
+        """Joins records with their overflow records, in place. Raises NoResponseError or RequestRefusedError."""
         for key, change in latest.items():
             if "more" in change.value and change.value["state"] not in wire.TERMINAL_STATUSES:
-                latest[key] = change._replace(value=await read_whole(self._leader.state, change.value))
+                latest[key] = change._replace(value=await read_full_record(self._leader.state, change.value))
 
     def _apply_change(self, job_id: str, record: Any, revision: int) -> None:
         cluster, state = self._leader.cluster, str(record["state"])
--- a/oatport/service/leader.py
+++ b/oatport/service/leader.py
@@ -1,6 +1,6 @@
-"""The leader: failover, the leader lease, and the controllers that act for it, one module each.
+"""The leader: failover, the leader lease, and the controllers of the leader, which have one module each.
 
-All state is in `ClusterState`, touched only between awaits: the event loop takes the place of a lock.
+All state is in `ClusterState` and is changed only between awaits, so the event loop serves as the lock.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 from oatport.service.cloud_controller import CloudController
 from oatport.service.command_sender import CommandSender
 from oatport.service.dependency_controller import DependencyController
-from oatport.service.failover import introduce_all, read_records
+from oatport.service.failover import announce_leader_to_all, read_records
 from oatport.service.group_commit import GroupCommit
 from oatport.service.heartbeat_controller import HeartbeatController
 from oatport.service.job_progress_publisher import JobProgressPublisher
@@ -50,7 +50,7 @@
 
 
 class Leader:
-    """One leadership: from taking the leader key over to stepping down."""
+    """Holds one term of leadership, from the acquisition of the leader key until the node steps down."""
 
     def __init__(
         self,
@@ -60,7 +60,7 @@
         net: Network,
         state: StateClient,
         token: int,
-        lease: int,
+        lease_id: int,
         lease_requested_at: int,
         windows: WindowSettings | None = None,
         retry_policies: RetryPolicies | None = None,
@@ -70,7 +70,7 @@
         self.tuning = tuning
         self.state = state
         self.token = token
-        self.lease = lease  # its number at the state service
+        self.lease_id = lease_id  # of the leader lease, at the state service
         self._net = net
         limits = settings.cluster
         self.cluster = ClusterState(token, limits, tuning, dict(node.types), RuntimePredictor())
@@ -100,7 +100,7 @@
         self.window_controller = self._make_window_controller(windows)
 
     def _make_window_controller(self, windows: WindowSettings | None) -> WindowController | None:
-        """Imported only where it is configured."""
+        """Creates the window controller, whose module is imported only if windows are enabled."""
         if windows is None or not windows.on:
             return None
         from oatport.service.window_controller import WindowController
@@ -113,7 +113,7 @@
     # --- lifecycle --------------------------------------------------------------------------
 
     async def fail_over(self) -> None:
-        """Load what is recorded, and start to lead; heartbeats confirm it.
+        """Loads the records and starts to lead; machines' heartbeats then confirm what was recorded.
 
         Raises NoResponseError, RequestRefusedError or UnknownMachineTypeError.
         """
@@ -126,8 +126,8 @@
         )
         self._start_controllers()
         machines = len(self.cluster.machines)
-        self._net.expect(machines, machines)  # at first each is sent something
-        introduce_all(self, self._net)
+        self._net.expect(machines, machines)  # each machine is sent a request at first
+        announce_leader_to_all(self, self._net)
         self.wake()
 
     async def _load(self) -> None:
@@ -142,15 +142,15 @@
             await self.window_controller.fail_over()
         self.lease_renewal_limit.on_cancellations_read(asked_at)
         self.loaded = True
-        self.job_watch.begin(snapshot.revision)
+        self.job_watch.start_from(snapshot.revision)
 
     async def _load_machine_types(self, needed: set[str]) -> None:
-        """The machine types: known to this node, recorded, or from the cloud.
+        """Loads the machine types that this node does not know yet from the records, or else from the cloud.
 
-        A process that leads at once may not have read them yet. Without them it took every machine for gone while
-        the cloud was down, and started all that ran there again.
+        A process that leads right after its start may not have read the types. Without them such a leader took every
+        machine for lost while the cloud was down, and started all of its tasks again.
         """
-        types = self.cluster.catalog.types  # changed in place by what is learnt
+        types = self.cluster.catalog.types  # updated in place by `update`
         if not types or not needed <= types.keys():
             found = await read_types(self.state)
             if found is not None:
@@ -172,12 +172,12 @@
             self.window_controller.start()
 
     def close(self) -> None:
-        """End all that acts for this leader."""
+        """Stops all background tasks of this leader."""
         self.stopped = True
         self.background.close()
 
     def step_down(self, reason: str) -> None:
-        """Stop leading."""
+        """Stops leading."""
         if not self.stopped:
             self.stopped = True
             self.node.step_down(reason)
@@ -185,7 +185,7 @@
     # --- leadership ---------------------------------------------------------------------------
 
     def now(self) -> int:
-        """The steady clock. A time in which this process was paused is not counted as lived."""
+        """Returns the steady time; if this process was paused, the pause is discounted from all timeouts first."""
         now = steady()
         paused_for = self._pause_detector.check(now)
         if paused_for:
@@ -194,54 +194,54 @@
         return now
 
     def holds_lease(self) -> bool:
-        """Nobody else can be leading: asked at the moment of acting."""
+        """Returns whether no other node can be leading; must be checked right before each action."""
         return not self.stopped and self.leader_lease.is_held(steady())
 
     def decisions_paused(self, now: int) -> bool:
-        """Nothing new is to be decided: a commit gets no answer, or it may not lead any more."""
+        """Returns whether new decisions must wait, because a commit is unanswered or the leader lease is not held."""
         return self.commits.is_stuck(now) or not self.holds_lease()
 
     def state_service_down(self, now: int) -> bool:
-        """The state service answers this node no more."""
+        """Returns whether the state service has stopped answering this node."""
         return (
             now - self.state.last_served_at > STATE_SERVICE_DOWN_AFTER
             and self.state.last_failed_at > self.state.last_served_at
         )
 
     def wake(self) -> None:
-        """Start whatever there is to plan, to write and to send."""
+        """Wakes the loops that have pending planning, writes or commands."""
         cluster = self.cluster
         if cluster.planning_needed:
-            self.planning_loop.wanted.set()
+            self.planning_loop.wakeup.set()
         if cluster.writes.has_writes():
-            self.commits.wanted.set()
+            self.commits.wakeup.set()
         if cluster.machines_to_command:
-            self.command_sender.wanted.set()
+            self.command_sender.wakeup.set()
 
-    # --- what others tell and ask ---------------------------------------------------------------
+    # --- messages and requests ------------------------------------------------------------------
 
     def on_job_hint(self, hint: JobAccepted | JobCancelled) -> None:
-        """A node accepted a job, or confirmed its cancellation."""
+        """Handles a hint that a node accepted a job or confirmed its cancellation."""
         self.job_watch.on_hint(hint)
 
     def apply_completions(self, completions: list[Completion]) -> None:
-        """An earlier leader tells what it did not record."""
+        """Applies completions that an earlier leader received but did not record."""
         if self.loaded:
             self.cluster.completions.apply(completions)
             self.wake()
 
     def answer_heartbeat(self, report: wire.Heartbeat) -> dict[str, Any] | None:
-        """The answer to a worker's report; None if this leader may not renew leases now."""
+        """Returns the response to a worker's heartbeat, or None if this leader may not renew leases now."""
         return self.heartbeats.answer(report)
 
     def receive_heartbeat(self, report: wire.Heartbeat, now: int) -> Machine | None:
-        """Take in what a machine reports; None if it is unknown and can't be added."""
+        """Applies a machine's report; returns None if the machine is unknown and cannot be added."""
         return self.heartbeats.receive(report, now)
 
     def cancellation_watermark_age(self) -> int:
-        """How long ago (us) the cancellation watermark was; -1: there is none.
+        """Returns the age (us) of the cancellation watermark, or -1 if there is none.
 
-        Lease proxies on other nodes go by it (`control/leadership/lease_proxy.py`).
+        Lease proxies on other nodes depend on it (`control/leadership/lease_proxy.py`).
         """
         is_known = self.loaded and not self.stopped
         watermark = (
@@ -252,7 +252,7 @@
         return steady() - watermark if watermark > 0 else -1
 
     def explain(self, job_id: str) -> dict[str, Any]:
-        """Why a job waits, for operators."""
+        """Returns an explanation for operators of why a job is waiting."""
         waits = self.cluster.dependencies.explain(job_id)
         if waits:
             waits_on = self.cluster.dependencies.graph.dependencies_of(job_id)[:100]
--- a/oatport/service/leader_context.py
+++ b/oatport/service/leader_context.py
@@ -1,4 +1,4 @@
-"""What the controllers of a leader may ask of it, so that none of them has to know the others."""
+"""Interface between a leader and its controllers, which keeps the controllers independent of each other."""
 
 from __future__ import annotations
 
@@ -18,39 +18,39 @@
 
 @dataclass(frozen=True, slots=True)
 class EarlierCompletions:
-    """What earlier leaders received and may not have recorded; `complete`: no node knows more."""
+    """Holds completions that earlier leaders may not have recorded; `complete` means that no node can hold more."""
 
     completions: list[Completion]
     complete: bool
 
 
 class LeadingNode(Protocol):
-    """The node that leads."""
+    """The node that leads, as the leader and its controllers use it."""
 
     types: dict[str, wire.MachineType]
     peers: dict[str, PeerClient]
-    job_progress: dict[str, tuple[int, int]]  # job -> completed and running tasks, as users are shown
+    job_progress: dict[str, tuple[int, int]]  # job id -> counts of completed and running tasks, as shown to users
     node_name: str
-    boot_id: str  # tells its process from earlier ones of the same name
+    boot_id: str  # distinguishes this process from earlier ones of the same node name
 
     def step_down(self, reason: str) -> None:
-        """Stop leading, and let others take over."""
+        """Stops leading, so that other nodes can take over."""
 
     async def completions_before(self, token: int) -> EarlierCompletions:
-        """What earlier leaders received and may not have recorded."""
+        """Returns the completions that leaders before this token received and may not have recorded."""
 
     def peer_contact_times(self) -> dict[str, list[int]]:
-        """When the other nodes last answered (steady), by zone."""
+        """Returns the times of the peers' last answers (steady), by zone."""
 
     def mark_workers_unreachable(self, addresses: list[str]) -> None:
-        """These workers are reached by another node, but not by this one."""
+        """Records that a peer reaches these workers and this node does not."""
 
 
 class LeaderContext(Protocol):
-    """The leader, as its controllers see it.
+    """The leader, as its controllers use it.
 
-    `cluster` is the view that all of them share. It is changed between awaits only: on one event loop that takes the
-    place of a lock, so after each await a controller has to look again at what it goes by.
+    All controllers share `cluster`. It is changed only between awaits, so the event loop serves as the lock. After each
+    await a controller must therefore re-check the state on which its decision depends.
     """
 
     node: LeadingNode
@@ -59,26 +59,26 @@
     state: StateClient
     token: int  # the fencing token: the version of the leader key
     cluster: ClusterState
-    background: BackgroundTasks  # ends with the leader
-    led_since: int  # when it became the leader (steady)
+    background: BackgroundTasks  # cancelled when the leader steps down
+    led_since: int  # when this leader took the leader key (steady)
     lease_renewal_limit: LeaseRenewalLimit
-    loaded: bool  # the records were read; nothing may be decided before
-    stopped: bool  # it leads no more: loops end, and what was awaited counts no more
+    loaded: bool  # the records were loaded; no decision may be made before
+    stopped: bool  # no longer leading: loops end, and results of pending awaits are ignored
 
     def step_down(self, reason: str) -> None:
-        """Stop leading."""
+        """Stops leading."""
 
     def now(self) -> int:
-        """The steady clock. A time in which this process was paused is not counted as lived."""
+        """Returns the steady time; if this process was paused, the pause is discounted from all timeouts first."""
 
     def holds_lease(self) -> bool:
-        """Nobody else can be leading: asked at the moment of acting."""
+        """Returns whether no other node can be leading; must be checked right before each action."""
 
     def decisions_paused(self, now: int) -> bool:
-        """Nothing new is to be decided: the state service is away, or it may not lead any more."""
+        """Returns whether new decisions must wait: a commit is unanswered, or the leader lease is not held."""
 
     def wake(self) -> None:
-        """Start whatever there is to plan, to write and to send."""
+        """Wakes the loops that have pending planning, writes or commands."""
 
     def receive_heartbeat(self, report: wire.Heartbeat, now: int) -> Machine | None:
-        """Take in what a machine reports; None if it is unknown and can't be added."""
+        """Applies a machine's report; returns None if the machine is unknown and cannot be added."""
--- a/oatport/service/lease_proxy_service.py
+++ b/oatport/service/lease_proxy_service.py
@@ -1,8 +1,8 @@
-"""The lease proxy of a node, and what nodes tell one another about it.
+"""Runs the lease proxy of a node, and exchanges its state with other nodes.
 
-What it goes by is in `control/leadership/lease_proxy.py`. The leader tells it, asked with every ping. A
-node that was started again knows nothing; in a partitioned zone it can ask the leader no more, so another node
-there passes on what it knows.
+The rules are in `control/leadership/lease_proxy.py`. The proxy's state comes from the leader, which is asked with every
+ping. A node that restarts in a partitioned zone has no state and cannot reach the leader, so it asks another node of
+that zone instead.
 """
 
 from __future__ import annotations
@@ -26,58 +26,58 @@
 from oatport.settings import ClusterSettings
 from oatport.times import SECOND, steady
 
-REDIRECTS_TO_PROXY_FOR = 2 * SECOND  # workers are sent to a proxy that answered so recently
+PROXY_STATUS_VALIDITY = 2 * SECOND  # workers are redirected to a proxy whose last answer is no older
 
 
 class ProxyNode(Protocol):
-    """The node that it belongs to."""
+    """The node that a `LeaseProxyService` belongs to."""
 
     state: StateClient
 
     @property
     def leader(self) -> Leader | None:
-        """What acts as the leader on this node."""
+        """Returns the `Leader` of this node, or None while the node does not lead."""
 
 
 class LeaseProxyService:
-    """Renews agents' leases for a leader that can't be reached, as long as that is safe."""
+    """Renews agents' leases on behalf of an unreachable leader, as long as this is safe."""
 
     def __init__(self, node: ProxyNode, settings: ClusterSettings) -> None:
         self._node = node
         self.proxy = LeaseProxy.create(settings)
-        self._other_proxies: dict[str, int] = {}  # node -> when it said that it answers workers (steady)
+        self._other_proxies: dict[str, int] = {}  # node name -> when it last reported that it answers workers (steady)
 
     def may_answer(self, report: wire.Heartbeat) -> bool:
-        """May this report be answered in the leader's name?"""
+        """Returns whether this node may answer a heartbeat on behalf of the leader."""
         state = self._node.state
         return self.proxy.may_answer(report.fencing_token, steady(), state.last_served_at, state.last_failed_at)
 
     def redirect_target(self, leader: str | None) -> str | None:
-        """Where to send a worker that can't be answered here: to another lease proxy, if the leader can't be reached.
+        """Returns the node to which workers are redirected: the leader, or if isolated from it, another lease proxy.
 
-        Sent to a leader outside the partition, each worker once lost 5 s of its lease there.
+        Each worker that was redirected to a leader outside its partition lost 5 s of its lease there.
         """
         now = steady()
         if not self._is_isolated(now):
             return leader
         proxies = self._other_proxies.items()
-        return next((name for name, at in proxies if now - at < REDIRECTS_TO_PROXY_FOR), leader)
+        return next((name for name, at in proxies if now - at < PROXY_STATUS_VALIDITY), leader)
 
     def _is_isolated(self, now: int) -> bool:
         state = self._node.state
         return self.proxy.is_isolated(now, state.last_served_at, state.last_failed_at)
 
-    # --- what nodes tell one another --------------------------------------------------------
+    # --- messages between nodes -------------------------------------------------------------
 
     async def on_watermark_request(self, request: CancellationWatermarkRequest) -> CancellationWatermark | No:
-        """Up to when are cancellations carried out? Only the leader knows."""
+        """Returns the cancellation watermark, which only the leader has."""
         leader = self._node.leader
         if leader is None:
             return No()
         return CancellationWatermark(leader.token, leader.cancellation_watermark_age())
 
     async def on_proxy_state_request(self, request: LeaseProxyStateRequest) -> LeaseProxyState | No:
-        """What this node goes by as a lease proxy, for one that was started again."""
+        """Returns this node's lease proxy state to a node that was restarted."""
         now = steady()
         known = self.proxy.share(now)
         if self._node.leader is not None or known is None:
@@ -86,14 +86,14 @@
         return LeaseProxyState(known.fencing_token, known.watermark_age_us, known.contact_age_us, answering)
 
     async def refresh_from_leader(self, peer: PeerClient) -> None:
-        """Ask the leader. Raises NoResponseError or MalformedReplyError."""
+        """Updates the proxy state from the leader. Raises NoResponseError or MalformedReplyError."""
         asked_at = steady()
         watermark = await peer.ask(CancellationWatermarkRequest(), CancellationWatermark.decode_if_known)
         if watermark is not None:
             self.proxy.update(watermark.fencing_token, asked_at, watermark.age_us)
 
     async def refresh_from_proxy(self, peer: PeerClient) -> None:
-        """Isolated from the state service: what does another node go by? Never raises for its answer."""
+        """Updates the proxy state from another node while the state service is unreachable; ignores request errors."""
         self._other_proxies.pop(peer.name, None)
         asked_at = steady()
         try:
--- a/oatport/service/machine_list_controller.py
+++ b/oatport/service/machine_list_controller.py
@@ -1,4 +1,4 @@
-"""Compares the cloud's list of machines with the leader's view."""
+"""Compares the cloud's list of machines with the leader's `ClusterState`."""
 
 from __future__ import annotations
 
@@ -19,22 +19,22 @@
 log = logging.getLogger(__name__)
 
 MIN_INTERVAL_S = 2.0
-REQUESTS_PER_LIST = 4.0  # the share of the rate limit that lists may use is one in so many
+REQUESTS_PER_LIST = 4.0  # lists may use one in this many requests of the rate limit
 RETRY_INTERVAL = SECOND
-SILENT_FOR = 2 * SECOND  # before a machine that is not listed any more is released
-FAILED_PER_RELEASE = 100
+UNLISTED_SILENCE_TIMEOUT = 2 * SECOND  # how long an unlisted machine must be silent before it is released
+MAX_FAILED_PER_RELEASE = 100
 
 
 class MachineListController:
-    """Lists the cloud's machines again and again."""
+    """Lists the cloud's machines periodically, and applies the list."""
 
     def __init__(self, leader: LeaderContext, cloud_controller: CloudController) -> None:
         self._leader = leader
         self._cloud_controller = cloud_controller
-        self.listed_at = 0  # when the last list was asked for (steady); 0: there was none
+        self.listed_at = 0  # when the last list was requested (steady); 0 if there was none
 
     async def loop(self) -> None:
-        """List until the leader stops."""
+        """Lists machines until the leader stops."""
         interval_s = max(MIN_INTERVAL_S, REQUESTS_PER_LIST / self._leader.settings.cluster.cloud.rps)
         while not self._leader.stopped:
             asked_at = steady()
@@ -51,16 +51,16 @@
 
     async def _apply(self, rows: list[wire.ListedMachine]) -> None:
         now = steady()
-        failed = self._take_in(rows, now, time_of_day())
-        lost = self._unlisted({row.machine_name for row in rows}, now)
+        failed = self._merge_listed(rows, now, time_of_day())
+        lost = self._unlisted_machines({row.machine_name for row in rows}, now)
         if lost:
             await self._cloud_controller.release(lost, "taken")
         if failed:
             with contextlib.suppress(NoResponseError, RequestRefusedError):
-                await self._cloud_controller.cloud.release(failed[:FAILED_PER_RELEASE])
+                await self._cloud_controller.cloud.release(failed[:MAX_FAILED_PER_RELEASE])
 
-    def _take_in(self, rows: list[wire.ListedMachine], now: int, now_wall: int) -> list[str]:
-        """Add listed machines to the view, and take failed ones off it; the names of the latter."""
+    def _merge_listed(self, rows: list[wire.ListedMachine], now: int, now_wall: int) -> list[str]:
+        """Adds listed machines to the cluster state and removes failed ones; returns the names of the failed ones."""
         cluster = self._leader.cluster
         failed = []
         for row in rows:
@@ -78,17 +78,17 @@
                 machine.listed_by_cloud = True
         return failed
 
-    def _unlisted(self, listed: set[str], now: int) -> list[Machine]:
-        """Machines that are not listed any more.
+    def _unlisted_machines(self, listed: set[str], now: int) -> list[Machine]:
+        """Returns silent machines that are no longer listed.
 
-        Once listed, a machine stays listed until it is gone; the list may be old, though, so only a machine that was
-        listed and is silent is taken off, by a release that proves it.
+        A machine stays listed until it is gone, but the list may be outdated. So only a machine that was listed before
+        and is silent is removed, and only by a release, which proves it gone.
         """
         return [
             machine
             for machine in self._leader.cluster.machines.values()
             if machine.listed_by_cloud
             and machine.name not in listed
-            and now - max(machine.last_heartbeat_at, machine.known_since) > SILENT_FOR
+            and now - max(machine.last_heartbeat_at, machine.known_since) > UNLISTED_SILENCE_TIMEOUT
             and not machine.releasing
         ]
--- a/oatport/service/maintenance.py
+++ b/oatport/service/maintenance.py
@@ -1,4 +1,4 @@
-"""The maintenance loop: repeats what went unanswered, keeps statistics, and logs the leader's status."""
+"""The maintenance loop: resends unanswered starts, updates statistics, and logs the leader's status."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class MaintenanceLoop:
-    """What a leader does twice a second, or less often."""
+    """Runs a leader's periodic work, every 0.5 s or less often."""
 
     def __init__(
         self,
@@ -39,10 +39,10 @@
         self._orphaned_job_lookup = orphaned_job_lookup
         self._capacity_planner = capacity_planner
         self._accounted_at = self._model_written_at = self._status_logged_at = 0
-        self._max_requests = 0  # to workers in one interval, since the last accounting
+        self._max_requests = 0  # most requests to workers in one interval since the last accounting
 
     async def loop(self) -> None:
-        """Run until the leader stops."""
+        """Runs until the leader stops."""
         self._accounted_at = self._model_written_at = self._status_logged_at = steady()
         self._max_requests = 0
         while not self._leader.stopped:
@@ -56,7 +56,7 @@
             self._account(now)
         self._retry_unanswered_starts(now)
         self._orphaned_job_lookup.look_up()
-        cluster.completions.to_replicate()  # what is recorded by now is left out
+        cluster.completions.to_replicate()  # drops completions that have been recorded by now
         if now - self._model_written_at > MODEL_WRITE_INTERVAL and cluster.predictor.changed:
             cluster.predictor.changed = False
             cluster.writes.dirty_keys[MODEL_KEY] = None
--- a/oatport/service/network.py
+++ b/oatport/service/network.py
@@ -1,4 +1,4 @@
-"""The network as a node sees it: what it calls, and where it is called."""
+"""The network interface of a node: its HTTP clients and its servers."""
 
 from __future__ import annotations
 
@@ -16,47 +16,47 @@
 
 log = logging.getLogger(__name__)
 
-IDLE_TIMEOUT_HYSTERESIS = 1.5  # connections are kept for another time only if that differs by this factor
-COUNT_IS_VALID = 250 * MS
-SESSION_CLOSED_AFTER = 5 * SECOND  # requests on a replaced session have been answered by then, or given up
-PROBE_CONNECTIONS = 4  # times as many as for other calls, since most of them hang
+IDLE_TIMEOUT_HYSTERESIS = 1.5  # the idle timeout is changed only if the new one differs by this factor
+CONNECTION_COUNT_VALIDITY = 250 * MS
+SESSION_CLOSE_DELAY = 5 * SECOND  # requests on a replaced session have been answered or timed out by then
+PROBE_CONNECTION_FACTOR = 4  # times the limit of other calls, since most probes hang
 
 
 class Listener(Protocol):
-    """A listening address."""
+    """A server on one listening address."""
 
     async def start(self) -> None:
-        """Begin to listen."""
+        """Starts to listen."""
 
     async def close(self) -> None:
-        """Stop listening."""
+        """Stops listening."""
 
 
 class Network(Connector, Protocol):
-    """A node's network; `oatport.simulation` has another one, in memory."""
+    """A node's network; `oatport.simulation` has an implementation in memory."""
 
     def open(self) -> None:
-        """To be called in the event loop before anything else."""
+        """Opens the sessions; must be called in the event loop before any other method."""
 
     @property
     def session(self) -> aiohttp.ClientSession:
-        """For what is no part of the cluster, such as a price feed."""
+        """Returns the session for services outside the cluster, such as a price feed."""
 
     def expect(self, machines: int, commands_per_s: float) -> None:
-        """There are so many machines, and so many commands a second to them."""
+        """Sets the number of machines and the expected rate of commands to them."""
 
     def open_connections(self) -> int:
-        """Connections that users, workers and other nodes hold."""
+        """Returns the number of connections that users, workers and other nodes hold to this node."""
 
     def server(self, address: str, handler: Handler, body_limit: int = wire.MAX_BODY_BYTES) -> Listener:
-        """A listener that is yet to be started."""
+        """Returns a listener that has not been started."""
 
     async def close(self) -> None:
-        """Close all connections that this node opened."""
+        """Closes all connections that this node opened."""
 
 
 class HttpNetwork:
-    """The network of a process: HTTP over TCP, within its budget of connections."""
+    """The network of a process: HTTP over TCP, within its connection budget."""
 
     def __init__(self, connections: int) -> None:
         self._budget = ConnectionBudget(connections)
@@ -64,42 +64,42 @@
         self._idle_timeout_us = MAX_IDLE_TIMEOUT
         self._replaced: set[asyncio.Task[None]] = set()
         self._servers: list[Server] = []
-        self._open_connections, self._counted_at = 0, -COUNT_IS_VALID
+        self._open_connections, self._counted_at = 0, -CONNECTION_COUNT_VALIDITY
 
     def open(self) -> None:
-        """To be called in the event loop before anything else."""
+        """Opens the sessions; must be called in the event loop before any other method."""
         self._sessions = {
             ConnectionReuse.KEEP_ALIVE: make_session(self._budget.limit),
             ConnectionReuse.WHILE_SPARE: make_session(self._budget.limit),
-            ConnectionReuse.NEVER: make_session(self._budget.concurrent_calls * PROBE_CONNECTIONS, idle_us=0),
+            ConnectionReuse.NEVER: make_session(self._budget.concurrent_calls * PROBE_CONNECTION_FACTOR, idle_us=0),
         }
 
     @property
     def session(self) -> aiohttp.ClientSession:
-        """For what is no part of the cluster, such as a price feed."""
+        """Returns the session for services outside the cluster, such as a price feed."""
         return self._sessions[ConnectionReuse.KEEP_ALIVE]
 
     def client(self, address: str, reuse: ConnectionReuse = ConnectionReuse.KEEP_ALIVE) -> Requester:
-        """What to send requests to an address by."""
+        """Returns a client that sends requests to an address."""
         return HttpClient(self._sessions[reuse], address)
 
     def expect(self, machines: int, commands_per_s: float) -> None:
-        """Keep idle connections for as long as there are enough for so many machines and commands."""
+        """Sets the idle timeout to the longest one that leaves enough connections for these machines and commands."""
         idle_timeout_us = self._budget.idle_timeout_us(machines, commands_per_s)
         ratio = idle_timeout_us / self._idle_timeout_us
         if 1 / IDLE_TIMEOUT_HYSTERESIS < ratio < IDLE_TIMEOUT_HYSTERESIS:
             return
         self._idle_timeout_us = idle_timeout_us
-        before = self._sessions[ConnectionReuse.WHILE_SPARE]
+        replaced_session = self._sessions[ConnectionReuse.WHILE_SPARE]
         self._sessions[ConnectionReuse.WHILE_SPARE] = make_session(self._budget.limit, idle_us=idle_timeout_us)
-        task = asyncio.get_running_loop().create_task(self._close_later(before))
+        task = asyncio.get_running_loop().create_task(self._close_later(replaced_session))
         self._replaced.add(task)
         task.add_done_callback(self._replaced.discard)
 
     @staticmethod
     async def _close_later(session: aiohttp.ClientSession) -> None:
         try:
-            await asyncio.sleep(seconds(SESSION_CLOSED_AFTER))
+            await asyncio.sleep(seconds(SESSION_CLOSE_DELAY))
         finally:
             try:
                 await session.close()
@@ -107,21 +107,21 @@
                 log.exception("closing connections to workers failed")
 
     def open_connections(self) -> int:
-        """Connections that users, workers and other nodes hold."""
-        # Counting takes as long as there are connections, and every user's request asks.
+        """Returns the number of connections that users, workers and other nodes hold to this node."""
+        # The count is cached: its cost grows with the number of connections, and every user request needs it.
         now = steady()
-        if now - self._counted_at > COUNT_IS_VALID:
+        if now - self._counted_at > CONNECTION_COUNT_VALIDITY:
             self._open_connections, self._counted_at = sum(server.connection_count for server in self._servers), now
         return self._open_connections
 
     def server(self, address: str, handler: Handler, body_limit: int = wire.MAX_BODY_BYTES) -> Listener:
-        """A listener that is yet to be started."""
+        """Returns a listener that has not been started."""
         server = Server(address, handler, body_limit=body_limit)
         self._servers.append(server)
         return server
 
     async def close(self) -> None:
-        """Close all connections that this node opened."""
+        """Closes all connections that this node opened."""
         for task in list(self._replaced):
             task.cancel()
         await asyncio.gather(*self._replaced, return_exceptions=True)
--- a/oatport/service/node.py
+++ b/oatport/service/node.py
@@ -1,7 +1,7 @@
-"""A controller node: its parts, its lifecycle, and the answers that depend on the node as a whole.
+"""A controller node: its components, its lifecycle, and the responses that depend on the node as a whole.
 
-Leadership is in `election` and `handover`, the other nodes in `peer_contact`, the state service in
-`state_service_contact`, and what only a leader does in `leader`.
+Leadership is in `election` and `handover`, contact with the other nodes in `peer_contact`, contact with the state
+service in `state_service_contact`, and the work of a leader in `leader`.
 """
 
 from __future__ import annotations
@@ -62,7 +62,7 @@
 
 
 class Node:
-    """One process of the service: follows or leads, and serves users, workers and the other nodes."""
+    """One process of the service: a follower or the leader, which serves users, workers and the other nodes."""
 
     def __init__(
         self,
@@ -73,7 +73,7 @@
         net: Network | None = None,
         boot: str = "",
     ) -> None:
-        """`boot` tells this process from an earlier one of the same name; random unless given."""
+        """Creates the node; `boot` distinguishes this process from earlier ones of the same name (default: random)."""
         sockets = settings.cluster.resources.sockets
         self.settings, self.tuning = settings, tuning
         self._windows, self._retry_policies = windows, retry_policies
@@ -82,10 +82,12 @@
         self.node_name = settings.node_name
         self.boot_id = boot or secrets.token_hex(6)
         self.types: dict[str, wire.MachineType] = {}
-        self.job_progress: dict[str, tuple[int, int]] = {}  # job -> completed and running tasks, as users are shown
+        self.job_progress: dict[
+            str, tuple[int, int]
+        ] = {}  # job id -> counts of completed and running tasks, as shown to users
         self.peers: dict[str, PeerClient] = {}
         self.background = BackgroundTasks()
-        self.state: StateClient  # set by `run`, as is the next
+        self.state: StateClient  # set by `run`, like `users`
         self.users: JobApi
         self.lease_proxy = LeaseProxyService(self, settings.cluster)
         self.peer_notifier = PeerNotifier(self, settings.cluster)
@@ -101,12 +103,12 @@
             self, self.net, self.election, self.handover, self.peer_status, self.lease_proxy, self.peer_notifier
         )
         self._catalog_reader = CatalogReader(self)
-        self._ever_ready = False
+        self._was_ever_ready = False
 
     # --- lifecycle --------------------------------------------------------------------------
 
     async def run(self) -> None:
-        """Serve until cancelled."""
+        """Serves until cancelled."""
         net = self.net
         net.open()
         self.state = StateClient(net, self.settings.services.state)
@@ -142,7 +144,7 @@
             background.keep(f"ping {name}", lambda client=client: self._peer_contact.ping_loop(client))  # type: ignore[misc]
 
     def peer_api(self) -> PeerApi:
-        """What the other nodes may ask of this one."""
+        """Returns the handlers of the messages that other nodes send."""
         api, contact = PeerApi(), self._peer_contact
         api.on(Ping, contact.on_ping)
         api.on(JobAccepted, self.peer_notifier.on_job_hint)
@@ -160,7 +162,7 @@
         return api
 
     async def handle(self, method: str, path: str, body: BodyReader) -> Response:
-        """Answer a request of a worker or a user."""
+        """Answers a request of a worker or a user."""
         if path == wire.HEARTBEAT_PATH:
             return await handle_heartbeat(self, method, body)
         connections = self.net.open_connections()
@@ -175,12 +177,12 @@
 
     @property
     def leader(self) -> Leader | None:
-        """What acts as the leader on this node; None while it does not lead."""
+        """Returns the `Leader` of this node, or None while the node does not lead."""
         return self.election.leader
 
     @property
     def last_other_leader(self) -> str:
-        """The last leader known beside this node; "" if there was none."""
+        """Returns the name of the last known leader other than this node, or "" if there was none."""
         return self.election.last_other_leader
 
     def _make_leader(self, token: int, lease: int, requested_at: int) -> Leader:
@@ -198,58 +200,62 @@
         )
 
     def step_down(self, reason: str) -> None:
-        """Stop leading, if this node leads, and let others take over."""
+        """Stops leading, if this node leads, so that other nodes can take over."""
         self.election.step_down(reason)
 
     def leading_peer(self) -> PeerClient | None:
-        """The peer that leads, as far as this node knows."""
+        """Returns the peer that leads, or None if no leading peer is known."""
         return self.peers.get(self.election.leader_name or "")
 
     def mark_workers_unreachable(self, addresses: list[str]) -> None:
-        """These workers are reached by another node, but not by this one."""
+        """Records that a peer reaches these workers and this node does not."""
         self.election.mark_workers_unreachable(addresses)
 
     def peer_contact_times(self) -> dict[str, list[int]]:
-        """When the other nodes last answered (steady), by zone."""
+        """Returns the times of the peers' last answers (steady), by zone."""
         return self.peer_status.contact_times_by_zone()
 
     async def completions_before(self, token: int) -> EarlierCompletions:
-        """What earlier leaders received and may not have recorded."""
+        """Returns the completions that leaders before this token received and may not have recorded."""
         return await self.completion_replicator.completions_before(token)
 
     # --- heartbeats -------------------------------------------------------------------------
 
     def answer_heartbeat(self, report: wire.Heartbeat) -> dict[str, Any] | None:
-        """The answer, or None if this node may not renew leases now."""
+        """Returns the response to a heartbeat, or None if this node may not renew leases now."""
         if self.leader is not None:
             return self.leader.answer_heartbeat(report)
         if not self.lease_proxy.may_answer(report):
             return None
-        return wire.heartbeat_response(report.fencing_token, [])  # it lives on; nothing starts, stops or is forgotten
+        return wire.heartbeat_response(report.fencing_token, [])  # a response without commands only renews the lease
 
     def leader_name(self) -> str | None:
-        """Which node a worker should report to."""
+        """Returns the node to which workers should send heartbeats, or None if it is not known."""
         return self.lease_proxy.redirect_target(self.election.leader_name)
 
     # --- users ------------------------------------------------------------------------------
 
     def state_service_answers(self) -> bool:
-        """The state service answers this node."""
+        """Returns whether the state service answers this node."""
         return self._state_service_contact.answers()
 
     def ready(self) -> bool:
-        """Not ready only if another node is better placed: in an outage for all, staying costs least."""
+        """Returns whether this node is ready.
+
+        A node without state service is unready only if a peer has contact: in an outage for all nodes, staying in
+        rotation costs least. Before its first contact it is never ready.
+        """
         if self.state_service_answers():
-            self._ever_ready = True
+            self._was_ever_ready = True
             return True
-        if not self._ever_ready:
+        if not self._was_ever_ready:
             return False
         return not self.peer_status.any_reaches_state_service(steady())
 
     def notify_accepted(self, job_id: str, record: dict[str, Any], revision: int) -> None:
-        """A job was accepted; called before its user is answered."""
+        """Sends the leader a hint that a job was accepted; called before the user is answered."""
         self.peer_notifier.notify_accepted(job_id, record, revision)
 
     def notify_cancelled(self, job_id: str, revision: int = 0) -> None:
-        """A cancellation is about to be confirmed to a user."""
+        """Records a cancellation and sends the leader a hint; called before the user is answered."""
         self.peer_notifier.notify_cancelled(job_id, revision)
--- a/oatport/service/node_context.py
+++ b/oatport/service/node_context.py
@@ -1,4 +1,4 @@
-"""What the parts of a node may ask of it, so that none of them has to know the others."""
+"""Interface between a node and its components, which keeps the components independent of each other."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class NodeContext(LeadingNode, Protocol):
-    """A node, as its parts see it."""
+    """A node, as its components use it."""
 
     settings: Settings
     tuning: Tuning
@@ -22,14 +22,14 @@
 
     @property
     def leader(self) -> Leader | None:
-        """What acts as the leader on this node; None while it does not lead."""
+        """Returns the `Leader` of this node, or None while the node does not lead."""
 
     @property
     def last_other_leader(self) -> str:
-        """The last leader known beside this node; "" if there was none."""
+        """Returns the name of the last known leader other than this node, or "" if there was none."""
 
     def leading_peer(self) -> PeerClient | None:
-        """The peer that leads, as far as this node knows."""
+        """Returns the peer that leads, or None if no leading peer is known."""
 
     def state_service_answers(self) -> bool:
-        """The state service answers this node."""
+        """Returns whether the state service answers this node."""
--- a/oatport/service/orphaned_job_lookup.py
+++ b/oatport/service/orphaned_job_lookup.py
@@ -1,6 +1,6 @@
-"""Looks up the jobs of orphaned attempts: those that a machine reports and no record of this leader's names.
+"""Looks up the jobs of orphaned attempts, which a machine reports but none of this leader's records names.
 
-Until the team of such an attempt is known, no team has quota left.
+Until the team of such an attempt is known, no team has any quota left.
 """
 
 from __future__ import annotations
@@ -15,28 +15,28 @@
 
 
 class OrphanedJobLookup:
-    """Reads the records of such jobs, a few at a time."""
+    """Reads the job records of orphaned attempts, a few at a time."""
 
     def __init__(self, leader: LeaderContext) -> None:
         self._leader = leader
-        self.in_flight: set[str] = set()  # ids of jobs
+        self.in_flight: set[str] = set()  # job ids
 
     def look_up(self) -> None:
-        """Start to read the records of jobs whose teams are unknown."""
+        """Starts to read the records of jobs whose teams are unknown."""
         for job_id in [
             job_id for job_id in self._leader.cluster.quotas.unknown_attempts if job_id not in self.in_flight
         ]:
             if len(self.in_flight) >= MAX_CONCURRENT_LOOKUPS:
-                return  # old copies may tell of hundreds that are long over; renewals and users go first
+                return  # outdated heartbeats may name hundreds of ended jobs; lease renewals and users have priority
             self.in_flight.add(job_id)
             self._leader.background.once("orphaned job lookup", self.read(job_id))
 
     async def read(self, job_id: str) -> None:
-        """Read one record, and go on with the others."""
+        """Reads the record of one job, resolves its attempts, and starts further lookups."""
         try:
             found = await self._leader.state.get(job_key(job_id)) if wire.is_job_id(job_id) else None
         except (NoResponseError, RequestRefusedError):
-            return  # asked again by the maintenance loop
+            return  # the maintenance loop retries the lookup
         finally:
             self.in_flight.discard(job_id)
         spec = None if found is None else decode_job(found[0]).spec()
--- a/oatport/service/partition_controller.py
+++ b/oatport/service/partition_controller.py
@@ -1,4 +1,4 @@
-"""Releases machines of partitioned zones, where something is won by it.
+"""Releases machines of partitioned zones where their tasks gain from a replacement.
 
 The rules are in `control/leadership/zone_partition.py`.
 """
@@ -18,14 +18,14 @@
 
 log = logging.getLogger(__name__)
 
-CONFIRMED_FOR = 4 * SECOND  # that most nodes reach nothing of a zone is asked again after this
-NODE_LOST_WITHIN = 4 * SECOND  # a node and its zone's machines are lost at about the same time
+CONFIRMATION_VALIDITY = 4 * SECOND  # after this, peers are asked again whether a majority reaches none of the zone
+NODE_LOSS_WINDOW = 4 * SECOND  # maximum time between the loss of a node and of its zone's machines in one partition
 
-Release = Callable[[list[Machine], str], Awaitable[None]]  # machines, and why they are released
+Release = Callable[[list[Machine], str], Awaitable[None]]  # takes the machines and the reason for the release
 
 
 class PartitionController:
-    """Acts for a leader, asked by the failure detector."""
+    """Evacuates partitioned zones for a leader; the failure detector calls `step`."""
 
     def __init__(
         self, leader: LeaderContext, reachability: Reachability, release: Release, capacity_planner: CapacityPlanner
@@ -34,44 +34,44 @@
         self._reachability = reachability
         self._release = release
         self._evacuation = ZoneEvacuation(leader.cluster, capacity_planner)
-        self.confirmed_at = 0  # when most nodes said that they reach nothing of a zone (steady)
+        self.confirmed_at = 0  # when a majority of nodes last confirmed that they reach no machine of a zone (steady)
 
     async def step(self, now: int) -> None:
-        """Release what is due, if it is confirmed that it is not this node that is partitioned."""
+        """Releases the machines that are due, after confirming that this node is not the partitioned one."""
         leader = self._leader
-        leaving = self._machines_to_release(now)
-        if not leaving or leader.decisions_paused(now):
+        to_release = self._machines_to_release(now)
+        if not to_release or leader.decisions_paused(now):
             return
-        if now - self.confirmed_at > CONFIRMED_FOR:
-            survey = await self._reachability.step_down_if_reached_by_peer(leaving)
-            if survey.reached_by is not None or not survey.most_reach_none:
+        if now - self.confirmed_at > CONFIRMATION_VALIDITY:
+            survey = await self._reachability.step_down_if_reached_by_peer(to_release)
+            if survey.reached_by is not None or not survey.majority_reaches_none:
                 return
             self.confirmed_at = steady()
-        if not await self._reachability.may_judge():
+        if not await self._reachability.may_release_machines():
             return
-        still_partitioned = [m for m in leaving if m.zone in leader.cluster.zones.partitioned and not m.removed]
-        leaving = still_partitioned[:MACHINES_PER_RELEASE]
-        if leaving:
-            names = ",".join(machine.name for machine in leaving)
-            log.info("releasing partitioned machines count=%d names=%s", len(leaving), names)
-            await self._release(leaving, "partitioned")
+        still_partitioned = [m for m in to_release if m.zone in leader.cluster.zones.partitioned and not m.removed]
+        to_release = still_partitioned[:MACHINES_PER_RELEASE]
+        if to_release:
+            names = ",".join(machine.name for machine in to_release)
+            log.info("releasing partitioned machines count=%d names=%s", len(to_release), names)
+            await self._release(to_release, "partitioned")
 
     def _machines_to_release(self, now: int) -> list[Machine]:
         leader, cluster = self._leader, self._leader.cluster
         if not cluster.zones.partitioned:
             return []
-        leaving = self._evacuation.machines_to_release(now, self._zones_with_proxy())
-        # A leader that was partitioned along with them answers for so long, and nobody can ask what it received.
+        to_release = self._evacuation.machines_to_release(now, self._zones_with_proxy())
+        # A leader in the same partition may answer heartbeats until then, and nobody can ask it what it received.
         answered_until = leader.led_since + micros(leader.settings.cluster.workers.cancel_s)
-        return [m for m in leaving if not cluster.completions.may_report_unknown(m, now, answered_until)]
+        return [m for m in to_release if not cluster.completions.may_report_unknown(m, now, answered_until)]
 
     def _zones_with_proxy(self) -> frozenset[str]:
-        """Partitioned zones with a node that was partitioned along with them: it is a lease proxy for their workers."""
+        """Returns partitioned zones that were lost together with a node, which is a lease proxy for their workers."""
         contact_times = self._leader.node.peer_contact_times()
         cluster = self._leader.cluster
         cluster.zones.mark_lease_proxied(
             zone
             for zone, since in cluster.zones.partitioned.items()
-            if any(abs(at - since) < NODE_LOST_WITHIN for at in contact_times.get(zone, ()))
+            if any(abs(at - since) < NODE_LOSS_WINDOW for at in contact_times.get(zone, ()))
         )
         return frozenset(cluster.zones.lease_proxied)
--- a/oatport/service/peer_contact.py
+++ b/oatport/service/peer_contact.py
@@ -1,4 +1,4 @@
-"""Contact with the other nodes: pings both ways, and questions that need nothing but this node's own view."""
+"""Contact with the other nodes: pings in both directions, and requests that this node answers by itself."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class PeerContact:
-    """Pings each peer for as long as the node runs, and answers peers' pings and questions."""
+    """Pings all peers while the node runs, and answers peers' pings and requests."""
 
     def __init__(
         self,
@@ -57,12 +57,12 @@
         self._peer_notifier = peer_notifier
 
     async def ping_loop(self, peer: PeerClient) -> None:
-        """Ping one peer: who leads, and does the state service answer it?"""
+        """Pings one peer until cancelled, to learn which node leads and whether the state service answers the peer."""
         while True:
             try:
                 await self._ping(peer)
             except (NoResponseError, MalformedReplyError):
-                self._peer_status.lost(peer.name)
+                self._peer_status.mark_unreachable(peer.name)
             await asyncio.sleep(jitter(PING_INTERVAL))
 
     async def _ping(self, peer: PeerClient) -> None:
@@ -70,7 +70,7 @@
         node, election = self._node, self._election
         ping = Ping(node.node_name, election.leader_name, election.leader_token, node.state_service_answers())
         pong = await peer.ask(ping, Pong.decode_reply)
-        self._peer_status.contacted(peer.name)
+        self._peer_status.record_contact(peer.name)
         election.learn_leader(pong.leader_name, pong.leader_token)
         self._peer_status.update(pong.node_name, pong.state_service_answers)
         if leader is not None and leader is election.leader and pong.state_service_answers:
@@ -83,7 +83,7 @@
             await self._lease_proxy.refresh_from_proxy(peer)
 
     async def on_ping(self, ping: Ping) -> Pong:
-        """A peer says who leads, and is told the same."""
+        """Applies a peer's status and returns this node's."""
         self._election.learn_leader(ping.leader_name, ping.leader_token)
         self._peer_status.update(ping.node_name, ping.state_service_answers)
         quiet_us = self._peer_notifier.confirmed_cancellations.quiet_us(steady())
@@ -97,19 +97,19 @@
         )
 
     async def on_job_progress(self, update: JobProgressUpdate) -> Ok:
-        """The leader sends the counts that users are shown."""
+        """Applies the task counts that users are shown, sent by the leader."""
         self._node.job_progress.update(update.changed)
         for job_id in update.removed:
             self._node.job_progress.pop(job_id, None)
         return Ok()
 
     async def on_probe(self, probe: ProbeWorkers) -> ProbeResult:
-        """Which of these workers can this node reach? And does the state service answer it?"""
+        """Returns how many of these workers this node reaches, and whether the state service answers it."""
         reached = await count_reachable(self._net, probe.addresses)
         return ProbeResult(reached, self._node.state_service_answers())
 
     async def on_explain(self, question: ExplainJob) -> JobExplanation | No:
-        """Why a job waits; asked by operators on the internal address, answered by the leader."""
+        """Returns why a job is waiting; operators ask on the internal address, and the leader provides the answer."""
         leader = self._election.leader
         if leader is not None:
             return JobExplanation(leader.explain(question.job_id))
@@ -119,5 +119,5 @@
         return await peer.ask(ExplainJob(question.job_id, forwarded=True), decode_explanation)
 
     async def on_schema_version(self, request: SchemaVersionRequest) -> SchemaVersionReply:
-        """What this process reads of what is stored."""
+        """Returns the schema version that this process reads."""
         return SchemaVersionReply(self._node.node_name, self._node.boot_id, SCHEMA_VERSION)
--- a/oatport/service/peer_notifications.py
+++ b/oatport/service/peer_notifications.py
@@ -1,8 +1,8 @@
-"""What a node tells the leader of its users' jobs, and what a leader asks while it can't read the records.
+"""Sends the leader hints about users' jobs, and collects confirmed cancellations while the records can't be read.
 
-That a job was accepted or cancelled is told to the leader at once: only a hint that saves time, since the leader
-watches the records. While it can't, it asks each node which cancellations that confirmed to users
-(`control/state/cancellations.py`).
+A node notifies the leader at once of each accepted or cancelled job. This is only a hint that saves time, since the
+leader watches the records. While the leader can't read them, it asks each node which cancellations that node confirmed
+to users (`control/state/cancellations.py`).
 """
 
 from __future__ import annotations
@@ -27,37 +27,37 @@
 from oatport.times import MS, micros, steady
 
 COLLECT_INTERVAL = 400 * MS
-RECORDS_ARE_STALE = 2_500 * MS  # the watch on jobs answers every second, if it does
-NOTIFY_TRIES = 2
-NOTIFY_RETRY = 100 * MS
+RECORDS_ARE_STALE = 2_500 * MS  # the job watch returns every second while the state service answers
+NOTIFY_ATTEMPTS = 2
+NOTIFY_RETRY_INTERVAL = 100 * MS
 
 
 class NotifyingNode(Protocol):
-    """The node that it belongs to."""
+    """The node that a `PeerNotifier` belongs to."""
 
     peers: dict[str, PeerClient]
     background: BackgroundTasks
 
     @property
     def leader(self) -> Leader | None:
-        """What acts as the leader on this node."""
+        """Returns the `Leader` of this node, or None while the node does not lead."""
 
     def leading_peer(self) -> PeerClient | None:
-        """The peer that leads, as far as this node knows."""
+        """Returns the peer that leads, or None if no leading peer is known."""
 
 
 async def notify_with_retry(peer: PeerClient, message: PeerMessage) -> None:
-    """Send a message, once more if no response comes; it may get lost all the same."""
-    for _ in range(NOTIFY_TRIES):
+    """Sends a message, with one retry if no response arrives; both attempts may be lost."""
+    for _ in range(NOTIFY_ATTEMPTS):
         try:
             await peer.notify(message)
             return
         except NoResponseError:
-            await asyncio.sleep(jitter(NOTIFY_RETRY))
+            await asyncio.sleep(jitter(NOTIFY_RETRY_INTERVAL))
 
 
 class PeerNotifier:
-    """Passes hints about jobs on to the leader, and knows which cancellations this node confirmed."""
+    """Passes hints about jobs to the leader, and records which cancellations this node confirmed to users."""
 
     def __init__(self, node: NotifyingNode, settings: ClusterSettings) -> None:
         self._node = node
@@ -66,13 +66,14 @@
     # --- hints ------------------------------------------------------------------------------
 
     def notify_accepted(self, job_id: str, record: dict[str, Any], revision: int) -> None:
-        """A job was accepted with this record."""
+        """Sends the leader a hint that a job was accepted with this record."""
         self._send_hint(JobAccepted(job_id, record, revision))
 
     def notify_cancelled(self, job_id: str, revision: int = 0) -> None:
-        """A cancellation is about to be confirmed to a user: every such answer passes here before it leaves.
+        """Records a cancellation and sends the leader a hint; called before each confirmation is sent to a user.
 
-        `revision`: of this node's own commit, which marked the job's live record as well; 0: it knows in another way.
+        `revision` is that of this node's own commit, which also marked the job's live record; it is 0 if this node
+        learnt of the cancellation in another way.
         """
         is_new = self.confirmed_cancellations.record(job_id, steady())
         if is_new and (revision or self._node.leader is not None):
@@ -86,7 +87,7 @@
             self._node.background.once("job hint", notify_with_retry(peer, hint))
 
     async def on_job_hint(self, hint: JobAccepted | JobCancelled) -> Ok:
-        """Another node accepted a job, or confirmed its cancellation."""
+        """Handles a hint that another node accepted a job or confirmed its cancellation."""
         if self._node.leader is not None:
             self._node.leader.on_job_hint(hint)
         return Ok()
@@ -96,12 +97,12 @@
     async def on_confirmed_cancellations_request(
         self, request: ConfirmedCancellationsRequest
     ) -> ConfirmedCancellationsReply:
-        """Which cancellations were confirmed within so long before the question was sent?"""
+        """Returns the cancellations that this node confirmed within `request.age_us` before the request was sent."""
         confirmed = self.confirmed_cancellations.confirmed_within(steady(), request.age_us)
         return ConfirmedCancellationsReply(confirmed.complete_for_us, confirmed.job_ids)
 
     async def collect_loop(self) -> None:
-        """As the leader: while the records can't be read, go by what all nodes confirmed."""
+        """Collects confirmed cancellations from all nodes while this node leads and the records can't be read."""
         while True:
             leader = self._node.leader
             if (
@@ -113,7 +114,7 @@
             await asyncio.sleep(jitter(COLLECT_INTERVAL))
 
     async def collect(self, leader: Leader) -> None:
-        """Carry out what was confirmed to users, and move the watermark on if all nodes told all."""
+        """Carries out confirmed cancellations, and advances the watermark if all nodes gave complete answers."""
         asked_at, since = steady(), leader.lease_renewal_limit.cancellations_known_at
         request = ConfirmedCancellationsRequest(asked_at - since)
         replies = await asyncio.gather(
@@ -128,7 +129,7 @@
         own = self.confirmed_cancellations.confirmed_within(steady(), answered_at - since)
         for reply in (ConfirmedCancellationsReply(own.complete_for_us, own.job_ids), *replies):
             if isinstance(reply, NoResponseError | MalformedReplyError):
-                complete = False  # it can't be asked, is of an earlier version, or says something strange
+                complete = False  # the peer is unreachable, runs an earlier version, or sent a malformed reply
                 continue
             if isinstance(reply, BaseException):
                 raise reply
--- a/oatport/service/reachability.py
+++ b/oatport/service/reachability.py
@@ -1,4 +1,4 @@
-"""Who can't be reached: machines, or this node? Asked of the machines themselves, and of the other nodes."""
+"""Decides by probes of machines and by a survey of peers whether machines or this node are unreachable."""
 
 from __future__ import annotations
 
@@ -18,26 +18,26 @@
 
 log = logging.getLogger(__name__)
 
-OWN_PROBES = 4
-PROBE_INTERVAL = 1_500 * MS  # of one machine
+MAX_OWN_PROBES = 4
+PROBE_INTERVAL = 1_500 * MS  # between two probes of one machine
 PEER_PROBE_TIMEOUT = 1_300 * MS
-PEER_PROBE_ADDRESSES = 20
+MAX_PEER_PROBE_ADDRESSES = 20
 
 
 @dataclass(frozen=True, slots=True)
 class PeerSurvey:
-    """What the other nodes say of silent machines.
+    """Holds the result of asking the other nodes about silent machines.
 
-    `reached_by`: a node that reaches at least half of them; `most_reach_none`: most nodes, this one among them,
-    answered and reach none of them.
+    `reached_by` is a node that reaches at least half of them. `majority_reaches_none` means that a majority of all
+    nodes, including this one, answered and reach none of them.
     """
 
     reached_by: str | None
-    most_reach_none: bool
+    majority_reaches_none: bool
 
 
 class Reachability:
-    """Probes machines, and steps down if another node reaches those that this one doesn't."""
+    """Probes machines, and steps down if another node reaches machines that this one does not."""
 
     def __init__(self, leader: LeaderContext, net: Network) -> None:
         self._leader = leader
@@ -46,7 +46,7 @@
     # --- machines ---------------------------------------------------------------------------
 
     def probe(self, machines: list[Machine], now: int) -> None:
-        """Are they there, and do commands reach them? Each at most once in `PROBE_INTERVAL`."""
+        """Probes whether machines run and commands reach them, each at most once per `PROBE_INTERVAL`."""
         for machine in machines:
             if not machine.probing and now - machine.probed_at > PROBE_INTERVAL and machine.address:
                 machine.probing, machine.probed_at = True, now
@@ -64,16 +64,16 @@
 
     # --- this node --------------------------------------------------------------------------
 
-    async def may_judge(self) -> bool:
-        """A node without contact judges nobody.
+    async def may_release_machines(self) -> bool:
+        """Returns whether this node holds the leader lease and has contact with the state service.
 
-        Its request to release might be held by the partition and executed minutes later, when all those machines
-        are at work for another leader.
+        A release request of a node without contact could be held by the partition and executed minutes later, when the
+        machines already work for another leader.
         """
         return self._leader.holds_lease() and await self.still_leading()
 
     async def still_leading(self) -> bool:
-        """The state service answers, and the leader key is still this leader's."""
+        """Returns whether the state service answers and this leader owns the leader key; steps down if it is lost."""
         try:
             found = await self._leader.state.get(LEADER_KEY)
         except (NoResponseError, RequestRefusedError):
@@ -84,21 +84,21 @@
         return True
 
     async def step_down_if_reached_by_peer(self, machines: list[Machine]) -> PeerSurvey:
-        """Step down if another node reaches these machines, which are silent to this one."""
+        """Steps down if another node reaches these machines, which are silent to this one."""
         asked_at = steady()
-        # Asked once more by itself: after a busy moment, reports may just wait to be read.
-        own = asyncio.gather(*(self._probe(m) for m in machines[:OWN_PROBES] if m.address))
+        # This node probes once more itself: after a busy period, heartbeats may have arrived but not been read yet.
+        own = asyncio.gather(*(self._probe(m) for m in machines[:MAX_OWN_PROBES] if m.address))
         survey = await self.survey_peers(machines)
         await own
         if any(m.last_heartbeat_at >= asked_at for m in machines):
-            return PeerSurvey(None, survey.most_reach_none)
+            return PeerSurvey(None, survey.majority_reaches_none)
         if survey.reached_by is not None:
             log.warning("machines are silent to this node only count=%d peer=%s", len(machines), survey.reached_by)
             self._step_down(machines, f"workers are silent to this node, {survey.reached_by} reaches them")
         return survey
 
     async def step_down_if_commands_reach_from_peer(self, machines: list[Machine]) -> None:
-        """Step down if another node reaches these machines, which are heard from and which commands do not reach."""
+        """Steps down if another node reaches these machines, which send heartbeats but receive no commands."""
         survey = await self.survey_peers(machines)
         unreachable = sum(machine.command_unreachable for machine in machines)
         if survey.reached_by is not None and is_isolated(unreachable, machines):
@@ -109,17 +109,17 @@
 
     def _step_down(self, machines: list[Machine], reason: str) -> None:
         node = self._leader.node
-        node.mark_workers_unreachable([m.address for m in machines if m.address][:OWN_PROBES])
+        node.mark_workers_unreachable([m.address for m in machines if m.address][:MAX_OWN_PROBES])
         node.step_down(reason)
 
     async def survey_peers(self, machines: list[Machine]) -> PeerSurvey:
-        """Which other nodes reach these machines?
+        """Asks the other nodes which of these machines they reach.
 
-        Most nodes must answer, this one among them. A node in a partitioned zone answers as little as its machines
-        do; waiting for it would leave their tasks nowhere until the partition ends. A leader that is itself
-        partitioned hears from no other node.
+        A majority of all nodes, including this one, must answer, but not every node: a node in a partitioned zone does
+        not answer either, and waiting for it would leave the zone's tasks unplaced until the partition ends. A leader
+        that is itself partitioned gets no answers.
         """
-        addresses = [m.address for m in machines if m.address][:PEER_PROBE_ADDRESSES]
+        addresses = [m.address for m in machines if m.address][:MAX_PEER_PROBE_ADDRESSES]
         request = ProbeWorkers(addresses)
         peers = self._leader.node.peers
         replies = await asyncio.gather(
@@ -131,10 +131,10 @@
             if isinstance(reply, NoResponseError):
                 continue
             if isinstance(reply, BaseException):
-                some_reached = True  # a strange answer proves nothing
+                some_reached = True  # a malformed answer proves nothing
             else:
                 if reply.reached * 2 >= len(addresses) > 0 and reply.state_service_answers:
-                    return PeerSurvey(name, most_reach_none=False)
+                    return PeerSurvey(name, majority_reaches_none=False)
                 some_reached = some_reached or reply.reached > 0
             answering += 1
         return PeerSurvey(None, not some_reached and answering * 2 > len(peers) + 1)
--- a/oatport/service/scaling_controller.py
+++ b/oatport/service/scaling_controller.py
@@ -1,4 +1,4 @@
-"""The scaling controller: scale-out, scale-in and rebalancing, as the capacity planner decides."""
+"""The scaling controller: carries out the capacity planner's scale-out, scale-in and rebalancing decisions."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 INTERVAL_S = 0.3
 MAX_REQUESTS_IN_FLIGHT = 2
 CATALOG_INTERVAL = 30 * SECOND
-CATALOG_RETRY = SECOND  # while no types are known
+CATALOG_RETRY_INTERVAL = SECOND  # while no types are known
 REBALANCE_INTERVAL = SECOND
-VIEW_COMPLETE_AFTER = 6 * SECOND  # of leading, whatever was not confirmed by then
-UNCONFIRMED_MACHINES_FOR = 3 * SECOND
+VIEW_COMPLETE_AFTER = 6 * SECOND  # of leading; machines that are unconfirmed by then are not waited for
+CONFIRMATION_TIMEOUT = 3 * SECOND
 
 
 class ScalingController:
@@ -32,21 +32,23 @@
         self._cloud_controller = cloud_controller
         self._machine_list = machine_list
         self._capacity_planner = cloud_controller.capacity_planner
-        self._catalog_at = self._rebalanced_at = 0
-        self._reopened = False  # cordoned machines were reopened in the last round
+        self._catalog_refreshed_at = self._rebalanced_at = 0
+        self._has_uncordoned = False  # whether the last round uncordoned machines
 
     async def loop(self) -> None:
-        """Scale until the leader stops."""
-        self._catalog_at = self._rebalanced_at = 0
-        self._reopened = False
+        """Scales until the leader stops."""
+        self._catalog_refreshed_at = self._rebalanced_at = 0
+        self._has_uncordoned = False
         while not self._leader.stopped:
             await asyncio.sleep(INTERVAL_S)
             await self._step(self._leader.now())
 
     async def _step(self, now: int) -> None:
         leader = self._leader
-        if now - self._catalog_at > (CATALOG_INTERVAL if leader.cluster.catalog.types else CATALOG_RETRY):
-            self._catalog_at = now
+        if now - self._catalog_refreshed_at > (
+            CATALOG_INTERVAL if leader.cluster.catalog.types else CATALOG_RETRY_INTERVAL
+        ):
+            self._catalog_refreshed_at = now
             leader.background.once("catalog", self._cloud_controller.refresh_catalog())
         if self._view_is_complete(now) and not leader.decisions_paused(now):
             self._scale_out(now)
@@ -59,14 +61,14 @@
         cluster.refresh_usable_machines(now)
         due = self._capacity_planner.scale_out.due(now)
         if due:
-            # What waits is placed on reopened machines first: more than what they take was once rented.
-            self._reopened = self._capacity_planner.scale_in.update_cordons() and not self._reopened
-            cluster.planning_needed = cluster.planning_needed or self._reopened
+            # Pending tasks are placed on uncordoned machines first; otherwise too many machines were rented.
+            self._has_uncordoned = self._capacity_planner.scale_in.update_cordons() and not self._has_uncordoned
+            cluster.planning_needed = cluster.planning_needed or self._has_uncordoned
         if now - self._rebalanced_at > REBALANCE_INTERVAL:
             self._rebalance(now)
-        # Few at a time: a queue of requests that the cloud will refuse holds up those it would
-        # fill, and by the time they get there nobody wants them.
-        requests = self._capacity_planner.scale_out.plan(now) if due and not self._reopened else []
+        # Only a few requests are in flight: a queue of requests that the cloud refuses would delay those that it grants
+        # until their machines are no longer needed.
+        requests = self._capacity_planner.scale_out.plan(now) if due and not self._has_uncordoned else []
         in_flight = self._capacity_planner.availability.requests_in_flight
         for request in requests[: max(0, MAX_REQUESTS_IN_FLIGHT - len(in_flight))]:
             in_flight.append(request)
@@ -82,11 +84,11 @@
         self._leader.wake()
 
     def _view_is_complete(self, now: int) -> bool:
-        """Enough is known to rent and release by: machines were confirmed, the list was seen."""
+        """Returns whether the view suffices to rent and release: the list was read and machines are confirmed."""
         leader = self._leader
         if now - leader.led_since > VIEW_COMPLETE_AFTER:
             return True
         if not self._machine_list.listed_at:
             return False
         unconfirmed = any(m.was_ready and not m.is_confirmed(leader.token) for m in leader.cluster.machines.values())
-        return not unconfirmed or now - leader.led_since > UNCONFIRMED_MACHINES_FOR
+        return not unconfirmed or now - leader.led_since > CONFIRMATION_TIMEOUT
--- a/oatport/service/schema_version_controller.py
+++ b/oatport/service/schema_version_controller.py
@@ -1,4 +1,4 @@
-"""The schema version gate: finds out whether all nodes read what this version writes, and records it."""
+"""The schema version controller: records that all nodes can read what this version writes, once they can."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def current_boots(replies: Iterable[SchemaVersionReply | BaseException]) -> dict[str, str]:
-    """Nodes that read this version's records, and the boot of each; what is no answer does not count."""
+    """Returns the names and boot ids of nodes that read this version's records; failed requests are ignored."""
     return {
         reply.node_name: reply.boot_id
         for reply in replies
@@ -30,17 +30,17 @@
 
 
 class SchemaVersionController:
-    """Asks all nodes for a leader, until it is recorded that they read this version's records."""
+    """Asks all nodes for their schema version, until it is recorded that all read this version's records."""
 
     def __init__(self, leader: LeaderContext) -> None:
         self._leader = leader
 
     def start(self) -> None:
-        """Start the loop."""
+        """Starts the loop."""
         self._leader.background.keep("schema version", self.loop)
 
     async def loop(self) -> None:
-        """Until all nodes are known to read what this version writes, ask them. Recorded, so that it is asked once."""
+        """Asks all nodes until all of them read this version's records; the result is recorded for later leaders."""
         leader, node = self._leader, self._leader.node
         gate = schema_version.SchemaVersionGate([node.node_name, *node.peers])
         while not leader.stopped and not leader.cluster.writes.layout.splits_records:
@@ -50,13 +50,13 @@
             )
             own = SchemaVersionReply(node.node_name, node.boot_id, schema_version.SCHEMA_VERSION)
             if gate.on_round(current_boots([own, *replies])):
-                # Outcome unknown: the next round finds what is recorded.
+                # If the outcome is unknown, the next round reads what was recorded.
                 with contextlib.suppress(NoResponseError, RequestRefusedError):
                     await self.open_gate(gate)
             await asyncio.sleep(jitter(ASK_INTERVAL))
 
     async def open_gate(self, gate: schema_version.SchemaVersionGate) -> None:
-        """Record that all nodes read this version. Raises NoResponseError or RequestRefusedError."""
+        """Records that all nodes read this version. Raises NoResponseError or RequestRefusedError."""
         leader, key = self._leader, SCHEMA_VERSION_KEY
         result = await leader.state.commit({LEADER_KEY: leader.token, key: 0}, {key: gate.record()})
         if not isinstance(result, Applied):
--- a/oatport/service/state_service_contact.py
+++ b/oatport/service/state_service_contact.py
@@ -1,4 +1,4 @@
-"""Contact with the state service: does it answer this node, and the renewal of the leader lease."""
+"""Contact with the state service: tracks whether it answers this node, and renews the leader lease."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 log = logging.getLogger(__name__)
 
-ANSWER_IS_FRESH = 2 * SECOND
-CHECK_INTERVAL = 500 * MS  # of a node that does not lead
+ANSWER_VALIDITY = 2 * SECOND
+CHECK_INTERVAL = 500 * MS  # of contact, while this node does not lead
 RETRY_INTERVAL = 250 * MS
 RENEWALS_PER_LEASE = 4
 
 
 class StateServiceContact:
-    """Renews the leader lease, and tells whether the state service answers."""
+    """Renews the leader lease, and tracks whether the state service answers this node."""
 
     def __init__(self, node: NodeContext, election: Election, handover: LeadershipHandover) -> None:
         self._node = node
@@ -32,14 +32,14 @@
         self._lease_us = node.tuning.us("leader_lease_s")
 
     def answers(self) -> bool:
-        """The state service answers this node."""
+        """Returns whether the state service answers this node."""
         state = self._node.state
         return state.last_served_at > 0 and (
-            steady() - state.last_served_at < ANSWER_IS_FRESH or state.last_failed_at <= state.last_served_at
+            steady() - state.last_served_at < ANSWER_VALIDITY or state.last_failed_at <= state.last_served_at
         )
 
     async def loop(self) -> None:
-        """Know whether the state service answers; as the leader, renew the lease first of all."""
+        """Checks contact with the state service until cancelled; a leader does so by renewing its lease."""
         while True:
             leader = self._election.leader
             try:
@@ -59,8 +59,8 @@
 
     async def _renew_lease(self, leader: Leader) -> None:
         requested_at = steady()
-        await self._node.state.renew_lease(leader.lease, min(self._lease_us // 2, SECOND))
+        await self._node.state.renew_lease(leader.lease_id, min(self._lease_us // 2, SECOND))
         leader.leader_lease.renewed(requested_at)
         peer = self._handover.better_placed_peer()
         if peer is not None and leader is self._election.leader and leader.loaded:
-            self._handover.offer_in_background(leader, peer)  # renewals do not wait for it
+            self._handover.offer_in_background(leader, peer)  # so that lease renewals are not delayed
--- a/oatport/service/window_controller.py
+++ b/oatport/service/window_controller.py
@@ -1,4 +1,4 @@
-"""The window controller: spot prices and deferred starts of a leader."""
+"""The window controller: reads spot prices and defers starts for a leader."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class WindowController:
-    """Reads the price feed, and defers and releases starts as the windows' planner decides."""
+    """Reads the price feed, and defers and releases starts as the window planner decides."""
 
     def __init__(self, leader: LeaderContext, net: Network, settings: WindowSettings) -> None:
         self._leader = leader
@@ -32,14 +32,14 @@
         self.book = Book(micros(settings.fresh_s), micros(settings.dead_s))
         self._clock = DayClock(time_of_day(), steady())
         self.holder = Holder(leader.cluster, settings, self.book, self.wall())
-        self._written: tuple[int, int] = (0, 0)  # the book's version, and when
+        self._written: tuple[int, int] = (0, 0)  # the last written version of the book, and when (steady)
 
     def wall(self) -> int:
-        """The time of day as the windows count it."""
+        """Returns the time of day that the windows use."""
         return self._clock.at(time_of_day(), steady())
 
     async def fail_over(self) -> None:
-        """The last good series and what was learnt; then all jobs as recorded.
+        """Loads the recorded price series and learnt margins, then adds all recorded jobs.
 
         Raises NoResponseError or RequestRefusedError.
         """
@@ -55,11 +55,11 @@
             self.holder.joined(job, now)
 
     def record(self) -> dict[str, Any]:
-        """What is stored: the price series and what was learnt."""
+        """Returns the record to store: the price series and the learnt margins."""
         return {"book": self.book.record(self.wall()), **self.holder.record()}
 
     def start(self) -> None:
-        """Start the loops."""
+        """Starts the loops."""
         self._leader.background.keep("windows", self._loop)
         if self.settings.feed:
             client = FeedClient(
@@ -74,7 +74,7 @@
             self._leader.background.keep("price feed", client.loop)
 
     def on_job_admitted(self, job: Job) -> None:
-        """A job joined the pending ones: its start may be deferred."""
+        """Adds a newly pending job, whose start may be deferred."""
         self.holder.joined(job, self.wall())
 
     async def _loop(self) -> None:
@@ -83,7 +83,10 @@
             self.step()
 
     def step(self) -> None:
-        """Deferring is always safe for the rules, and so is a release: a job is only eligible, nothing starts by it."""
+        """Defers and releases starts.
+
+        Both are always safe under the scheduling rules: a release only makes a job eligible, and starts no task.
+        """
         released_tasks = self.holder.tick(self.wall())
         if released_tasks:
             plans = self.holder.planner.plans
@@ -96,5 +99,5 @@
         self._leader.wake()
 
     def explain(self, job_id: str) -> dict[str, Any]:
-        """Why a job waits, for operators."""
+        """Returns an explanation for operators of why a job is waiting."""
         return self.holder.explain(job_id, self.wall())
