--- a/oatport/service/__init__.py
+++ b/oatport/service/__init__.py
@@ -1,1 +1,1 @@
-"""Runs a controller node: leader election, the controllers of the leader, and contact with peers and services."""
+"""Runs a controller node: leader election, group commit, the controllers of the leader, and contact in outages."""
--- a/oatport/service/catalog.py
+++ b/oatport/service/catalog.py
@@ -78,7 +78,7 @@
 
 
 class CatalogNode(Protocol):
-    """The node whose machine types `CatalogReader` keeps up to date."""
+    """Defines what `CatalogReader` uses of its node, whose `types` it keeps up to date."""
 
     types: Types
     state: StateClient
--- a/oatport/service/cloud_controller.py
+++ b/oatport/service/cloud_controller.py
@@ -103,9 +103,8 @@
                 if error.status not in RETRYABLE_STATUSES:
                     return None
             except NoResponseError:
-                await asyncio.sleep(
-                    jitter(RENT_UNANSWERED_RETRY_INTERVAL)
-                )  # the id is unchanged, so a retry rents no second time
+                # The request id is unchanged, so a retry rents no second time.
+                await asyncio.sleep(jitter(RENT_UNANSWERED_RETRY_INTERVAL))
         return None
 
     def _on_rented(self, request: ScaleOutRequest, names: list[str]) -> None:
--- a/oatport/service/command_sender.py
+++ b/oatport/service/command_sender.py
@@ -84,9 +84,8 @@
             client = WorkerClient(self._net, machine.address)
             report = await client.send_commands(leader.token, machine.agent_epoch, commands)
         except RequestNotSentError:
-            cluster.commands.on_answered(
-                machine, sent_starts
-            )  # no connection was made, so the commands can't arrive later
+            # No connection was made, so the commands can't arrive later.
+            cluster.commands.on_answered(machine, sent_starts)
             return
         except NoResponseError as error:
             log.debug('commands got no response machine=%s error="%s"', machine.name, error)
--- a/oatport/service/completion_replication.py
+++ b/oatport/service/completion_replication.py
@@ -27,7 +27,7 @@
 
 
 class ReplicatingNode(Protocol):
-    """The node that a `CompletionReplicator` belongs to."""
+    """Defines what `CompletionReplicator` uses of its node."""
 
     peers: dict[str, PeerClient]
     background: BackgroundTasks
--- a/oatport/service/election.py
+++ b/oatport/service/election.py
@@ -47,7 +47,7 @@
         make_leader: LeaderFactory,
         on_deposed: Callable[[Leader], None],
     ) -> None:
-        """`on_deposed` is called with a leader that stepped down, before it is closed."""
+        """Creates the election; `on_deposed` is called with a leader that stepped down, before it is closed."""
         self._node = node
         self._net = net
         self._peer_status = peer_status
--- a/oatport/service/job_watch.py
+++ b/oatport/service/job_watch.py
@@ -60,7 +60,7 @@
                 hint.job_id, hint.revision, leader.lease_renewal_limit.cancellations_known_at
             )
         elif not self._is_known(hint.job_id) and hint.revision > self.revision and "more" not in hint.record:
-            # The load or the watch has seen an older job, which may have ended already.
+            # Older hints are ignored: the load or the watch has seen their jobs, which may have ended already.
             self.admit(hint.job_id, hint.record, hint.revision)
         leader.wake()
 
--- a/oatport/service/leader_context.py
+++ b/oatport/service/leader_context.py
@@ -1,4 +1,4 @@
-"""Interface between a leader and its controllers, which keeps the controllers independent of each other."""
+"""Interface of the leader for its controllers, which keeps them independent of each other."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class LeadingNode(Protocol):
-    """The node that leads, as the leader and its controllers use it."""
+    """Defines what a leader and its controllers use of their node."""
 
     types: dict[str, wire.MachineType]
     peers: dict[str, PeerClient]
@@ -47,7 +47,7 @@
 
 
 class LeaderContext(Protocol):
-    """The leader, as its controllers use it.
+    """Defines what the controllers use of their leader.
 
     All controllers share `cluster`. It is changed only between awaits, so the event loop serves as the lock. After each
     await a controller must therefore re-check the state on which its decision depends.
--- a/oatport/service/lease_proxy_service.py
+++ b/oatport/service/lease_proxy_service.py
@@ -30,7 +30,7 @@
 
 
 class ProxyNode(Protocol):
-    """The node that a `LeaseProxyService` belongs to."""
+    """Defines what `LeaseProxyService` uses of its node."""
 
     state: StateClient
 
@@ -97,7 +97,7 @@
         self._other_proxies.pop(peer.name, None)
         asked_at = steady()
         try:
-            # A node of an earlier version answers 400.
+            # A node of an earlier version answers with status 400.
             state = await peer.ask(LeaseProxyStateRequest(), LeaseProxyState.decode_if_known)
         except (NoResponseError, MalformedReplyError):
             return
--- a/oatport/service/network.py
+++ b/oatport/service/network.py
@@ -23,7 +23,7 @@
 
 
 class Listener(Protocol):
-    """A server on one listening address."""
+    """Defines a server on one listening address."""
 
     async def start(self) -> None:
         """Starts to listen."""
@@ -33,7 +33,7 @@
 
 
 class Network(Connector, Protocol):
-    """A node's network; `oatport.simulation` has an implementation in memory."""
+    """Defines a node's network; `oatport.simulation` has an implementation in memory."""
 
     def open(self) -> None:
         """Opens the sessions; must be called in the event loop before any other method."""
@@ -56,7 +56,7 @@
 
 
 class HttpNetwork:
-    """The network of a process: HTTP over TCP, within its connection budget."""
+    """Implements the network of a process with HTTP over TCP, within its connection budget."""
 
     def __init__(self, connections: int) -> None:
         self._budget = ConnectionBudget(connections)
--- a/oatport/service/node.py
+++ b/oatport/service/node.py
@@ -57,12 +57,12 @@
 
 log = logging.getLogger(__name__)
 
-PEER_BODY_LIMIT = 1024 * 1024  # bytes
-OVERLOADED = {"Retry-After": "2", "Connection": "close"}
+MAX_PEER_BODY_BYTES = 1024 * 1024
+OVERLOADED_HEADERS = {"Retry-After": "2", "Connection": "close"}
 
 
 class Node:
-    """One process of the service: a follower or the leader, which serves users, workers and the other nodes."""
+    """Runs one process of the service, as a follower or the leader; serves users, workers and the other nodes."""
 
     def __init__(
         self,
@@ -116,7 +116,7 @@
         for peer in self.settings.peers:
             self.peers[peer.node_name] = PeerClient(net, peer.node_name, peer.endpoint)
         servers = [
-            net.server(self.settings.internal_addr, self.peer_api().handle, PEER_BODY_LIMIT),
+            net.server(self.settings.internal_addr, self.peer_api().handle, MAX_PEER_BODY_BYTES),
             net.server(self.settings.bind, self.handle),
         ]
         for server in servers:
@@ -167,7 +167,7 @@
             return await handle_heartbeat(self, method, body)
         connections = self.net.open_connections()
         if self.connection_budget.is_exhausted(connections) and path != wire.READY_PATH:
-            return Response(503, {"error": "no connections left"}, dict(OVERLOADED))
+            return Response(503, {"error": "no connections left"}, dict(OVERLOADED_HEADERS))
         answer = await self.users.handle(method, path, body)
         if self.connection_budget.closes_after_response(connections):
             answer.headers["Connection"] = "close"
@@ -242,8 +242,8 @@
     def ready(self) -> bool:
         """Returns whether this node is ready.
 
-        A node without state service is unready only if a peer has contact: in an outage for all nodes, staying in
-        rotation costs least. Before its first contact it is never ready.
+        A node that the state service does not answer is unready only if it answers a peer: in an outage for all,
+        staying ready costs least. Before its first contact with the state service a node is never ready.
         """
         if self.state_service_answers():
             self._was_ever_ready = True
--- a/oatport/service/node_context.py
+++ b/oatport/service/node_context.py
@@ -1,4 +1,4 @@
-"""Interface between a node and its components, which keeps the components independent of each other."""
+"""Interface of a node for its components, which keeps them independent of each other."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class NodeContext(LeadingNode, Protocol):
-    """A node, as its components use it."""
+    """Defines what the components of a node use of the node."""
 
     settings: Settings
     tuning: Tuning
--- a/oatport/service/partition_controller.py
+++ b/oatport/service/partition_controller.py
@@ -61,7 +61,7 @@
         if not cluster.zones.partitioned:
             return []
         to_release = self._evacuation.machines_to_release(now, self._zones_with_proxy())
-        # A leader in the same partition may answer heartbeats until then, and nobody can ask it what it received.
+        # A leader in the same partition may answer heartbeats until then, and no node can ask it what it received.
         answered_until = leader.led_since + micros(leader.settings.cluster.workers.cancel_s)
         return [m for m in to_release if not cluster.completions.may_report_unknown(m, now, answered_until)]
 
--- a/oatport/service/peer_notifications.py
+++ b/oatport/service/peer_notifications.py
@@ -33,7 +33,7 @@
 
 
 class NotifyingNode(Protocol):
-    """The node that a `PeerNotifier` belongs to."""
+    """Defines what `PeerNotifier` uses of its node."""
 
     peers: dict[str, PeerClient]
     background: BackgroundTasks
--- a/tests/test_node_failures.py
+++ b/tests/test_node_failures.py
@@ -1,4 +1,4 @@
-"""Nodes and leaders against a faulty state service and faulty peers."""
+"""Tests of nodes and leaders with failures of the state service, of peers and of the cloud."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
 
 
 async def peer_reply(node: Node, message: list[Any]) -> list[Any]:
-    """What a node answers to another one."""
+    """Returns a node's reply to a message of another node."""
     answer = await node.peer_api().handle("POST", wire.PEER_PATH, Body(message))  # type: ignore[arg-type]
     assert answer.status == 200
     return answer.value  # type: ignore[no-any-return]
@@ -81,10 +81,10 @@
 
 def leader(state: KeyStore) -> tuple[Leader, FakeStateClient, FakeLeadingNode]:
     token = state.commit({"if": [], "then": [{"set": LEADER_KEY, "value": {"node": "n0"}}]})[1]["ledgerRev"]
-    client, home = FakeStateClient(state), FakeLeadingNode()
-    lead = Leader(home, node_settings(), Tuning(), Unplugged(), client, token, 1, steady())  # type: ignore[arg-type]
+    client, leading_node = FakeStateClient(state), FakeLeadingNode()
+    lead = Leader(leading_node, node_settings(), Tuning(), Unplugged(), client, token, 1, steady())  # type: ignore[arg-type]
     lead.loaded = True
-    return lead, client, home
+    return lead, client, leading_node
 
 
 @pytest.fixture
@@ -93,40 +93,40 @@
 
 
 async def test_a_handover_is_accepted_only_while_the_state_service_answers(state: KeyStore) -> None:
-    """At the start of an outage for all, a leader once gave up to a node that was refused too."""
+    """At the start of an outage for all nodes, a leader handed over to a node that had lost the state service too."""
     node = Node(node_settings(), Tuning())
     client = FakeStateClient(state)
     node.state = client  # type: ignore[assignment]
     client.faults = ["refuse"]
     assert await peer_reply(node, ["handover", 5]) == ["no"]
     assert await peer_reply(node, ["handover", 5]) == ["ok"]
-    # A leader gave up to a node that had been cut off from the workers a moment ago.
+    # A leader handed over to a node that had lost contact with the workers shortly before.
     node.mark_workers_unreachable(["h:1"])
     assert await peer_reply(node, ["handover", 6]) == ["no"]
 
 
 async def test_a_lost_answer_to_a_leaders_commit_is_resolved(state: KeyStore) -> None:
-    lead, client, home = leader(state)
+    lead, client, leading_node = leader(state)
     client.faults = ["lose"]
     batch = WriteBatch(conditions={"live/j-1/0000": 0}, sets={"live/j-1/0000": {"t": [[1]]}})
     await lead.commits.commit(batch)
-    assert home.lost == []
+    assert leading_node.lost == []
     assert lead.cluster.writes.versions["live/j-1/0000"] == state.revision
 
 
 async def test_a_late_leader_commit_cannot_be_applied_twice(state: KeyStore) -> None:
-    lead, client, home = leader(state)
+    lead, client, leading_node = leader(state)
     client.faults = ["late"]
     await lead.commits.commit(WriteBatch(conditions={"fleet/000000": 0}, sets={"fleet/000000": {"m": []}}))
-    assert home.lost == []
+    assert leading_node.lost == []
     assert client.deliver_late() == [409]
 
 
 async def test_a_deposed_leader_stops(state: KeyStore) -> None:
-    lead, _, home = leader(state)
+    lead, _, leading_node = leader(state)
     state.commit({"if": [], "then": [{"set": LEADER_KEY, "value": {"node": "n1"}}]})
     await lead.commits.commit(WriteBatch(conditions={"fleet/000000": 0}, sets={"fleet/000000": {"m": []}}))
-    assert home.lost
+    assert leading_node.lost
     assert not lead.heartbeats.may_answer()
 
 
@@ -134,34 +134,34 @@
     return await lead.cloud_controller.failure_detector.reachability.survey_peers([])
 
 
-async def test_no_machine_is_judged_without_contact_to_the_state_service_and_most_peers(state: KeyStore) -> None:
-    """A cut may hold a release and deliver it minutes later, onto another leader's machines."""
-    lead, client, home = leader(state)
+async def test_no_machine_is_released_without_contact_to_the_state_service_and_most_peers(state: KeyStore) -> None:
+    """A partition may hold a release request and deliver it minutes later, when another leader uses the machines."""
+    lead, client, leading_node = leader(state)
     client.faults = ["refuse", "lose"]
     assert not await lead.cloud_controller.failure_detector.reachability.still_leading()
     assert not await lead.cloud_controller.failure_detector.reachability.still_leading()
     assert await lead.cloud_controller.failure_detector.reachability.still_leading()
-    home.peers = {"n1": FakePeer(None)}
+    leading_node.peers = {"n1": FakePeer(None)}
     assert await survey(lead) == PeerSurvey(None, False)  # a peer that doesn't answer proves nothing
-    home.peers = {"n1": FakePeer(["seen", 3, True])}
+    leading_node.peers = {"n1": FakePeer(["seen", 3, True])}
     assert await survey(lead) == PeerSurvey(None, False)
-    home.peers = {"n1": FakePeer(["seen", 0, True])}
+    leading_node.peers = {"n1": FakePeer(["seen", 0, True])}
     assert await survey(lead) == PeerSurvey(None, True)
 
 
-async def test_a_node_in_a_partitioned_zone_does_not_delay_the_verdict(state: KeyStore) -> None:
-    """A zone was cut off with its node: for two minutes its machines' tasks were replaced nowhere."""
-    lead, _, home = leader(state)
-    blind, silent, sees = FakePeer(["seen", 0, True]), FakePeer(None), FakePeer(["seen", 1, True])
-    home.peers = {"n1": blind, "n2": silent}
+async def test_a_node_in_a_partitioned_zone_does_not_delay_the_release(state: KeyStore) -> None:
+    """A zone was partitioned together with its node, and its machines' tasks were not replaced for two minutes."""
+    lead, _, leading_node = leader(state)
+    reaches_none, silent, reaches_one = FakePeer(["seen", 0, True]), FakePeer(None), FakePeer(["seen", 1, True])
+    leading_node.peers = {"n1": reaches_none, "n2": silent}
     assert await survey(lead) == PeerSurvey(None, True)  # two of three nodes
-    home.peers = {"n1": silent, "n2": silent}
-    assert await survey(lead) == PeerSurvey(None, False)  # it is rather I who am cut off
-    home.peers = {"n1": blind, "n2": sees}
+    leading_node.peers = {"n1": silent, "n2": silent}
+    assert await survey(lead) == PeerSurvey(None, False)  # this node itself is more likely partitioned
+    leading_node.peers = {"n1": reaches_none, "n2": reaches_one}
     assert await survey(lead) == PeerSurvey(None, False)
 
 
-async def test_in_an_outage_tasks_live_but_nothing_starts(state: KeyStore) -> None:
+async def test_in_an_outage_tasks_keep_running_but_none_starts(state: KeyStore) -> None:
     lead, client, _ = leader(state)
     now = steady()
     client.last_served_at, client.last_failed_at = now - 5 * SECOND, now
@@ -171,7 +171,7 @@
     assert answer is not None
     assert answer["helm"] == lead.token
     assert all(order["orderKind"] != "start" for order in answer["orders"])
-    lead.lease_renewal_limit.cancellations_known_at = now - 30 * SECOND  # a cancellation may have been told since
+    lead.lease_renewal_limit.cancellations_known_at = now - 30 * SECOND  # a cancellation may have been confirmed since
     assert lead.answer_heartbeat(report) is None
 
 
@@ -197,7 +197,7 @@
             await handle_heartbeat(node, "POST", Body(bad))  # type: ignore[arg-type]
 
 
-async def test_strange_peer_messages_are_400(state: KeyStore) -> None:
+async def test_malformed_peer_messages_are_refused(state: KeyStore) -> None:
     node = Node(node_settings(), Tuning())
     node.state = FakeStateClient(state)  # type: ignore[assignment]
     assert (await peer_reply(node, ["ping", "n1", None, 0, True]))[:2] == ["pong", "n0"]
@@ -206,7 +206,7 @@
             await peer_reply(node, bad)  # type: ignore[arg-type]
 
 
-async def test_a_failing_background_task_is_seen_and_started_again(caplog: pytest.LogCaptureFixture) -> None:
+async def test_a_failing_background_task_is_logged_and_restarted(caplog: pytest.LogCaptureFixture) -> None:
     group, runs = BackgroundTasks(), []
 
     async def loop() -> None:
@@ -224,7 +224,7 @@
 
 
 async def test_a_background_task_closed_before_its_first_step_leaves_no_coroutine_behind() -> None:
-    """A deposed leader dropped coroutines that never ran; the warning is an error here."""
+    """A deposed leader left coroutines behind that were never awaited; pytest turns that warning into an error."""
     group, ran = BackgroundTasks(), []
 
     async def work() -> None:
@@ -260,10 +260,10 @@
 
 
 async def test_a_machine_to_be_released_is_sent_stops_for_what_it_runs(state: KeyStore) -> None:
-    """Its release may stay unanswered for as long as the cloud is away; its leases lived on, and no stop went out."""
+    """While the cloud left a release unanswered, the machine's leases were renewed and no stop command was sent."""
     lead, _, _ = leader(state)
     lead.lease_renewal_limit.cancellations_known_at = lead.leader_lease.renewal_requested_at = steady()
-    rows = [wire.TaskReport("j-000001/0", 1, wire.TaskStatus.RUNNING)]  # of a job that is cancelled and over, say
+    rows = [wire.TaskReport("j-000001/0", 1, wire.TaskStatus.RUNNING)]  # for example, of a cancelled job that has ended
     report = wire.Heartbeat("vm-000001", "h:1", "m8", "a", False, 1, 1, lead.token, rows)
     assert lead.answer_heartbeat(report) is not None
     lead.cluster.machines["vm-000001"].releasing = True
@@ -273,24 +273,27 @@
 
 
 async def test_a_leader_without_a_catalog_reads_the_recorded_one_and_loses_no_machine(state: KeyStore) -> None:
-    """Back within a blink and leading at once, the cloud down: all that ran was started again elsewhere."""
+    """Guards against task loss when a node restarts quickly and leads at once while the cloud is down.
+
+    Without the recorded catalog it took all machines for lost, and started their tasks again elsewhere.
+    """
     types = {"berthKinds": [msgspec.to_builtins(kind) for kind in TYPES.values()]}
     state.commit({"if": [], "then": [{"set": CATALOG_KEY, "value": types}]})
     machine = ["vm-000001", "m8", "a", False, "h:1", 1, True]
     rows = [wire.StoredEntry("fleet/000000", {"m": [machine]}, 1)]
-    lead, _, home = leader(state)
+    lead, _, leading_node = leader(state)
     lead.cluster.catalog.types.clear()
-    home.types = {}
+    leading_node.types = {}
     with pytest.raises(UnknownMachineTypeError, match="vm-000001 is of type m8"):
         load_cluster(lead.cluster, rows, steady(), time_of_day())
     await lead._load_machine_types(recorded_machine_types(rows))
     load_cluster(lead.cluster, rows, steady(), time_of_day())
     assert "vm-000001" in lead.cluster.machines
 
-    # What the cloud does not tell any more stays recorded.
-    async def cloud_tells() -> dict[str, wire.MachineType]:
+    # Types that the cloud no longer lists stay recorded.
+    async def new_catalog() -> dict[str, wire.MachineType]:
         return {"new": replace(TYPES["m8"], name="new")}
 
-    lead.cloud_controller.cloud.catalog = cloud_tells  # type: ignore[method-assign]
+    lead.cloud_controller.cloud.catalog = new_catalog  # type: ignore[method-assign]
     await lead.cloud_controller.refresh_catalog()
     assert wire.decode_catalog(state.get(CATALOG_KEY)[1]["value"]).keys() == {"m8", "g16", "new"}
--- a/tests/test_one_way_partitions.py
+++ b/tests/test_one_way_partitions.py
@@ -1,4 +1,4 @@
-"""One-way partitions: machines that commands don't reach, late copies of heartbeats; and jobs larger than others."""
+"""Tests of one-way partitions, where commands do not reach machines; of late copies of heartbeats; of large jobs."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def test_a_machine_that_commands_do_not_reach_gets_no_work_until_one_does() -> None:
-    """Its session ends, it reports itself empty, and looked like the best place for what it had just lost."""
+    """The agent session expired and the machine reported itself empty, so it looked best for the tasks that it lost."""
     world = World()
     command_unreachable, other = world.machine(1), world.machine(2)
     world.settle(2)
@@ -29,7 +29,7 @@
     lost = world.cluster.machines[command_unreachable.name]
     assert lost.command_unreachable
     assert not lost.tasks
-    assert len(world.live(first)) == 1  # the other waits for capacity, and not there
+    assert len(world.live(first)) == 1  # the other task waits for capacity elsewhere
     assert other.name in next(iter(world.live(first).values()))
     world.mute.clear()
     world.settle(2)
@@ -61,7 +61,10 @@
 
 
 async def test_no_start_in_the_answer_to_a_late_copy_counts_as_sent() -> None:
-    """Where that answer goes isn't known; the start in it was waited for, and part of what proves a task gone."""
+    """The response to a late copy may not reach the machine, but its start counted as sent.
+
+    The leader then waited for the start to be acknowledged, and relied on it to prove a task gone.
+    """
     state = KeyStore(lambda: 0)
     lead, _, _ = leader(state)
     world = World()
@@ -87,7 +90,7 @@
     assert [order["orderKind"] for order in answer["orders"]] == ["start"]
 
 
-def test_one_way_partitions_and_late_copies_break_no_rule() -> None:
+def test_one_way_partitions_and_late_copies_violate_no_invariant() -> None:
     for number, fault in enumerate(
         (
             Fault("machine_deaf", 12.0, 20.0, count=5),
@@ -104,14 +107,14 @@
         assert (found.violations, found.errors) == ([], []), fault.kind
 
 
-def test_copies_of_heartbeats_taken_for_new_ones_are_noticed() -> None:
+def test_the_invariant_checker_detects_copies_of_heartbeats_taken_for_new_ones() -> None:
     plan = Plan((Fault("report_copies", 8.0, 40.0, amount=20.0),), 50.0, 3, 20, 40.0)
-    asked = RunRequest(plan=plan, disabled_check="heartbeat-order")
-    assert any(run_scenario(asked, seed).violations for seed in range(8))
+    request = RunRequest(plan=plan, disabled_check="heartbeat-order")
+    assert any(run_scenario(request, seed).violations for seed in range(8))
 
 
-def test_the_largest_job_starves_only_for_so_long() -> None:
-    """Moore and Hodgson's rule gives up the largest first: as long as a burst lasted, it never began."""
+def test_the_largest_job_starves_only_for_a_limited_time() -> None:
+    """The Moore-Hodgson rule drops the largest job first, so such a job never started while a burst lasted."""
     world = World([Team("crew")])
     world.machine(1)
     world.settle(2)
@@ -128,13 +131,13 @@
     route_pending(world.cluster, world.fleet.availability, world.now, world.now)
     assert jobs[large].starving
     assert order_key(jobs[large]) < order_key(jobs[newer])
-    assert order_key(jobs[blocker]) < order_key(jobs[large])  # its priority is what it was
+    assert order_key(jobs[blocker]) < order_key(jobs[large])  # the priority is unchanged
     jobs[large].started = True
     route_pending(world.cluster, world.fleet.availability, world.now, world.now)
     assert not jobs[large].starving
 
 
-def test_the_status_line_shows_how_many_of_the_largest_jobs_began() -> None:
+def test_the_status_line_shows_how_many_of_the_largest_jobs_started() -> None:
     world = World([Team("crew")])
     world.machine(1)
     world.settle(2)
@@ -146,5 +149,5 @@
     assert "largest train" in world.cluster.job_statistics.summary()
     world.cancel(large)
     world.settle(2)
-    began, count = world.cluster.job_statistics.largest()["train"]
-    assert began == count
+    started, count = world.cluster.job_statistics.largest()["train"]
+    assert started == count
--- a/tests/test_process_pauses.py
+++ b/tests/test_process_pauses.py
@@ -1,4 +1,4 @@
-"""A node that stands still while its clocks run on: a jump of the clock between two steps."""
+"""Process pauses: a node stops running while its clocks advance, simulated by a jump of the clock between two steps."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from oatport.control.leadership.leader_lease import HANDOVER_UNDECIDED_FOR, LeaderLease, PauseDetector
 from oatport.control.scaling.cloud_availability import ScaleOutRequest
 from oatport.service import heartbeat_controller
-from oatport.service import leader as lead_module
+from oatport.service import leader as leader_module
 from oatport.service.failover import RecordSnapshot
 from oatport.service.node import Node
 from oatport.service.peer_status import StateServiceStatus
@@ -30,7 +30,7 @@
 class Clock:
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.at = 1_000 * SECOND
-        for module in (lead_module, heartbeat_controller, token_bucket):
+        for module in (leader_module, heartbeat_controller, token_bucket):
             monkeypatch.setattr(module, "steady", lambda: self.at)
 
 
@@ -44,8 +44,8 @@
     return Clock(monkeypatch)
 
 
-class Asked:
-    """An HTTP client that notes what is asked of the cloud."""
+class RecordingHttpClient:
+    """An HTTP client that records the paths of requests to the cloud."""
 
     def __init__(self) -> None:
         self.paths: list[str] = []
@@ -58,32 +58,33 @@
 def test_a_lease_counts_from_when_its_renewal_was_requested() -> None:
     lease = LeaderLease(3 * SECOND, renewal_requested_at=0)
     assert lease.is_held(2_700 * MS)
-    assert not lease.is_held(2_800 * MS)  # clocks drift, and a request takes a moment to go out
+    assert not lease.is_held(2_800 * MS)  # a margin for clock drift and for the time until a request is sent
     lease.renewed(2 * SECOND)
-    lease.renewed(1 * SECOND)  # an older answer that came late
+    lease.renewed(1 * SECOND)  # an older answer that arrived late
     assert lease.is_held(4_700 * MS)
-    lease.handover_requested(4 * SECOND)  # another node was asked to take over: the lease says nothing about the key
+    # Another node was asked to take over, so the lease no longer proves ownership of the leader key.
+    lease.handover_requested(4 * SECOND)
     assert not lease.is_held(4_100 * MS)
     lease.renewed(4 * SECOND + HANDOVER_UNDECIDED_FOR)
     assert lease.is_held(4 * SECOND + HANDOVER_UNDECIDED_FOR)
 
 
-def test_a_process_pause_is_noticed_once() -> None:
+def test_a_process_pause_is_detected_once() -> None:
     detector = PauseDetector(0)
     assert [detector.check(at * SECOND) for at in (1, 2, 9, 10)] == [0, 0, 7 * SECOND, 0]
 
 
 async def test_a_leader_after_a_pause_starts_rents_and_releases_nothing(state: KeyStore, clock: Clock) -> None:
-    """Those machines may be at work for another leader: the cloud knows no tokens."""
-    lead, _, home = leader(state)
+    """After a pause the machines may work for another leader, and the cloud checks no fencing tokens."""
+    lead, _, leading_node = leader(state)
     lead.leader_lease.renewal_requested_at = clock.at
-    http_client = Asked()
+    http_client = RecordingHttpClient()
     cloud = CloudClient(Unplugged(), "h:1", 5.0, lead.holds_lease)  # type: ignore[arg-type]
     cloud._http = http_client  # type: ignore[assignment]
     lead.cloud_controller.cloud = cloud
     await cloud.release(["vm-000001"])
     assert http_client.paths == [wire.RELEASE_PATH]
-    clock.at += 7 * SECOND  # stands still, between the decision and the request
+    clock.at += 7 * SECOND  # the process is paused between the decision and the request
     with pytest.raises(RequestNotSentError):
         await cloud.release(["vm-000002"])
     with pytest.raises(RequestNotSentError):
@@ -94,8 +95,8 @@
     await lead.cloud_controller.release([machine], "returned")
     await lead.command_sender.send(machine)
     assert http_client.paths == [wire.RELEASE_PATH]
-    assert not machine.removed  # it is there until proven gone
-    assert home.lost == []  # whether it still leads is for the state service to say
+    assert not machine.removed  # a machine stays until it is proven gone
+    assert leading_node.lost == []  # only the state service decides whether this node still leads
 
 
 async def test_a_rental_under_way_during_a_pause_is_not_repeated_without_the_lease(
@@ -109,8 +110,8 @@
         async def rent(self, request: str, *_: Any) -> list[str]:
             asked.append(request)
             clock.at += 9 * SECOND
-            lead.stopped = True  # another leader was found meanwhile
-            raise NoResponseError("timers fire before what waits in the sockets is read")
+            lead.stopped = True  # this node learnt of another leader
+            raise NoResponseError("timers fire before the pending data of sockets is read")
 
     lead.cloud_controller.cloud = Cloud()  # type: ignore[assignment]
     rental = ScaleOutRequest("m8", "a", True, 1)
@@ -131,7 +132,7 @@
     answer = lead.answer_heartbeat(wire.Heartbeat("vm-000001", "h:1", "m8", "a", False, 1, 2, lead.token, []))
     assert answer is not None
     assert answer["helm"] == lead.token
-    clock.at += 25 * SECOND  # a cancellation may have been told meanwhile, which this node never heard of
+    clock.at += 25 * SECOND  # a cancellation may have been confirmed by then without this node
     assert lead.answer_heartbeat(wire.Heartbeat("vm-000001", "h:1", "m8", "a", False, 1, 3, lead.token, [])) is None
 
 
@@ -143,21 +144,21 @@
     machines = list(world.cluster.machines.values())
     gap = 20 * SECOND
     world.now += gap
-    assert len(silent_machines(machines, world.now, 5 * SECOND)) == 3  # as it would look
+    assert len(silent_machines(machines, world.now, 5 * SECOND)) == 3  # what it would look like without the correction
     assert world.fleet.scale_in.machines_to_release(world.now)
     for machine in machines:
         machine.releasing = False
-    machines[0].last_heartbeat_at = world.now  # its answer was read first
+    machines[0].last_heartbeat_at = world.now  # its heartbeat was read first after the pause
     world.cluster.on_process_pause(gap, world.now)
     assert machines[0].last_heartbeat_at == world.now
     assert silent_machines(machines, world.now, 5 * SECOND) == []
     assert world.fleet.scale_in.machines_to_release(world.now) == []
-    # What really passes meanwhile is not moved: a spot notice, a boot.
+    # Times of real events are not shifted, such as spot notices and boots.
     assert all(machine.rented_at < world.now - gap for machine in machines)
 
 
-def test_a_leader_that_hears_from_no_machine_judges_none() -> None:
-    """Cut off from workers, a leader once released the machines that passed the mark first."""
+def test_a_leader_without_heartbeats_releases_no_machine() -> None:
+    """A leader that was partitioned from all workers released the machines that passed the silence threshold first."""
     world = World()
     for number in range(1, 7):
         world.machine(number)
@@ -166,9 +167,8 @@
     report_us = SECOND
     assert all_silent_machines(machines, world.now + 1_400 * MS, report_us, 0) == []
     assert len(all_silent_machines(machines, world.now + 1_600 * MS, report_us, 0)) == 6
-    assert (
-        all_silent_machines(machines, world.now + 1_600 * MS, report_us, world.now + SECOND) == []
-    )  # it has just begun
+    # The leader has just started.
+    assert all_silent_machines(machines, world.now + 1_600 * MS, report_us, world.now + SECOND) == []
     machines[0].last_heartbeat_at = world.now + 1_000 * MS
     assert all_silent_machines(machines, world.now + 1_600 * MS, report_us, 0) == []
     now = world.now + 4 * SECOND
@@ -178,7 +178,7 @@
 
 
 async def test_a_handover_whose_answer_is_lost_suspends_the_lease(state: KeyStore) -> None:
-    """The other node may replace the key while this one's lease is renewed."""
+    """The other node may replace the leader key while this node still renews its lease."""
     lead, _, _ = leader(state)
     node = Node(node_settings(), Tuning())
     node.election.leader = lead
@@ -193,13 +193,13 @@
     assert lead.holds_lease()
 
 
-async def test_a_handover_agreed_to_before_a_pause_is_off_after_it(state: KeyStore) -> None:
+async def test_a_handover_accepted_before_a_pause_has_expired_after_it(state: KeyStore) -> None:
     node = Node(node_settings(), Tuning())
     client = FakeStateClient(state)
     node.state = client  # type: ignore[assignment]
     state.commit({"if": [], "then": [{"set": "leader", "value": {"node": "n1", "boot": "x", "lease": 1}}]})
     assert await peer_reply(node, ["handover", state.revision]) == ["ok"]
-    node.election.handover_until -= 10 * SECOND  # it stood still before it came to that
+    node.election.handover_until -= 10 * SECOND  # the node was paused before it ran for leader
     await node.election._run_for_leader()
     assert node.leader is None
     assert state.get("leader")[1]["value"]["node"] == "n1"
@@ -207,9 +207,10 @@
 
 
 async def test_a_worse_placed_candidate_backs_off(state: KeyStore) -> None:
-    """Frozen leader, next node down: workers waited for both in turn until their leases had ended.
+    """Guards against two failures of worse placed leaders.
 
-    And one that was cut off from workers took the lead again and again while another could reach them.
+    With the leader frozen and its successor down, workers waited for both in turn until their leases expired. And a
+    node that was partitioned from workers became the leader repeatedly while another node could reach them.
     """
     node = Node(replace(node_settings(), peers=[Peer("n1", "h:1"), Peer("n2", "h:2")]), Tuning())
     reached: list[str] = []
@@ -221,10 +222,10 @@
     node.peers = {"n1": FakePeer(None), "n2": FakePeer(None)}  # type: ignore[dict-item]
     answering = node.peer_status.state_service_answers
     answering["n2"] = StateServiceStatus(True, 0)
-    alone = await node.election.backoff()  # n1 comes after n0, and does not answer
-    assert node.handover.better_placed_peer() is None  # maybe just for a moment
+    alone = await node.election.backoff()  # n1, the successor of n0, does not answer
+    assert node.handover.better_placed_peer() is None  # the successor may be down only briefly
     node.peer_status.successor_answered_at -= 5 * SECOND
-    assert node.handover.better_placed_peer() is node.peers["n2"]  # after which n0 comes
+    assert node.handover.better_placed_peer() is node.peers["n2"]  # whose successor is n0
     answering.clear()
     answering["n1"] = StateServiceStatus(True, 0)
     assert await node.election.backoff() == 0 < alone
@@ -234,11 +235,11 @@
     reached.append("h:1")
     assert await node.election.backoff() == 0
     reached.clear()
-    assert await node.election.backoff() == 0  # the cut is over, that is not asked again
+    assert await node.election.backoff() == 0  # the workers were reached above, so they are not probed again
 
 
 async def test_election_priority_prefers_nodes_whose_successor_is_in_another_zone() -> None:
-    """A zone with two of three nodes was cut off, its leader with it: workers outside waited for both in turn."""
+    """With the leader and its successor in one partitioned zone, workers outside waited for both nodes in turn."""
 
     def node(name: str, **zones: str) -> Node:
         settings = replace(
@@ -260,7 +261,7 @@
 async def test_cancellations_confirmed_during_failover_are_not_taken_as_known(
     state: KeyStore, clock: Clock, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """In an outage that begins just then, leases were kept for as long as it had taken to read, beyond the bound."""
+    """If an outage began during the load, leases were renewed beyond the bound, by the time that the load had taken."""
     lead, _, _ = leader(state)
     began = clock.at
 
@@ -268,7 +269,7 @@
         clock.at += 4 * SECOND
         return RecordSnapshot([], 0)
 
-    monkeypatch.setattr(lead_module, "read_records", slow)
-    monkeypatch.setattr(lead.background, "keep", lambda *_: None)  # none of its loops is what is looked at
+    monkeypatch.setattr(leader_module, "read_records", slow)
+    monkeypatch.setattr(lead.background, "keep", lambda *_: None)  # the loops are not under test
     await lead.fail_over()
     assert lead.lease_renewal_limit.cancellations_known_at == began
