--- a/oatport/service/job_progress_publisher.py
+++ b/oatport/service/job_progress_publisher.py
@@ -13,7 +13,7 @@
 from oatport.service.leader_context import LeaderContext
 
 INTERVAL_S = 1.0
-FULL_UPDATE_ROUNDS = 10  # a full update for nodes that were restarted and have no counts
+FULL_UPDATE_ROUNDS = 10  # rounds between full updates, for nodes that were restarted and have no counts
 
 
 class JobProgressPublisher:
--- a/oatport/service/lease_proxy_service.py
+++ b/oatport/service/lease_proxy_service.py
@@ -70,14 +70,14 @@
     # --- messages between nodes -------------------------------------------------------------
 
     async def on_watermark_request(self, request: CancellationWatermarkRequest) -> CancellationWatermark | No:
-        """Returns the cancellation watermark, which only the leader has."""
+        """Returns the cancellation watermark, which only the leader has; other nodes answer `No`."""
         leader = self._node.leader
         if leader is None:
             return No()
         return CancellationWatermark(leader.token, leader.cancellation_watermark_age())
 
     async def on_proxy_state_request(self, request: LeaseProxyStateRequest) -> LeaseProxyState | No:
-        """Returns this node's lease proxy state to a node that was restarted."""
+        """Returns this node's lease proxy state to a restarted node, or `No` if this node leads or has none."""
         now = steady()
         known = self.proxy.share(now)
         if self._node.leader is not None or known is None:
--- a/oatport/service/node.py
+++ b/oatport/service/node.py
@@ -82,9 +82,8 @@
         self.node_name = settings.node_name
         self.boot_id = boot or secrets.token_hex(6)
         self.types: dict[str, wire.MachineType] = {}
-        self.job_progress: dict[
-            str, tuple[int, int]
-        ] = {}  # job id -> counts of completed and running tasks, as shown to users
+        # Job id -> counts of completed and running tasks, as shown to users.
+        self.job_progress: dict[str, tuple[int, int]] = {}
         self.peers: dict[str, PeerClient] = {}
         self.background = BackgroundTasks()
         self.state: StateClient  # set by `run`, like `users`
