--- a/oatport/api/job_api.py
+++ b/oatport/api/job_api.py
@@ -7,7 +7,7 @@
 
 from oatport import wire
 from oatport.api.concurrency_limit import ConcurrencyLimit, OverloadedError
-from oatport.api.job_status import KnownJob
+from oatport.api.job_status import JobSnapshot
 from oatport.api.job_status_cache import READ_TIMEOUT, JobStatusCache
 from oatport.api.server import BodyReader, Response, retry_later
 from oatport.api.submission_batcher import COMMIT_TIMEOUTS, BestEffortShare, SubmissionBatcher, SubmitOutcome
@@ -42,7 +42,7 @@
     types: dict[str, wire.MachineType]
     job_progress: dict[str, tuple[int, int]]  # completed and running tasks, as the leader has notified this node
 
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Whether the node can serve users."""
 
     def notify_accepted(self, job_id: str, record: dict[str, Any], revision: int) -> None:
@@ -62,10 +62,10 @@
         self._zones = set(settings.cluster.zones)
         limits = settings.cluster.state
         self._state_calls = ConcurrencyLimit(MAX_STATE_CALLS)
-        self._jobs = JobStatusCache(state, self._state_calls, limits.least_rps)
-        limiter = AdaptiveRateLimiter(limits.write_rps, settings.cluster.size, limits.least_write_rps)
-        self._batcher = SubmissionBatcher(state, limits.least_txn_ops, limiter)
-        self._max_value_bytes = limits.least_value_bytes
+        self._jobs = JobStatusCache(state, self._state_calls, limits.min_rps)
+        limiter = AdaptiveRateLimiter(limits.write_rps, settings.cluster.size, limits.min_write_rps)
+        self._batcher = SubmissionBatcher(state, limits.min_txn_ops, limiter)
+        self._max_value_bytes = limits.min_value_bytes
         self._best_effort_share = BestEffortShare(limits.write_rps)
         self._requests = 0  # under way
 
@@ -100,7 +100,7 @@
     def _ready(self, method: str) -> Response:
         if method not in ("GET", "HEAD"):
             return Response(405, None, {"Allow": "GET"})
-        return Response(200, {"ready": True}) if self._node.ready() else retry_later()
+        return Response(200, {"ready": True}) if self._node.is_ready() else retry_later()
 
     def _with_cancellation_noted(self, response: Response) -> Response:
         """All that users receive about a job goes through here.
@@ -119,10 +119,10 @@
         """Answer POST /submissions."""
         if not self._node.types:
             return retry_later()  # the machine types are not known yet: it can't be judged
-        reason = self.why_infeasible(submission)
+        reason = self.infeasibility_reason(submission)
         if reason is not None:
             return await self._refuse_unless_known(submission.job_id, reason)
-        if submission.dependencies and not self._jobs.known(submission.job_id):
+        if submission.dependencies and not self._jobs.snapshot(submission.job_id):
             refused = await self._check_dependencies(submission, submission.dependencies)
             if refused is not None:
                 return refused
@@ -149,7 +149,7 @@
             return None
         return await self._refuse_unless_known(submission.job_id, f"{wire.DEPENDENCIES_FIELD}: {reason}")
 
-    def why_infeasible(self, submission: wire.Submission) -> str | None:
+    def infeasibility_reason(self, submission: wire.Submission) -> str | None:
         """Why the job could never run; None if it could."""
         team = self._teams.get(submission.team)
         if team is None:
@@ -171,7 +171,7 @@
         """Commit the job, or say at once when to come back."""
         job_id = submission.job_id
         if self._batcher.is_full():
-            value = await self._read(job_id) if self._jobs.known(job_id) else None
+            value = await self._read(job_id) if self._jobs.snapshot(job_id) else None
             return Response(200, value) if value else retry_later(self._batcher.retry_after_s())
         best_effort = self._is_best_effort(submission)
         if best_effort and not (self._batcher.has_capacity_for_best_effort() and self._best_effort_share.try_acquire()):
@@ -199,7 +199,7 @@
         return (
             submission.priority == BEST_EFFORT_PRIORITY
             and not submission.dependencies
-            and not self._jobs.known(submission.job_id)
+            and not self._jobs.snapshot(submission.job_id)
         )
 
     # --- show -------------------------------------------------------------------------------
@@ -214,25 +214,25 @@
     async def _read(self, job_id: str) -> dict[str, Any] | None:
         """A job's status as its record has it; {} if there is none, None if the records can't be read."""
         try:
-            known = await self._jobs.find(job_id)
+            snapshot = await self._jobs.find(job_id)
         except NO_STATE_SERVICE:
             return None
-        return self._status_value(job_id, known) if known else {}
+        return self._status_value(job_id, snapshot) if snapshot else {}
 
-    def _status_value(self, job_id: str, known: KnownJob) -> dict[str, Any]:
-        if known.terminal:
-            completed = known.task_count if known.state == wire.JobStatus.COMPLETED else 0
-            return {"ref": job_id, "status": known.state, "done": completed, "running": 0}
+    def _status_value(self, job_id: str, snapshot: JobSnapshot) -> dict[str, Any]:
+        if snapshot.terminal:
+            completed = snapshot.task_count if snapshot.state == wire.JobStatus.COMPLETED else 0
+            return {"ref": job_id, "status": snapshot.state, "done": completed, "running": 0}
         completed, running = self._node.job_progress.get(job_id, (0, 0))
         value: dict[str, Any] = {
             "ref": job_id,
             "status": wire.JobStatus.RUNNING if running else wire.JobStatus.QUEUED,
-            "done": min(completed, known.task_count),
+            "done": min(completed, snapshot.task_count),
             "running": running,
         }
-        if known.dependencies and not (completed or running):
+        if snapshot.dependencies and not (completed or running):
             # Those that it still waits for.
-            value[wire.DEPENDENCIES_FIELD] = list(known.dependencies[:MAX_DEPENDENCIES_SHOWN])
+            value[wire.DEPENDENCIES_FIELD] = list(snapshot.dependencies[:MAX_DEPENDENCIES_SHOWN])
         return value
 
     # --- cancel -----------------------------------------------------------------------------
@@ -256,8 +256,8 @@
 
     def _terminal_response(self, job_id: str) -> Response | None:
         """The response for a job that is known to have terminated."""
-        known = self._jobs.known(job_id)
-        return Response(200, {"ref": job_id, "status": known.state}) if known and known.terminal else None
+        snapshot = self._jobs.snapshot(job_id)
+        return Response(200, {"ref": job_id, "status": snapshot.state}) if snapshot and snapshot.terminal else None
 
     async def _try_cancel(self, job_id: str, timeout_us: int) -> Response | None:
         """Commit the cancellation on the record as it is now; None if it has terminated or was changed meanwhile."""
--- a/oatport/api/job_reader.py
+++ b/oatport/api/job_reader.py
@@ -13,10 +13,10 @@
 
 from oatport import wire
 from oatport.api.concurrency_limit import OverloadedError
-from oatport.api.job_status import KnownJob
+from oatport.api.job_status import JobSnapshot
 from oatport.clients.http import NoResponseError, RequestRefusedError
 from oatport.clients.state import StateClient
-from oatport.control.storage.keys import JOBS
+from oatport.control.storage.keys import JOBS_PREFIX
 from oatport.times import MS, seconds
 
 MAX_WAIT = 800 * MS  # for one answer
@@ -25,10 +25,10 @@
 MAX_WAITING = 100  # for one job
 MAX_NAMES = 2_000  # looked up by one reader at a time
 
-JobFuture = asyncio.Future[KnownJob | None]
+JobFuture = asyncio.Future[JobSnapshot | None]
 
 
-def retrieve_exception(future: asyncio.Future[KnownJob | None] | asyncio.Future[None]) -> None:
+def retrieve_exception(future: asyncio.Future[JobSnapshot | None] | asyncio.Future[None]) -> None:
     """A done callback: asyncio logs no exception of a future that nobody waits for any more."""
     if not future.cancelled():
         future.exception()
@@ -41,7 +41,7 @@
     """
 
     def __init__(
-        self, state: StateClient, mark: Callable[[], int], learn: Callable[[str, wire.StoredValue, int], KnownJob]
+        self, state: StateClient, mark: Callable[[], int], learn: Callable[[str, wire.StoredValue, int], JobSnapshot]
     ) -> None:
         self._state = state
         self._mark = mark
@@ -51,7 +51,7 @@
         self._under_way: set[str] = set()  # those of them that are being read
         self._readers: set[asyncio.Task[None]] = set()
 
-    async def read(self, job_id: str) -> KnownJob | None:
+    async def read(self, job_id: str) -> JobSnapshot | None:
         """A job, None if there is none. Raises NoResponseError, RequestRefusedError or OverloadedError."""
         waiting = self._wanted.get(job_id, [])
         if len(self._wanted) >= MAX_WANTED_JOBS or len(waiting) >= MAX_WAITING:
@@ -77,7 +77,7 @@
             waiting = {job_id: len(self._wanted[job_id]) for job_id in names}
             mark = self._mark()
             try:
-                found, looked_up = await self._state.get_many(JOBS, names)
+                found, looked_up = await self._state.get_many(JOBS_PREFIX, names)
             except Exception as error:
                 # All that wait get the error at once: who comes back finds the state service there, or not.
                 for job_id in names:
@@ -90,9 +90,9 @@
                 self._under_way.difference_update(names)
             for job_id in looked_up:
                 stored = found.get(job_id)
-                known = None if stored is None else self._learn(job_id, stored, mark)
+                snapshot = None if stored is None else self._learn(job_id, stored, mark)
                 for future in self._take_waiting(job_id, waiting[job_id]):
-                    future.set_result(known)
+                    future.set_result(snapshot)
 
     def _next_names(self) -> list[str]:
         """The job that is wanted for longest, and those that follow it in the order of keys."""
--- a/oatport/api/job_status.py
+++ b/oatport/api/job_status.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class KnownJob:
+class JobSnapshot:
     """A job as its record has it. `dependencies`: without those known to be completed."""
 
     state: str
@@ -30,7 +30,7 @@
         return bool(self.dependencies or self.overflow_records)
 
     @classmethod
-    def from_record(cls, record: dict[str, Any], revision: int) -> KnownJob:
+    def from_record(cls, record: dict[str, Any], revision: int) -> JobSnapshot:
         """From the value under jobs/."""
         job, state = record["job"], str(record["state"])
         terminal = state in wire.PUBLIC_TERMINAL_STATUSES
--- a/oatport/api/job_status_cache.py
+++ b/oatport/api/job_status_cache.py
@@ -15,11 +15,11 @@
 from oatport import wire
 from oatport.api.concurrency_limit import ConcurrencyLimit
 from oatport.api.job_reader import JobReader, retrieve_exception
-from oatport.api.job_status import KnownJob
+from oatport.api.job_status import JobSnapshot
 from oatport.clients.http import NoResponseError
 from oatport.clients.state import StateClient
-from oatport.control.storage.keys import JOBS, overflow_key
-from oatport.control.storage.overflow_records import with_overflow
+from oatport.control.storage.keys import JOBS_PREFIX, overflow_key
+from oatport.control.storage.overflow_records import merge_overflow
 from oatport.times import MS, SECOND, seconds, steady
 
 MAX_KNOWN_JOBS = 20_000
@@ -46,7 +46,7 @@
         self._calls = calls
         self._reader = JobReader(state, self.mark, self._learn_stored)
         self._refresh_interval = max(MIN_REFRESH_INTERVAL, round(REFRESH_REQUESTS * SECOND / rps))
-        self._known: OrderedDict[str, KnownJob] = OrderedDict()
+        self._snapshots: OrderedDict[str, JobSnapshot] = OrderedDict()
         self._revision = 0  # all changes up to it are in
         self._evictions = 0  # how often something was forgotten
         self._refreshed_at = -SECOND  # when the last refresh was asked
@@ -55,28 +55,28 @@
 
     # --- questions --------------------------------------------------------------------------
 
-    async def find(self, job_id: str) -> KnownJob | None:
+    async def find(self, job_id: str) -> JobSnapshot | None:
         """A job's state now; None if it has never been accepted.
 
         Raises NoResponseError, RequestRefusedError or OverloadedError.
         """
-        known = self._known.get(job_id)
-        fresh = not self._revision or (known is not None and not known.terminal)
+        snapshot = self._snapshots.get(job_id)
+        fresh = not self._revision or (snapshot is not None and not snapshot.terminal)
         if fresh:
             await self._refresh()
-            known = self._known.get(job_id)
-        if known is None:
-            known = await self._reader.read(job_id)
-            if known is None:
+            snapshot = self._snapshots.get(job_id)
+        if snapshot is None:
+            snapshot = await self._reader.read(job_id)
+            if snapshot is None:
                 return None
             fresh = False
-        if known.terminal or not known.may_depend:
-            return known
-        return await self._with_dependencies(job_id, known, fresh)
+        if snapshot.terminal or not snapshot.may_depend:
+            return snapshot
+        return await self._propagate_cancellation(job_id, snapshot, fresh)
 
-    def known(self, job_id: str) -> KnownJob | None:
+    def snapshot(self, job_id: str) -> JobSnapshot | None:
         """What was last received of it; only a terminal state is sure to hold still."""
-        return self._known.get(job_id)
+        return self._snapshots.get(job_id)
 
     async def find_unusable(self, job_ids: list[str]) -> UnusableDependencies:
         """Of jobs named in a submission those that it can't depend on; read no earlier than now.
@@ -84,7 +84,7 @@
         Jobs are never removed: one that is known was accepted. Raises NoResponseError, RequestRefusedError or
         OverloadedError; what was read by then is kept, so that a repeated submission gets on.
         """
-        found: dict[str, KnownJob] = {}
+        found: dict[str, JobSnapshot] = {}
         await self._learn_all(job_ids, found, self.mark())
         return UnusableDependencies(
             next((job_id for job_id in job_ids if job_id not in found), None),
@@ -97,27 +97,27 @@
         """To be taken before a read or a commit whose result is to be learnt."""
         return self._evictions
 
-    def learn(self, job_id: str, record: dict[str, Any], revision: int, mark: int) -> KnownJob:
+    def learn(self, job_id: str, record: dict[str, Any], revision: int, mark: int) -> JobSnapshot:
         """What a read or a commit of this node's showed; later changes follow from the refreshes.
 
         Not kept if something was forgotten since it was asked: a later change may have been among that, and
         no refresh would bring it again.
         """
-        known = self._known.get(job_id)
-        if known is not None and (
-            known.revision > revision
-            or (known.revision == revision and (known.terminal or len(known.dependencies) > 0))
+        snapshot = self._snapshots.get(job_id)
+        if snapshot is not None and (
+            snapshot.revision > revision
+            or (snapshot.revision == revision and (snapshot.terminal or len(snapshot.dependencies) > 0))
         ):
-            return known  # what was found out about the jobs that it names holds
-        known = KnownJob.from_record(record, revision)
+            return snapshot  # what was found out about the jobs that it names holds
+        snapshot = JobSnapshot.from_record(record, revision)
         if mark == self._evictions:
-            self._known[job_id] = known
-            if len(self._known) > MAX_KNOWN_JOBS:
-                self._known.popitem(last=False)
+            self._snapshots[job_id] = snapshot
+            if len(self._snapshots) > MAX_KNOWN_JOBS:
+                self._snapshots.popitem(last=False)
                 self._evictions += 1
-        return known
+        return snapshot
 
-    def _learn_stored(self, job_id: str, stored: wire.StoredValue, mark: int) -> KnownJob:
+    def _learn_stored(self, job_id: str, stored: wire.StoredValue, mark: int) -> JobSnapshot:
         return self.learn(job_id, stored.value, stored.revision, mark)
 
     def on_created(self, job_id: str, record: dict[str, Any], revision: int, mark: int) -> None:
@@ -129,14 +129,14 @@
 
     def _forget_unfinished(self, revision: int) -> None:
         """Follow the changes from here on; what is not terminal may have changed before."""
-        for job_id in [job_id for job_id, known in self._known.items() if not known.terminal]:
-            del self._known[job_id]
+        for job_id in [job_id for job_id, snapshot in self._snapshots.items() if not snapshot.terminal]:
+            del self._snapshots[job_id]
         self._evictions += 1
         self._revision = revision
 
     # --- dependencies -----------------------------------------------------------------------
 
-    async def _with_dependencies(self, job_id: str, known: KnownJob, fresh: bool) -> KnownJob:
+    async def _propagate_cancellation(self, job_id: str, snapshot: JobSnapshot, fresh: bool) -> JobSnapshot:
         """Cancelled, if a job that it depends on is, directly or through others.
 
         That follows from their records, and holds as long as theirs: so after any node has answered that, all
@@ -144,11 +144,11 @@
         """
         if not fresh:
             await self._refresh()
-            known = self._known.get(job_id, known)
+            snapshot = self._snapshots.get(job_id, snapshot)
         seen = {job_id}
         left = [job_id]
         mark = self.mark()
-        found = {job_id: known}  # of this question, should the memory be full
+        found = {job_id: snapshot}  # of this question, should the memory be full
         while left:
             here = left.pop()
             dependent = await self._with_list(here, found[here])
@@ -157,57 +157,57 @@
             for dependency in dependent.dependencies:
                 other = found.get(dependency)
                 if other is not None and other.state == wire.JobStatus.CANCELLED:
-                    return self._note_cancelled(job_id, known)
+                    return self._note_cancelled(job_id, snapshot)
                 if other is not None and dependency not in seen and _must_follow(other):
                     left.append(dependency)
                 seen.add(dependency)
             self._note_incomplete(here, [d for d in dependent.dependencies if not _is_completed(found.get(d))])
-        return self._known.get(job_id, known)
+        return self._snapshots.get(job_id, snapshot)
 
-    def _note_cancelled(self, job_id: str, known: KnownJob) -> KnownJob:
-        cancelled = replace(known, state=wire.JobStatus.CANCELLED, dependencies=(), overflow_records=0)
-        if job_id in self._known:
-            self._known[job_id] = cancelled
+    def _note_cancelled(self, job_id: str, snapshot: JobSnapshot) -> JobSnapshot:
+        cancelled = replace(snapshot, state=wire.JobStatus.CANCELLED, dependencies=(), overflow_records=0)
+        if job_id in self._snapshots:
+            self._snapshots[job_id] = cancelled
         return cancelled
 
     def _note_incomplete(self, job_id: str, left: list[str]) -> None:
         """Of the jobs that it names only these are not completed: the others need not be looked at again."""
-        known = self._known.get(job_id)
-        if known is None or known.terminal or known.overflow_records:
+        snapshot = self._snapshots.get(job_id)
+        if snapshot is None or snapshot.terminal or snapshot.overflow_records:
             return
-        if len(left) < len(known.dependencies):
-            self._known[job_id] = replace(known, dependencies=tuple(left))
+        if len(left) < len(snapshot.dependencies):
+            self._snapshots[job_id] = replace(snapshot, dependencies=tuple(left))
 
-    async def _with_list(self, job_id: str, known: KnownJob) -> KnownJob:
+    async def _with_list(self, job_id: str, snapshot: JobSnapshot) -> JobSnapshot:
         """With the list of the jobs that it names, if that lies in records of its own."""
-        if not known.overflow_records:
-            return known
+        if not snapshot.overflow_records:
+            return snapshot
         parts = []
-        for number in range(known.overflow_records):
+        for number in range(snapshot.overflow_records):
             async with self._calls.acquire():
                 found = await self._state.get(overflow_key(job_id, number), timeout_us=READ_TIMEOUT)
             if found is None:
                 raise NoResponseError("a part of a list is missing")
             parts.append(found.value)
-        dependencies = with_overflow({"job": {}}, parts)["job"].get(wire.DEPENDENCIES_FIELD, ())
-        known = replace(known, dependencies=tuple(dependencies), overflow_records=0)
-        if job_id in self._known:
-            self._known[job_id] = known
-        return known
+        dependencies = merge_overflow({"job": {}}, parts)["job"].get(wire.DEPENDENCIES_FIELD, ())
+        snapshot = replace(snapshot, dependencies=tuple(dependencies), overflow_records=0)
+        if job_id in self._snapshots:
+            self._snapshots[job_id] = snapshot
+        return snapshot
 
-    async def _learn_all(self, job_ids: list[str], found: dict[str, KnownJob], mark: int) -> None:
+    async def _learn_all(self, job_ids: list[str], found: dict[str, JobSnapshot], mark: int) -> None:
         """What is known of jobs into `found`; what is not is read, some together. Those never accepted are left out."""
         missing = []
         for job_id in job_ids:
-            known = self._known.get(job_id)
-            if known is not None:
-                found[job_id] = known
+            snapshot = self._snapshots.get(job_id)
+            if snapshot is not None:
+                found[job_id] = snapshot
             else:
                 missing.append(job_id)
         missing.sort()
         while missing:
             async with self._calls.acquire():
-                page = await self._state.get_many(JOBS, missing)
+                page = await self._state.get_many(JOBS_PREFIX, missing)
             for job_id, stored in page.found.items():
                 found[job_id] = self._learn_stored(job_id, stored, mark)
             missing = missing[len(page.looked_up) :]
@@ -240,21 +240,21 @@
 
     async def _read_changes(self) -> None:
         if self._revision:
-            found = await self._state.watch(JOBS, self._revision, 0, timeout_us=READ_TIMEOUT)
+            found = await self._state.watch(JOBS_PREFIX, self._revision, 0, timeout_us=READ_TIMEOUT)
             if found is not None:
                 for change in found.changes:
                     if not change.deleted:
-                        self.learn(change.key[len(JOBS) :], change.value, change.revision, self._evictions)
+                        self.learn(change.key[len(JOBS_PREFIX) :], change.value, change.revision, self._evictions)
                 self._revision = max(self._revision, found.revision)
                 return
         # The first time, or too long ago: what is known may be out of date, and is read again job by job.
-        self._forget_unfinished(await self._state.current_revision(JOBS, timeout_us=READ_TIMEOUT))
+        self._forget_unfinished(await self._state.current_revision(JOBS_PREFIX, timeout_us=READ_TIMEOUT))
 
 
-def _is_completed(known: KnownJob | None) -> bool:
-    return known is not None and known.state == wire.JobStatus.COMPLETED
+def _is_completed(snapshot: JobSnapshot | None) -> bool:
+    return snapshot is not None and snapshot.state == wire.JobStatus.COMPLETED
 
 
-def _must_follow(known: KnownJob) -> bool:
+def _must_follow(snapshot: JobSnapshot) -> bool:
     """A job whose own dependencies matter to those that depend on it."""
-    return known.may_depend and not _is_completed(known)
+    return snapshot.may_depend and not _is_completed(snapshot)
--- a/oatport/api/submission_batcher.py
+++ b/oatport/api/submission_batcher.py
@@ -12,7 +12,7 @@
 from oatport.clients.state import Applied, StateClient
 from oatport.clients.token_bucket import TokenBucket
 from oatport.control.limits.rate_limiter import AdaptiveRateLimiter
-from oatport.control.storage.keys import ACCEPT_KEYS, blocked_key, job_key, live_key, overflow_key
+from oatport.control.storage.keys import KEYS_PER_ACCEPTED_JOB, blocked_key, job_key, live_key, overflow_key
 from oatport.control.storage.overflow_records import is_accepted_as_blocked
 from oatport.times import MS, seconds, steady
 
@@ -55,7 +55,7 @@
 
     def __init__(self, state: StateClient, transaction_operations: int, limiter: AdaptiveRateLimiter) -> None:
         self._state = state
-        self._max_batch = max(1, transaction_operations // ACCEPT_KEYS)
+        self._max_batch = max(1, transaction_operations // KEYS_PER_ACCEPTED_JOB)
         self._limiter = limiter
         self._pending: dict[str, PendingSubmission] = {}
         self._commits: set[asyncio.Task[None]] = set()
@@ -63,15 +63,15 @@
     def is_full(self) -> bool:
         """One more would wait in vain: it could not be sent soon. Best-effort jobs go last, and don't count."""
         now = steady()
-        ahead = (sum(not pending.best_effort for pending in self._pending.values()) + 1) * ACCEPT_KEYS
+        ahead = (sum(not pending.best_effort for pending in self._pending.values()) + 1) * KEYS_PER_ACCEPTED_JOB
         if len(self._pending) < MAX_PENDING and self._limiter.wait_us(now, ahead) <= MAX_SEND_DELAY:
             return False
-        self._limiter.request_more(now)
+        self._limiter.raise_rate(now)
         return True
 
     def has_capacity_for_best_effort(self) -> bool:
         """The limit leaves something once all that wait are sent."""
-        return self._limiter.available_to_best_effort(steady(), (len(self._pending) + 1) * ACCEPT_KEYS)
+        return self._limiter.is_available_to_best_effort(steady(), (len(self._pending) + 1) * KEYS_PER_ACCEPTED_JOB)
 
     def is_throttled(self) -> bool:
         """Writes are scarce, rather than the state service away."""
@@ -79,7 +79,7 @@
 
     def retry_after_s(self) -> int:
         """When somebody who was sent away finds capacity, in whole seconds."""
-        return self._limiter.retry_after_s(steady(), ACCEPT_KEYS)
+        return self._limiter.retry_after_s(steady(), KEYS_PER_ACCEPTED_JOB)
 
     async def write_overflow(self, job_id: str, parts: list[Any]) -> bool:
         """Write long lists of a job ahead of its accept, which they count with. False: its user must come back."""
@@ -121,12 +121,12 @@
     async def _commit_pending(self) -> None:
         """Commit one batch after the other until none waits."""
         while self._pending:
-            wait = self._limiter.wait_us(steady(), ACCEPT_KEYS)
+            wait = self._limiter.wait_us(steady(), KEYS_PER_ACCEPTED_JOB)
             if wait:
                 await asyncio.sleep(seconds(wait))
                 continue
             batch = self._take_batch()
-            self._limiter.consume(steady(), len(batch) * ACCEPT_KEYS)
+            self._limiter.consume(steady(), len(batch) * KEYS_PER_ACCEPTED_JOB)
             try:
                 results = await self._commit({job_id: pending.record for job_id, pending in batch.items()})
             except Exception:
@@ -140,9 +140,9 @@
         """As many as a transaction and the limit allow, those of best effort last."""
         batch: dict[str, PendingSubmission] = {}
         size = 0
-        max_batch = min(self._max_batch, max(1, self._limiter.available(steady()) // ACCEPT_KEYS))
+        max_batch = min(self._max_batch, max(1, self._limiter.available(steady()) // KEYS_PER_ACCEPTED_JOB))
         for job_id in sorted(self._pending, key=lambda job_id: self._pending[job_id].best_effort):
-            size += len(wire.encode(self._pending[job_id].record)) * ACCEPT_KEYS
+            size += len(wire.encode(self._pending[job_id].record)) * KEYS_PER_ACCEPTED_JOB
             if batch and (len(batch) >= max_batch or size > MAX_BATCH_BYTES):
                 break
             batch[job_id] = self._pending.pop(job_id)
@@ -191,7 +191,7 @@
     """
 
     def __init__(self, write_rps: float) -> None:
-        self._bucket = TokenBucket(BEST_EFFORT_SHARE * write_rps / ACCEPT_KEYS)
+        self._bucket = TokenBucket(BEST_EFFORT_SHARE * write_rps / KEYS_PER_ACCEPTED_JOB)
 
     def try_acquire(self) -> bool:
         """Take one submission's worth, if there is one."""
--- a/oatport/clients/peer.py
+++ b/oatport/clients/peer.py
@@ -7,7 +7,7 @@
 
 from oatport import wire
 from oatport.clients.http import Connector, NoResponseError
-from oatport.peer_codec import PeerArray, PeerMessage, any_reply, decode_reply
+from oatport.peer_codec import PeerArray, PeerMessage, decode_reply, ignore_reply
 from oatport.times import MS
 
 TIMEOUT = 800 * MS
@@ -41,4 +41,4 @@
 
     async def notify(self, request: PeerMessage) -> None:
         """Send a message; any reply will do. Raises NoResponseError."""
-        await self.ask(request, any_reply)
+        await self.ask(request, ignore_reply)
--- a/oatport/clients/state.py
+++ b/oatport/clients/state.py
@@ -69,8 +69,8 @@
 
     def __init__(self, net: Connector, address: str) -> None:
         self._http = net.client(address)
-        self.last_served_at = 0
-        self.last_failed_at = 0
+        self.last_success_at = 0
+        self.last_failure_at = 0
         self.on_response: Callable[[bool], None] = lambda served: None
 
     async def _call(
@@ -87,12 +87,12 @@
         if status >= 500:
             self._note_failure(sent_at)
             raise RequestRefusedError(status, value)
-        self.last_served_at = max(self.last_served_at, sent_at)
+        self.last_success_at = max(self.last_success_at, sent_at)
         self.on_response(True)
         return status, value
 
     def _note_failure(self, sent_at: int) -> None:
-        self.last_failed_at = sent_at
+        self.last_failure_at = sent_at
         self.on_response(False)
 
     async def get(self, key: str, timeout_us: int = TIMEOUT) -> wire.StoredValue | None:
--- a/oatport/control/leadership/election_priority.py
+++ b/oatport/control/leadership/election_priority.py
@@ -29,7 +29,7 @@
         names = sorted([self._node_name, *self._zones])
         return names[(names.index(node_name) + 1) % len(names)]
 
-    def successor_answers(self, node_name: str, answering: Collection[str]) -> bool:
+    def is_successor_answering(self, node_name: str, answering: Collection[str]) -> bool:
         """Would the successor of this node answer its workers in time? `answering`: the other nodes that do.
 
         If it is down too, they wait for both in turn, which a short lease does not outlast.
@@ -41,7 +41,7 @@
 
     def backoff(self, answering: Collection[str]) -> int:
         """How long (us) to let the others go first."""
-        if not self.successor_answers(self._node_name, answering):
+        if not self.is_successor_answering(self._node_name, answering):
             return BACKOFF_SUCCESSOR_DOWN
         # After a leader in a partitioned zone workers outside try its successor. If that is partitioned as well, two
         # waits take 10 s of their leases: with one more crash 1,200 tasks were killed beside a node that was reachable.
--- a/oatport/control/leadership/failure_detection.py
+++ b/oatport/control/leadership/failure_detection.py
@@ -12,7 +12,9 @@
     return [
         m
         for m in machines
-        if not m.releasing and (m.ready_at or m.was_ready) and now - max(m.last_heartbeat_at, m.known_since) > silent_us
+        if not m.releasing
+        and (m.ready_at or m.was_ready)
+        and now - max(m.last_heartbeat_at, m.first_known_at) > silent_us
     ]
 
 
--- a/oatport/control/leadership/leader_lease.py
+++ b/oatport/control/leadership/leader_lease.py
@@ -9,11 +9,11 @@
 
 from dataclasses import dataclass
 
-from oatport.times import MS, SECOND, with_drift
+from oatport.times import MS, SECOND, shortened_by_drift
 
 SEND_MARGIN = 200 * MS  # for a request to be sent after the check
 PAUSE_THRESHOLD = 1_500 * MS  # loops come round at least three times as often
-HANDOVER_UNDECIDED_FOR = 5 * SECOND  # a node that was asked to take over does so well within this, or never
+HANDOVER_OUTCOME_TIMEOUT = 5 * SECOND  # a node that was asked to take over does so well within this, or never
 
 
 @dataclass(slots=True)
@@ -28,21 +28,21 @@
     renewal_requested_at: int  # when the last renewal that was granted was sent (steady)
     handover_undecided_until: int = 0
 
-    def renewed(self, requested_at: int) -> None:
+    def on_renewed(self, requested_at: int) -> None:
         """A renewal that was requested at this moment was granted."""
         self.renewal_requested_at = max(self.renewal_requested_at, requested_at)
 
-    def handover_requested(self, now: int) -> None:
+    def on_handover_requested(self, now: int) -> None:
         """Another node was asked to take over: it may replace the leader key while the lease is alive."""
-        self.handover_undecided_until = now + HANDOVER_UNDECIDED_FOR
+        self.handover_undecided_until = now + HANDOVER_OUTCOME_TIMEOUT
 
-    def handover_declined(self) -> None:
+    def on_handover_declined(self) -> None:
         """The other node does not take over."""
         self.handover_undecided_until = 0
 
     def is_held(self, now: int) -> bool:
         """Nobody else can be leading."""
-        held_for = with_drift(self.duration_us) - SEND_MARGIN
+        held_for = shortened_by_drift(self.duration_us) - SEND_MARGIN
         return now - self.renewal_requested_at < held_for and now >= self.handover_undecided_until
 
 
--- a/oatport/control/leadership/lease_proxy.py
+++ b/oatport/control/leadership/lease_proxy.py
@@ -48,7 +48,7 @@
         """One that knows of no leader yet."""
         return cls(LeaseRenewalLimit(settings, 0))
 
-    def update(self, fencing_token: int, asked_at: int, watermark_age_us: int, contact_age_us: int = 0) -> None:
+    def on_watermark(self, fencing_token: int, asked_at: int, watermark_age_us: int, contact_age_us: int = 0) -> None:
         """The leader of this token said: what was confirmed more than `watermark_age_us` ago is carried out.
 
         `contact_age_us`: another node passes on what the leader said to it so long ago. The answer is no older than the
@@ -66,7 +66,7 @@
         if not self.fencing_token:
             return None
         return SharedWatermark(
-            self.fencing_token, now - self.renewal_limit.cancellations_known_at, now - self.leader_contact_at
+            self.fencing_token, now - self.renewal_limit.cancellations_read_at, now - self.leader_contact_at
         )
 
     def valid_until(self) -> int:
--- a/oatport/control/leadership/lease_renewal.py
+++ b/oatport/control/leadership/lease_renewal.py
@@ -14,13 +14,13 @@
 
     settings: ClusterSettings
     # All cancellations confirmed up to then are known here (steady): when that was *asked for*.
-    cancellations_known_at: int
+    cancellations_read_at: int
 
     @property
     def until(self) -> int:
         """Heartbeats are answered up to here (steady)."""
-        return renewals_allowed_until(self.settings.workers, self.cancellations_known_at)
+        return renewals_allowed_until(self.settings.workers, self.cancellations_read_at)
 
     def on_cancellations_read(self, asked_at: int) -> None:
         """All cancellations confirmed before `asked_at` (steady) have been read."""
-        self.cancellations_known_at = max(self.cancellations_known_at, asked_at)
+        self.cancellations_read_at = max(self.cancellations_read_at, asked_at)
--- a/oatport/control/leadership/zone_partition.py
+++ b/oatport/control/leadership/zone_partition.py
@@ -145,7 +145,7 @@
             return now - since > RELEASE_UNMOVABLE_AFTER
         if now > alive_until + micros(machine.type.boot_time_s):
             return True
-        return self.capacity_planner.availability.replacement_available(machine, now) and now >= min(
+        return self.capacity_planner.availability.is_replacement_available(machine, now) and now >= min(
             self._predicted_completion(machine, since), alive_until
         )
 
--- a/oatport/control/limits/connection_budget.py
+++ b/oatport/control/limits/connection_budget.py
@@ -38,7 +38,7 @@
         timeout = kept / max(commands_per_s, MIN_COMMANDS_PER_S) * SECOND
         return round(min(MAX_IDLE_TIMEOUT, max(MIN_IDLE_TIMEOUT, timeout)))
 
-    def closes_after_response(self, open_connections: int) -> bool:
+    def should_close_after_response(self, open_connections: int) -> bool:
         """With so many held by users and workers, a user's is closed once it is answered."""
         return open_connections > self.limit - self.concurrent_calls - RESERVED_FOR_USERS
 
--- a/oatport/control/limits/rate_limiter.py
+++ b/oatport/control/limits/rate_limiter.py
@@ -61,7 +61,7 @@
         missing = min(changes, self._burst) - self._refill(now)
         return round(missing / self.rate * SECOND) + 1 if missing > 0 else 0
 
-    def available_to_best_effort(self, now: int, changes: int) -> bool:
+    def is_available_to_best_effort(self, now: int, changes: int) -> bool:
         """Are so many available to work of the lowest priority beside the others'?"""
         # Where few changes fit in a burst at all, one submission's worth is what is left to the others: of 4.5 the
         # share above left less than it took, so that such work was taken only by a node that had been calm for long.
@@ -74,7 +74,7 @@
         self._refill(now)
         self._level -= changes
 
-    def request_more(self, now: int) -> None:
+    def raise_rate(self, now: int) -> None:
         """More is asked for than is available: go up, unless just throttled."""
         passed = min(now - self._risen_at, SECOND)
         self._risen_at = now
--- a/oatport/control/placement/gang_placement.py
+++ b/oatport/control/placement/gang_placement.py
@@ -31,7 +31,7 @@
 
         Only when nothing of an earlier attempt is left anywhere.
         """
-        if job.on_machines or job.pending + len(job.completed) < job.spec.task_count:
+        if job.placed_task_count or job.pending + len(job.completed) < job.spec.task_count:
             return []
         if self._cluster.quotas.remaining_tasks(job.spec) < job.pending:
             return []
@@ -125,7 +125,9 @@
         most_slots = 0
         for zone in sorted({m.zone for m in machines}) if spec.single_zone else [None]:
             free = [m for m in self._feasibility.feasible_machines(job, machines) if zone in (None, m.zone)]
-            incoming = [m for m in booting if zone in (None, m.zone) and m.could_hold(spec) and machine_allowed(job, m)]
+            incoming = [
+                m for m in booting if zone in (None, m.zone) and m.can_hold_when_empty(spec) and machine_allowed(job, m)
+            ]
             slots = sum(m.free_slots(spec) for m in free)
             if slots > most_slots and slots + sum(m.free_slots(spec) for m in incoming) >= job.pending:
                 best, most_slots = set(free), slots
@@ -137,6 +139,6 @@
         if missing <= 0:
             return
         for machine in booting:
-            if machine.could_hold(job.spec) and (not job.spec.single_zone or machine.zone in zones):
+            if machine.can_hold_when_empty(job.spec) and (not job.spec.single_zone or machine.zone in zones):
                 booting.remove(machine)
                 return
--- a/oatport/control/placement/placer.py
+++ b/oatport/control/placement/placer.py
@@ -97,7 +97,7 @@
         self.preemption = PreemptionPlanner(cluster, self.feasibility, self._wakeup)
         self._warm_starts = WarmStarts(self._scorer, self.preemption)
 
-    def due(self, now: int) -> bool:
+    def is_due(self, now: int) -> bool:
         """Is a pass worth its cost: has anything changed since the last one that could matter to it?
 
         Full machines with thousands of tasks pending were searched again and again for capacity that could not be
@@ -155,7 +155,7 @@
             equivalence_class.exhausted = equivalence_class.interchangeable
             return 0
         if job.suspected_faulty and job.kind is not JobKind.GANG:
-            startable = min(startable, 1 - job.on_machines)  # one is enough to see whether it fails again
+            startable = min(startable, 1 - job.placed_task_count)  # one is enough to see whether it fails again
         if startable > 0 and job.spec.spread and self._zones_are_full(job, current.zones):
             return 0  # while a zone is partitioned, those that belong there look for nothing elsewhere
         return startable
@@ -184,7 +184,7 @@
             self.candidates.bound += machines
             # What machines with GPUs have left beside a gang is capacity for those that found none before.
             self._cluster.planning_needed = True
-        elif not job.on_machines and not job.suspected_faulty:
+        elif not job.placed_task_count and not job.suspected_faulty:
             self.preemption.preempt(job, current.usable, current.now)
             kept = self._gangs.machines_to_keep(job, current.with_capacity, current.now)
             if kept:
--- a/oatport/control/placement/preemption.py
+++ b/oatport/control/placement/preemption.py
@@ -118,7 +118,7 @@
         )
 
     def _guarantee_patience(self) -> int:
-        return self._cluster.tuning.us("guarantee_patience_s")
+        return self._cluster.tuning.duration_us("guarantee_patience_s")
 
     def preempt_own_team(self, job: Job, now: int) -> None:
         """Its team is at its limit: stop the team's own work of lower priority, the youngest first.
--- a/oatport/control/placement/retry_policy.py
+++ b/oatport/control/placement/retry_policy.py
@@ -45,14 +45,14 @@
 RetryPolicies = dict[str, RetryPolicy]  # by class; classes that aren't listed are retried always
 
 
-def never_sent(task: Task) -> bool:
+def was_never_sent(task: Task) -> bool:
     """No start of this attempt was sent: its binding was not committed, or this leader has not sent it."""
     return task.phase is not TaskPhase.BOUND or bool(task.binding_at and not task.start_epoch)
 
 
 def may_retry(policy: RetryPolicy, task: Task, unexecuted: bool) -> bool:
     """May a task that left its machine incomplete want another? `unexecuted`: that it never began is proven."""
-    if policy is RetryPolicy.ANY or task.job.kind is JobKind.SERVICE or never_sent(task):
+    if policy is RetryPolicy.ANY or task.job.kind is JobKind.SERVICE or was_never_sent(task):
         return True
     return policy is RetryPolicy.BEFORE_START and unexecuted
 
--- a/oatport/control/placement/victim_selection.py
+++ b/oatport/control/placement/victim_selection.py
@@ -99,7 +99,7 @@
                 continue
             if (machine.spot and not may_use_spot) or (machine.type.gpus > 0 and avoids_gpus):
                 continue
-            if not machine.could_hold(spec) or not machine_allowed(job, machine):
+            if not machine.can_hold_when_empty(spec) or not machine_allowed(job, machine):
                 continue
             stopping = [task for task in machine.tasks if task.stop_grace_s is not None]
             if stopping and job.kind is not JobKind.GANG:
@@ -150,7 +150,7 @@
         quota = self._cluster.quotas.get(job.spec.team)
         return (
             quota is not None
-            and quota.beyond_guarantee()
+            and quota.exceeds_guarantee()
             and not job.within_guarantee
             and job.kind is not JobKind.SERVICE
         )
--- a/oatport/control/queueing/deadlines.py
+++ b/oatport/control/queueing/deadlines.py
@@ -61,11 +61,11 @@
     jobs", Management Science 15, 1968.)
     """
     groups: dict[tuple[int, tuple[str, ...]], list[DeadlineCandidate]] = {}
-    starving_after = cluster.tuning.us("begin_within_s") // 2
+    starving_after = cluster.tuning.duration_us("begin_within_s") // 2
     for job in cluster.pending:
         deadlines = deadlines_of(cluster, job)
         # The rule passes the largest over for as long as a burst lasts: at half of the bound that ends.
-        may_starve = not (job.started or job.on_machines or job.suspected_faulty)
+        may_starve = not (job.started or job.placed_task_count or job.suspected_faulty)
         job.starving = may_starve and wall - job.eligible_at > starving_after
         job.predicted_runtime = cluster.predictor.run_time(job.job_id, job.spec)
         set_attainable_deadline(cluster, job, deadlines, job.predicted_runtime, wall)
--- a/oatport/control/scaling/cloud_availability.py
+++ b/oatport/control/scaling/cloud_availability.py
@@ -74,7 +74,7 @@
         """How many offerings are in backoff."""
         return sum(until > now for until in self.refused_until.values())
 
-    def replacement_available(self, machine: Machine, now: int) -> bool:
+    def is_replacement_available(self, machine: Machine, now: int) -> bool:
         """Was its like rented in another zone a moment ago? What was not tried is not known to be there."""
         return any(
             now - self.granted_at.get((machine.type.name, zone, machine.spot), -GRANT_VALIDITY) < GRANT_VALIDITY
--- a/oatport/control/scaling/owned_capacity.py
+++ b/oatport/control/scaling/owned_capacity.py
@@ -13,5 +13,5 @@
 
 def warm_cpus(cluster: ClusterState) -> float:
     """CPUs of owned machines that are kept free for services to come, so that they start at once."""
-    used = sum(j.spec.cpus * j.on_machines for j in cluster.jobs.values() if j.kind is JobKind.SERVICE)
+    used = sum(j.spec.cpus * j.placed_task_count for j in cluster.jobs.values() if j.kind is JobKind.SERVICE)
     return cluster.tuning.warm_share * used
--- a/oatport/control/scaling/rebalancing.py
+++ b/oatport/control/scaling/rebalancing.py
@@ -68,9 +68,10 @@
             downtime = MovePlan(machine, owned).downtime()
             if (
                 downtime is not None
-                and cluster.accounting.moved_us + downtime <= cluster.accounting.replica_us * cluster.tuning.move_share
+                and cluster.accounting.replica_downtime_us + downtime
+                <= cluster.accounting.replica_bound_us * cluster.tuning.move_share
             ):
-                cluster.accounting.moved_us += downtime
+                cluster.accounting.replica_downtime_us += downtime
                 return machine
         return None
 
--- a/oatport/control/scaling/scale_in.py
+++ b/oatport/control/scaling/scale_in.py
@@ -23,7 +23,7 @@
 class CapacityNeed:
     """CPUs, without GPUs, that cordons are decided by."""
 
-    free_spot: float  # free on spot machines, less what pending work would take first
+    spot_free_cpus: float  # free on spot machines, less what pending work would take first
     owned: float  # needed on owned machines: by services to come, and by pending work
 
 
@@ -85,8 +85,8 @@
 
     def _capacity_need(self) -> CapacityNeed:
         cluster = self.cluster
-        free_spot = sum(m.free_cpus for m in cluster.usable_machines if m.spot and m.type.gpus == 0)
-        need = CapacityNeed(free_spot, warm_cpus(cluster))
+        spot_free_cpus = sum(m.free_cpus for m in cluster.usable_machines if m.spot and m.type.gpus == 0)
+        need = CapacityNeed(spot_free_cpus, warm_cpus(cluster))
         for job in cluster.pending:
             if job.spec.gpus > 0 or job.suspected_faulty:
                 continue  # it has machines of its own type, or rather no use for any
@@ -95,7 +95,7 @@
             if not job.spec.spot or job.tier != SPOT:
                 need.owned += cpus
             elif job.priority_rank != IDLE_RANK:
-                need.free_spot -= cpus  # what is pending would have it first
+                need.spot_free_cpus -= cpus  # what is pending would have it first
         return need
 
     def _owned_machines(self) -> list[Machine]:
@@ -128,14 +128,14 @@
     @staticmethod
     def _cordon_optional(owned: OwnedMachines, need: CapacityNeed) -> None:
         """Keep as many of these machines as owned ones are needed; cordon the rest if spot can take their work."""
-        owned_cpus, free_spot = owned.spare_cpus, need.free_spot
+        owned_cpus, spot_free_cpus = owned.spare_cpus, need.spot_free_cpus
         for candidate in owned.optional:
             machine = candidate.machine
             if owned_cpus < need.owned:
                 owned_cpus += machine.type.cpus
                 machine.cordoned_for_scale_in = False
-            elif free_spot >= max(candidate.used_cpus, 0.0) and (machine.tasks or machine.cordoned_for_scale_in):
-                free_spot -= candidate.used_cpus
+            elif spot_free_cpus >= max(candidate.used_cpus, 0.0) and (machine.tasks or machine.cordoned_for_scale_in):
+                spot_free_cpus -= candidate.used_cpus
                 machine.cordoned_for_scale_in = True
             else:
                 machine.cordoned_for_scale_in = False
@@ -159,7 +159,7 @@
                     continue
             # Asked only now: it has the completions that it finds written at once, and if it did so for all machines,
             # none would wait for others of their record any more.
-            if cluster.completions.holds_unwritten(machine):
+            if cluster.completions.has_unwritten_completions(machine):
                 continue
             machine.releasing = True
             chosen.append(machine)
--- a/oatport/control/scaling/scale_out.py
+++ b/oatport/control/scaling/scale_out.py
@@ -78,7 +78,7 @@
         by_load = PLAN_INTERVAL * len(self.cluster.pending) // JOBS_PER_PLAN_INTERVAL
         return min(PLAN_INTERVAL_MAX // 2, max(PLAN_INTERVAL, by_load))
 
-    def due(self, now: int) -> bool:
+    def is_due(self, now: int) -> bool:
         """Is it time to plan rentals?"""
         elapsed = now - self._planned_at
         return elapsed >= PLAN_INTERVAL_MAX or (
@@ -159,7 +159,7 @@
         wanted = min(job.pending, self.cluster.quotas.remaining_tasks(job.spec))
         if job.kind is not JobKind.GANG:
             self._plan_tasks(Demand.of_tasks(job, wanted), current)
-        elif wanted == job.pending and not job.on_machines:
+        elif wanted == job.pending and not job.placed_task_count:
             for slot in self._gangs.plan(job, current.incoming, current.now):
                 current.add(slot)
 
--- a/oatport/control/state/cancellations.py
+++ b/oatport/control/state/cancellations.py
@@ -12,11 +12,11 @@
 from dataclasses import dataclass, field
 
 from oatport.settings import Workers
-from oatport.times import MS, SECOND, micros, with_drift
+from oatport.times import MS, SECOND, micros, shortened_by_drift
 
-MARGIN = 2 * SECOND  # of `renewals_allowed_until`
+RENEWAL_MARGIN = 2 * SECOND  # of `renewals_allowed_until`
 MAX_CONFIRMED = 4_000  # in one response: 64 KiB of job ids, and more than any state service here records in `cancel_s`
-SLACK = 2 * SECOND  # reported beyond the moment asked for: the request was on its way for less
+REQUEST_DELAY_ALLOWANCE = 2 * SECOND  # reported beyond the moment asked for: the request was on its way for less
 MAX_RESPONSE_TIME = 1_500 * MS  # else the request may have been on its way for longer than SLACK
 
 
@@ -31,7 +31,7 @@
     long. The answer itself stops the tasks of those that are known. What is left for the margin are clocks (0.05% of
     both spans, 20 ms) and timers.
     """
-    return known_at + with_drift(micros(workers.cancel_s - workers.lease_s)) - MARGIN
+    return known_at + shortened_by_drift(micros(workers.cancel_s - workers.lease_s)) - RENEWAL_MARGIN
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,14 +39,14 @@
     """One node's response: jobs whose cancellation it confirmed, and for how long back (us) these are all."""
 
     job_ids: list[str]
-    complete_for_us: int
+    complete_within_us: int
 
     def covers(self, since: int, asked: int, answered: int) -> bool:
         """Nothing that this node confirmed after `since` is missing. All three by the asker's steady clock (us).
 
         The node's clock may run fast, and it answered at the latest when its answer was there.
         """
-        return answered - asked <= MAX_RESPONSE_TIME and answered - with_drift(self.complete_for_us) <= since
+        return answered - asked <= MAX_RESPONSE_TIME and answered - shortened_by_drift(self.complete_within_us) <= since
 
 
 @dataclass(slots=True)
@@ -83,7 +83,7 @@
 
     def confirmed_within(self, now: int, age: int) -> ConfirmedCancellations:
         """All that was confirmed within the last `age` us by the asker's clock, when it sent its request."""
-        after = now - age - age // 500 - SLACK
+        after = now - age - age // 500 - REQUEST_DELAY_ALLOWANCE
         return ConfirmedCancellations(
             [job_id for job_id, at in self._confirmed.items() if at > after], max(0, now - self._complete_since)
         )
--- a/oatport/control/state/cluster_state.py
+++ b/oatport/control/state/cluster_state.py
@@ -84,7 +84,7 @@
         self.catalog = MachineTypeCatalog(types)
         self.accounting = FleetAccounting(self)
         longest_zone_name = max(map(len, settings.zones), default=0)
-        self.writes = WriteBuffer(self, RecordLayout(settings.state.least_value_bytes, longest_zone_name))
+        self.writes = WriteBuffer(self, RecordLayout(settings.state.min_value_bytes, longest_zone_name))
         self.dependencies = DependencyTracker(self)
         self.job_lifecycle = JobLifecycle(self)
         self.tasks = TaskLifecycle(self)
@@ -98,7 +98,7 @@
     def _make_router(self) -> TierRouter:
         router = TierRouter(
             self.predictor,
-            self.tuning.us("spot_threshold_s"),
+            self.tuning.duration_us("spot_threshold_s"),
             self.tuning.slack_factor,
             self.tuning.threshold_percentile,
             tail_factor=self.tuning.tail_factor,
@@ -111,7 +111,7 @@
 
         Of those, the expensive ones for less: an ordinary one costs twice or thrice what a spot one does.
         """
-        idle = self.tuning.us("idle_s")
+        idle = self.tuning.duration_us("idle_s")
         if machine.type.gpus <= 0:
             return idle
         cheap = min(machine.type.spot_price or machine.price, machine.price)
@@ -167,7 +167,7 @@
                 return None
             machine = Machine(name, kind, zone, spot, address, rented_at=now - age)
             machine.rented_at_wall = wall - age
-            machine.idle_since = machine.known_since = now
+            machine.idle_since = machine.first_known_at = now
             self.machines[name] = machine
             self.writes.mark_machine_dirty(machine)
         if address and machine.address != address:
--- a/oatport/control/state/job.py
+++ b/oatport/control/state/job.py
@@ -56,12 +56,12 @@
     cancelled: bool = False
     cancelled_after: int = 0  # its cancellation was confirmed after this; 0: not known
     tasks: dict[int, Task] = field(default_factory=dict)
-    next_untouched: int = 0  # tasks from here on were never touched
+    next_unbound_index: int = 0  # tasks from here on were never touched
     start_limit: int = -1  # tasks from here on are deferred (-1: none is)
     deferral: DeferredStart | None = None
     retry_queue: deque[int] = field(default_factory=deque)  # tasks that were bound before and are pending again
     completed: set[int] = field(default_factory=set)
-    on_machines: int = 0  # tasks binding or bound
+    placed_task_count: int = 0  # tasks binding or bound
     gang_attempt: int = 0
     loss_count: int = 0  # how often its tasks were lost with machines or preempted: the retry count
     tier: str = ""  # what the router decided last
@@ -113,13 +113,13 @@
     def pending(self) -> int:
         """Tasks that want a machine now; deferred ones don't."""
         if self.start_limit < 0:
-            return self.spec.task_count - self.next_untouched + len(self.retry_queue)
-        return max(self.start_limit - self.next_untouched, 0) + len(self.retry_queue)
+            return self.spec.task_count - self.next_unbound_index + len(self.retry_queue)
+        return max(self.start_limit - self.next_unbound_index, 0) + len(self.retry_queue)
 
     @property
     def deferred(self) -> int:
         """Tasks that may not start yet."""
-        return 0 if self.start_limit < 0 else self.spec.task_count - max(self.start_limit, self.next_untouched)
+        return 0 if self.start_limit < 0 else self.spec.task_count - max(self.start_limit, self.next_unbound_index)
 
     @property
     def deadline(self) -> int | None:
@@ -133,8 +133,8 @@
         if self.retry_queue:
             return self.retry_queue[0]
         return (
-            self.next_untouched
-            if self.next_untouched < (self.spec.task_count if self.start_limit < 0 else self.start_limit)
+            self.next_unbound_index
+            if self.next_unbound_index < (self.spec.task_count if self.start_limit < 0 else self.start_limit)
             else None
         )
 
@@ -142,7 +142,7 @@
         """Remove the first pending task from the queue; the caller binds it."""
         if self.retry_queue:
             return self.tasks[self.retry_queue.popleft()]
-        task = Task(self, self.next_untouched)
-        self.tasks[self.next_untouched] = task
-        self.next_untouched += 1
+        task = Task(self, self.next_unbound_index)
+        self.tasks[self.next_unbound_index] = task
+        self.next_unbound_index += 1
         return task
--- a/oatport/control/state/job_lifecycle.py
+++ b/oatport/control/state/job_lifecycle.py
@@ -32,7 +32,7 @@
             self.cluster.writes.versions[live_key(job_id)] = version
             self.admit(job)
             self.on_accepted(job)
-            if job_id in self.cluster.quotas.unknown_attempts:
+            if job_id in self.cluster.quotas.attempts_of_unknown_jobs:
                 self.cluster.orphans.resolve(job_id, spec)
             if job_id in self.cluster.dependencies.confirmed_cancellations:
                 self.cancel(job_id, 0, self.cluster.dependencies.confirmed_cancellations[job_id])
@@ -141,7 +141,7 @@
         left = [
             job.cancelled_after
             for job in self.cluster.jobs.values()
-            if job.cancelled and (job.on_machines or job.orphaned_attempt_count)
+            if job.cancelled and (job.placed_task_count or job.orphaned_attempt_count)
         ]
         return min([known_at, *left])
 
@@ -160,7 +160,7 @@
         """So many more tasks of a deferred job may start. Not written by itself: the plan that is recorded says so."""
         if job.start_limit < 0 or job.cancelled or job.completing:
             return
-        job.start_limit = min(max(job.start_limit, job.next_untouched) + count, job.spec.task_count)
+        job.start_limit = min(max(job.start_limit, job.next_unbound_index) + count, job.spec.task_count)
         if job not in self.cluster.pending:
             job.unplaced_since = self.cluster.now or 1
         self.cluster.pending.add(job)
@@ -168,7 +168,7 @@
 
     def delete_if_gone(self, job: Job) -> None:
         """Have a cancelled job's records deleted, once none of its attempts is on a machine any more."""
-        if not job.cancelled or job.on_machines or job.orphaned_attempt_count:
+        if not job.cancelled or job.placed_task_count or job.orphaned_attempt_count:
             return
         if job.failure_reason:
             job.completing = True
--- a/oatport/control/state/job_statistics.py
+++ b/oatport/control/state/job_statistics.py
@@ -42,8 +42,8 @@
         sizes = self._sizes.setdefault(job.spec.job_class, {})
         sizes[job.job_id] = (job.spec.cpus * job.spec.task_count, job.started)
         if len(sizes) > MAX_SIZES:
-            largest = sorted(sizes.items(), key=lambda item: item[1], reverse=True)[: MAX_SIZES // 2]
-            self._sizes[job.spec.job_class] = dict(largest)
+            started_of_largest = sorted(sizes.items(), key=lambda item: item[1], reverse=True)[: MAX_SIZES // 2]
+            self._sizes[job.spec.job_class] = dict(started_of_largest)
 
     def _mark(self, job: Job, started: bool) -> None:
         sizes = self._sizes.get(job.spec.job_class, {})
@@ -54,7 +54,7 @@
         else:
             sizes[job.job_id] = (sizes[job.job_id][0], started)
 
-    def largest(self) -> dict[str, tuple[int, int]]:
+    def started_of_largest(self) -> dict[str, tuple[int, int]]:
         """Of each class's largest tenth by what a job takes, one at least: how many began, and how many there are."""
         found = {}
         for name, sizes in sorted(self._sizes.items()):
@@ -95,5 +95,5 @@
                 for name, row in sorted(named.items())
             )
             + "; largest "
-            + " ".join(f"{name} {began}/{count}" for name, (began, count) in self.largest().items())
+            + " ".join(f"{name} {began}/{count}" for name, (began, count) in self.started_of_largest().items())
         )
--- a/oatport/control/state/machine.py
+++ b/oatport/control/state/machine.py
@@ -33,7 +33,7 @@
     heartbeat_seq: int = -1
     fencing_token: int = 0  # as in the newest heartbeat
     last_heartbeat_at: int = 0
-    known_since: int = 0  # steady; when this leader first knew of it
+    first_known_at: int = 0  # steady; when this leader first knew of it
     reclaimed_at: int = 0  # when the cloud reclaims it; 0: no notice
     tasks: set[Task] = field(default_factory=set)
     finite_tasks: set[Task] = field(
@@ -87,7 +87,7 @@
     def __hash__(self) -> int:
         return self.number
 
-    def could_hold(self, spec: wire.Submission) -> bool:
+    def can_hold_when_empty(self, spec: wire.Submission) -> bool:
         """Empty, it would have capacity for one task."""
         kind = self.type
         return spec.cpus <= kind.cpus and spec.gpus <= kind.gpus and spec.memory_gb <= kind.memory_gb
@@ -124,7 +124,7 @@
     def on_process_pause(self, gap: int, now: int) -> None:
         """This leader's process did not run for `gap`: the machine was neither silent nor idle for that long."""
         self.last_heartbeat_at = _moved_on(self.last_heartbeat_at, gap, now)
-        self.known_since = _moved_on(self.known_since, gap, now)
+        self.first_known_at = _moved_on(self.first_known_at, gap, now)
         self.idle_since = _moved_on(self.idle_since, gap, now)
         self.gpus_idle_since = _moved_on(self.gpus_idle_since, gap, now)
 
@@ -134,7 +134,7 @@
         self.free_gpus -= gpus
         self.free_memory_gb -= memory
 
-    def is_confirmed(self, token: int) -> bool:
+    def has_reported_under(self, token: int) -> bool:
         """Its newest heartbeat is under our token: what that does not list is not there."""
         return self.ready_at > 0 and self.fencing_token == token
 
--- a/oatport/control/state/machine_commands.py
+++ b/oatport/control/state/machine_commands.py
@@ -125,7 +125,7 @@
             machine.command_unreachable = False
             self.cluster.planning_needed = True
 
-    def on_answered(self, machine: Machine, starts: Iterable[tuple[str, int]]) -> None:
+    def on_start_response(self, machine: Machine, starts: Iterable[tuple[str, int]]) -> None:
         """A direct command was answered, whether executed or refused: its starts can't land later."""
         for key in starts:
             count = machine.unacknowledged_starts.get(key, 0) - 1
--- a/oatport/control/state/orphaned_attempts.py
+++ b/oatport/control/state/orphaned_attempts.py
@@ -37,7 +37,7 @@
             job.orphaned_attempt_count += 1
             self.cluster.tasks.count_usage(job, job.spec, machine, 1)
         else:
-            self.cluster.quotas.unknown_attempts[job_id] += 1
+            self.cluster.quotas.attempts_of_unknown_jobs[job_id] += 1
         self.cluster.machines_to_command.add(machine)
 
     def remove(self, machine: Machine, key: tuple[str, int]) -> None:
@@ -46,7 +46,7 @@
         job_id = _job_of(key[0])
         if spec is not None:
             self.cluster.tasks.count_usage(job, spec, machine, -1)
-        elif job_id in self.cluster.quotas.unknown_attempts:  # else nobody submitted it
+        elif job_id in self.cluster.quotas.attempts_of_unknown_jobs:  # else nobody submitted it
             self.cluster.quotas.on_unknown_attempt_gone(job_id)
         self.cluster.planning_needed = True
         if job is not None and self.cluster.jobs.get(job_id) is job:  # else its completion is recorded
@@ -65,5 +65,5 @@
                     self.cluster.tasks.count_usage(job, spec, machine, 1)
                 if job is not None:
                     job.orphaned_attempt_count += 1
-        self.cluster.quotas.unknown_attempts.pop(job_id, None)
+        self.cluster.quotas.attempts_of_unknown_jobs.pop(job_id, None)
         self.cluster.planning_needed = True
--- a/oatport/control/state/partitioned_zones.py
+++ b/oatport/control/state/partitioned_zones.py
@@ -40,13 +40,13 @@
         found: set[str] = set()
         for zone in {m.zone for m in silent}:
             last = max(m.last_heartbeat_at for m in self.cluster.machines.values() if m.zone == zone)
-            is_heard_from = last > now - self.cluster.tuning.us("silent_s") // 2
+            is_heard_from = last > now - self.cluster.tuning.duration_us("silent_s") // 2
             if not is_heard_from and sum(m.zone == zone for m in silent) >= MIN_PARTITION_MACHINES:
                 found.add(zone)
                 if zone not in self.partitioned:
                     log.warning("zone partitioned zone=%s", zone)
                     # No heartbeat since this leader began: then it was partitioned before.
-                    self.partitioned[zone] = last or min(m.known_since for m in silent if m.zone == zone)
+                    self.partitioned[zone] = last or min(m.first_known_at for m in silent if m.zone == zone)
                     self.cluster.writes.dirty_keys[PARTITIONED_ZONES_KEY] = None
                     self.cluster.planning_needed = True
         return found
@@ -71,4 +71,4 @@
         self.cluster.writes.dirty_keys[PARTITIONED_ZONES_KEY] = None
         for machine in self.cluster.machines.values():
             if machine.zone == zone:
-                machine.known_since = now
+                machine.first_known_at = now
--- a/oatport/control/state/quota.py
+++ b/oatport/control/state/quota.py
@@ -40,7 +40,7 @@
             count = min(count, int((self.limits.gpus_max - self.gpus + 1e-9) // spec.gpus))
         return max(count, 0)
 
-    def beyond_guarantee(self) -> bool:
+    def exceeds_guarantee(self) -> bool:
         """It takes more than its guarantee."""
         return self.cpus > self.limits.cpus + 1e-9 or self.gpus > self.limits.gpus + 1e-9
 
@@ -50,12 +50,14 @@
 
     def __init__(self, teams: Iterable[Team]) -> None:
         super().__init__((team.name, TeamUsage(team)) for team in teams)
-        self.unknown_attempts: Counter[str] = Counter()  # ids of jobs that aren't known -> attempts of them on machines
+        self.attempts_of_unknown_jobs: Counter[str] = (
+            Counter()
+        )  # ids of jobs that aren't known -> attempts of them on machines
 
     def remaining_tasks(self, spec: wire.Submission) -> int:
         """How many more tasks of a job may start now; none where that can't be known."""
         use = self.get(spec.team)
-        return 0 if use is None or self.unknown_attempts else use.remaining_tasks(spec)
+        return 0 if use is None or self.attempts_of_unknown_jobs else use.remaining_tasks(spec)
 
     def count_usage(self, spec: wire.Submission, sign: int) -> None:
         """A task of the job has come to a machine (1), or is proven gone from one (-1)."""
@@ -66,6 +68,6 @@
 
     def on_unknown_attempt_gone(self, ref: str) -> None:
         """An attempt of a job that isn't known is gone, or its job is known now."""
-        self.unknown_attempts[ref] -= 1
-        if self.unknown_attempts[ref] <= 0:
-            del self.unknown_attempts[ref]
+        self.attempts_of_unknown_jobs[ref] -= 1
+        if self.attempts_of_unknown_jobs[ref] <= 0:
+            del self.attempts_of_unknown_jobs[ref]
--- a/oatport/control/state/task_lifecycle.py
+++ b/oatport/control/state/task_lifecycle.py
@@ -8,7 +8,7 @@
 
 from oatport import wire
 from oatport.control.placement import failure_attribution
-from oatport.control.placement.retry_policy import RetryPolicy, may_retry, never_sent
+from oatport.control.placement.retry_policy import RetryPolicy, may_retry, was_never_sent
 from oatport.control.state.job import PRIORITIES, Job, JobKind
 from oatport.control.state.machine import Machine
 from oatport.control.state.task import Task, TaskPhase
@@ -58,7 +58,7 @@
             machine.service_cpus += spec.cpus
         else:
             machine.finite_tasks.add(task)
-        job.on_machines += 1
+        job.placed_task_count += 1
 
     def count_usage(self, job: Job | None, spec: wire.Submission, machine: Machine, sign: int) -> None:
         """An attempt is on a machine from now on (1), or proven gone from it (-1): the one place where that is counted.
@@ -95,7 +95,7 @@
         machine.finite_tasks.discard(task)
         if job.kind is JobKind.SERVICE:
             machine.service_cpus -= spec.cpus
-        job.on_machines -= 1
+        job.placed_task_count -= 1
         if spec.gpus > 0 and machine.free_gpus >= machine.type.gpus - 1e-9:
             machine.gpus_idle_since = self.cluster.now
         task.reset_to_pending()
@@ -228,7 +228,7 @@
         moment of the completion was once started again by itself, though it was completed.
         """
         for task in list(job.tasks.values()):
-            if task.phase is TaskPhase.BOUND and not never_sent(task):
+            if task.phase is TaskPhase.BOUND and not was_never_sent(task):
                 continue
             if task.machine is not None:
                 self.unbind(task)
@@ -237,8 +237,8 @@
             self.cluster.completions.note(task)
             self.cluster.writes.mark_dirty(task)
         job.retry_queue.clear()
-        job.completed.update(range(job.next_untouched, job.spec.task_count))
-        job.next_untouched = job.spec.task_count
+        job.completed.update(range(job.next_unbound_index, job.spec.task_count))
+        job.next_unbound_index = job.spec.task_count
         self.cluster.pending.discard(job)
 
     @staticmethod
--- a/oatport/control/state/unwritten_completions.py
+++ b/oatport/control/state/unwritten_completions.py
@@ -23,7 +23,7 @@
 
     def __init__(self, cluster: ClusterState) -> None:
         self.cluster = cluster
-        self.earlier_may_be_lost = False  # earlier leaders may have received some that nobody reports now
+        self.may_miss_earlier_completions = False  # earlier leaders may have received some that nobody reports now
         self.unwritten: dict[tuple[Job, int], int] = {}  # completed tasks -> the attempt; maybe in no record
         self.new: list[Completion] = []  # of these, not replicated yet
 
@@ -56,7 +56,7 @@
                 del self.unwritten[job, index]
         return [(job.job_id, index, attempt) for (job, index), attempt in self.unwritten.items()][:MAX_COMPLETIONS]
 
-    def take_new(self) -> list[Completion]:
+    def drain_new(self) -> list[Completion]:
         """Those that came since this was last asked."""
         new, self.new = self.new, []
         return new
@@ -95,7 +95,7 @@
             if task.phase is TaskPhase.BOUND and task.job.kind is not JobKind.SERVICE:
                 self.cluster.tasks.complete(task, self.cluster.now, measured=False)
 
-    def may_report_unknown(self, machine: Machine, now: int, until: int) -> bool:
+    def may_hold_unknown_completions(self, machine: Machine, now: int, until: int) -> bool:
         """A silent machine that may come back and report completions that nobody else knows any more.
 
         All nodes ended in an outage, and with them what had been reported and not recorded; or the last leader was
@@ -103,13 +103,13 @@
         by then the leases have ended that an earlier leader gave, and with them what the machine could report.
         """
         return (
-            self.earlier_may_be_lost
+            self.may_miss_earlier_completions
             and now < until
             and not machine.last_heartbeat_at
             and any(not task.binding_at for task in machine.finite_tasks)
         )
 
-    def holds_unwritten(self, machine: Machine) -> bool:
+    def has_unwritten_completions(self, machine: Machine) -> bool:
         """It must not be released yet: it holds completions that are written nowhere else.
 
         Machines that were drained, or silent for 5 s, were once released between a report of a completion and its
--- a/oatport/control/state/utilization.py
+++ b/oatport/control/state/utilization.py
@@ -20,8 +20,8 @@
     ready_spot: int = 0
     not_ready: int = 0
     cpus: float = 0.0
-    free_owned: float = 0.0
-    free_spot: float = 0.0
+    owned_free_cpus: float = 0.0
+    spot_free_cpus: float = 0.0
     pending_tasks: dict[str, int] = field(default_factory=dict)  # tier -> tasks
 
 
@@ -33,8 +33,8 @@
         self.utilization = FleetUtilization()
         self.cost_by_use: defaultdict[str, float] = defaultdict(float)  # money by what machines did
         self.accounted_at = 0
-        self.replica_us = 0  # time that replicas were on machines, all in all
-        self.moved_us = 0  # and what they missed by being moved
+        self.replica_bound_us = 0  # time that replicas were on machines, all in all
+        self.replica_downtime_us = 0  # and what they missed by being moved
 
     def update(self, now: int) -> None:
         """Add up what the time since the last call cost, by what machines did, and count them."""
@@ -53,9 +53,9 @@
             counted.cpus += kind.cpus
             if machine.spot:
                 counted.ready_spot += 1
-                counted.free_spot += machine.free_cpus
+                counted.spot_free_cpus += machine.free_cpus
             else:
-                counted.free_owned += machine.free_cpus
+                counted.owned_free_cpus += machine.free_cpus
             running = fetching = 0.0
             for task in machine.tasks:
                 spec = task.job.spec
--- a/oatport/control/storage/fleet_records.py
+++ b/oatport/control/storage/fleet_records.py
@@ -11,7 +11,7 @@
 from oatport import wire
 from oatport.control.state.identifiers import number_in_name
 from oatport.control.state.machine import Machine
-from oatport.control.storage.keys import FLEET, GROUP_MACHINES, first_machine
+from oatport.control.storage.keys import FLEET_PREFIX, MACHINES_PER_GROUP, first_machine
 
 
 class MachineRow(msgspec.Struct, array_like=True):
@@ -47,7 +47,7 @@
         )
         for machine in machines
     ]
-    value: dict[str, Any] = msgspec.to_builtins(FleetRecord(rows, span if span < GROUP_MACHINES else UNSET))
+    value: dict[str, Any] = msgspec.to_builtins(FleetRecord(rows, span if span < MACHINES_PER_GROUP else UNSET))
     return value
 
 
@@ -63,13 +63,13 @@
 
 def fleet_span(value: Any) -> int:
     """How many machine numbers a record under fleet/ tells of."""
-    return int(value.get("n", GROUP_MACHINES))
+    return int(value.get("n", MACHINES_PER_GROUP))
 
 
 def recorded_machines(entries: list[wire.StoredEntry]) -> list[MachineRow]:
     """The machines of all fleet records. Where two tell of the same numbers, the one written last is right."""
     known: dict[int, MachineRow] = {}
-    for found in sorted((e for e in entries if e.key.startswith(FLEET)), key=lambda e: e.revision):
+    for found in sorted((e for e in entries if e.key.startswith(FLEET_PREFIX)), key=lambda e: e.revision):
         low, _ = first_machine(found.key)
         record = decode_fleet(found.value)
         span = range(low, low + fleet_span(found.value))
--- a/oatport/control/storage/keys.py
+++ b/oatport/control/storage/keys.py
@@ -18,36 +18,36 @@
 
 from __future__ import annotations
 
-JOBS, LIVE, BLOCKED, OVERFLOW, FLEET = "jobs/", "live/", "waits/", "more/", "fleet/"
+JOBS_PREFIX, LIVE_PREFIX, BLOCKED_PREFIX, OVERFLOW, FLEET_PREFIX = "jobs/", "live/", "waits/", "more/", "fleet/"
 LEADER_KEY, MODEL_KEY, CATALOG_KEY = "leader", "model", "catalog"
 PARTITIONED_ZONES_KEY = "dark"
 SCHEMA_VERSION_KEY = "formats"
 CANCEL_MARK = "x"  # live/JOB/x
 
-ACCEPT_KEYS = 2  # written to accept a job: jobs/JOB, and live/JOB or waits/JOB
+KEYS_PER_ACCEPTED_JOB = 2  # written to accept a job: jobs/JOB, and live/JOB or waits/JOB
 
-CHUNK_TASKS = 100  # tasks in one record, where that fits
-GROUP_MACHINES = 40  # machines in one fleet record, where that fits
+TASKS_PER_CHUNK = 100  # tasks in one record, where that fits
+MACHINES_PER_GROUP = 40  # machines in one fleet record, where that fits
 
 
 def job_key(job_id: str) -> str:
     """The job as submitted, and its state."""
-    return JOBS + job_id
+    return JOBS_PREFIX + job_id
 
 
 def live_key(job_id: str) -> str:
     """The unfinished job with its first tasks."""
-    return LIVE + job_id
+    return LIVE_PREFIX + job_id
 
 
 def blocked_key(job_id: str) -> str:
     """The record of a job that no task of was bound yet, and that depends (or depended) on others."""
-    return BLOCKED + job_id
+    return BLOCKED_PREFIX + job_id
 
 
 def cancel_key(job_id: str) -> str:
     """The mark that the job was cancelled."""
-    return f"{LIVE}{job_id}/{CANCEL_MARK}"
+    return f"{LIVE_PREFIX}{job_id}/{CANCEL_MARK}"
 
 
 def overflow_key(job_id: str, number: int) -> str:
@@ -57,23 +57,23 @@
 
 def chunk_key(job_id: str, chunk: int) -> str:
     """The record of a chunk of tasks; the first lies with the job, so that a small job has one key."""
-    return f"{LIVE}{job_id}/{chunk:04d}" if chunk else live_key(job_id)
+    return f"{LIVE_PREFIX}{job_id}/{chunk:04d}" if chunk else live_key(job_id)
 
 
 def first_task(key: str) -> tuple[str, int]:
     """The job, and the first task, of a record of tasks."""
-    job_id, _, part = key[len(LIVE) :].partition("/")
+    job_id, _, part = key[len(LIVE_PREFIX) :].partition("/")
     chunk, _, offset = part.partition(".")
-    return job_id, int(chunk or 0) * CHUNK_TASKS + int(offset or 0)
+    return job_id, int(chunk or 0) * TASKS_PER_CHUNK + int(offset or 0)
 
 
 def group_key(group: int, offset: int = 0) -> str:
     """The record of a group of machines, or of those from an offset in it."""
-    return f"{FLEET}{group:06d}" + (f".{offset:02d}" if offset else "")
+    return f"{FLEET_PREFIX}{group:06d}" + (f".{offset:02d}" if offset else "")
 
 
 def first_machine(key: str) -> tuple[int, int]:
     """The first machine number of a fleet record, and of its group."""
-    group, _, offset = key[len(FLEET) :].partition(".")
-    low = int(group) * GROUP_MACHINES
+    group, _, offset = key[len(FLEET_PREFIX) :].partition(".")
+    low = int(group) * MACHINES_PER_GROUP
     return low + int(offset or 0), low
--- a/oatport/control/storage/overflow_records.py
+++ b/oatport/control/storage/overflow_records.py
@@ -23,7 +23,7 @@
     return wire.DEPENDENCIES_FIELD in record["job"] or "more" in record
 
 
-def with_overflow(value: Any, parts: list[Any]) -> Any:
+def merge_overflow(value: Any, parts: list[Any]) -> Any:
     """The record of a job with the lists that lie in records of their own (`more/`), in order."""
     lists: dict[str, list[Any]] = {}
     for part in parts:
--- a/oatport/control/storage/record_layout.py
+++ b/oatport/control/storage/record_layout.py
@@ -18,9 +18,9 @@
 from oatport.control.state.job import Job
 from oatport.control.storage.job_records import encode_description
 from oatport.control.storage.keys import (
-    CHUNK_TASKS,
-    GROUP_MACHINES,
-    LIVE,
+    LIVE_PREFIX,
+    MACHINES_PER_GROUP,
+    TASKS_PER_CHUNK,
     chunk_key,
     first_machine,
     first_task,
@@ -46,46 +46,50 @@
 
     max_value_bytes: int  # bytes of a value, as JSON
     longest_zone_name: int  # the longest name of a zone
-    splits_records: bool = False
+    should_split_records: bool = False
 
     @property
     def tasks_per_part(self) -> int:
         """How many tasks a record holds that does not lie with its job."""
-        return rows_that_fit(self.max_value_bytes, FRAME, TASK_ROW, CHUNK_TASKS) if self.splits_records else CHUNK_TASKS
+        return (
+            rows_that_fit(self.max_value_bytes, FRAME, TASK_ROW, TASKS_PER_CHUNK)
+            if self.should_split_records
+            else TASKS_PER_CHUNK
+        )
 
     @property
     def machines_per_part(self) -> int:
         """How many machine numbers a record tells of."""
         return (
-            rows_that_fit(self.max_value_bytes, FRAME, MACHINE_ROW + self.longest_zone_name, GROUP_MACHINES)
-            if self.splits_records
-            else GROUP_MACHINES
+            rows_that_fit(self.max_value_bytes, FRAME, MACHINE_ROW + self.longest_zone_name, MACHINES_PER_GROUP)
+            if self.should_split_records
+            else MACHINES_PER_GROUP
         )
 
-    def head_tasks(self, job: Job) -> int:
+    def tasks_in_head_record(self, job: Job) -> int:
         """How many of a job's tasks lie with it in one record."""
-        if not self.splits_records:
-            return CHUNK_TASKS
+        if not self.should_split_records:
+            return TASKS_PER_CHUNK
         if job.tasks_in_first_record < 0:
             taken = HEAD_FRAME + json_size(encode_description(job))
-            job.tasks_in_first_record = min(CHUNK_TASKS, max(0, (self.max_value_bytes - taken) // TASK_ROW))
+            job.tasks_in_first_record = min(TASKS_PER_CHUNK, max(0, (self.max_value_bytes - taken) // TASK_ROW))
         return job.tasks_in_first_record
 
     def task_key(self, job: Job, index: int) -> str:
         """The record that a task lies in."""
-        chunk, offset = divmod(index, CHUNK_TASKS)
-        size, head = self.tasks_per_part, 0 if chunk else self.head_tasks(job)
+        chunk, offset = divmod(index, TASKS_PER_CHUNK)
+        size, head = self.tasks_per_part, 0 if chunk else self.tasks_in_head_record(job)
         if offset < head:
             return live_key(job.job_id)
         low = head + (offset - head) // size * size
-        return f"{LIVE}{job.job_id}/{chunk:04d}.{low:02d}" if low or not chunk else chunk_key(job.job_id, chunk)
+        return f"{LIVE_PREFIX}{job.job_id}/{chunk:04d}.{low:02d}" if low or not chunk else chunk_key(job.job_id, chunk)
 
     def task_span(self, job: Job, key: str) -> tuple[int, int]:
         """The tasks of a record: from, up to."""
         _, low = first_task(key)
-        chunk = low // CHUNK_TASKS
-        size = self.head_tasks(job) if key == live_key(job.job_id) else self.tasks_per_part
-        return low, min(low + size, (chunk + 1) * CHUNK_TASKS)
+        chunk = low // TASKS_PER_CHUNK
+        size = self.tasks_in_head_record(job) if key == live_key(job.job_id) else self.tasks_per_part
+        return low, min(low + size, (chunk + 1) * TASKS_PER_CHUNK)
 
     def task_keys(self, job: Job, low: int, high: int) -> Iterator[str]:
         """The records of the tasks from `low` up to `high`."""
@@ -97,16 +101,16 @@
 
     def fleet_key(self, number: int) -> str:
         """The record that the machine of this number lies in."""
-        group, offset = divmod(number, GROUP_MACHINES)
+        group, offset = divmod(number, MACHINES_PER_GROUP)
         size = self.machines_per_part
         return group_key(group, offset // size * size)
 
     def fleet_span(self, key: str) -> tuple[int, int]:
         """The machine numbers of a record: from, up to."""
         low, group = first_machine(key)
-        return low, min(low + self.machines_per_part, group + GROUP_MACHINES)
+        return low, min(low + self.machines_per_part, group + MACHINES_PER_GROUP)
 
     def fleet_keys(self, key: str) -> Iterator[str]:
         """All records of a group."""
         _, low = first_machine(key)
-        yield from (self.fleet_key(n) for n in range(low, low + GROUP_MACHINES, self.machines_per_part))
+        yield from (self.fleet_key(n) for n in range(low, low + MACHINES_PER_GROUP, self.machines_per_part))
--- a/oatport/control/storage/recovery.py
+++ b/oatport/control/storage/recovery.py
@@ -27,9 +27,9 @@
     decode_tasks,
 )
 from oatport.control.storage.keys import (
-    BLOCKED,
+    BLOCKED_PREFIX,
     CANCEL_MARK,
-    LIVE,
+    LIVE_PREFIX,
     MODEL_KEY,
     PARTITIONED_ZONES_KEY,
     SCHEMA_VERSION_KEY,
@@ -110,7 +110,7 @@
     # --- one record at a time -----------------------------------------------------------------
 
     def _load_schema_version(self) -> None:
-        self.cluster.writes.layout.splits_records = any(
+        self.cluster.writes.layout.should_split_records = any(
             entry.key == SCHEMA_VERSION_KEY and recorded_version(entry.value) >= SCHEMA_VERSION
             for entry in self.entries
         )
@@ -125,7 +125,7 @@
             raise UnknownMachineTypeError(row.name, row.type_name)
         machine.persisted, machine.was_ready = True, row.was_ready
         # Asked at once by the new leader; one that stays silent has most likely been so before.
-        machine.known_since = self.now - self.cluster.tuning.us("silent_s") * 3 // 10
+        machine.first_known_at = self.now - self.cluster.tuning.duration_us("silent_s") * 3 // 10
 
     def _load_record(self, key: str, value: Any, version: int) -> None:
         self.cluster.writes.versions[key] = version
@@ -133,9 +133,9 @@
             self.cluster.predictor.load(value)
         elif key == PARTITIONED_ZONES_KEY:
             self._load_partitioned_zones(value)
-        elif key.startswith(BLOCKED):
-            self.blocked[key[len(BLOCKED) :]] = decode_job(value), version
-        elif key.startswith(LIVE):
+        elif key.startswith(BLOCKED_PREFIX):
+            self.blocked[key[len(BLOCKED_PREFIX) :]] = decode_job(value), version
+        elif key.startswith(LIVE_PREFIX):
             self._load_live_record(key, value, version)
 
     def _load_partitioned_zones(self, value: Any) -> None:
@@ -145,7 +145,7 @@
         zones.lease_proxied = set(record.lease_proxied or ()) & zones.partitioned.keys()
 
     def _load_live_record(self, key: str, value: Any, version: int) -> None:
-        job_id, _, part = key[len(LIVE) :].partition("/")
+        job_id, _, part = key[len(LIVE_PREFIX) :].partition("/")
         if not part:
             self._load_live_job(job_id, decode_live_job(value), value, version)
         elif part == CANCEL_MARK:
@@ -185,7 +185,7 @@
             self.cluster.writes.orphaned_keys += [
                 key
                 for key in self.cluster.writes.versions
-                if key.startswith(f"{LIVE}{job_id}/") and key != cancel_key(job_id)
+                if key.startswith(f"{LIVE_PREFIX}{job_id}/") and key != cancel_key(job_id)
             ]
             return
         rows: dict[int, Any] = {}
@@ -193,8 +193,8 @@
             rows |= {part.first_task + offset: row for offset, row in enumerate(part.record.rows)}
             self._load_job_fields(job, part.record)
         # Tasks between the known ones were never touched but are below the mark now.
-        job.next_untouched = max(rows, default=-1) + 1
-        for index in range(job.next_untouched):
+        job.next_unbound_index = max(rows, default=-1) + 1
+        for index in range(job.next_unbound_index):
             self._load_task(job, index, rows.get(index, ROW_UNTOUCHED))
         job.retry_queue = deque(
             sorted(i for i, t in job.tasks.items() if t.phase is TaskPhase.PENDING and not t.retry_exhausted)
--- a/oatport/control/storage/schema_version.py
+++ b/oatport/control/storage/schema_version.py
@@ -31,7 +31,7 @@
     nodes: Collection[str]
     _before: dict[str, str] = field(default_factory=dict)
 
-    def on_round(self, boots: dict[str, str]) -> bool:
+    def on_poll_round(self, boots: dict[str, str]) -> bool:
         """One round of questions is answered; does the gate open?
 
         `boots`: the nodes that read this version, this one among them, and the boot of each.
--- a/oatport/control/storage/write_batch.py
+++ b/oatport/control/storage/write_batch.py
@@ -12,8 +12,8 @@
 from oatport.control.storage.fleet_records import fleet_size
 from oatport.control.storage.job_records import encode_completed_job, encode_job, encode_live_job, encode_tasks
 from oatport.control.storage.keys import (
-    FLEET,
-    LIVE,
+    FLEET_PREFIX,
+    LIVE_PREFIX,
     MODEL_KEY,
     blocked_key,
     first_task,
@@ -116,7 +116,7 @@
             is_alone = batch.operation_count == 0 and is_whole_transaction
             if batch.operation_count + len(keys) > self._max_operations and not is_alone:
                 return
-            if job.cancelled and job.on_machines:
+            if job.cancelled and job.placed_task_count:
                 del writes.jobs_to_delete[job]
                 continue
             if any(key in writes.in_flight_keys for key in keys):
@@ -170,13 +170,13 @@
         return not split
 
     def _replaces_blocked_record(self, key: str) -> bool:
-        return bool(key.startswith(LIVE) and self.writes.versions.get(blocked_key(first_task(key)[0])))
+        return bool(key.startswith(LIVE_PREFIX) and self.writes.versions.get(blocked_key(first_task(key)[0])))
 
     def _prerequisite_keys(self, key: str) -> list[str]:
         """Records that must be there before this one, or come with it."""
-        if key.startswith(FLEET):
+        if key.startswith(FLEET_PREFIX):
             return self._fleet_prerequisites(key)
-        if not key.startswith(LIVE):
+        if not key.startswith(LIVE_PREFIX):
             return []
         writes, layout = self.writes, self.writes.layout
         job_id, _ = first_task(key)
@@ -204,7 +204,7 @@
         """Set a key to what it is to hold now, or delete it; nothing if there is nothing to write."""
         writes = self.writes
         writes.forget_completions_since(key)
-        if key.startswith(FLEET):
+        if key.startswith(FLEET_PREFIX):
             has_changed = self._put_fleet(key)
         elif key.startswith(MODEL_KEY):
             has_changed = self._put_model(key)
@@ -262,7 +262,7 @@
         return True
 
     def _add_bindings(self, job: Job, low: int, high: int) -> None:
-        for index in range(low, min(high, job.next_untouched)):  # not all tasks of a huge array
+        for index in range(low, min(high, job.next_unbound_index)):  # not all tasks of a huge array
             task = job.tasks.get(index)
             if task is not None and task.phase is TaskPhase.BINDING and task.machine:
                 self.batch.bindings.append((task, task.attempt, task.machine))
--- a/oatport/control/storage/write_buffer.py
+++ b/oatport/control/storage/write_buffer.py
@@ -14,13 +14,13 @@
     row_count,
 )
 from oatport.control.storage.keys import (
-    BLOCKED,
-    CHUNK_TASKS,
-    FLEET,
-    GROUP_MACHINES,
-    JOBS,
-    LIVE,
+    BLOCKED_PREFIX,
+    FLEET_PREFIX,
+    JOBS_PREFIX,
+    LIVE_PREFIX,
+    MACHINES_PER_GROUP,
     MODEL_KEY,
+    TASKS_PER_CHUNK,
     blocked_key,
     cancel_key,
     chunk_key,
@@ -46,7 +46,7 @@
         # Keys whose record tells of more tasks or machines than it would be written with now, and up to which task.
         self.oversized_records: dict[str, int] = {}
         # The limits have fallen and not all nodes read parts yet: what is larger is not written.
-        self.value_limit_lowered = False
+        self.is_value_limit_lowered = False
         self._held_back: dict[str, None] = {}  # keys of what was too large
         # Records that there is one of each, and what is to be written there.
         self.singleton_records: dict[str, Callable[[], dict[str, Any]]] = {MODEL_KEY: cluster.predictor.record}
@@ -74,7 +74,7 @@
 
     def task_record_keys(self, job: Job, index: int) -> set[str]:
         """Under which a task lies, or lay before all nodes read parts."""
-        return {self.layout.task_key(job, index), chunk_key(job.job_id, index // CHUNK_TASKS)}
+        return {self.layout.task_key(job, index), chunk_key(job.job_id, index // TASKS_PER_CHUNK)}
 
     def is_unwritten(self, job: Job, index: int) -> bool:
         """What became of a task is in no record yet, as far as is known."""
@@ -91,7 +91,7 @@
             self.urgent_keys[key] = 0
         else:
             self.dirty_keys[key] = None
-        main = group_key(machine.number // GROUP_MACHINES)
+        main = group_key(machine.number // MACHINES_PER_GROUP)
         if main in self.oversized_records:
             self.dirty_keys[main] = None  # else a machine that is gone would stay in it
 
@@ -103,10 +103,10 @@
     def job_keys(self, job: Job) -> list[str]:
         """All keys that job may have, that of a waiting one first, else the head."""
         heads = [blocked_key(job.job_id), live_key(job.job_id), cancel_key(job.job_id)]
-        chunks = (job.next_untouched + CHUNK_TASKS - 1) // CHUNK_TASKS if job.next_untouched else 0
+        chunks = (job.next_unbound_index + TASKS_PER_CHUNK - 1) // TASKS_PER_CHUNK if job.next_unbound_index else 0
         keys = dict.fromkeys([*heads, *(chunk_key(job.job_id, c) for c in range(1, chunks))])
-        if self.layout.splits_records:
-            keys |= dict.fromkeys(self.layout.task_keys(job, 0, job.next_untouched))
+        if self.layout.should_split_records:
+            keys |= dict.fromkeys(self.layout.task_keys(job, 0, job.next_unbound_index))
         return list(keys)
 
     def forget_job(self, job: Job) -> None:
@@ -124,11 +124,11 @@
 
     def note_record_width(self, key: str, value: Any) -> None:
         """A record as it lies there now: does it tell of more than it would be written with?"""
-        if key.startswith(FLEET):
+        if key.startswith(FLEET_PREFIX):
             low, high = self.layout.fleet_span(key)
             is_wide = fleet_span(value) > high - low
-            upto = low + GROUP_MACHINES
-        elif key.startswith(LIVE) and holds_tasks(value):
+            upto = low + MACHINES_PER_GROUP
+        elif key.startswith(LIVE_PREFIX) and holds_tasks(value):
             job_id, low = first_task(key)
             job = self.cluster.jobs.get(job_id)
             upto = low + row_count(value)
@@ -142,12 +142,12 @@
 
     def enable_record_parts(self) -> None:
         """All nodes read parts of chunks and groups: from now on they are written."""
-        if self.layout.splits_records:
+        if self.layout.should_split_records:
             return
         waiting: dict[str, int | None] = {**dict.fromkeys(self._held_back), **self.dirty_keys, **self.urgent_keys}
         self._held_back.clear()
-        self.value_limit_lowered = False
-        self.layout.splits_records = True
+        self.is_value_limit_lowered = False
+        self.layout.should_split_records = True
         self._note_oversized_records()
         for key, rank in waiting.items():
             for part in self._parts_of(key):
@@ -159,24 +159,27 @@
 
     def _note_oversized_records(self) -> None:
         for job in self.cluster.jobs.values():
-            for low in range(0, job.next_untouched, CHUNK_TASKS):
-                key, upto = chunk_key(job.job_id, low // CHUNK_TASKS), min(low + CHUNK_TASKS, job.next_untouched)
+            for low in range(0, job.next_unbound_index, TASKS_PER_CHUNK):
+                key, upto = (
+                    chunk_key(job.job_id, low // TASKS_PER_CHUNK),
+                    min(low + TASKS_PER_CHUNK, job.next_unbound_index),
+                )
                 if self.versions.get(key) and upto > self.layout.task_span(job, key)[1]:
                     self.oversized_records[key] = upto
-        if self.layout.machines_per_part < GROUP_MACHINES:
+        if self.layout.machines_per_part < MACHINES_PER_GROUP:
             self.oversized_records |= {
-                key: first_machine(key)[1] + GROUP_MACHINES for key in self.versions if key.startswith(FLEET)
+                key: first_machine(key)[1] + MACHINES_PER_GROUP for key in self.versions if key.startswith(FLEET_PREFIX)
             }
 
-    def _parts_of(self, key: str, rows: int = CHUNK_TASKS) -> list[str]:
+    def _parts_of(self, key: str, rows: int = TASKS_PER_CHUNK) -> list[str]:
         """Where that lies now which was to be written, or was written, under this key."""
-        if key.startswith(FLEET):
+        if key.startswith(FLEET_PREFIX):
             return list(self.layout.fleet_keys(key))
-        if not key.startswith(LIVE):
+        if not key.startswith(LIVE_PREFIX):
             return [key]
         job_id, low = first_task(key)
         job = self.cluster.jobs.get(job_id)
-        return [] if job is None else [key, *self.layout.task_keys(job, low, min(low + rows, job.next_untouched))]
+        return [] if job is None else [key, *self.layout.task_keys(job, low, min(low + rows, job.next_unbound_index))]
 
     def has_writes(self) -> bool:
         """Is there anything to write?"""
@@ -229,7 +232,7 @@
 
     def hold_back_if_too_large(self, key: str, value: Any) -> bool:
         """While larger records than the state service takes can't be split: it is kept for when they can."""
-        if self.value_limit_lowered and json_size(value) > self.layout.max_value_bytes:
+        if self.is_value_limit_lowered and json_size(value) > self.layout.max_value_bytes:
             self._held_back[key] = None
             return True
         return False
@@ -242,11 +245,11 @@
         for key in batch.deletes:
             self.versions.pop(key, None)
         for key, value in batch.sets.items():
-            if key.startswith(JOBS):
+            if key.startswith(JOBS_PREFIX):
                 continue
             self.versions[key] = revision
             self.note_record_width(key, value)
-            if key.startswith(FLEET):
+            if key.startswith(FLEET_PREFIX):
                 self._on_machines_persisted(decode_fleet(value))
         for task, attempt, machine in batch.bindings:
             # A binding withdrawn and made anew meanwhile is not the one that was written.
@@ -283,7 +286,7 @@
         for job in batch.cancelled_jobs:
             self.jobs_to_cancel[job.job_id] = job
         bound = {self.layout.task_key(t.job, t.index): t.job.priority_rank for t, _, _ in batch.bindings}
-        written = [(key, row_count(value)) for key, value in batch.sets.items() if not key.startswith(JOBS)]
+        written = [(key, row_count(value)) for key, value in batch.sets.items() if not key.startswith(JOBS_PREFIX)]
         parts = [part for key, rows in written for part in self._parts_of(key, rows)]
         for key in dict.fromkeys([*bound, *parts]):
             if key in bound:
@@ -296,9 +299,9 @@
     def _restore_deletes(self, batch: WriteBatch) -> None:
         finished_keys = {key for job in batch.finished_jobs for key in self.job_keys(job)}
         for key in batch.deletes:
-            if key.startswith((FLEET, MODEL_KEY)):
+            if key.startswith((FLEET_PREFIX, MODEL_KEY)):
                 self.dirty_keys[key] = None
-            elif key.startswith(BLOCKED) and key[len(BLOCKED) :] in self.cluster.jobs:
+            elif key.startswith(BLOCKED_PREFIX) and key[len(BLOCKED_PREFIX) :] in self.cluster.jobs:
                 continue  # it goes with the next try of the first binding
             elif key not in finished_keys:
                 self.orphaned_keys.append(key)
--- a/oatport/lab/queues.py
+++ b/oatport/lab/queues.py
@@ -70,7 +70,7 @@
     async def publish(self, row: MessageRow) -> bool:
         if self._broken != "outbox":
             return await super().publish(row)
-        self.group.once("unconfirmed", super().publish(row))  # nobody waits whether it was taken
+        self.group.spawn("unconfirmed", super().publish(row))  # nobody waits whether it was taken
         return True
 
 
--- a/oatport/peer_codec.py
+++ b/oatport/peer_codec.py
@@ -69,5 +69,5 @@
         raise MalformedReplyError(reply[0] if reply else None, f"{type(error).__name__} {error}") from error
 
 
-def any_reply(reply: PeerArray) -> None:
+def ignore_reply(reply: PeerArray) -> None:
     """Decoder for requests whose reply says nothing beyond that they arrived."""
--- a/oatport/queues/gateway.py
+++ b/oatport/queues/gateway.py
@@ -12,7 +12,7 @@
 from oatport.clients.http import NoResponseError, RequestRefusedError, jitter
 from oatport.clients.state import Applied, LeaseExpiredError, StateClient
 from oatport.control.leadership.leader_lease import LeaderLease
-from oatport.control.storage.keys import JOBS
+from oatport.control.storage.keys import JOBS_PREFIX
 from oatport.queues.core import Core
 from oatport.queues.intake import SubmissionBatcher
 from oatport.queues.members import parts_for
@@ -67,7 +67,7 @@
             ("sweep", self._sweep_loop),
             ("prune", self._prune_loop),
         ):
-            self.group.keep(name, loop)
+            self.group.supervise(name, loop)
 
     def close(self) -> None:
         self.group.close()
@@ -91,7 +91,7 @@
                 else:
                     asked = steady()
                     await self.state.renew_lease(self._lease, min(self._life // 2, SECOND))
-                    self._mandate.renewed(asked)
+                    self._mandate.on_renewed(asked)
                 if self._lease:
                     await self._share_parts()
             except LeaseExpiredError:
@@ -166,11 +166,11 @@
             log.info("part %d: %d messages without an answer told", part, len(open_rows))
             self._ready.set()
         for ref in taken:
-            self.group.once("look after", self._look_after(ref))
+            self.group.spawn("look after", self._look_after(ref))
 
     async def _look_after(self, ref: str) -> None:
         try:
-            found = await self.store.get(JOBS + ref)
+            found = await self.store.get(JOBS_PREFIX + ref)
             await self.outbox.look_after(ref, found[0] if found else None)
         except StoreUnavailableError:
             return  # the sweep comes round
@@ -218,15 +218,15 @@
 
     async def _jobs_loop(self) -> None:
         async def take(key: str, value: Any, version: int) -> None:
-            ref = key[len(JOBS) :]
+            ref = key[len(JOBS_PREFIX) :]
             if ref in self.outbox.rows:
                 # Recorded together: each waits for the others' company in one transaction.
-                self.group.once("answer", self._job_changed(ref, value))
+                self.group.spawn("answer", self._job_changed(ref, value))
 
         async def again() -> None:
             self.outbox.look_at_all()
 
-        await self._watch(JOBS, take, again)
+        await self._watch(JOBS_PREFIX, take, again)
 
     async def _job_changed(self, ref: str, value: Any) -> None:
         try:
@@ -254,7 +254,7 @@
                     break
                 if ref not in self._telling:
                     self._telling.add(ref)
-                    self.group.once("tell", self._tell(ref))
+                    self.group.spawn("tell", self._tell(ref))
 
     async def _tell(self, ref: str) -> None:
         try:
--- a/oatport/queues/link.py
+++ b/oatport/queues/link.py
@@ -35,7 +35,7 @@
 
     def start(self, gateway: Gateway) -> None:
         self.gateway = gateway
-        self.group.keep("broker", self._loop)
+        self.group.supervise("broker", self._loop)
 
     async def close(self) -> None:
         self.group.close()
@@ -100,7 +100,7 @@
         source = await channel.get_queue(queue.name, ensure=False)
 
         async def handle(message: AbstractIncomingMessage) -> None:
-            self.group.once("message", self._handle(queue, message))
+            self.group.spawn("message", self._handle(queue, message))
 
         await source.consume(handle, no_ack=False)
 
--- a/oatport/service/background_tasks.py
+++ b/oatport/service/background_tasks.py
@@ -23,7 +23,7 @@
         self._tasks: dict[asyncio.Task[Any], None] = {}  # in start order, so that simulation runs are reproducible
         self.closed = False
 
-    def keep(self, name: str, loop: Callable[[], Awaitable[None]], pause_s: float = 0.5) -> None:
+    def supervise(self, name: str, loop: Callable[[], Awaitable[None]], pause_s: float = 0.5) -> None:
         """Runs a loop until the group is closed; a loop that fails is logged and restarted `pause_s` later."""
 
         async def run() -> None:
@@ -39,7 +39,7 @@
 
         self._add(run())
 
-    def once(self, name: str, work: Coroutine[Any, Any, Any]) -> None:
+    def spawn(self, name: str, work: Coroutine[Any, Any, Any]) -> None:
         """Runs a coroutine in the background; a failure is logged."""
 
         async def run() -> None:
--- a/oatport/service/catalog.py
+++ b/oatport/service/catalog.py
@@ -34,7 +34,7 @@
     version: int
 
 
-async def read_types(state: StateClient) -> RecordedCatalog | None:
+async def read_catalog(state: StateClient) -> RecordedCatalog | None:
     """Returns the recorded machine types, or None if nothing is recorded.
 
     Raises NoResponseError or RequestRefusedError.
@@ -51,7 +51,7 @@
     return RecordedCatalog(types, found[1])
 
 
-def type_values(types: Iterable[wire.MachineType], limit: int) -> list[dict[str, Any]]:
+def catalog_values(types: Iterable[wire.MachineType], limit: int) -> list[dict[str, Any]]:
     """Splits the types into values of at most `limit` JSON bytes; if there are several, the first holds their count."""
     values: list[dict[str, Any]] = [{"berthKinds": []}]
     for machine_type in types:
@@ -64,12 +64,12 @@
     return values
 
 
-async def write_types(state: StateClient, token: int, catalog: RecordedCatalog, limit: int) -> None:
+async def write_catalog(state: StateClient, token: int, catalog: RecordedCatalog, limit: int) -> None:
     """Records the catalog for a leader in values of at most `limit` bytes, replacing the record of `catalog.version`.
 
     Raises NoResponseError or RequestRefusedError.
     """
-    values = type_values(catalog.types.values(), limit)
+    values = catalog_values(catalog.types.values(), limit)
     for number in range(1, len(values)):  # the first value is written last, because it refers to the others
         result = await state.commit({LEADER_KEY: token}, {f"{CATALOG_KEY}/{number}": values[number]})
         if not isinstance(result, Applied):
@@ -94,7 +94,7 @@
         """Reads every 0.5 s until types are found, then every 20 s."""
         while True:
             with contextlib.suppress(NoResponseError, RequestRefusedError):
-                found = await read_types(self._node.state)
+                found = await read_catalog(self._node.state)
                 if found is not None:
                     self._node.types = found.types
             await asyncio.sleep(jitter(REREAD_INTERVAL if self._node.types else READ_RETRY_INTERVAL))
--- a/oatport/service/cloud_controller.py
+++ b/oatport/service/cloud_controller.py
@@ -11,7 +11,7 @@
 from oatport.control.scaling.capacity_planner import CapacityPlanner
 from oatport.control.scaling.cloud_availability import ScaleOutRequest
 from oatport.control.state.machine import Machine
-from oatport.service.catalog import UNLIMITED_VALUE_BYTES, RecordedCatalog, read_types, write_types
+from oatport.service.catalog import UNLIMITED_VALUE_BYTES, RecordedCatalog, read_catalog, write_catalog
 from oatport.service.failure_detector import FailureDetector
 from oatport.service.leader_context import LeaderContext
 from oatport.service.machine_list_controller import MachineListController
@@ -45,9 +45,9 @@
     def start(self) -> None:
         """Starts the scaling loop, the machine list loop and the failure detector."""
         background = self._leader.background
-        background.keep("scaling", self.scaling.loop)
-        background.keep("machine list", self.machine_list.loop)
-        background.keep("failure detector", self.failure_detector.loop)
+        background.supervise("scaling", self.scaling.loop)
+        background.supervise("machine list", self.machine_list.loop)
+        background.supervise("failure detector", self.failure_detector.loop)
 
     async def refresh_catalog(self) -> None:
         """Reads the machine types from the cloud, and records them for times when the cloud API is unavailable."""
@@ -58,17 +58,17 @@
             log.info('catalog request failed error="%s"', error)
             return
         if not types.keys() <= self.cluster.catalog.types.keys():
-            found = await read_types(leader.state)
+            found = await read_catalog(leader.state)
             # Types that the cloud no longer lists stay recorded: machines of these types may still exist.
             recorded = found or RecordedCatalog({}, 0)
             leader.node.types = types
             layout = self.cluster.writes.layout
             merged = RecordedCatalog({**recorded.types, **types}, recorded.version)
-            await write_types(
+            await write_catalog(
                 leader.state,
                 leader.token,
                 merged,
-                layout.max_value_bytes if layout.splits_records else UNLIMITED_VALUE_BYTES,
+                layout.max_value_bytes if layout.should_split_records else UNLIMITED_VALUE_BYTES,
             )
         self.cluster.catalog.update(types)
 
@@ -129,7 +129,7 @@
         Machines that hold the only copy of a completion are skipped: callers request their release again after the
         completion has been recorded.
         """
-        machines = [m for m in machines if not self.cluster.completions.holds_unwritten(m)]
+        machines = [m for m in machines if not self.cluster.completions.has_unwritten_completions(m)]
         if not machines:
             self._leader.wake()
             return
--- a/oatport/service/command_sender.py
+++ b/oatport/service/command_sender.py
@@ -57,7 +57,7 @@
             commands, _ = cluster.commands.for_machine(machine, now, direct=True)
             if commands:  # usually empty: most commands are already in flight
                 self._sending.add(machine)
-                self._leader.background.once("send", self.send(machine))
+                self._leader.background.spawn("send", self.send(machine))
 
     async def send(self, machine: Machine) -> None:
         """Sends a machine its commands, and applies the report in its response."""
@@ -85,7 +85,7 @@
             report = await client.send_commands(leader.token, machine.agent_epoch, commands)
         except RequestNotSentError:
             # No connection was made, so the commands can't arrive later.
-            cluster.commands.on_answered(machine, sent_starts)
+            cluster.commands.on_start_response(machine, sent_starts)
             return
         except NoResponseError as error:
             log.debug('commands got no response machine=%s error="%s"', machine.name, error)
@@ -93,6 +93,6 @@
         if report.fencing_token > leader.token:
             leader.step_down(f"a worker has seen token {report.fencing_token}")
             return
-        cluster.commands.on_answered(machine, sent_starts)
+        cluster.commands.on_start_response(machine, sent_starts)
         cluster.commands.on_contact(machine)
         leader.receive_heartbeat(report, steady())
--- a/oatport/service/completion_replication.py
+++ b/oatport/service/completion_replication.py
@@ -66,12 +66,12 @@
         while True:
             leader = self._node.leader
             if leader is not None and leader.loaded:
-                new = leader.cluster.completions.take_new()
+                new = leader.cluster.completions.drain_new()
                 if new or leader.token != announced_token:
                     announced_token = leader.token
                     message = ReplicateCompletions(leader.token, new)
                     for peer in self._node.peers.values():
-                        self._node.background.once("completions", notify_with_retry(peer, message))
+                        self._node.background.spawn("completions", notify_with_retry(peer, message))
             await asyncio.sleep(seconds(REPLICATION_INTERVAL))
 
     def on_deposed(self, leader: Leader) -> None:
@@ -81,7 +81,7 @@
         if unrecorded:
             message = ReplicateCompletions(leader.token, unrecorded)
             for peer in self._node.peers.values():
-                self._node.background.once("completions", self._notify_until_received(peer, message))
+                self._node.background.spawn("completions", self._notify_until_received(peer, message))
 
     async def _notify_until_received(self, peer: PeerClient, message: ReplicateCompletions) -> None:
         for _ in range(DEPOSED_NOTIFY_ATTEMPTS):
--- a/oatport/service/dependency_controller.py
+++ b/oatport/service/dependency_controller.py
@@ -6,7 +6,7 @@
 
 from oatport import wire
 from oatport.clients.http import NoResponseError, RequestRefusedError, jitter
-from oatport.control.storage.keys import JOBS
+from oatport.control.storage.keys import JOBS_PREFIX
 from oatport.service.leader_context import LeaderContext
 from oatport.times import SECOND
 
@@ -26,7 +26,7 @@
 
     def start(self) -> None:
         """Starts the loop."""
-        self._leader.background.keep("dependencies", self.loop)
+        self._leader.background.supervise("dependencies", self.loop)
 
     async def loop(self) -> None:
         """Reads unresolved dependencies until the leader stops."""
@@ -40,7 +40,7 @@
         """Reads several records per request, with one request in flight at a time."""
         while pending_ids and not self._leader.stopped:
             try:
-                found, requested = await self.state.get_many(JOBS, pending_ids)
+                found, requested = await self.state.get_many(JOBS_PREFIX, pending_ids)
             except (NoResponseError, RequestRefusedError):
                 await asyncio.sleep(jitter(RETRY_INTERVAL))
                 return
--- a/oatport/service/election.py
+++ b/oatport/service/election.py
@@ -54,7 +54,7 @@
         self._priority = priority
         self._make_leader = make_leader
         self._on_deposed = on_deposed
-        self._lease_us = node.tuning.us("leader_lease_s")
+        self._lease_us = node.tuning.duration_us("leader_lease_s")
         self.leader: Leader | None = None
         self.leader_name: str | None = None
         self.leader_token = 0
@@ -232,7 +232,7 @@
         if self.leader_name == self._node.node_name:
             self.leader_name = None
         if not self._node.background.closed:
-            self._node.background.once("release leader key", self._release_leader_key(leader))
+            self._node.background.spawn("release leader key", self._release_leader_key(leader))
 
     async def _release_leader_key(self, leader: Leader) -> None:
         """Deletes the leader key at once, so that no node has to wait for the lease to expire."""
--- a/oatport/service/failover.py
+++ b/oatport/service/failover.py
@@ -13,15 +13,15 @@
 from oatport.clients.worker import WorkerClient
 from oatport.control.state.machine import Machine
 from oatport.control.storage.keys import (
-    BLOCKED,
-    FLEET,
-    LIVE,
+    BLOCKED_PREFIX,
+    FLEET_PREFIX,
+    LIVE_PREFIX,
     MODEL_KEY,
     PARTITIONED_ZONES_KEY,
     SCHEMA_VERSION_KEY,
     overflow_key,
 )
-from oatport.control.storage.overflow_records import with_overflow
+from oatport.control.storage.overflow_records import merge_overflow
 from oatport.service.leader_context import LeaderContext
 from oatport.service.network import Network
 from oatport.times import SECOND, steady
@@ -45,11 +45,11 @@
 
     Raises NoResponseError or RequestRefusedError.
     """
-    live, revision = await state.list_prefix(LIVE)
+    live, revision = await state.list_prefix(LIVE_PREFIX)
     # Blocked jobs are read after `live/`: only a leader moves a job from blocked to live, and earlier leaders are
     # fenced by now, so no job can be missed between the two reads.
-    blocked, _ = await state.list_prefix(BLOCKED)
-    fleet, _ = await state.list_prefix(FLEET)
+    blocked, _ = await state.list_prefix(BLOCKED_PREFIX)
+    fleet, _ = await state.list_prefix(FLEET_PREFIX)
     rows, _ = await state.list_prefix(MODEL_KEY)
     for key in (PARTITIONED_ZONES_KEY, SCHEMA_VERSION_KEY):
         found = await state.get(key)
@@ -72,21 +72,21 @@
             # Overflow records are written before their job is accepted.
             raise NoResponseError(f"{overflow_key(job_id, number)} is missing")
         parts.append(found[0])
-    return with_overflow(value, parts)
+    return merge_overflow(value, parts)
 
 
 def announce_leader_to_all(leader: LeaderContext, net: Network) -> None:
     """Announces the leader to all machines whose addresses are known."""
     for machine in list(leader.cluster.machines.values()):
         if machine.address:
-            leader.background.once("announce leader", announce_leader(leader, net, machine))
+            leader.background.spawn("announce leader", announce_leader(leader, net, machine))
 
 
 async def announce_leader(leader: LeaderContext, net: Network, machine: Machine) -> None:
     """Reads a machine's status and sends it the new fencing token, without waiting for its heartbeat."""
     client = WorkerClient(net, machine.address)
     for _ in range(ANNOUNCE_ATTEMPTS):
-        if leader.stopped or machine.removed or machine.is_confirmed(leader.token):
+        if leader.stopped or machine.removed or machine.has_reported_under(leader.token):
             return
         try:
             report = await client.fetch_status()
--- a/oatport/service/failure_detector.py
+++ b/oatport/service/failure_detector.py
@@ -40,7 +40,7 @@
         self._release = release
         self.reachability = Reachability(leader, net)
         self.partitions = PartitionController(leader, self.reachability, release, capacity_planner)
-        self._silent_us = leader.tuning.us("silent_s")
+        self._silent_us = leader.tuning.duration_us("silent_s")
         self._peers_asked_at = 0  # when peers were last asked because all machines were silent at once
         self._peers_asked_about_commands_at = 0
         self._node_suspected_at = NEVER  # when this node, not the many silent machines, was suspected to be partitioned
@@ -96,7 +96,7 @@
         return [
             machine
             for machine in silent_machines(quiet, now, self._silent_us)
-            if not leader.cluster.completions.may_report_unknown(machine, now, leases_expired_at)
+            if not leader.cluster.completions.may_hold_unknown_completions(machine, now, leases_expired_at)
         ]
 
     async def _release_silent_machines(self, suspects: list[Machine], *, zones_suspected: bool) -> None:
@@ -128,7 +128,7 @@
         if is_isolated(len(unreachable), connected) and not asked_recently:
             self._peers_asked_about_commands_at = now
             check = self.reachability.step_down_if_commands_reach_from_peer(unreachable)
-            self._leader.background.once("commands unreachable", check)
+            self._leader.background.spawn("commands unreachable", check)
 
     def _probe_partitioned(self, machines: list[Machine], now: int) -> None:
         """Probes a few machines of partitioned zones in turn: enough to notice at once that a zone has recovered."""
@@ -144,4 +144,4 @@
         recovered, cluster.zones.recovered = cluster.zones.recovered, set()
         zone_machines = [m for m in machines if m.zone in recovered and m.address and not m.removed]
         for machine in sorted(zone_machines, key=lambda m: -m.service_cpus):
-            self._leader.background.once("announce leader", announce_leader(self._leader, self._net, machine))
+            self._leader.background.spawn("announce leader", announce_leader(self._leader, self._net, machine))
--- a/oatport/service/group_commit.py
+++ b/oatport/service/group_commit.py
@@ -10,7 +10,7 @@
 from oatport.clients.http import NoResponseError, RequestRefusedError, jitter
 from oatport.clients.state import Applied
 from oatport.clients.token_bucket import TokenBucket
-from oatport.control.storage.keys import ACCEPT_KEYS, JOBS, LEADER_KEY, job_key
+from oatport.control.storage.keys import JOBS_PREFIX, KEYS_PER_ACCEPTED_JOB, LEADER_KEY, job_key
 from oatport.control.storage.write_batch import WriteBatch
 from oatport.service.leader_context import LeaderContext
 from oatport.times import MS, SECOND, seconds, steady
@@ -37,8 +37,8 @@
         self.state = leader.state
         limits = leader.settings.cluster.state
         self._budget = TokenBucket(limits.write_rps * WRITE_SHARE)
-        self._reduced_rate = limits.least_write_rps * WRITE_SHARE
-        self._transaction_operations = limits.least_txn_ops
+        self._reduced_rate = limits.min_write_rps * WRITE_SHARE
+        self._transaction_operations = limits.min_txn_ops
         self.wakeup = asyncio.Event()
         self._commit_started_at = 0  # time of the first attempt of the commit in flight; 0 if there is none
         self._deferrable_written_at = 0  # when deferrable writes were last written
@@ -49,7 +49,7 @@
         Nothing is charged if the budget is used up, so that bindings need not wait for a burst of small jobs.
         """
         if self._budget.available() > 0:
-            self._budget.reserve(ACCEPT_KEYS)
+            self._budget.reserve(KEYS_PER_ACCEPTED_JOB)
 
     def is_stuck(self, now: int) -> bool:
         """Returns whether the commit in flight has been unanswered for more than `STUCK_AFTER`."""
@@ -126,14 +126,14 @@
             log.info('commit was refused fencing_token=%d error="%s"', self._leader.token, error)
 
     def _on_malformed(self, batch: WriteBatch) -> None:
-        if self.cluster.writes.layout.splits_records or self.cluster.writes.value_limit_lowered:
+        if self.cluster.writes.layout.should_split_records or self.cluster.writes.is_value_limit_lowered:
             self._leader.step_down("the state service refused a transaction as malformed")
             return
         # The limits were lowered while a node was unreachable, so it is not known whether that node can read record
         # parts. Records that are too large are held back until it is known; all others are written.
         log.error("transaction refused as malformed, large records are held back operations=%d", batch.operation_count)
         self._commit_started_at = 0
-        self.cluster.writes.value_limit_lowered = True
+        self.cluster.writes.is_value_limit_lowered = True
         self.cluster.writes.restore_batch(batch)
 
     async def _on_conflict(self, batch: WriteBatch, failed: tuple[str, ...], tries: int) -> None:
@@ -142,16 +142,16 @@
             return
         if tries and await self._was_applied(batch):
             return
-        others = [key for key in failed if not key.startswith(JOBS)]
+        others = [key for key in failed if not key.startswith(JOBS_PREFIX)]
         if others or not failed:
             # Another process wrote a key that only the leader writes: the leader's view differs from the records.
             log.error("records differ from the view fencing_token=%d keys=%s", self._leader.token, ",".join(others))
             self._leader.step_down("records differ from what was expected")
             return
-        cancelled = {key: await self._refresh_job(key[len(JOBS) :]) for key in failed}
+        cancelled = {key: await self._refresh_job(key[len(JOBS_PREFIX) :]) for key in failed}
         self.cluster.writes.restore_batch(batch)
         for key, version in cancelled.items():
-            job_id = key[len(JOBS) :]
+            job_id = key[len(JOBS_PREFIX) :]
             if version:
                 # The user cancelled the blocked job before the outcome of its dependency was applied.
                 self.cluster.dependencies.cancel_blocked(job_id, version)
@@ -159,9 +159,7 @@
             if job is not None and job.cancelled:
                 job.completing = False
                 self.cluster.writes.jobs_to_complete.pop(job, None)
-                self.cluster.job_lifecycle.cancel(
-                    job.job_id, 0, self._leader.lease_renewal_limit.cancellations_known_at
-                )
+                self.cluster.job_lifecycle.cancel(job.job_id, 0, self._leader.lease_renewal_limit.cancellations_read_at)
 
     async def _was_applied(self, batch: WriteBatch) -> bool:
         """Returns whether an earlier attempt with unknown outcome was applied: all its keys then have one revision.
@@ -172,7 +170,7 @@
         """
         revisions: set[int] = set()
         for key in (*batch.sets, *batch.deletes):
-            found = await self.read_until_answered(key)
+            found = await self.read_with_retry(key)
             if self._leader.stopped:
                 return False
             if key in batch.deletes:
@@ -191,7 +189,7 @@
         self.cluster.writes.committed(batch, revisions.pop() if revisions else 0, steady())
         return True
 
-    async def read_until_answered(self, key: str) -> tuple[Any, int] | None:
+    async def read_with_retry(self, key: str) -> tuple[Any, int] | None:
         """Reads a key, retrying until the state service answers; returns None if the leader stops first."""
         while not self._leader.stopped:
             try:
@@ -202,11 +200,11 @@
 
     async def _refresh_job(self, job_id: str) -> int:
         """Reads a job's record and applies its state; returns the record's version if the job is cancelled, else 0."""
-        found = await self.read_until_answered(job_key(job_id))
+        found = await self.read_with_retry(job_key(job_id))
         job = self.cluster.jobs.get(job_id)
         state = None if found is None else found[0].get("state")
         if found is not None and state == wire.JobStatus.CANCELLED:
-            self.cluster.job_lifecycle.cancel(job_id, found[1], self._leader.lease_renewal_limit.cancellations_known_at)
+            self.cluster.job_lifecycle.cancel(job_id, found[1], self._leader.lease_renewal_limit.cancellations_read_at)
             return found[1]
         if found is not None and state in wire.TERMINAL_STATUSES and job is not None:
             self.cluster.job_lifecycle.remove(job)
--- a/oatport/service/handover.py
+++ b/oatport/service/handover.py
@@ -38,7 +38,7 @@
         """
         now = steady()
         answering = self._peer_status.state_service_answers
-        if self._priority.successor_answers(self._node.node_name, answering):
+        if self._priority.is_successor_answering(self._node.node_name, answering):
             self._peer_status.successor_answered_at = now
         if now - self._peer_status.successor_answered_at < SUCCESSOR_DOWN_TIMEOUT:
             return None
@@ -46,7 +46,9 @@
             (
                 peer
                 for name, peer in self._node.peers.items()
-                if name in answering and answering[name].answers and self._priority.successor_answers(name, answering)
+                if name in answering
+                and answering[name].answers
+                and self._priority.is_successor_answering(name, answering)
             ),
             None,
         )
@@ -54,7 +56,7 @@
     def offer_in_background(self, leader: Leader, peer: PeerClient) -> None:
         """Offers leadership to a better placed peer in a background task."""
         self._peer_status.successor_answered_at = steady()  # no immediate retry if the peer declines
-        self._node.background.once("offer", self._offer(leader, peer))
+        self._node.background.spawn("offer", self._offer(leader, peer))
 
     async def _offer(self, leader: Leader, peer: PeerClient) -> None:
         try:
@@ -69,9 +71,9 @@
 
     async def hand_over(self, leader: Leader, peer: PeerClient, reason: str) -> None:
         """Asks a peer to lead, and steps down if it agrees. Raises NoResponseError."""
-        leader.leader_lease.handover_requested(steady())  # the peer may take over even if its answer is lost
+        leader.leader_lease.on_handover_requested(steady())  # the peer may take over even if its answer is lost
         agreed = await peer.ask(Handover(leader.token), is_ok, timeout_us=HANDOVER_TIMEOUT)
         if not agreed:
-            leader.leader_lease.handover_declined()
+            leader.leader_lease.on_handover_declined()
         elif leader is self._election.leader:
             self._election.step_down(f"handed over to {peer.name}: {reason}")
--- a/oatport/service/heartbeat_controller.py
+++ b/oatport/service/heartbeat_controller.py
@@ -83,7 +83,7 @@
         """Applies a machine's report; returns None if the machine is unknown and cannot be added."""
         cluster = self._leader.cluster
         machine = cluster.heartbeats.receive(report, now, time_of_day())
-        if cluster.quotas.unknown_attempts:
+        if cluster.quotas.attempts_of_unknown_jobs:
             self._orphaned_job_lookup.look_up()
         self._leader.wake()
         return machine
--- a/oatport/service/job_progress_publisher.py
+++ b/oatport/service/job_progress_publisher.py
@@ -32,7 +32,7 @@
             update = self._collect(full=rounds % FULL_UPDATE_ROUNDS == 0)
             if update.changed or update.removed:
                 for peer in self._leader.node.peers.values():
-                    self._leader.background.once("job progress", _notify(peer, update))
+                    self._leader.background.spawn("job progress", _notify(peer, update))
 
     def _collect(self, *, full: bool) -> JobProgressUpdate:
         """Updates this node's counts, and returns the changes that the other nodes have to apply to theirs."""
--- a/oatport/service/job_watch.py
+++ b/oatport/service/job_watch.py
@@ -11,7 +11,7 @@
 from oatport.clients.http import NoResponseError, RequestRefusedError, jitter
 from oatport.control.state.job import Job
 from oatport.control.storage.job_records import decode_job
-from oatport.control.storage.keys import JOBS
+from oatport.control.storage.keys import JOBS_PREFIX
 from oatport.control.storage.overflow_records import is_accepted_as_blocked
 from oatport.peer_messages import JobAccepted, JobCancelled
 from oatport.service.failover import read_full_record
@@ -57,7 +57,7 @@
         leader = self._leader
         if isinstance(hint, JobCancelled):
             leader.cluster.job_lifecycle.cancel_confirmed(
-                hint.job_id, hint.revision, leader.lease_renewal_limit.cancellations_known_at
+                hint.job_id, hint.revision, leader.lease_renewal_limit.cancellations_read_at
             )
         elif not self._is_known(hint.job_id) and hint.revision > self.revision and "more" not in hint.record:
             # Older hints are ignored: the load or the watch has seen their jobs, which may have ended already.
@@ -101,7 +101,7 @@
         while not leader.stopped:
             asked_at = steady()
             try:
-                found = await leader.state.watch(JOBS, self.revision, WATCH_TIMEOUT)
+                found = await leader.state.watch(JOBS_PREFIX, self.revision, WATCH_TIMEOUT)
             except (NoResponseError, RequestRefusedError):
                 await asyncio.sleep(jitter(RETRY_INTERVAL))
                 continue
@@ -117,7 +117,7 @@
                 await asyncio.sleep(jitter(RETRY_INTERVAL))
                 continue
             for key, change in latest.items():
-                self._apply_change(key[len(JOBS) :], change.value, change.revision)
+                self._apply_change(key[len(JOBS_PREFIX) :], change.value, change.revision)
             self._advance(found.revision)
             leader.lease_renewal_limit.on_cancellations_read(asked_at)
             leader.wake()
@@ -131,7 +131,7 @@
     def _apply_change(self, job_id: str, record: Any, revision: int) -> None:
         cluster, state = self._leader.cluster, str(record["state"])
         if state == wire.JobStatus.CANCELLED:
-            cluster.job_lifecycle.cancel(job_id, revision, self._leader.lease_renewal_limit.cancellations_known_at)
+            cluster.job_lifecycle.cancel(job_id, revision, self._leader.lease_renewal_limit.cancellations_read_at)
         elif state == wire.JobStatus.COMPLETED:
             cluster.dependencies.on_completion_recorded(job_id, int(record.get("ended", 0)))
         elif state not in wire.TERMINAL_STATUSES and not self._is_known(job_id):
--- a/oatport/service/leader.py
+++ b/oatport/service/leader.py
@@ -22,7 +22,7 @@
 from oatport.control.storage.recovery import load_cluster
 from oatport.peer_messages import JobAccepted, JobCancelled
 from oatport.service.background_tasks import BackgroundTasks
-from oatport.service.catalog import read_types
+from oatport.service.catalog import read_catalog
 from oatport.service.cloud_controller import CloudController
 from oatport.service.command_sender import CommandSender
 from oatport.service.dependency_controller import DependencyController
@@ -77,7 +77,7 @@
         self.cluster.retry_policies = retry_policies or {}
         self.led_since = steady()
         self.lease_renewal_limit = LeaseRenewalLimit(limits, self.led_since)
-        self.leader_lease = LeaderLease(tuning.us("leader_lease_s"), lease_requested_at)
+        self.leader_lease = LeaderLease(tuning.duration_us("leader_lease_s"), lease_requested_at)
         self._pause_detector = PauseDetector(self.led_since)
         self.background = BackgroundTasks()
         self.loaded = False
@@ -126,7 +126,7 @@
         )
         self._start_controllers()
         machines = len(self.cluster.machines)
-        self._net.expect(machines, machines)  # each machine is sent a request at first
+        self._net.set_expected_load(machines, machines)  # each machine is sent a request at first
         announce_leader_to_all(self, self._net)
         self.wake()
 
@@ -137,7 +137,7 @@
         load_cluster(self.cluster, snapshot.rows, steady(), time_of_day())
         self.cluster.now = steady()
         self.cluster.completions.apply(earlier.completions)
-        self.cluster.completions.earlier_may_be_lost = not earlier.complete
+        self.cluster.completions.may_miss_earlier_completions = not earlier.complete
         if self.window_controller is not None:
             await self.window_controller.fail_over()
         self.lease_renewal_limit.on_cancellations_read(asked_at)
@@ -152,19 +152,19 @@
         """
         types = self.cluster.catalog.types  # updated in place by `update`
         if not types or not needed <= types.keys():
-            found = await read_types(self.state)
+            found = await read_catalog(self.state)
             if found is not None:
                 self.cluster.catalog.update({**types, **found.types})
         if not types or not needed <= types.keys():
             await self.cloud_controller.refresh_catalog()
 
     def _start_controllers(self) -> None:
-        self.background.keep("job watch", self.job_watch.loop)
-        self.background.keep("commits", self.commits.loop)
-        self.background.keep("planning", self.planning_loop.loop)
-        self.background.keep("commands", self.command_sender.loop)
-        self.background.keep("job progress", self.job_progress_publisher.loop)
-        self.background.keep("maintenance", self.maintenance.loop)
+        self.background.supervise("job watch", self.job_watch.loop)
+        self.background.supervise("commits", self.commits.loop)
+        self.background.supervise("planning", self.planning_loop.loop)
+        self.background.supervise("commands", self.command_sender.loop)
+        self.background.supervise("job progress", self.job_progress_publisher.loop)
+        self.background.supervise("maintenance", self.maintenance.loop)
         self.cloud_controller.start()
         self.dependency_controller.start()
         self.schema_version_controller.start()
@@ -204,8 +204,8 @@
     def state_service_down(self, now: int) -> bool:
         """Returns whether the state service has stopped answering this node."""
         return (
-            now - self.state.last_served_at > STATE_SERVICE_DOWN_AFTER
-            and self.state.last_failed_at > self.state.last_served_at
+            now - self.state.last_success_at > STATE_SERVICE_DOWN_AFTER
+            and self.state.last_failure_at > self.state.last_success_at
         )
 
     def wake(self) -> None:
@@ -245,7 +245,7 @@
         """
         is_known = self.loaded and not self.stopped
         watermark = (
-            self.cluster.job_lifecycle.cancellation_watermark(self.lease_renewal_limit.cancellations_known_at)
+            self.cluster.job_lifecycle.cancellation_watermark(self.lease_renewal_limit.cancellations_read_at)
             if is_known
             else 0
         )
--- a/oatport/service/lease_proxy_service.py
+++ b/oatport/service/lease_proxy_service.py
@@ -50,7 +50,7 @@
     def may_answer(self, report: wire.Heartbeat) -> bool:
         """Returns whether this node may answer a heartbeat on behalf of the leader."""
         state = self._node.state
-        return self.proxy.may_answer(report.fencing_token, steady(), state.last_served_at, state.last_failed_at)
+        return self.proxy.may_answer(report.fencing_token, steady(), state.last_success_at, state.last_failure_at)
 
     def redirect_target(self, leader: str | None) -> str | None:
         """Returns the node to which workers are redirected: the leader, or if isolated from it, another lease proxy.
@@ -65,7 +65,7 @@
 
     def _is_isolated(self, now: int) -> bool:
         state = self._node.state
-        return self.proxy.is_isolated(now, state.last_served_at, state.last_failed_at)
+        return self.proxy.is_isolated(now, state.last_success_at, state.last_failure_at)
 
     # --- messages between nodes -------------------------------------------------------------
 
@@ -90,7 +90,7 @@
         asked_at = steady()
         watermark = await peer.ask(CancellationWatermarkRequest(), CancellationWatermark.decode_if_known)
         if watermark is not None:
-            self.proxy.update(watermark.fencing_token, asked_at, watermark.age_us)
+            self.proxy.on_watermark(watermark.fencing_token, asked_at, watermark.age_us)
 
     async def refresh_from_proxy(self, peer: PeerClient) -> None:
         """Updates the proxy state from another node while the state service is unreachable; ignores request errors."""
@@ -103,6 +103,6 @@
             return
         if state is None:
             return
-        self.proxy.update(state.fencing_token, asked_at, state.watermark_age_us, state.contact_age_us)
+        self.proxy.on_watermark(state.fencing_token, asked_at, state.watermark_age_us, state.contact_age_us)
         if state.answering:
             self._other_proxies[peer.name] = asked_at
--- a/oatport/service/machine_list_controller.py
+++ b/oatport/service/machine_list_controller.py
@@ -89,6 +89,6 @@
             for machine in self._leader.cluster.machines.values()
             if machine.listed_by_cloud
             and machine.name not in listed
-            and now - max(machine.last_heartbeat_at, machine.known_since) > UNLISTED_SILENCE_TIMEOUT
+            and now - max(machine.last_heartbeat_at, machine.first_known_at) > UNLISTED_SILENCE_TIMEOUT
             and not machine.releasing
         ]
--- a/oatport/service/maintenance.py
+++ b/oatport/service/maintenance.py
@@ -69,7 +69,7 @@
 
     def _account(self, now: int) -> None:
         self._accounted_at = now
-        self._net.expect(len(self._leader.cluster.machines), self._max_requests / INTERVAL_S)
+        self._net.set_expected_load(len(self._leader.cluster.machines), self._max_requests / INTERVAL_S)
         self._max_requests = 0
         self._leader.cluster.accounting.update(now)
 
--- a/oatport/service/network.py
+++ b/oatport/service/network.py
@@ -42,7 +42,7 @@
     def session(self) -> aiohttp.ClientSession:
         """Returns the session for services outside the cluster, such as a price feed."""
 
-    def expect(self, machines: int, commands_per_s: float) -> None:
+    def set_expected_load(self, machines: int, commands_per_s: float) -> None:
         """Sets the number of machines and the expected rate of commands to them."""
 
     def open_connections(self) -> int:
@@ -83,7 +83,7 @@
         """Returns a client that sends requests to an address."""
         return HttpClient(self._sessions[reuse], address)
 
-    def expect(self, machines: int, commands_per_s: float) -> None:
+    def set_expected_load(self, machines: int, commands_per_s: float) -> None:
         """Sets the idle timeout to the longest one that leaves enough connections for these machines and commands."""
         idle_timeout_us = self._budget.idle_timeout_us(machines, commands_per_s)
         ratio = idle_timeout_us / self._idle_timeout_us
--- a/oatport/service/node.py
+++ b/oatport/service/node.py
@@ -133,14 +133,14 @@
 
     def _start_loops(self) -> None:
         background = self.background
-        background.keep("election", self.election.loop)
-        background.keep("leader key watch", self.election.watch_loop)
-        background.keep("catalog", self._catalog_reader.loop)
-        background.keep("state service contact", self._state_service_contact.loop)
-        background.keep("confirmed cancellations", self.peer_notifier.collect_loop)
-        background.keep("completions", self.completion_replicator.loop)
+        background.supervise("election", self.election.loop)
+        background.supervise("leader key watch", self.election.watch_loop)
+        background.supervise("catalog", self._catalog_reader.loop)
+        background.supervise("state service contact", self._state_service_contact.loop)
+        background.supervise("confirmed cancellations", self.peer_notifier.collect_loop)
+        background.supervise("completions", self.completion_replicator.loop)
         for name, client in self.peers.items():
-            background.keep(f"ping {name}", lambda client=client: self._peer_contact.ping_loop(client))  # type: ignore[misc]
+            background.supervise(f"ping {name}", lambda client=client: self._peer_contact.ping_loop(client))  # type: ignore[misc]
 
     def peer_api(self) -> PeerApi:
         """Returns the handlers of the messages that other nodes send."""
@@ -168,7 +168,7 @@
         if self.connection_budget.is_exhausted(connections) and path != wire.READY_PATH:
             return Response(503, {"error": "no connections left"}, dict(OVERLOADED_HEADERS))
         answer = await self.users.handle(method, path, body)
-        if self.connection_budget.closes_after_response(connections):
+        if self.connection_budget.should_close_after_response(connections):
             answer.headers["Connection"] = "close"
         return answer
 
@@ -238,7 +238,7 @@
         """Returns whether the state service answers this node."""
         return self._state_service_contact.answers()
 
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Returns whether this node is ready.
 
         A node that the state service does not answer is unready only if it answers a peer: in an outage for all,
--- a/oatport/service/orphaned_job_lookup.py
+++ b/oatport/service/orphaned_job_lookup.py
@@ -24,12 +24,12 @@
     def look_up(self) -> None:
         """Starts to read the records of jobs whose teams are unknown."""
         for job_id in [
-            job_id for job_id in self._leader.cluster.quotas.unknown_attempts if job_id not in self.in_flight
+            job_id for job_id in self._leader.cluster.quotas.attempts_of_unknown_jobs if job_id not in self.in_flight
         ]:
             if len(self.in_flight) >= MAX_CONCURRENT_LOOKUPS:
                 return  # outdated heartbeats may name hundreds of ended jobs; lease renewals and users have priority
             self.in_flight.add(job_id)
-            self._leader.background.once("orphaned job lookup", self.read(job_id))
+            self._leader.background.spawn("orphaned job lookup", self.read(job_id))
 
     async def read(self, job_id: str) -> None:
         """Reads the record of one job, resolves its attempts, and starts further lookups."""
--- a/oatport/service/partition_controller.py
+++ b/oatport/service/partition_controller.py
@@ -63,7 +63,7 @@
         to_release = self._evacuation.machines_to_release(now, self._zones_with_proxy())
         # A leader in the same partition may answer heartbeats until then, and no node can ask it what it received.
         answered_until = leader.led_since + micros(leader.settings.cluster.workers.cancel_s)
-        return [m for m in to_release if not cluster.completions.may_report_unknown(m, now, answered_until)]
+        return [m for m in to_release if not cluster.completions.may_hold_unknown_completions(m, now, answered_until)]
 
     def _zones_with_proxy(self) -> frozenset[str]:
         """Returns partitioned zones that were lost together with a node, which is a lease proxy for their workers."""
--- a/oatport/service/peer_notifications.py
+++ b/oatport/service/peer_notifications.py
@@ -27,7 +27,7 @@
 from oatport.times import MS, micros, steady
 
 COLLECT_INTERVAL = 400 * MS
-RECORDS_ARE_STALE = 2_500 * MS  # the job watch returns every second while the state service answers
+RECORDS_STALE_AFTER = 2_500 * MS  # the job watch returns every second while the state service answers
 NOTIFY_ATTEMPTS = 2
 NOTIFY_RETRY_INTERVAL = 100 * MS
 
@@ -84,7 +84,7 @@
         if leader is not None:
             leader.on_job_hint(hint)
         elif peer is not None:
-            self._node.background.once("job hint", notify_with_retry(peer, hint))
+            self._node.background.spawn("job hint", notify_with_retry(peer, hint))
 
     async def on_job_hint(self, hint: JobAccepted | JobCancelled) -> Ok:
         """Handles a hint that another node accepted a job or confirmed its cancellation."""
@@ -99,7 +99,7 @@
     ) -> ConfirmedCancellationsReply:
         """Returns the cancellations that this node confirmed within `request.age_us` before the request was sent."""
         confirmed = self.confirmed_cancellations.confirmed_within(steady(), request.age_us)
-        return ConfirmedCancellationsReply(confirmed.complete_for_us, confirmed.job_ids)
+        return ConfirmedCancellationsReply(confirmed.complete_within_us, confirmed.job_ids)
 
     async def collect_loop(self) -> None:
         """Collects confirmed cancellations from all nodes while this node leads and the records can't be read."""
@@ -108,14 +108,14 @@
             if (
                 leader is not None
                 and leader.loaded
-                and steady() - leader.lease_renewal_limit.cancellations_known_at > RECORDS_ARE_STALE
+                and steady() - leader.lease_renewal_limit.cancellations_read_at > RECORDS_STALE_AFTER
             ):
                 await self.collect(leader)
             await asyncio.sleep(jitter(COLLECT_INTERVAL))
 
     async def collect(self, leader: Leader) -> None:
         """Carries out confirmed cancellations, and advances the watermark if all nodes gave complete answers."""
-        asked_at, since = steady(), leader.lease_renewal_limit.cancellations_known_at
+        asked_at, since = steady(), leader.lease_renewal_limit.cancellations_read_at
         request = ConfirmedCancellationsRequest(asked_at - since)
         replies = await asyncio.gather(
             *(peer.ask(request, ConfirmedCancellationsReply.decode) for peer in self._node.peers.values()),
@@ -127,7 +127,7 @@
         complete = True
         job_ids: dict[str, None] = {}
         own = self.confirmed_cancellations.confirmed_within(steady(), answered_at - since)
-        for reply in (ConfirmedCancellationsReply(own.complete_for_us, own.job_ids), *replies):
+        for reply in (ConfirmedCancellationsReply(own.complete_within_us, own.job_ids), *replies):
             if isinstance(reply, NoResponseError | MalformedReplyError):
                 complete = False  # the peer is unreachable, runs an earlier version, or sent a malformed reply
                 continue
--- a/oatport/service/planning_loop.py
+++ b/oatport/service/planning_loop.py
@@ -42,7 +42,7 @@
                 await asyncio.sleep(PAUSED_INTERVAL_S)
                 continue
             router.step(now, now_wall)
-            if self.placer.due(now):
+            if self.placer.is_due(now):
                 self.placer.plan(now)
                 leader.wake()
             # Rests leave most of the CPU to heartbeats and lease renewals, however much there is to plan.
--- a/oatport/service/reachability.py
+++ b/oatport/service/reachability.py
@@ -50,7 +50,7 @@
         for machine in machines:
             if not machine.probing and now - machine.probed_at > PROBE_INTERVAL and machine.address:
                 machine.probing, machine.probed_at = True, now
-                self._leader.background.once("probe", self._probe(machine))
+                self._leader.background.spawn("probe", self._probe(machine))
 
     async def _probe(self, machine: Machine) -> None:
         try:
@@ -70,9 +70,9 @@
         A release request of a node without contact could be held by the partition and executed minutes later, when the
         machines already work for another leader.
         """
-        return self._leader.holds_lease() and await self.still_leading()
+        return self._leader.holds_lease() and await self.verify_leadership()
 
-    async def still_leading(self) -> bool:
+    async def verify_leadership(self) -> bool:
         """Returns whether the state service answers and this leader owns the leader key; steps down if it is lost."""
         try:
             found = await self._leader.state.get(LEADER_KEY)
--- a/oatport/service/scaling_controller.py
+++ b/oatport/service/scaling_controller.py
@@ -49,7 +49,7 @@
             CATALOG_INTERVAL if leader.cluster.catalog.types else CATALOG_RETRY_INTERVAL
         ):
             self._catalog_refreshed_at = now
-            leader.background.once("catalog", self._cloud_controller.refresh_catalog())
+            leader.background.spawn("catalog", self._cloud_controller.refresh_catalog())
         if self._view_is_complete(now) and not leader.decisions_paused(now):
             self._scale_out(now)
         idle = self._capacity_planner.scale_in.machines_to_release(now)
@@ -59,8 +59,8 @@
     def _scale_out(self, now: int) -> None:
         cluster = self._leader.cluster
         cluster.refresh_usable_machines(now)
-        due = self._capacity_planner.scale_out.due(now)
-        if due:
+        is_due = self._capacity_planner.scale_out.is_due(now)
+        if is_due:
             # Pending tasks are placed on uncordoned machines first; otherwise too many machines were rented.
             self._has_uncordoned = self._capacity_planner.scale_in.update_cordons() and not self._has_uncordoned
             cluster.planning_needed = cluster.planning_needed or self._has_uncordoned
@@ -68,16 +68,16 @@
             self._rebalance(now)
         # Only a few requests are in flight: a queue of requests that the cloud refuses would delay those that it grants
         # until their machines are no longer needed.
-        requests = self._capacity_planner.scale_out.plan(now) if due and not self._has_uncordoned else []
+        requests = self._capacity_planner.scale_out.plan(now) if is_due and not self._has_uncordoned else []
         in_flight = self._capacity_planner.availability.requests_in_flight
         for request in requests[: max(0, MAX_REQUESTS_IN_FLIGHT - len(in_flight))]:
             in_flight.append(request)
-            self._leader.background.once("rent", self._cloud_controller.rent(request))
+            self._leader.background.spawn("rent", self._cloud_controller.rent(request))
 
     def _rebalance(self, now: int) -> None:
         cluster = self._leader.cluster
-        replicas = sum(job.on_machines for job in cluster.jobs.values() if job.kind is JobKind.SERVICE)
-        cluster.accounting.replica_us += replicas * (now - self._rebalanced_at) if self._rebalanced_at else 0
+        replicas = sum(job.placed_task_count for job in cluster.jobs.values() if job.kind is JobKind.SERVICE)
+        cluster.accounting.replica_bound_us += replicas * (now - self._rebalanced_at) if self._rebalanced_at else 0
         self._rebalanced_at = now
         for task in self._capacity_planner.rebalancer.replicas_to_move(now):
             cluster.tasks.stop(task, 0.0)
@@ -90,5 +90,7 @@
             return True
         if not self._machine_list.listed_at:
             return False
-        unconfirmed = any(m.was_ready and not m.is_confirmed(leader.token) for m in leader.cluster.machines.values())
+        unconfirmed = any(
+            m.was_ready and not m.has_reported_under(leader.token) for m in leader.cluster.machines.values()
+        )
         return not unconfirmed or now - leader.led_since > CONFIRMATION_TIMEOUT
--- a/oatport/service/schema_version_controller.py
+++ b/oatport/service/schema_version_controller.py
@@ -20,7 +20,7 @@
 ASK_INTERVAL = SECOND
 
 
-def current_boots(replies: Iterable[SchemaVersionReply | BaseException]) -> dict[str, str]:
+def compatible_boots(replies: Iterable[SchemaVersionReply | BaseException]) -> dict[str, str]:
     """Returns the names and boot ids of nodes that read this version's records; failed requests are ignored."""
     return {
         reply.node_name: reply.boot_id
@@ -37,19 +37,19 @@
 
     def start(self) -> None:
         """Starts the loop."""
-        self._leader.background.keep("schema version", self.loop)
+        self._leader.background.supervise("schema version", self.loop)
 
     async def loop(self) -> None:
         """Asks all nodes until all of them read this version's records; the result is recorded for later leaders."""
         leader, node = self._leader, self._leader.node
         gate = schema_version.SchemaVersionGate([node.node_name, *node.peers])
-        while not leader.stopped and not leader.cluster.writes.layout.splits_records:
+        while not leader.stopped and not leader.cluster.writes.layout.should_split_records:
             replies = await asyncio.gather(
                 *(peer.ask(SchemaVersionRequest(), SchemaVersionReply.decode_reply) for peer in node.peers.values()),
                 return_exceptions=True,
             )
             own = SchemaVersionReply(node.node_name, node.boot_id, schema_version.SCHEMA_VERSION)
-            if gate.on_round(current_boots([own, *replies])):
+            if gate.on_poll_round(compatible_boots([own, *replies])):
                 # If the outcome is unknown, the next round reads what was recorded.
                 with contextlib.suppress(NoResponseError, RequestRefusedError):
                     await self.open_gate(gate)
--- a/oatport/service/state_service_contact.py
+++ b/oatport/service/state_service_contact.py
@@ -29,13 +29,13 @@
         self._node = node
         self._election = election
         self._handover = handover
-        self._lease_us = node.tuning.us("leader_lease_s")
+        self._lease_us = node.tuning.duration_us("leader_lease_s")
 
     def answers(self) -> bool:
         """Returns whether the state service answers this node."""
         state = self._node.state
-        return state.last_served_at > 0 and (
-            steady() - state.last_served_at < ANSWER_VALIDITY or state.last_failed_at <= state.last_served_at
+        return state.last_success_at > 0 and (
+            steady() - state.last_success_at < ANSWER_VALIDITY or state.last_failure_at <= state.last_success_at
         )
 
     async def loop(self) -> None:
@@ -45,7 +45,7 @@
             try:
                 if leader is not None:
                     await self._renew_lease(leader)
-                elif steady() - self._node.state.last_served_at > SECOND:
+                elif steady() - self._node.state.last_success_at > SECOND:
                     await self._node.state.get(LEADER_KEY)
             except LeaseExpiredError:
                 if leader is self._election.leader:
@@ -60,7 +60,7 @@
     async def _renew_lease(self, leader: Leader) -> None:
         requested_at = steady()
         await self._node.state.renew_lease(leader.lease_id, min(self._lease_us // 2, SECOND))
-        leader.leader_lease.renewed(requested_at)
+        leader.leader_lease.on_renewed(requested_at)
         peer = self._handover.better_placed_peer()
         if peer is not None and leader is self._election.leader and leader.loaded:
             self._handover.offer_in_background(leader, peer)  # so that lease renewals are not delayed
--- a/oatport/service/window_controller.py
+++ b/oatport/service/window_controller.py
@@ -17,7 +17,7 @@
 
 log = logging.getLogger(__name__)
 
-KEY = "windows"
+WINDOWS_KEY = "windows"
 WRITE_INTERVAL = 60 * SECOND
 INTERVAL_S = 1.0
 
@@ -43,13 +43,13 @@
 
         Raises NoResponseError or RequestRefusedError.
         """
-        found = await self._leader.state.get(KEY)
+        found = await self._leader.state.get(WINDOWS_KEY)
         if found is not None:
-            self._leader.cluster.writes.versions[KEY] = found[1]
+            self._leader.cluster.writes.versions[WINDOWS_KEY] = found[1]
             if isinstance(found[0], dict):
                 self.book.load(found[0].get("book"), self.wall())
                 self.holder.set_up(found[0])
-        self._leader.cluster.writes.singleton_records[KEY] = self.record
+        self._leader.cluster.writes.singleton_records[WINDOWS_KEY] = self.record
         now = self.wall()
         for job in sorted(self._leader.cluster.jobs.values(), key=lambda job: (job.submitted_at, job.job_id)):
             self.holder.joined(job, now)
@@ -60,7 +60,7 @@
 
     def start(self) -> None:
         """Starts the loops."""
-        self._leader.background.keep("windows", self._loop)
+        self._leader.background.supervise("windows", self._loop)
         if self.settings.feed:
             client = FeedClient(
                 self._session,
@@ -71,7 +71,7 @@
                 self.settings.timeout_s,
                 self._leader.wake,
             )
-            self._leader.background.keep("price feed", client.loop)
+            self._leader.background.supervise("price feed", client.loop)
 
     def on_job_admitted(self, job: Job) -> None:
         """Adds a newly pending job, whose start may be deferred."""
@@ -94,7 +94,7 @@
         now = steady()
         if self.book.version != self._written[0] or now - self._written[1] > WRITE_INTERVAL:
             if self.book.read_at or self.holder.margins:
-                self._leader.cluster.writes.dirty_keys[KEY] = None
+                self._leader.cluster.writes.dirty_keys[WINDOWS_KEY] = None
             self._written = self.book.version, now
         self._leader.wake()
 
--- a/oatport/settings.py
+++ b/oatport/settings.py
@@ -88,22 +88,22 @@
     next: NextLimits = NextLimits()
 
     @property
-    def least_rps(self) -> float:
+    def min_rps(self) -> float:
         """Requests a second that hold now and later."""
         return min(self.rps, self.next.rps or self.rps)
 
     @property
-    def least_write_rps(self) -> float:
+    def min_write_rps(self) -> float:
         """Operations that write a second, now and later."""
         return min(self.write_rps, self.next.write_rps or self.write_rps)
 
     @property
-    def least_value_bytes(self) -> int:
+    def min_value_bytes(self) -> int:
         """What a value may take as JSON, now and later."""
         return int(min(self.value_kb, self.next.value_kb or self.value_kb) * 1024)
 
     @property
-    def least_txn_ops(self) -> int:
+    def min_txn_ops(self) -> int:
         """Operations in one transaction, now and later."""
         return min(self.txn_ops, self.next.txn_ops or self.txn_ops)
 
@@ -175,7 +175,7 @@
     move_share: float = field(default=0.0005, metadata={"section": "fleet", "min": 0.0, "max": 1.0})
     silent_s: float = field(default=5.0, metadata={"section": "fleet", "min": 1.0, "max": 3600.0})
 
-    def us(self, name: str) -> int:
+    def duration_us(self, name: str) -> int:
         """A setting in seconds as microseconds."""
         return micros(getattr(self, name))
 
--- a/oatport/simulation/faults/services.py
+++ b/oatport/simulation/faults/services.py
@@ -57,7 +57,7 @@
     def lower_state_limits(self, fault: Fault) -> None:
         """The state service's next limits hold from now on."""
         limits = self._limits
-        self._state.set_limits(limits.least_value_bytes, limits.least_txn_ops, limits.least_write_rps)
+        self._state.set_limits(limits.min_value_bytes, limits.min_txn_ops, limits.min_write_rps)
 
     def stop_cloud(self, fault: Fault) -> EndFault:
         """The cloud's interface answers 503."""
--- a/oatport/simulation/mutations.py
+++ b/oatport/simulation/mutations.py
@@ -26,7 +26,7 @@
 from oatport.control.state.task import TaskPhase
 from oatport.control.state.task_lifecycle import TaskLifecycle
 from oatport.control.state.unwritten_completions import UnwrittenCompletions
-from oatport.control.storage.keys import CHUNK_TASKS, GROUP_MACHINES, LEADER_KEY
+from oatport.control.storage.keys import LEADER_KEY, MACHINES_PER_GROUP, TASKS_PER_CHUNK
 from oatport.control.storage.record_layout import RecordLayout
 from oatport.control.storage.schema_version import SchemaVersionGate
 from oatport.service.cloud_controller import CloudController
@@ -132,7 +132,7 @@
 
 def _transitive_cancellation() -> list[Any]:
     """Only jobs that name the cancelled one are cancelled with it, not those that need these."""
-    with_dependencies = JobStatusCache._with_dependencies
+    with_dependencies = JobStatusCache._propagate_cancellation
 
     def direct(self: DependencyGraph, ref: str) -> list[str]:
         found = self.dependents_of(ref)
@@ -141,11 +141,11 @@
         self._dependents.pop(ref, None)
         return found
 
-    async def one_step(self: JobStatusCache, ref: str, known: Any, fresh: bool) -> Any:
-        dependencies = [self.known(dependency) for dependency in known.dependencies]
+    async def one_step(self: JobStatusCache, ref: str, snapshot: Any, fresh: bool) -> Any:
+        dependencies = [self.snapshot(dependency) for dependency in snapshot.dependencies]
         if any(job is not None and job.state == "queued" for job in dependencies) or not dependencies:
-            return known
-        return await with_dependencies(self, ref, known, fresh)
+            return snapshot
+        return await with_dependencies(self, ref, snapshot, fresh)
 
     def unseen(self: DependencyTracker, ref: str) -> None:
         for name in self.graph.cancel(ref):
@@ -157,7 +157,7 @@
 
     return [
         patch.object(DependencyGraph, "cancel", direct),
-        patch.object(JobStatusCache, "_with_dependencies", one_step),
+        patch.object(JobStatusCache, "_propagate_cancellation", one_step),
         patch.object(DependencyTracker, "cancel_dependents", unseen),
         patch.object(DependencyController, "_apply_state", forgets),
     ]
@@ -165,15 +165,15 @@
 
 def _feature_gate() -> list[Any]:
     """A new schema version is written before all nodes are known to read it."""
-    return [patch.object(SchemaVersionGate, "on_round", lambda self, boots: True)]
+    return [patch.object(SchemaVersionGate, "on_poll_round", lambda self, boots: True)]
 
 
 def _record_size() -> list[Any]:
     """Records may grow to any size."""
     return [
-        patch.object(RecordLayout, "tasks_per_part", property(lambda self: CHUNK_TASKS)),
-        patch.object(RecordLayout, "head_tasks", lambda self, job: CHUNK_TASKS),
-        patch.object(RecordLayout, "machines_per_part", property(lambda self: GROUP_MACHINES)),
+        patch.object(RecordLayout, "tasks_per_part", property(lambda self: TASKS_PER_CHUNK)),
+        patch.object(RecordLayout, "tasks_in_head_record", lambda self, job: TASKS_PER_CHUNK),
+        patch.object(RecordLayout, "machines_per_part", property(lambda self: MACHINES_PER_GROUP)),
     ]
 
 
@@ -223,7 +223,7 @@
 def _unwritten_completions() -> list[Any]:
     """Machines are released, or given up, though they alone report a completion."""
     return [
-        patch.object(UnwrittenCompletions, "holds_unwritten", lambda self, machine: False),
+        patch.object(UnwrittenCompletions, "has_unwritten_completions", lambda self, machine: False),
         patch.object(UnwrittenCompletions, "expedite", lambda self, machine: None),
     ]
 
@@ -277,7 +277,7 @@
 
     async def first(self: GroupCommit, batch: Any) -> bool:
         key = next(iter(batch.sets), None) or batch.deletes[0]
-        found = await self.read_until_answered(key)
+        found = await self.read_with_retry(key)
         if key in batch.sets and (found is None or found[0] != batch.sets[key]):
             return False
         self.cluster.writes.committed(batch, found[1] if found else 0, steady())
--- a/oatport/simulation/node_network.py
+++ b/oatport/simulation/node_network.py
@@ -58,7 +58,7 @@
         """What this host asks an address by."""
         return NodeClient(self._net, self._host, address)
 
-    def expect(self, machines: int, a_second: float) -> None:
+    def set_expected_load(self, machines: int, a_second: float) -> None:
         """Connections are not counted here."""
 
     def open_connections(self) -> int:
--- a/oatport/times.py
+++ b/oatport/times.py
@@ -25,7 +25,7 @@
     return us / SECOND
 
 
-def with_drift(us: int) -> int:
+def shortened_by_drift(us: int) -> int:
     """A bound shortened so that it holds by every machine's steady clock."""
     return us - us * DRIFT_PER_MILLION // SECOND
 
--- a/oatport/windows/holding.py
+++ b/oatport/windows/holding.py
@@ -97,7 +97,7 @@
             return
         if job.deferral is not None:
             self._restore(job, deferral, wall)
-        elif job.next_untouched == 0 and job.start_limit < 0:
+        elif job.next_unbound_index == 0 and job.start_limit < 0:
             self._plan(job, deferral, wall)
 
     def _deferral(self, job: Job) -> Deferral | None:
@@ -255,7 +255,7 @@
         for ref in planner.improve(IMPROVED_AT_ONCE, frozen):
             self.anew += 1
             job = self.cluster.jobs[ref]
-            self._write(job, planner.plans[ref], max(job.start_limit, job.next_untouched))
+            self._write(job, planner.plans[ref], max(job.start_limit, job.next_unbound_index))
         self._coming(wall)
         if planner.now // planner.step != self._checked_slot:
             self._checked_slot = planner.now // planner.step
--- a/tests/call_counts.py
+++ b/tests/call_counts.py
@@ -22,7 +22,7 @@
 from oatport.control.queueing.pending_job_router import PendingJobRouter, route_pending
 from oatport.settings import Team
 from oatport.times import SECOND
-from tests.cluster_fixture import World
+from tests.cluster_fixture import ClusterHarness
 
 
 def calls(work: Callable[[], Any]) -> int:
@@ -63,67 +63,67 @@
     found = Counts(machines)
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
-    world = World([Team("crew")])
+    harness = ClusterHarness([Team("crew")])
     for number in range(1, machines + 1):
-        world.machine(number, "ab"[number % 2], spot=number % 4 == 3)
-    world.step()
-    world.step(1.0)
+        harness.machine(number, "ab"[number % 2], spot=number % 4 == 3)
+    harness.step()
+    harness.step(1.0)
     refs = 0
 
     def submit(**changes: Any) -> None:
         nonlocal refs
         refs += 1
-        world.submit(ref=f"j-{refs:06d}", hull=f"img-{refs % 10}", **changes)
+        harness.submit(ref=f"j-{refs:06d}", hull=f"img-{refs % 10}", **changes)
 
     for _ in range(machines // 6):
         submit(rig="standing", legs=4, cores=2.0, urgency="production", driftwood=False, spread=True)
     for _ in range(machines // 12):  # twice the room
         submit(legs=30, voyageS=50.0, tideS=120.0)
-    found.fill = calls(world.plan)
+    found.fill = calls(harness.plan)
     for _ in range(10):
-        world.step(4.0)
+        harness.step(4.0)
     # What half of the machines run ends in this round: that is what planning is about.
-    world.now += 8_000_000
-    for number, worker in enumerate(world.workers.values()):
+    harness.now += 8_000_000
+    for number, worker in enumerate(harness.workers.values()):
         for task in worker.tasks.values():
             if number % 2 and task.completes_at is not None:
-                task.completes_at = world.now
-        world.report(worker)
-    world.commit()
-    found.tasks = sum(job.on_machines for job in world.cluster.jobs.values())
-    found.route = calls(lambda: route_pending(world.cluster, world.fleet.availability, world.now, world.now))
-    found.plan = calls(lambda: world.placer.plan(world.now))
-    world.commit()
-    world.send()
+                task.completes_at = harness.now
+        harness.report(worker)
+    harness.commit()
+    found.tasks = sum(job.placed_task_count for job in harness.cluster.jobs.values())
+    found.route = calls(lambda: route_pending(harness.cluster, harness.fleet.availability, harness.now, harness.now))
+    found.plan = calls(lambda: harness.placer.plan(harness.now))
+    harness.commit()
+    harness.send()
     found.rent = calls(
         lambda: (
-            world.fleet.scale_in.update_cordons(),
-            world.fleet.scale_out.plan(world.now),
-            world.fleet.scale_in.machines_to_release(world.now),
+            harness.fleet.scale_in.update_cordons(),
+            harness.fleet.scale_out.plan(harness.now),
+            harness.fleet.scale_in.machines_to_release(harness.now),
         )
     )
-    found.move = calls(lambda: world.fleet.rebalancer.replicas_to_move(world.now))
-    world.now += 1_000_000
-    reports = [wire.decode_heartbeat(worker.report()) for worker in world.workers.values()]
-    found.heartbeats = calls(lambda: [world.cluster.heartbeats.receive(r, world.now, world.now) for r in reports])
-    found.tick = calls(lambda: world.cluster.accounting.update(world.now))
+    found.move = calls(lambda: harness.fleet.rebalancer.replicas_to_move(harness.now))
+    harness.now += 1_000_000
+    reports = [wire.decode_heartbeat(worker.report()) for worker in harness.workers.values()]
+    found.heartbeats = calls(lambda: [harness.cluster.heartbeats.receive(r, harness.now, harness.now) for r in reports])
+    found.tick = calls(lambda: harness.cluster.accounting.update(harness.now))
     for _ in range(machines // 2):
         submit(legs=1, cores=1.0, urgency="idle")
     submit(legs=20 * machines, cores=1.0, voyageS=100.0)
-    found.small_jobs = calls(world.plan)
-    world.commit()
-    world.send()
+    found.small_jobs = calls(harness.plan)
+    harness.commit()
+    harness.send()
     found.held = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
-    found.changes = len(world.state.log)
+    found.changes = len(harness.state.log)
     rows = [
         row
-        for key, (value, _, _) in world.state.items.items()
+        for key, (value, _, _) in harness.state.items.items()
         if key.startswith(("live/", "fleet/"))
         for row in (key, value)
     ]
     found.failover_bytes = len(wire.encode(rows))
-    found.failover = calls(world.fail_over)
+    found.failover = calls(harness.fail_over)
     return found
 
 
@@ -143,57 +143,59 @@
 
 def backlog(machines: int, tasks: int) -> Backlog:
     found = Backlog(tasks)
-    world = World([Team("crew")])
+    harness = ClusterHarness([Team("crew")])
     for number in range(1, machines + 1):
-        world.machine(number, "ab"[number % 2], spot=number % 4 == 3)
-    world.step()
-    world.step(1.0)
+        harness.machine(number, "ab"[number % 2], spot=number % 4 == 3)
+    harness.step()
+    harness.step(1.0)
     refs = count(1)
 
     def submit(**changes: Any) -> None:
         number = next(refs)
-        world.submit(ref=f"j-{number:06d}", hull=f"img-{number % 10}", **changes)
+        harness.submit(ref=f"j-{number:06d}", hull=f"img-{number % 10}", **changes)
 
     for _ in range(machines * 3 // 10):
         submit(rig="standing", legs=4, cores=2.0, urgency="production", driftwood=False, spread=True, cargo="serve")
     for _ in range(3):
-        world.step(2.0)
-    room = sum(int(m.free_cpus // 4) for m in world.cluster.machines.values())
+        harness.step(2.0)
+    room = sum(int(m.free_cpus // 4) for m in harness.cluster.machines.values())
     for _ in range(room // 10):
         submit(legs=10, voyageS=3000.0, cargo="long", memoryGb=1.0)
     submit(legs=max(1, room % 10), voyageS=3000.0, cargo="long", memoryGb=1.0)
     for _ in range(3):
-        world.step(2.0)
-    for sort in [(kind, zone, spot) for kind in world.cluster.catalog.types for zone in "ab" for spot in (False, True)]:
-        world.fleet.availability.refused_until[sort] = world.now + 3600 * SECOND
+        harness.step(2.0)
+    for sort in [
+        (kind, zone, spot) for kind in harness.cluster.catalog.types for zone in "ab" for spot in (False, True)
+    ]:
+        harness.fleet.availability.refused_until[sort] = harness.now + 3600 * SECOND
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
     for number in range(tasks // 12):
         submit(legs=12, voyageS=50.0 + number % 7, tideS=120.0 + 10 * (number % 50), cargo="van")
-    router, cluster = PendingJobRouter(world.cluster, world.fleet.availability), world.cluster
-    world.plan()
+    router, cluster = PendingJobRouter(harness.cluster, harness.fleet.availability), harness.cluster
+    harness.plan()
     found.held = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
 
     def look() -> None:
         """As the leader's loops do (`service/planning_loop.py`, `service/scaling_controller.py`)."""
-        router.step(world.now, world.now)
-        if world.placer.due(world.now):
-            world.placer.plan(world.now)
+        router.step(harness.now, harness.now)
+        if harness.placer.is_due(harness.now):
+            harness.placer.plan(harness.now)
 
     def rent() -> None:
-        cluster.refresh_usable_machines(world.now)
-        if world.fleet.scale_out.due(world.now):
-            world.fleet.scale_in.update_cordons()
-            world.fleet.scale_out.plan(world.now)
-        world.fleet.scale_in.machines_to_release(world.now)
+        cluster.refresh_usable_machines(harness.now)
+        if harness.fleet.scale_out.is_due(harness.now):
+            harness.fleet.scale_in.update_cordons()
+            harness.fleet.scale_out.plan(harness.now)
+        harness.fleet.scale_in.machines_to_release(harness.now)
 
     def ten_seconds(each_second: Callable[[], None]) -> int:
         total = 0
         for step in range(100):
-            world.now += SECOND // 10
+            harness.now += SECOND // 10
             for machine in cluster.machines.values():
-                machine.last_heartbeat_at = world.now
+                machine.last_heartbeat_at = harness.now
             if step % 10 == 5:
                 each_second()
             looked = calls(look)
@@ -204,20 +206,20 @@
     def ends() -> None:
         running = [t for m in cluster.machines.values() for t in m.tasks if t.job.spec.job_class == "long"]
         for task in running[:10]:
-            cluster.tasks.complete(task, world.now, measured=False)
+            cluster.tasks.complete(task, harness.now, measured=False)
 
     ten_seconds(lambda: None)  # machines and routes settle
     found.longest = 0
     found.unchanged = ten_seconds(lambda: None)
     found.submissions = ten_seconds(lambda: submit(legs=12, voyageS=50.0, tideS=300.0, cargo="van"))
-    on_machines = sum(cluster.tasks.bound_by_priority)
+    placed_task_count = sum(cluster.tasks.bound_by_priority)
     found.completions = ten_seconds(ends)
-    found.bindings = sum(cluster.tasks.bound_by_priority) - on_machines + 100
-    world.commit()
-    world.send()
-    world.settle(3)
-    reports = [wire.decode_heartbeat(worker.report()) for worker in world.workers.values()]
-    found.heartbeats = calls(lambda: [cluster.heartbeats.receive(r, world.now, world.now) for r in reports])
+    found.bindings = sum(cluster.tasks.bound_by_priority) - placed_task_count + 100
+    harness.commit()
+    harness.send()
+    harness.settle(3)
+    reports = [wire.decode_heartbeat(worker.report()) for worker in harness.workers.values()]
+    found.heartbeats = calls(lambda: [cluster.heartbeats.receive(r, harness.now, harness.now) for r in reports])
     return found
 
 
--- a/tests/cluster_fixture.py
+++ b/tests/cluster_fixture.py
@@ -20,11 +20,11 @@
 from oatport.control.state.job import Job
 from oatport.control.storage.job_records import encode_submission
 from oatport.control.storage.keys import (
-    BLOCKED,
+    BLOCKED_PREFIX,
     CATALOG_KEY,
-    FLEET,
+    FLEET_PREFIX,
     LEADER_KEY,
-    LIVE,
+    LIVE_PREFIX,
     PARTITIONED_ZONES_KEY,
     SCHEMA_VERSION_KEY,
     blocked_key,
@@ -126,18 +126,18 @@
     }
 
 
-class World:
+class ClusterHarness:
     def __init__(self, teams: list[Team] | None = None, state: StateLimits | None = None) -> None:
         self.now = 1_000 * SECOND
         self.state = KeyStore(lambda: self.now)
         self.settings = cluster_settings(teams)
         if state is not None:
             self.settings = replace(self.settings, state=state)
-        self.ops = self.settings.state.least_txn_ops
+        self.ops = self.settings.state.min_txn_ops
         self.workers: dict[str, Worker] = {}
         self.jobs: dict[str, dict[str, Any]] = {}
-        self.refused: set[str] = set()
-        self.mute: set[str] = set()  # machines whose reports arrive, and that hear nothing
+        self.unreachable_machines: set[str] = set()
+        self.one_way_partitioned: set[str] = set()  # machines whose reports arrive, and that hear nothing
         self.retry_policies: RetryPolicies = {}
         self.fail_over()
 
@@ -152,7 +152,7 @@
         assert status == 200
         self.cluster = ClusterState(value["ledgerRev"], self.settings, Tuning(), dict(TYPES), RuntimePredictor())
         self.cluster.retry_policies = self.retry_policies
-        prefixes = (PARTITIONED_ZONES_KEY, SCHEMA_VERSION_KEY, FLEET, LIVE, BLOCKED)
+        prefixes = (PARTITIONED_ZONES_KEY, SCHEMA_VERSION_KEY, FLEET_PREFIX, LIVE_PREFIX, BLOCKED_PREFIX)
         rows = [entry for prefix in prefixes for entry in wire.decode_entry_page(self.state.list(prefix)[1]).entries]
         load_cluster(self.cluster, rows, self.now, self.now)
         self.placer = Placer(self.cluster)
@@ -193,11 +193,11 @@
             if not orders:
                 continue
             self.cluster.commands.on_sent(machine, starts, self.now, direct=True)
-            if machine.name in self.refused | self.mute or machine.name not in self.workers:
+            if machine.name in self.unreachable_machines | self.one_way_partitioned or machine.name not in self.workers:
                 continue
             body = wire.command_request(self.cluster.fencing_token, machine.agent_epoch, orders)
             _, report = self.workers[machine.name].commands(body)
-            self.cluster.commands.on_answered(machine, [(t.name, t.attempt) for t in starts])
+            self.cluster.commands.on_start_response(machine, [(t.name, t.attempt) for t in starts])
             self.cluster.heartbeats.receive(wire.decode_heartbeat(report), self.now, self.now)
 
     def report(self, worker: Worker) -> None:
@@ -205,28 +205,28 @@
         report = wire.decode_heartbeat(worker.report())
         machine = self.cluster.heartbeats.receive(report, self.now, self.now)
         orders: list[wire.Command] = []
-        if machine is not None and worker.name not in self.mute:
+        if machine is not None and worker.name not in self.one_way_partitioned:
             self.cluster.commands.on_contact(machine)  # asked at once, if it is doubted that it hears
         if machine is not None and not machine.releasing:
             self.cluster.commands.on_heartbeat_delivered(machine, report)
             orders, starts = self.cluster.commands.for_machine(machine, self.now, direct=False)
             self.cluster.commands.on_sent(machine, starts, self.now, direct=False)
-        if worker.name not in self.mute:
+        if worker.name not in self.one_way_partitioned:
             worker.answer(sent, session, wire.heartbeat_response(self.cluster.fencing_token, orders))
 
     def step(self, seconds: float = 0.0) -> None:
         """Time passes, everybody reports, and the leader acts."""
         self.now += round(seconds * SECOND)
         for name, worker in list(self.workers.items()):
-            if name not in self.refused:
+            if name not in self.unreachable_machines:
                 self.report(worker)
         self.commit()
-        self.look_up()
+        self.resolve_dependencies()
         self.plan()
         self.commit()
         self.send()
 
-    def look_up(self) -> None:
+    def resolve_dependencies(self) -> None:
         """The leader reads how needed jobs stand of which it has no record."""
         for ref in list(self.cluster.dependencies.graph.unresolved):
             found = self.state.items.get(job_key(ref))
@@ -265,7 +265,7 @@
         self.cluster.job_lifecycle.add(spec.job_id, spec, value["ledgerRev"], self.now)
         return spec.job_id
 
-    def cancel(self, ref: str, *, tell: bool = True) -> None:
+    def cancel(self, ref: str, *, notify_leader: bool = True) -> None:
         record, version, _ = self.state.items[job_key(ref)]
         status, value = self.state.commit(
             {
@@ -277,7 +277,7 @@
             }
         )
         assert status == 200
-        if tell:
+        if notify_leader:
             self.cluster.job_lifecycle.cancel(ref, value["ledgerRev"])
 
     def machine(self, number: int, zone: str = "a", *, spot: bool = False, kind: str = "m8") -> Worker:
@@ -286,12 +286,12 @@
         self.workers[name] = worker
         return worker
 
-    def released(self, name: str) -> None:
+    def confirm_release(self, name: str) -> None:
         """The cloud answered a release."""
         self.workers.pop(name, None)
         self.cluster.on_machine_removed(self.cluster.machines[name], self.now, "returned")
 
-    def live(self, ref: str) -> dict[str, list[str]]:
+    def task_locations(self, ref: str) -> dict[str, list[str]]:
         """Where a job's tasks are: task -> machines that have it unfinished."""
         places: dict[str, list[str]] = {}
         for worker in self.workers.values():
@@ -305,15 +305,15 @@
         return str(self.state.items[job_key(ref)][0]["state"])
 
 
-class Unplugged:
+class UnreachableNetwork:
     """A network on which nobody is reached."""
 
     session = None
 
-    def client(self, address: str, keep: Any = None) -> Unplugged:
+    def client(self, address: str, keep: Any = None) -> UnreachableNetwork:
         return self
 
-    def expect(self, machines: int, a_second: float) -> None:
+    def set_expected_load(self, machines: int, a_second: float) -> None:
         pass
 
     async def request(self, *args: Any, **more: Any) -> tuple[int, Any]:
@@ -327,8 +327,8 @@
         self.state = state
         self.faults: list[str] = []
         self.held: list[dict[str, Any]] = []
-        self.last_served_at = 1
-        self.last_failed_at = 0
+        self.last_success_at = 1
+        self.last_failure_at = 0
         self.reads = 0
 
     def _fault(self) -> str:
@@ -396,4 +396,13 @@
         return [self.state.commit(body)[0] for body in held]
 
 
-__all__ = ["CATALOG_KEY", "TYPES", "FakeStateClient", "Unplugged", "World", "cluster_settings", "job", "node_settings"]
+__all__ = [
+    "CATALOG_KEY",
+    "TYPES",
+    "ClusterHarness",
+    "FakeStateClient",
+    "UnreachableNetwork",
+    "cluster_settings",
+    "job",
+    "node_settings",
+]
--- a/tests/test_best_effort_jobs.py
+++ b/tests/test_best_effort_jobs.py
@@ -7,7 +7,7 @@
 from oatport.control.state.machine import Machine
 from oatport.settings import Team
 from oatport.times import SECOND
-from tests.cluster_fixture import World
+from tests.cluster_fixture import ClusterHarness
 
 TEAMS = [Team("crew", cpus=8.0, cpus_max=32.0), Team("scavenger")]
 BEST_EFFORT = {"urgency": "idle", "crew": "scavenger", "cores": 2.0}
@@ -15,166 +15,166 @@
 
 def test_spot_machines_and_no_owned_one_are_rented_for_a_long_best_effort_array() -> None:
     # It was sent to owned machines, of which there was none for it all day.
-    world = World(TEAMS)
-    world.machine(1)
-    world.settle()
-    ref = world.submit(legs=20, voyageS=300.0, **BEST_EFFORT)
-    world.settle()
-    assert world.cluster.jobs[ref].tier == SPOT
-    assert world.live(ref) == {}  # the empty owned machine is not kept for it
-    rentals = world.fleet.scale_out.plan(world.now)
+    harness = ClusterHarness(TEAMS)
+    harness.machine(1)
+    harness.settle()
+    ref = harness.submit(legs=20, voyageS=300.0, **BEST_EFFORT)
+    harness.settle()
+    assert harness.cluster.jobs[ref].tier == SPOT
+    assert harness.task_locations(ref) == {}  # the empty owned machine is not kept for it
+    rentals = harness.fleet.scale_out.plan(harness.now)
     assert rentals
     assert all(rental.spot for rental in rentals)
     for rental in rentals:
-        world.fleet.availability.refuse(rental, world.now)
-    world.plan()
-    assert not any(not rental.spot for rental in world.fleet.scale_out.plan(world.now))
+        harness.fleet.availability.refuse(rental, harness.now)
+    harness.plan()
+    assert not any(not rental.spot for rental in harness.fleet.scale_out.plan(harness.now))
 
 
 def test_best_effort_tasks_use_the_capacity_beside_replicas() -> None:
-    world = World(TEAMS)
-    world.machine(1)
-    world.submit(ref="j-000001", rig="standing", urgency="production", legs=1, driftwood=False)
-    world.settle()
-    best_effort = world.submit(ref="j-000002", legs=4, voyageS=300.0, **BEST_EFFORT)
-    world.settle()
-    assert len(world.live(best_effort)) == 2
+    harness = ClusterHarness(TEAMS)
+    harness.machine(1)
+    harness.submit(ref="j-000001", rig="standing", urgency="production", legs=1, driftwood=False)
+    harness.settle()
+    best_effort = harness.submit(ref="j-000002", legs=4, voyageS=300.0, **BEST_EFFORT)
+    harness.settle()
+    assert len(harness.task_locations(best_effort)) == 2
     # They give way at once.
-    world.submit(ref="j-000003", rig="standing", urgency="production", legs=1, driftwood=False)
-    world.settle()
-    assert len(world.live("j-000003")) == 1
+    harness.submit(ref="j-000003", rig="standing", urgency="production", legs=1, driftwood=False)
+    harness.settle()
+    assert len(harness.task_locations("j-000003")) == 1
 
 
 def test_an_owned_machine_with_best_effort_tasks_only_is_cordoned() -> None:
-    world = World(TEAMS)
-    world.machine(1)
-    service = world.submit(ref="j-000001", rig="standing", urgency="production", legs=1, driftwood=False)
-    world.settle()
-    best_effort = world.submit(ref="j-000002", legs=4, voyageS=300.0, **BEST_EFFORT)
-    world.settle()
-    world.cancel(service)
-    world.settle()
-    assert len(world.live(best_effort)) == 2
-    world.fleet.scale_in.update_cordons()
-    assert world.cluster.machines["vm-000001"].cordoned_for_scale_in
+    harness = ClusterHarness(TEAMS)
+    harness.machine(1)
+    service = harness.submit(ref="j-000001", rig="standing", urgency="production", legs=1, driftwood=False)
+    harness.settle()
+    best_effort = harness.submit(ref="j-000002", legs=4, voyageS=300.0, **BEST_EFFORT)
+    harness.settle()
+    harness.cancel(service)
+    harness.settle()
+    assert len(harness.task_locations(best_effort)) == 2
+    harness.fleet.scale_in.update_cordons()
+    assert harness.cluster.machines["vm-000001"].cordoned_for_scale_in
 
 
 def test_many_small_jobs_are_not_bound_faster_than_they_can_be_recorded() -> None:
-    world = World(TEAMS)
+    harness = ClusterHarness(TEAMS)
     for number in range(1, 13):
-        world.machine(number, spot=True)
-    world.settle(2)
+        harness.machine(number, spot=True)
+    harness.settle(2)
     for number in range(100):
-        world.submit(ref=f"j-{number:06d}", legs=1, memoryGb=0.5, **{**BEST_EFFORT, "cores": 0.25})
-    world.plan()
-    bound = sum(job.on_machines for job in world.cluster.jobs.values())
+        harness.submit(ref=f"j-{number:06d}", legs=1, memoryGb=0.5, **{**BEST_EFFORT, "cores": 0.25})
+    harness.plan()
+    bound = sum(job.placed_task_count for job in harness.cluster.jobs.values())
     assert 0 < bound < 40
-    urgent = world.submit(ref="j-000200", urgency="production", rig="standing", legs=1)
-    world.step()
-    assert len(world.live(urgent)) == 1
-    world.settle(5)
-    assert sum(job.on_machines for job in world.cluster.jobs.values()) == 101
+    urgent = harness.submit(ref="j-000200", urgency="production", rig="standing", legs=1)
+    harness.step()
+    assert len(harness.task_locations(urgent)) == 1
+    harness.settle(5)
+    assert sum(job.placed_task_count for job in harness.cluster.jobs.values()) == 101
 
 
 def test_a_huge_array_and_many_small_jobs_are_planned_and_recorded_in_little_work() -> None:
-    world = World(TEAMS)
+    harness = ClusterHarness(TEAMS)
     for number in range(1, 5):
-        world.machine(number, spot=True)
-    world.settle(2)
-    huge = world.submit(legs=25_000, voyageS=5.0, memoryGb=0.5, **BEST_EFFORT)
-    world.settle(12)
-    job = world.cluster.jobs[huge]
+        harness.machine(number, spot=True)
+    harness.settle(2)
+    huge = harness.submit(legs=25_000, voyageS=5.0, memoryGb=0.5, **BEST_EFFORT)
+    harness.settle(12)
+    job = harness.cluster.jobs[huge]
     assert len(job.completed) > 16
-    assert job.on_machines == 16
+    assert job.placed_task_count == 16
     assert len(job.tasks) <= 200  # tasks never touched are numbers only
-    keys = [key for key in world.state.items if key.startswith(f"live/{huge}")]
+    keys = [key for key in harness.state.items if key.startswith(f"live/{huge}")]
     assert len(keys) <= 3
     for number in range(2, 300):
-        world.submit(ref=f"j-{number:06d}", legs=1, memoryGb=0.5 + number / 1e6, **{**BEST_EFFORT, "cores": 8.0})
-    search = world.placer.candidates.best
+        harness.submit(ref=f"j-{number:06d}", legs=1, memoryGb=0.5 + number / 1e6, **{**BEST_EFFORT, "cores": 8.0})
+    search = harness.placer.candidates.best
     searched: list[Job] = []
 
     def counted(pending: Job, machines: list[Machine]) -> Machine | None:
         searched.append(pending)
         return search(pending, machines)
 
-    world.placer.candidates.best = counted  # type: ignore[method-assign]
-    world.plan()
+    harness.placer.candidates.best = counted  # type: ignore[method-assign]
+    harness.plan()
     assert 0 < len(searched) <= 30  # one that found no capacity speaks for all that need as much
 
 
 def test_best_effort_tasks_give_way_at_once_and_nothing_is_rented_for_what_they_free() -> None:
     """An array got capacity for eight tasks in four seconds, and ordinary machines were rented for the rest."""
-    world = World([Team("crew", cpus=8.0), Team("scavenger")])
+    harness = ClusterHarness([Team("crew", cpus=8.0), Team("scavenger")])
     for number in range(1, 11):
-        world.machine(number, spot=True)
-    world.settle(2)
-    world.submit(ref="j-000001", legs=40, voyageS=300.0, **BEST_EFFORT)
-    world.settle()
-    array = world.submit(ref="j-000002", legs=16, tideS=70.0)
-    world.plan()
-    assert not world.fleet.scale_out.plan(world.now)
-    world.settle(5)  # a task a machine each second
-    assert len(world.live(array)) == 16
+        harness.machine(number, spot=True)
+    harness.settle(2)
+    harness.submit(ref="j-000001", legs=40, voyageS=300.0, **BEST_EFFORT)
+    harness.settle()
+    array = harness.submit(ref="j-000002", legs=16, tideS=70.0)
+    harness.plan()
+    assert not harness.fleet.scale_out.plan(harness.now)
+    harness.settle(5)  # a task a machine each second
+    assert len(harness.task_locations(array)) == 16
 
 
 def test_cordoned_machines_that_are_needed_again_are_reported() -> None:
     """What was pending had capacity on them, and machines were rented for it all the same."""
-    world = World(TEAMS)
-    world.machine(1)
-    service = world.submit(ref="j-000001", rig="standing", urgency="production", legs=1, driftwood=False)
-    world.settle()
-    world.submit(ref="j-000002", legs=4, voyageS=300.0, **BEST_EFFORT)
-    world.settle()
-    world.cancel(service)
-    world.settle()
-    assert not world.fleet.scale_in.update_cordons()
-    world.submit(ref="j-000003", rig="standing", urgency="production", legs=1, driftwood=False)
-    world.plan()
-    assert world.fleet.scale_in.update_cordons()
-    assert not world.fleet.scale_in.update_cordons()
+    harness = ClusterHarness(TEAMS)
+    harness.machine(1)
+    service = harness.submit(ref="j-000001", rig="standing", urgency="production", legs=1, driftwood=False)
+    harness.settle()
+    harness.submit(ref="j-000002", legs=4, voyageS=300.0, **BEST_EFFORT)
+    harness.settle()
+    harness.cancel(service)
+    harness.settle()
+    assert not harness.fleet.scale_in.update_cordons()
+    harness.submit(ref="j-000003", rig="standing", urgency="production", legs=1, driftwood=False)
+    harness.plan()
+    assert harness.fleet.scale_in.update_cordons()
+    assert not harness.fleet.scale_in.update_cordons()
 
 
 def test_a_new_machine_is_recorded_before_the_bindings_of_many_small_jobs() -> None:
-    world = World(TEAMS)
+    harness = ClusterHarness(TEAMS)
     for number in range(1, 3):
-        world.machine(number, spot=True)
-    world.settle(2)
+        harness.machine(number, spot=True)
+    harness.settle(2)
     for number in range(20):
-        world.submit(ref=f"j-{number:06d}", legs=1, memoryGb=0.5, **{**BEST_EFFORT, "cores": 0.25})
-    world.plan()
-    world.machine(50, spot=True)
-    world.report(world.workers["vm-000050"])
-    batch = world.cluster.writes.take_batch(4)
+        harness.submit(ref=f"j-{number:06d}", legs=1, memoryGb=0.5, **{**BEST_EFFORT, "cores": 0.25})
+    harness.plan()
+    harness.machine(50, spot=True)
+    harness.report(harness.workers["vm-000050"])
+    batch = harness.cluster.writes.take_batch(4)
     assert next(iter(batch.sets)).startswith("fleet/")
 
 
 def test_best_effort_tasks_do_not_set_the_spot_threshold() -> None:
-    world = World(TEAMS)
-    world.machine(1, spot=True)
-    world.settle(2)
-    best_effort = world.cluster.jobs[world.submit(ref="j-000001", legs=50, voyageS=2.0, **BEST_EFFORT)]
-    world.settle(30)
+    harness = ClusterHarness(TEAMS)
+    harness.machine(1, spot=True)
+    harness.settle(2)
+    best_effort = harness.cluster.jobs[harness.submit(ref="j-000001", legs=50, voyageS=2.0, **BEST_EFFORT)]
+    harness.settle(30)
     assert len(best_effort.completed) > 20
-    assert world.cluster.router.threshold == 120 * SECOND
-    array = world.cluster.jobs[world.submit(ref="j-000002", legs=2, voyageS=30.0)]
-    world.settle(2)
+    assert harness.cluster.router.threshold == 120 * SECOND
+    array = harness.cluster.jobs[harness.submit(ref="j-000002", legs=2, voyageS=30.0)]
+    harness.settle(2)
     assert array.tier == SPOT
 
 
 def test_nobody_is_stopped_for_capacity_that_is_being_freed() -> None:
     """While the first saved for 3 s, more were stopped each second, on other machines."""
-    world = World([Team("crew", cpus=8.0), Team("scavenger")])
+    harness = ClusterHarness([Team("crew", cpus=8.0), Team("scavenger")])
     for number in range(1, 11):
-        world.machine(number, spot=True)
-    world.settle(2)
-    world.submit(ref="j-000001", legs=40, voyageS=300.0, mooringS=30.0, stowS=3.0, **BEST_EFFORT)
-    world.settle()
-    world.submit(ref="j-000002", legs=2)
+        harness.machine(number, spot=True)
+    harness.settle(2)
+    harness.submit(ref="j-000001", legs=40, voyageS=300.0, mooringS=30.0, stowS=3.0, **BEST_EFFORT)
+    harness.settle()
+    harness.submit(ref="j-000002", legs=2)
     stopped = set()
     for _ in range(4):  # nothing is heard meanwhile: they are saving
-        world.now += 1_000_000
-        world.plan()
-        world.plan()
-        stopped |= {t.name for m in world.cluster.machines.values() for t in m.tasks if t.stop_grace_s is not None}
+        harness.now += 1_000_000
+        harness.plan()
+        harness.plan()
+        stopped |= {t.name for m in harness.cluster.machines.values() for t in m.tasks if t.stop_grace_s is not None}
     assert len(stopped) == 4  # 4 CPUs each, of tasks with 2
