--- a/tests/test_zone_partitions.py
+++ b/tests/test_zone_partitions.py
@@ -24,7 +24,7 @@
 from oatport.simulation.state_service import KeyStore
 from oatport.simulation.worker import Worker
 from oatport.times import SECOND, steady
-from tests.cluster_fixture import FakeStateClient, World, cluster_settings, node_settings
+from tests.cluster_fixture import ClusterHarness, FakeStateClient, cluster_settings, node_settings
 from tests.test_node_failures import FakeLeadingNode, FakePeer, leader, peer_reply
 
 
@@ -38,7 +38,7 @@
 
 def lease_proxy(contact_at: int = 100 * SECOND, age: int = 0) -> LeaseProxy:
     proxy = LeaseProxy.create(SETTINGS)
-    proxy.update(7, contact_at, age)
+    proxy.on_watermark(7, contact_at, age)
     return proxy
 
 
@@ -58,30 +58,32 @@
 def test_an_older_cancellation_watermark_ends_a_lease_proxy_earlier() -> None:
     at_once, late = lease_proxy(), lease_proxy(age=9 * SECOND)
     assert at_once.valid_until() - late.valid_until() >= 9 * SECOND
-    late.update(7, 101 * SECOND, -1)  # nothing is known
+    late.on_watermark(7, 101 * SECOND, -1)  # nothing is known
     assert late.leader_contact_at == 100 * SECOND
-    at_once.update(6, 200 * SECOND, 0)  # an earlier leader that does not know yet
+    at_once.on_watermark(6, 200 * SECOND, 0)  # an earlier leader that does not know yet
     assert at_once.valid_until() == lease_proxy().valid_until()
 
 
 def test_the_cancellation_watermark_waits_until_tasks_are_proven_gone() -> None:
-    world = World()
-    worker = world.machine(1)
-    ref = world.submit(rig="standing", legs=1, driftwood=False)
-    world.settle()
-    known_at = world.now
-    assert world.cluster.job_lifecycle.cancellation_watermark(known_at) == known_at
-    world.cancel(ref, tell=False)
-    world.cluster.job_lifecycle.cancel(ref, 0, known_at - SECOND)
-    world.refused.add(worker.name)
-    world.step(3.0)
-    assert world.cluster.job_lifecycle.cancellation_watermark(world.now) == known_at - SECOND  # its machine is silent
-    world.refused.clear()
-    world.settle()
-    assert world.cluster.job_lifecycle.cancellation_watermark(world.now) == world.now
-    held = world.cluster.machines[worker.name]
+    harness = ClusterHarness()
+    worker = harness.machine(1)
+    ref = harness.submit(rig="standing", legs=1, driftwood=False)
+    harness.settle()
+    known_at = harness.now
+    assert harness.cluster.job_lifecycle.cancellation_watermark(known_at) == known_at
+    harness.cancel(ref, notify_leader=False)
+    harness.cluster.job_lifecycle.cancel(ref, 0, known_at - SECOND)
+    harness.unreachable_machines.add(worker.name)
+    harness.step(3.0)
+    assert (
+        harness.cluster.job_lifecycle.cancellation_watermark(harness.now) == known_at - SECOND
+    )  # its machine is silent
+    harness.unreachable_machines.clear()
+    harness.settle()
+    assert harness.cluster.job_lifecycle.cancellation_watermark(harness.now) == harness.now
+    held = harness.cluster.machines[worker.name]
     held.orphaned_attempts[("j-999999/0", 1)] = (0.0, 0.0, 0.0)  # whose task is that? Perhaps of a cancelled job
-    assert world.cluster.job_lifecycle.cancellation_watermark(world.now) == 0
+    assert harness.cluster.job_lifecycle.cancellation_watermark(harness.now) == 0
 
 
 async def test_a_lease_proxy_renews_leases_and_starts_nothing(state: KeyStore) -> None:
@@ -89,7 +91,7 @@
     node = Node(node_settings(), Tuning())
     node.state = client = FakeStateClient(state)  # type: ignore[assignment]
     lead, _, _ = leader(state)
-    lead.lease_renewal_limit.cancellations_known_at = steady()
+    lead.lease_renewal_limit.cancellations_read_at = steady()
     peer = FakePeer(["carried out", lead.token, lead.cancellation_watermark_age()])
     await node.lease_proxy.refresh_from_leader(peer)  # type: ignore[arg-type]
     node.lease_proxy.proxy.leader_contact_at -= 3 * SECOND
@@ -100,7 +102,7 @@
     assert (
         node.answer_heartbeat(wire.decode_heartbeat(report)) is None
     )  # it is not out of touch: the state service answers
-    client.last_served_at, client.last_failed_at = steady() - 3 * SECOND, steady()
+    client.last_success_at, client.last_failure_at = steady() - 3 * SECOND, steady()
     assert node.answer_heartbeat(wire.decode_heartbeat(report)) == {"helm": lead.token, "orders": []}
     assert (await peer_reply(node, ["carried out"])) == ["no"]  # only the leader knows
 
@@ -110,13 +112,13 @@
     old, new = Node(node_settings(), Tuning()), Node(node_settings(), Tuning())
     for node in (old, new):
         node.state = FakeStateClient(state)  # type: ignore[assignment]
-        node.state.last_served_at, node.state.last_failed_at = 0, steady()
+        node.state.last_success_at, node.state.last_failure_at = 0, steady()
         node.election.leader_name = "n1"  # outside the cut
     worker = Worker(lambda: 0, "vm-000001", "h:1", "m8", "a", False, 8.0, lambda ref: None)
     worker.token = 7
     report = wire.decode_heartbeat(worker.report())
     assert await peer_reply(old, ["kept"]) == ["no"]  # it was never told anything
-    old.lease_proxy.proxy.update(7, steady() - 3 * SECOND, 0)
+    old.lease_proxy.proxy.on_watermark(7, steady() - 3 * SECOND, 0)
     peer = FakePeer(None, "n2")
     for answer in (None, ["no"], ["kept", 7], ["kept", "x", 0, 0, True], ["pong"]):  # cut, an older node, a strange one
         peer.answer = answer
@@ -137,156 +139,156 @@
         giver, taker = nodes[now % 2 == 0], nodes[now % 2]
         known = giver.share(now * SECOND)
         if known is not None:
-            taker.update(known.fencing_token, now * SECOND, known.watermark_age_us, known.contact_age_us)
+            taker.on_watermark(known.fencing_token, now * SECOND, known.watermark_age_us, known.contact_age_us)
     assert nodes[1].valid_until() <= nodes[0].valid_until() == ends
-    nodes[1].update(6, 200 * SECOND, 0, 0)  # of an earlier leader
+    nodes[1].on_watermark(6, 200 * SECOND, 0, 0)  # of an earlier leader
     assert nodes[1].valid_until() <= ends
 
 
-def cut(world: World, zone: str) -> list[Machine]:
+def cut(harness: ClusterHarness, zone: str) -> list[Machine]:
     """Nothing is heard from a zone for a while, and that is judged."""
-    for worker in world.workers.values():
+    for worker in harness.workers.values():
         if worker.zone == zone:
-            world.refused.add(worker.name)
-    world.step(3.0)
-    there = [m for m in world.cluster.machines.values() if m.zone == zone]
-    assert world.cluster.zones.mark_partitioned(there, world.now) == {zone}
-    world.commit()
+            harness.unreachable_machines.add(worker.name)
+    harness.step(3.0)
+    there = [m for m in harness.cluster.machines.values() if m.zone == zone]
+    assert harness.cluster.zones.mark_partitioned(there, harness.now) == {zone}
+    harness.commit()
     return there
 
 
-def leaving(world: World, kept: bool) -> list[str]:
+def leaving(harness: ClusterHarness, kept: bool) -> list[str]:
     zones = frozenset({"b"}) if kept else frozenset[str]()
-    return [m.name for m in ZoneEvacuation(world.cluster, world.fleet).machines_to_release(world.now, zones)]
+    return [m.name for m in ZoneEvacuation(harness.cluster, harness.fleet).machines_to_release(harness.now, zones)]
 
 
 def test_replicas_that_may_run_nowhere_else_keep_their_machines() -> None:
     """Two zones, one of them cut off: releasing its machines won nothing and cost images, room and boots."""
-    world = World()
+    harness = ClusterHarness()
     for number in range(1, 7):
-        world.machine(number, "a" if number < 4 else "b")
-    ref = world.submit(rig="standing", legs=4, spread=True, driftwood=False, urgency="production")
-    world.settle()
-    there = cut(world, "b")
+        harness.machine(number, "a" if number < 4 else "b")
+    ref = harness.submit(rig="standing", legs=4, spread=True, driftwood=False, urgency="production")
+    harness.settle()
+    there = cut(harness, "b")
     with_replicas = {m.name for m in there if m.tasks}
     assert sum(len(m.tasks) for m in there) == 2
-    alive = tasks_alive_until(SETTINGS, world.cluster.zones.partitioned["b"], True)
-    world.now = alive + SECOND
-    assert leaving(world, True) == []
-    world.now += 31 * SECOND  # a machine without replicas would have booted twice by now
-    assert set(leaving(world, True)) == {m.name for m in there} - with_replicas
-    world.now += RELEASE_UNMOVABLE_AFTER
-    assert set(leaving(world, True)) == {m.name for m in there}
-    world.refused.clear()  # back: new sessions, and the replicas return to where their image is
-    world.now = alive + 10 * SECOND
-    world.settle()
-    assert not world.cluster.zones.partitioned
-    assert {name for names in world.live(ref).values() for name in names} >= with_replicas
+    alive = tasks_alive_until(SETTINGS, harness.cluster.zones.partitioned["b"], True)
+    harness.now = alive + SECOND
+    assert leaving(harness, True) == []
+    harness.now += 31 * SECOND  # a machine without replicas would have booted twice by now
+    assert set(leaving(harness, True)) == {m.name for m in there} - with_replicas
+    harness.now += RELEASE_UNMOVABLE_AFTER
+    assert set(leaving(harness, True)) == {m.name for m in there}
+    harness.unreachable_machines.clear()  # back: new sessions, and the replicas return to where their image is
+    harness.now = alive + 10 * SECOND
+    harness.settle()
+    assert not harness.cluster.zones.partitioned
+    assert {name for names in harness.task_locations(ref).values() for name in names} >= with_replicas
 
 
 def test_replicas_that_may_run_elsewhere_are_moved_before_their_lease_can_expire() -> None:
-    world = World()
+    harness = ClusterHarness()
     for number in range(1, 7):
-        world.machine(number, "a" if number < 4 else "b")
-    ref = world.submit(rig="standing", legs=4, driftwood=False, urgency="production", cores=8.0)
-    array = world.submit(ref="j-000002", legs=1, cores=8.0, voyageS=300.0)
-    world.settle()
-    there = cut(world, "b")
+        harness.machine(number, "a" if number < 4 else "b")
+    ref = harness.submit(rig="standing", legs=4, driftwood=False, urgency="production", cores=8.0)
+    array = harness.submit(ref="j-000002", legs=1, cores=8.0, voyageS=300.0)
+    harness.settle()
+    there = cut(harness, "b")
     movable = [m.name for m in there if any(t.job.job_id == ref for t in m.tasks)]
     assert movable
-    assert leaving(world, True) == []  # a cut of a moment costs nothing
-    world.now += 4 * SECOND
-    assert leaving(world, True) == movable
+    assert leaving(harness, True) == []  # a cut of a moment costs nothing
+    harness.now += 4 * SECOND
+    assert leaving(harness, True) == movable
     assert all(t.job.job_id != array for m in there if m.name in movable for t in m.tasks)
 
 
 def test_few_replicas_are_missed_at_a_time_during_evacuation() -> None:
-    world = World([Team("crew")])
+    harness = ClusterHarness([Team("crew")])
     for number in range(1, 31):
-        world.machine(number, "a")
-        world.machine(number + 40, "b")
+        harness.machine(number, "a")
+        harness.machine(number + 40, "b")
     for number in range(30):
-        world.submit(ref=f"j-{number:06d}", rig="standing", legs=4, driftwood=False, urgency="production", cores=2.0)
-    world.settle(8)
-    there = cut(world, "b")
-    world.now += 4 * SECOND
-    chosen = leaving(world, True)
+        harness.submit(ref=f"j-{number:06d}", rig="standing", legs=4, driftwood=False, urgency="production", cores=2.0)
+    harness.settle(8)
+    there = cut(harness, "b")
+    harness.now += 4 * SECOND
+    chosen = leaving(harness, True)
     replicas = sum(len(m.tasks) for m in there if m.name in chosen)
     assert 0 < replicas <= MAX_REPLICAS_MOVING < sum(len(m.tasks) for m in there)
 
 
 def test_a_machine_whose_work_is_done_is_released_if_a_replacement_is_available() -> None:
-    world = World([Team("crew")])
+    harness = ClusterHarness([Team("crew")])
     for number in range(1, 7):
-        world.machine(number, "a" if number < 4 else "b")
-    world.submit(legs=12, voyageS=15.0)
-    world.settle()
-    there = cut(world, "b")
-    world.now += 20 * SECOND  # what they ran is done by now, and will be done at once where it is started again
-    assert leaving(world, True) == []  # but who knows whether there are other machines?
-    world.fleet.availability.grant(ScaleOutRequest("m8", "b", False, 1), world.now)
-    assert leaving(world, True) == []
-    world.fleet.availability.grant(ScaleOutRequest("m8", "a", False, 1), world.now)
-    assert leaving(world, True) == [m.name for m in there]
+        harness.machine(number, "a" if number < 4 else "b")
+    harness.submit(legs=12, voyageS=15.0)
+    harness.settle()
+    there = cut(harness, "b")
+    harness.now += 20 * SECOND  # what they ran is done by now, and will be done at once where it is started again
+    assert leaving(harness, True) == []  # but who knows whether there are other machines?
+    harness.fleet.availability.grant(ScaleOutRequest("m8", "b", False, 1), harness.now)
+    assert leaving(harness, True) == []
+    harness.fleet.availability.grant(ScaleOutRequest("m8", "a", False, 1), harness.now)
+    assert leaving(harness, True) == [m.name for m in there]
 
 
 def test_a_partitioned_zone_is_recorded_for_the_next_leader() -> None:
     """The next one began anew: five seconds more until the verdict, and rentals in the zone meanwhile."""
-    world = World()
+    harness = ClusterHarness()
     for number in range(1, 7):
-        world.machine(number, "a" if number < 4 else "b")
-    world.settle()
-    cut(world, "b")
-    since = world.cluster.zones.partitioned["b"]
-    world.now += 5 * SECOND
-    world.fail_over()
-    assert abs(world.cluster.zones.partitioned["b"] - since) < SECOND // 10
-    world.submit(rig="standing", legs=2, driftwood=False)
-    world.settle()
-    assert all(rental.zone == "a" for rental in world.fleet.scale_out.plan(world.now))
-    world.refused.clear()
-    world.settle()
-    assert not world.cluster.zones.partitioned
-    assert world.state.items[PARTITIONED_ZONES_KEY][0] == {"zones": {}}
+        harness.machine(number, "a" if number < 4 else "b")
+    harness.settle()
+    cut(harness, "b")
+    since = harness.cluster.zones.partitioned["b"]
+    harness.now += 5 * SECOND
+    harness.fail_over()
+    assert abs(harness.cluster.zones.partitioned["b"] - since) < SECOND // 10
+    harness.submit(rig="standing", legs=2, driftwood=False)
+    harness.settle()
+    assert all(rental.zone == "a" for rental in harness.fleet.scale_out.plan(harness.now))
+    harness.unreachable_machines.clear()
+    harness.settle()
+    assert not harness.cluster.zones.partitioned
+    assert harness.state.items[PARTITIONED_ZONES_KEY][0] == {"zones": {}}
 
 
 def test_a_zone_with_a_lease_proxy_is_recorded_for_the_next_leader() -> None:
     """All nodes ended; the next leader took the zone for dead after one lease: 300 replicas left at once."""
-    world = World()
+    harness = ClusterHarness()
     for number in range(1, 7):
-        world.machine(number, "a" if number < 4 else "b")
-    world.settle()
-    cut(world, "b")
-    world.cluster.zones.mark_lease_proxied(["b"])
-    world.commit()
-    world.fail_over()
-    assert world.cluster.zones.lease_proxied == {"b"}
-    world.refused.clear()
-    world.settle()
-    assert world.cluster.zones.lease_proxied == set()
-    assert world.state.items[PARTITIONED_ZONES_KEY][0] == {"zones": {}}
+        harness.machine(number, "a" if number < 4 else "b")
+    harness.settle()
+    cut(harness, "b")
+    harness.cluster.zones.mark_lease_proxied(["b"])
+    harness.commit()
+    harness.fail_over()
+    assert harness.cluster.zones.lease_proxied == {"b"}
+    harness.unreachable_machines.clear()
+    harness.settle()
+    assert harness.cluster.zones.lease_proxied == set()
+    assert harness.state.items[PARTITIONED_ZONES_KEY][0] == {"zones": {}}
 
 
 def test_nothing_is_placed_in_a_partitioned_zone_though_it_was_heard_from_a_moment_ago() -> None:
-    world = World()
-    world.machine(1, "b")
-    world.settle()
-    world.cluster.zones.partitioned["b"] = world.now
-    ref = world.submit(legs=2)
-    world.plan()
-    assert world.cluster.jobs[ref].on_machines == 0
+    harness = ClusterHarness()
+    harness.machine(1, "b")
+    harness.settle()
+    harness.cluster.zones.partitioned["b"] = harness.now
+    ref = harness.submit(legs=2)
+    harness.plan()
+    assert harness.cluster.jobs[ref].placed_task_count == 0
 
 
 def test_images_outlive_a_lease() -> None:
-    world = World()
-    worker = world.machine(1)
-    world.submit(legs=1, voyageS=500.0)
-    world.settle()
-    world.refused.add(worker.name)
-    world.step(12.0)
-    world.refused.clear()
-    world.step(1.0)
-    machine = world.cluster.machines[worker.name]
+    harness = ClusterHarness()
+    worker = harness.machine(1)
+    harness.submit(legs=1, voyageS=500.0)
+    harness.settle()
+    harness.unreachable_machines.add(worker.name)
+    harness.step(12.0)
+    harness.unreachable_machines.clear()
+    harness.step(1.0)
+    machine = harness.cluster.machines[worker.name]
     assert machine.agent_epoch == 2
     assert machine.images == {"img-1": 1}
 
@@ -306,7 +308,7 @@
         machine = lead.cluster.add_machine(f"vm-{number:06d}", "m8", "a" if lit else "b", False, "", now, 0)
         assert machine is not None
         machine.ready_at = machine.probed_at = 1
-        machine.last_heartbeat_at = machine.known_since = now if lit else now - silent_for
+        machine.last_heartbeat_at = machine.first_known_at = now if lit else now - silent_for
     return FailureDetector(lead, None, release, lead.cloud_controller.capacity_planner), lead, home, released  # type: ignore[arg-type]
 
 
