--- a/tests/test_process_pauses.py
+++ b/tests/test_process_pauses.py
@@ -144,9 +144,8 @@
     machines = list(harness.cluster.machines.values())
     gap = 20 * SECOND
     harness.now += gap
-    assert (
-        len(silent_machines(machines, harness.now, 5 * SECOND)) == 3
-    )  # what it would look like without the correction
+    # Without the correction for the pause, all machines would count as silent.
+    assert len(silent_machines(machines, harness.now, 5 * SECOND)) == 3
     assert harness.fleet.scale_in.machines_to_release(harness.now)
     for machine in machines:
         machine.releasing = False
