--- a/oatport/service/__init__.py
+++ b/oatport/service/__init__.py
@@ -1,1 +1,1 @@
-"""Lifecycle of a node: leadership, group commit, outages."""
+"""Runs a controller node: leader election, group commit, the controllers of the leader, and contact in outages."""
