--- a/oatport/windows/__init__.py
+++ b/oatport/windows/__init__.py
@@ -1,1 +1,1 @@
-"""Cheaper hours: deferrable work is moved into cheaper windows before its deadline. See docs/windows.md."""
+"""Deferred starts: moves deferrable jobs into cheaper time windows before their deadlines. See docs/windows.md."""
--- a/oatport/windows/client.py
+++ b/oatport/windows/client.py
@@ -1,4 +1,4 @@
-"""Polls the price feed: one request at a time, each with a timeout, never more often than allowed."""
+"""Polls the price feed: sends one request at a time, each with a timeout and within a rate limit."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 log = logging.getLogger(__name__)
 
 MIN_RETRY, MAX_RETRY = 5 * SECOND, 300 * SECOND
-MAX_DOUBLINGS = 16  # of the interval of retries
-MAX_REQUESTS_PER_S = 0.5  # however short the pauses in the settings
+MAX_DOUBLINGS = 16  # of the retry interval
+MAX_REQUESTS_PER_S = 0.5  # a limit that holds for any `poll_s` in the settings
 
 
 class FeedClient:
-    """Keeps a book up to date. `changed` is called when some hour to come costs something else."""
+    """Updates a price book from the feed, and calls `changed` when the price of any coming hour has changed."""
 
     def __init__(
         self,
@@ -43,16 +43,16 @@
         self._timeout_s = timeout_s
         self._changed = changed
         self._rate = TokenBucket(MAX_REQUESTS_PER_S)
-        self.failures = 0  # in a row
+        self.failures = 0  # consecutive
 
     async def loop(self) -> None:
-        """Poll the feed for ever."""
+        """Polls the feed until cancelled."""
         while True:
             pause = await self.poll()
             await asyncio.sleep(pause)
 
     async def poll(self) -> float:
-        """Ask once; how long to wait before the next (seconds)."""
+        """Sends one request; returns the time until the next one, in seconds."""
         await self._rate.acquire()
         try:
             body, content_type = await self._fetch()
@@ -60,8 +60,8 @@
             changed = self._book.learn(intervals, made_at, time_of_day())
         except (InvalidPriceSeriesError, aiohttp.ClientError, TimeoutError, OSError, ValueError) as error:
             self.failures += 1
-            self._book.problem = f"{type(error).__name__}: {error}"[:200]
-            log.warning('price feed failed failures=%d error="%s"', self.failures, self._book.problem)
+            self._book.last_error = f"{type(error).__name__}: {error}"[:200]
+            log.warning('price feed failed failures=%d error="%s"', self.failures, self._book.last_error)
             return jitter(
                 min(MIN_RETRY << min(self.failures - 1, MAX_DOUBLINGS), MAX_RETRY, max(self._poll, MIN_RETRY))
             )
@@ -71,7 +71,7 @@
         return seconds(self._poll) * 0.9 + jitter(self._poll) * 0.1
 
     async def _fetch(self) -> tuple[bytes, str]:
-        """The body, read whole within the timeout: a response that drips in is none."""
+        """Returns the body and its content type; the whole body must arrive within the timeout, so a slow one fails."""
         async with asyncio.timeout(self._timeout_s):
             async with self._session.get(
                 self._url,
--- a/oatport/windows/feed.py
+++ b/oatport/windows/feed.py
@@ -1,10 +1,10 @@
-"""The price feed's format, version 1: what a GET of its address answers, as JSON or CBOR.
+"""The price feed's format, version 1: the body of the response to a GET of its address, as JSON or CBOR.
 
     {"v": 1, "zone": "tallinn", "at": 1790000000, "intervals":
       [{"start": 1790002800, "len": 3600, "price": 84.2, "co2": 310.0}, ...]}
 
-`at`: when the series was made; `start`, `len`: seconds (of the time of day in UTC, and long); `price` per unit of work;
-`co2`: grams per kWh, may be omitted. Unknown fields are ignored. docs/windows.md has the whole of it.
+`at`: when the series was made; `start`: the time of day in UTC; `len`: the length (all in seconds); `price`: per unit
+of work; `co2`: grams per kWh, may be omitted. Unknown fields are ignored. docs/windows.md has the full description.
 """
 
 from __future__ import annotations
@@ -22,12 +22,12 @@
 MAX_BODY_BYTES = 256 * 1024
 JSON_TYPE = "application/json"
 VERSION = 1
-MAX_TIME_S = 1e11  # of a time of day
-MAX_LENGTH_S = 1e9  # of an interval
+MAX_TIME_S = 1e11  # the limit of a time of day
+MAX_LENGTH_S = 1e9  # the limit of an interval
 
 
 class IntervalRow(msgspec.Struct, frozen=True):
-    """One interval of the feed; times in seconds."""
+    """Holds one interval of the feed, with times in seconds."""
 
     start: float
     length: float = msgspec.field(name="len")
@@ -36,7 +36,7 @@
 
 
 class PriceSeries(msgspec.Struct, frozen=True):
-    """The body of an answer of the feed."""
+    """Holds the body of the feed's response."""
 
     v: int
     zone: str
@@ -45,19 +45,22 @@
 
 
 def decode_series(body: bytes, content_type: str, zone: str) -> tuple[list[Interval], int]:
-    """The intervals, unchecked but for their form, and when the series was made. Raises InvalidPriceSeriesError."""
+    """Returns the intervals, checked for format and time ranges only, and when the series was made.
+
+    Raises InvalidPriceSeriesError.
+    """
     if len(body) > MAX_BODY_BYTES:
-        raise InvalidPriceSeriesError(f"{len(body)} bytes, at most {MAX_BODY_BYTES}")
+        raise InvalidPriceSeriesError(f"body of {len(body)} bytes, at most {MAX_BODY_BYTES}")
     try:
-        # The standard library's parser takes NaN, which is to be told apart from a broken body.
+        # The standard library's parser accepts NaN, so that a NaN is reported as such and not as malformed JSON.
         raw: Any = json.loads(body) if content_type.startswith(JSON_TYPE) else wire.decode(body)
         series = msgspec.convert(raw, PriceSeries, strict=True)
     except (ValueError, RecursionError, wire.InvalidMessageError, msgspec.ValidationError) as error:
-        raise InvalidPriceSeriesError(f"not a series: {str(error).splitlines()[0][:120]}") from error
+        raise InvalidPriceSeriesError(f"not a price series: {str(error).splitlines()[0][:120]}") from error
     if series.v != VERSION:
-        raise InvalidPriceSeriesError(f"version {series.v}, not {VERSION}")
+        raise InvalidPriceSeriesError(f"version {series.v}, expected {VERSION}")
     if series.zone != zone:
-        raise InvalidPriceSeriesError(f"of zone {series.zone[:40]!r}, not {zone!r}")
+        raise InvalidPriceSeriesError(f"zone {series.zone[:40]!r}, expected {zone!r}")
     _check_times(series)
     intervals = [
         Interval(round(row.start * SECOND), round((row.start + row.length) * SECOND), row.price, row.co2)
@@ -69,15 +72,15 @@
 def _check_times(series: PriceSeries) -> None:
     for row in series.intervals:
         if not (math.isfinite(row.start) and math.isfinite(row.length) and 0 <= row.start < MAX_TIME_S):
-            raise InvalidPriceSeriesError("an interval's time is not a usable number")
+            raise InvalidPriceSeriesError(f"interval at {row.start}, length {row.length}: not a usable number")
         if not 0 < row.length < MAX_LENGTH_S:
-            raise InvalidPriceSeriesError("an interval's length is out of range")
+            raise InvalidPriceSeriesError(f"interval at {row.start}: length {row.length} is out of range")
     if not math.isfinite(series.at) or not 0 <= series.at < MAX_TIME_S:
-        raise InvalidPriceSeriesError("at: not a usable number")
+        raise InvalidPriceSeriesError(f"at: {series.at} is not a usable number")
 
 
 def encode_series(intervals: list[Interval], zone: str, made_at: int) -> dict[str, Any]:
-    """The same the other way: a body before it is JSON or CBOR."""
+    """Returns the body of a response for these intervals, to be encoded as JSON or CBOR."""
     return {
         "v": VERSION,
         "zone": zone,
--- a/oatport/windows/holding.py
+++ b/oatport/windows/holding.py
@@ -1,7 +1,8 @@
-"""Which jobs are held and until when: the planner's plans on the leader's view. Pure; fed the time.
+"""Applies the planner's plans to the leader's cluster state: defers the starts of jobs and releases them when due.
 
-A held job isn't waiting yet. Let go, it is routed and placed like any other. Its plan is recorded with it: a new leader
-lets go what that says at the times that it says, and plans anew only what an earlier one had not planned.
+The code does no I/O, and the caller passes the time. A deferred task is not pending; after its release it is routed and
+placed like any other. A job's plan is recorded with the job: a new leader releases the tasks at the recorded times, and
+plans only jobs without a recorded plan.
 """
 
 from __future__ import annotations
@@ -15,59 +16,67 @@
 from oatport.control.state.task import TaskPhase
 from oatport.times import SECOND, micros, seconds
 from oatport.windows.margins import RuntimeMargins
-from oatport.windows.planner import Need, Plan, Planner
+from oatport.windows.planner import JobDemand, Plan, Planner
 from oatport.windows.prices import Book
 from oatport.windows.settings import Deferral, WindowSettings
 
-IMPROVED_AT_ONCE = 150  # plans made anew in one step
-REKEYED_AT_ONCE = 100
-FORGET_OVER = 1_000  # predictions of jobs that are over, beyond which they are dropped
-MOVES_MOST = 6  # times that a job's record is written for a plan that was made anew
-PAUSES_MOST = 2
-RATE_OVER = 3600 * SECOND
-QUIET = 3 * 3600 * SECOND  # nothing came for that long: what comes then is another night's
-EXPECT_MOST = 3 * 3600 * SECOND
-PAUSE_SAVES = 0.25  # share of its remaining cost that running work is stopped for
-AGED_EVERY = 60 * SECOND  # a stale series loses weight that often
+MAX_REPLANS_PER_STEP = 150
+MAX_DEMAND_UPDATES_PER_STEP = 100
+MAX_STALE_PREDICTIONS = 1_000  # predictions of finished jobs that are kept before a clean-up
+MAX_MOVES_PER_JOB = 6  # bounds how often a job's record is written for a changed plan
+MAX_PAUSES_PER_JOB = 2
+ARRIVAL_RATE_PERIOD = 3600 * SECOND
+MAX_ARRIVAL_GAP = 3 * 3600 * SECOND  # an arrival after a longer gap starts a new busy period (another night)
+MAX_FORECAST_SPAN = 3 * 3600 * SECOND
+MIN_PAUSE_SAVING = 0.25  # share of the remaining cost; running tasks are not stopped for less
+PRICE_UPDATE_INTERVAL = 60 * SECOND  # how often the weight of a stale price series is lowered
 
 
 @dataclass(slots=True)
-class Arrivals:
-    """How much deferrable work comes: what is still to come needs cheap hours too."""
-
-    _since: int = 0
-    _rows: deque[tuple[int, float]] = field(default_factory=deque)  # of the last hour
-
-    def came(self, now: int, work: float) -> None:
-        if not self._rows or now - self._rows[-1][0] > QUIET:
-            self._since = now  # a new night
-        self._rows.append((now, work))
-
-    def expected(self, now: int) -> float:
-        """CPU-us to come: as much an hour as in the last, for as long again as it has gone on already."""
-        while self._rows and self._rows[0][0] <= now - RATE_OVER:
-            self._rows.popleft()
-        if not self._rows:
+class ArrivalForecast:
+    """Estimates the deferrable work that is still to arrive, and that needs cheap hours too, from recent arrivals."""
+
+    _started_at: int = 0
+    _recent: deque[tuple[int, float]] = field(default_factory=deque)  # (time, CPU-us) of the last hour
+
+    def add(self, now: int, work: float) -> None:
+        """Records an arrival of `work` CPU-us."""
+        if not self._recent or now - self._recent[-1][0] > MAX_ARRIVAL_GAP:
+            self._started_at = now  # a new busy period
+        self._recent.append((now, work))
+
+    def expected_work(self, now: int) -> float:
+        """Returns the CPU-us expected to arrive: the last hour's rate, for as long again as the busy period has lasted.
+
+        The forecast covers at most MAX_FORECAST_SPAN.
+        """
+        while self._recent and self._recent[0][0] <= now - ARRIVAL_RATE_PERIOD:
+            self._recent.popleft()
+        if not self._recent:
             return 0.0
-        gone_on = now - self._since
-        return sum(work for _, work in self._rows) / RATE_OVER * min(gone_on, EXPECT_MOST)
+        elapsed = now - self._started_at
+        return sum(work for _, work in self._recent) / ARRIVAL_RATE_PERIOD * min(elapsed, MAX_FORECAST_SPAN)
 
 
 @dataclass(slots=True)
 class DayClock:
-    """The time of day for deadlines, whichever of two clocks is further: a jump back holds nothing longer.
+    """Provides the time of day for deadlines: the later of the wall clock and its start value plus the time elapsed.
 
-    A clock that jumps ahead lets work go early, which costs money and no deadline.
+    A wall clock that jumps back therefore defers nothing for longer. One that jumps ahead releases tasks early, which
+    costs money but no deadline.
     """
 
     wall: int
     steady: int
 
     def at(self, wall: int, steady: int) -> int:
+        """Returns the time of day, given the current readings of both clocks."""
         return max(wall, self.wall + steady - self.steady)
 
 
 class Holder:
+    """Decides which jobs of the leader are deferred, releases their tasks when due, and records their plans."""
+
     def __init__(self, cluster: ClusterState, settings: WindowSettings, book: Book, wall: int) -> None:
         self.cluster = cluster
         self.settings = settings
@@ -75,219 +84,234 @@
         self.margins = RuntimeMargins()
         step = micros(settings.step_s)
         self.planner = Planner(step, max(2, round(settings.horizon_s / settings.step_s)), settings.capacity_cpus)
-        self.planner.at(wall)
-        self._priced: tuple[int, int] = (-1, 0)  # the book's version and the age that prices were read at
-        self._predicted: dict[str, int] = {}  # job -> run time as predicted when it was let go
-        self._checked_slot = self._advanced_slot = 0
-        self.arrivals = Arrivals()
-        self._rekeyed: dict[str, None] = {}
-        self.anew = 0  # plans made anew: for the status, and for tests
-        self.late = 0  # jobs let go after their latest safe start
-        cluster.tasks.on_runtime_measured = self.measured
-        self._price(wall)
-
-    # --- jobs that come and go ---------------------------------------------------------------------
+        self.planner.advance_to(wall)
+        # The price book's version and the time (in multiples of PRICE_UPDATE_INTERVAL) of the last price update.
+        self._prices_key: tuple[int, int] = (-1, 0)
+        self._predicted_runtimes: dict[str, int] = {}  # job -> run time predicted at its first release
+        self._pause_checked_slot = self._early_start_slot = 0
+        self.arrival_forecast = ArrivalForecast()
+        self._pending_updates: dict[str, None] = {}  # jobs whose latest safe start changed
+        self.anew = 0  # plans changed by a replan; for the status and tests
+        self.late = 0  # releases after a job's latest safe start
+        cluster.tasks.on_runtime_measured = self.on_runtime_measured
+        self._update_prices(wall)
+
+    # --- jobs -------------------------------------------------------------------------------------
 
     def joined(self, job: Job, wall: int) -> None:
-        """A job is new to this leader: hold it if that is worth something, or as was recorded."""
+        """Defers a job that is new to this leader: as recorded, or as planned now if that saves enough."""
         deferral = self._deferral(job)
         if deferral is None or job.cancelled or job.completing:
-            if job.start_limit >= 0:  # recorded under other settings
-                self._open_all(job)
+            if job.start_limit >= 0:  # it was deferred under other settings
+                self._release_all(job)
             return
         if job.deferral is not None:
-            self._restore(job, deferral, wall)
+            self._restore_plan(job, deferral, wall)
         elif job.next_unbound_index == 0 and job.start_limit < 0:
-            self._plan(job, deferral, wall)
+            self._plan_job(job, deferral, wall)
 
     def _deferral(self, job: Job) -> Deferral | None:
         if job.kind is JobKind.SERVICE or job.spec.deadline_s is None:
             return None
         return self.settings.deferral(job.spec.job_class, job.spec.priority)
 
-    def _need(self, job: Job, deferral: Deferral, tasks: int) -> Need:
+    def _demand(self, job: Job, deferral: Deferral, tasks: int) -> JobDemand:
         spec = job.spec
-        run = self.cluster.predictor.run_time(job.job_id, spec)
-        whole = job.kind is JobKind.GANG
-        cpus = spec.cpus * (spec.task_count if whole else 1)
-        # So many of its tasks run at a time, in so many rounds.
+        runtime = self.cluster.predictor.run_time(job.job_id, spec)
+        is_gang = job.kind is JobKind.GANG
+        cpus = spec.cpus * (spec.task_count if is_gang else 1)
+        # The deferred tasks run in rounds, each as large as the capacity allows.
         rounds = -(-tasks * spec.cpus // self.settings.capacity_cpus)
         deadline = job.deadline
         assert deadline is not None
-        longest = round(run * self.margins.factor(spec.job_class) * max(rounds, 1))
-        latest = deadline - longest - self._reserve(job)
-        return Need(
+        max_duration = round(runtime * self.margins.factor(spec.job_class) * max(rounds, 1))
+        latest_start = deadline - max_duration - self._startup_reserve(job)
+        return JobDemand(
             job.job_id,
             cpus,
-            1 if whole else tasks,
-            max(run, SECOND),
-            latest,
-            self._sort(deferral.price, deferral.carbon),
+            1 if is_gang else tasks,
+            max(runtime, SECOND),
+            latest_start,
+            self._profile(deferral.price, deferral.carbon),
             deferral.lateness,
         )
 
-    def _reserve(self, job: Job) -> int:
-        """Time for what the plan knows nothing of: a machine to boot, once more if it never comes up, an image."""
-        kinds = self.cluster.catalog.preferred_types(job)
-        boot = max((micros(kind.boot_time_s) for kind in kinds), default=0)
+    def _startup_reserve(self, job: Job) -> int:
+        """Returns the time for boot and image fetch, which plans omit; twice each, as a machine may never come up."""
+        machine_types = self.cluster.catalog.preferred_types(job)
+        boot = max((micros(machine_type.boot_time_s) for machine_type in machine_types), default=0)
         fetch = max(
-            (micros(job.spec.image_size_gb / max(kind.image_fetch_gb_per_s, 0.01)) for kind in kinds), default=0
+            (
+                micros(job.spec.image_size_gb / max(machine_type.image_fetch_gb_per_s, 0.01))
+                for machine_type in machine_types
+            ),
+            default=0,
         )
         return micros(self.settings.reserve_s) + 2 * boot + 2 * fetch
 
     @staticmethod
-    def _sort(price: float, carbon: float) -> str:
-        """Jobs with the same weights look at the same prices."""
+    def _profile(price: float, carbon: float) -> str:
+        """Returns the name of a price profile: jobs with the same weights have the same unit costs."""
         return f"{price:g}/{carbon:g}"
 
-    def _plan(self, job: Job, deferral: Deferral, wall: int) -> None:
-        self.planner.at(wall)
-        need = self._need(job, deferral, job.spec.task_count)
-        self.arrivals.came(wall, need.run * need.cpus * need.tasks)
-        plan = self.planner.add(need)
+    def _plan_job(self, job: Job, deferral: Deferral, wall: int) -> None:
+        self.planner.advance_to(wall)
+        demand = self._demand(job, deferral, job.spec.task_count)
+        self.arrival_forecast.add(wall, demand.runtime * demand.cpus * demand.task_count)
+        plan = self.planner.add(demand)
         if self._starts_now(plan):
             self.planner.remove(job.job_id)
             return
-        self._write(job, plan, 0)
+        self._write_plan(job, plan, 0)
 
     def _starts_now(self, plan: Plan) -> bool:
         return set(plan.starts) <= {self.planner.now // self.planner.step}
 
-    def _keep_plan(self, job: Job, plan: Plan) -> None:
-        """The plan that goes with the job's next record; what is recorded now holds for whoever takes over before."""
+    def _update_recorded_plan(self, job: Job, plan: Plan) -> None:
+        """Updates the plan in the job's next record; a leader that takes over earlier uses the plan recorded now."""
         if job.deferral is not None:
-            job.deferral.plan = self._rows(job, plan)
+            job.deferral.plan = self._plan_rows(job, plan)
 
-    def _rows(self, job: Job, plan: Plan) -> list[tuple[int, int]]:
-        return [(slot * self.planner.step, self._tasks(job, count)) for slot, count in sorted(plan.starts.items())]
+    def _plan_rows(self, job: Job, plan: Plan) -> list[tuple[int, int]]:
+        return [(slot * self.planner.step, self._task_count(job, count)) for slot, count in sorted(plan.starts.items())]
 
-    def _write(self, job: Job, plan: Plan, opened: int) -> None:
-        before = job.deferral or DeferredStart([], "")
-        hold = DeferredStart(self._rows(job, plan), plan.why, before.write_count, 0, before.pause_count)
-        self.cluster.job_lifecycle.defer(job, opened, hold)
+    def _write_plan(self, job: Job, plan: Plan, start_limit: int) -> None:
+        previous = job.deferral or DeferredStart([], "")
+        deferred_start = DeferredStart(
+            self._plan_rows(job, plan), plan.reason, previous.write_count, 0, previous.pause_count
+        )
+        self.cluster.job_lifecycle.defer(job, start_limit, deferred_start)
 
     @staticmethod
-    def _tasks(job: Job, count: int) -> int:
+    def _task_count(job: Job, count: int) -> int:
         return job.spec.task_count if job.kind is JobKind.GANG else count
 
-    def _restore(self, job: Job, deferral: Deferral, wall: int) -> None:
-        """As an earlier leader recorded it."""
-        hold = job.deferral
-        assert hold is not None
-        if hold.paused_until > wall:
-            job.retry_at = self.cluster.now + hold.paused_until - wall
-        left = job.deferred
-        if left <= 0 or not hold.plan:
-            self._open_all(job)
+    def _restore_plan(self, job: Job, deferral: Deferral, wall: int) -> None:
+        """Restores the plan and the pause that an earlier leader recorded with a job."""
+        deferred_start = job.deferral
+        assert deferred_start is not None
+        if deferred_start.paused_until > wall:
+            job.retry_at = self.cluster.now + deferred_start.paused_until - wall
+        deferred_count = job.deferred
+        if deferred_count <= 0 or not deferred_start.plan:
+            self._release_all(job)
             return
-        need = self._need(job, deferral, left)
+        demand = self._demand(job, deferral, deferred_count)
         starts: dict[int, int] = {}
-        for at, count in hold.plan:
+        for at, count in deferred_start.plan:
             slot = at // self.planner.step
             starts[slot] = starts.get(slot, 0) + (1 if job.kind is JobKind.GANG else count)
-        self.planner.restore(need, starts, hold.reason)
+        self.planner.restore(demand, starts, deferred_start.reason)
         if not job.pending:
             self.cluster.pending.discard(job)
 
-    def _open_all(self, job: Job) -> None:
+    def _release_all(self, job: Job) -> None:
         self.planner.remove(job.job_id)
         if job.start_limit >= 0:
             self.cluster.job_lifecycle.release_deferred(job, job.spec.task_count)
         if job.deferral is not None:
             job.deferral.plan = []
 
-    def measured(self, job: Job, took: int) -> None:
-        """A task of some job was done after so long."""
-        predicted = self._predicted.get(job.job_id)
+    def on_runtime_measured(self, job: Job, actual: int) -> None:
+        """Records the actual run time of a completed task, and schedules updates if its class's margin changed."""
+        predicted = self._predicted_runtimes.get(job.job_id)
         if predicted is None:
-            predicted = self._predicted[job.job_id] = self.cluster.predictor.run_time(job.job_id, job.spec)
-        if self.margins.on_task_completed(job.spec.job_class, took, predicted):
-            self._rekey(job.spec.job_class)
+            predicted = self._predicted_runtimes[job.job_id] = self.cluster.predictor.run_time(job.job_id, job.spec)
+        if self.margins.on_task_completed(job.spec.job_class, actual, predicted):
+            self._schedule_demand_updates(job.spec.job_class)
 
-    def _rekey(self, job_class: str) -> None:
-        """Predictions of a class turned out otherwise: its latest safe starts are others now.
+    def _schedule_demand_updates(self, job_class: str) -> None:
+        """Schedules new latest safe starts for the jobs of a class whose run time margin changed.
 
-        Taken up a few hundred at a time, those whose bound comes first.
+        MAX_DEMAND_UPDATES_PER_STEP of them are applied per step, those with the earliest latest start first.
         """
         plans = self.planner.plans
-        of_class = [ref for ref in plans if self.cluster.jobs[ref].spec.job_class == job_class]
-        self._rekeyed.update(dict.fromkeys(sorted(of_class, key=lambda ref: (plans[ref].need.latest, ref))))
+        class_job_ids = [job_id for job_id in plans if self.cluster.jobs[job_id].spec.job_class == job_class]
+        self._pending_updates.update(
+            dict.fromkeys(sorted(class_job_ids, key=lambda job_id: (plans[job_id].demand.latest_start, job_id)))
+        )
 
-    def _rebound(self) -> None:
-        for ref in list(self._rekeyed)[:REKEYED_AT_ONCE]:
-            del self._rekeyed[ref]
-            job = self.cluster.jobs.get(ref)
+    def _apply_demand_updates(self) -> None:
+        for job_id in list(self._pending_updates)[:MAX_DEMAND_UPDATES_PER_STEP]:
+            del self._pending_updates[job_id]
+            job = self.cluster.jobs.get(job_id)
             deferral = self._deferral(job) if job is not None else None
-            if job is not None and deferral is not None and ref in self.planner.plans:
-                self.planner.bound(ref, self._need(job, deferral, max(job.deferred, 1)))
+            if job is not None and deferral is not None and job_id in self.planner.plans:
+                self.planner.update_demand(job_id, self._demand(job, deferral, max(job.deferred, 1)))
 
-    # --- the time goes on ------------------------------------------------------------------------
+    # --- steps ------------------------------------------------------------------------------------
 
     def tick(self, wall: int) -> int:
-        """Let go what is due, and plan anew what a change concerns; how many tasks were let go."""
+        """Releases the tasks that are due, and replans jobs affected by a change; returns the number released."""
         planner = self.planner
-        for ref in [ref for ref in planner.plans if self._over(ref)]:
-            planner.remove(ref)  # cancelled meanwhile
-        planner.at(wall)
-        self._rebound()
-        if planner.now // planner.step != self._advanced_slot:
-            self._advanced_slot = planner.now // planner.step
-            for sort in {plan.need.sort for plan in planner.plans.values()}:
-                for ref in planner.advance(sort, self.arrivals.expected(wall)):
-                    self._keep_plan(self.cluster.jobs[ref], planner.plans[ref])
-        let_go = 0
+        for job_id in [job_id for job_id in planner.plans if self._is_finished(job_id)]:
+            planner.remove(job_id)  # it was cancelled or removed since the last step
+        planner.advance_to(wall)
+        self._apply_demand_updates()
+        if planner.now // planner.step != self._early_start_slot:
+            self._early_start_slot = planner.now // planner.step
+            for profile in {plan.demand.profile for plan in planner.plans.values()}:
+                for job_id in planner.start_early(profile, self.arrival_forecast.expected_work(wall)):
+                    self._update_recorded_plan(self.cluster.jobs[job_id], planner.plans[job_id])
+        released_tasks = 0
         overdue = planner.overdue()
-        for ref, count in planner.due():
-            job = self.cluster.jobs[ref]
-            self.late += ref in overdue
-            self._predicted.setdefault(ref, self.cluster.predictor.run_time(ref, job.spec))
-            tasks = self._tasks(job, count)
+        for job_id, count in planner.take_due():
+            job = self.cluster.jobs[job_id]
+            self.late += job_id in overdue
+            self._predicted_runtimes.setdefault(job_id, self.cluster.predictor.run_time(job_id, job.spec))
+            tasks = self._task_count(job, count)
             if job.deferral is not None:
                 job.deferral.plan = [row for row in job.deferral.plan if row[0] > wall]
             self.cluster.job_lifecycle.release_deferred(job, tasks)
-            if ref not in planner.plans:
-                self.cluster.job_lifecycle.release_deferred(job, job.spec.task_count)  # whatever rounding left
-            let_go += tasks
-        if len(self._predicted) > 2 * len(self.cluster.jobs) + FORGET_OVER:
-            self._predicted = {ref: run for ref, run in self._predicted.items() if ref in self.cluster.jobs}
-        self._price(wall)
-        frozen = [ref for ref, plan in planner.plans.items() if plan.moves >= MOVES_MOST] if planner.marked else []
-        for ref in planner.improve(IMPROVED_AT_ONCE, frozen):
+            if job_id not in planner.plans:
+                self.cluster.job_lifecycle.release_deferred(job, job.spec.task_count)  # tasks that rounding left over
+            released_tasks += tasks
+        if len(self._predicted_runtimes) > 2 * len(self.cluster.jobs) + MAX_STALE_PREDICTIONS:
+            self._predicted_runtimes = {
+                job_id: runtime for job_id, runtime in self._predicted_runtimes.items() if job_id in self.cluster.jobs
+            }
+        self._update_prices(wall)
+        frozen = (
+            [job_id for job_id, plan in planner.plans.items() if plan.move_count >= MAX_MOVES_PER_JOB]
+            if planner.dirty_count
+            else []
+        )
+        for job_id in planner.replan_dirty(MAX_REPLANS_PER_STEP, frozen):
             self.anew += 1
-            job = self.cluster.jobs[ref]
-            self._write(job, planner.plans[ref], max(job.start_limit, job.next_unbound_index))
-        self._coming(wall)
-        if planner.now // planner.step != self._checked_slot:
-            self._checked_slot = planner.now // planner.step
-            self._pause(wall)
-        return let_go
-
-    def _over(self, ref: str) -> bool:
-        job = self.cluster.jobs.get(ref)
+            job = self.cluster.jobs[job_id]
+            self._write_plan(job, planner.plans[job_id], max(job.start_limit, job.next_unbound_index))
+        self._update_upcoming_starts(wall)
+        if planner.now // planner.step != self._pause_checked_slot:
+            self._pause_checked_slot = planner.now // planner.step
+            self._pause_running(wall)
+        return released_tasks
+
+    def _is_finished(self, job_id: str) -> bool:
+        job = self.cluster.jobs.get(job_id)
         return job is None or job.cancelled or job.completing
 
-    def _price(self, wall: int) -> None:
-        """The prices of the hours to come, when the book or its age has changed."""
-        key = (self.book.version, wall // AGED_EVERY)
-        if key == self._priced:
+    def _update_prices(self, wall: int) -> None:
+        """Passes the prices of the coming slots to the planner if the price book or its age has changed."""
+        key = (self.book.version, wall // PRICE_UPDATE_INTERVAL)
+        if key == self._prices_key:
             return
-        self._priced = key
+        self._prices_key = key
         planner = self.planner
-        sorts = {(d.price, d.carbon) for _, d in (*self.settings.classes, *self.settings.priorities)}
-        for price, carbon in sorted(sorts):
-            unit = self.book.slots(wall // planner.step, planner.slots, planner.step, wall, price, carbon)
-            planner.price(self._sort(price, carbon), [round(cost, 2) for cost in unit])
+        weights = {(d.price, d.carbon) for _, d in (*self.settings.classes, *self.settings.priorities)}
+        for price, carbon in sorted(weights):
+            costs = self.book.slot_costs(wall // planner.step, planner.slots, planner.step, wall, price, carbon)
+            planner.set_prices(self._profile(price, carbon), [round(cost, 2) for cost in costs])
 
-    def _coming(self, wall: int) -> None:
-        """What is let go within a moment counts in the queue estimate already."""
+    def _update_upcoming_starts(self, wall: int) -> None:
+        """Publishes the tasks that are released soon (`ahead_s`), so that queue wait estimates include them."""
         self.cluster.upcoming_starts = [
-            (job, self._tasks(job, count))
-            for ref, count in self.planner.soon(wall + micros(self.settings.ahead_s))
-            if (job := self.cluster.jobs.get(ref)) is not None
+            (job, self._task_count(job, count))
+            for job_id, count in self.planner.starts_until(wall + micros(self.settings.ahead_s))
+            if (job := self.cluster.jobs.get(job_id)) is not None
         ]
 
-    def _pause(self, wall: int) -> None:
-        """Stop running work that saves, where the settings allow it and much cheaper hours come in time."""
+    def _pause_running(self, wall: int) -> None:
+        """Pauses running jobs that write checkpoints, if the settings allow it and much cheaper hours come in time."""
         for job in list(self.cluster.jobs.values()):
             deferral = self._deferral(job)
             if (
@@ -301,46 +325,50 @@
             running = [
                 t for t in job.tasks.values() if t.phase is TaskPhase.BOUND and t.running_since and not t.stop_grace_s
             ]
-            hold = job.deferral or DeferredStart([], "")
-            if not running or job.deferred or hold.pause_count >= PAUSES_MOST:
+            deferred_start = job.deferral or DeferredStart([], "")
+            if not running or job.deferred or deferred_start.pause_count >= MAX_PAUSES_PER_JOB:
                 continue
-            need = self._need(job, deferral, len(running))
-            save = micros(job.spec.checkpoint_duration_s) + 10 * SECOND
-            plan = self.planner.quote(replace(need, latest=need.latest - save))
-            if self._starts_now(plan) or plan.crowded or plan.saving < PAUSE_SAVES:
+            demand = self._demand(job, deferral, len(running))
+            checkpoint_time = micros(job.spec.checkpoint_duration_s) + 10 * SECOND
+            plan = self.planner.quote(replace(demand, latest_start=demand.latest_start - checkpoint_time))
+            if self._starts_now(plan) or plan.is_overcommitted or plan.saving < MIN_PAUSE_SAVING:
                 continue
             until = min(plan.starts) * self.planner.step
             for task in running:
                 self.cluster.tasks.stop(task, job.spec.stop_grace_s)
             job.retry_at = self.cluster.now + until - wall
             self.cluster.job_lifecycle.defer(
-                job, -1, DeferredStart([], "paused for a cheaper hour", hold.write_count, until, hold.pause_count + 1)
+                job,
+                -1,
+                DeferredStart(
+                    [], "paused for a cheaper hour", deferred_start.write_count, until, deferred_start.pause_count + 1
+                ),
             )
 
-    # --- questions -------------------------------------------------------------------------------
+    # --- inspection and records -------------------------------------------------------------------
 
-    def explain(self, ref: str, wall: int) -> dict[str, Any]:
-        """Why a job is held, until when, what that saves, and what would let it go earlier."""
-        job = self.cluster.jobs.get(ref)
+    def explain(self, job_id: str, wall: int) -> dict[str, Any]:
+        """Returns why a job is deferred, until when, what that saves, and what would release it earlier."""
+        job = self.cluster.jobs.get(job_id)
         if job is None:
-            return {"job": ref, "held": False, "why": "no unfinished job of this id"}
-        plan = self.planner.plans.get(ref)
+            return {"job": job_id, "held": False, "why": "no unfinished job of this id"}
+        plan = self.planner.plans.get(job_id)
         if plan is None:
             paused = job.deferral is not None and job.deferral.paused_until > wall
-            why = job.deferral.reason if paused and job.deferral else "not held: it is routed as ever"
-            return {"job": ref, "held": paused, "why": why, "pending": job.pending}
+            reason = job.deferral.reason if paused and job.deferral else "not held: it is routed as ever"
+            return {"job": job_id, "held": paused, "why": reason, "pending": job.pending}
         age = self.book.age(wall)
         return {
-            "job": ref,
+            "job": job_id,
             "held": True,
-            "why": plan.why,
+            "why": plan.reason,
             "tasks_held": job.deferred,
             "windows": [
-                {"from": slot * self.planner.step / SECOND, "tasks": self._tasks(job, count)}
+                {"from": slot * self.planner.step / SECOND, "tasks": self._task_count(job, count)}
                 for slot, count in sorted(plan.starts.items())
             ],
             "until_s": seconds(max(min(plan.starts) * self.planner.step - wall, 0)),
-            "latest_start_s": seconds(plan.need.latest - wall),
+            "latest_start_s": seconds(plan.demand.latest_start - wall),
             "saves": round(plan.saving, 3),
             "margin": round(self.margins.factor(job.spec.job_class), 2),
             "prices_age_s": None if age is None else seconds(age),
@@ -349,8 +377,10 @@
         }
 
     def record(self) -> dict[str, Any]:
+        """Returns the record of the run time margins for the next leader."""
         return {"margins": self.margins.record()}
 
     def set_up(self, value: Any) -> None:
+        """Restores the run time margins from an earlier leader's record."""
         if isinstance(value, dict):
             self.margins.load(value.get("margins"))
--- a/oatport/windows/margins.py
+++ b/oatport/windows/margins.py
@@ -1,4 +1,4 @@
-"""How wrong predictions of run times have been, by class: what a latest safe start has to leave."""
+"""Run time margins by job class: the error of past predictions, for which a latest safe start must allow."""
 
 from __future__ import annotations
 
@@ -6,57 +6,57 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-MAX_RATIOS = 200  # kept of each class
-SUFFICIENT_RATIOS = 20  # until there are so many, PRIOR_FACTOR counts as well
+MAX_RATIOS = 200  # stored per class
+SUFFICIENT_RATIOS = 20  # below this number PRIOR_FACTOR counts as well
 PRIOR_FACTOR = 3.0  # a task may take three times as long as predicted
 MIN_FACTOR = 1.2
 MAX_RATIO = 100.0
 QUANTILE = 0.97
 RECOMPUTE_EVERY = 10  # completions of a class
-CHANGE_THRESHOLD = 0.1  # of the factor before
+CHANGE_THRESHOLD = 0.1  # share of the previous factor
 
 
 @dataclass(slots=True)
 class RuntimeMargins:
-    """By class the ratios of actual to predicted run time, and the factor that nearly all of them stay below."""
+    """Holds, by class, the ratios of actual to predicted run time and a factor that nearly all of them stay below."""
 
     _ratios: dict[str, deque[float]] = field(default_factory=dict)
     _factors: dict[str, float] = field(default_factory=dict)
 
     def on_task_completed(self, job_class: str, runtime: int, predicted: int) -> bool:
-        """Take in a completion; True if the class's factor moved enough to plan anew."""
+        """Records a completion; returns whether the class's factor changed enough to replan."""
         if predicted <= 0 or runtime < 0:
             return False
         ratios = self._ratios.setdefault(job_class, deque(maxlen=MAX_RATIOS))
         ratios.append(min(runtime / predicted, MAX_RATIO))
         if len(ratios) % RECOMPUTE_EVERY and len(ratios) > SUFFICIENT_RATIOS:
-            return False  # sorted now and then: tasks complete by the thousand
+            return False  # sorting on each of thousands of completions would be too slow
         before, now = self._factors.get(job_class, PRIOR_FACTOR), self._compute_factor(ratios)
         self._factors[job_class] = now
         return abs(now - before) > CHANGE_THRESHOLD * before
 
     def factor(self, job_class: str) -> float:
-        """A task of this class takes at most this many times its prediction, nearly always."""
+        """Returns the multiple of its predicted run time that nearly every task of this class stays below."""
         return self._factors.get(job_class, PRIOR_FACTOR)
 
     @staticmethod
     def _compute_factor(ratios: deque[float]) -> float:
         ordered = sorted(ratios)
         high = ordered[min(int(len(ordered) * QUANTILE), len(ordered) - 1)]
-        # A few fast tasks prove little: what is not seen yet is filled up with the prior.
+        # A few fast tasks are weak evidence, so the prior stands in for the ratios that are still missing.
         observed_share = min(len(ordered) / SUFFICIENT_RATIOS, 1.0)
         return max(MIN_FACTOR, high * observed_share + PRIOR_FACTOR * (1 - observed_share), high)
 
     def __bool__(self) -> bool:
-        """Something was learnt."""
+        """Returns whether any completion was recorded."""
         return bool(self._ratios)
 
     def record(self) -> dict[str, list[float]]:
-        """What `load` takes."""
+        """Returns the ratios by class, as `load` accepts them."""
         return {name: [round(ratio, 3) for ratio in ratios] for name, ratios in self._ratios.items()}
 
     def load(self, value: Any) -> None:
-        """Go on from a record; classes whose ratios can't be read are left out."""
+        """Restores the ratios from a record; skips classes whose ratios are invalid."""
         if not isinstance(value, dict):
             return
         for name, recorded in value.items():
--- a/oatport/windows/planner.py
+++ b/oatport/windows/planner.py
@@ -1,13 +1,15 @@
-"""When held work starts: the cheapest hours in which it still ends before its deadline, within the room there is.
-
-Pure: no clock, no I/O. Time is cut into slots. A job's tasks are independent, so a plan says how many of them start in
-each slot; a task that runs for longer than a slot takes room in those that follow.
-
-- A latest safe start is a hard bound: no plan goes past it, and what has no room before it starts at once.
-- A plan is never dearer than starting at once by the prices it was made with, or the job starts at once.
-- Jobs compete for room. One that finds none before its latest start takes that of others that can still go elsewhere.
-- Planning is incremental: an arrival places one job; a changed price marks the jobs whose hours it touches, and
-  `improve` takes them up a few at a time, the soonest first. `work` counts slots and jobs looked at.
+"""Plans when deferred jobs start: in the cheapest time slots that meet the deadline and have free capacity.
+
+The planner is deterministic: it reads no clock and does no I/O. Time is divided into slots of equal length. A job's
+tasks are independent, so a plan states how many of them start in each slot. A task that runs for longer than one slot
+uses capacity in the slots that follow as well.
+
+- The latest safe start is a hard limit: no plan exceeds it. Tasks without free capacity before it start immediately.
+- A plan never costs more than an immediate start at the prices it was made with; otherwise the job starts immediately.
+- Jobs compete for capacity. A job that finds none before its latest start displaces jobs that can start later.
+- Planning is incremental: a new job is planned on its own. A price change marks the affected jobs as dirty, and
+  `replan_dirty` plans a few of them per call, those with the earliest start first. `operation_count` counts the slots
+  and jobs examined.
 """
 
 from __future__ import annotations
@@ -17,448 +19,502 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field, replace
 
-VICTIMS_MOST = 16  # jobs looked at for room that one without any takes
-ADVANCED_MOST = 500  # jobs that start earlier than planned in one slot
-SAVES_LEAST = 0.01  # holding work for less than this share of its cost is not worth the risk
-DEMANDS = (0.5, 1.0, 1.5, 2.0, 3.0)  # of what is expected to come; too little costs more than too much
+MAX_DISPLACEMENT_CANDIDATES = 16  # jobs that may be displaced for one job without free capacity
+MAX_EARLY_STARTS = 500  # jobs started earlier than planned, per slot
+MIN_SAVING = 0.01  # share of the cost; deferring a job for less is not worth the risk
+DEMAND_FACTORS = (0.5, 1.0, 1.5, 2.0, 3.0)  # of the expected work; underestimating costs more than overestimating
 EPSILON = 1e-9
 
 
 @dataclass(frozen=True, slots=True)
-class Need:
-    """What a job wants: `tasks` not yet started, each `cpus` for `run` us, started no later than `latest`."""
+class JobDemand:
+    """Describes the unstarted work of a job: `task_count` tasks, each of which takes `cpus` CPUs for `runtime` us."""
 
-    ref: str
+    job_id: str
     cpus: float
-    tasks: int
-    run: int
-    latest: int  # us; the latest safe start
-    sort: str = ""  # whose prices it looks at (class or priority)
-    impatience: float = 0.0  # what waiting until the latest start would cost, as a share of the cost at once
+    task_count: int
+    runtime: int
+    latest_start: int  # the latest safe start, us of the time of day
+    profile: str = ""  # the unit costs that apply, one profile per pair of price and carbon weights
+    delay_penalty: float = 0.0  # cost of waiting until the latest start, as a share of the immediate cost
 
 
 @dataclass(slots=True)
 class Plan:
-    need: Need
-    starts: dict[int, int] = field(default_factory=dict)  # slot -> tasks
+    """Holds the planned starts of a job's tasks, their cost and the reason for the choice."""
+
+    demand: JobDemand
+    starts: dict[int, int] = field(default_factory=dict)  # slot number -> tasks that start in it
     cost: float = 0.0
-    at_once: float = 0.0
-    why: str = ""
-    crowded: bool = False  # some of it found no room in time
-    moves: int = 0
+    immediate_cost: float = 0.0
+    reason: str = ""
+    is_overcommitted: bool = False  # some tasks found no free capacity before the latest start
+    move_count: int = 0
 
     @property
     def saving(self) -> float:
-        """Share of the cost at once that the plan saves."""
-        return (self.at_once - self.cost) / abs(self.at_once) if abs(self.at_once) > EPSILON else 0.0
+        """Returns the share of the cost of an immediate start that the plan saves."""
+        return (
+            (self.immediate_cost - self.cost) / abs(self.immediate_cost) if abs(self.immediate_cost) > EPSILON else 0.0
+        )
 
 
 class Planner:
-    """`step`: length of a slot (us); `slots`: how many are looked ahead; `capacity`: CPUs for held work in each."""
+    """Holds the plans of all deferred jobs and the capacity that they reserve in each slot.
+
+    `step` is the length of a slot in microseconds, `slots` the number of slots in the planning horizon, and `capacity`
+    the CPUs available to deferred jobs in each slot.
+    """
 
     def __init__(self, step: int, slots: int, capacity: float) -> None:
         if step <= 0 or slots < 2 or capacity <= 0:
-            raise ValueError("step, slots and capacity must be above 0")
+            raise ValueError(f"expected step > 0, slots >= 2, capacity > 0; got {step}, {slots}, {capacity}")
         self.step = step
         self.slots = slots
         self.capacity = capacity
         self.now = 0
         self.plans: dict[str, Plan] = {}
-        self.work = 0
-        self._first = 0  # number of the first slot kept
-        self._free: list[float] = [capacity * step] * slots  # CPU-us left in each
-        self._in_slot: dict[int, dict[str, int]] = {}
-        self._unit: dict[str, list[float]] = {}  # sort -> what a CPU-us costs in each slot
-        self._order: dict[tuple[str, int], list[int]] = {}  # (sort, slots a task takes) -> starts, cheapest first
+        self.operation_count = 0
+        self._first_slot = 0  # number of the first slot of the horizon
+        self._free_capacity: list[float] = [capacity * step] * slots  # CPU-us free in each slot of the horizon
+        self._tasks_by_slot: dict[int, dict[str, int]] = {}
+        self._unit_costs: dict[str, list[float]] = {}  # price profile -> cost of a CPU-us in each slot
+        # (profile, slots a task takes) -> slots to start in, cheapest first
+        self._slots_by_cost: dict[tuple[str, int], list[int]] = {}
         self._dirty: dict[str, None] = {}
-        self._latest: list[tuple[int, str]] = []
+        self._latest_starts: list[tuple[int, str]] = []
 
     # --- time and prices --------------------------------------------------------------------------
 
-    def at(self, now: int) -> None:
-        """The time goes on: slots that are over are forgotten, others come into sight."""
+    def advance_to(self, now: int) -> None:
+        """Moves the horizon to a time: drops the slots that have passed and appends new ones with full capacity."""
         self.now = max(self.now, now)
         first = self.now // self.step
-        if first <= self._first:
+        if first <= self._first_slot:
             return
-        gone = min(first - self._first, self.slots)
-        self._free = self._free[gone:] + [self.capacity * self.step] * gone
-        for sort, unit in self._unit.items():
-            self._unit[sort] = unit[gone:] + [1.0] * gone
-        self._first = first
-        self._order.clear()
-
-    def price(self, sort: str, unit: list[float]) -> None:
-        """What a CPU costs in each slot from the present one on, in multiples of the ordinary price."""
-        known = self._unit.get(sort)
-        unit = (unit + [1.0] * self.slots)[: self.slots]
-        if known == unit:
+        expired = min(first - self._first_slot, self.slots)
+        self._free_capacity = self._free_capacity[expired:] + [self.capacity * self.step] * expired
+        for profile, costs in self._unit_costs.items():
+            self._unit_costs[profile] = costs[expired:] + [1.0] * expired
+        self._first_slot = first
+        self._slots_by_cost.clear()
+
+    def set_prices(self, profile: str, costs: list[float]) -> None:
+        """Sets a profile's cost of CPU time in each slot from the current one on, in multiples of the ordinary price.
+
+        Jobs that a changed cost affects are marked as dirty.
+        """
+        previous = self._unit_costs.get(profile)
+        costs = (costs + [1.0] * self.slots)[: self.slots]
+        if previous == costs:
             return
-        if known is not None:
-            both = enumerate(zip(known, unit, strict=True), self._first)
-            changed = {number for number, (a, b) in both if abs(a - b) > EPSILON}
-            dearer = {n for n in changed if unit[n - self._first] > known[n - self._first]}
-            cheaper = changed - dearer
-            self._mark(sort, dearer, cheaper)
-        self._unit[sort] = unit
-        for key in [key for key in self._order if key[0] == sort]:
-            del self._order[key]
-
-    def _mark(self, sort: str, dearer: set[int], cheaper: set[int]) -> None:
-        """The jobs that a changed price concerns: those in dearer hours, and those that could go to cheaper ones."""
-        for number in dearer:
-            for ref in self._in_slot.get(number, ()):
-                if self.plans[ref].need.sort == sort:
-                    self._dirty[ref] = None
-        if cheaper:
-            soonest = min(cheaper)
-            for ref, plan in self.plans.items():
-                if plan.need.sort == sort and self._last(plan.need) >= soonest and ref not in self._dirty:
-                    self.work += 1
-                    self._dirty[ref] = None
+        if previous is not None:
+            pairs = enumerate(zip(previous, costs, strict=True), self._first_slot)
+            changed = {number for number, (a, b) in pairs if abs(a - b) > EPSILON}
+            increased = {n for n in changed if costs[n - self._first_slot] > previous[n - self._first_slot]}
+            decreased = changed - increased
+            self._mark_dirty(profile, increased, decreased)
+        self._unit_costs[profile] = costs
+        for key in [key for key in self._slots_by_cost if key[0] == profile]:
+            del self._slots_by_cost[key]
+
+    def _mark_dirty(self, profile: str, increased: set[int], decreased: set[int]) -> None:
+        """Marks the jobs in slots whose cost increased and the jobs that could move to slots whose cost decreased."""
+        for number in increased:
+            for job_id in self._tasks_by_slot.get(number, ()):
+                if self.plans[job_id].demand.profile == profile:
+                    self._dirty[job_id] = None
+        if decreased:
+            soonest = min(decreased)
+            for job_id, plan in self.plans.items():
+                if (
+                    plan.demand.profile == profile
+                    and self._last_slot(plan.demand) >= soonest
+                    and job_id not in self._dirty
+                ):
+                    self.operation_count += 1
+                    self._dirty[job_id] = None
 
     # --- jobs ------------------------------------------------------------------------------------
 
-    def add(self, need: Need) -> Plan:
-        """Plan a job that has come, or one of which something is known anew; the others stay where they are."""
-        self.remove(need.ref)
-        plan = self._place(need)
-        if plan.crowded and self._make_room(need):
-            plan = self._place(need)
-        self._put(plan)
+    def add(self, demand: JobDemand) -> Plan:
+        """Plans a new job, or replans one whose demand changed, and returns the plan.
+
+        Other jobs move only if this job finds no free capacity before its latest start.
+        """
+        self.remove(demand.job_id)
+        plan = self._make_plan(demand)
+        if plan.is_overcommitted and self._displace_jobs(demand):
+            plan = self._make_plan(demand)
+        self._insert(plan)
         return plan
 
-    def remove(self, ref: str) -> None:
-        plan = self.plans.pop(ref, None)
-        self._dirty.pop(ref, None)
+    def remove(self, job_id: str) -> None:
+        """Removes a job's plan, if it has one, and releases its capacity."""
+        plan = self.plans.pop(job_id, None)
+        self._dirty.pop(job_id, None)
         if plan is not None:
-            self._take_out(plan)
+            self._detach(plan)
 
-    def quote(self, need: Need) -> Plan:
-        """What would be planned for a job; nothing is kept."""
-        return self._place(need)
+    def quote(self, demand: JobDemand) -> Plan:
+        """Returns the plan that a job would get, without storing it."""
+        return self._make_plan(demand)
 
-    def bound(self, ref: str, need: Need) -> None:
-        """The job's latest start or run time is another now. Its plan is marked if it goes past that.
+    def update_demand(self, job_id: str, demand: JobDemand) -> None:
+        """Replaces a job's demand, for a changed latest start or run time, and marks a plan that exceeds it as dirty.
 
-        The bound holds from here on: what is not planned anew by then starts at it.
+        The new latest start applies at once: tasks that are not replanned before it start at it.
         """
-        plan = self.plans[ref]
-        self._take_out(plan)
-        plan.need = need
-        self._put(plan)
-        if max(plan.starts, default=0) > max(self._last(need), self._first):
-            self._dirty[ref] = None
-
-    def restore(self, need: Need, starts: dict[int, int], why: str) -> Plan:
-        """A plan that an earlier leader recorded: as it was, not as it would be made now."""
-        self.remove(need.ref)
-        plan = Plan(need, dict(starts), why=why)
-        plan.cost = sum(count * self._cost(need, max(slot, self._first)) for slot, count in starts.items())
-        plan.at_once = need.tasks * self._cost(need, self._first)
-        self._put(plan)
+        plan = self.plans[job_id]
+        self._detach(plan)
+        plan.demand = demand
+        self._insert(plan)
+        if max(plan.starts, default=0) > max(self._last_slot(demand), self._first_slot):
+            self._dirty[job_id] = None
+
+    def restore(self, demand: JobDemand, starts: dict[int, int], reason: str) -> Plan:
+        """Inserts a plan that an earlier leader recorded, with its starts unchanged, and returns it."""
+        self.remove(demand.job_id)
+        plan = Plan(demand, dict(starts), reason=reason)
+        plan.cost = sum(count * self._task_cost(demand, max(slot, self._first_slot)) for slot, count in starts.items())
+        plan.immediate_cost = demand.task_count * self._task_cost(demand, self._first_slot)
+        self._insert(plan)
         return plan
 
     def overdue(self) -> set[str]:
-        """Jobs that should have started more than a slot ago."""
-        if not self._latest or self._latest[0][0] + self.step >= self.now:
-            return set()  # the soonest bound comes first
+        """Returns the jobs whose latest start passed more than one slot ago."""
+        if not self._latest_starts or self._latest_starts[0][0] + self.step >= self.now:
+            return set()  # the heap's first entry is the earliest
         return {
-            ref
-            for at, ref in self._latest
-            if at + self.step < self.now and ref in self.plans and self.plans[ref].need.latest == at
+            job_id
+            for latest_start, job_id in self._latest_starts
+            if latest_start + self.step < self.now
+            and job_id in self.plans
+            and self.plans[job_id].demand.latest_start == latest_start
         }
 
-    def due(self) -> list[tuple[str, int]]:
-        """Jobs of which tasks start now, and how many: each is told once."""
+    def take_due(self) -> list[tuple[str, int]]:
+        """Removes the tasks that start now from the plans; returns their jobs, and how many tasks of each."""
         ready: dict[str, int] = {}
-        while self._latest and self._latest[0][0] <= self.now:
-            _, ref = heapq.heappop(self._latest)
-            plan = self.plans.get(ref)
-            if plan is not None and plan.need.latest <= self.now:  # whatever was planned: it is time
-                ready[ref] = sum(plan.starts.values())
-        for number in [n for n in self._in_slot if n <= self._first]:
-            for ref, count in self._in_slot[number].items():
-                if ref not in ready:
-                    ready[ref] = ready.get(ref, 0) + count
-        for ref, count in list(ready.items()):
-            self._started(ref, count)
-        return sorted((ref, count) for ref, count in ready.items() if count)
-
-    def _started(self, ref: str, count: int) -> None:
-        """These tasks start: their room stays taken, what is left of the job is planned as it was."""
-        plan = self.plans[ref]
-        left = count
+        while self._latest_starts and self._latest_starts[0][0] <= self.now:
+            _, job_id = heapq.heappop(self._latest_starts)
+            plan = self.plans.get(job_id)
+            if plan is not None and plan.demand.latest_start <= self.now:  # the latest start overrides the plan
+                ready[job_id] = sum(plan.starts.values())
+        for number in [n for n in self._tasks_by_slot if n <= self._first_slot]:
+            for job_id, count in self._tasks_by_slot[number].items():
+                if job_id not in ready:
+                    ready[job_id] = ready.get(job_id, 0) + count
+        for job_id, count in list(ready.items()):
+            self._remove_started(job_id, count)
+        return sorted((job_id, count) for job_id, count in ready.items() if count)
+
+    def _remove_started(self, job_id: str, count: int) -> None:
+        """Removes started tasks from a job's plan; their capacity stays reserved, and other tasks keep their slots."""
+        plan = self.plans[job_id]
+        remaining = count
         for slot in sorted(plan.starts):
-            part = min(left, plan.starts[slot])
-            left -= part
+            part = min(remaining, plan.starts[slot])
+            remaining -= part
             plan.starts[slot] -= part
-            there = self._in_slot.get(slot)
-            if there is not None and ref in there:
-                there[ref] -= part
-                if not there[ref]:
-                    del there[ref]
-                if not there:
-                    del self._in_slot[slot]
-            if slot > self._first and part:  # earlier than planned: from now on
-                self._room(plan.need, slot, part)
-                self._room(plan.need, self._first, -part)
+            jobs_in_slot = self._tasks_by_slot.get(slot)
+            if jobs_in_slot is not None and job_id in jobs_in_slot:
+                jobs_in_slot[job_id] -= part
+                if not jobs_in_slot[job_id]:
+                    del jobs_in_slot[job_id]
+                if not jobs_in_slot:
+                    del self._tasks_by_slot[slot]
+            if slot > self._first_slot and part:  # earlier than planned: move the reservation to the current slot
+                self._release_capacity(plan.demand, slot, part)
+                self._release_capacity(plan.demand, self._first_slot, -part)
         plan.starts = {slot: n for slot, n in plan.starts.items() if n}
         if not plan.starts:
-            del self.plans[ref]
-            self._dirty.pop(ref, None)
+            del self.plans[job_id]
+            self._dirty.pop(job_id, None)
             return
-        plan.need = replace(plan.need, tasks=plan.need.tasks - count)
+        plan.demand = replace(plan.demand, task_count=plan.demand.task_count - count)
 
-    def improve(self, most: int, frozen: Iterable[str] = ()) -> list[str]:
-        """Plan up to `most` marked jobs anew, the soonest first; those whose plan changed."""
+    def replan_dirty(self, max_jobs: int, frozen: Iterable[str] = ()) -> list[str]:
+        """Replans up to `max_jobs` dirty jobs, earliest start first, and returns the jobs whose plan changed.
+
+        Jobs in `frozen` keep their plan.
+        """
         if not self._dirty:
             return []
-        still = set(frozen)
-        first = heapq.nsmallest(most, self._dirty, key=lambda ref: (min(self.plans[ref].starts, default=0), ref))
+        frozen_ids = set(frozen)
+        first = heapq.nsmallest(
+            max_jobs, self._dirty, key=lambda job_id: (min(self.plans[job_id].starts, default=0), job_id)
+        )
         changed = []
-        for ref in first:
-            del self._dirty[ref]
-            old = self.plans[ref]
-            if ref in still:
+        for job_id in first:
+            del self._dirty[job_id]
+            old = self.plans[job_id]
+            if job_id in frozen_ids:
                 continue
-            self._take_out(old)
-            new = self._place(old.need)
-            now_cost = sum(n * self._cost(old.need, slot) for slot, n in old.starts.items())
-            overdue = max(old.starts) > max(self._last(old.need), self._first)
-            saves = now_cost - new.cost > SAVES_LEAST * abs(now_cost) + EPSILON
-            if new.starts != old.starts and (saves or overdue or new.crowded < old.crowded):
-                new.moves = old.moves + 1
-                changed.append(ref)
+            self._detach(old)
+            new = self._make_plan(old.demand)
+            current_cost = sum(n * self._task_cost(old.demand, slot) for slot, n in old.starts.items())
+            overdue = max(old.starts) > max(self._last_slot(old.demand), self._first_slot)
+            saves = current_cost - new.cost > MIN_SAVING * abs(current_cost) + EPSILON
+            if new.starts != old.starts and (saves or overdue or new.is_overcommitted < old.is_overcommitted):
+                new.move_count = old.move_count + 1
+                changed.append(job_id)
             else:
                 new = old
-                new.cost = now_cost
-            self._put(new)
+                new.cost = current_cost
+            self._insert(new)
         return changed
 
-    def level(self, sort: str, expected: float) -> float:
-        """What an hour of work more will cost: the price up to which hours are needed, as is to be expected.
+    def price_threshold(self, profile: str, expected: float) -> float:
+        """Returns the expected marginal cost of work: the unit cost up to which slots will be needed.
 
-        What is held fills the cheapest hours, and so will what is still to come: half of that, or up to
-        three times the `expected` CPU-us. Where the next hours are much dearer, the chance of them counts.
-        Counted are the hours in which half of the held work may still start.
+        Deferred jobs fill the cheapest slots, and so will jobs that are still to arrive, whose work is estimated at
+        half to three times the `expected` CPU-us. The result is the average over these estimates, so that much more
+        expensive slots count by their probability. Only slots in which half of the deferred work may still start count.
         """
         if not self.plans:
             return -float("inf")
-        by_last: Counter[int] = Counter()
+        work_by_last_slot: Counter[int] = Counter()
         for plan in self.plans.values():
-            need = plan.need
-            by_last[self._last(need)] += need.run * need.cpus * need.tasks  # type: ignore[assignment]
-        demand = sum(by_last.values())
-        half, until = demand / 2, self._first
-        for last in sorted(by_last):
-            until, half = last, half - by_last[last]
+            demand = plan.demand
+            work_by_last_slot[self._last_slot(demand)] += demand.runtime * demand.cpus * demand.task_count  # type: ignore[assignment]
+        planned_work = sum(work_by_last_slot.values())
+        half, until = planned_work / 2, self._first_slot
+        for last in sorted(work_by_last_slot):
+            until, half = last, half - work_by_last_slot[last]
             if half <= 0:
                 break
-        self.work += len(self.plans)
-        unit = sorted(self._unit.get(sort, [1.0] * self.slots)[: max(until - self._first + 1, 1)])
-        room = self.capacity * self.step
-        levels = [unit[min(int((demand + expected * share) / room), len(unit) - 1)] for share in DEMANDS]
-        return sum(levels) / len(levels)
+        self.operation_count += len(self.plans)
+        costs = sorted(self._unit_costs.get(profile, [1.0] * self.slots)[: max(until - self._first_slot + 1, 1)])
+        slot_capacity = self.capacity * self.step
+        thresholds = [
+            costs[min(int((planned_work + expected * share) / slot_capacity), len(costs) - 1)]
+            for share in DEMAND_FACTORS
+        ]
+        return sum(thresholds) / len(thresholds)
 
-    def advance(self, sort: str, expected: float) -> list[str]:
-        """Start held work now where the present hour will be needed anyway, for the room that is left in it.
+    def start_early(self, profile: str, expected: float) -> list[str]:
+        """Moves tasks into the free capacity of the current slot if slots of its cost will be needed anyway.
 
-        Without this, all that comes early waits for the cheapest hours, and what comes late finds them taken: it
-        starts in the dear ones after them. Those that must start soonest go first; returns whose plan changed.
+        Without this, jobs that arrive early wait for the cheapest slots, and jobs that arrive late find these full and
+        start in the expensive slots after them. Jobs with the earliest latest start go first. Returns the jobs whose
+        plan changed.
         """
-        unit = self._unit.get(sort)
-        if unit is None or not self.plans or unit[0] > self.level(sort, expected) + EPSILON:
+        costs = self._unit_costs.get(profile)
+        if costs is None or not self.plans or costs[0] > self.price_threshold(profile, expected) + EPSILON:
             return []
         changed = []
-        for ref in heapq.nsmallest(ADVANCED_MOST, self.plans, key=lambda ref: (self.plans[ref].need.latest, ref)):
-            if self._free[0] < EPSILON:
+        for job_id in heapq.nsmallest(
+            MAX_EARLY_STARTS, self.plans, key=lambda job_id: (self.plans[job_id].demand.latest_start, job_id)
+        ):
+            if self._free_capacity[0] < EPSILON:
                 break
-            plan = self.plans[ref]
-            need = plan.need
-            later = sum(count for slot, count in plan.starts.items() if slot > self._first)
-            if need.sort != sort or not later:
+            plan = self.plans[job_id]
+            demand = plan.demand
+            later_count = sum(count for slot, count in plan.starts.items() if slot > self._first_slot)
+            if demand.profile != profile or not later_count:
                 continue
-            self.work += 1
-            self._take_out(plan)
-            count = min(later, self._holds(need, self._first))
+            self.operation_count += 1
+            self._detach(plan)
+            count = min(later_count, self._startable_tasks(demand, self._first_slot))
             if count > 0:
-                left = count
+                remaining = count
                 for slot in sorted(plan.starts, reverse=True):
-                    if slot > self._first and left:
-                        part = min(left, plan.starts[slot])
+                    if slot > self._first_slot and remaining:
+                        part = min(remaining, plan.starts[slot])
                         plan.starts[slot] -= part
-                        left -= part
-                plan.starts[self._first] = plan.starts.get(self._first, 0) + count
+                        remaining -= part
+                plan.starts[self._first_slot] = plan.starts.get(self._first_slot, 0) + count
                 plan.starts = {slot: n for slot, n in plan.starts.items() if n}
-                plan.cost = sum(n * self._cost(need, slot) for slot, n in plan.starts.items())
-                plan.why = "hours as cheap as this one will all be needed"
-                changed.append(ref)
-            self._put(plan)
+                plan.cost = sum(n * self._task_cost(demand, slot) for slot, n in plan.starts.items())
+                plan.reason = "hours as cheap as this one will all be needed"
+                changed.append(job_id)
+            self._insert(plan)
         return changed
 
-    def soon(self, until: int) -> list[tuple[str, int]]:
-        """Jobs with tasks that start up to a moment, and how many."""
+    def starts_until(self, until: int) -> list[tuple[str, int]]:
+        """Returns the jobs with tasks planned to start up to a time, and the number of these tasks."""
         return [
-            (ref, count)
-            for number in sorted(n for n in self._in_slot if n <= until // self.step)
-            for ref, count in self._in_slot[number].items()
+            (job_id, count)
+            for number in sorted(n for n in self._tasks_by_slot if n <= until // self.step)
+            for job_id, count in self._tasks_by_slot[number].items()
         ]
 
     @property
-    def marked(self) -> int:
+    def dirty_count(self) -> int:
+        """Returns the number of jobs that wait to be replanned."""
         return len(self._dirty)
 
-    # --- placing ---------------------------------------------------------------------------------
-
-    def _last(self, need: Need) -> int:
-        """The last slot in which a task may start at any moment."""
-        return min(need.latest // self.step - 1, self._first + self.slots - 1)
-
-    def _cost(self, need: Need, slot: int) -> float:
-        """Of one task started in a slot; what is out of sight is ordinary."""
-        unit = self._unit.get(need.sort)
-        left, place, cost = need.run, slot - self._first, 0.0
-        while left > 0:
-            part = min(left, self.step)
-            cost += part * (unit[place] if unit is not None and 0 <= place < self.slots else 1.0)
-            left -= part
-            place += 1
-        wait = max(slot * self.step - self.now, 0) / max(need.latest - self.now, self.step)
-        return need.cpus * (cost + need.impatience * min(wait, 1.0) * need.run)
-
-    def _cheapest(self, need: Need) -> list[int]:
-        takes = max(1, -(-need.run // self.step))
-        key = (need.sort, takes)
-        order = self._order.get(key)
-        if order is None:
-            # One order serves all tasks that take as many slots; the parts of a slot make no great difference.
-            whole = Need("", 1.0, 1, takes * self.step, 1 << 62, need.sort)
-            numbers = range(self._first, self._first + self.slots)
-            costs = {number: round(self._cost(whole, number), 3) for number in numbers}
-            order = self._order[key] = sorted(numbers, key=lambda number: (costs[number], number))
-            self.work += self.slots
-        if need.impatience <= 0:
-            return order
-        return sorted(order, key=lambda number: (self._cost(need, number), number))
-
-    def _place(self, need: Need) -> Plan:
-        plan = Plan(need, at_once=need.tasks * self._cost(need, self._first))
-        last, left = self._last(need), need.tasks
-        if last < self._first:
-            plan.starts, plan.cost, plan.why = {self._first: left}, plan.at_once, "the latest safe start is now"
+    # --- planning --------------------------------------------------------------------------------
+
+    def _last_slot(self, demand: JobDemand) -> int:
+        """Returns the last slot that ends by the latest start, so that a start at any time in it is safe."""
+        return min(demand.latest_start // self.step - 1, self._first_slot + self.slots - 1)
+
+    def _task_cost(self, demand: JobDemand, slot: int) -> float:
+        """Returns the cost of one task that starts in a slot; slots outside the horizon have the ordinary cost, 1."""
+        costs = self._unit_costs.get(demand.profile)
+        remaining, index, cost = demand.runtime, slot - self._first_slot, 0.0
+        while remaining > 0:
+            part = min(remaining, self.step)
+            cost += part * (costs[index] if costs is not None and 0 <= index < self.slots else 1.0)
+            remaining -= part
+            index += 1
+        wait = max(slot * self.step - self.now, 0) / max(demand.latest_start - self.now, self.step)
+        return demand.cpus * (cost + demand.delay_penalty * min(wait, 1.0) * demand.runtime)
+
+    def _cheapest_slots(self, demand: JobDemand) -> list[int]:
+        slots_taken = max(1, -(-demand.runtime // self.step))
+        key = (demand.profile, slots_taken)
+        slots_by_cost = self._slots_by_cost.get(key)
+        if slots_by_cost is None:
+            # Tasks that take the same number of slots share one order: fractions of a slot make little difference.
+            sample = JobDemand("", 1.0, 1, slots_taken * self.step, 1 << 62, demand.profile)
+            numbers = range(self._first_slot, self._first_slot + self.slots)
+            costs = {number: round(self._task_cost(sample, number), 3) for number in numbers}
+            slots_by_cost = self._slots_by_cost[key] = sorted(numbers, key=lambda number: (costs[number], number))
+            self.operation_count += self.slots
+        if demand.delay_penalty <= 0:
+            return slots_by_cost
+        return sorted(slots_by_cost, key=lambda number: (self._task_cost(demand, number), number))
+
+    def _make_plan(self, demand: JobDemand) -> Plan:
+        plan = Plan(demand, immediate_cost=demand.task_count * self._task_cost(demand, self._first_slot))
+        last, remaining = self._last_slot(demand), demand.task_count
+        if last < self._first_slot:
+            plan.starts, plan.cost, plan.reason = (
+                {self._first_slot: remaining},
+                plan.immediate_cost,
+                "the latest safe start is now",
+            )
             return plan
-        left = self._fill(plan, left, self._first, last)
-        if left > 0:
-            plan.starts[self._first] = plan.starts.get(self._first, 0) + left
-            plan.cost += left * self._cost(need, self._first)
-            plan.crowded = True
-        little = plan.at_once - plan.cost <= SAVES_LEAST * abs(plan.at_once) + EPSILON
-        if little and not plan.crowded and self._soon(plan):
-            plan.starts, plan.cost, plan.why = {self._first: need.tasks}, plan.at_once, "no hour to come is cheaper"
-        elif plan.cost > plan.at_once + EPSILON:
-            plan.starts, plan.cost, plan.why = {self._first: need.tasks}, plan.at_once, "nothing cheaper has room"
+        remaining = self._fill(plan, remaining, self._first_slot, last)
+        if remaining > 0:
+            plan.starts[self._first_slot] = plan.starts.get(self._first_slot, 0) + remaining
+            plan.cost += remaining * self._task_cost(demand, self._first_slot)
+            plan.is_overcommitted = True
+        saves_little = plan.immediate_cost - plan.cost <= MIN_SAVING * abs(plan.immediate_cost) + EPSILON
+        if saves_little and not plan.is_overcommitted and self._fits_now(plan):
+            plan.starts, plan.cost, plan.reason = (
+                {self._first_slot: demand.task_count},
+                plan.immediate_cost,
+                "no hour to come is cheaper",
+            )
+        elif plan.cost > plan.immediate_cost + EPSILON:
+            plan.starts, plan.cost, plan.reason = (
+                {self._first_slot: demand.task_count},
+                plan.immediate_cost,
+                "nothing cheaper has room",
+            )
         else:
-            plan.why = "some of it has no room in time" if plan.crowded else "cheaper hours"
+            plan.reason = "some of it has no room in time" if plan.is_overcommitted else "cheaper hours"
         return plan
 
-    def _fill(self, plan: Plan, left: int, first: int, last: int) -> int:
-        """Put tasks into the cheapest slots with room of a range; how many found none."""
-        need = plan.need
-        for slot in self._cheapest(need):
-            if left <= 0:
+    def _fill(self, plan: Plan, remaining: int, first: int, last: int) -> int:
+        """Assigns tasks to the cheapest slots of a range with free capacity; returns how many found none."""
+        demand = plan.demand
+        for slot in self._cheapest_slots(demand):
+            if remaining <= 0:
                 break
-            self.work += 1
+            self.operation_count += 1
             if not first <= slot <= last:
                 continue
-            count = min(left, self._holds(need, slot))
+            count = min(remaining, self._startable_tasks(demand, slot))
             if count > 0:
                 plan.starts[slot] = count
-                plan.cost += count * self._cost(need, slot)
-                left -= count
-        return left
-
-    def _soon(self, plan: Plan) -> bool:
-        """It saves next to nothing: worth waiting for only if there is no room now."""
-        return self._holds(plan.need, self._first) >= plan.need.tasks
-
-    def _spans(self, need: Need, slot: int) -> Iterable[tuple[int, float]]:
-        """The slots in sight that a task started in one takes, and what of each (CPU-us)."""
-        left, place = need.run, slot - self._first
-        while left > 0 and place < self.slots:
-            if place >= 0:
-                yield place, min(left, self.step) * need.cpus
-            left -= self.step
-            place += 1
-
-    def _holds(self, need: Need, slot: int) -> int:
-        """How many tasks may start in a slot."""
-        count = need.tasks
-        for place, takes in self._spans(need, slot):
-            self.work += 1
-            count = min(count, int((self._free[place] + EPSILON) // takes))
+                plan.cost += count * self._task_cost(demand, slot)
+                remaining -= count
+        return remaining
+
+    def _fits_now(self, plan: Plan) -> bool:
+        """Returns whether all tasks fit into the current slot; only if not is a negligible saving worth a deferral."""
+        return self._startable_tasks(plan.demand, self._first_slot) >= plan.demand.task_count
+
+    def _slot_usage(self, demand: JobDemand, slot: int) -> Iterable[tuple[int, float]]:
+        """Yields the horizon index of each slot that a task started in `slot` uses, and the CPU-us used in it."""
+        remaining, index = demand.runtime, slot - self._first_slot
+        while remaining > 0 and index < self.slots:
+            if index >= 0:
+                yield index, min(remaining, self.step) * demand.cpus
+            remaining -= self.step
+            index += 1
+
+    def _startable_tasks(self, demand: JobDemand, slot: int) -> int:
+        """Returns how many tasks of a job fit into the free capacity if they start in a slot."""
+        count = demand.task_count
+        for index, usage in self._slot_usage(demand, slot):
+            self.operation_count += 1
+            count = min(count, int((self._free_capacity[index] + EPSILON) // usage))
             if count <= 0:
                 return 0
         return count
 
-    def _room(self, need: Need, slot: int, count: int) -> None:
-        """Give back the room of tasks started in a slot; take it where `count` is below 0."""
-        for place, takes in self._spans(need, slot):
-            self._free[place] += count * takes
+    def _release_capacity(self, demand: JobDemand, slot: int, count: int) -> None:
+        """Releases the capacity of `count` tasks that start in a slot; a negative `count` reserves capacity."""
+        for index, usage in self._slot_usage(demand, slot):
+            self._free_capacity[index] += count * usage
 
-    def _put(self, plan: Plan) -> None:
-        self.plans[plan.need.ref] = plan
+    def _insert(self, plan: Plan) -> None:
+        self.plans[plan.demand.job_id] = plan
         for slot, count in plan.starts.items():
-            self._room(plan.need, slot, -count)
-            self._in_slot.setdefault(slot, {})[plan.need.ref] = count
-        heapq.heappush(self._latest, (plan.need.latest, plan.need.ref))
-        if len(self._latest) > 4 * len(self.plans) + 1000:  # most are of plans that were made anew
-            self._latest = [(p.need.latest, ref) for ref, p in self.plans.items()]
-            heapq.heapify(self._latest)
-
-    def _take_out(self, plan: Plan) -> None:
+            self._release_capacity(plan.demand, slot, -count)
+            self._tasks_by_slot.setdefault(slot, {})[plan.demand.job_id] = count
+        heapq.heappush(self._latest_starts, (plan.demand.latest_start, plan.demand.job_id))
+        if len(self._latest_starts) > 4 * len(self.plans) + 1000:  # most entries belong to replaced plans
+            self._latest_starts = [(p.demand.latest_start, job_id) for job_id, p in self.plans.items()]
+            heapq.heapify(self._latest_starts)
+
+    def _detach(self, plan: Plan) -> None:
         for slot, count in plan.starts.items():
-            self._room(plan.need, slot, count)
-            there = self._in_slot.get(slot)
-            if there is not None:
-                there.pop(plan.need.ref, None)
-                if not there:
-                    del self._in_slot[slot]
-
-    def _make_room(self, need: Need) -> bool:
-        """Move jobs that can still go elsewhere out of the hours that this one has; False if none moved."""
-        last, moved = self._last(need), False
+            self._release_capacity(plan.demand, slot, count)
+            jobs_in_slot = self._tasks_by_slot.get(slot)
+            if jobs_in_slot is not None:
+                jobs_in_slot.pop(plan.demand.job_id, None)
+                if not jobs_in_slot:
+                    del self._tasks_by_slot[slot]
+
+    def _displace_jobs(self, demand: JobDemand) -> bool:
+        """Moves jobs that can start later out of the slots that this job can use; returns whether any moved."""
+        last, moved = self._last_slot(demand), False
         candidates: dict[str, int] = {}
-        for slot in range(self._first, last + 1):
-            for ref in self._in_slot.get(slot, ()):
-                latest = self.plans[ref].need.latest
-                if self._last(self.plans[ref].need) > last:
-                    candidates[ref] = latest
-            self.work += 1
-            if len(candidates) >= 4 * VICTIMS_MOST:
+        for slot in range(self._first_slot, last + 1):
+            for job_id in self._tasks_by_slot.get(slot, ()):
+                latest_start = self.plans[job_id].demand.latest_start
+                if self._last_slot(self.plans[job_id].demand) > last:
+                    candidates[job_id] = latest_start
+            self.operation_count += 1
+            if len(candidates) >= 4 * MAX_DISPLACEMENT_CANDIDATES:
                 break
-        for ref in heapq.nlargest(VICTIMS_MOST, candidates, key=lambda r: (candidates[r], r)):
-            old = self.plans[ref]
-            self._take_out(old)
-            new = self._later(old, last)
-            self._put(new or old)
+        for job_id in heapq.nlargest(MAX_DISPLACEMENT_CANDIDATES, candidates, key=lambda r: (candidates[r], r)):
+            old = self.plans[job_id]
+            self._detach(old)
+            new = self._plan_after(old, last)
+            self._insert(new or old)
             moved = moved or new is not None
-            if moved and self._fits(need):
+            if moved and self._has_capacity(demand):
                 return True
         return moved
 
-    def _fits(self, need: Need) -> bool:
-        left = need.tasks
-        for slot in range(self._first, self._last(need) + 1):
-            left -= min(left, self._holds(need, slot))
-            if left <= 0:
+    def _has_capacity(self, demand: JobDemand) -> bool:
+        remaining = demand.task_count
+        for slot in range(self._first_slot, self._last_slot(demand) + 1):
+            remaining -= min(remaining, self._startable_tasks(demand, slot))
+            if remaining <= 0:
                 return True
         return False
 
-    def _later(self, old: Plan, after: int) -> Plan | None:
-        """The same job without any start up to a slot; None if it has no room there."""
-        need = old.need
-        plan = Plan(need, at_once=old.at_once, why="made room for a job with an earlier deadline", moves=old.moves + 1)
-        if self._fill(plan, need.tasks, after + 1, self._last(need)) or plan.cost > plan.at_once + EPSILON:
+    def _plan_after(self, old: Plan, after: int) -> Plan | None:
+        """Returns a plan that starts only after a slot; None if there is no capacity or it costs more."""
+        demand = old.demand
+        plan = Plan(
+            demand,
+            immediate_cost=old.immediate_cost,
+            reason="made room for a job with an earlier deadline",
+            move_count=old.move_count + 1,
+        )
+        if (
+            self._fill(plan, demand.task_count, after + 1, self._last_slot(demand))
+            or plan.cost > plan.immediate_cost + EPSILON
+        ):
             return None
         return plan
--- a/oatport/windows/prices.py
+++ b/oatport/windows/prices.py
@@ -1,7 +1,8 @@
-"""Price series: what a feed says, how far it is believed, and what a moment costs.
+"""Price series: validation, the weight of aging prices, and the cost of each time slot.
 
-Pure. Times are whole microseconds of the time of day (UTC, so that no clock change moves an hour); prices are per unit
-of work in whatever currency the feed has, carbon in grams of CO2 per kWh. A series is day-ahead: of hours to come.
+The code does no I/O and reads no clock. Times are whole microseconds of the time of day, in UTC, so that daylight
+saving changes move no hour. Prices are per unit of work in the feed's currency, carbon is in grams of CO2 per kWh.
+A series is day-ahead: it covers hours to come.
 """
 
 from __future__ import annotations
@@ -16,43 +17,46 @@
 from oatport.errors import OatportError
 from oatport.times import SECOND
 
-INTERVALS_MOST = 2_000
-LENGTH_MOST = 2 * 86_400 * SECOND
-PRICE_MOST = 1e6
-AHEAD_MOST = 300 * SECOND  # a series from the future: one of the two clocks is wrong
-OUTLIER = 5.0  # times the middle price: what lies beyond counts no more, or one lie would move the whole night
+MAX_INTERVALS = 2_000
+MAX_INTERVAL_LENGTH = 2 * 86_400 * SECOND
+MAX_PRICE = 1e6
+MAX_CLOCK_SKEW = 300 * SECOND  # beyond it a series is from the future, and one of the two clocks is wrong
+MAX_RELATIVE_COST = 5.0  # in multiples of the median; uncapped, one wrong price would shift the whole night's plans
 
 
 class InvalidPriceSeriesError(OatportError, ValueError):
-    """A series that can't be used; the text is one line that says why."""
+    """Raised for an unusable price series; the message gives the reason in one line."""
 
 
 @dataclass(frozen=True, slots=True)
 class Interval:
+    """Holds the price and, if known, the carbon intensity of an interval of time."""
+
     start: int
     end: int
     price: float
     co2: float | None = None
-    read_at: int = 0  # when it was last said
+    read_at: int = 0  # when the feed last reported it
 
 
-def check(intervals: Iterable[Interval], made_at: int, now: int) -> list[Interval]:
-    """The intervals in order. Raises BadSeries: overlaps, lengths, numbers that are none, a series from the future.
+def validate_intervals(intervals: Iterable[Interval], made_at: int, now: int) -> list[Interval]:
+    """Returns the intervals in order of time.
 
-    Negative prices are legal, and so are gaps: there nothing is known.
+    Negative prices are legal, and so are gaps, in which the price is unknown. Raises InvalidPriceSeriesError for an
+    empty or too long series, overlaps, lengths or numbers out of range, and a series from the future.
     """
-    if made_at > now + AHEAD_MOST:
+    if made_at > now + MAX_CLOCK_SKEW:
         raise InvalidPriceSeriesError(f"made {(made_at - now) // SECOND} s in the future")
     rows = sorted(intervals, key=lambda interval: interval.start)
     if not rows:
         raise InvalidPriceSeriesError("no intervals")
-    if len(rows) > INTERVALS_MOST:
-        raise InvalidPriceSeriesError(f"{len(rows)} intervals, at most {INTERVALS_MOST}")
+    if len(rows) > MAX_INTERVALS:
+        raise InvalidPriceSeriesError(f"{len(rows)} intervals, at most {MAX_INTERVALS}")
     for row in rows:
-        if not 0 < row.end - row.start <= LENGTH_MOST:
+        if not 0 < row.end - row.start <= MAX_INTERVAL_LENGTH:
             raise InvalidPriceSeriesError(f"interval at {row.start // SECOND}: length out of range")
         for name, value in (("price", row.price), ("co2", row.co2)):
-            if value is not None and not (math.isfinite(value) and abs(value) <= PRICE_MOST):
+            if value is not None and not (math.isfinite(value) and abs(value) <= MAX_PRICE):
                 raise InvalidPriceSeriesError(f"interval at {row.start // SECOND}: {name} is not a usable number")
     for before, after in pairwise(rows):
         if after.start < before.end:
@@ -62,107 +66,109 @@
 
 @dataclass(slots=True)
 class Book:
-    """The last that is known of each hour, and how far it counts.
+    """Holds the last known price of each hour and the weight that its age leaves it.
 
-    A new series replaces what it tells of; hours of which it says nothing keep what was said before (a series
-    that shrinks takes nothing away), with their own age.
+    A new series replaces the hours that it covers. Other hours keep their last price and its age, so that a shorter
+    series removes nothing.
     """
 
-    fresh_us: int  # up to this age what was said counts in full
-    dead_us: int  # from this age on it counts for nothing
+    fresh_us: int  # up to this age a price has full weight
+    dead_us: int  # from this age on a price has no weight
     rows: list[Interval] = field(default_factory=list)
-    read_at: int = 0  # when a good series was last read; 0: never
+    read_at: int = 0  # when a valid series was last read; 0 if never
     version: int = 0
-    problem: str = ""  # why the last one was refused
-    # The middle price and carbon, what costs are multiples of. Kept until it moves by more than a fifth: scaled anew
-    # with each hour that goes by, every hour's cost would change, and all held work be planned anew.
-    _middles: tuple[float, float] = (0.0, 0.0)
+    last_error: str = ""  # why the last fetch failed or its series was rejected; empty if it succeeded
+    # The median price and carbon, the units of relative costs. They change only when a median moves by more than a
+    # fifth: rescaling with each passing hour would change every slot's cost and replan all deferred jobs.
+    _medians: tuple[float, float] = (0.0, 0.0)
 
     def __post_init__(self) -> None:
         if not 0 <= self.fresh_us < self.dead_us:
-            raise ValueError("fresh_us must be below dead_us")
+            raise ValueError(f"expected 0 <= fresh_us < dead_us, got {self.fresh_us} and {self.dead_us}")
 
     def learn(self, intervals: Iterable[Interval], made_at: int, now: int) -> bool:
-        """Take a series in; True if any hour to come costs something else now. Raises BadSeries."""
-        fresh = [Interval(row.start, row.end, row.price, row.co2, now) for row in check(intervals, made_at, now)]
-        kept: list[Interval] = []
+        """Merges a series; returns whether the price of any coming hour changed. Raises InvalidPriceSeriesError."""
+        fresh = [
+            Interval(row.start, row.end, row.price, row.co2, now) for row in validate_intervals(intervals, made_at, now)
+        ]
+        remaining: list[Interval] = []
         for old in self.rows:
             if old.end > now - self.dead_us:
-                kept += _without(old, fresh)
-        rows = sorted(kept + fresh, key=lambda row: row.start)
-        changed = [_terms(r) for r in rows if r.end > now] != [_terms(r) for r in self.rows if r.end > now]
-        self.rows, self.read_at, self.problem = rows[-2 * INTERVALS_MOST :], now, ""
+                remaining += _subtract(old, fresh)
+        rows = sorted(remaining + fresh, key=lambda row: row.start)
+        changed = [_price_terms(r) for r in rows if r.end > now] != [_price_terms(r) for r in self.rows if r.end > now]
+        self.rows, self.read_at, self.last_error = rows[-2 * MAX_INTERVALS :], now, ""
         self.version += changed
         self._rescale()
         return changed
 
     def _rescale(self) -> None:
         now = (
-            _middle([row.price for row in self.rows]),
-            _middle([row.co2 for row in self.rows if row.co2 is not None]),
+            _median_magnitude([row.price for row in self.rows]),
+            _median_magnitude([row.co2 for row in self.rows if row.co2 is not None]),
         )
-        if any(abs(new - old) > 0.2 * abs(old) for new, old in zip(now, self._middles, strict=True)):
-            self._middles = now
+        if any(abs(new - old) > 0.2 * abs(old) for new, old in zip(now, self._medians, strict=True)):
+            self._medians = now
 
     def weight(self, row: Interval, now: int) -> float:
-        """How far an interval counts: 1 fresh, then less by its age, 0 dead."""
+        """Returns an interval's weight: 1 up to the age `fresh_us`, then falling linearly to 0 at `dead_us`."""
         age = now - row.read_at
         if age <= self.fresh_us:
             return 1.0
         return max(0.0, 1.0 - (age - self.fresh_us) / (self.dead_us - self.fresh_us))
 
     def age(self, now: int) -> int | None:
-        """How long ago a good series was last read (us); None: never."""
+        """Returns the time since a valid series was last read, in us; None if none ever was."""
         return now - self.read_at if self.read_at else None
 
-    def slots(
+    def slot_costs(
         self, first: int, count: int, step: int, now: int, price_weight: float, carbon_weight: float
     ) -> list[float]:
-        """What a unit of work costs in each of `count` slots of `step` from slot number `first` on.
+        """Returns the cost of a unit of work in each of `count` slots of length `step`, from slot number `first` on.
 
-        In multiples of the middle price (and of the middle carbon): 1 is ordinary, and what nothing is known of,
-        or too long ago, is ordinary too, so that it is no reason to wait.
+        Costs are in multiples of the median price and carbon; 1 is the ordinary cost. Unknown and outdated prices count
+        as ordinary, so that they are no reason to defer a start.
         """
         total = price_weight + carbon_weight
-        plain = [1.0] * count
+        costs = [1.0] * count
         rows = [row for row in self.rows if row.end > first * step and row.start < (first + count) * step]
         if not rows or total <= 0:
-            return plain
+            return costs
         values: list[float] = []
         for row in rows:
-            price = _scaled(row.price, self._middles[0])
-            carbon = 1.0 if row.co2 is None else _scaled(row.co2, self._middles[1])
+            price = _relative_cost(row.price, self._medians[0])
+            carbon = 1.0 if row.co2 is None else _relative_cost(row.co2, self._medians[1])
             value = (price_weight * price + carbon_weight * carbon) / total
             values.append(1.0 + self.weight(row, now) * (value - 1.0))
         starts = [row.start for row in rows]
         for number in range(count):
             low, high = (first + number) * step, (first + number + 1) * step
-            known = cost = 0.0
-            place = max(bisect.bisect_right(starts, low) - 1, 0)
-            while place < len(rows) and rows[place].start < high:
-                part = min(rows[place].end, high) - max(rows[place].start, low)
+            covered = cost = 0.0
+            index = max(bisect.bisect_right(starts, low) - 1, 0)
+            while index < len(rows) and rows[index].start < high:
+                part = min(rows[index].end, high) - max(rows[index].start, low)
                 if part > 0:
-                    known += part
-                    cost += part * values[place]
-                place += 1
-            plain[number] = (cost + (step - known)) / step
-        return plain
+                    covered += part
+                    cost += part * values[index]
+                index += 1
+            costs[number] = (cost + (step - covered)) / step
+        return costs
 
-    # --- kept in the state service --------------------------------------------------------------
+    # --- record in the state service --------------------------------------------------------------
 
-    def record(self, now: int, most: int = 240) -> dict[str, Any]:
-        """What a new leader goes on from: the hours to come, as last said."""
-        rows = [row for row in self.rows if row.end > now][:most]
+    def record(self, now: int, max_rows: int = 240) -> dict[str, Any]:
+        """Returns the record for the next leader: the last known prices of the coming hours."""
+        rows = [row for row in self.rows if row.end > now][:max_rows]
         return {"read": self.read_at, "rows": [[r.start, r.end, r.price, r.co2, r.read_at] for r in rows]}
 
     def load(self, value: Any, now: int) -> None:
-        """Take a record back; a strange one is as good as none."""
+        """Restores the prices from a record; an invalid record counts as none."""
         try:
             rows = [
                 Interval(int(s), int(e), float(p), None if c is None else float(c), min(int(r), now))
                 for s, e, p, c, r in value["rows"]
             ]
-            self.rows = check(rows, 0, now) if rows else []
+            self.rows = validate_intervals(rows, 0, now) if rows else []
             self.read_at = min(int(value["read"]), now)
             self.version += 1
             self._rescale()
@@ -170,31 +176,34 @@
             self.rows, self.read_at = [], 0
 
 
-def _terms(row: Interval) -> tuple[int, int, float, float | None]:
+def _price_terms(row: Interval) -> tuple[int, int, float, float | None]:
     return row.start, row.end, row.price, row.co2
 
 
-def _without(old: Interval, fresh: list[Interval]) -> list[Interval]:
-    """The parts of an interval that none of the new ones tells of."""
-    left = [(old.start, old.end)]
+def _subtract(old: Interval, fresh: list[Interval]) -> list[Interval]:
+    """Returns the parts of an interval that no new interval covers."""
+    parts = [(old.start, old.end)]
     for row in fresh:
         if row.end <= old.start or row.start >= old.end:
             continue
-        left = [
+        parts = [
             part
-            for low, high in left
+            for low, high in parts
             for part in ((low, min(high, row.start)), (max(low, row.end), high))
             if part[0] < part[1]
         ]
-    return [Interval(low, high, old.price, old.co2, old.read_at) for low, high in left]
+    return [Interval(low, high, old.price, old.co2, old.read_at) for low, high in parts]
 
 
-def _middle(values: list[float]) -> float:
+def _median_magnitude(values: list[float]) -> float:
     return sorted(abs(value) for value in values)[len(values) // 2] if values else 0.0
 
 
-def _scaled(value: float, middle: float) -> float:
-    """In multiples of the middle, outliers cut. Where most hours are free, one that is not is as dear as can be."""
-    if middle <= 0:
-        return 1.0 if value == 0 else max(-OUTLIER, min(1.0 + value, OUTLIER))
-    return max(-OUTLIER, min(value / middle, OUTLIER))
+def _relative_cost(value: float, median: float) -> float:
+    """Returns a value in multiples of the median, capped at MAX_RELATIVE_COST in both directions.
+
+    A median of 0 means that most hours are free: 0 is then the ordinary cost, and a usual price reaches the cap.
+    """
+    if median <= 0:
+        return 1.0 if value == 0 else max(-MAX_RELATIVE_COST, min(1.0 + value, MAX_RELATIVE_COST))
+    return max(-MAX_RELATIVE_COST, min(value / median, MAX_RELATIVE_COST))
--- a/oatport/windows/settings.py
+++ b/oatport/windows/settings.py
@@ -1,4 +1,4 @@
-"""Operators' settings of the windows: sections of the tuning file (INI), off unless `[windows] on = yes`."""
+"""Settings of deferred starts: sections of the tuning file (INI), disabled unless `[windows] on = yes`."""
 
 from __future__ import annotations
 
@@ -10,30 +10,32 @@
 
 from oatport.settings import SettingsError, parse_ini_number, read_ini, unknown_setting_error
 
-MAIN = "windows"
-BY_CLASS = "windows class "
-BY_PRIORITY = "windows priority "
+MAIN_SECTION = "windows"
+CLASS_SECTION_PREFIX = "windows class "
+PRIORITY_SECTION_PREFIX = "windows priority "
 PRIORITIES = ("production", "high", "normal", "idle")
 MAX_STEPS = 20_000  # of the planning horizon
 
 
 @dataclass(frozen=True, slots=True)
 class Deferral:
-    """What may be deferred, and what counts for it. `metadata` has the range."""
+    """Describes how jobs of a class or priority may be deferred. A field's `metadata` has its range."""
 
     price: float = field(default=1.0, metadata={"range": (0.0, 1000.0)})  # weight of the price
-    carbon: float = field(default=0.0, metadata={"range": (0.0, 1000.0)})  # weight of the grams of CO2
-    lateness: float = field(default=0.0, metadata={"range": (0.0, 10.0)})  # cost of waiting to the latest start
-    pause: bool = False  # stop running work that saves, where a much cheaper hour comes in time
+    carbon: float = field(default=0.0, metadata={"range": (0.0, 1000.0)})  # weight of the CO2 emissions
+    lateness: float = field(
+        default=0.0, metadata={"range": (0.0, 10.0)}
+    )  # cost of waiting until the latest start, as a share of the immediate cost
+    pause: bool = False  # stop running jobs that write checkpoints, if a much cheaper hour comes in time
 
 
 @dataclass(frozen=True, slots=True)
 class WindowSettings:
-    """All times in seconds."""
+    """Holds the settings of deferred starts; all times are in seconds."""
 
     on: bool = False
-    feed: str = ""  # http address of the price feed; empty: none, all hours cost the same
-    zone: str = ""  # whose prices
+    feed: str = ""  # http address of the price feed; if empty, all hours cost the same
+    zone: str = ""  # the feed's zone
     poll_s: float = field(default=300.0, metadata={"range": (2.0, 86400.0)})
     timeout_s: float = field(default=5.0, metadata={"range": (0.1, 60.0)})
     fresh_s: float = field(default=7200.0, metadata={"range": (1.0, 1e6)})
@@ -47,46 +49,46 @@
     priorities: tuple[tuple[str, Deferral], ...] = ()
 
     def deferral(self, job_class: str, priority: str) -> Deferral | None:
-        """How a job may be deferred, by its class or else by its priority; None: not at all."""
+        """Returns how a job may be deferred, by its class or else by its priority; None if it may not."""
         return dict(self.classes).get(job_class) or dict(self.priorities).get(priority)
 
 
-def owns(section: str) -> bool:
-    """Is a section of the tuning file one of these?"""
-    return section == MAIN or section.startswith((BY_CLASS, BY_PRIORITY))
+def is_window_section(section: str) -> bool:
+    """Returns whether a section of the tuning file belongs to these settings."""
+    return section == MAIN_SECTION or section.startswith((CLASS_SECTION_PREFIX, PRIORITY_SECTION_PREFIX))
 
 
-def read(parser: configparser.ConfigParser, path: str | Path) -> WindowSettings:
-    """The settings in the sections of a file. Raises SettingsError: one line that names the field."""
+def read_window_settings(parser: configparser.ConfigParser, path: str | Path) -> WindowSettings:
+    """Returns the settings in the sections of a file. Raises SettingsError with one line that names the field."""
     values: dict[str, Any] = {}
     classes: list[tuple[str, Deferral]] = []
     priorities: list[tuple[str, Deferral]] = []
-    for section in filter(owns, parser.sections()):
+    for section in filter(is_window_section, parser.sections()):
         where = f"{path}: [{section}]"
         texts = dict(parser.items(section))
-        if section == MAIN:
-            values = _values(WindowSettings, texts, where)
-        elif section.startswith(BY_CLASS):
-            classes.append(_named_deferral(section.removeprefix(BY_CLASS), texts, where))
+        if section == MAIN_SECTION:
+            values = _parse_values(WindowSettings, texts, where)
+        elif section.startswith(CLASS_SECTION_PREFIX):
+            classes.append(_parse_deferral(section.removeprefix(CLASS_SECTION_PREFIX), texts, where))
         else:
-            row = _named_deferral(section.removeprefix(BY_PRIORITY), texts, where)
+            row = _parse_deferral(section.removeprefix(PRIORITY_SECTION_PREFIX), texts, where)
             if row[0] not in PRIORITIES:
                 raise SettingsError(f"{where}: no such priority")
             priorities.append(row)
     settings = WindowSettings(**values, classes=tuple(classes), priorities=tuple(priorities))
-    _check(settings, f"{path}: [{MAIN}]")
+    _validate(settings, f"{path}: [{MAIN_SECTION}]")
     return settings
 
 
-def _named_deferral(name: str, texts: dict[str, str], where: str) -> tuple[str, Deferral]:
-    """The class or priority that a section is for, and what it says."""
+def _parse_deferral(name: str, texts: dict[str, str], where: str) -> tuple[str, Deferral]:
+    """Returns the class or priority that a section names, and its settings."""
     name = name.strip()
     if not name:
         raise SettingsError(f"{where}: names no class or priority")
-    return name, Deferral(**_values(Deferral, texts, where))
+    return name, Deferral(**_parse_values(Deferral, texts, where))
 
 
-def _check(settings: WindowSettings, where: str) -> None:
+def _validate(settings: WindowSettings, where: str) -> None:
     if settings.feed:
         parts = urlsplit(settings.feed)
         if parts.scheme != "http" or not parts.hostname:
@@ -104,26 +106,28 @@
 
 
 def load_window_settings(path: str | Path | None) -> WindowSettings:
-    """From the tuning file; without one, or without the section, they are off. Raises SettingsError."""
+    """Returns the settings in the tuning file; disabled without a file or section. Raises SettingsError."""
     if path is None:
         return WindowSettings()
-    return read(read_ini(path), path)
+    return read_window_settings(read_ini(path), path)
 
 
-def _values(kind: type, texts: dict[str, str], where: str) -> dict[str, Any]:
-    known = {setting.name: setting for setting in fields(kind) if setting.name not in ("classes", "priorities")}
+def _parse_values(kind: type, texts: dict[str, str], where: str) -> dict[str, Any]:
+    known_settings = {
+        setting.name: setting for setting in fields(kind) if setting.name not in ("classes", "priorities")
+    }
     values: dict[str, Any] = {}
     for name, text in texts.items():
-        if name not in known:
-            raise unknown_setting_error(name, known, where)
-        default = known[name].default
+        if name not in known_settings:
+            raise unknown_setting_error(name, known_settings, where)
+        default = known_settings[name].default
         if isinstance(default, bool):
             flag = configparser.ConfigParser.BOOLEAN_STATES.get(text.lower())
             if flag is None:
                 raise SettingsError(f"{where} {name}: expected yes or no, got {text!r}")
             values[name] = flag
         elif isinstance(default, float):
-            values[name] = parse_ini_number(text, f"{where} {name}", *known[name].metadata["range"])
+            values[name] = parse_ini_number(text, f"{where} {name}", *known_settings[name].metadata["range"])
         else:
             values[name] = text
     return values
--- a/tests/test_windows.py
+++ b/tests/test_windows.py
@@ -1,4 +1,4 @@
-"""Cheaper hours: what a feed may say, and held work through failures. The planner: test_window_planner.py."""
+"""Tests of deferred starts: price feeds, and deferred jobs through failures. The planner: test_window_planner.py."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from oatport.times import SECOND, time_of_day
 from oatport.windows.client import FeedClient
 from oatport.windows.feed import decode_series, encode_series
-from oatport.windows.holding import MOVES_MOST, DayClock, Holder
+from oatport.windows.holding import MAX_MOVES_PER_JOB, DayClock, Holder
 from oatport.windows.margins import RuntimeMargins
 from oatport.windows.prices import Book, Interval, InvalidPriceSeriesError
 from oatport.windows.settings import Deferral, WindowSettings, load_window_settings
@@ -37,13 +37,13 @@
 
 
 def book(*prices: float, now: int = DAY) -> Book:
-    made = Book(2 * HOUR, 8 * HOUR)
+    price_book = Book(2 * HOUR, 8 * HOUR)
     if prices:
-        made.learn(hours(*prices), now, now)
-    return made
+        price_book.learn(hours(*prices), now, now)
+    return price_book
 
 
-# --- what a feed says -----------------------------------------------------------------------------
+# --- price series and feed ------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize(
@@ -59,51 +59,52 @@
         (hours(*[1.0] * 3000), 0, "at most"),
     ],
 )
-def test_a_series_that_cannot_be_used_changes_nothing(rows: list[Interval], made_at: int, why: str) -> None:
-    known = book(5.0, 6.0)
+def test_an_invalid_series_changes_nothing(rows: list[Interval], made_at: int, why: str) -> None:
+    price_book = book(5.0, 6.0)
     with pytest.raises(InvalidPriceSeriesError, match=why):
-        known.learn(rows, made_at, DAY)
-    assert [row.price for row in known.rows] == [5.0, 6.0]
+        price_book.learn(rows, made_at, DAY)
+    assert [row.price for row in price_book.rows] == [5.0, 6.0]
 
 
-def test_gaps_and_negative_prices_are_legal_and_what_is_not_known_is_ordinary() -> None:
-    known = book()
-    known.learn([Interval(DAY, DAY + HOUR, -50.0), *hours(100.0, 100.0, start=DAY + 3 * HOUR)], DAY, DAY)
-    unit = known.slots(DAY // HOUR, 6, HOUR, DAY, 1.0, 0.0)
-    assert unit[0] < 0
-    assert unit[1] == unit[2] == unit[5] == 1.0
-    assert unit[3] == unit[4] == 1.0
+def test_gaps_and_negative_prices_are_legal_and_unknown_prices_are_ordinary() -> None:
+    price_book = book()
+    price_book.learn([Interval(DAY, DAY + HOUR, -50.0), *hours(100.0, 100.0, start=DAY + 3 * HOUR)], DAY, DAY)
+    costs = price_book.slot_costs(DAY // HOUR, 6, HOUR, DAY, 1.0, 0.0)
+    assert costs[0] < 0
+    assert costs[1] == costs[2] == costs[5] == 1.0
+    assert costs[3] == costs[4] == 1.0
 
 
-def test_a_series_that_shrinks_takes_nothing_away_and_ages_hour_by_hour() -> None:
-    known = book(10.0, 20.0, 40.0, 20.0)
+def test_a_shorter_series_removes_no_prices_and_each_hour_ages_on_its_own() -> None:
+    price_book = book(10.0, 20.0, 40.0, 20.0)
     later = DAY + 3 * HOUR // 2
-    known.learn(hours(30.0, start=DAY + 2 * HOUR), later, later)
-    assert [row.price for row in known.rows if row.end > later] == [20.0, 30.0, 20.0]
+    price_book.learn(hours(30.0, start=DAY + 2 * HOUR), later, later)
+    assert [row.price for row in price_book.rows if row.end > later] == [20.0, 30.0, 20.0]
     much_later = later + 3 * HOUR
-    weights = {row.price: known.weight(row, much_later) for row in known.rows if row.end > later}
+    weights = {row.price: price_book.weight(row, much_later) for row in price_book.rows if row.end > later}
     assert weights[20.0] < weights[30.0] < 1.0
 
 
-def test_a_stale_series_loses_weight_until_it_counts_for_nothing() -> None:
-    known = book(*[10.0, 30.0] * 12)
-    spread = [
-        max(unit) - min(unit)
-        for unit in (
-            known.slots((DAY + age * HOUR) // HOUR, 4, HOUR, DAY + age * HOUR, 1.0, 0.0) for age in (0, 4, 6, 9)
+def test_a_stale_series_loses_weight_until_it_has_none() -> None:
+    price_book = book(*[10.0, 30.0] * 12)
+    ranges = [
+        max(costs) - min(costs)
+        for costs in (
+            price_book.slot_costs((DAY + age * HOUR) // HOUR, 4, HOUR, DAY + age * HOUR, 1.0, 0.0)
+            for age in (0, 4, 6, 9)
         )
     ]
-    assert spread[0] > spread[1] > spread[2] > 0 == spread[3]
+    assert ranges[0] > ranges[1] > ranges[2] > 0 == ranges[3]
 
 
-def test_one_hour_of_a_thousand_does_not_flatten_the_rest_of_the_night() -> None:
-    unit = book(50.0, 100.0, 100_000.0, 50.0, 100.0).slots(DAY // HOUR, 5, HOUR, DAY, 1.0, 0.0)
-    assert unit[2] <= 5.0
-    assert unit[0] < 0.7 * unit[1]
+def test_one_outlier_does_not_flatten_the_other_prices() -> None:
+    costs = book(50.0, 100.0, 100_000.0, 50.0, 100.0).slot_costs(DAY // HOUR, 5, HOUR, DAY, 1.0, 0.0)
+    assert costs[2] <= 5.0
+    assert costs[0] < 0.7 * costs[1]
 
 
-def test_clock_changes_of_a_zone_move_no_hour() -> None:
-    """A night of summer time's end has 25 hours of local time: the format has none, each hour is there once."""
+def test_daylight_saving_changes_move_no_hour() -> None:
+    """The local night at the end of summer time has 25 hours; the format uses UTC, in which each hour occurs once."""
     body = wire_body(encode_series(hours(*range(1, 26)), "tallinn", DAY))
     rows, _ = decode_series(body, "application/json", "tallinn")
     assert [row.end for row in rows[:-1]] == [row.start for row in rows[1:]]
@@ -130,29 +131,29 @@
         b" " * 300_000,
     ],
 )
-def test_bodies_that_are_no_series(body: bytes) -> None:
+def test_invalid_feed_bodies_are_rejected(body: bytes) -> None:
     with pytest.raises(InvalidPriceSeriesError):
         decode_series(body, "application/json", "z")
 
 
 async def test_a_feed_that_fails_leaves_the_last_good_series() -> None:
-    """Silent, slow, dripping, too large, broken, refusing: each ends within its deadline and changes nothing."""
-    feed, known, changed = FeedServer("z"), book(), []
+    """A silent, refusing, slowly sending, oversized or malformed response ends by its timeout and changes nothing."""
+    feed, price_book, changed = FeedServer("z"), book(), []
     url = await feed.start()
     session = make_session(16)
-    client = FeedClient(session, url, "z", known, 60.0, 0.3, lambda: changed.append(1))
+    client = FeedClient(session, url, "z", price_book, 60.0, 0.3, lambda: changed.append(1))
     client._rate.tokens = client._rate.rate_per_s = 100.0
     now = time_of_day()
     feed.intervals, feed.made_at = hours(10.0, 20.0, start=now), now
     try:
         await client.poll()
-        assert [row.price for row in known.rows] == [10.0, 20.0]
+        assert [row.price for row in price_book.rows] == [10.0, 20.0]
         for mode in ("silent", "refuse", "drip", "huge", "broken"):
             feed.mode = mode
             pause = await client.poll()
             assert pause >= 2.0
-            assert known.problem
-            assert [row.price for row in known.rows] == [10.0, 20.0]
+            assert price_book.last_error
+            assert [row.price for row in price_book.rows] == [10.0, 20.0]
         assert client.failures == 5
         feed.mode, feed.as_json = "good", False
         feed.intervals = hours(10.0, 25.0, start=now)
@@ -164,18 +165,18 @@
         await feed.close()
 
 
-# --- held work ------------------------------------------------------------------------------------
+# --- deferred jobs --------------------------------------------------------------------------------
 
 
-class Night:
-    """A world with one machine's worth of room, and a holder on its leader's view."""
+class DeferralFixture:
+    """A cluster harness with two machines, whose leader defers the jobs of one class."""
 
     def __init__(self, *prices: float, capacity: float = 8.0, **deferral: Any) -> None:
         self.harness = ClusterHarness([Team("crew")])
         self.harness.now = DAY
         for number in (1, 2):
             worker = self.harness.machine(number)
-            worker.lease_renewed_at, worker.lease_us = DAY, 24 * HOUR  # steps are longer than a real lease
+            worker.lease_renewed_at, worker.lease_us = DAY, 24 * HOUR  # steps are longer than an ordinary lease
         self.harness.settle(2)
         self.settings = WindowSettings(
             on=True,
@@ -194,7 +195,7 @@
         self.holder.joined(job, self.harness.now)
         return job
 
-    def go(self, seconds: float, step: float = 5.0) -> None:
+    def run_for(self, seconds: float, step: float = 5.0) -> None:
         until = self.harness.now + round(seconds * SECOND)
         while self.harness.now < until:
             self.harness.step(step)
@@ -208,125 +209,131 @@
             self.holder.joined(job, self.harness.now)
 
 
-def test_a_job_waits_for_the_cheap_hour_and_is_done_in_time() -> None:
-    night = Night(50.0, 50.0, 10.0, 50.0, 50.0)
-    job = night.submit()
-    night.go(600, 30)
-    assert not night.harness.task_locations(job.job_id)
-    assert night.harness.cluster.pending == set()  # held, not waiting: nothing is rented or stopped for it
-    said = night.holder.explain(job.job_id, night.harness.now)
-    assert said["held"]
-    assert said["saves"] > 0.5
-    assert 0 < said["until_s"] <= 2 * 3600
-    night.go(2 * 3600, 30)
-    assert night.harness.task_locations(job.job_id) or night.harness.record(job.job_id) == "done"
-    night.go(900, 30)
-    assert night.harness.record(job.job_id) == "done"
+def test_a_job_is_deferred_to_the_cheap_hour_and_meets_its_deadline() -> None:
+    fixture = DeferralFixture(50.0, 50.0, 10.0, 50.0, 50.0)
+    job = fixture.submit()
+    fixture.run_for(600, 30)
+    assert not fixture.harness.task_locations(job.job_id)
+    assert (
+        fixture.harness.cluster.pending == set()
+    )  # deferred, not pending: no machine is rented and no task stopped for it
+    explanation = fixture.holder.explain(job.job_id, fixture.harness.now)
+    assert explanation["held"]
+    assert explanation["saves"] > 0.5
+    assert 0 < explanation["until_s"] <= 2 * 3600
+    fixture.run_for(2 * 3600, 30)
+    assert fixture.harness.task_locations(job.job_id) or fixture.harness.record(job.job_id) == "done"
+    fixture.run_for(900, 30)
+    assert fixture.harness.record(job.job_id) == "done"
 
 
-def test_a_deadline_inside_a_dear_window_is_kept() -> None:
-    night = Night(20.0, 500.0, 500.0, 1.0)
-    job = night.submit(tideS=2 * 3600.0)
-    night.go(2 * 3600, 30)
-    assert night.harness.record(job.job_id) == "done"
+def test_a_deadline_inside_an_expensive_window_is_met() -> None:
+    fixture = DeferralFixture(20.0, 500.0, 500.0, 1.0)
+    job = fixture.submit(tideS=2 * 3600.0)
+    fixture.run_for(2 * 3600, 30)
+    assert fixture.harness.record(job.job_id) == "done"
 
 
-def test_what_takes_three_times_as_long_as_estimated_still_ends_in_time() -> None:
-    night = Night(50.0, 50.0, 10.0, 10.0)
-    job = night.submit(tideS=3 * 3600.0)
-    night.harness.jobs[job.job_id]["voyageS"] = 900.0
-    night.go(3 * 3600, 30)
-    assert night.harness.record(job.job_id) == "done"
+def test_a_job_that_runs_three_times_its_estimate_meets_its_deadline() -> None:
+    fixture = DeferralFixture(50.0, 50.0, 10.0, 10.0)
+    job = fixture.submit(tideS=3 * 3600.0)
+    fixture.harness.jobs[job.job_id]["voyageS"] = 900.0
+    fixture.run_for(3 * 3600, 30)
+    assert fixture.harness.record(job.job_id) == "done"
 
 
 @pytest.mark.parametrize("tide", [30.0, 300.0, 700.0])
-def test_a_job_without_slack_starts_at_once(tide: float) -> None:
-    night = Night(50.0, 1.0)
-    assert night.submit(tideS=tide).start_limit < 0
+def test_a_job_without_slack_starts_immediately(tide: float) -> None:
+    fixture = DeferralFixture(50.0, 1.0)
+    assert fixture.submit(tideS=tide).start_limit < 0
 
 
-def test_services_and_jobs_without_a_deadline_are_never_held() -> None:
-    night = Night(50.0, 1.0, 1.0)
-    assert night.submit(tideS=None).start_limit < 0
-    assert night.submit(ref="j-000002", rig="standing", driftwood=False).start_limit < 0
-    assert night.submit(ref="j-000003", cargo="other").start_limit < 0
+def test_services_and_jobs_without_a_deadline_are_never_deferred() -> None:
+    fixture = DeferralFixture(50.0, 1.0, 1.0)
+    assert fixture.submit(tideS=None).start_limit < 0
+    assert fixture.submit(ref="j-000002", rig="standing", driftwood=False).start_limit < 0
+    assert fixture.submit(ref="j-000003", cargo="other").start_limit < 0
 
 
-def test_a_new_leader_holds_and_lets_go_as_the_last_one_would_have() -> None:
-    night = Night(50.0, 50.0, 10.0, 50.0)
-    job = night.submit()
-    night.harness.commit()
-    plan = dict(night.holder.planner.plans[job.job_id].starts)
-    night.book = book(1.0, 90.0, 90.0, 90.0)  # it would plan otherwise itself
-    night.fail_over()
-    again = night.harness.cluster.jobs[job.job_id]
-    assert again.deferred == 2
-    assert again not in night.harness.cluster.pending
-    assert night.holder.planner.plans[job.job_id].starts == plan
+def test_a_new_leader_keeps_the_recorded_plan() -> None:
+    fixture = DeferralFixture(50.0, 50.0, 10.0, 50.0)
+    job = fixture.submit()
+    fixture.harness.commit()
+    plan = dict(fixture.holder.planner.plans[job.job_id].starts)
+    fixture.book = book(1.0, 90.0, 90.0, 90.0)  # a new plan would differ at these prices
+    fixture.fail_over()
+    restored = fixture.harness.cluster.jobs[job.job_id]
+    assert restored.deferred == 2
+    assert restored not in fixture.harness.cluster.pending
+    assert fixture.holder.planner.plans[job.job_id].starts == plan
 
 
 def test_a_leader_killed_between_release_and_placement_releases_nothing_twice() -> None:
-    night = Night(50.0, 10.0, 10.0, 50.0, capacity=16.0)
-    job = night.submit(legs=4)
-    night.harness.commit()
-    night.harness.now += HOUR + SECOND
-    assert night.holder.tick(night.harness.now) == 4  # let go, nothing written about that
-    night.fail_over()
-    assert night.harness.cluster.jobs[job.job_id].deferred in (0, 4)
-    night.go(1800, 30)
-    started = [key for worker in night.harness.workers.values() for key in worker.started_attempts]
+    fixture = DeferralFixture(50.0, 10.0, 10.0, 50.0, capacity=16.0)
+    job = fixture.submit(legs=4)
+    fixture.harness.commit()
+    fixture.harness.now += HOUR + SECOND
+    assert fixture.holder.tick(fixture.harness.now) == 4  # released, but not recorded
+    fixture.fail_over()
+    assert fixture.harness.cluster.jobs[job.job_id].deferred in (0, 4)
+    fixture.run_for(1800, 30)
+    started = [key for worker in fixture.harness.workers.values() for key in worker.started_attempts]
     assert sorted(started) == sorted({(f"{job.job_id}/{n}", 1) for n in range(4)})
-    assert night.harness.record(job.job_id) == "done"
+    assert fixture.harness.record(job.job_id) == "done"
 
 
-def test_a_plan_let_go_in_part_is_recorded_with_what_is_left_of_it() -> None:
-    night = Night(50.0, 10.0, 50.0, 12.0, 50.0)
-    job = night.submit(legs=6, tideS=5 * 3600.0)
-    night.harness.commit()
+def test_a_partly_released_plan_is_recorded_with_its_remaining_starts() -> None:
+    fixture = DeferralFixture(50.0, 10.0, 50.0, 12.0, 50.0)
+    job = fixture.submit(legs=6, tideS=5 * 3600.0)
+    fixture.harness.commit()
     assert job.deferral is not None
     assert sum(count for _, count in job.deferral.plan) == 6
-    night.go(3600 + 400, 50)
+    fixture.run_for(3600 + 400, 50)
     assert 0 < job.start_limit < 6
-    night.fail_over()
-    again = night.harness.cluster.jobs[job.job_id]
-    assert again.deferral is not None
-    assert max(again.start_limit, again.next_unbound_index) + sum(count for _, count in again.deferral.plan) == 6
-
-
-def test_a_cancelled_held_job_goes_at_once() -> None:
-    night = Night(50.0, 50.0, 10.0)
-    job = night.submit()
-    night.harness.commit()
-    night.harness.cancel(job.job_id)
-    night.holder.tick(night.harness.now)
-    night.harness.commit()
-    assert not [key for key in night.harness.state.items if key.startswith("live/")]
-    assert not night.holder.planner.plans
-
-
-def test_the_state_service_is_down_at_the_latest_start() -> None:
-    """Holding back needs the state service for nothing: the job is let go, and starts once commits go through."""
-    night = Night(50.0, 50.0, 10.0)
-    job = night.submit(tideS=3600.0)
-    latest = night.holder.planner.plans[job.job_id].need.latest if job.deferred else night.harness.now
-    night.harness.now = latest + SECOND
-    night.holder.tick(night.harness.now)  # nothing is committed
+    fixture.fail_over()
+    restored = fixture.harness.cluster.jobs[job.job_id]
+    assert restored.deferral is not None
+    assert (
+        max(restored.start_limit, restored.next_unbound_index) + sum(count for _, count in restored.deferral.plan) == 6
+    )
+
+
+def test_a_cancelled_deferred_job_is_removed_immediately() -> None:
+    fixture = DeferralFixture(50.0, 50.0, 10.0)
+    job = fixture.submit()
+    fixture.harness.commit()
+    fixture.harness.cancel(job.job_id)
+    fixture.holder.tick(fixture.harness.now)
+    fixture.harness.commit()
+    assert not [key for key in fixture.harness.state.items if key.startswith("live/")]
+    assert not fixture.holder.planner.plans
+
+
+def test_a_job_is_released_at_its_latest_start_while_the_state_service_is_down() -> None:
+    """A release needs no commit: the job becomes pending, and starts once commits succeed again."""
+    fixture = DeferralFixture(50.0, 50.0, 10.0)
+    job = fixture.submit(tideS=3600.0)
+    latest = fixture.holder.planner.plans[job.job_id].demand.latest_start if job.deferred else fixture.harness.now
+    fixture.harness.now = latest + SECOND
+    fixture.holder.tick(fixture.harness.now)  # nothing is committed
     assert job.deferred == 0
-    assert job in night.harness.cluster.pending
+    assert job in fixture.harness.cluster.pending
 
 
-def test_a_feed_that_goes_silent_makes_nobody_late() -> None:
-    night = Night(50.0, 45.0, 10.0, 9.0, 50.0, 50.0, 50.0, 50.0, 50.0, 50.0, 50.0, 50.0)
-    night.book.fresh_us, night.book.dead_us = 1800 * SECOND, HOUR
-    jobs = [night.submit(ref=f"j-{n:06d}", legs=1) for n in range(6)]
+def test_a_feed_that_goes_silent_delays_no_job_past_its_deadline() -> None:
+    fixture = DeferralFixture(50.0, 45.0, 10.0, 9.0, 50.0, 50.0, 50.0, 50.0, 50.0, 50.0, 50.0, 50.0)
+    fixture.book.fresh_us, fixture.book.dead_us = 1800 * SECOND, HOUR
+    jobs = [fixture.submit(ref=f"j-{n:06d}", legs=1) for n in range(6)]
     assert all(job.deferred for job in jobs)
-    night.go(1.5 * HOUR / SECOND, 60)  # dead before the cheap hours come: no reason to wait for them is left
-    night.go(1200, 60)
-    assert {night.harness.record(job.job_id) for job in jobs} == {"done"}
+    fixture.run_for(
+        1.5 * HOUR / SECOND, 60
+    )  # the prices lose all weight before the cheap hours, so no job waits for these
+    fixture.run_for(1200, 60)
+    assert {fixture.harness.record(job.job_id) for job in jobs} == {"done"}
 
 
-def test_the_clock_of_the_day_jumps() -> None:
-    """Back by an hour: nothing is held for longer. Ahead: work goes early, which makes nobody late."""
+def test_wall_clock_jumps_defer_no_start_for_longer() -> None:
+    """A jump back by an hour must not defer jobs for longer; a jump ahead releases jobs early, which is safe."""
     clock = DayClock(wall=DAY, steady=1000)
     assert clock.at(DAY + SECOND, 1000 + SECOND) == DAY + SECOND
     assert clock.at(DAY - HOUR, 1000 + 2 * SECOND) == DAY + 2 * SECOND
@@ -334,23 +341,23 @@
 
 
 def test_five_thousand_jobs_due_in_the_same_window_are_spread() -> None:
-    night = Night(50.0, 10.0, 20.0, 20.0, 20.0, capacity=400.0)
+    fixture = DeferralFixture(50.0, 10.0, 20.0, 20.0, 20.0, capacity=400.0)
     for number in range(5_000):
-        night.submit(ref=f"j-{number:06d}", legs=1, cores=1.0, voyageS=300.0, tideS=4 * 3600.0)
+        fixture.submit(ref=f"j-{number:06d}", legs=1, cores=1.0, voyageS=300.0, tideS=4 * 3600.0)
     taken: dict[int, int] = {}
-    for plan in night.holder.planner.plans.values():
+    for plan in fixture.holder.planner.plans.values():
         for slot, count in plan.starts.items():
             taken[slot] = taken.get(slot, 0) + count
     assert max(taken.values()) <= 400
     assert len(taken) >= 12
 
 
-def test_held_work_that_comes_due_counts_in_the_queue_estimate() -> None:
-    """Its release at dawn would meet a full house."""
-    night = Night(50.0, 10.0, 10.0)
-    job = night.submit(legs=4)
-    other = night.submit(ref="j-000002", cargo="other", legs=2, voyageS=100.0, tideS=600.0)
-    harness = night.harness
+def test_deferred_tasks_that_are_due_soon_count_in_the_queue_estimate() -> None:
+    """Otherwise jobs are routed without regard to the release, which then meets full machines."""
+    fixture = DeferralFixture(50.0, 10.0, 10.0)
+    job = fixture.submit(legs=4)
+    other = fixture.submit(ref="j-000002", cargo="other", legs=2, voyageS=100.0, tideS=600.0)
+    harness = fixture.harness
 
     def wait() -> int:
         pools = pools_by_type(harness.cluster, harness.now)
@@ -359,36 +366,36 @@
 
     before = wait()
     harness.now += HOUR - 60 * SECOND
-    night.holder.tick(harness.now)
-    assert [(held.job_id, count) for held, count in harness.cluster.upcoming_starts] == [(job.job_id, 2)]
+    fixture.holder.tick(harness.now)
+    assert [(upcoming.job_id, count) for upcoming, count in harness.cluster.upcoming_starts] == [(job.job_id, 2)]
     assert wait() > before + 100 * SECOND
 
 
-def test_records_of_a_held_job_are_bounded() -> None:
-    night = Night(*[50.0] * 3, *[10.0] * 3)
-    job = night.submit(tideS=8 * 3600.0)
+def test_record_writes_of_a_deferred_job_are_bounded() -> None:
+    fixture = DeferralFixture(*[50.0] * 3, *[10.0] * 3)
+    job = fixture.submit(tideS=8 * 3600.0)
     for number in range(30):
         prices = [50.0 - (n == 2 + number % 4) * 30 for n in range(8)]
-        night.book.learn(hours(*prices), night.harness.now, night.harness.now)
-        night.holder.tick(night.harness.now)
+        fixture.book.learn(hours(*prices), fixture.harness.now, fixture.harness.now)
+        fixture.holder.tick(fixture.harness.now)
     assert job.deferral is not None
-    assert 1 < job.deferral.write_count <= MOVES_MOST + 1
+    assert 1 < job.deferral.write_count <= MAX_MOVES_PER_JOB + 1
 
 
-def test_running_work_is_paused_only_if_it_saves_and_is_allowed_to() -> None:
+def test_a_running_job_is_paused_only_if_it_has_checkpoints_and_may_pause() -> None:
     for checkpoint, pause, stopped in ((0.0, True, False), (15.0, False, False), (15.0, True, True)):
-        night = Night(300.0, 10.0, 10.0, 10.0, pause=pause)
-        night.holder._deferral(night.harness.cluster.jobs.get("x") or Job("x", _spec(), 1, 0))
-        job = night.submit(legs=1, voyageS=1200.0, mooringS=checkpoint, stowS=1.0, tideS=None)
-        night.go(20)
+        fixture = DeferralFixture(300.0, 10.0, 10.0, 10.0, pause=pause)
+        fixture.holder._deferral(fixture.harness.cluster.jobs.get("x") or Job("x", _spec(), 1, 0))
+        job = fixture.submit(legs=1, voyageS=1200.0, mooringS=checkpoint, stowS=1.0, tideS=None)
+        fixture.run_for(20)
         job.spec = _with_deadline(job)
-        night.holder._pause(night.harness.now)
+        fixture.holder._pause_running(fixture.harness.now)
         task = job.tasks[0]
         assert (task.stop_grace_s is not None) is stopped
         if stopped:
-            assert job.retry_at > night.harness.now + 1800 * SECOND
+            assert job.retry_at > fixture.harness.now + 1800 * SECOND
             assert job.deferral is not None
-            assert job.deferral.paused_until > night.harness.now
+            assert job.deferral.paused_until > fixture.harness.now
 
 
 def _spec() -> Any:
@@ -404,27 +411,27 @@
     return msgspec.structs.replace(job.spec, deadline_s=4 * 3600.0)
 
 
-async def test_the_last_good_series_and_what_was_learnt_outlive_the_leader() -> None:
+async def test_the_last_valid_series_and_the_margins_survive_a_failover() -> None:
     state = KeyStore(lambda: 0)
     lead, client, _ = leader(state)
     settings = WindowSettings(on=True, capacity_cpus=8.0, classes=(("train", Deferral()),))
-    keeper = WindowController(lead, UnreachableNetwork(), settings)  # type: ignore[arg-type]
-    now = keeper.wall()
-    keeper.book.learn(hours(10.0, 20.0, start=now), now, now)
-    keeper.holder.margins.load({"train": [1.0] * 30})
-    await keeper.fail_over()
-    keeper.step()
+    controller = WindowController(lead, UnreachableNetwork(), settings)  # type: ignore[arg-type]
+    now = controller.wall()
+    controller.book.learn(hours(10.0, 20.0, start=now), now, now)
+    controller.holder.margins.load({"train": [1.0] * 30})
+    await controller.fail_over()
+    controller.step()
     assert WINDOWS_KEY in lead.cluster.writes.dirty_keys
     await lead.commits.commit(lead.cluster.writes.take_batch(12))
     later, _, _ = leader(state)
     later.state = client  # type: ignore[assignment]
-    heir = WindowController(later, UnreachableNetwork(), settings)  # type: ignore[arg-type]
-    await heir.fail_over()
-    assert [row.price for row in heir.book.rows] == [10.0, 20.0]
-    assert heir.holder.margins.factor("train") < RuntimeMargins().factor("train")
+    successor = WindowController(later, UnreachableNetwork(), settings)  # type: ignore[arg-type]
+    await successor.fail_over()
+    assert [row.price for row in successor.book.rows] == [10.0, 20.0]
+    assert successor.holder.margins.factor("train") < RuntimeMargins().factor("train")
 
 
-def test_margins_start_careful_and_follow_what_was_seen() -> None:
+def test_margins_start_conservative_and_follow_the_observed_ratios() -> None:
     margins = RuntimeMargins()
     assert margins.factor("x") == 3.0
     for _ in range(40):
@@ -453,7 +460,9 @@
         ("[windows class x]\nprice = -1", "price"),
     ],
 )
-def test_bad_settings_name_the_field(text: str, why: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_errors_in_settings_name_the_field(
+    text: str, why: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     path = tmp_path / "own.ini"
     path.write_text(text)
     with pytest.raises(SettingsError, match=why):
@@ -462,7 +471,7 @@
     assert len(capsys.readouterr().err.splitlines()) == 1
 
 
-def test_the_sample_settings_are_good_and_without_them_windows_are_off() -> None:
+def test_the_sample_settings_are_valid_and_deferral_is_off_by_default() -> None:
     sample = load_window_settings("deploy/windows.ini")
     assert sample.on
     assert sample.deferral("rebalance", "normal") is not None
@@ -473,7 +482,7 @@
 
 
 @pytest.mark.parametrize("fault", ["none", "silent", "expensive-deadline", "lying", "burst"])
-def test_a_small_night_meets_as_many_deadlines_for_less(fault: str) -> None:
+def test_deferral_meets_as_many_deadlines_at_lower_cost(fault: str) -> None:
     result = run(2, 60, fault)
     assert result["deadlines_met"]["windows"] >= result["deadlines_met"]["immediate"]
     assert result["cost"]["bound"] <= result["cost"]["windows"] + 1e-6
@@ -484,7 +493,9 @@
     }
 
 
-def test_the_experiments_page_and_its_one_line_errors(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_the_windows_lab_writes_a_page_and_reports_errors_in_one_line(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     page = tmp_path / "night.html"
     assert main(["lab", "windows", "--seed", "1", "--jobs", "20", "--json", "--html", str(page)]) == 0
     assert page.read_text().count("<svg") == 2
