--- a/oatport/windows/holding.py
+++ b/oatport/windows/holding.py
@@ -63,7 +63,7 @@
     """Provides the time of day for deadlines: the later of the wall clock and its start value plus the time elapsed.
 
     A wall clock that jumps back therefore defers nothing for longer. One that jumps ahead releases tasks early, which
-    costs money but no deadline.
+    costs money but misses no deadline.
     """
 
     wall: int
--- a/oatport/windows/prices.py
+++ b/oatport/windows/prices.py
@@ -20,7 +20,7 @@
 MAX_INTERVALS = 2_000
 MAX_INTERVAL_LENGTH = 2 * 86_400 * SECOND
 MAX_PRICE = 1e6
-MAX_CLOCK_SKEW = 300 * SECOND  # beyond it a series is from the future, and one of the two clocks is wrong
+MAX_CLOCK_SKEW = 300 * SECOND  # a series made later than this means that one of the two clocks is wrong
 MAX_RELATIVE_COST = 5.0  # in multiples of the median; uncapped, one wrong price would shift the whole night's plans
 
 
