--- a/oatport/windows/holding.py
+++ b/oatport/windows/holding.py
@@ -91,7 +91,7 @@
         self._pause_checked_slot = self._early_start_slot = 0
         self.arrival_forecast = ArrivalForecast()
         self._pending_updates: dict[str, None] = {}  # jobs whose latest safe start changed
-        self.anew = 0  # plans changed by a replan; for the status and tests
+        self.anew = 0  # plans changed by a replan, for the figures of the lab
         self.late = 0  # releases after a job's latest safe start
         cluster.tasks.on_runtime_measured = self.on_runtime_measured
         self._update_prices(wall)
--- a/oatport/windows/planner.py
+++ b/oatport/windows/planner.py
@@ -348,7 +348,7 @@
     # --- planning --------------------------------------------------------------------------------
 
     def _last_slot(self, demand: JobDemand) -> int:
-        """Returns the last slot that ends by the latest start, so that a start at any time in it is safe."""
+        """Returns the last slot of the horizon that ends by the latest start: a start anywhere in it is safe."""
         return min(demand.latest_start // self.step - 1, self._first_slot + self.slots - 1)
 
     def _task_cost(self, demand: JobDemand, slot: int) -> float:
