--- a/oatport/lab/__init__.py
+++ b/oatport/lab/__init__.py
@@ -1,13 +1,15 @@
-"""Experiments in virtual time, reproducible from a seed. Their libraries are the extra `lab`.
+"""Experiments in virtual time, reproducible from a seed. The extra `lab` installs their dependencies.
 
-The names of options' values stand here, where the command line gets at them without importing those libraries.
+The values that the options accept are defined here, so that the command line can list them without importing those
+dependencies.
 """
 
-# Faults of a night of deferrable work (`lab windows --fault`).
-FAULTS = ("none", "silent", "expensive-deadline", "lying", "burst")
+# Faults that are injected into a night of deferrable jobs (`lab windows --fault`).
+WINDOW_FAULTS = ("none", "silent", "expensive-deadline", "lying", "burst")
 # Safety checks of the AMQP gateway that can be disabled (`lab queues --disable-check`).
 QUEUE_SAFETY_CHECKS = ("dedupe", "ack-early", "outbox")
-# Safety checks of the nodes that can be disabled (`lab simulate --disable-check`): oatport/simulation/mutations.py.
+# Safety checks of the nodes that can be disabled (`lab simulate --disable-check`), implemented in
+# oatport/simulation/mutations.py.
 SAFETY_CHECKS = (
     "fencing",
     "write-ahead",
@@ -28,5 +30,5 @@
     "read-freshness",
     "commit-verification",
 )
-# Families of generated fault plans (`lab simulate --scenario`): oatport/simulation/runner.py.
+# Families of generated fault plans (`lab simulate --scenario`), implemented in oatport/simulation/runner.py.
 SCENARIOS = ("random", "rolling-upgrade", "unreachable-machines", "state-outage", "fault-interactions", "quota")
--- a/oatport/lab/cli.py
+++ b/oatport/lab/cli.py
@@ -1,4 +1,4 @@
-"""`oatport lab ...`: the command line of the experiments."""
+"""The command line of the experiments: `oatport lab windows`, `lab queues` and `lab simulate`."""
 
 from __future__ import annotations
 
@@ -7,25 +7,25 @@
 import sys
 from typing import Any
 
-from oatport.lab import FAULTS, QUEUE_SAFETY_CHECKS, SAFETY_CHECKS, SCENARIOS, deprecated_names
+from oatport.lab import QUEUE_SAFETY_CHECKS, SAFETY_CHECKS, SCENARIOS, WINDOW_FAULTS, deprecated_names
 from oatport.lab.deprecated_names import DeprecatedOption, current_name
 
 
 def add(commands: Any) -> None:
-    """Add the sub-commands to the program's parser; none of their libraries is imported for that."""
+    """Adds the `lab` subcommands to the program's parser without importing the experiments' dependencies."""
     lab = commands.add_parser("lab", help="experiments in virtual time (extra: lab)")
     experiments = lab.add_subparsers(dest="experiment", required=True, metavar="{windows,queues,simulate}")
     _add_windows(experiments)
     _add_queues(experiments)
     _add_simulate(experiments, "simulate", help="whole deployments in virtual time, checked against the invariants")
-    _add_simulate(experiments, "rehearse")  # its former name
+    _add_simulate(experiments, "rehearse")  # deprecated spelling of `simulate`, without a help text
 
 
 def _add_windows(experiments: Any) -> None:
     windows = experiments.add_parser("windows", help="a night at once, by windows, and the least it could cost")
     windows.add_argument("--seed", type=int, default=1)
     windows.add_argument("--jobs", type=int, default=500)
-    windows.add_argument("--fault", choices=FAULTS, default="none")
+    windows.add_argument("--fault", choices=WINDOW_FAULTS, default="none")
     windows.add_argument("--json", action="store_true", help="the figures as one JSON object")
     windows.add_argument("--html", metavar="FILE", help="write a page with plots")
 
@@ -68,7 +68,7 @@
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Run the experiment that was asked for and return the exit status."""
+    """Runs the experiment that the arguments name, and returns the exit status."""
     experiments = {"queues": _queues, "windows": _windows, "simulate": _simulate, "rehearse": _simulate}
     return experiments[arguments.experiment](arguments)
 
@@ -89,19 +89,19 @@
     except (InvalidPlanError, HistoryUnavailableError) as error:
         print(f"oatport: lab {arguments.experiment}: {error}", file=sys.stderr)
         return 2
-    figures, bad = runner.simulate(request, arguments.jobs)
-    for result in bad[:3]:
+    figures, failed_results = runner.simulate(request, arguments.jobs)
+    for result in failed_results[:3]:
         if result.errors:
             print(f"seed {result.seed}: {result.errors[0]}", file=sys.stderr)
-    if any(result.violations for result in bad):
-        first = next(result for result in bad if result.violations)
-        print(runner.describe_failure(request, first), file=sys.stderr)
+    if any(result.violations for result in failed_results):
+        violating_result = next(result for result in failed_results if result.violations)
+        print(runner.describe_failure(request, violating_result), file=sys.stderr)
     print(json.dumps(figures) if arguments.json else "\n".join(f"{name:18} {value}" for name, value in figures.items()))
-    return 1 if bad else 0
+    return 1 if failed_results else 0
 
 
 def _run_request(arguments: argparse.Namespace) -> Any:
-    """What the options ask for, as a `RunRequest`. Raises InvalidPlanError, which names the option or the field."""
+    """Returns the options as a `RunRequest`. Raises InvalidPlanError, which names the invalid option or field."""
     from oatport.simulation import runner
     from oatport.simulation.fault_plan import InvalidPlanError
 
@@ -109,9 +109,9 @@
     disabled_check = current_name("--disable-check", arguments.disable_check, deprecated_names.SAFETY_CHECKS)
     if scenario not in runner.SCENARIOS:
         raise InvalidPlanError(f"scenario: must be one of {', '.join(runner.SCENARIOS)}, not {scenario!r}")
-    for name, least, most in (("seeds", 1, 100_000), ("nodes", 1, 7), ("machines", 1, 5000), ("jobs", 0, 256)):
-        if not least <= getattr(arguments, name) <= most:
-            raise InvalidPlanError(f"{name}: must be {least} to {most}, not {getattr(arguments, name)}")
+    for name, minimum, maximum in (("seeds", 1, 100_000), ("nodes", 1, 7), ("machines", 1, 5000), ("jobs", 0, 256)):
+        if not minimum <= getattr(arguments, name) <= maximum:
+            raise InvalidPlanError(f"{name}: must be {minimum} to {maximum}, not {getattr(arguments, name)}")
     return runner.RunRequest(
         arguments.seed,
         arguments.seeds,
@@ -126,8 +126,8 @@
 def _queues(arguments: argparse.Namespace) -> int:
     deprecated_names.warn_of_options(arguments)
     try:
+        from oatport.lab.queues import has_passed
         from oatport.lab.queues import run as run_queues
-        from oatport.lab.queues import sound
     except ModuleNotFoundError as error:
         print(f"oatport: {error.name} is missing: pip install 'oatport[lab,queues]'", file=sys.stderr)
         return 2
@@ -139,7 +139,7 @@
         print(f"oatport: lab queues: {error}", file=sys.stderr)
         return 2
     print(json.dumps(result) if arguments.json else "\n".join(f"{name:20} {value}" for name, value in result.items()))
-    return 0 if sound(result) else 1
+    return 0 if has_passed(result) else 1
 
 
 def _windows(arguments: argparse.Namespace) -> int:
@@ -160,7 +160,7 @@
         f"{result['jobs']} jobs on {result['capacity_cpus']:.0f} CPUs, seed {result['seed']}, fault {result['fault']}"
     )
     for name in ("deadlines_met", "cost"):
-        print(f"  {name:14}" + "  ".join(f"{way} {value:,}" for way, value in result[name].items()))
+        print(f"  {name:14}" + "  ".join(f"{column} {value:,}" for column, value in result[name].items()))
     print(
         f"  released late {result['released_late']}, plans made anew {result['replans']}, "
         f"planning {result['plan_ms_p99']} ms (99th percentile)"
--- a/oatport/lab/cost_lower_bound.py
+++ b/oatport/lab/cost_lower_bound.py
@@ -1,8 +1,9 @@
-"""The least that a night's work can cost with perfect knowledge: a linear program, solved by HiGHS through scipy.
+"""Computes a lower bound of the cost of a night's work under perfect knowledge, by linear programming (HiGHS in scipy).
 
-A relaxation, so that no schedule can be cheaper: work is a fluid, jobs that come and are due in the same slots are
-one, and a slot in which a job comes or is due counts as a whole. Jobs that can't be done in time by anybody, or that
-found no room even when all started at once, may be done at any later time.
+The program is a relaxation, so that no schedule can be cheaper: work is divisible at will, jobs that are submitted and
+due in the same slots are merged, and the slot in which a job is submitted or due counts in full. Jobs that no schedule
+can finish in time, and jobs that missed their deadline for lack of capacity even when every job started immediately,
+may be done at any later time.
 """
 
 from __future__ import annotations
@@ -13,26 +14,35 @@
 from scipy.optimize import linprog
 from scipy.sparse import coo_matrix
 
-from oatport.lab.window_workload import BEGINS, CPUS, Night
+from oatport.lab.window_workload import CPUS_PER_TASK, NIGHT_START, NightWorkload
 from oatport.times import SECOND
 
 
-def possible(night: Night) -> int:
-    """Jobs whose longest task fits between their coming and their deadline."""
-    return sum(job.at + max(job.runs) <= job.deadline for job in night.jobs)
+def count_feasible_jobs(workload: NightWorkload) -> int:
+    """Returns the number of jobs whose longest task fits between submission and deadline."""
+    return sum(job.submitted_at + max(job.task_runtimes) <= job.deadline for job in workload.jobs)
 
 
-def least_cost(night: Night, anytime: set[str], step: int = 300 * SECOND) -> float:
-    """CPU-hours times price. `anytime`: jobs without a deadline here. Raises RuntimeError if the solver gives up."""
-    end = BEGINS + len(night.prices) * 3600 * SECOND
-    slots = (end - BEGINS) // step
-    work: Counter[tuple[int, int]] = Counter()
-    for job in night.jobs:
-        first = (job.at - BEGINS) // step
-        last = slots - 1 if job.ref in anytime else min((job.deadline - BEGINS) // step, slots - 1)
-        work[first, last] += sum(job.runs) * round(CPUS)
+def compute_cost_lower_bound(
+    workload: NightWorkload, without_deadline: set[str], slot_length: int = 300 * SECOND
+) -> float:
+    """Returns the bound in CPU-hours times price. Raises RuntimeError if the solver finds no optimum.
+
+    `without_deadline` holds the ids of the jobs whose deadlines are ignored.
+    """
+    end = NIGHT_START + len(workload.prices) * 3600 * SECOND
+    slot_count = (end - NIGHT_START) // slot_length
+    work: Counter[tuple[int, int]] = Counter()  # by first and last slot
+    for job in workload.jobs:
+        first = (job.submitted_at - NIGHT_START) // slot_length
+        last = (
+            slot_count - 1
+            if job.job_id in without_deadline
+            else min((job.deadline - NIGHT_START) // slot_length, slot_count - 1)
+        )
+        work[first, last] += sum(job.task_runtimes) * round(CPUS_PER_TASK)
     groups = sorted(work)
-    price = np.array([night.price(BEGINS + slot * step) for slot in range(slots)])
+    price = np.array([workload.price_at(NIGHT_START + slot * slot_length) for slot in range(slot_count)])
     cost: list[float] = []
     by_group: list[int] = []
     by_slot: list[int] = []
@@ -41,18 +51,18 @@
             by_group.append(group)
             by_slot.append(slot)
             cost.append(float(price[slot]))
-    count = len(cost)
-    ones, columns = np.ones(count), np.arange(count)
+    variable_count = len(cost)
+    ones, columns = np.ones(variable_count), np.arange(variable_count)
     hour = 3600 * SECOND
-    done = linprog(
+    solution = linprog(
         cost,
-        A_ub=coo_matrix((ones, (by_slot, columns)), shape=(slots, count)).tocsr(),
-        b_ub=np.full(slots, night.capacity * step / hour),
-        A_eq=coo_matrix((ones, (by_group, columns)), shape=(len(groups), count)).tocsr(),
+        A_ub=coo_matrix((ones, (by_slot, columns)), shape=(slot_count, variable_count)).tocsr(),
+        b_ub=np.full(slot_count, workload.capacity * slot_length / hour),
+        A_eq=coo_matrix((ones, (by_group, columns)), shape=(len(groups), variable_count)).tocsr(),
         b_eq=np.array([work[group] / hour for group in groups]),
         bounds=(0, None),
         method="highs",
     )
-    if done.status != 0:
-        raise RuntimeError(f"no bound: {done.message}")
-    return float(done.fun)
+    if solution.status != 0:
+        raise RuntimeError(f"cost lower bound: the linear program has no optimum: {solution.message}")
+    return float(solution.fun)
--- a/oatport/lab/deprecated_names.py
+++ b/oatport/lab/deprecated_names.py
@@ -1,6 +1,6 @@
-"""Former spellings of the laboratory's commands, options and values.
+"""Deprecated spellings of the commands, options and values of `oatport lab`.
 
-Each goes on working, and writes one line to stderr that names the new one.
+Each is still accepted, and writes one line to stderr that names the current spelling.
 """
 
 from __future__ import annotations
@@ -40,18 +40,18 @@
 
 
 def warn(old: str, new: str) -> None:
-    """Write one line to stderr that names the new spelling."""
+    """Writes one line to stderr that names the deprecated and the current spelling."""
     print(f"oatport: {old} is deprecated, use {new}", file=sys.stderr)
 
 
 def warn_of_options(arguments: argparse.Namespace) -> None:
-    """Write one line to stderr for each option that was given under its former spelling."""
+    """Writes one line to stderr for each option that was given under its deprecated spelling."""
     for old, new in getattr(arguments, "deprecated_options", ()):
         warn(old, new)
 
 
 def current_name(option: str, name: str, renamed: Mapping[str, str]) -> str:
-    """The current spelling of an option's value."""
+    """Returns the current spelling of an option's value; a deprecated one also writes a line to stderr."""
     if name not in renamed:
         return name
     warn(f"{option} {name}", f"{option} {renamed[name]}")
@@ -59,9 +59,10 @@
 
 
 class DeprecatedOption(argparse.Action):
-    """The former spelling of an option, kept out of the help texts. `new` is the option that replaces it.
+    """Accepts the deprecated spelling of an option, hidden from the help texts. `new` is the option that replaces it.
 
-    Its use is only noted here: the process may start itself again before it says so (`warn_of_options`).
+    The action only records that the deprecated spelling was used. `warn_of_options` writes the warning later, because
+    the process may restart itself after the options are parsed.
     """
 
     def __init__(self, option_strings: list[str], dest: str, new: str, **options: Any) -> None:
@@ -71,7 +72,7 @@
     def __call__(
         self, parser: argparse.ArgumentParser, namespace: argparse.Namespace, values: Any, option: str | None = None
     ) -> None:
-        """Store the value for the new option."""
+        """Stores the value under the current option, and records the use of the deprecated one."""
         used = [*getattr(namespace, "deprecated_options", []), (option, self._new)]
         namespace.deprecated_options = used
         setattr(namespace, self.dest, values)
--- a/oatport/lab/report_page.py
+++ b/oatport/lab/report_page.py
@@ -1,4 +1,4 @@
-"""The night as an HTML page: figures and plots in one file, by jinja2 and matplotlib."""
+"""Renders the results of a night as an HTML page: figures and plots in one file, by jinja2 and matplotlib."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from matplotlib import pyplot
 from matplotlib.figure import Figure
 
-from oatport.lab.window_workload import Night
-from oatport.lab.windows import TICK, AcceptOutcome
+from oatport.lab.window_workload import NightWorkload
+from oatport.lab.windows import TICK_INTERVAL, ScheduleOutcome
 from oatport.times import SECOND
 
 TEMPLATE = jinja2.Environment(autoescape=True, undefined=jinja2.StrictUndefined).from_string("""<!doctype html>
@@ -30,11 +30,11 @@
 <b>{{ result.fault }}</b>. In virtual time; the jobs and prices are drawn, not recorded.</p>
 <table>
 <tr><th></th><th>all at once</th><th>by windows</th><th>bound</th></tr>
-<tr><td>deadlines met</td>{% for way in ways %}<td>{{ result.deadlines_met[way] }}</td>{% endfor %}</tr>
-<tr><td>cost (CPU-hours times price)</td>{% for way in ways %}
-<td>{{ "%.0f"|format(result.cost[way]) }}</td>{% endfor %}</tr>
-<tr><td>cost against the bound</td>{% for way in ways %}
-<td>{{ "%.2f"|format(result.cost[way] / result.cost.bound) }}</td>{% endfor %}</tr>
+<tr><td>deadlines met</td>{% for column in columns %}<td>{{ result.deadlines_met[column] }}</td>{% endfor %}</tr>
+<tr><td>cost (CPU-hours times price)</td>{% for column in columns %}
+<td>{{ "%.0f"|format(result.cost[column]) }}</td>{% endfor %}</tr>
+<tr><td>cost against the bound</td>{% for column in columns %}
+<td>{{ "%.2f"|format(result.cost[column] / result.cost.bound) }}</td>{% endfor %}</tr>
 </table>
 <p class="note">Released after the latest safe start: {{ result.released_late }}. Plans made anew: {{ result.replans }}.
 Planning, 99th percentile: {{ result.plan_ms_p99 }} ms. The bound knows all prices and run times beforehand and treats
@@ -44,7 +44,7 @@
 """)
 
 
-def _svg(figure: Figure) -> Any:
+def _render_svg(figure: Figure) -> Any:
     out = io.StringIO()
     figure.savefig(out, format="svg", metadata={"Date": None})
     pyplot.close(figure)
@@ -52,40 +52,46 @@
     return Markup(text[text.index("<svg") :])
 
 
-def _night(night: Night, immediate: AcceptOutcome, windows: AcceptOutcome) -> Any:
+def _plot_timeline(workload: NightWorkload, immediate: ScheduleOutcome, windows: ScheduleOutcome) -> Any:
     figure, (above, middle, below) = pyplot.subplots(3, 1, figsize=(10, 8), sharex=True, layout="constrained")
-    above.step(range(len(night.prices)), night.prices, where="post", color="#b3541e")
+    above.step(range(len(workload.prices)), workload.prices, where="post", color="#b3541e")
     above.set_ylabel("price")
     for outcome, name, colour in ((immediate, "all at once", "#999999"), (windows, "by windows", "#1f6f8b")):
-        hours = [number * TICK / (3600 * SECOND) for number in range(len(outcome.load))]
-        middle.fill_between(hours, outcome.load, alpha=0.5, label=name, color=colour, linewidth=0)
-    middle.axhline(night.capacity, color="#333333", linewidth=0.8)
+        hours = [number * TICK_INTERVAL / (3600 * SECOND) for number in range(len(outcome.cpus_in_use))]
+        middle.fill_between(hours, outcome.cpus_in_use, alpha=0.5, label=name, color=colour, linewidth=0)
+    middle.axhline(workload.capacity, color="#333333", linewidth=0.8)
     middle.set_ylabel("CPUs in use")
     middle.legend()
-    below.plot([n * TICK / (3600 * SECOND) for n in range(len(windows.held))], windows.held, color="#1f6f8b")
+    below.plot(
+        [n * TICK_INTERVAL / (3600 * SECOND) for n in range(len(windows.tasks_held))],
+        windows.tasks_held,
+        color="#1f6f8b",
+    )
     below.set_ylabel("tasks held")
     below.set_xlabel("hours since 20:00")
-    return _svg(figure)
+    return _render_svg(figure)
 
 
-def _slack(immediate: AcceptOutcome, windows: AcceptOutcome) -> Any:
+def _plot_slack(immediate: ScheduleOutcome, windows: ScheduleOutcome) -> Any:
     figure, axes = pyplot.subplots(figsize=(10, 3), layout="constrained")
-    both = [list(outcome.slack.values()) for outcome in (immediate, windows)]
+    both = [list(outcome.slack_hours.values()) for outcome in (immediate, windows)]
     axes.hist(both, bins=40, label=["all at once", "by windows"], color=["#999999", "#1f6f8b"])
     axes.axvline(0, color="#b3541e")
     axes.set_xlabel("hours between a job's end and its deadline (right of 0: in time)")
     axes.set_ylabel("jobs")
     axes.legend()
-    return _svg(figure)
+    return _render_svg(figure)
 
 
-def write(path: str, night: Night, immediate: AcceptOutcome, windows: AcceptOutcome, result: dict[str, Any]) -> None:
-    """Raises OSError if the file can't be written."""
-    matplotlib.rcParams["svg.hashsalt"] = "oatport"  # the same page from the same seed
+def write_report(
+    path: str, workload: NightWorkload, immediate: ScheduleOutcome, windows: ScheduleOutcome, result: dict[str, Any]
+) -> None:
+    """Writes the report on a night to a file. Raises OSError if the file can't be written."""
+    matplotlib.rcParams["svg.hashsalt"] = "oatport"  # constant, so that the same seed gives the same page
     plots = [
-        ("Price, load and held work", _night(night, immediate, windows)),
-        ("Jobs by slack", _slack(immediate, windows)),
+        ("Price, load and held work", _plot_timeline(workload, immediate, windows)),
+        ("Jobs by slack", _plot_slack(immediate, windows)),
     ]
-    html = TEMPLATE.render(result=result, ways=("immediate", "windows", "bound"), plots=plots)
+    html = TEMPLATE.render(result=result, columns=("immediate", "windows", "bound"), plots=plots)
     with open(path, "w", encoding="utf-8") as out:
         out.write(html)
--- a/oatport/lab/windows.py
+++ b/oatport/lab/windows.py
@@ -1,7 +1,8 @@
-"""One night three ways: all at once, by windows, and the least possible. In virtual time, the same from a seed.
+"""Compares two schedules of one night, immediate and by windows, with a cost lower bound, in virtual time from a seed.
 
-The room is a number of CPUs on which what has been let go starts by its deadline, the earliest first. Held and let go
-is by the code that the leader runs: `Cluster`, `Holder` and its planner, the price book.
+The cluster is simulated as a number of CPUs on which released tasks start in the order of their deadlines, the earliest
+first. Jobs are held and released by the code that the leader runs: `ClusterState`, `Holder` and its planner, and the
+price book. The same seed gives the same schedules.
 """
 
 from __future__ import annotations
@@ -15,8 +16,16 @@
 from oatport.control.queueing.runtime_predictor import RuntimePredictor
 from oatport.control.state.cluster_state import ClusterState
 from oatport.control.state.job import Job
-from oatport.lab.cost_lower_bound import least_cost, possible
-from oatport.lab.window_workload import BEGINS, CLASS, CPUS, HOUR, Night, NightJob, draw
+from oatport.lab.cost_lower_bound import compute_cost_lower_bound, count_feasible_jobs
+from oatport.lab.window_workload import (
+    CPUS_PER_TASK,
+    HOUR,
+    JOB_CLASS,
+    NIGHT_START,
+    DeferrableJob,
+    NightWorkload,
+    generate_workload,
+)
 from oatport.settings import CloudLimits, ClusterSettings, StateLimits, Team, Tuning, Workers
 from oatport.times import SECOND
 from oatport.windows.holding import Holder
@@ -24,75 +33,80 @@
 from oatport.windows.settings import Deferral, WindowSettings
 from oatport.wire import MachineType
 
-TICK = 30 * SECOND
-ASKED_EVERY = 600 * SECOND
-__all__ = ["AcceptOutcome", "run", "run_night"]
+TICK_INTERVAL = 30 * SECOND
+FEED_POLL_INTERVAL = 600 * SECOND
+__all__ = ["ScheduleOutcome", "run", "run_comparison"]
 
 
 @dataclass(slots=True)
-class AcceptOutcome:
-    met: set[str] = field(default_factory=set)
-    cost: float = 0.0  # CPU-hours times the true price
-    load: list[float] = field(default_factory=list)  # CPUs in use, by tick
-    held: list[int] = field(default_factory=list)  # tasks held, by tick
-    slack: dict[str, float] = field(default_factory=dict)  # hours between a job's end and its deadline
-    plan_ms: list[float] = field(default_factory=list)
-    released_late: int = 0
+class ScheduleOutcome:
+    """Holds what one schedule of a night achieved and cost."""
+
+    jobs_on_time: set[str] = field(default_factory=set)
+    cost: float = 0.0  # CPU-hours times the actual price
+    cpus_in_use: list[float] = field(default_factory=list)  # by tick
+    tasks_held: list[int] = field(default_factory=list)  # by tick
+    slack_hours: dict[str, float] = field(default_factory=dict)  # time between a job's end and its deadline, by job id
+    plan_ms: list[float] = field(default_factory=list)  # CPU time of each planning step
+    released_late: int = 0  # jobs released after their latest safe start
     replans: int = 0
 
 
-class CapacitySlot:
-    """CPUs on which tasks run, those with the earliest deadline first."""
+class SimulatedCapacity:
+    """Simulates a number of CPUs on which tasks run, those with the earliest deadline first."""
 
-    def __init__(self, night: Night, outcome: AcceptOutcome) -> None:
-        self._night = night
+    def __init__(self, workload: NightWorkload, outcome: ScheduleOutcome) -> None:
+        self._workload = workload
         self._outcome = outcome
-        self._free = night.capacity
+        self._free = workload.capacity
         self._queue: list[tuple[int, str, int]] = []
-        self._running: list[tuple[int, str, int, int]] = []  # ends, job, task, began
-        self._left = {job.ref: len(job.runs) for job in night.jobs}
-        self.jobs = {job.ref: job for job in night.jobs}
+        self._running: list[tuple[int, str, int, int]] = []  # end, job id, task index, start
+        self._remaining_tasks = {job.job_id: len(job.task_runtimes) for job in workload.jobs}
+        self.jobs = {job.job_id: job for job in workload.jobs}
 
-    def let_go(self, job: NightJob, first: int, count: int) -> None:
+    def release(self, job: DeferrableJob, first: int, count: int) -> None:
+        """Queues `count` tasks of a job, from task `first` on."""
         for index in range(first, first + count):
-            heapq.heappush(self._queue, (job.deadline, job.ref, index))
+            heapq.heappush(self._queue, (job.deadline, job.job_id, index))
 
-    def until(self, now: int, begin: int) -> list[tuple[str, int]]:
-        """Run on to a moment; the tasks that were done, and what they took."""
-        done: list[tuple[str, int]] = []
-        at = begin
+    def advance(self, now: int, start: int) -> list[tuple[str, int]]:
+        """Simulates the time from `start` to `now`; returns the job id and run time of each task that completed."""
+        completed: list[tuple[str, int]] = []
+        at = start
         while True:
-            while self._queue and self._free >= CPUS:
-                _, ref, index = heapq.heappop(self._queue)
-                self._free -= CPUS
-                heapq.heappush(self._running, (at + self.jobs[ref].runs[index], ref, index, at))
+            while self._queue and self._free >= CPUS_PER_TASK:
+                _, job_id, index = heapq.heappop(self._queue)
+                self._free -= CPUS_PER_TASK
+                heapq.heappush(self._running, (at + self.jobs[job_id].task_runtimes[index], job_id, index, at))
             if not self._running or self._running[0][0] > now:
-                return done
-            at, ref, _, began = heapq.heappop(self._running)
-            self._free += CPUS
-            self._outcome.cost += self._paid(began, at)
-            done.append((ref, at - began))
-            self._left[ref] -= 1
-            if not self._left[ref]:
-                job = self.jobs[ref]
-                self._outcome.slack[ref] = (job.deadline - at) / HOUR
+                return completed
+            at, job_id, _, started_at = heapq.heappop(self._running)
+            self._free += CPUS_PER_TASK
+            self._outcome.cost += self._compute_cost(started_at, at)
+            completed.append((job_id, at - started_at))
+            self._remaining_tasks[job_id] -= 1
+            if not self._remaining_tasks[job_id]:
+                job = self.jobs[job_id]
+                self._outcome.slack_hours[job_id] = (job.deadline - at) / HOUR
                 if at <= job.deadline:
-                    self._outcome.met.add(ref)
+                    self._outcome.jobs_on_time.add(job_id)
 
-    def _paid(self, began: int, ended: int) -> float:
-        total = 0.0
-        while began < ended:
-            part = min((began - BEGINS) // HOUR * HOUR + HOUR + BEGINS, ended) - began
-            total += part / HOUR * self._night.price(began) * CPUS
-            began += part
-        return total
+    def _compute_cost(self, started_at: int, ended_at: int) -> float:
+        cost = 0.0
+        while started_at < ended_at:
+            part = min((started_at - NIGHT_START) // HOUR * HOUR + HOUR + NIGHT_START, ended_at) - started_at
+            cost += part / HOUR * self._workload.price_at(started_at) * CPUS_PER_TASK
+            started_at += part
+        return cost
 
     @property
-    def busy(self) -> float:
-        return self._night.capacity - self._free
+    def cpus_in_use(self) -> float:
+        """Returns the number of CPUs that running tasks occupy."""
+        return self._workload.capacity - self._free
 
     @property
-    def empty(self) -> bool:
+    def is_idle(self) -> bool:
+        """Returns whether no task is queued or running."""
         return not self._queue and not self._running
 
 
@@ -122,113 +136,135 @@
     return ClusterState(1, limits, Tuning(), types, RuntimePredictor())
 
 
-def settings(night: Night) -> WindowSettings:
+def window_settings(workload: NightWorkload) -> WindowSettings:
+    """Returns the execution window settings of a night's cluster."""
     return WindowSettings(
         on=True,
-        capacity_cpus=night.capacity,
+        capacity_cpus=workload.capacity,
         horizon_s=16 * 3600.0,
-        classes=((CLASS, Deferral()),),
+        classes=((JOB_CLASS, Deferral()),),
         fresh_s=3 * 3600.0,
         dead_s=12 * 3600.0,
     )
 
 
-def by_windows(night: Night) -> AcceptOutcome:
-    outcome = AcceptOutcome()
-    room = CapacitySlot(night, outcome)
+def run_with_windows(workload: NightWorkload) -> ScheduleOutcome:
+    """Runs a night in which the leader's code holds jobs for cheaper windows."""
+    outcome = ScheduleOutcome()
+    capacity = SimulatedCapacity(workload, outcome)
     cluster = _cluster()
     book = Book(3 * HOUR, 12 * HOUR)
-    now = BEGINS
-    book.learn(night.series(now) or [], now, now)
-    holder = Holder(cluster, settings(night), book, now)
-    opened: dict[str, int] = {}
-    coming = list(night.jobs)[::-1]
-    asked_at = now
-    while coming or cluster.jobs or not room.empty:
-        before, now = now, now + TICK
-        if now - asked_at >= ASKED_EVERY:
-            asked_at = now
-            series = night.series(now)
-            if series is not None:
-                book.learn(series, now, now)
-        while coming and coming[-1].at <= now:
-            job = coming.pop()
-            held = cluster.job_lifecycle.add(job.ref, job.spec, 1, job.at)
-            opened[job.ref] = 0
-            _timed(outcome, holder.joined, held, now)
-        _timed(outcome, holder.tick, now)
-        for ref, took in room.until(now, before):
-            held = cluster.jobs[ref]
-            cluster.tasks.on_runtime_measured(held, took)
-            cluster.predictor.task_completed(ref, held.spec, took)
-            held.completed.add(len(held.completed))
-            if len(held.completed) == held.spec.task_count:
-                cluster.job_lifecycle.remove(held)
-        for ref, count in opened.items():
-            if ref in cluster.jobs:
-                may = _may(cluster.jobs[ref])
-                if may > count:
-                    room.let_go(room.jobs[ref], count, may - count)
-                    opened[ref] = may
-        room.until(now, now)
+    now = NIGHT_START
+    book.learn(workload.published_intervals(now) or [], now, now)
+    holder = Holder(cluster, window_settings(workload), book, now)
+    released_counts: dict[str, int] = {}
+    arrivals = list(workload.jobs)[::-1]
+    polled_at = now
+    while arrivals or cluster.jobs or not capacity.is_idle:
+        previous, now = now, now + TICK_INTERVAL
+        if now - polled_at >= FEED_POLL_INTERVAL:
+            polled_at = now
+            intervals = workload.published_intervals(now)
+            if intervals is not None:
+                book.learn(intervals, now, now)
+        while arrivals and arrivals[-1].submitted_at <= now:
+            job = arrivals.pop()
+            cluster_job = cluster.job_lifecycle.add(job.job_id, job.spec, 1, job.submitted_at)
+            released_counts[job.job_id] = 0
+            _record_plan_time(outcome, holder.joined, cluster_job, now)
+        _record_plan_time(outcome, holder.tick, now)
+        for job_id, runtime in capacity.advance(now, previous):
+            cluster_job = cluster.jobs[job_id]
+            cluster.tasks.on_runtime_measured(cluster_job, runtime)
+            cluster.predictor.task_completed(job_id, cluster_job.spec, runtime)
+            cluster_job.completed.add(len(cluster_job.completed))
+            if len(cluster_job.completed) == cluster_job.spec.task_count:
+                cluster.job_lifecycle.remove(cluster_job)
+        for job_id, count in released_counts.items():
+            if job_id in cluster.jobs:
+                limit = _start_limit(cluster.jobs[job_id])
+                if limit > count:
+                    capacity.release(capacity.jobs[job_id], count, limit - count)
+                    released_counts[job_id] = limit
+        capacity.advance(now, now)
         cluster.pending.clear()
-        outcome.load.append(room.busy)
-        outcome.held.append(sum(job.deferred for job in cluster.jobs.values()))
+        outcome.cpus_in_use.append(capacity.cpus_in_use)
+        outcome.tasks_held.append(sum(job.deferred for job in cluster.jobs.values()))
     outcome.released_late, outcome.replans = holder.late, holder.anew
     return outcome
 
 
-def _may(job: Job) -> int:
-    """How many of its tasks may have started."""
+def _start_limit(job: Job) -> int:
+    """Returns the number of the job's tasks that may be started; a negative `start_limit` means all."""
     return job.spec.task_count if job.start_limit < 0 else job.start_limit
 
 
-def _timed(outcome: AcceptOutcome, work: Callable[..., Any], *arguments: Any) -> None:
-    began = time.process_time()
+def _record_plan_time(outcome: ScheduleOutcome, work: Callable[..., Any], *arguments: Any) -> None:
+    started_at = time.process_time()
     work(*arguments)
-    outcome.plan_ms.append((time.process_time() - began) * 1000)
-
-
-def at_once(night: Night) -> AcceptOutcome:
-    outcome = AcceptOutcome()
-    room = CapacitySlot(night, outcome)
-    coming = list(night.jobs)[::-1]
-    now = BEGINS
-    while coming or not room.empty:
-        before, now = now, now + TICK
-        while coming and coming[-1].at <= now:
-            job = coming.pop()
-            room.let_go(job, 0, len(job.runs))
-        room.until(now, before)
-        outcome.load.append(room.busy)
+    outcome.plan_ms.append((time.process_time() - started_at) * 1000)
+
+
+def run_immediately(workload: NightWorkload) -> ScheduleOutcome:
+    """Runs a night in which every job is released when it is submitted."""
+    outcome = ScheduleOutcome()
+    capacity = SimulatedCapacity(workload, outcome)
+    arrivals = list(workload.jobs)[::-1]
+    now = NIGHT_START
+    while arrivals or not capacity.is_idle:
+        previous, now = now, now + TICK_INTERVAL
+        while arrivals and arrivals[-1].submitted_at <= now:
+            job = arrivals.pop()
+            capacity.release(job, 0, len(job.task_runtimes))
+        capacity.advance(now, previous)
+        outcome.cpus_in_use.append(capacity.cpus_in_use)
     return outcome
 
 
-def run_night(night: Night) -> tuple[AcceptOutcome, AcceptOutcome, float]:
-    """All at once, by windows, and the least cost for what the first of them met."""
-    immediate, windows = at_once(night), by_windows(night)
-    return immediate, windows, least_cost(night, {job.ref for job in night.jobs} - immediate.met)
+def run_comparison(workload: NightWorkload) -> tuple[ScheduleOutcome, ScheduleOutcome, float]:
+    """Returns the immediate schedule, the schedule by windows, and the cost lower bound.
+
+    The bound keeps the deadlines that the immediate schedule met, and ignores the others.
+    """
+    immediate, windows = run_immediately(workload), run_with_windows(workload)
+    return (
+        immediate,
+        windows,
+        compute_cost_lower_bound(workload, {job.job_id for job in workload.jobs} - immediate.jobs_on_time),
+    )
 
 
 def run(seed: int, jobs: int, fault: str, page: str | None = None) -> dict[str, Any]:
-    """The figures of one night, as `oatport lab windows --json` prints them; `page`: where an HTML page goes."""
-    night = draw(seed, jobs, fault)
-    immediate, windows, least = run_night(night)
-    times = sorted(windows.plan_ms)
+    """Returns the figures of one night, as `oatport lab windows --json` prints them.
+
+    `page` is the path of an HTML report, None for no report. Raises ValueError for an unknown fault or a number of jobs
+    out of range, and OSError if the report can't be written.
+    """
+    workload = generate_workload(seed, jobs, fault)
+    immediate, windows, lower_bound = run_comparison(workload)
+    plan_times_ms = sorted(windows.plan_ms)
     result = {
         "seed": seed,
         "fault": fault,
-        "jobs": len(night.jobs),
-        "capacity_cpus": night.capacity,
-        "deadlines_met": {"immediate": len(immediate.met), "windows": len(windows.met), "bound": possible(night)},
-        "cost": {"immediate": round(immediate.cost, 2), "windows": round(windows.cost, 2), "bound": round(least, 2)},
+        "jobs": len(workload.jobs),
+        "capacity_cpus": workload.capacity,
+        "deadlines_met": {
+            "immediate": len(immediate.jobs_on_time),
+            "windows": len(windows.jobs_on_time),
+            "bound": count_feasible_jobs(workload),
+        },
+        "cost": {
+            "immediate": round(immediate.cost, 2),
+            "windows": round(windows.cost, 2),
+            "bound": round(lower_bound, 2),
+        },
         "released_late": windows.released_late,
         "replans": windows.replans,
-        "plan_ms_p99": round(times[int(0.99 * (len(times) - 1))], 3),
-        "plan_ms_max": round(times[-1], 3),
+        "plan_ms_p99": round(plan_times_ms[int(0.99 * (len(plan_times_ms) - 1))], 3),
+        "plan_ms_max": round(plan_times_ms[-1], 3),
     }
     if page is not None:
-        from oatport.lab.report_page import write
+        from oatport.lab.report_page import write_report
 
-        write(page, night, immediate, windows, result)
+        write_report(page, workload, immediate, windows, result)
     return result
