--- a/emulators/__init__.py
+++ b/emulators/__init__.py
@@ -1,4 +1,5 @@
-"""Emulators of the outside systems (state service, cloud, workers, AMQP broker, price feed) on loopback.
+"""Emulators of the external systems (state service, cloud, workers, AMQP broker, price feed) on loopback.
 
-Written from the protocol, in memory, for tests and for trying oatport on one machine; they are no part of the service.
+The emulators implement the protocol in memory, for tests and for running oatport on one machine. They are not part
+of the deployed service.
 """
--- a/emulators/amqp_broker.py
+++ b/emulators/amqp_broker.py
@@ -1,8 +1,9 @@
-"""An AMQP 0-9-1 broker on loopback, kept small: what the gateway's tests and the lab need, frames by pamqp.
+"""Emulates an AMQP 0-9-1 broker on loopback, for the gateway's tests and the lab; pamqp encodes the frames.
 
-Queues (durable or not, dead letters), exchanges (direct, fanout, topic), prefetch, confirms, mandatory returns, the
-redelivery flag, heartbeats, connection.blocked. `fault` is called at each point where a connection may break; it
-drops the connection by returning True. `restart` keeps durable queues' persistent messages.
+The broker implements only what the tests and the lab need: queues (durable or not, dead letters), exchanges (direct,
+fanout, topic), prefetch, confirms, mandatory returns, the redelivery flag, heartbeats and connection.blocked. `fault`
+is called at each point where a connection may break, and drops the connection by returning True. `restart` keeps the
+persistent messages of durable queues.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 from emulators.amqp_connection import Connection
 from emulators.amqp_queue import Queue, StoredMessage
 
-# What ends a connection: that it broke, or a broken frame.
+# Exceptions that end a connection: the connection broke, or the client sent a malformed frame.
 BROKEN_CONNECTION = (
     ConnectionError,
     asyncio.IncompleteReadError,
@@ -32,12 +33,12 @@
     UnicodeError,
     OverflowError,
 )
-# Where a connection may break (`Broker.fault`).
-POINTS = ("publish", "confirm", "deliver", "ack", "acked")
+# Points at which a connection may break (`Broker.fault`).
+FAULT_POINTS = ("publish", "confirm", "deliver", "ack", "acked")
 
 
 class Broker:
-    """Exchanges, queues and connections; also what it is told to do wrong."""
+    """Holds exchanges, queues and connections, and the faults that a test injects."""
 
     def __init__(self, heartbeat_s: int = 10) -> None:
         self.queues: dict[str, Queue] = {}
@@ -45,7 +46,7 @@
         self.bindings: list[tuple[str, str, str]] = []  # exchange, key, queue
         self.connections: set[Connection] = set()
         self.heartbeat_s = heartbeat_s
-        # Called with each point where a connection may break; it breaks if that returns True.
+        # Called with the name of each point that a connection reaches; the connection breaks if the result is True.
         self.fault: Callable[[str], bool] = lambda point: False
         self.delay_s = 0.0
         self.blocked = False
@@ -53,16 +54,16 @@
         self.port = 0
         self.redelivered = self.dropped = 0
         self._server: asyncio.Server | None = None
-        self._names = 0
+        self._name_count = 0
 
     async def start(self, port: int = 0) -> int:
-        """Listen; returns the port."""
+        """Starts listening, and returns the port; 0 means the port of the last start, or a free one."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", port or self.port, reuse_address=True)
         self.port = self._server.sockets[0].getsockname()[1]
         return self.port
 
     async def stop(self) -> None:
-        """Stop listening, and drop all connections."""
+        """Stops listening, and drops all connections."""
         if self._server is not None:
             self._server.close()
         for connection in list(self.connections):
@@ -70,7 +71,10 @@
         await asyncio.sleep(0)
 
     async def restart(self, *, lose_unconfirmed: bool = False) -> None:
-        """Ended and started again: what was not durable is gone, what was not acknowledged comes again."""
+        """Restarts the broker: keeps only persistent messages of durable queues, and redelivers unacknowledged ones.
+
+        `lose_unconfirmed` also drops messages that were received in part.
+        """
         if lose_unconfirmed:
             for connection in self.connections:
                 for channel in connection.channels.values():
@@ -82,13 +86,13 @@
         await self.start()
 
     def block(self, on: bool) -> None:
-        """Tell all connections that publishing is blocked, or not any more."""
+        """Blocks or unblocks publishing, and notifies all connections."""
         self.blocked = on
         for connection in self.connections:
             connection.send(commands.Connection.Blocked("alarm") if on else commands.Connection.Unblocked(), 0)
 
     def declare(self, name: str, *, durable: bool = True, dead_letter: str | None = None) -> Queue:
-        """The queue of that name, made if there is none."""
+        """Returns the queue with a name; creates the queue if it doesn't exist."""
         return self.queues.setdefault(name, Queue(name, durable, dead_letter))
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -100,7 +104,7 @@
         try:
             await connection.run()
         except BROKEN_CONNECTION:
-            pass  # it ends, nothing else does
+            pass  # ends this connection only
         finally:
             self.connections.discard(connection)
             connection.release()
@@ -108,31 +112,36 @@
     # --- routing ----------------------------------------------------------------------------------
 
     def route(self, exchange: str, key: str) -> list[Queue]:
-        """The queues that a message goes to."""
+        """Returns the queues to which a message is routed."""
         if exchange == "":
             return [self.queues[key]] if key in self.queues else []
-        kind = self.exchanges.get(exchange)
+        exchange_type = self.exchanges.get(exchange)
         names = {
             queue
-            for name, bound, queue in self.bindings
-            if name == exchange and (kind == "fanout" or bound == key or (kind == "topic" and _matches(bound, key)))
+            for name, binding_key, queue in self.bindings
+            if name == exchange
+            and (
+                exchange_type == "fanout"
+                or binding_key == key
+                or (exchange_type == "topic" and _matches_topic(binding_key, key))
+            )
         }
         return [self.queues[name] for name in sorted(names) if name in self.queues]
 
-    def put(self, queue: Queue, message: StoredMessage, *, front: bool = False) -> None:
-        """Add a message, and deliver what can be."""
+    def enqueue(self, queue: Queue, message: StoredMessage, *, front: bool = False) -> None:
+        """Adds a message to a queue, and delivers the messages that consumers can take."""
         (queue.messages.appendleft if front else queue.messages.append)(message)
-        self.pump(queue)
+        self.deliver(queue)
 
-    def pump(self, queue: Queue) -> None:
-        """Deliver messages as long as a consumer takes one."""
+    def deliver(self, queue: Queue) -> None:
+        """Delivers messages of a queue to its consumers as long as a prefetch limit allows another."""
         while queue.messages:
             ready = [(channel, tag) for channel, tag in queue.consumers if channel.can_take_more()]
             if not ready:
                 return
             channel, tag = ready[0]
             queue.consumers.remove((channel, tag))
-            queue.consumers.append((channel, tag))  # in turn
+            queue.consumers.append((channel, tag))  # round robin
             message = queue.messages.popleft()
             channel.delivered += 1
             channel.unacked[channel.delivered] = (queue, message)
@@ -146,18 +155,18 @@
                 return
 
     def dead_letter(self, queue: Queue, message: StoredMessage) -> None:
-        """A message was rejected: it goes where the queue says, or nowhere."""
+        """Routes a rejected message to the queue's dead letter exchange; drops the message if there is none."""
         if queue.dead_letter is not None:
             for target in self.route(queue.dead_letter, queue.name):
-                self.put(target, message)
+                self.enqueue(target, message)
 
-    def new_name(self) -> str:
-        """A name for a queue or a consumer that has none."""
-        self._names += 1
-        return f"amq.gen-{self._names}"
+    def generate_name(self) -> str:
+        """Returns a new name for a queue or a consumer that the client didn't name."""
+        self._name_count += 1
+        return f"amq.gen-{self._name_count}"
 
 
-def _matches(pattern: str, key: str) -> bool:
+def _matches_topic(pattern: str, key: str) -> bool:
     words, parts = pattern.split("."), key.split(".")
 
     def match(i: int, j: int) -> bool:
--- a/emulators/amqp_connection.py
+++ b/emulators/amqp_connection.py
@@ -1,4 +1,4 @@
-"""Connections and channels of the AMQP broker: frames in and out, and what each method does."""
+"""Connections and channels of the AMQP broker emulator: frames in and out, and the handling of each method."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 if TYPE_CHECKING:
     from emulators.amqp_broker import Broker
 
-FRAME_MAX = 131_072
-MESSAGE_MAX = 1_048_576
-BUFFER_MAX = 4 * FRAME_MAX
+MAX_FRAME_BYTES = 131_072
+MAX_MESSAGE_BYTES = 1_048_576
+MAX_BUFFER_BYTES = 4 * MAX_FRAME_BYTES
 PROTOCOL_HEADER = b"AMQP\x00\x00\x09\x01"
 CAPABILITIES: dict[str, Any] = {
     "publisher_confirms": True,
@@ -26,7 +26,7 @@
 
 
 class Channel:
-    """A channel of a connection: its consumers' prefetch, confirms, and what is not acknowledged."""
+    """Holds a channel's prefetch limit, confirm mode and unacknowledged messages."""
 
     def __init__(self, connection: Connection, number: int) -> None:
         self.connection, self.number = connection, number
@@ -37,44 +37,44 @@
         self.incoming: tuple[commands.Basic.Publish, header.ContentHeader | None, bytearray] | None = None
 
     def send(self, value: Any) -> None:
-        """Send a frame."""
+        """Sends a frame on the channel."""
         self.connection.send(value, self.number)
 
     def send_content(self, message: StoredMessage) -> None:
-        """Send a message's header and body, in frames that are small enough."""
+        """Sends a message's header, and its body in frames of at most MAX_FRAME_BYTES."""
         self.send(header.ContentHeader(0, len(message.payload), message.properties))
-        for at in range(0, len(message.payload), FRAME_MAX - 8):
-            self.send(body.ContentBody(message.payload[at : at + FRAME_MAX - 8]))
+        for at in range(0, len(message.payload), MAX_FRAME_BYTES - 8):
+            self.send(body.ContentBody(message.payload[at : at + MAX_FRAME_BYTES - 8]))
 
     def can_take_more(self) -> bool:
-        """Its prefetch allows another message."""
+        """Returns whether the prefetch limit allows another unacknowledged message; a limit of 0 means no limit."""
         return not self.prefetch or len(self.unacked) < self.prefetch
 
 
 class Connection:
-    """One client's connection."""
+    """Serves the connection of one client."""
 
     def __init__(self, broker: Broker, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.broker, self._reader, self._writer = broker, reader, writer
         self.channels: dict[int, Channel] = {}
         self._last_received_at = asyncio.get_running_loop().time()
-        self._heartbeat_s = broker.heartbeat_s  # proposed; from the client's TuneOk on, what it chose
+        self._heartbeat_s = broker.heartbeat_s  # the broker's proposal, until the client's TuneOk replaces the value
         self._closed = False
 
     def send(self, value: Any, channel: int) -> None:
-        """Send a frame on a channel, unless the connection is closed."""
+        """Sends a frame on a channel, unless the connection is closed."""
         if not self._closed:
             self._writer.write(frame.marshal(value, channel))
 
     def drop(self) -> None:
-        """Break the connection."""
+        """Breaks the connection."""
         if not self._closed:
             self._closed = True
             self.broker.dropped += 1
             self._writer.transport.abort()
 
     def release(self) -> None:
-        """The connection has ended: consumers go, unacknowledged messages go back, exclusive queues are dropped."""
+        """Drops the connection, removes its consumers and exclusive queues, and requeues unacknowledged messages."""
         self.drop()
         self._drop_consumers(lambda consumer: consumer[0].connection is self)
         for channel in self.channels.values():
@@ -83,7 +83,7 @@
             del self.broker.queues[name]
 
     async def run(self) -> None:
-        """Take the client's frames until it ends, or sends one that is broken."""
+        """Handles the client's frames until the connection ends or a frame is malformed."""
         if await self._reader.readexactly(8) != PROTOCOL_HEADER:
             self._writer.write(PROTOCOL_HEADER)
             return
@@ -97,7 +97,7 @@
                     return
                 self._last_received_at = asyncio.get_running_loop().time()
                 rest = await self._on_data(data + part)
-                if rest is None or len(rest) > BUFFER_MAX:
+                if rest is None or len(rest) > MAX_BUFFER_BYTES:
                     return
                 data = rest
                 await self._writer.drain()
@@ -105,9 +105,9 @@
             heartbeats.cancel()
 
     async def _on_data(self, data: bytes) -> bytes | None:
-        """Take all whole frames; returns the rest, None if a frame is broken or too large."""
+        """Handles all complete frames; returns the rest of the data, or None if a frame is malformed or too large."""
         while data:
-            if len(data) >= 7 and int.from_bytes(data[3:7]) > FRAME_MAX:
+            if len(data) >= 7 and int.from_bytes(data[3:7]) > MAX_FRAME_BYTES:
                 return None
             try:
                 used, number, value = frame.unmarshal(data)
@@ -148,9 +148,9 @@
 
     def _on_connection(self, value: Any) -> None:
         if isinstance(value, commands.Connection.StartOk):
-            self.send(commands.Connection.Tune(2047, FRAME_MAX, self.broker.heartbeat_s), 0)
+            self.send(commands.Connection.Tune(2047, MAX_FRAME_BYTES, self.broker.heartbeat_s), 0)
         elif isinstance(value, commands.Connection.TuneOk):
-            self._heartbeat_s = int(value.heartbeat)  # 0: none
+            self._heartbeat_s = int(value.heartbeat)  # 0 means no heartbeats
         elif isinstance(value, commands.Connection.Open):
             self.send(commands.Connection.OpenOk(), 0)
             if self.broker.blocked:
@@ -164,7 +164,7 @@
             return
         method, head, payload = channel.incoming
         if isinstance(value, header.ContentHeader):
-            if value.body_size > MESSAGE_MAX:
+            if value.body_size > MAX_MESSAGE_BYTES:
                 raise ValueError("too large")
             head = value
             channel.incoming = (method, head, payload)
@@ -178,18 +178,18 @@
         self, channel: Channel, method: commands.Basic.Publish, properties: commands.Basic.Properties, payload: bytes
     ) -> None:
         if self.broker.fault("publish"):
-            self.drop()  # lost on its way
+            self.drop()  # the message is lost before the broker receives it
             return
         message = StoredMessage(method.exchange, method.routing_key, properties, payload)
         targets = self.broker.route(method.exchange, method.routing_key)
         for queue in targets:
-            self.broker.put(queue, StoredMessage(method.exchange, method.routing_key, properties, payload))
+            self.broker.enqueue(queue, StoredMessage(method.exchange, method.routing_key, properties, payload))
         channel.published += 1
         if not targets and method.mandatory:
             channel.send(commands.Basic.Return(312, "NO_ROUTE", method.exchange, method.routing_key))
             channel.send_content(message)
         if self.broker.fault("confirm"):
-            self.drop()  # it is in its queues, and the sender is not told so
+            self.drop()  # the message is queued, but the sender gets no confirm
         elif channel.confirms:
             channel.send(commands.Basic.Ack(channel.published))
 
@@ -215,7 +215,7 @@
             self._on_topology(channel, value)
 
     def _on_topology(self, channel: Channel, value: Any) -> None:
-        """Declarations of queues and exchanges, and bindings between them."""
+        """Handles declarations of queues and exchanges, and bindings between them."""
         if isinstance(value, commands.Queue.Declare):
             self._on_queue_declare(channel, value)
         elif isinstance(value, commands.Queue.Bind):
@@ -226,17 +226,17 @@
             channel.send(commands.Exchange.DeclareOk())
 
     def _on_consume(self, channel: Channel, value: commands.Basic.Consume) -> None:
-        tag = value.consumer_tag or self.broker.new_name()
+        tag = value.consumer_tag or self.broker.generate_name()
         queue = self.broker.queues.get(value.queue)
         if queue is None:
             channel.send(commands.Channel.Close(404, "NOT_FOUND", 60, 20))
             return
         queue.consumers.append((channel, tag))
         channel.send(commands.Basic.ConsumeOk(tag))
-        self.broker.pump(queue)
+        self.broker.deliver(queue)
 
     def _on_queue_declare(self, channel: Channel, value: commands.Queue.Declare) -> None:
-        name = value.queue or self.broker.new_name()
+        name = value.queue or self.broker.generate_name()
         dead_letter = (value.arguments or {}).get("x-dead-letter-exchange")
         queue = self.broker.declare(
             name, durable=bool(value.durable), dead_letter=str(dead_letter) if dead_letter else None
@@ -251,20 +251,20 @@
         self._requeue_unacknowledged(channel)
         channel.send(commands.Channel.CloseOk())
 
-    def _drop_consumers(self, chosen: Callable[[tuple[Channel, str]], bool]) -> None:
+    def _drop_consumers(self, matches: Callable[[tuple[Channel, str]], bool]) -> None:
         for queue in self.broker.queues.values():
-            queue.consumers = [consumer for consumer in queue.consumers if not chosen(consumer)]
+            queue.consumers = [consumer for consumer in queue.consumers if not matches(consumer)]
 
     def _requeue_unacknowledged(self, channel: Channel) -> None:
-        """What was not acknowledged goes back, in order, and is flagged."""
+        """Puts unacknowledged messages back at the front of their queues, in order, with the redelivery flag."""
         for queue, message in reversed(channel.unacked.values()):
             message.redelivered = True
-            self.broker.put(queue, message, front=True)
+            self.broker.enqueue(queue, message, front=True)
         channel.unacked.clear()
 
     def _on_settled(self, channel: Channel, value: Any) -> None:
         if self.broker.fault("ack"):
-            self.drop()  # it never came
+            self.drop()  # the acknowledgement is lost before the broker receives it
             return
         multiple = getattr(value, "multiple", False)
         tags = [t for t in channel.unacked if t <= value.delivery_tag] if multiple else [value.delivery_tag]
@@ -276,7 +276,7 @@
                 continue
             if value.requeue:
                 message.redelivered = True
-                self.broker.put(queue, message, front=True)
+                self.broker.enqueue(queue, message, front=True)
             else:
                 self.broker.dead_letter(queue, message)
         if self.broker.fault("acked"):
@@ -284,4 +284,4 @@
             return
         for queue in self.broker.queues.values():
             if any(c[0] is channel for c in queue.consumers):
-                self.broker.pump(queue)
+                self.broker.deliver(queue)
--- a/emulators/amqp_queue.py
+++ b/emulators/amqp_queue.py
@@ -1,4 +1,4 @@
-"""Queues of the AMQP broker, and the messages in them."""
+"""Queues of the AMQP broker emulator, and the messages in them."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass
 class StoredMessage:
-    """A message in a queue."""
+    """Holds a message in a queue, with the exchange and routing key of its publication."""
 
     exchange: str
     key: str
@@ -25,7 +25,7 @@
 
 @dataclass
 class Queue:
-    """Messages, and who consumes them in turn."""
+    """Holds a queue's messages and its consumers, in round-robin order."""
 
     name: str
     durable: bool = True
--- a/emulators/demo.py
+++ b/emulators/demo.py
@@ -1,4 +1,4 @@
-"""Write settings for three nodes on loopback, and a job, for trying oatport by hand."""
+"""Writes the settings of three nodes on loopback, and a job, for running oatport by hand."""
 
 import json
 import sys
@@ -6,11 +6,11 @@
 
 from emulators.smoke_test import job, settings
 
-PORTS = [2379, 8443, 8080, 8081, 8082, 8083, 8084, 8085]
+PORTS = [2379, 8443, 8080, 8081, 8082, 8083, 8084, 8085]  # state, cloud, then bind and internal port of each node
 
 
 def main() -> None:
-    """Write n0.toml to n2.toml and job.json into the folder named on the command line."""
+    """Writes n0.toml to n2.toml and job.json into the folder named on the command line."""
     if len(sys.argv) != 2:
         sys.exit("usage: python3 -m emulators.demo FOLDER")
     folder = Path(sys.argv[1])
--- a/emulators/price_feed.py
+++ b/emulators/price_feed.py
@@ -1,4 +1,4 @@
-"""A price feed on loopback that can be told to fail: silent, refusing, slow, too large or broken answers."""
+"""Emulates a price feed on loopback, with injectable faults: no, refused, slow, oversized or truncated responses."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class FeedServer:
-    """Serves price intervals at /prices, as its `mode` says (one of MODES)."""
+    """Serves price intervals at /prices; `mode`, one of MODES, selects a fault."""
 
     def __init__(self, zone: str, *, as_json: bool = True) -> None:
         self.zone = zone
@@ -28,9 +28,9 @@
         self._runner: web.AppRunner | None = None
 
     async def start(self, host: str = "127.0.0.1", port: int = 0) -> str:
-        """Serve; returns the address, as the settings have it."""
+        """Starts to serve, and returns the URL for the setting `feed`."""
         app = web.Application()
-        app.router.add_get("/prices", self._prices)
+        app.router.add_get("/prices", self._respond)
         self._runner = web.AppRunner(app, shutdown_timeout=0.1)
         await self._runner.setup()
         site = web.TCPSite(self._runner, host, port)
@@ -39,11 +39,11 @@
         return f"http://{host}:{site._server.sockets[0].getsockname()[1]}/prices"  # type: ignore[attr-defined]
 
     async def close(self) -> None:
-        """Stop serving."""
+        """Stops serving."""
         if self._runner is not None:
             await self._runner.cleanup()
 
-    async def _prices(self, request: web.Request) -> web.StreamResponse:
+    async def _respond(self, request: web.Request) -> web.StreamResponse:
         self.request_count += 1
         if self.mode == "silent":
             await asyncio.sleep(3600)
--- a/emulators/serve.py
+++ b/emulators/serve.py
@@ -1,4 +1,4 @@
-"""The emulators as HTTP servers on loopback: one process with state service, cloud and workers.
+"""Runs the emulators as HTTP servers on loopback: state service, cloud and workers in one process.
 
     python3 -m emulators.serve --state 127.0.0.1:2379 --cloud 127.0.0.1:8443 \
         --nodes berth-0=127.0.0.1:8080,berth-1=127.0.0.1:8082,berth-2=127.0.0.1:8084
@@ -22,9 +22,9 @@
 from oatport.simulation.state_service import KeyStore
 from oatport.simulation.worker import Worker
 
-BOOT_S = 0.5
+BOOT_DURATION_S = 0.5
 HEARTBEAT_TIMEOUT_US = 4_000_000
-TYPES: list[dict[str, Any]] = [
+MACHINE_TYPES: list[dict[str, Any]] = [
     {
         "label": "m8",
         "cores": 8.0,
@@ -40,12 +40,12 @@
 ]
 
 
-def clock() -> int:
-    """Steady microseconds."""
+def monotonic_us() -> int:
+    """Returns the monotonic clock in microseconds."""
     return time.monotonic_ns() // 1000
 
 
-def _answer(status: int, value: Any) -> web.Response:
+def _response(status: int, value: Any) -> web.Response:
     return web.Response(
         status=status, body=b"" if value is None else wire.encode(value), content_type=wire.CBOR_CONTENT_TYPE
     )
@@ -60,12 +60,15 @@
 
 
 class Emulators:
-    """State service and cloud at their addresses, and a worker for each rented machine. `nodes`: name and address."""
+    """Serves the state service and the cloud at their addresses, and a worker for each rented machine.
+
+    `nodes` maps the names of the nodes to their addresses.
+    """
 
     def __init__(self, state_address: str, cloud_address: str, nodes: dict[str, str], heartbeat_s: float = 0.5) -> None:
-        self.state = KeyStore(clock)
-        self.cloud = MachineRegistry(TYPES)
-        self.cloud.on_rent = self._boot
+        self.state = KeyStore(monotonic_us)
+        self.cloud = MachineRegistry(MACHINE_TYPES)
+        self.cloud.on_rent = self._start_worker
         self.cloud.on_release = self.stop_worker
         self.nodes = nodes
         self._addresses = (state_address, cloud_address)
@@ -77,7 +80,7 @@
         self._session: aiohttp.ClientSession | None = None
 
     async def start(self) -> None:
-        """Serve the state service and the cloud."""
+        """Starts to serve the state service and the cloud."""
         self._session = make_session(512)
         self._runners = [
             await _listen(self._addresses[0], self._on_state),
@@ -85,7 +88,7 @@
         ]
 
     async def close(self) -> None:
-        """End all workers and servers."""
+        """Stops all workers and servers."""
         for task in self._tasks.values():
             task.cancel()
         for runner in [*self._runners, *self._worker_runners.values()]:
@@ -99,27 +102,27 @@
         body = wire.decode(raw) if raw else {}
         if path == wire.STORE_PATH:
             page = int(query.get("page", "1000"))
-            return _answer(*self.state.list(query.get("under", ""), query.get("from", ""), page))
+            return _response(*self.state.list(query.get("under", ""), query.get("from", ""), page))
         if path.startswith(wire.STORE_PATH + "/"):
-            return _answer(*self.state.get(path[len(wire.STORE_PATH) + 1 :]))
+            return _response(*self.state.get(path[len(wire.STORE_PATH) + 1 :]))
         if path == wire.COMMIT_PATH:
-            return _answer(*self.state.commit(body))
+            return _response(*self.state.commit(body))
         if path == wire.LEASES_PATH:
-            return _answer(*self.state.grant_lease(int(body["lifeMs"])))
+            return _response(*self.state.grant_lease(int(body["lifeMs"])))
         if path.startswith(wire.LEASES_PATH):
-            return _answer(*self.state.renew_lease(int(path.split("/")[2])))
+            return _response(*self.state.renew_lease(int(path.split("/")[2])))
         if path == wire.WATCH_PATH:
             wait_us = int(query.get("waitMs", "0")) * 1000
-            return await self._watch(query.get("under", ""), int(query["from"]), clock() + wait_us)
-        return _answer(404, None)
+            return await self._watch(query.get("under", ""), int(query["from"]), monotonic_us() + wait_us)
+        return _response(404, None)
 
-    async def _watch(self, under: str, after: int, until: int) -> web.Response:
-        """The changes after a revision; waits for some until a time."""
+    async def _watch(self, under: str, after: int, deadline: int) -> web.Response:
+        """Returns the changes after a revision; waits for changes until `deadline` if there are none."""
         while True:
             status, value = self.state.changes(under, after)
-            left_s = (until - clock()) / 1e6
+            left_s = (deadline - monotonic_us()) / 1e6
             if value["news"] or left_s <= 0:
-                return _answer(status, value)
+                return _response(status, value)
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(self.state.changed.wait(), min(left_s, 0.2))
 
@@ -128,21 +131,21 @@
         raw = await request.read()
         body = wire.decode(raw) if raw else {}
         if path == wire.CATALOG_PATH:
-            return _answer(200, self.cloud.catalog())
+            return _response(200, self.cloud.catalog())
         if path == wire.RELEASE_PATH:
-            return _answer(*self.cloud.release(body))
+            return _response(*self.cloud.release(body))
         if path == wire.MACHINES_PATH and request.method == "POST":
-            return _answer(*self.cloud.rent(body))
+            return _response(*self.cloud.rent(body))
         if path == wire.MACHINES_PATH:
-            return _answer(*self.cloud.list())
-        return _answer(404, None)
+            return _response(*self.cloud.list())
+        return _response(404, None)
 
-    def _boot(self, machine: dict[str, Any]) -> None:
+    def _start_worker(self, machine: dict[str, Any]) -> None:
         name = machine["ref"]
         self._tasks[name] = asyncio.get_running_loop().create_task(self._run_worker(machine))
 
     def stop_worker(self, name: str) -> None:
-        """A machine is gone, and all that runs on it."""
+        """Stops the worker of a machine and every task on the machine."""
         self.workers.pop(name, None)
         self._tasks.pop(name).cancel()
         runner = self._worker_runners.pop(name, None)
@@ -155,52 +158,52 @@
         return None if item is None else item[0]["job"]
 
     async def _run_worker(self, machine: dict[str, Any]) -> None:
-        """Boot a machine, serve its worker's commands, and send its heartbeats for ever."""
-        await asyncio.sleep(BOOT_S)
+        """Boots a machine, serves its worker's commands, and sends heartbeats until it is cancelled."""
+        await asyncio.sleep(BOOT_DURATION_S)
         name = machine["ref"]
 
         async def handle(request: web.BaseRequest) -> web.Response:
             raw = await request.read()
             if request.rel_url.path == wire.WORKER_STATUS_PATH:
-                return _answer(200, worker.report())
-            return _answer(*worker.commands(wire.decode(raw)))
+                return _response(200, worker.report())
+            return _response(*worker.commands(wire.decode(raw)))
 
         runner = await _listen("127.0.0.1:0", handle)
         self._worker_runners[name] = runner
         machine["address"], machine["status"] = f"127.0.0.1:{runner.addresses[0][1]}", "running"
         worker = Worker(
-            clock,
+            monotonic_us,
             name,
             machine["address"],
             machine["berthKind"],
             machine["harbor"],
             machine["driftwood"],
-            TYPES[0]["cores"],
+            MACHINE_TYPES[0]["cores"],
             self._job,
         )
         self.workers[name] = worker
         await self._send_heartbeats(worker)
 
     async def _send_heartbeats(self, worker: Worker) -> None:
-        """To the node that leads, as far as the answers tell; else to the next one."""
+        """Sends heartbeats to the leader that responses name; on an error, to the next node in turn."""
         names = list(self.nodes)
-        at = random.choice(names)
+        node = random.choice(names)
         assert self._session is not None
         while True:
-            sent, session = clock(), worker.session
+            sent_at, session = monotonic_us(), worker.session
             try:
-                status, value = await HttpClient(self._session, self.nodes[at]).request(
+                status, value = await HttpClient(self._session, self.nodes[node]).request(
                     "POST", wire.HEARTBEAT_PATH, worker.report(), timeout_us=HEARTBEAT_TIMEOUT_US
                 )
             except NoResponseError:
                 status, value = 0, None
             if status == 200:
-                worker.answer(sent, session, value)
+                worker.answer(sent_at, session, value)
                 await asyncio.sleep(self._heartbeat_s)
-            elif status == 421 and value.get("harbormaster") in self.nodes and value["harbormaster"] != at:
-                at = value["harbormaster"]
+            elif status == 421 and value.get("harbormaster") in self.nodes and value["harbormaster"] != node:
+                node = value["harbormaster"]
             else:
-                at = names[(names.index(at) + 1) % len(names)]
+                node = names[(names.index(node) + 1) % len(names)]
                 await asyncio.sleep(1.0)
 
 
--- a/emulators/smoke_test.py
+++ b/emulators/smoke_test.py
@@ -1,7 +1,7 @@
-"""Build and start the program as deploy/service.toml says, three nodes on loopback, and use it once.
+"""Builds and starts oatport as deploy/service.toml specifies, with three nodes on loopback, and submits a few jobs.
 
-Ends with 0 only if a job was accepted, ran, and a service was cancelled, and the leader's death was
-survived. All traffic stays on 127.0.0.1, on free ports.
+The exit status is 0 only if a job was accepted and ran, a service was cancelled, and a job ran after the leader was
+killed. All traffic stays on free ports of 127.0.0.1.
 """
 
 from __future__ import annotations
@@ -36,7 +36,10 @@
 
 
 def settings(index: int, ports: list[int]) -> str:
-    """The platform's file for node `index`; ports: state, cloud, then bind and internal of each node."""
+    """Returns the platform settings file of node `index`.
+
+    `ports` holds the ports of the state service and the cloud, then the bind and internal ports of each node.
+    """
     lines = [
         f'node_name = "n{index}"',
         f'zone = "{"ab"[index % 2]}"',
@@ -86,7 +89,7 @@
 
 
 def job(job_id: str, kind: str, tasks: int, runtime_s: float) -> dict[str, Any]:
-    """A submission in the wire's own terms."""
+    """Returns a submission with the field names of the wire format."""
     return {
         "ref": job_id,
         "cargo": "smoke",
@@ -111,61 +114,64 @@
     }
 
 
-async def _until(what: str, probe: Any, limit_s: float = 30.0) -> None:
-    """Wait for a condition to come true; bounded, so that the smoke run always ends."""
-    for _ in range(int(limit_s / 0.2)):
+async def _wait_until(description: str, condition: Any, timeout_s: float = 30.0) -> None:
+    """Waits until a condition is true; the timeout makes sure that the smoke test always ends."""
+    for _ in range(int(timeout_s / 0.2)):
         try:
-            if await probe():
-                print(f"smoke: {what}")
+            if await condition():
+                print(f"smoke: {description}")
                 return
         except NoResponseError:
             pass
         await asyncio.sleep(0.2)
-    raise SystemExit(f"smoke: FAILED, did not happen in {limit_s:.0f} s: {what}")
+    raise SystemExit(f"smoke: FAILED, did not happen in {timeout_s:.0f} s: {description}")
 
 
 async def _run_scenario(ports: list[int], nodes: list[subprocess.Popen[bytes]]) -> None:
     session = make_session(64)
     clients = [HttpClient(session, f"127.0.0.1:{ports[2 + 2 * i]}") for i in range(3)]
 
-    async def ask(index: int, method: str, path: str, body: Any = None) -> tuple[int, Any]:
+    async def request(index: int, method: str, path: str, body: Any = None) -> tuple[int, Any]:
         return await clients[index].request(method, path, body, timeout_us=5_000_000)
 
-    async def ready() -> bool:
-        return all([(await ask(i, "GET", wire.READY_PATH))[0] == 200 for i in range(3)])
+    async def is_ready() -> bool:
+        return all([(await request(i, "GET", wire.READY_PATH))[0] == 200 for i in range(3)])
 
-    async def accepted(job_id: str, kind: str, tasks: int, runtime_s: float, index: int) -> bool:
-        return (await ask(index, "POST", wire.SUBMISSIONS_PATH, job(job_id, kind, tasks, runtime_s)))[0] in (200, 201)
+    async def is_accepted(job_id: str, kind: str, tasks: int, runtime_s: float, index: int) -> bool:
+        return (await request(index, "POST", wire.SUBMISSIONS_PATH, job(job_id, kind, tasks, runtime_s)))[0] in (
+            200,
+            201,
+        )
 
-    async def status(job_id: str, wanted: str, index: int) -> bool:
-        return bool((await ask(index, "GET", f"{wire.SUBMISSIONS_PATH}/{job_id}"))[1].get("status") == wanted)
+    async def has_status(job_id: str, wanted: str, index: int) -> bool:
+        return bool((await request(index, "GET", f"{wire.SUBMISSIONS_PATH}/{job_id}"))[1].get("status") == wanted)
 
     try:
-        await _until("all nodes are ready", ready)
-        await _until("an array is accepted", lambda: accepted("j-000001", "array", 6, 1.0, 0))
-        await _until("the array is done, says another node", lambda: status("j-000001", "done", 1))
-        await _until("a service is accepted", lambda: accepted("j-000002", "standing", 2, 0.0, 2))
-        await _until("the service runs", lambda: status("j-000002", "running", 0))
-        stopped = (await ask(1, "POST", f"{wire.SUBMISSIONS_PATH}/j-000002/cancel"))[1]
-        if stopped != {"ref": "j-000002", "status": "aborted"}:
-            raise SystemExit(f"smoke: FAILED, cancel said {stopped}")
-        strange = (await ask(0, "GET", f"{wire.SUBMISSIONS_PATH}/j-999999"))[0]
-        if strange != 404:
-            raise SystemExit(f"smoke: FAILED, an unknown job got {strange}")
-        # Kill the leader: the one node that answers heartbeats with something other than 421.
-        leader = await _leader(ask)
+        await _wait_until("all nodes are ready", is_ready)
+        await _wait_until("an array is accepted", lambda: is_accepted("j-000001", "array", 6, 1.0, 0))
+        await _wait_until("the array is done, says another node", lambda: has_status("j-000001", "done", 1))
+        await _wait_until("a service is accepted", lambda: is_accepted("j-000002", "standing", 2, 0.0, 2))
+        await _wait_until("the service runs", lambda: has_status("j-000002", "running", 0))
+        cancelled = (await request(1, "POST", f"{wire.SUBMISSIONS_PATH}/j-000002/cancel"))[1]
+        if cancelled != {"ref": "j-000002", "status": "aborted"}:
+            raise SystemExit(f"smoke: FAILED, cancel said {cancelled}")
+        unknown_status = (await request(0, "GET", f"{wire.SUBMISSIONS_PATH}/j-999999"))[0]
+        if unknown_status != 404:
+            raise SystemExit(f"smoke: FAILED, an unknown job got {unknown_status}")
+        # Kill the leader, the only node that answers a heartbeat with a status other than 421.
+        leader = await _find_leader(request)
         nodes[leader].kill()
         print(f"smoke: killed the leader, n{leader}")
         other = (leader + 1) % 3
-        await _until("another array is accepted", lambda: accepted("j-000003", "array", 4, 0.5, other))
-        await _until("and done under a new leader", lambda: status("j-000003", "done", (leader + 2) % 3))
+        await _wait_until("another array is accepted", lambda: is_accepted("j-000003", "array", 4, 0.5, other))
+        await _wait_until("and done under a new leader", lambda: has_status("j-000003", "done", (leader + 2) % 3))
     finally:
         await session.close()
 
 
-async def _leader(ask: Any) -> int:
-    # A heartbeat of a worker that doesn't exist, of a type that doesn't either: harmless to a leader.
-    report = {
+async def _find_leader(request: Any) -> int:
+    # The heartbeat is harmless to a leader because neither the worker nor its machine type exists.
+    heartbeat = {
         "berth": "vm-none",
         "address": "127.0.0.1:1",
         "berthKind": "none",
@@ -178,7 +184,7 @@
         "legs": [],
     }
     for index in range(3):
-        if (await ask(index, "POST", wire.HEARTBEAT_PATH, report))[0] == 200:
+        if (await request(index, "POST", wire.HEARTBEAT_PATH, heartbeat))[0] == 200:
             return index
     raise SystemExit("smoke: FAILED, no node leads")
 
@@ -201,9 +207,9 @@
                 command = [*shlex.split(deploy["run"]), str(path)]
                 nodes.append(subprocess.Popen(command, cwd=ROOT, stderr=log, env=environment))
             await _run_scenario(ports, nodes)
-            ended = [n.args for i, n in enumerate(nodes) if n.poll() is not None]
-            if len(ended) > 1:
-                raise SystemExit(f"smoke: FAILED, processes ended by themselves: {json.dumps(ended)}")
+            exited = [n.args for i, n in enumerate(nodes) if n.poll() is not None]
+            if len(exited) > 1:
+                raise SystemExit(f"smoke: FAILED, processes ended by themselves: {json.dumps(exited)}")
         except BaseException:
             log.seek(0)
             sys.stderr.write(log.read().decode(errors="replace")[-6000:])
