--- a/emulators/serve.py
+++ b/emulators/serve.py
@@ -80,7 +80,7 @@
         self._session: aiohttp.ClientSession | None = None
 
     async def start(self) -> None:
-        """Starts to serve the state service and the cloud."""
+        """Starts the servers of the state service and the cloud."""
         self._session = make_session(512)
         self._runners = [
             await _listen(self._addresses[0], self._on_state),
--- a/oatport/lab/window_workload.py
+++ b/oatport/lab/window_workload.py
@@ -71,7 +71,10 @@
 
 
 def generate_workload(seed: int, jobs: int, fault: str) -> NightWorkload:
-    """Returns a night with `jobs` jobs; the fault `burst` adds half as many. Raises ValueError for an unknown fault."""
+    """Returns a night with `jobs` jobs; the fault `burst` adds half as many.
+
+    Raises ValueError for an unknown fault or a number of jobs out of range.
+    """
     if fault not in WINDOW_FAULTS:
         raise ValueError(f"fault: must be one of {', '.join(WINDOW_FAULTS)}")
     if not 1 <= jobs <= 20_000:
