--- a/oatport/simulation/__init__.py
+++ b/oatport/simulation/__init__.py
@@ -1,5 +1,5 @@
-"""Deterministic simulation of whole deployments: real nodes in virtual time, all outside systems modelled.
+"""Deterministic simulation of whole deployments: real nodes in virtual time, with models of all external systems.
 
-`runner` runs scenarios, `simulation` puts one deployment together, `fault_injection` carries out the faults of a
-`fault_plan`, and `invariant_checker` judges what happened on machines and what users were told.
+`runner` runs scenarios, `simulation` runs one deployment, `fault_injection` injects the faults of a `fault_plan`, and
+`invariant_checker` checks the invariants against the tasks on machines and the responses to users.
 """
--- a/oatport/simulation/fault_injection.py
+++ b/oatport/simulation/fault_injection.py
@@ -1,4 +1,4 @@
-"""Carries out the faults of a plan on a simulated deployment."""
+"""Injects the faults of a plan into a simulated deployment."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class FaultInjector:
-    """Begins each fault, and ends it after its time."""
+    """Begins each fault, and ends it after its duration."""
 
     def __init__(self, deployed: SimulatedDeployment) -> None:
         self._loop = deployed.loop
@@ -28,7 +28,7 @@
         }
 
     def inject(self, fault: Fault) -> None:
-        """Begin a fault now; `for_s` later it ends, if it does not end by itself."""
+        """Begins a fault now, and ends it after `for_s` seconds unless its handler returned None."""
         end = self._handlers[fault.kind](fault)
         if end is not None:
             self._loop.call_later_us(round(fault.for_s * SECOND), None, end)
--- a/oatport/simulation/fault_plan.py
+++ b/oatport/simulation/fault_plan.py
@@ -1,6 +1,6 @@
-"""Fault plans: which faults happen when in a run, read from a TOML file or drawn from a seed.
+"""Fault plans: the faults of a run and their times, read from a TOML file or drawn from a seed.
 
-The names of kinds and fields are those of the plan files; `faults` maps kinds to what they do.
+The names of kinds and fields are those of the plan files; the package `faults` implements each kind.
 """
 
 from __future__ import annotations
@@ -10,13 +10,13 @@
 from pathlib import Path
 from typing import Any
 
-# kind -> the fields that it takes beside `at_s` and `for_s`
+# kind -> the fields that it takes besides `at_s` and `for_s`
 FAULT_FIELDS: dict[str, tuple[str, ...]] = {
     "node_cut": ("node", "what", "mode", "way"),  # what: all, state, workers, nodes
-    "node_refused": ("node",),  # by the state service alone
+    "node_refused": ("node",),  # only the state service refuses its requests
     "peers_refuse": (),
     "node_freeze": ("node",),
-    "node_crash": ("node",),  # its process ends, and is back after for_s
+    "node_crash": ("node",),  # its process ends, and restarts after for_s
     "node_slow": ("node", "amount"),
     "machine_cut": ("count", "mode"),
     "machine_hang": ("count",),
@@ -30,47 +30,55 @@
     "state_slow": ("amount",),
     "cloud_down": (),
     "no_capacity": (),
-    "rush": ("name", "amount"),  # jobs of a class so many times as often
-    "users_cancel": ("count", "amount"),  # so many users of unfinished jobs, within so many seconds; 0: as they poll
-    # Users cancel when the last task has just ended: of that share of all jobs; 0: mostly of those that others need.
+    "rush": ("name", "amount"),  # name: a job class; amount: the factor by which its submission rate rises
+    # count: users of unfinished jobs that cancel; amount: seconds within which they do; 0: at their next poll
+    "users_cancel": ("count", "amount"),
+    # Users cancel when the last task has just ended. amount: share of all jobs; 0: mostly jobs that others depend on
     "cancel_at_end": ("amount",),
-    "cancel_needed": ("count",),  # users of so many jobs that others need
-    "upgrade": ("count", "amount"),  # nodes get the new version: so many at a time, every so many seconds
-    "state_limits": (),  # the state service's next limits hold from now on
-    # So many, that share, or a zone: their reports arrive, answers and commands don't reach them.
+    "cancel_needed": ("count",),  # count: jobs that others depend on and that their users cancel
+    "upgrade": ("count", "amount"),  # count: nodes that get the new version at a time; amount: interval in seconds
+    "state_limits": (),  # the state service's next limits take effect
+    # Reports of the machines arrive, but answers and commands don't reach them. Selected by number (count), by share
+    # (amount) or by zone.
     "machine_deaf": ("count", "amount", "zone"),
-    "report_copies": ("amount",),  # copies of reports come again, up to so many seconds later
-    "node_alone": ("node", "mode"),  # without state service and the other nodes, but with workers
-    "machine_blink": ("count", "amount"),  # they are back at once, empty; amount 1: their sessions begin anew
-    "late_writes": ("amount",),  # that share of transactions gets no answer and is carried out 2 to 12 s later
-    "lost_answers": ("amount",),  # that share of transactions is carried out at once, and only its answer is lost
-    "copies_for_next": ("amount",),  # of that share of reports a copy arrives at the next leader, as it begins
-    # So many, that share, or a zone: their reports reach no node, while direct commands reach them.
+    "report_copies": ("amount",),  # copies of reports arrive again; amount: maximum delay in seconds
+    "node_alone": ("node", "mode"),  # cut off from the state service and the other nodes, but not from workers
+    "machine_blink": ("count", "amount"),  # restart at once without tasks; amount 1: their agent epochs start over
+    "late_writes": ("amount",),  # amount: share of transactions that get no answer and are applied 2 to 12 s later
+    "lost_answers": ("amount",),  # amount: share of transactions that are applied at once, but whose answer is lost
+    "copies_for_next": ("amount",),  # amount: share of reports of which the next leader gets a copy when it begins
+    # Reports of the machines reach no node, but direct commands reach them. Selected as for machine_deaf.
     "machine_mute": ("count", "amount", "zone"),
-    "cancel_now": ("count", "amount"),  # so many that run, at once; some of their machines hang so long
-    "die_at_end": ("amount",),  # of that share of gangs that complete a machine dies in that moment
-    "close_looks": (),  # users ask at all nodes as soon as a job is accepted, ended or cancelled; some cancel at once
-    "odd_requests": (),  # old submissions again, cancellations of what is done, jobs that can't run or lack a field
-    "singles": ("amount",),  # so many jobs of one task a second, a quarter of them cancelled
-    "quick_boots": (),  # new machines are up within two seconds
-    "late_repeats": ("amount",),  # requests that were carried out arrive once more, up to so many seconds later
+    # count: running jobs that are cancelled at once; amount: seconds for which some of their machines hang
+    "cancel_now": ("count", "amount"),
+    "die_at_end": ("amount",),  # amount: share of gangs of which a machine dies just as the gang completes
+    # Users poll all nodes as soon as a job is accepted, done or cancelled; some cancel at once.
+    "close_looks": (),
+    # Repeated submissions, cancellations of completed jobs, and jobs that can't run or lack a field.
+    "odd_requests": (),
+    "singles": ("amount",),  # amount: single-task jobs per second, a quarter of which are cancelled
+    "quick_boots": (),  # new machines boot within two seconds
+    "late_repeats": ("amount",),  # executed requests arrive a second time; amount: maximum delay in seconds
 }
 NODE_CUT_TARGETS = ("all", "state", "workers", "nodes")
 CUT_DIRECTIONS = ("both", "to", "from")
 CUT_MODES = ("hold", "lost")
-LEADER = "leader"  # as a node's name: whoever leads then
-ALL = "all"  # as the name of nodes that end: each of them
+LEADER = "leader"  # as a node's name: the node that leads when the fault begins
+ALL = "all"  # as the node's name of a node_crash: every node
 FIELD_CHOICES = {"what": NODE_CUT_TARGETS, "mode": CUT_MODES, "way": CUT_DIRECTIONS}
-MIN_RESTART_S = 0.05  # seconds: no process is back sooner
+MIN_RESTART_S = 0.05  # the shortest time in which a process restarts
 
 
 class InvalidPlanError(ValueError):
-    """A plan or an option that can't be used: one line that names the field."""
+    """Raised for an invalid plan or option, with a one-line message that names the field."""
 
 
 @dataclass(frozen=True)
 class Fault:
-    """One fault, `at_s` seconds after the run began, for `for_s` seconds; the other fields as its kind takes them."""
+    """Describes a fault: `at_s` is its time since the start of the run, `for_s` its duration, both in seconds.
+
+    The kind defines which other fields it takes (FAULT_FIELDS).
+    """
 
     kind: str
     at_s: float
@@ -87,10 +95,10 @@
     name: str = ""
 
     def toml(self) -> str:
-        """The fault as a row of a plan file."""
-        named = ("kind", "at_s", "for_s", *FAULT_FIELDS[self.kind])
+        """Returns the fault as a row of a plan file."""
+        keys = ("kind", "at_s", "for_s", *FAULT_FIELDS[self.kind])
         rows = []
-        for key in named:
+        for key in keys:
             value = getattr(self, key)
             rows.append(f'{key} = "{value}"' if isinstance(value, str) else f"{key} = {value}")
         return "  { " + ", ".join(rows) + " },"
@@ -98,7 +106,7 @@
 
 @dataclass(frozen=True)
 class Plan:
-    """A deployment, its load, and the faults of a run of `for_s` seconds."""
+    """Holds the size of a deployment, its load, and the faults of a run of `for_s` seconds."""
 
     faults: tuple[Fault, ...] = ()
     for_s: float = 120.0
@@ -107,40 +115,42 @@
     jobs_a_minute: float = 20.0
     pipelines_a_minute: float = 0.0
     pipelines_from_s: float = 0.0
-    team_share: float = 1.0  # of their usual limits is what teams have
-    old_nodes: bool = False  # they begin with the version in production
+    team_share: float = 1.0  # factor on the usual limits of all teams
+    old_nodes: bool = False  # the nodes start with the version in production
 
     @property
     def limits_fall(self) -> bool:
-        """The state service's limits fall in the course of the run."""
+        """Returns whether the state service's limits are lowered during the run."""
         return any(fault.kind == "state_limits" for fault in self.faults)
 
     def toml(self) -> str:
-        """The plan as a file that `read` reads."""
+        """Returns the plan as the contents of a file for `read`."""
         values = {f.name: getattr(self, f.name) for f in fields(self) if f.name != "faults"}
         rows = [f"{key} = {str(value).lower() if isinstance(value, bool) else value}" for key, value in values.items()]
         return "\n".join([*rows, "faults = [", *(fault.toml() for fault in self.faults), "]"])
 
 
 @dataclass
-class _Reader:
-    where: str
+class _FieldParser:
+    """Checks values of a table; `path_prefix` comes before the field's name in errors."""
+
+    path_prefix: str
 
-    def number(self, table: dict[str, Any], key: str, low: float, high: float) -> float:
+    def parse_number(self, table: dict[str, Any], key: str, low: float, high: float) -> float:
         value = table[key]
         if isinstance(value, bool) or not isinstance(value, int | float) or not low <= value <= high:
-            raise InvalidPlanError(f"{self.where}{key}: must be a number from {low:g} to {high:g}, not {value!r}")
+            raise InvalidPlanError(f"{self.path_prefix}{key}: must be a number from {low:g} to {high:g}, not {value!r}")
         return float(value)
 
-    def choice(self, table: dict[str, Any], key: str, allowed: tuple[str, ...]) -> str:
+    def parse_choice(self, table: dict[str, Any], key: str, allowed: tuple[str, ...]) -> str:
         value = table[key]
         if value not in allowed:
-            raise InvalidPlanError(f"{self.where}{key}: must be one of {', '.join(allowed)}, not {value!r}")
+            raise InvalidPlanError(f"{self.path_prefix}{key}: must be one of {', '.join(allowed)}, not {value!r}")
         return str(value)
 
 
 def read(path: Path) -> Plan:
-    """A plan from a TOML file. Raises InvalidPlanError, which names the field."""
+    """Returns the plan of a TOML file. Raises InvalidPlanError, which names the field."""
     try:
         table = tomllib.loads(path.read_text(encoding="utf-8"))
     except (OSError, UnicodeError, tomllib.TOMLDecodeError) as error:
@@ -160,50 +170,50 @@
 
 
 def parse(table: dict[str, Any]) -> Plan:
-    """A plan from a parsed TOML file. Raises InvalidPlanError, which names the field."""
-    reader = _Reader("")
+    """Returns the plan of a parsed TOML file. Raises InvalidPlanError, which names the field."""
+    parser = _FieldParser("")
     values: dict[str, Any] = {}
     for key, value in table.items():
         if key == "faults":
             if not isinstance(value, list):
                 raise InvalidPlanError("faults: must be a list of tables")
-            values[key] = tuple(_fault(row, number) for number, row in enumerate(value))
+            values[key] = tuple(_parse_fault(row, number) for number, row in enumerate(value))
         elif key == "old_nodes":
             if not isinstance(value, bool):
                 raise InvalidPlanError(f"{key}: must be true or false, not {value!r}")
             values[key] = value
         elif key in FIELD_RANGES:
-            found = reader.number(table, key, *FIELD_RANGES[key])
-            values[key] = int(found) if key in ("nodes", "machines") else found
+            parsed = parser.parse_number(table, key, *FIELD_RANGES[key])
+            values[key] = int(parsed) if key in ("nodes", "machines") else parsed
         else:
             raise InvalidPlanError(f"{key}: no such field")
     return Plan(**values)
 
 
-def _fault(row: Any, number: int) -> Fault:
-    reader = _Reader(f"faults[{number}].")
+def _parse_fault(row: Any, number: int) -> Fault:
+    parser = _FieldParser(f"faults[{number}].")
     if not isinstance(row, dict) or "kind" not in row or "at_s" not in row:
         raise InvalidPlanError(f"faults[{number}]: needs a kind and at_s")
-    kind = reader.choice(row, "kind", tuple(FAULT_FIELDS))
+    kind = parser.parse_choice(row, "kind", tuple(FAULT_FIELDS))
     values: dict[str, Any] = {"kind": kind}
     for key in row:
         if key == "kind":
             continue
         if key not in ("at_s", "for_s", *FAULT_FIELDS[kind]):
             raise InvalidPlanError(f"faults[{number}].{key}: no field of {kind}")
-        values[key] = _field(reader, row, key)
+        values[key] = _parse_field(parser, row, key)
     if kind == "node_crash":
-        reader.number({"for_s": 0.0, **row}, "for_s", MIN_RESTART_S, 100_000)
+        parser.parse_number({"for_s": 0.0, **row}, "for_s", MIN_RESTART_S, 100_000)
     return Fault(**values)
 
 
-def _field(reader: _Reader, row: dict[str, Any], key: str) -> Any:
+def _parse_field(parser: _FieldParser, row: dict[str, Any], key: str) -> Any:
     if key in ("at_s", "for_s", "amount"):
-        return reader.number(row, key, 0, 100_000)
+        return parser.parse_number(row, key, 0, 100_000)
     if key == "count":
-        return int(reader.number(row, key, 1, 5000))
+        return int(parser.parse_number(row, key, 1, 5000))
     if key in FIELD_CHOICES:
-        return reader.choice(row, key, FIELD_CHOICES[key])
+        return parser.parse_choice(row, key, FIELD_CHOICES[key])
     if isinstance(row[key], str) and row[key]:
         return row[key]
-    raise InvalidPlanError(f"{reader.where}{key}: must be a name, not {row[key]!r}")
+    raise InvalidPlanError(f"{parser.path_prefix}{key}: must be a name, not {row[key]!r}")
--- a/oatport/simulation/faults/__init__.py
+++ b/oatport/simulation/faults/__init__.py
@@ -1,7 +1,7 @@
-"""What each kind of fault does to a simulated deployment, by the part that it hits.
+"""Implements each kind of fault on a simulated deployment, grouped by the part that is affected.
 
-Each class takes the deployment and lists its faults in `handlers`, by the names that plan files give them. A handler
-begins a fault and returns what ends it, or None if it ends by itself.
+Each class takes the deployment and lists its faults in `handlers`, by their names in plan files. A handler begins a
+fault and returns a function that ends it, or None if the fault needs no end.
 """
 
 from __future__ import annotations
@@ -15,10 +15,10 @@
 
 
 def end_all(ends: list[EndFault]) -> EndFault:
-    """What ends several faults at once."""
+    """Returns a function that ends several faults at once."""
 
     def end() -> None:
-        for one in ends:
-            one()
+        for end_fault in ends:
+            end_fault()
 
     return end
--- a/oatport/simulation/faults/machines.py
+++ b/oatport/simulation/faults/machines.py
@@ -1,4 +1,4 @@
-"""Faults of rented machines: hangs, deaths, reclamations, restarts within a moment, and unusually quick boots."""
+"""Faults of rented machines: hangs, crashes, reclamations, immediate restarts, and unusually quick boots."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class MachineFaults:
-    """What happens to machines, most of them chosen at random."""
+    """Injects faults of machines, most of which are chosen at random."""
 
     def __init__(self, deployed: SimulatedDeployment) -> None:
         self._deployed, self._machines = deployed, deployed.machines
@@ -25,15 +25,15 @@
         }
 
     def hang_some(self, fault: Fault) -> None:
-        """Some machines hang for the time of the fault."""
+        """Lets some machines hang for the duration of the fault."""
         self.hang(self._machines.sample(fault.count), fault.for_s)
 
     def hang(self, machines: list[MachineHost], for_s: float) -> None:
-        """Machines execute nothing for a while; then they go on."""
+        """Suspends machines for a number of seconds, after which they continue."""
         hung = [machine for machine in machines if not machine.host.frozen]
         for machine in hung:
             machine.host.freeze()
-            self._end_at_lease(machine)
+            self._kill_at_lease_end(machine)
 
         def end() -> None:
             for machine in hung:
@@ -43,51 +43,54 @@
 
         self._deployed.loop.call_later_us(round(for_s * SECOND), None, end)
 
-    def _end_at_lease(self, machine: MachineHost) -> None:
-        """Within its lease a machine that hangs may go on at any time (PROTOCOL); after it nothing is left to go on."""
+    def _kill_at_lease_end(self, machine: MachineHost) -> None:
+        """Kills the tasks of a hanging machine when its lease ends.
+
+        Within its lease a machine that hangs may continue at any time (PROTOCOL); after it no task is left.
+        """
         if not machine.host.frozen or machine.host.dead:
             return
-        left = machine.worker.lease_renewed_at + machine.worker.lease_us - machine.host.steady()
-        if left < 0:
+        remaining_us = machine.worker.lease_renewed_at + machine.worker.lease_us - machine.host.steady()
+        if remaining_us < 0:
             machine.worker.kill("lease")
         else:
-            self._deployed.loop.call_later_us(left + 1000, None, self._end_at_lease, machine)
+            self._deployed.loop.call_later_us(remaining_us + 1000, None, self._kill_at_lease_end, machine)
 
     def kill_some(self, fault: Fault) -> None:
-        """Some machines die."""
+        """Lets some machines die."""
         for machine in self._machines.sample(fault.count):
             self._machines.kill(machine.host.name)
 
     def kill_at_gang_completion(self, fault: Fault) -> EndFault:
-        """A gang has completed, and a machine of it dies before it can report it."""
+        """Lets a machine of a completed gang die before it can report the completion, for a share of all gangs."""
         gangs, rng = self._machines.gangs, self._deployed.rng
-        before = gangs.on_completed
+        previous_handler = gangs.on_completed
 
-        def on_completed(mates: list[Worker]) -> None:
-            name = rng.choice(mates).name
+        def on_completed(members: list[Worker]) -> None:
+            name = rng.choice(members).name
             if rng.random() < fault.amount and name in self._machines.machines:
                 self._deployed.loop.call_later_us(0, None, self._machines.kill, name)
 
         def end() -> None:
-            gangs.on_completed = before
+            gangs.on_completed = previous_handler
 
         gangs.on_completed = on_completed
         return end
 
     def reclaim_spot_machines(self, fault: Fault) -> None:
-        """The cloud takes some spot machines back."""
+        """Lets the cloud reclaim some spot machines; `amount` is its notice in seconds."""
         spot = [machine for machine in self._machines.sample(10**6) if machine.worker.spot]
         for machine in spot[: fault.count]:
             self._machines.reclaim(machine, fault.amount)
 
     def restart_some(self, fault: Fault) -> None:
-        """Some machines end and are back at once, empty; `amount`: their agent epochs begin anew."""
+        """Restarts some machines at once without their tasks; if `amount` > 0 their agent epochs start over."""
         for machine in self._machines.sample(fault.count):
             if not machine.host.frozen:
                 machine.worker.restart(anew=fault.amount > 0)
 
     def boot_quickly(self, fault: Fault) -> EndFault:
-        """New machines are up within two seconds."""
+        """Lets new machines boot within two seconds."""
         self._machines.quick_boots = True
 
         def end() -> None:
--- a/oatport/simulation/faults/network.py
+++ b/oatport/simulation/faults/network.py
@@ -8,12 +8,12 @@
 from oatport.simulation.network import ANY_HOST, LinkRule
 from oatport.simulation.simulated_deployment import SimulatedDeployment
 
-# `what` of a node_cut -> the tag of the hosts that the node is cut off from
+# `what` of a node_cut -> the tag of the hosts from which the node is cut off
 CUT_TAGS = {"all": ANY_HOST, "state": "state", "workers": "worker", "nodes": "node"}
 
 
 class NetworkFaults:
-    """Rules on links between hosts, for as long as a fault lasts."""
+    """Injects faults of the network as rules on the links between hosts."""
 
     def __init__(self, deployed: SimulatedDeployment) -> None:
         self._deployed = deployed
@@ -45,39 +45,39 @@
 
         return end
 
-    def _cut(self, one: str, other: str, mode: str, way: str = "both", unless: str = "") -> EndFault:
+    def _cut(self, source: str, target_tag: str, mode: str, way: str = "both", unless: str = "") -> EndFault:
         rules = []
         if way in ("both", "to"):
-            rules.append(LinkRule(one, other, mode, unless))
+            rules.append(LinkRule(source, target_tag, mode, unless))
         if way in ("both", "from"):
-            rules.append(LinkRule(other, one, mode, unless))
+            rules.append(LinkRule(target_tag, source, mode, unless))
         return self._apply(*rules)
 
     # --- nodes ---------------------------------------------------------------------------------
 
     def cut_node(self, fault: Fault) -> EndFault:
-        """A node is cut off from other hosts, both ways or one."""
+        """Cuts a node off from other hosts, in both directions or in one."""
         return self._cut(self._deployed.target_node(fault), CUT_TAGS[fault.what], fault.mode, fault.way)
 
     def deny_state_service(self, fault: Fault) -> EndFault:
-        """The state service answers 503 to one node alone."""
+        """Lets the state service answer 503 to one node only."""
         route = (self._deployed.target_node(fault), deployment.STATE)
         self._net.denied_routes.append(route)
         return lambda: self._net.denied_routes.remove(route)
 
     def refuse_peer_connections(self, fault: Fault) -> EndFault:
-        """Nodes refuse connections of one another."""
+        """Lets nodes refuse connections from each other."""
         return self._apply(LinkRule("node", "node", "refuse"))
 
     def isolate_node(self, fault: Fault) -> EndFault:
-        """A node without the state service and the other nodes, but with workers and users."""
+        """Cuts a node off from the state service and the other nodes, but not from workers and users."""
         name = self._deployed.target_node(fault)
-        return end_all([self._cut(name, other, fault.mode, unless="worker") for other in ("state", "node")])
+        return end_all([self._cut(name, target_tag, fault.mode, unless="worker") for target_tag in ("state", "node")])
 
     # --- machines ------------------------------------------------------------------------------
 
     def cut_machines(self, fault: Fault) -> EndFault:
-        """Some machines are cut off from everything."""
+        """Cuts some machines off from all hosts."""
         return self._apply(
             *(
                 LinkRule(*ends, fault.mode)
@@ -87,15 +87,15 @@
         )
 
     def block_commands(self, fault: Fault) -> EndFault:
-        """One-way partition: heartbeats of machines arrive, while answers and commands don't reach them."""
+        """Partitions machines one way: their heartbeats arrive, but responses and commands don't reach them."""
         return self._apply(*(LinkRule("node", name, "deaf") for name in self._affected_machines(fault)))
 
     def block_heartbeats(self, fault: Fault) -> EndFault:
-        """One-way partition: heartbeats of machines reach nobody, while commands arrive, and are answered."""
+        """Partitions machines one way: their heartbeats reach no node, but commands reach them and are answered."""
         return self._apply(*(LinkRule(name, "node", "mute") for name in self._affected_machines(fault)))
 
     def _affected_machines(self, fault: Fault) -> list[str]:
-        """So many machines, that share of all, or those of a zone."""
+        """Returns the names of the affected machines: `count` of them, the share `amount`, or those of a zone."""
         count = round(fault.amount * len(self._machines.machines)) if fault.amount else fault.count
         machines = self._machines.sample(10**6 if fault.zone else count)
         return sorted({m.host.name for m in machines if not fault.zone or m.worker.zone == fault.zone})
@@ -103,23 +103,23 @@
     # --- links ---------------------------------------------------------------------------------
 
     def partition_zone(self, fault: Fault) -> EndFault:
-        """A zone is cut off from everything outside it."""
+        """Cuts a zone off from all hosts outside it."""
         tag = f"zone:{fault.zone}"
         return self._cut(tag, ANY_HOST, fault.mode, unless=tag)
 
     def cut_links(self, fault: Fault) -> EndFault:
-        """Nothing travels from some hosts to others."""
+        """Cuts the links from some hosts to others, in this direction only."""
         return self._cut(fault.source, fault.target, fault.mode, "to")
 
     def slow_links(self, fault: Fault) -> EndFault:
-        """Messages between hosts take so many seconds longer, both ways."""
-        return self._both_ways(fault, "slow")
+        """Delays messages between hosts by `amount` seconds, in both directions."""
+        return self._apply_both_ways(fault, "slow")
 
     def lossy_links(self, fault: Fault) -> EndFault:
-        """That share of packets between hosts has to be sent again, both ways."""
-        return self._both_ways(fault, "lossy")
+        """Lets the share `amount` of packets between hosts be retransmitted, in both directions."""
+        return self._apply_both_ways(fault, "lossy")
 
-    def _both_ways(self, fault: Fault, effect: str) -> EndFault:
+    def _apply_both_ways(self, fault: Fault, effect: str) -> EndFault:
         return self._apply(
             LinkRule(fault.source, fault.target, effect, amount=fault.amount),
             LinkRule(fault.target, fault.source, effect, amount=fault.amount),
@@ -128,20 +128,20 @@
     # --- duplicated messages -------------------------------------------------------------------
 
     def duplicate_heartbeats(self, fault: Fault) -> EndFault:
-        """Copies of heartbeats arrive again, up to so many seconds later, at any node."""
+        """Delivers copies of heartbeats up to `amount` seconds later, at any node."""
         return self._duplicate("reports", fault)
 
     def duplicate_requests(self, fault: Fault) -> EndFault:
-        """Requests that were carried out arrive once more, up to so many seconds later."""
+        """Delivers executed requests a second time, up to `amount` seconds later."""
         return self._duplicate("requests", fault)
 
     def _duplicate(self, kind: str, fault: Fault) -> EndFault:
-        row = (kind, fault.amount, self._deployed.nodes.user_addresses)
-        self._net.duplications.append(row)
-        return lambda: self._net.duplications.remove(row)
+        duplication = (kind, fault.amount, self._deployed.nodes.user_addresses)
+        self._net.duplications.append(duplication)
+        return lambda: self._net.duplications.remove(duplication)
 
     def keep_heartbeats_for_next_leader(self, fault: Fault) -> EndFault:
-        """Of that share of heartbeats a copy is kept, and arrives at the next leader just as it begins."""
+        """Keeps a copy of the share `amount` of heartbeats, and delivers the copies to the next leader as it begins."""
         self._net.duplicate_for_next_leader_share += fault.amount
 
         def end() -> None:
--- a/oatport/simulation/faults/nodes.py
+++ b/oatport/simulation/faults/nodes.py
@@ -1,4 +1,4 @@
-"""Faults of the controller nodes' processes: pauses, crashes, slow computing, and upgrades."""
+"""Faults of the controller nodes' processes: pauses, crashes, slow execution, and upgrades."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from oatport.simulation.virtual_time import Host
 from oatport.times import SECOND
 
-CALLBACK_US = 50  # what each callback of a node takes, for each unit of a node_slow's amount
+CALLBACK_US_PER_UNIT = 50  # duration of each callback of a node, per unit of the amount of a node_slow
 
 
 class NodeFaults:
-    """What happens to processes, by name or to whoever leads."""
+    """Injects faults of node processes, of a named node or of the leader."""
 
     def __init__(self, deployed: SimulatedDeployment) -> None:
         self._deployed, self._nodes = deployed, deployed.nodes
@@ -27,7 +27,7 @@
         return self._nodes.hosts.get(self._deployed.target_node(fault))
 
     def pause(self, fault: Fault) -> EndFault | None:
-        """A process stands still while its clocks run on."""
+        """Pauses a process while its clocks continue to run."""
         host = self._host(fault)
         if host is None or host.frozen:
             return None
@@ -35,7 +35,7 @@
         return lambda: None if host.dead else host.thaw()
 
     def crash(self, fault: Fault) -> EndFault:
-        """Processes end, and are started again at the end of the fault."""
+        """Crashes processes, and starts them again at the end of the fault."""
         hosts = self._nodes.hosts
         named = list(hosts) if fault.node == ALL else [self._deployed.target_node(fault)]
         names = [name for name in named if name in hosts]
@@ -49,11 +49,11 @@
         return end
 
     def slow_down(self, fault: Fault) -> EndFault | None:
-        """Each callback of a process takes a while."""
+        """Lets each callback of a process take time."""
         host = self._host(fault)
         if host is None:
             return None
-        host.step_us = round(CALLBACK_US * fault.amount)
+        host.step_us = round(CALLBACK_US_PER_UNIT * fault.amount)
 
         def end() -> None:
             host.step_us = 0
@@ -61,21 +61,21 @@
         return end
 
     def upgrade(self, fault: Fault) -> None:
-        """The nodes of the old version, in any order; each is away for a while and comes back with the new one."""
+        """Restarts the nodes of the old version with the new one, in random order; each is down for `for_s` seconds."""
         names = sorted(set(self._nodes.names) - self._nodes.upgraded)
         self._deployed.rng.shuffle(names)
-        for turn in range(0, len(names), fault.count):
+        for first in range(0, len(names), fault.count):
             self._deployed.loop.call_later_us(
-                round(turn // fault.count * fault.amount * SECOND),
+                round(first // fault.count * fault.amount * SECOND),
                 None,
-                self._replace,
-                names[turn : turn + fault.count],
+                self._upgrade_nodes,
+                names[first : first + fault.count],
                 fault.for_s,
             )
 
-    def _replace(self, names: list[str], away_s: float) -> None:
+    def _upgrade_nodes(self, names: list[str], downtime_s: float) -> None:
         for name in names:
             self._nodes.upgraded.add(name)
             if name in self._nodes.hosts:
                 self._nodes.crash(name)
-                self._deployed.loop.call_later_us(round(away_s * SECOND), None, self._nodes.ensure_started, name)
+                self._deployed.loop.call_later_us(round(downtime_s * SECOND), None, self._nodes.ensure_started, name)
--- a/oatport/simulation/faults/services.py
+++ b/oatport/simulation/faults/services.py
@@ -1,4 +1,4 @@
-"""Faults of the outside services: the state service and the cloud."""
+"""Faults of the external services: the state service and the cloud."""
 
 from __future__ import annotations
 
@@ -8,7 +8,10 @@
 
 
 class ServiceFaults:
-    """Outages, slow and lost answers, limits that fall, and a cloud without capacity. Shares of a kind add up."""
+    """Injects outages, slow and lost responses, lower limits, and a lack of cloud capacity.
+
+    The shares of overlapping faults of a kind add up.
+    """
 
     def __init__(self, deployed: SimulatedDeployment) -> None:
         self._state, self._cloud, self._limits = deployed.state, deployed.cloud, deployed.settings.state
@@ -23,12 +26,12 @@
         }
 
     def stop_state_service(self, fault: Fault) -> EndFault:
-        """The state service answers 503; no lease ends meanwhile."""
+        """Lets the state service answer 503; no lease expires during the outage."""
         self._state.set_down(True)
         return lambda: self._state.set_down(False)
 
     def slow_state_service(self, fault: Fault) -> EndFault:
-        """That share of requests takes 100 to 400 ms."""
+        """Lets the share `amount` of requests take 100 to 400 ms."""
         self._state.slow_share += fault.amount
 
         def end() -> None:
@@ -37,7 +40,7 @@
         return end
 
     def delay_commits(self, fault: Fault) -> EndFault:
-        """That share of transactions gets no answer, and is carried out seconds later."""
+        """Lets the share `amount` of transactions get no response and be applied seconds later."""
         self._state.delayed_commit_share += fault.amount
 
         def end() -> None:
@@ -46,7 +49,7 @@
         return end
 
     def lose_commit_answers(self, fault: Fault) -> EndFault:
-        """That share of transactions is carried out at once, and only its answer is lost."""
+        """Applies the share `amount` of transactions at once, but loses their responses."""
         self._state.lost_answer_share += fault.amount
 
         def end() -> None:
@@ -55,12 +58,12 @@
         return end
 
     def lower_state_limits(self, fault: Fault) -> None:
-        """The state service's next limits hold from now on."""
+        """Puts the state service's next limits into effect."""
         limits = self._limits
         self._state.set_limits(limits.min_value_bytes, limits.min_txn_ops, limits.min_write_rps)
 
     def stop_cloud(self, fault: Fault) -> EndFault:
-        """The cloud's interface answers 503."""
+        """Lets the cloud's API answer 503."""
         self._cloud.down = True
 
         def end() -> None:
@@ -69,11 +72,11 @@
         return end
 
     def exhaust_cloud_capacity(self, fault: Fault) -> EndFault:
-        """The cloud has no machine to rent out."""
+        """Leaves the cloud without machines to rent."""
         registry = self._cloud.registry
-        before, registry.capacity = registry.capacity, {}
+        original_capacity, registry.capacity = registry.capacity, {}
 
         def end() -> None:
-            registry.capacity = before
+            registry.capacity = original_capacity
 
         return end
--- a/oatport/simulation/faults/users.py
+++ b/oatport/simulation/faults/users.py
@@ -1,4 +1,4 @@
-"""What users do beyond their usual ways: cancellations at chosen moments, close reads, and invalid requests."""
+"""Unusual requests of users: cancellations at chosen times, reads right after status changes, invalid submissions."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 from oatport.simulation.submitted_job import SubmittedJob
 from oatport.times import SECOND
 
-MACHINES_HUNG_MAX = 8  # machines, when jobs are cancelled at once
-DEPENDENCY_CANCEL_SHARE = 0.7  # of jobs that others depend on, when they are cancelled as they complete
+MAX_HUNG_MACHINES = 8  # machines that hang when running jobs are cancelled at once
+DEPENDENCY_CANCEL_SHARE = 0.7  # share of the jobs that others depend on that are cancelled as they complete
 
 
 class UserFaults:
-    """Users' requests at awkward moments."""
+    """Sends users' requests at times at which they interact with other events."""
 
     def __init__(self, deployed: SimulatedDeployment, machine_faults: MachineFaults) -> None:
         self._deployed, self._machine_faults = deployed, machine_faults
         self._loop, self._rng, self._checker = deployed.loop, deployed.rng, deployed.checker
         self.handlers: Handlers = {
-            "rush": self.in_workload,
-            "singles": self.in_workload,
+            "rush": self.already_in_workload,
+            "singles": self.already_in_workload,
             "users_cancel": self.cancel_unfinished_jobs,
             "cancel_now": self.cancel_running_jobs,
             "cancel_needed": self.cancel_dependencies,
@@ -32,8 +32,8 @@
             "odd_requests": self.send_odd_requests,
         }
 
-    def in_workload(self, fault: Fault) -> None:
-        """It is in the jobs that were drawn."""
+    def already_in_workload(self, fault: Fault) -> None:
+        """Does nothing: the workload generator has already included the jobs of this fault."""
 
     # --- cancellations -------------------------------------------------------------------------
 
@@ -45,7 +45,7 @@
         self._loop.call_later_us(round((at - now) * SECOND), None, self._cancel, job)
 
     def cancel_unfinished_jobs(self, fault: Fault) -> None:
-        """So many users cancel, within so many seconds; 0: as they poll."""
+        """Lets the users of `count` unfinished jobs cancel within `amount` seconds; 0: at their next poll."""
         now = self._loop.time()
         jobs = [job for job in self._checker.jobs.values() if job.is_cancellable]
         for job in self._rng.sample(jobs, min(fault.count, len(jobs))):
@@ -55,24 +55,28 @@
                 job.cancel_at = now
 
     def cancel_running_jobs(self, fault: Fault) -> None:
-        """Users cancel jobs that run and have long to go, all at once; some of their machines hang meanwhile."""
+        """Lets users cancel `count` running jobs at once; some of their machines hang for `amount` seconds."""
         now = self._loop.time()
-        running = {task.rsplit("/", 1)[0]: place.worker for task, place in self._checker.locations.items()}
+        running = {task.rsplit("/", 1)[0]: location.worker for task, location in self._checker.locations.items()}
         jobs = [job for job_id, job in self._checker.jobs.items() if job_id in running and job.is_cancellable]
         jobs = self._rng.sample(jobs, min(fault.count, len(jobs)))
         for job in jobs:
             self._cancel_at(job, now, now + self._rng.uniform(0, 0.2))
         if fault.amount > 0:
             machines = self._deployed.machines.machines
-            names = list(dict.fromkeys(running[job.job_id].name for job in jobs))[:MACHINES_HUNG_MAX]
+            names = list(dict.fromkeys(running[job.job_id].name for job in jobs))[:MAX_HUNG_MACHINES]
             self._machine_faults.hang([machines[name] for name in names if name in machines], fault.amount)
 
     def _dependencies(self) -> list[SubmittedJob]:
-        """Jobs that others depend on."""
-        return list({id(need): need for job in self._checker.jobs.values() for need in job.dependencies}.values())
+        """Returns the jobs that others depend on, each once."""
+        return list(
+            {
+                id(dependency): dependency for job in self._checker.jobs.values() for dependency in job.dependencies
+            }.values()
+        )
 
     def cancel_dependencies(self, fault: Fault) -> None:
-        """Users of so many jobs that others depend on cancel them at once."""
+        """Lets the users of `count` jobs that others depend on cancel them at once."""
         now = self._loop.time()
         jobs = [job for job in self._dependencies() if job.is_cancellable]
         for job in self._rng.sample(jobs, min(fault.count, len(jobs))):
@@ -80,20 +84,25 @@
             self._cancel(job)
 
     def cancel_at_completion(self, fault: Fault) -> EndFault:
-        """Users cancel as the last task ends. What is recorded first holds: the completion or the cancellation."""
-        before = self._checker.on_job_completed
+        """Lets users cancel jobs as their last task ends; the event that is recorded first takes effect."""
+        previous_handler = self._checker.on_job_completed
         dependencies = {job.job_id for job in self._dependencies()}
 
         def on_completed(job: SubmittedJob) -> None:
-            chance = fault.amount or (DEPENDENCY_CANCEL_SHARE if job.job_id in dependencies else 0.0)
-            if chance and job.cancel_at is None and job.accepted_at is not None and self._rng.random() < chance:
+            probability = fault.amount or (DEPENDENCY_CANCEL_SHARE if job.job_id in dependencies else 0.0)
+            if (
+                probability
+                and job.cancel_at is None
+                and job.accepted_at is not None
+                and self._rng.random() < probability
+            ):
                 job.cancel_at = self._loop.time()
-                # Around when the completion is reported and written.
+                # The completion is reported and written at about this time.
                 delay = self._rng.randrange(400_000) if fault.amount else 0
                 self._loop.call_later_us(delay, None, self._cancel, job)
 
         def end() -> None:
-            self._checker.on_job_completed = before
+            self._checker.on_job_completed = previous_handler
 
         self._checker.on_job_completed = on_completed
         return end
@@ -101,7 +110,7 @@
     # --- reads and odd requests ----------------------------------------------------------------
 
     def read_after_status_changes(self, fault: Fault) -> EndFault:
-        """Users ask at all nodes as soon as a job is accepted, done or cancelled; some cancel at once."""
+        """Lets users poll all nodes as soon as a job is accepted, done or cancelled; some cancel at once."""
 
         def on_status_change(job: SubmittedJob) -> None:
             self._loop.call_later_us(self._rng.randrange(5_000), None, self._query_all_nodes, job)
@@ -118,7 +127,7 @@
         self._loop.create_task(query, context=self._deployed.users_host.context)
 
     def send_odd_requests(self, fault: Fault) -> None:
-        """Old submissions again, cancellations of what is done, jobs that can't run or lack a field."""
+        """Sends repeated submissions, cancellations of completed jobs, and jobs that can't run or lack a field."""
         ends_at = self._loop.time() + fault.for_s
 
         async def send() -> None:
--- a/oatport/simulation/invariant_checker.py
+++ b/oatport/simulation/invariant_checker.py
@@ -1,4 +1,7 @@
-"""The invariants of PROTOCOL, judged by what is on machines and what users were told; never by what nodes believe."""
+"""Checks the invariants of PROTOCOL against the tasks on machines and the responses to users.
+
+The state that nodes hold is never consulted: it may be wrong in the same way as the node's actions.
+"""
 
 from __future__ import annotations
 
@@ -15,23 +18,23 @@
 from oatport.simulation.worker import Worker
 from oatport.times import SECOND
 
-UNANSWERED_MAX_S = 75.0  # a job about which no question is answered for so long is forgotten
-EXTERNAL_LOSSES = ("died", "taken", "lease")  # what destroys a result and is not the service's doing
-UNFINISHED = ("queued", "running")  # statuses of a job on the wire
+UNANSWERED_MAX_S = 75.0  # a job whose polls all fail for this long violates the invariant "forgotten"
+EXTERNAL_LOSSES = ("died", "taken", "lease")  # causes that destroy a result and are not actions of the service
+UNFINISHED_STATUSES = ("queued", "running")  # statuses of a job on the wire
 
 
 @dataclass
 class TaskLocation:
-    """Where a task is, since a time of the loop."""
+    """Holds the worker that a task is on, the number of its attempt, and when it started there (the loop's seconds)."""
 
     worker: Worker
     attempt: int
-    since: float
+    started_at: float
 
 
 @dataclass
 class InvariantChecker:
-    """Follows every task and every answer of a run, and notes what must not happen."""
+    """Tracks every task and every response of a run, and records violations of the invariants."""
 
     loop: VirtualLoop
     settings: ClusterSettings
@@ -39,39 +42,39 @@
     violations: list[str] = field(default_factory=list)
     counts: Counter[str] = field(default_factory=Counter)
     on_first_violation: Callable[[], None] = lambda: None
-    # Its user was told for the first time that a job is accepted, done or cancelled.
+    # Called when a response first reports a job as accepted, done or cancelled.
     on_status_change: Callable[[SubmittedJob], None] = lambda job: None
-    on_job_completed: Callable[[SubmittedJob], None] = lambda job: None  # all tasks of a job have ended
+    on_job_completed: Callable[[SubmittedJob], None] = lambda job: None  # called when all tasks of a job are done
     last_fault_ends_at: float = 0.0
-    unanswered_s_max: float = 0.0  # the longest that no question about a job was answered, after all faults
-    closed: bool = False  # what happens now is no part of the run
+    unanswered_s_max: float = 0.0  # the longest time without an answered poll of a job, after all faults
+    is_closed: bool = False  # set at the end of the run: later events are ignored
     locations: dict[str, TaskLocation] = field(default_factory=dict)  # by task
     _workers_by_job: defaultdict[str, dict[str, Worker]] = field(default_factory=lambda: defaultdict(dict))
     _completed_tasks: defaultdict[str, set[str]] = field(default_factory=lambda: defaultdict(set))  # by job
-    _completed_on: dict[str, Worker] = field(default_factory=dict)  # task -> where it completed
-    # Tasks whose completion a leader knows, since it answered the heartbeat that listed it -> the task that was listed:
-    # this one, or its gang's mate.
+    _completed_on: dict[str, Worker] = field(default_factory=dict)  # task -> the worker on which it completed
+    # Tasks whose completion a leader acknowledged by answering the heartbeat that listed it -> the listed task: the
+    # task itself, or another member of its gang.
     _acknowledged: dict[str, str] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
         self.usage = TeamUsage(self.settings.teams)
 
-    def report_violation(self, invariant: str, what: str) -> None:
-        """Note that an invariant is broken now."""
+    def report_violation(self, invariant: str, details: str) -> None:
+        """Records that an invariant is violated now."""
         if not self.violations:
             self.on_first_violation()
-        self.violations.append(f"{invariant} at {self.loop.time() - 1000:.2f} s: {what}")
+        self.violations.append(f"{invariant} at {self.loop.time() - 1000:.2f} s: {details}")
 
     @property
     def broken_invariants(self) -> set[str]:
-        """The names of the invariants that were violated."""
+        """Returns the names of the violated invariants."""
         return {row.split(" ", 1)[0] for row in self.violations}
 
     # --- machines ------------------------------------------------------------------------------
 
     def on_task_started(self, worker: Worker, task: str, attempt: int) -> None:
-        """A task has its image and is on a machine from now on."""
-        if self.closed:
+        """Records that a task has its image and is on a machine from now on, and checks that it may start there."""
+        if self.is_closed:
             return
         now = self.loop.time()
         self.counts["starts"] += 1
@@ -102,11 +105,11 @@
     def _check_dependencies(self, worker: Worker, task: str, job: SubmittedJob) -> None:
         for dependency in job.dependencies:
             if not dependency.releases_dependents:
-                what = f"has done {dependency.completed_tasks} tasks"
+                details = f"has completed {dependency.completed_tasks} tasks"
                 if dependency.cancelled_at is not None:
-                    what = "was cancelled"
+                    details = "was cancelled"
                 self.report_violation(
-                    "too_early", f"{task} starts on {worker.name}, {dependency.job_id} that it needs {what}"
+                    "too_early", f"{task} starts on {worker.name}, but its dependency {dependency.job_id} {details}"
                 )
 
     def _check_quota(self, team: str, worker: Worker, task: str) -> None:
@@ -117,30 +120,30 @@
             )
 
     def _on_completed_task_started(self, worker: Worker, task: str) -> None:
-        """A task starts though it is done.
+        """Checks the start of a task that has completed before.
 
-        That breaks an invariant if a leader had acknowledged its completion, unless a fault destroyed the result before
-        that could be recorded: the machine died, was reclaimed, or its lease ended. What the service itself did with
-        the machine is no excuse.
+        The start violates an invariant if a leader had acknowledged the completion, unless a fault destroyed the result
+        before the completion could be recorded: the machine died, was reclaimed, or its lease ended. An action of the
+        service on the machine is not accepted as a cause.
         """
         self.counts["starts_after_done"] += 1
         if task not in self._acknowledged:
             return
-        listed = self._acknowledged[task]
-        loss = self._completed_on[listed].lost_completions.get(listed, "")
-        if loss in EXTERNAL_LOSSES:
+        reported_task = self._acknowledged[task]
+        loss_reason = self._completed_on[reported_task].lost_completions.get(reported_task, "")
+        if loss_reason in EXTERNAL_LOSSES:
             self.counts["results_lost"] += 1
             return
         self.report_violation(
             "ran_twice",
-            f"{task} starts on {worker.name} though it was done on "
-            f"{self._completed_on[task].name}{': ' + loss if loss else ''}",
+            f"{task} starts on {worker.name} although it was done on "
+            f"{self._completed_on[task].name}{': ' + loss_reason if loss_reason else ''}",
         )
 
     def on_completions_acknowledged(self, tasks: list[str]) -> None:
-        """A leader answered a heartbeat that listed these completions.
+        """Records that a leader answered a heartbeat that listed these completions.
 
-        That of one task of a gang tells of all (PROTOCOL).
+        The completion of one task of a gang implies that of all its tasks (PROTOCOL).
         """
         for task in tasks:
             if task not in self._completed_on or self._acknowledged.get(task) == task:
@@ -148,29 +151,29 @@
             self._acknowledged[task] = task
             job_id = task.rsplit("/", 1)[0]
             if self.jobs[job_id].body["rig"] == "gang":
-                for mate in self._completed_tasks[job_id]:
-                    self._acknowledged.setdefault(mate, task)
+                for member in self._completed_tasks[job_id]:
+                    self._acknowledged.setdefault(member, task)
 
     def _check_placement(self, body: dict[str, Any], worker: Worker, task: str) -> None:
-        mates = self._workers_by_job[str(body["ref"])]
-        zones = Counter(other.zone for name, other in mates.items() if name != task)
-        wrong = ""
+        members = self._workers_by_job[str(body["ref"])]
+        zones = Counter(other.zone for name, other in members.items() if name != task)
+        mismatch = ""
         if worker.spot and not body["driftwood"]:
-            wrong = "a spot machine"
+            mismatch = "a spot machine"
         elif body["berthKinds"] is not None and worker.type not in body["berthKinds"]:
-            wrong = f"type {worker.type}"
+            mismatch = f"type {worker.type}"
         elif body["harbor"] not in (None, worker.zone):
-            wrong = f"zone {worker.zone}"
+            mismatch = f"zone {worker.zone}"
         elif body["samePlace"] and any(zone != worker.zone for zone in zones):
-            wrong = f"zone {worker.zone}, others are in {sorted(zones)}"
+            mismatch = f"zone {worker.zone}, others are in {sorted(zones)}"
         elif body["spread"] and zones[worker.zone] + 1 > (int(body["legs"]) + 1) // 2:
-            wrong = f"zone {worker.zone} has {zones[worker.zone]} of {body['legs']} already"
-        if wrong:
-            self.report_violation("wrong_place", f"{task} starts on {worker.name}: {wrong}")
+            mismatch = f"zone {worker.zone} has {zones[worker.zone]} of {body['legs']} already"
+        if mismatch:
+            self.report_violation("wrong_place", f"{task} starts on {worker.name}: {mismatch}")
 
-    def on_task_stopped(self, worker: Worker, task: str, attempt: int, why: str) -> None:
-        """A task left a machine."""
-        if self.closed:
+    def on_task_stopped(self, worker: Worker, task: str, attempt: int, reason: str) -> None:
+        """Records that a task left a machine, and whether it completed."""
+        if self.is_closed:
             return
         job = self.jobs[task.rsplit("/", 1)[0]]
         location = self.locations.get(task)
@@ -179,9 +182,9 @@
             del self._workers_by_job[job.job_id][task]
             self._count_uptime(job, location)
         self.usage.remove(job.body)
-        self.counts["stops"] += why == "halted"
-        self.counts["lease_kills"] += why == "lease"
-        if why == EXIT_DONE:
+        self.counts["stops"] += reason == "halted"
+        self.counts["lease_kills"] += reason == "lease"
+        if reason == EXIT_DONE:
             self._on_task_completed(worker, task, job)
 
     def _on_task_completed(self, worker: Worker, task: str, job: SubmittedJob) -> None:
@@ -194,24 +197,24 @@
 
     def _count_uptime(self, job: SubmittedJob, location: TaskLocation) -> None:
         if job.body["rig"] == "standing":
-            job.replica_uptime_us += round((self.loop.time() - location.since) * SECOND)
+            job.replica_uptime_us += round((self.loop.time() - location.started_at) * SECOND)
 
     def on_cancellation_due(self, job: SubmittedJob) -> None:
-        """So long after its user was told of its cancellation nothing of a job may be left."""
+        """Checks that no task of a job is left on a machine, `cancel_s` after its cancellation was reported."""
         for task in self._workers_by_job[job.job_id]:
             self.report_violation("ran_cancelled", f"{task} is still on {self.locations[task].worker.name}")
 
     # --- users ---------------------------------------------------------------------------------
 
     def on_user_answer(self, job: SubmittedJob, request: str, status: int, value: Any) -> None:
-        """A user's request (submit, poll or cancel) was answered; `status` is 0 if it was not."""
-        if self.closed:
+        """Checks the response to a user's request (submit, poll or cancel); `status` is 0 if there was none."""
+        if self.is_closed:
             return
         self.counts["answers" if status else "no_answer"] += 1
         if request == "poll":
             self._on_poll(job, status, self.loop.time())
-        refused = status == 404 or (request == "submit" and status in (400, 422))
-        if job.accepted_at is not None and refused:
+        is_rejected = status == 404 or (request == "submit" and status in (400, 422))
+        if job.accepted_at is not None and is_rejected:
             self.report_violation("forgotten", f"{request} of {job.job_id} was answered {status}")
         state = str(value.get("status")) if status in (200, 201) and isinstance(value, dict) else ""
         if not state:
@@ -227,62 +230,63 @@
 
     def _check_stays_terminal(self, job: SubmittedJob, state: str) -> None:
         if job.cancelled_at is not None and state != "aborted":
-            self.report_violation("went_back", f"{job.job_id} was cancelled, and is called {state}")
+            self.report_violation("went_back", f"{job.job_id} was cancelled, but is reported as {state}")
         if job.done_at is not None and state != "done":
-            self.report_violation("went_back", f"{job.job_id} was done, and is called {state}")
+            self.report_violation("went_back", f"{job.job_id} was done, but is reported as {state}")
 
     def _check_not_orphaned(self, job: SubmittedJob, state: str) -> None:
-        since = job.dependency_cancelled_at
-        if state not in UNFINISHED or since is None:
+        cancelled_at = job.dependency_cancelled_at
+        if state not in UNFINISHED_STATUSES or cancelled_at is None:
             return
         now = self.loop.time()
-        if now > max(since, job.accepted_at or now) + self.settings.workers.cancel_s + EPSILON:
+        if now > max(cancelled_at, job.accepted_at or now) + self.settings.workers.cancel_s + EPSILON:
             self.report_violation(
-                "orphaned", f"{job.job_id} is called {state}, a job before it was cancelled {now - since:.0f} s ago"
+                "orphaned",
+                f"{job.job_id} is reported as {state}, but a dependency was cancelled {now - cancelled_at:.0f} s ago",
             )
 
     def _on_reported_cancelled(self, job: SubmittedJob, request: str) -> None:
         if request != "cancel" and job.cancel_at is None and not job.may_be_cancelled_with_others:
-            self.report_violation("went_back", f"{job.job_id} is called cancelled, and nobody cancelled it")
+            self.report_violation("went_back", f"{job.job_id} is reported as cancelled, but no user cancelled it")
         if job.cancelled_at is None:
             job.cancelled_at = self.loop.time()
             self.on_status_change(job)
-            due_us = round(self.settings.workers.cancel_s * SECOND) + 1000
-            self.loop.call_later_us(due_us, None, self.on_cancellation_due, job)
+            delay_us = round(self.settings.workers.cancel_s * SECOND) + 1000
+            self.loop.call_later_us(delay_us, None, self.on_cancellation_due, job)
 
     def _on_reported_done(self, job: SubmittedJob) -> None:
         if job.completed_at is None:
             self.report_violation(
-                "not_done", f"{job.job_id} is called done after {job.completed_tasks} of {job.body['legs']} tasks"
+                "not_done", f"{job.job_id} is reported as done after {job.completed_tasks} of {job.body['legs']} tasks"
             )
         if job.done_at is None:
             job.done_at = self.loop.time()
             self.on_status_change(job)
 
     def _on_poll(self, job: SubmittedJob, status: int, now: float) -> None:
-        """Once all faults are over, a job about which no question is answered for so long is forgotten."""
+        """Checks that polls are answered: UNANSWERED_MAX_S without an answer, after all faults, is a violation."""
         if status in (200, 404):
             job.answered_at = now
             return
-        quiet_s = now - max(job.answered_at, self.last_fault_ends_at, job.accepted_at or now)
-        self.unanswered_s_max = max(self.unanswered_s_max, quiet_s)
-        if quiet_s >= UNANSWERED_MAX_S:
-            self.report_violation("forgotten", f"no question about {job.job_id} was answered for {quiet_s:.0f} s")
+        unanswered_s = now - max(job.answered_at, self.last_fault_ends_at, job.accepted_at or now)
+        self.unanswered_s_max = max(self.unanswered_s_max, unanswered_s)
+        if unanswered_s >= UNANSWERED_MAX_S:
+            self.report_violation("forgotten", f"no poll of {job.job_id} was answered for {unanswered_s:.0f} s")
             job.answered_at = now
 
     def on_invalid_submission(self, body: dict[str, Any], status: int, expected: tuple[int, ...]) -> None:
-        """A job that can't run, or lacks a field, and what was answered."""
+        """Checks the response to a submission that can't run or lacks a field."""
         self.counts["odd_requests"] += 1
         if status and status not in (*expected, 413, 429, 503):
             self.report_violation("accepted_wrongly", f"{body['ref']} was answered {status}, not {expected[0]}")
 
     def on_unknown_job_poll(self, job_id: str, status: int) -> None:
-        """A poll for a job that nobody submitted."""
+        """Checks the response to a poll of a job that no user submitted."""
         if status == 200:
             self.report_violation("invented", f"{job_id} was never submitted")
 
     def finish(self) -> None:
-        """The run is over: replicas that are up count until now."""
+        """Checks at the end of a run that tasks ran, and counts the uptime of replicas that still run."""
         if self.jobs and not self.counts["starts"]:
             self.report_violation("nothing_ran", "no task was started")
         for task, location in list(self.locations.items()):
--- a/oatport/simulation/mutations.py
+++ b/oatport/simulation/mutations.py
@@ -1,6 +1,6 @@
-"""Injected mutations: safety checks disabled one at a time, to show that the invariant checker would notice.
+"""Injected mutations: each disables one safety check, to show that the invariant checker detects its absence.
 
-Each stands for a point of "Safety" in docs/design.md and replaces methods of the nodes by name.
+Each corresponds to an item of "Safety" in docs/design.md and replaces methods of the nodes by name.
 """
 
 from __future__ import annotations
@@ -40,136 +40,138 @@
 
 
 def _fencing() -> list[Any]:
-    """A leader goes on whatever became of its lease and its key, and takes over whatever token a worker has seen."""
-    commit, commands, lost = StateClient.commit, WorkerClient.send_commands, Election.step_down
+    """Lets a leader continue without its lease and its key, and adopt the higher token that a worker reports."""
+    commit, send_commands, step_down = StateClient.commit, WorkerClient.send_commands, Election.step_down
 
-    async def unconditioned(self: StateClient, conditions: dict[str, int], sets: Any, *args: Any, **more: Any) -> Any:
+    async def commit_without_leader_key(
+        self: StateClient, conditions: dict[str, int], sets: Any, *args: Any, **more: Any
+    ) -> Any:
         if LEADER_KEY in conditions and LEADER_KEY not in sets and len(conditions) > 1:
             conditions = {key: version for key, version in conditions.items() if key != LEADER_KEY}
         return await commit(self, conditions, sets, *args, **more)
 
-    async def unfenced(self: WorkerClient, token: int, session: int, orders: Any) -> Any:
-        report = await commands(self, token, session, orders)
+    async def send_commands_unfenced(self: WorkerClient, token: int, session: int, orders: Any) -> Any:
+        report = await send_commands(self, token, session, orders)
         if report.fencing_token > token:
-            report = await commands(self, report.fencing_token, report.agent_epoch, orders)
+            report = await send_commands(self, report.fencing_token, report.agent_epoch, orders)
             return replace(report, fencing_token=token)
         return report
 
-    def keeps(self: Election, reason: str) -> None:
+    def step_down_at_shutdown_only(self: Election, reason: str) -> None:
         if reason == "shutting down":
-            lost(self, reason)
+            step_down(self, reason)
 
     return [
         patch.object(LeaderLease, "is_held", lambda self, now: True),
         patch.object(LeaseRenewalLimit, "until", property(lambda self: steady() + 10**12)),
-        patch.object(StateClient, "commit", unconditioned),
-        patch.object(WorkerClient, "send_commands", unfenced),
-        patch.object(Election, "step_down", keeps),
+        patch.object(StateClient, "commit", commit_without_leader_key),
+        patch.object(WorkerClient, "send_commands", send_commands_unfenced),
+        patch.object(Election, "step_down", step_down_at_shutdown_only),
         patch.object(Leader, "step_down", lambda self, reason: None),
         patch.object(GroupCommit, "is_stuck", lambda self, now: False),
     ]
 
 
 def _write_ahead() -> list[Any]:
-    """Starts go out before they are recorded."""
-    claim = TaskLifecycle.begin_binding
+    """Sends start commands before their bindings are recorded."""
+    begin_binding = TaskLifecycle.begin_binding
 
-    def claim_and_send(self: TaskLifecycle, *args: Any, **more: Any) -> Any:
-        task = claim(self, *args, **more)
+    def bind_and_send(self: TaskLifecycle, *args: Any, **more: Any) -> Any:
+        task = begin_binding(self, *args, **more)
         task.phase = TaskPhase.BOUND
         assert task.machine is not None
         self.cluster.unacknowledged_tasks.add(task)
         self.cluster.machines_to_command.add(task.machine)
         return task
 
-    return [patch.object(TaskLifecycle, "begin_binding", claim_and_send)]
+    return [patch.object(TaskLifecycle, "begin_binding", bind_and_send)]
 
 
 def _start_in_flight() -> list[Any]:
-    """Terminated attempts are forgotten while a start of theirs may be in flight."""
+    """Sends the forget command of a terminated attempt while a start command for it may be in flight."""
     return [patch.object(MachineCommands, "_may_forget", lambda self, machine, name, attempt: True)]
 
 
 def _failure_confirmation() -> list[Any]:
-    """What is silent is taken to be gone, without the cloud's word for it."""
+    """Treats silent machines as removed without confirmation from the cloud."""
     release = CloudController.release
 
-    async def judged(self: CloudController, machines: Any, reason: str) -> None:
+    async def remove_unconfirmed(self: CloudController, machines: Any, reason: str) -> None:
         if reason not in ("silent", "partitioned"):
             await release(self, machines, reason)
             return
         for machine in machines:
             self.cluster.on_machine_removed(machine, steady(), reason)
 
-    return [patch.object(CloudController, "release", judged)]
+    return [patch.object(CloudController, "release", remove_unconfirmed)]
 
 
 def _process_identity() -> list[Any]:
-    """A process takes itself for its predecessor of the same name: it goes on under its token and its lease."""
-    stand = Election._run_for_leader
+    """Lets a process reuse the token and the lease of the previous process of the same name."""
+    run_for_leader = Election._run_for_leader
 
-    async def stands(self: Election) -> None:
+    async def resume_leadership(self: Election) -> None:
         found = await self._node.state.get(LEADER_KEY)
         if found is not None and found[0].get("node") == self._node.node_name:
             await self._become_leader(found[1], int(found[0]["lease"]), steady())
         else:
-            await stand(self)
+            await run_for_leader(self)
 
-    return [patch.object(Election, "_run_for_leader", stands)]
+    return [patch.object(Election, "_run_for_leader", resume_leadership)]
 
 
 def _dependency_release() -> list[Any]:
-    """A job's completion releases its dependents before it is recorded."""
-    finish = TaskLifecycle.complete
+    """Releases the dependents of a job before its completion is recorded."""
+    complete = TaskLifecycle.complete
 
-    def ends(self: TaskLifecycle, task: Any, now: int, **more: Any) -> None:
-        finish(self, task, now, **more)
+    def complete_and_release(self: TaskLifecycle, task: Any, now: int, **more: Any) -> None:
+        complete(self, task, now, **more)
         if task.job.completing:
             self.cluster.dependencies.on_completion_recorded(task.job.job_id, now + self.cluster.wall_offset)
 
-    return [patch.object(TaskLifecycle, "complete", ends)]
+    return [patch.object(TaskLifecycle, "complete", complete_and_release)]
 
 
 def _transitive_cancellation() -> list[Any]:
-    """Only jobs that name the cancelled one are cancelled with it, not those that need these."""
-    with_dependencies = JobStatusCache._propagate_cancellation
+    """Cancels only the direct dependents of a cancelled job, not the dependents of those."""
+    propagate_cancellation = JobStatusCache._propagate_cancellation
 
-    def direct(self: DependencyGraph, ref: str) -> list[str]:
+    def cancel_direct_dependents(self: DependencyGraph, ref: str) -> list[str]:
         found = self.dependents_of(ref)
-        for after in found:
-            self.remove(after)
+        for dependent in found:
+            self.remove(dependent)
         self._dependents.pop(ref, None)
         return found
 
-    async def one_step(self: JobStatusCache, ref: str, snapshot: Any, fresh: bool) -> Any:
+    async def propagate_one_step(self: JobStatusCache, ref: str, snapshot: Any, fresh: bool) -> Any:
         dependencies = [self.snapshot(dependency) for dependency in snapshot.dependencies]
         if any(job is not None and job.state == "queued" for job in dependencies) or not dependencies:
             return snapshot
-        return await with_dependencies(self, ref, snapshot, fresh)
+        return await propagate_cancellation(self, ref, snapshot, fresh)
 
-    def unseen(self: DependencyTracker, ref: str) -> None:
+    def cancel_blocked_dependents(self: DependencyTracker, ref: str) -> None:
         for name in self.graph.cancel(ref):
             self._cancel_blocked(self.blocked_jobs.pop(name))
 
-    def forgets(self: DependencyController, ref: str, state: str, ended: int) -> None:
+    def apply_completion_only(self: DependencyController, ref: str, state: str, ended: int) -> None:
         if state == "done":
             self.cluster.dependencies.on_completion_recorded(ref, ended)
 
     return [
-        patch.object(DependencyGraph, "cancel", direct),
-        patch.object(JobStatusCache, "_propagate_cancellation", one_step),
-        patch.object(DependencyTracker, "cancel_dependents", unseen),
-        patch.object(DependencyController, "_apply_state", forgets),
+        patch.object(DependencyGraph, "cancel", cancel_direct_dependents),
+        patch.object(JobStatusCache, "_propagate_cancellation", propagate_one_step),
+        patch.object(DependencyTracker, "cancel_dependents", cancel_blocked_dependents),
+        patch.object(DependencyController, "_apply_state", apply_completion_only),
     ]
 
 
 def _feature_gate() -> list[Any]:
-    """A new schema version is written before all nodes are known to read it."""
+    """Writes a new schema version before all nodes have confirmed that they can read it."""
     return [patch.object(SchemaVersionGate, "on_poll_round", lambda self, boots: True)]
 
 
 def _record_size() -> list[Any]:
-    """Records may grow to any size."""
+    """Lets records grow beyond the limits of the state service."""
     return [
         patch.object(RecordLayout, "tasks_per_part", property(lambda self: TASKS_PER_CHUNK)),
         patch.object(RecordLayout, "tasks_in_head_record", lambda self, job: TASKS_PER_CHUNK),
@@ -178,50 +180,50 @@
 
 
 def _heartbeat_order() -> list[Any]:
-    """Each heartbeat is taken for the newest, whenever it was sent."""
-    on_report = HeartbeatReceiver.receive
+    """Treats each heartbeat as the newest, whenever it was sent."""
+    receive = HeartbeatReceiver.receive
 
-    def newest(self: HeartbeatReceiver, report: Any, now: int, wall: int) -> Any:
+    def receive_as_newest(self: HeartbeatReceiver, report: Any, now: int, wall: int) -> Any:
         machine = self.cluster.machines.get(report.machine_name)
         if machine is not None and (report.agent_epoch, report.heartbeat_seq) < (
             machine.agent_epoch,
             machine.heartbeat_seq,
         ):
             machine.agent_epoch, machine.heartbeat_seq = 0, -1
-        return on_report(self, report, now, wall)
+        return receive(self, report, now, wall)
 
-    return [patch.object(HeartbeatReceiver, "receive", newest)]
+    return [patch.object(HeartbeatReceiver, "receive", receive_as_newest)]
 
 
 def _transaction_conditions() -> list[Any]:
-    """Transactions go out without the versions that they count on; a leader's still with its token."""
+    """Sends transactions without the versions of the keys that they depend on; a leader's keep its fencing token."""
     commit = StateClient.commit
 
-    async def unversioned(self: StateClient, conditions: dict[str, int], *args: Any, **more: Any) -> Any:
+    async def commit_unconditionally(self: StateClient, conditions: dict[str, int], *args: Any, **more: Any) -> Any:
         token = {key: version for key, version in conditions.items() if key == LEADER_KEY}
         return await commit(self, token or {"none": 0}, *args, **more)
 
-    return [patch.object(StateClient, "commit", unversioned)]
+    return [patch.object(StateClient, "commit", commit_unconditionally)]
 
 
 def _completion_record() -> list[Any]:
-    """A terminated attempt is forgotten before its completion is recorded."""
+    """Sends the forget command of a terminated attempt before its completion is recorded."""
 
-    def at_once(self: MachineCommands, machine: Any, name: str, attempt: int) -> bool:
+    def may_forget_before_record(self: MachineCommands, machine: Any, name: str, attempt: int) -> bool:
         return (
             not machine.unacknowledged_starts.get((name, attempt)) and (name, attempt) not in machine.starts_in_response
         )
 
-    return [patch.object(MachineCommands, "_may_forget", at_once)]
+    return [patch.object(MachineCommands, "_may_forget", may_forget_before_record)]
 
 
 def _cancellation_log() -> list[Any]:
-    """Cancellations that users were told of are noted by nobody."""
+    """Keeps nodes from logging the cancellations that they confirmed to users."""
     return [patch.object(CancellationLog, "record", lambda self, ref, now: True)]
 
 
 def _unwritten_completions() -> list[Any]:
-    """Machines are released, or given up, though they alone report a completion."""
+    """Releases machines, or treats them as lost, although only they report a completion."""
     return [
         patch.object(UnwrittenCompletions, "has_unwritten_completions", lambda self, machine: False),
         patch.object(UnwrittenCompletions, "expedite", lambda self, machine: None),
@@ -229,53 +231,53 @@
 
 
 def _completion_handover() -> list[Any]:
-    """Completions that a leader acknowledged and did not record go with it."""
+    """Loses the completions that a leader acknowledged but did not record when its leadership ends."""
 
-    async def idle(self: CompletionReplicator) -> None:
+    async def wait_forever(self: CompletionReplicator) -> None:
         await asyncio.Event().wait()
 
-    async def nothing(self: CompletionReplicator, token: int) -> EarlierCompletions:
+    async def no_completions(self: CompletionReplicator, token: int) -> EarlierCompletions:
         return EarlierCompletions([], complete=True)
 
     return [
-        patch.object(CompletionReplicator, "loop", idle),
+        patch.object(CompletionReplicator, "loop", wait_forever),
         patch.object(CompletionReplicator, "on_deposed", lambda self, leader: None),
-        patch.object(CompletionReplicator, "completions_before", nothing),
+        patch.object(CompletionReplicator, "completions_before", no_completions),
     ]
 
 
 def _gang_completion() -> list[Any]:
-    """Of a gang that is done, the tasks whose completions were not reported run again."""
+    """Runs tasks of a completed gang again if their own completions were not reported."""
     requeue = TaskLifecycle.requeue
 
-    def again(self: TaskLifecycle, task: Any, **more: Any) -> None:
-        done, task.job.completed = task.job.completed, set()
+    def requeue_despite_completion(self: TaskLifecycle, task: Any, **more: Any) -> None:
+        completed, task.job.completed = task.job.completed, set()
         try:
             requeue(self, task, **more)
         finally:
-            task.job.completed = done
+            task.job.completed = completed
 
     return [
         patch.object(TaskLifecycle, "complete_gang", lambda self, job: None),
-        patch.object(TaskLifecycle, "requeue", again),
+        patch.object(TaskLifecycle, "requeue", requeue_despite_completion),
     ]
 
 
 def _read_freshness() -> list[Any]:
-    """Questions about jobs are answered by what was last read of them, up to a second ago."""
+    """Answers polls of jobs from the cache, which may be up to a second old."""
     refresh = JobStatusCache._refresh
 
-    async def once(self: JobStatusCache) -> None:
+    async def refresh_each_second(self: JobStatusCache) -> None:
         if not self._revision or steady() - self._refreshed_at > SECOND:
             await refresh(self)
 
-    return [patch.object(JobStatusCache, "_refresh", once)]
+    return [patch.object(JobStatusCache, "_refresh", refresh_each_second)]
 
 
 def _commit_verification() -> list[Any]:
-    """A commit with unknown outcome counts as applied once one of its keys looks like it; its bindings go out."""
+    """Treats a commit with unknown outcome as applied if one of its keys matches, and sends its start commands."""
 
-    async def first(self: GroupCommit, batch: Any) -> bool:
+    async def was_first_key_applied(self: GroupCommit, batch: Any) -> bool:
         key = next(iter(batch.sets), None) or batch.deletes[0]
         found = await self.read_with_retry(key)
         if key in batch.sets and (found is None or found[0] != batch.sets[key]):
@@ -283,7 +285,7 @@
         self.cluster.writes.committed(batch, found[1] if found else 0, steady())
         return True
 
-    return [patch.object(GroupCommit, "_was_applied", first)]
+    return [patch.object(GroupCommit, "_was_applied", was_first_key_applied)]
 
 
 MUTATIONS: dict[str, Callable[[], list[Any]]] = {
@@ -310,8 +312,8 @@
 
 @contextmanager
 def mutated(name: str) -> Iterator[None]:
-    """Within this, one safety check is disabled; none if the name is empty."""
+    """Returns a context in which the named safety check is disabled; none is if the name is empty."""
     with ExitStack() as stack:
-        for change in MUTATIONS[name]() if name else []:
-            stack.enter_context(change)
+        for method_patch in MUTATIONS[name]() if name else []:
+            stack.enter_context(method_patch)
         yield
--- a/oatport/simulation/runner.py
+++ b/oatport/simulation/runner.py
@@ -1,4 +1,4 @@
-"""Runs of scenarios: seeds in parallel, sums over all runs, and of a failing run the smallest plan that fails."""
+"""Runs scenarios: seeds in parallel, totals over all runs, and the smallest failing plan of a failed run."""
 
 from __future__ import annotations
 
@@ -23,12 +23,13 @@
 from oatport.simulation.simulation import RunResult, Simulation
 from oatport.simulation.state_outage_scenario import state_outage_plan
 
-AT_LIMIT_SHARE = 0.3  # of the time: a run in which no team was at its limit for so long says little of limits
-SHRINK_RUNS_MAX = 40  # runs to make a failing plan smaller
-MESSAGES_SHOWN, MESSAGE_WIDTH = 40, 400  # of the newest messages of the jobs and machines concerned
-DIGESTS_SHOWN = 20  # the figures list the digests of so few runs
+# Share of the time that some team must be at its limit; a run with a smaller share hardly tests limits.
+MIN_SHARE_AT_LIMIT = 0.3
+MAX_SHRINK_RUNS = 40  # runs that are spent on shrinking a failing plan
+MAX_SHOWN_MESSAGES, MAX_MESSAGE_CHARS = 40, 400  # the newest messages about the jobs and machines of the violations
+MAX_SHOWN_DIGESTS = 20  # figures of more runs than this list no digests
 
-# name -> a generated plan of that family by seed, nodes and machines
+# name -> generator of plans, which takes a seed and the numbers of nodes and machines
 SCENARIOS: dict[str, Callable[[int, int, int], Plan]] = {
     "random": random_plan,
     "rolling-upgrade": rolling_upgrade_plan,
@@ -41,7 +42,7 @@
 
 @dataclass(frozen=True)
 class RunRequest:
-    """What is to be simulated: so many seeds from `seed` on, of one plan or of a family of generated ones."""
+    """Describes what to simulate: `seeds` seeds, beginning with `seed`, of one plan or of a generated scenario."""
 
     seed: int = 1
     seeds: int = 1
@@ -49,24 +50,24 @@
     machines: int = 40
     plan: Plan | None = None
     scenario: str = "random"
-    disabled_check: str = ""  # the safety check that is disabled: a name of `mutations.MUTATIONS`
+    disabled_check: str = ""  # the safety check to disable: a name of `mutations.MUTATIONS`, or empty
 
     @property
     def needs_production(self) -> bool:
-        """Some of its nodes run the version in production."""
+        """Returns whether some nodes run the version in production."""
         return self.scenario == "rolling-upgrade" or (self.plan is not None and self.plan.old_nodes)
 
-    def plan_of(self, seed: int) -> Plan:
-        """The plan that a seed runs."""
+    def plan_for_seed(self, seed: int) -> Plan:
+        """Returns the plan for a seed."""
         return self.plan or SCENARIOS[self.scenario](seed, self.nodes, self.machines)
 
 
 def run_scenario(request: RunRequest, seed: int, plan: Plan | None = None, *, keep_bodies: bool = False) -> RunResult:
-    """One run. `keep_bodies`: the messages of the result carry what they say."""
+    """Runs one seed and returns its result. With `keep_bodies`, the messages of the result include their bodies."""
     logging.disable(logging.CRITICAL)
     try:
         with mutated(request.disabled_check):
-            simulation = Simulation(plan or request.plan_of(seed), seed)
+            simulation = Simulation(plan or request.plan_for_seed(seed), seed)
             simulation.deployed.net.keeps_bodies = keep_bodies
             return simulation.run()
     finally:
@@ -80,43 +81,45 @@
 
 
 def shrink(request: RunRequest, failed: RunResult, plan: Plan) -> Plan:
-    """The plan without the faults that it does not need to break the same invariant."""
-    for fault in plan.faults[:SHRINK_RUNS_MAX]:
-        fewer = replace(plan, faults=tuple(f for f in plan.faults if f is not fault))
-        again = run_scenario(request, failed.seed, fewer)
-        if failed.broken_invariants & again.broken_invariants:
-            plan = fewer
+    """Returns the plan without those faults that are not needed to violate the same invariant."""
+    for fault in plan.faults[:MAX_SHRINK_RUNS]:
+        smaller_plan = replace(plan, faults=tuple(f for f in plan.faults if f is not fault))
+        rerun = run_scenario(request, failed.seed, smaller_plan)
+        if failed.broken_invariants & rerun.broken_invariants:
+            plan = smaller_plan
     return plan
 
 
 def describe_failure(request: RunRequest, failed: RunResult) -> str:
-    """What a person needs to understand a failing run: seed, violations, smallest plan and the last messages."""
-    plan = shrink(request, failed, request.plan_of(failed.seed))
-    again = run_scenario(request, failed.seed, plan, keep_bodies=True)
-    words = {word.strip(",:;") for row in again.violations[:3] for word in row.split()}
+    """Returns a report of a failed run: its seed, the violations, the smallest failing plan and the last messages."""
+    plan = shrink(request, failed, request.plan_for_seed(failed.seed))
+    rerun = run_scenario(request, failed.seed, plan, keep_bodies=True)
+    words = {word.strip(",:;") for row in rerun.violations[:3] for word in row.split()}
     names = {word for word in words if word.startswith(("vm-", "j-"))}
-    concerned = [line for line in again.last_messages if "/commit" not in line and any(name in line for name in names)]
+    relevant_messages = [
+        line for line in rerun.last_messages if "/commit" not in line and any(name in line for name in names)
+    ]
     return "\n".join(
         [
             f"seed {failed.seed} fails:",
-            *(f"  {row}" for row in again.violations[:5]),
+            *(f"  {row}" for row in rerun.violations[:5]),
             "with this plan:",
             plan.toml(),
-            "the last messages of those concerned, up to then:",
-            *(line[:MESSAGE_WIDTH] for line in concerned[-MESSAGES_SHOWN:]),
+            "the last messages about these jobs and machines before the first violation:",
+            *(line[:MAX_MESSAGE_CHARS] for line in relevant_messages[-MAX_SHOWN_MESSAGES:]),
         ]
     )
 
 
 def simulate(request: RunRequest, jobs: int = 0) -> tuple[dict[str, Any], list[RunResult]]:
-    """Run all seeds, `jobs` at a time (0: all processors).
+    """Runs all seeds, `jobs` at a time (0: one per processor).
 
-    Returns the figures, and the runs that broke an invariant or had an error.
+    Returns the figures, and the results of the runs that violated an invariant or had an error.
     """
     started = time.monotonic()
     results = _run_all(request, jobs)
-    bad = [result for result in results if result.violations or result.errors]
-    return _figures(request, results, time.monotonic() - started), bad
+    failed_results = [result for result in results if result.violations or result.errors]
+    return _figures(request, results, time.monotonic() - started), failed_results
 
 
 def _run_all(request: RunRequest, jobs: int) -> list[RunResult]:
@@ -129,7 +132,7 @@
 
 
 def _figures(request: RunRequest, results: list[RunResult], wall_s: float) -> dict[str, Any]:
-    """Sums and extremes over all runs; docs/simulation.md says what each figure means."""
+    """Returns totals and extremes over all runs; docs/simulation.md defines each figure."""
     total: Counter[str] = Counter()
     for result in results:
         total.update(result.counts)
@@ -160,42 +163,42 @@
         "rentals": total["rentals"],
         "state_requests": total["state_requests"],
         "state_changes": total["state_changes"],
-        "digests": [result.digest for result in results] if len(results) <= DIGESTS_SHOWN else [],
+        "digests": [result.digest for result in results] if len(results) <= MAX_SHOWN_DIGESTS else [],
     }
 
 
 def _service_figures(results: list[RunResult]) -> dict[str, Any]:
     return {
         "leaderless_s_max": max(result.leaderless_s_max for result in results),
-        "served_min_class": round(min(result.least_served(result.served_by_class) for result in results), 4),
-        "served_min_team": round(min(result.least_served(result.served_by_team) for result in results), 4),
+        "served_min_class": round(min(result.min_served_share(result.served_by_class) for result in results), 4),
+        "served_min_team": round(min(result.min_served_share(result.served_by_team) for result in results), 4),
         "starved": sum(bool(result.starved) for result in results),
     }
 
 
 def _limit_figures(results: list[RunResult]) -> dict[str, Any]:
-    longest = [max(result.at_limit.values(), default=0.0) for result in results]
+    longest_shares = [max(result.at_limit.values(), default=0.0) for result in results]
     return {
-        "at_limit_most": round(max(longest), 3),
-        "at_limit_least": round(min(longest), 3),
-        "no_team_at_limit": sum(share < AT_LIMIT_SHARE for share in longest),
+        "at_limit_most": round(max(longest_shares), 3),
+        "at_limit_least": round(min(longest_shares), 3),
+        "no_team_at_limit": sum(share < MIN_SHARE_AT_LIMIT for share in longest_shares),
     }
 
 
 def _largest_job_figures(results: list[RunResult]) -> dict[str, Any]:
     return {
         "forgotten_s_max": round(max(result.unanswered_s_max for result in results), 1),
-        "largest_served_min": round(min(result.largest_served for result in results), 4),
-        "largest_begin_s_max": round(max(result.largest_begin_s for result in results), 1),
+        "largest_served_min": round(min(result.largest_jobs_started_share for result in results), 4),
+        "largest_begin_s_max": round(max(result.largest_jobs_wait_s_max for result in results), 1),
     }
 
 
 def restart_with_fixed_hash_seed() -> None:
-    """Start this process again with fixed hashes of texts: else sets of them differ from run to run."""
+    """Restarts this process with a fixed hash seed: otherwise sets of strings are ordered differently in each run."""
     if os.environ.get("PYTHONHASHSEED") != "0":
         os.execve(sys.executable, [sys.executable, *sys.orig_argv[1:]], {**os.environ, "PYTHONHASHSEED": "0"})
 
 
 def read_plan(path: str | None) -> Plan | None:
-    """The plan in a TOML file; None if no file is named. Raises InvalidPlanError."""
+    """Returns the plan in a TOML file; None if no file is named. Raises InvalidPlanError."""
     return fault_plan.read(Path(path)) if path else None
--- a/oatport/simulation/scenario_generator.py
+++ b/oatport/simulation/scenario_generator.py
@@ -1,4 +1,4 @@
-"""Fault plans drawn from a seed: single and overlapping faults of all kinds, patterns around crashes, and upgrades."""
+"""Generates fault plans from a seed: single and overlapping faults of all kinds, crash patterns, and upgrades."""
 
 from __future__ import annotations
 
@@ -28,25 +28,30 @@
 def random_plan(
     seed: int, nodes: int = 3, machines: int = 40, zones: tuple[str, ...] = ("a", "b"), for_s: float = 120.0
 ) -> Plan:
-    """Some faults of all kinds by chance, one targeted pattern, and up to two others."""
+    """Returns a plan with random single faults of all kinds, one targeted pattern, and up to two others."""
     builder = PlanBuilder(seed, nodes, machines, zones, for_s)
     rng = builder.rng
     targeted = rng.choices(list(TARGETED_PATTERNS), list(TARGETED_PATTERNS.values()))[0]
-    alone = targeted is overtaken_starts
-    singles, others = (rng.randint(0, 1), 0) if alone else (rng.randint(1, 4), rng.randint(0, 2))
-    for _ in range(singles):
+    is_alone = targeted is overtaken_starts
+    single_fault_count, other_pattern_count = (
+        (rng.randint(0, 1), 0) if is_alone else (rng.randint(1, 4), rng.randint(0, 2))
+    )
+    for _ in range(single_fault_count):
         builder.faults.append(rng.choice(SINGLE_FAULTS)(builder, rng.uniform(12, for_s * 0.75)))
-    for pattern in (targeted, *rng.sample(OTHER_PATTERNS, others)):
+    for pattern in (targeted, *rng.sample(OTHER_PATTERNS, other_pattern_count)):
         pattern(builder)
-    return builder.build(machines / 2 * (0.5 if alone else rng.choice((0.5, 0.5, 1, 2))))
+    return builder.build(machines / 2 * (0.5 if is_alone else rng.choice((0.5, 0.5, 1, 2))))
 
 
 def unreachable_machines_plan(
     seed: int, nodes: int = 3, machines: int = 40, zones: tuple[str, ...] = ("a", "b"), for_s: float = 120.0
 ) -> Plan:
-    """One or two faults that leave machines unreachable, beside others; then time to answer everything."""
+    """Returns a plan with one or two faults that make machines unreachable, among others.
+
+    After the faults the run leaves time in which every request must be answered.
+    """
     builder = PlanBuilder(seed, nodes, machines, zones, for_s)
-    rng, count = builder.rng, builder.machines_tenth
+    rng, count = builder.rng, builder.tenth_of_machines
     for _ in range(rng.randint(1, 2)):
         builder.faults.append(rng.choice(UNREACHABLE_MACHINE_FAULTS)(builder, rng.uniform(10, 50)))
     if rng.random() < 0.5:
@@ -65,10 +70,10 @@
 def rolling_upgrade_plan(
     seed: int, nodes: int = 3, machines: int = 40, zones: tuple[str, ...] = ("a", "b"), for_s: float = 150.0
 ) -> Plan:
-    """Nodes are killed and come back with the new version, one or two at a time, among other faults.
+    """Returns a plan in which nodes crash and restart with the new version, one or two at a time, among other faults.
 
-    Once all have it the state service's limits fall, and pipelines come; some are cancelled at their first stage, or
-    when a stage has just ended.
+    Once all nodes have the new version, the state service's limits are lowered, and pipelines are submitted; some are
+    cancelled at their first stage, or when a stage has just ended.
     """
     builder = PlanBuilder(seed, nodes, machines, zones, for_s)
     upgraded_s = _add_upgrade(builder, nodes)
@@ -85,25 +90,25 @@
 
 
 def _add_upgrade(builder: PlanBuilder, nodes: int) -> float:
-    """The upgrade itself; when the last node is back."""
+    """Adds the upgrade, and returns the time at which the last node has restarted."""
     rng = builder.rng
-    begins, count, gap = rng.uniform(8, 14), rng.randint(1, 2), rng.uniform(4, 9)
-    away = rng.choice([rng.uniform(0.05, 0.6), rng.uniform(0.6, 6.0)])
-    builder.add("upgrade", begins, away, count=count, amount=gap)
-    return begins + gap * -(-nodes // count) + away
+    begin_s, count, interval_s = rng.uniform(8, 14), rng.randint(1, 2), rng.uniform(4, 9)
+    downtime_s = rng.choice([rng.uniform(0.05, 0.6), rng.uniform(0.6, 6.0)])
+    builder.add("upgrade", begin_s, downtime_s, count=count, amount=interval_s)
+    return begin_s + interval_s * -(-nodes // count) + downtime_s
 
 
 def _add_faults_during_upgrade(builder: PlanBuilder, upgraded_s: float) -> None:
     rng = builder.rng
-    for _ in range(rng.randint(0, 2)):  # before its turn one comes back old
+    for _ in range(rng.randint(0, 2)):  # a node that crashes before its upgrade restarts old
         builder.crash_random_node(rng.uniform(6, upgraded_s))
     if rng.random() < 0.5:
         rng.choice(UPGRADE_PATTERNS)(builder)
     if rng.random() < 0.3:
-        at, span = rng.uniform(8, upgraded_s), rng.uniform(3, 12)
-        builder.add("zone_cut", at, span, zone=rng.choice(builder.zones), mode=rng.choice(CUT_MODES))
+        at_s, span_s = rng.uniform(8, upgraded_s), rng.uniform(3, 12)
+        builder.add("zone_cut", at_s, span_s, zone=rng.choice(builder.zones), mode=rng.choice(CUT_MODES))
     if rng.random() < 0.3:
-        builder.add("machine_die", rng.uniform(8, upgraded_s + 20), count=builder.machines_tenth)
+        builder.add("machine_die", rng.uniform(8, upgraded_s + 20), count=builder.tenth_of_machines)
 
 
 def _add_faults_on_pipelines(builder: PlanBuilder, from_s: float) -> None:
@@ -112,5 +117,5 @@
     builder.add("cancel_at_end", from_s + 5, 40.0)
     builder.add("state_slow", from_s + rng.uniform(5, 20), rng.uniform(8, 20), amount=rng.uniform(0.3, 0.9))
     if rng.random() < 0.5:
-        at = from_s + rng.uniform(2, 30)
-        builder.add("node_crash", at, builder.restart_after_s(), node=rng.choice([ALL, LEADER]))
+        at_s = from_s + rng.uniform(2, 30)
+        builder.add("node_crash", at_s, builder.restart_after_s(), node=rng.choice([ALL, LEADER]))
--- a/oatport/simulation/simulation.py
+++ b/oatport/simulation/simulation.py
@@ -1,4 +1,4 @@
-"""One run: a simulated deployment, its users, the faults of a plan, and what the invariant checker found."""
+"""Runs one plan: a simulated deployment with its users and faults, and the result of the invariant checker."""
 
 from __future__ import annotations
 
@@ -19,44 +19,45 @@
 from oatport.simulation.users import User
 from oatport.times import SECOND
 
-SAMPLE_S = 0.25
-SNAPSHOT_S = 1.0  # the cloud's lists are as old as some snapshot of it
-UNKNOWN_JOB_POLLS = 5  # polls for jobs that nobody submitted
+SAMPLE_INTERVAL_S = 0.25
+CLOUD_SNAPSHOT_INTERVAL_S = 1.0  # the cloud lists its machines from such a snapshot, not from its current state
+UNKNOWN_JOB_POLLS = 5  # polls of jobs that no user submitted
 
 
 @dataclass
 class RunResult:
-    """What one run found. `counts` has sums by name; shares are of 1."""
+    """Holds the result of one run. `counts` has totals by name; shares are between 0 and 1."""
 
     seed: int
     violations: list[str]
     errors: list[str]
     digest: int
-    messages: int
+    message_count: int
     counts: dict[str, int]
     leaderless_s_max: float
     served_by_class: dict[str, dict[str, float]]
     served_by_team: dict[str, dict[str, float]]
-    last_messages: list[str] = field(default_factory=list)  # the newest ones when an invariant first broke
-    starved: list[str] = field(default_factory=list)  # classes and teams under half beside free capacity
-    unanswered_s_max: float = 0.0  # the longest that no question about a job was answered, once all faults were over
-    largest_served: float = 1.0  # the least share of a class's largest jobs that began
-    largest_begin_s: float = 0.0  # the longest that one of them waited for its first task
+    last_messages: list[str] = field(default_factory=list)  # the newest ones at the first violation of an invariant
+    # Classes and teams less than half of whose jobs started although capacity was free.
+    starved: list[str] = field(default_factory=list)
+    unanswered_s_max: float = 0.0  # the longest time without an answered poll of a job, after the end of all faults
+    largest_jobs_started_share: float = 1.0  # the smallest share, over all classes, of the largest jobs that started
+    largest_jobs_wait_s_max: float = 0.0  # the longest time that one of these jobs waited for its first task
     at_limit: dict[str, float] = field(default_factory=dict)  # team -> share of the time in which it was at its limit
 
     @property
     def broken_invariants(self) -> set[str]:
-        """The names of the invariants that were violated."""
+        """Returns the names of the violated invariants."""
         return {row.split(" ", 1)[0] for row in self.violations}
 
     @staticmethod
-    def least_served(rows: dict[str, dict[str, float]]) -> float:
-        """The least of all shares in `served_by_class` or `served_by_team`."""
+    def min_served_share(rows: dict[str, dict[str, float]]) -> float:
+        """Returns the smallest of all shares in `served_by_class` or `served_by_team`."""
         return min((min(row.values()) for row in rows.values()), default=1.0)
 
 
 class LeadershipMonitor:
-    """Watches who leads: how long nobody did, and when a new leader begins."""
+    """Measures how long no node leads, and detects when a new leader begins."""
 
     def __init__(self, deployed: SimulatedDeployment) -> None:
         self._deployed = deployed
@@ -65,54 +66,54 @@
         self.leaderless_s_max = 0.0
 
     def sample(self) -> None:
-        """Look at all nodes; to be called every SAMPLE_S."""
-        led = False
+        """Inspects all nodes; the caller does so every SAMPLE_INTERVAL_S."""
+        has_leader = False
         nodes = self._deployed.nodes
         for name, node in nodes.nodes.items():
             leader = production_build.leader_of(node)
             if leader is None or leader.stopped or nodes.hosts[name].frozen:
                 continue
-            led = led or leader.loaded
-            if leader.token > self._last_fencing_token:  # what was kept for the next leader comes as it begins
+            has_leader = has_leader or leader.loaded
+            if leader.token > self._last_fencing_token:  # a new leader: it gets the heartbeat copies kept for it
                 self._last_fencing_token = leader.token
                 self._deployed.net.deliver_kept_duplicates(nodes.addresses[name][0])
-        self._leaderless_s = 0.0 if led else self._leaderless_s + SAMPLE_S
+        self._leaderless_s = 0.0 if has_leader else self._leaderless_s + SAMPLE_INTERVAL_S
         self.leaderless_s_max = max(self.leaderless_s_max, self._leaderless_s)
 
 
 class Simulation:
-    """One run of a plan. `tuning`: operators' settings of all nodes."""
+    """Runs a plan once. `tuning` holds the operators' settings of all nodes."""
 
     def __init__(self, plan: Plan, seed: int, tuning: Tuning | None = None) -> None:
         self.plan, self.seed = plan, seed
         self.deployed = SimulatedDeployment(plan, seed, tuning or Tuning())
         self.leadership = LeadershipMonitor(self.deployed)
-        self.users_reach: set[str] | None = None  # nodes that the load balancer knows; None: all
+        self.users_reach: set[str] | None = None  # names of the nodes behind the load balancer; None: all
         self._faults = FaultInjector(self.deployed)
         self._gate_opened_early = 0
         self._last_messages: list[str] = []
-        self.deployed.checker.on_first_violation = self._keep_last_messages
+        self.deployed.checker.on_first_violation = self._save_last_messages
 
     def run(self) -> RunResult:
-        """Play the plan. The same seed and plan give the same run, message by message."""
+        """Runs the plan and returns its result. The same seed and plan give the same run, message by message."""
         loop, checker = self.deployed.loop, self.deployed.checker
-        random.seed(self.seed)  # what nodes draw their pauses from
+        random.seed(self.seed)  # nodes draw their random delays from this generator
         asyncio.set_event_loop(loop)
         try:
-            loop.run_until_complete(asyncio.Task(self._play(), loop=loop, context=Context()))
+            loop.run_until_complete(asyncio.Task(self._run_plan(), loop=loop, context=Context()))
         finally:
             errors = list(loop.errors)
             machines = self.deployed.machines.machines.values()
             statistics = self._statistics()
             starved = statistics.starved_groups([m.worker for m in machines if not m.host.frozen])
-            largest = statistics.largest_job_figures()
+            largest_jobs = statistics.largest_job_figures()
             checker.finish()
-            checker.closed = self.deployed.net.closed = True
+            checker.is_closed = self.deployed.net.closed = True
             loop.cancel_all_tasks()
             asyncio.set_event_loop(None)
-        return self._result(errors, starved, largest)
+        return self._result(errors, starved, largest_jobs)
 
-    def _result(self, errors: list[str], starved: list[str], largest: tuple[float, float]) -> RunResult:
+    def _result(self, errors: list[str], starved: list[str], largest_jobs: tuple[float, float]) -> RunResult:
         deployed, checker = self.deployed, self.deployed.checker
         statistics = self._statistics()
         over_limit = deployed.store.over_limit_count
@@ -131,7 +132,7 @@
             self._last_messages,
             starved,
             checker.unanswered_s_max,
-            *largest,
+            *largest_jobs,
             checker.usage.share_at_limit(),
         )
 
@@ -153,16 +154,16 @@
             "gate_early": self._gate_opened_early,
         }
 
-    def _keep_last_messages(self) -> None:
+    def _save_last_messages(self) -> None:
         self._last_messages = list(self.deployed.net.messages)
 
-    # --- the course of a run --------------------------------------------------------------------
+    # --- running the plan -----------------------------------------------------------------------
 
-    async def _play(self) -> None:
+    async def _run_plan(self) -> None:
         loop, plan = self.deployed.loop, self.plan
         self._start_deployment()
         balancer = self._start_balancer()
-        jobs = self._draw_jobs()
+        jobs = self._generate_jobs()
         last_fault_ends_s = max((fault.at_s + fault.for_s for fault in plan.faults), default=0.0)
         self.deployed.checker.last_fault_ends_at = loop.time() + last_fault_ends_s
         for job in jobs:
@@ -170,19 +171,19 @@
         loop.create_task(self._poll_unknown_jobs(balancer), context=self.deployed.users_host.context)
         for fault in plan.faults:
             loop.call_later_us(round(fault.at_s * SECOND), None, self._faults.inject, fault)
-        until = loop.time() + plan.for_s
+        end_at = loop.time() + plan.for_s
         next_snapshot = 0.0
-        while loop.time() < until:
+        while loop.time() < end_at:
             if loop.time() >= next_snapshot:
                 self.deployed.cloud.snapshot()
-                next_snapshot = loop.time() + SNAPSHOT_S
+                next_snapshot = loop.time() + CLOUD_SNAPSHOT_INTERVAL_S
             self.leadership.sample()
             self._check_feature_gate()
             self.deployed.checker.usage.sample()
-            await asyncio.sleep(SAMPLE_S)
+            await asyncio.sleep(SAMPLE_INTERVAL_S)
 
     def _start_deployment(self) -> None:
-        """Machines that are rented already, and all nodes."""
+        """Adds the machines that are rented at the beginning, and starts all nodes."""
         for (kind, zone, spot), count in deployment.capacity(self.plan).items():
             for _ in range(count // 2 if not spot else count // 4):
                 self.deployed.cloud.registry.add(kind, zone, spot)
@@ -201,10 +202,10 @@
             deployed.loop.create_task(balancer.probe(node), context=deployed.users_host.context)
         return balancer
 
-    def _draw_jobs(self) -> list[SubmittedJob]:
-        begins = self.deployed.loop.time() + workload.JOBS_FROM_S
-        jobs = workload.jobs(self.plan, random.Random(f"jobs {self.seed}"), begins)
-        return jobs + workload.pipelines(self.plan, random.Random(f"pipelines {self.seed}"), begins)
+    def _generate_jobs(self) -> list[SubmittedJob]:
+        begin_at = self.deployed.loop.time() + workload.JOBS_FROM_S
+        jobs = workload.jobs(self.plan, random.Random(f"jobs {self.seed}"), begin_at)
+        return jobs + workload.pipelines(self.plan, random.Random(f"pipelines {self.seed}"), begin_at)
 
     def _start_user(self, job: SubmittedJob, balancer: LoadBalancer) -> None:
         deployed = self.deployed
@@ -222,9 +223,9 @@
             and nodes.upgraded < set(nodes.names)
         ):
             self._gate_opened_early = 1
-            old = sorted(set(nodes.names) - nodes.upgraded)
+            old_nodes_left = sorted(set(nodes.names) - nodes.upgraded)
             self.deployed.checker.report_violation(
-                "gate", f"new formats are written, and {', '.join(old)} may not read them"
+                "gate", f"the new schema version is written, but {', '.join(old_nodes_left)} may not read it"
             )
 
     async def _poll_unknown_jobs(self, balancer: LoadBalancer) -> None:
--- a/tests/test_fault_interactions.py
+++ b/tests/test_fault_interactions.py
@@ -1,4 +1,4 @@
-"""The users' meetings of troubles on real nodes (docs/fault-interactions.md), and that the checker would notice."""
+"""Tests of real nodes under interacting faults (docs/fault-interactions.md), and of the checker when checks are off."""
 
 from __future__ import annotations
 
@@ -12,26 +12,26 @@
 from oatport.simulation.quota_scenarios import quota_plan
 from oatport.simulation.runner import RunRequest, run_scenario
 
-TURN = len(FAULT_INTERACTIONS)
-NAMES = [make.__name__ for make in FAULT_INTERACTIONS]
+INTERACTION_COUNT = len(FAULT_INTERACTIONS)
+INTERACTION_NAMES = [interaction.__name__ for interaction in FAULT_INTERACTIONS]
 
 
 def _seed(name: str, turn: int = 1) -> int:
-    return NAMES.index(name) + turn * TURN
+    return INTERACTION_NAMES.index(name) + turn * INTERACTION_COUNT
 
 
-@pytest.mark.parametrize("name", NAMES)
-def test_two_troubles_at_once_break_no_rule(name: str) -> None:
+@pytest.mark.parametrize("name", INTERACTION_NAMES)
+def test_two_interacting_faults_violate_no_invariant(name: str) -> None:
     seed = _seed(name)
-    found = run_scenario(RunRequest(plan=fault_interaction_plan(seed)), seed)
-    assert (found.violations, found.errors) == ([], [])
-    assert found.counts["starts"] > 50
+    result = run_scenario(RunRequest(plan=fault_interaction_plan(seed)), seed)
+    assert (result.violations, result.errors) == ([], [])
+    assert result.counts["starts"] > 50
 
 
 @pytest.mark.parametrize(
-    ("disabled_check", "name", "rule"),
+    ("disabled_check", "name", "invariant"),
     [
-        ("read-freshness", "reads_after_status_changes", "went_back"),  # an answer from what was heard a second ago
+        ("read-freshness", "reads_after_status_changes", "went_back"),  # a response from a cache that is a second old
         ("read-freshness", "requests_at_last_completion", "went_back"),
         ("transaction-conditions", "lost_commit_answers", "went_back"),
         ("transaction-conditions", "cancellations_in_failover", "ran_twice"),
@@ -41,10 +41,10 @@
         ("transaction-conditions", "overload_on_slow_links", "ran_twice"),
     ],
 )
-def test_a_disabled_check_is_caught_where_two_faults_interact(disabled_check: str, name: str, rule: str) -> None:
-    seeds = [_seed(name, turn) for turn in range(12)]  # which of them show it differs with the hashes of texts
+def test_a_disabled_check_is_caught_where_two_faults_interact(disabled_check: str, name: str, invariant: str) -> None:
+    seeds = [_seed(name, turn) for turn in range(12)]  # which of them show the violation depends on the hash seed
     assert any(
-        row.startswith(rule)
+        row.startswith(invariant)
         for seed in seeds
         for row in run_scenario(
             RunRequest(plan=fault_interaction_plan(seed), disabled_check=disabled_check), seed
@@ -52,25 +52,25 @@
     ), (disabled_check, name)
 
 
-def test_a_job_that_is_accepted_though_it_can_not_run_is_noticed() -> None:
+def test_the_checker_detects_accepted_jobs_that_cannot_run() -> None:
     plan = Plan((Fault("odd_requests", 6.0, 20.0),), 30.0, 3, 20, 20.0)
-    right = run_scenario(RunRequest(plan=plan), 1)
-    assert right.violations == []
-    assert right.counts["odd_requests"] > 20
+    checked = run_scenario(RunRequest(plan=plan), 1)
+    assert checked.violations == []
+    assert checked.counts["odd_requests"] > 20
     with patch.object(JobApi, "infeasibility_reason", lambda self, job: None):
-        wrong = run_scenario(RunRequest(plan=plan), 1)
-    assert any(row.startswith("accepted_wrongly") for row in wrong.violations)
+        unchecked = run_scenario(RunRequest(plan=plan), 1)
+    assert any(row.startswith("accepted_wrongly") for row in unchecked.violations)
 
 
-# --- teams at their limits ------------------------------------------------------------------------------
+# --- teams at their quotas ------------------------------------------------------------------------------
 
 
-def test_at_their_limits_teams_pass_none_and_no_task_runs_twice() -> None:
+def test_teams_never_exceed_their_quotas_and_no_task_runs_twice() -> None:
     for seed in (10, 24, 48):
-        found = run_scenario(RunRequest(plan=quota_plan(seed)), seed)
-        assert (found.violations, found.errors) == ([], [])
-        assert max(found.at_limit.values()) > 0.3
-        assert found.counts["starts"] > 200
+        result = run_scenario(RunRequest(plan=quota_plan(seed)), seed)
+        assert (result.violations, result.errors) == ([], [])
+        assert max(result.at_limit.values()) > 0.3
+        assert result.counts["starts"] > 200
 
 
 @pytest.mark.parametrize(
@@ -83,15 +83,17 @@
         ("failure-confirmation", (6, 12)),
     ],
 )
-def test_the_checker_notices_what_keeps_tasks_from_running_twice(disabled_check: str, seeds: tuple[int, ...]) -> None:
-    tried = dict.fromkeys([*seeds, *range(1, 51)])
+def test_the_checker_detects_tasks_that_run_twice_when_a_check_is_disabled(
+    disabled_check: str, seeds: tuple[int, ...]
+) -> None:
+    candidate_seeds = dict.fromkeys([*seeds, *range(1, 51)])
     assert any(
         row.startswith("ran_twice")
-        for seed in tried
+        for seed in candidate_seeds
         for row in run_scenario(RunRequest(scenario="quota", disabled_check=disabled_check), seed).violations
     ), disabled_check
 
 
-def test_a_plan_that_leaves_no_team_at_its_limit_is_seen() -> None:
-    idle = run_scenario(RunRequest(plan=Plan((Fault("node_freeze", 20.0, 2.0),), 30.0, 3, 20, 2.0)), 1)
-    assert max(idle.at_limit.values()) < 0.3
+def test_a_run_in_which_no_team_reaches_its_limit_is_detected() -> None:
+    result = run_scenario(RunRequest(plan=Plan((Fault("node_freeze", 20.0, 2.0),), 30.0, 3, 20, 2.0)), 1)
+    assert max(result.at_limit.values()) < 0.3
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -1,4 +1,4 @@
-"""The world itself: its network, its models of what is outside, its checker; stories of several real nodes in it."""
+"""Tests of the simulation: its network, its models of external systems, its checker, and runs of several real nodes."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from oatport.clients.http import NoResponseError, RequestNotSentError
 from oatport.control.state.job import Job
 from oatport.control.state.job_lifecycle import JobLifecycle
-from oatport.lab import SAFETY_CHECKS as NAMES
+from oatport.lab import SAFETY_CHECKS
 from oatport.simulation.deployment import TYPES, cluster_settings
 from oatport.simulation.fault_plan import ALL, Fault, InvalidPlanError, Plan, parse, read
 from oatport.simulation.gang_coordinator import GangCoordinator
@@ -30,24 +30,24 @@
 from oatport.times import SECOND, steady
 from tests.cluster_fixture import job
 
-SMALL = Plan(for_s=40.0, machines=20, jobs_a_minute=20.0)
+SMALL_PLAN = Plan(for_s=40.0, machines=20, jobs_a_minute=20.0)
 
 
-class Pair:
-    """Two hosts, one of which echoes what it is asked."""
+class EchoHosts:
+    """Two hosts, one of which echoes the bodies of requests."""
 
     def __init__(self) -> None:
         self.loop = VirtualLoop()
         self.net = Net(self.loop, 1)
         self.a, self.b = Host(self.loop, "a", "any"), Host(self.loop, "b", "any", "node")
-        self.heard: list[tuple[float, Any]] = []
+        self.received: list[tuple[float, Any]] = []
         self.net.listen("b:1", self.b, self._serve)
 
     def _serve(self, method: str, path: str, body: Any) -> tuple[int, Any]:
-        self.heard.append((self.loop.time(), body))
+        self.received.append((self.loop.time(), body))
         return 200, body
 
-    def ask(self, body: Any, timeout_us: int = SECOND) -> Coroutine[Any, Any, tuple[int, Any]]:
+    def send_request(self, body: Any, timeout_us: int = SECOND) -> Coroutine[Any, Any, tuple[int, Any]]:
         return self.net.request(self.a, "b:1", "POST", "/x", body, timeout_us, "")
 
     def run(self, work: Coroutine[Any, Any, Any]) -> Any:
@@ -62,57 +62,57 @@
 # --- the network ------------------------------------------------------------------------------------
 
 
-def test_what_was_sent_into_a_cut_arrives_late_and_what_was_not_connected_never() -> None:
-    pair = Pair()
+def test_messages_held_by_a_cut_arrive_later_and_unconnected_requests_never() -> None:
+    pair = EchoHosts()
 
-    async def story() -> None:
-        assert await pair.ask("first") == (200, "first")  # leaves one connection open
+    async def scenario() -> None:
+        assert await pair.send_request("first") == (200, "first")  # leaves one connection open, which is reused
         cut = LinkRule("a", "b", "hold")
         pair.net.add(cut)
         for body in ("on the connection", "would need another"):
             with pytest.raises(NoResponseError):
-                await pair.ask(body)
-        assert len(pair.heard) == 1
+                await pair.send_request(body)
+        assert len(pair.received) == 1
         pair.net.remove(cut)
         await asyncio.sleep(RECONNECT_MAX_US / SECOND + 1)
 
-    pair.run(story())
-    assert [body for _, body in pair.heard] == ["first", "on the connection"]
+    pair.run(scenario())
+    assert [body for _, body in pair.received] == ["first", "on the connection"]
 
 
-def test_a_cut_of_one_way_lets_a_request_through_and_holds_its_answer() -> None:
-    pair = Pair()
+def test_a_one_way_cut_delivers_a_request_and_holds_its_response() -> None:
+    pair = EchoHosts()
 
-    async def story() -> None:
-        await pair.ask("first")
+    async def scenario() -> None:
+        await pair.send_request("first")
         pair.net.add(LinkRule("b", "a", "hold"))
         with pytest.raises(NoResponseError):
-            await pair.ask("executed")
+            await pair.send_request("executed")
 
-    pair.run(story())
-    assert [body for _, body in pair.heard] == ["first", "executed"]
+    pair.run(scenario())
+    assert [body for _, body in pair.received] == ["first", "executed"]
 
 
-def test_a_lost_message_never_arrives_and_a_refused_connection_is_known_not_to() -> None:
-    pair = Pair()
+def test_lost_messages_never_arrive_and_refused_requests_raise_not_sent() -> None:
+    pair = EchoHosts()
 
-    async def story() -> None:
-        await pair.ask("first")
+    async def scenario() -> None:
+        await pair.send_request("first")
         cut = LinkRule("a", "b", "lost")
         pair.net.add(cut)
         with pytest.raises(NoResponseError):
-            await pair.ask("lost")
+            await pair.send_request("lost")
         pair.net.remove(cut)
         pair.net.add(LinkRule("a", "b", "refuse"))
         with pytest.raises(RequestNotSentError):
-            await pair.ask("refused")
+            await pair.send_request("refused")
 
-    pair.run(story())
-    assert [body for _, body in pair.heard] == ["first"]
+    pair.run(scenario())
+    assert [body for _, body in pair.received] == ["first"]
 
 
-def test_a_host_that_stands_still_answers_when_it_goes_on_and_its_clocks_ran() -> None:
-    pair = Pair()
+def test_a_paused_host_answers_after_it_resumes_and_its_clocks_advance() -> None:
+    pair = EchoHosts()
     seen: list[tuple[float, int]] = []
 
     async def clock() -> None:
@@ -120,47 +120,47 @@
             seen.append((pair.loop.time(), steady()))
             await asyncio.sleep(1.0)
 
-    async def story() -> None:
+    async def scenario() -> None:
         pair.loop.create_task(clock(), context=pair.b.context)
         await asyncio.sleep(2.5)
         pair.b.freeze()
         with pytest.raises(NoResponseError):
-            await pair.ask("waits")
+            await pair.send_request("waits")
         await asyncio.sleep(4)
         pair.b.thaw()
         await asyncio.sleep(1.5)
 
-    pair.run(story())
+    pair.run(scenario())
     gaps = [later - earlier for (earlier, _), (later, _) in pairwise(seen)]
-    assert max(gaps) > 4.9  # it did nothing meanwhile
-    assert seen[-1][1] - seen[0][1] >= 8 * SECOND  # but time passed for it
-    assert pair.heard[0][0] > 1_007
+    assert max(gaps) > 4.9  # the host executed nothing while paused
+    assert seen[-1][1] - seen[0][1] >= 8 * SECOND  # its clocks advanced meanwhile
+    assert pair.received[0][0] > 1_007
 
 
-def test_a_host_that_ends_resets_its_connections_and_refuses_new_ones() -> None:
-    pair = Pair()
+def test_a_crashed_host_resets_its_connections_and_refuses_new_ones() -> None:
+    pair = EchoHosts()
 
     async def slow(method: str, path: str, body: Any) -> tuple[int, Any]:
         await asyncio.sleep(100)
         return 200, None
 
-    async def story() -> None:
+    async def scenario() -> None:
         pair.net.listen("b:1", pair.b, slow)
         pair.loop.call_later_us(SECOND, None, lambda: (pair.b.end(), pair.net.ended(pair.b)))
         began = pair.loop.time()
         with pytest.raises(NoResponseError, match="reset"):
-            await pair.ask("under way", 30 * SECOND)
+            await pair.send_request("under way", 30 * SECOND)
         assert pair.loop.time() - began < 1.1
         with pytest.raises(RequestNotSentError):
-            await pair.ask("after")
+            await pair.send_request("after")
 
-    pair.run(story())
+    pair.run(scenario())
 
 
-# --- models of what is outside ------------------------------------------------------------------------
+# --- models of external systems -----------------------------------------------------------------------
 
 
-def test_leases_have_their_full_time_again_after_an_outage() -> None:
+def test_leases_get_their_full_duration_after_an_outage() -> None:
     now = [0]
     store = KeyStore(lambda: now[0])
     lease = store.grant_lease(3_000)[1]["permit"]
@@ -173,7 +173,7 @@
     assert store.get("k")[0] == 404
 
 
-def test_changes_that_are_not_kept_any_more_are_refused() -> None:
+def test_reads_of_discarded_changes_are_refused() -> None:
     store = KeyStore(lambda: 0)
     for number in range(20_002):
         store.commit({"then": [{"set": "k", "value": number}]})
@@ -181,8 +181,8 @@
     assert len(store.changes("k", store.revision - 5)[1]["news"]) == 5
 
 
-class Gang:
-    """Two machines and a gang's two tasks, with different images to fetch."""
+class TwoTaskGang:
+    """Two machines, each of which runs one of a gang's two tasks."""
 
     def __init__(self, **changes: Any) -> None:
         self.now = 0
@@ -206,65 +206,65 @@
         ]
         self.tasks = [f"{body['ref']}/{n}" for n in (0, 1)]
 
-    def order(self, number: int, kind: str, **more: Any) -> None:
+    def send_command(self, number: int, kind: str, **more: Any) -> None:
         worker = self.workers[number]
-        order = {"orderKind": kind, "leg": self.tasks[number], "sailing": 1, **more}
-        worker.commands({"helm": 1, "watch": worker.session, "orders": [order]})
+        command = {"orderKind": kind, "leg": self.tasks[number], "sailing": 1, **more}
+        worker.commands({"helm": 1, "watch": worker.session, "orders": [command]})
 
-    def at(self, seconds: float) -> list[tuple[str, str | None]]:
+    def advance_to(self, seconds: float) -> list[tuple[str, str | None]]:
         while self.now < round(seconds * SECOND):
             self.now += SECOND // 2
             for worker in self.workers:
                 worker.lease_renewed_at = self.now
                 worker.advance()
-        return [(h.status, h.exit_reason) for worker in self.workers for h in worker.tasks.values()]
+        return [(attempt.status, attempt.exit_reason) for worker in self.workers for attempt in worker.tasks.values()]
 
 
 def test_a_gang_starts_together_and_completes_together() -> None:
-    gang = Gang()
-    gang.order(0, "start")
-    assert gang.at(4) == [("waiting", None)]
-    gang.order(1, "start")
-    assert gang.at(5)[0] == ("waiting", None)
-    assert gang.at(7) == [("running", None)] * 2
-    assert gang.at(28) == [("ended", "done")] * 2
-
-
-def test_a_gang_that_stays_incomplete_gives_up_and_one_that_loses_a_task_ends() -> None:
-    gang = Gang()
-    gang.order(0, "start")
-    assert gang.at(40) == [("ended", "incomplete")]
-    gang = Gang()
-    gang.order(0, "start")
-    gang.order(1, "start")
-    gang.at(6)
+    gang = TwoTaskGang()
+    gang.send_command(0, "start")
+    assert gang.advance_to(4) == [("waiting", None)]
+    gang.send_command(1, "start")
+    assert gang.advance_to(5)[0] == ("waiting", None)
+    assert gang.advance_to(7) == [("running", None)] * 2
+    assert gang.advance_to(28) == [("ended", "done")] * 2
+
+
+def test_an_incomplete_gang_times_out_and_a_gang_that_loses_a_task_ends() -> None:
+    gang = TwoTaskGang()
+    gang.send_command(0, "start")
+    assert gang.advance_to(40) == [("ended", "incomplete")]
+    gang = TwoTaskGang()
+    gang.send_command(0, "start")
+    gang.send_command(1, "start")
+    gang.advance_to(6)
     gang.workers[1].kill("died")
-    assert gang.at(9) == [("running", None)]
-    assert gang.at(12) == [("ended", "mates_gone")]
+    assert gang.advance_to(9) == [("running", None)]
+    assert gang.advance_to(12) == [("ended", "mates_gone")]
 
 
-def test_a_stopped_task_saves_if_it_gets_the_time_and_goes_on_from_there() -> None:
-    gang = Gang(mooringS=5.0, stowS=2.0)
+def test_a_stopped_task_saves_a_checkpoint_and_resumes_from_it() -> None:
+    gang = TwoTaskGang(mooringS=5.0, stowS=2.0)
     worker = gang.workers[0]
     body = job(legs=1, voyageS=20.0, mooringS=5.0, stowS=2.0, sizeGb=0.0)
     worker._job_of = lambda ref: body
-    gang.order(0, "start")
-    gang.at(8)
-    gang.order(0, "stop", slackS=3.0)
-    assert gang.at(9) == [("flushing", None)]
-    assert gang.at(11) == [("ended", "halted")]
+    gang.send_command(0, "start")
+    gang.advance_to(8)
+    gang.send_command(0, "stop", slackS=3.0)
+    assert gang.advance_to(9) == [("flushing", None)]
+    assert gang.advance_to(11) == [("ended", "halted")]
     assert worker.progress[gang.tasks[0]] >= 8 * SECOND
-    gang.order(0, "forget")
+    gang.send_command(0, "forget")
     worker.commands({"helm": 1, "watch": 1, "orders": [{"orderKind": "start", "leg": gang.tasks[0], "sailing": 2}]})
-    assert gang.at(22) == [("running", None)]
-    assert gang.at(24) == [("ended", "done")]  # 12 s were left
+    assert gang.advance_to(22) == [("running", None)]
+    assert gang.advance_to(24) == [("ended", "done")]  # 12 s of 20 s were left at the checkpoint
 
 
-def test_a_lease_that_runs_out_ends_all_and_a_lower_token_is_dropped() -> None:
-    gang = Gang()
+def test_an_expired_lease_ends_all_tasks_and_lower_tokens_are_rejected() -> None:
+    gang = TwoTaskGang()
     worker = gang.workers[0]
     worker._job_of = lambda ref: job(legs=1, voyageS=500.0)
-    gang.order(0, "start")
+    gang.send_command(0, "start")
     assert not worker.answer(0, 1, {"helm": 0, "orders": []})
     gang.now = 13 * SECOND
     worker.advance()
@@ -275,81 +275,85 @@
 # --- the checker --------------------------------------------------------------------------------------
 
 
-class Judged:
+class CheckedJob:
+    """A job whose tasks and responses are reported to an invariant checker."""
+
     def __init__(self, **changes: Any) -> None:
         self.loop = VirtualLoop()
-        self.checker = InvariantChecker(self.loop, cluster_settings(SMALL))
-        self.ask = SubmittedJob(job(**{"crew": "east", "legs": 2, **changes}), 1_000.0)
-        self.checker.jobs[self.ask.job_id] = self.ask
+        self.checker = InvariantChecker(self.loop, cluster_settings(SMALL_PLAN))
+        self.job = SubmittedJob(job(**{"crew": "east", "legs": 2, **changes}), 1_000.0)
+        self.checker.jobs[self.job.job_id] = self.job
 
     def worker(self, number: int, **changes: Any) -> Worker:
         of = {"zone": "a", "spot": False, **changes}
         return Worker(lambda: 0, f"vm-{number}", f"h{number}", "m8", of["zone"], of["spot"], 8.0, lambda ref: None)
 
     def task(self, number: int) -> str:
-        return f"{self.ask.job_id}/{number}"
+        return f"{self.job.job_id}/{number}"
 
-    def told(self, what: str, status: int, state: str = "") -> None:
-        self.checker.on_user_answer(self.ask, what, status, {"status": state} if state else None)
+    def respond(self, request: str, status: int, state: str = "") -> None:
+        self.checker.on_user_answer(self.job, request, status, {"status": state} if state else None)
 
 
-def broke(judged: Judged) -> set[str]:
-    judged.loop.close()
-    return judged.checker.broken_invariants
+def broken_invariants(checked: CheckedJob) -> set[str]:
+    checked.loop.close()
+    return checked.checker.broken_invariants
 
 
-def test_the_checker_sees_what_is_on_machines() -> None:
-    twice = Judged()
+def test_the_checker_detects_violations_on_machines() -> None:
+    twice = CheckedJob()
     twice.checker.on_task_started(twice.worker(1), twice.task(0), 1)
     twice.checker.on_task_started(twice.worker(2), twice.task(0), 2)
-    assert broke(twice) == {"ran_twice"}
-    wrong = Judged(driftwood=False, spread=True)
+    assert broken_invariants(twice) == {"ran_twice"}
+    wrong = CheckedJob(driftwood=False, spread=True)
     wrong.checker.on_task_started(wrong.worker(1, spot=True), wrong.task(0), 1)
-    assert broke(wrong) == {"wrong_place"}
-    spread = Judged(spread=True)
+    assert broken_invariants(wrong) == {"wrong_place"}
+    spread = CheckedJob(spread=True)
     spread.checker.on_task_started(spread.worker(1), spread.task(0), 1)
     spread.checker.on_task_started(spread.worker(2), spread.task(1), 1)
-    assert broke(spread) == {"wrong_place"}
-    quota = Judged(cores=8.0, legs=9)
+    assert broken_invariants(spread) == {"wrong_place"}
+    quota = CheckedJob(cores=8.0, legs=9)
     for number in range(9):
         quota.checker.on_task_started(quota.worker(number), quota.task(number), 1)
-    assert broke(quota) == {"quota"}  # a quarter of 160 CPUs
-    moved = Judged()
-    moved.checker.on_task_started(moved.worker(1), moved.task(0), 1)
-    moved.checker.on_task_stopped(moved.worker(1), moved.task(0), 1, "lease")  # of another machine's: it stays
-    assert broke(moved) == set()
-
-
-def test_the_checker_hears_what_users_are_told() -> None:
-    early = Judged()
-    early.told("submit", 201, "queued")
-    early.told("poll", 200, "done")
-    assert broke(early) == {"not_done"}
-    back = Judged()
-    back.ask.cancel_at = 1_000.0
-    back.told("submit", 201, "queued")
-    back.told("cancel", 200, "aborted")
-    back.told("poll", 200, "running")
-    assert broke(back) == {"went_back"}
-    lost = Judged()
-    lost.ask.accepted_at = 1_000.0
-    lost.told("poll", 404)
-    assert broke(lost) == {"forgotten"}
-    nobodys = Judged()
-    nobodys.told("submit", 201, "queued")
-    nobodys.told("poll", 200, "aborted")
-    assert broke(nobodys) == {"went_back"}
-    ghost = Judged()
-    ghost.checker.on_unknown_job_poll("j-900000", 200)
-    ghost.checker.finish()
-    assert broke(ghost) == {"invented", "nothing_ran"}
+    assert broken_invariants(quota) == {"quota"}  # a quarter of 160 CPUs
+    stopped = CheckedJob()
+    stopped.checker.on_task_started(stopped.worker(1), stopped.task(0), 1)
+    stopped.checker.on_task_stopped(
+        stopped.worker(1), stopped.task(0), 1, "lease"
+    )  # the end of a lease is no violation
+    assert broken_invariants(stopped) == set()
+
+
+def test_the_checker_detects_violations_in_responses_to_users() -> None:
+    early = CheckedJob()
+    early.respond("submit", 201, "queued")
+    early.respond("poll", 200, "done")
+    assert broken_invariants(early) == {"not_done"}
+    reverted = CheckedJob()
+    reverted.job.cancel_at = 1_000.0
+    reverted.respond("submit", 201, "queued")
+    reverted.respond("cancel", 200, "aborted")
+    reverted.respond("poll", 200, "running")
+    assert broken_invariants(reverted) == {"went_back"}
+    lost = CheckedJob()
+    lost.job.accepted_at = 1_000.0
+    lost.respond("poll", 404)
+    assert broken_invariants(lost) == {"forgotten"}
+    uncancelled = CheckedJob()
+    uncancelled.respond("submit", 201, "queued")
+    uncancelled.respond("poll", 200, "aborted")
+    assert broken_invariants(uncancelled) == {"went_back"}
+    unknown = CheckedJob()
+    unknown.checker.on_unknown_job_poll("j-900000", 200)
+    unknown.checker.finish()
+    assert broken_invariants(unknown) == {"invented", "nothing_ran"}
 
 
 # --- plans ----------------------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize(
-    ("table", "said"),
+    ("table", "expected_error"),
     [
         ({"faults": [{"kind": "nodes_cut", "at_s": 1}]}, "faults[0].kind: must be one of"),
         ({"faults": [{"kind": "node_cut"}]}, "faults[0]: needs a kind and at_s"),
@@ -363,29 +367,29 @@
         ({"faults": 3}, "faults: must be a list"),
     ],
 )
-def test_a_bad_plan_gets_one_line_that_names_the_field(table: dict[str, Any], said: str) -> None:
-    with pytest.raises(InvalidPlanError) as found:
+def test_an_invalid_plan_gets_a_one_line_error_that_names_the_field(table: dict[str, Any], expected_error: str) -> None:
+    with pytest.raises(InvalidPlanError) as error:
         parse(table)
-    assert str(found.value).startswith(said)
-    assert "\n" not in str(found.value)
+    assert str(error.value).startswith(expected_error)
+    assert "\n" not in str(error.value)
 
 
-def test_a_plan_that_is_written_down_reads_as_it_was(tmp_path: Path) -> None:
-    drawn = random_plan(5)
-    (tmp_path / "plan.toml").write_text(drawn.toml())
-    assert read(tmp_path / "plan.toml") == drawn
+def test_a_written_plan_is_read_back_unchanged(tmp_path: Path) -> None:
+    generated = random_plan(5)
+    (tmp_path / "plan.toml").write_text(generated.toml())
+    assert read(tmp_path / "plan.toml") == generated
     with pytest.raises(InvalidPlanError, match=r"missing\.toml"):
         read(tmp_path / "missing.toml")
 
 
-# --- stories of several nodes -----------------------------------------------------------------------------
+# --- runs of several nodes --------------------------------------------------------------------------------
 
 
-def test_a_calm_world_serves_everybody_and_repeats_itself() -> None:
-    first, again = (run_scenario(RunRequest(plan=SMALL), 3) for _ in range(2))
+def test_a_run_without_faults_serves_all_jobs_and_is_deterministic() -> None:
+    first, second = (run_scenario(RunRequest(plan=SMALL_PLAN), 3) for _ in range(2))
     assert (first.violations, first.errors) == ([], [])
-    assert first.digest == again.digest
-    assert first.messages > 500
+    assert first.digest == second.digest
+    assert first.message_count > 500
     assert {name: row["accepted"] for name, row in first.served_by_team.items()} == {
         "north": 1.0,
         "south": 1.0,
@@ -395,85 +399,94 @@
     assert first.leaderless_s_max <= 0.5
 
 
-def test_the_leader_ends_and_the_next_one_goes_on_from_the_records() -> None:
+def test_the_next_leader_continues_from_the_records_after_a_crash() -> None:
     plan = Plan((Fault("node_crash", 15.0, 4.0),), 40.0, 3, 20, 20.0)
-    found = run_scenario(RunRequest(plan=plan), 4)
-    assert (found.violations, found.errors) == ([], [])
-    assert 2.0 < found.leaderless_s_max < 5.0
-    assert found.counts["lease_kills"] == 0
+    result = run_scenario(RunRequest(plan=plan), 4)
+    assert (result.violations, result.errors) == ([], [])
+    assert 2.0 < result.leaderless_s_max < 5.0
+    assert result.counts["lease_kills"] == 0
 
 
-def test_a_leader_without_the_state_service_hands_over_while_workers_reach_it() -> None:
+def test_a_leader_cut_off_from_the_state_service_hands_over_while_workers_reach_it() -> None:
     plan = Plan((Fault("node_cut", 15.0, 20.0, what="state"),), 40.0, 3, 20, 20.0)
-    found = run_scenario(RunRequest(plan=plan), 4)
-    assert (found.violations, found.errors) == ([], [])
-    assert found.leaderless_s_max < 5.0
-    assert found.counts["lease_kills"] == 0
+    result = run_scenario(RunRequest(plan=plan), 4)
+    assert (result.violations, result.errors) == ([], [])
+    assert result.leaderless_s_max < 5.0
+    assert result.counts["lease_kills"] == 0
 
 
 @pytest.mark.parametrize("name", MUTATIONS)
 def test_a_safety_check_can_be_disabled(name: str) -> None:
-    """A method that was renamed and is still patched by its old name is noticed here, not only in a run."""
+    """Guards against a mutation that patches a renamed method by its old name; otherwise only a run would show it."""
     with mutated(name):
         pass
 
 
 def test_a_disabled_failure_confirmation_is_caught() -> None:
-    """Machines that are only cut off are taken to be gone. docs/simulation.md lists all safety checks."""
-    assert set(MUTATIONS) == set(NAMES)
+    """Machines that are only cut off are treated as removed. docs/simulation.md lists all safety checks."""
+    assert set(MUTATIONS) == set(SAFETY_CHECKS)
     plan = Plan((Fault("machine_cut", 10.0, 30.0, count=8),), 24.0, 3, 20, 40.0)
-    asked = RunRequest(plan=plan, disabled_check="failure-confirmation")
-    assert any("ran_twice" in row for seed in range(12) for row in run_scenario(asked, seed).violations)
+    request = RunRequest(plan=plan, disabled_check="failure-confirmation")
+    assert any("ran_twice" in row for seed in range(12) for row in run_scenario(request, seed).violations)
 
 
 def test_a_failing_run_tells_its_seed_the_least_plan_and_the_last_messages() -> None:
-    """Starts go out before they are recorded, the leader ends, and a zone that could tell what runs is not heard."""
+    """The report of a failed run has its seed, the smallest failing plan and the last messages.
+
+    The run fails since starts are sent before they are recorded: the leader crashes, its writes are lost, and no
+    heartbeats arrive from a zone in which the tasks may run.
+    """
 
-    def lost(at: float) -> tuple[Fault, ...]:
+    def crash_with_lost_commit(at_s: float) -> tuple[Fault, ...]:
         return (
-            Fault("rush", at - 1, 2.2, name="guest", amount=40.0),
-            Fault("node_cut", at, 1.2, what="state", mode="lost", way="to"),
-            Fault("node_crash", at + 0.8, 0.1),
-            Fault("links_cut", at + 0.8, 4.0, source="zone:a", target="node"),
+            Fault("rush", at_s - 1, 2.2, name="guest", amount=40.0),
+            Fault("node_cut", at_s, 1.2, what="state", mode="lost", way="to"),
+            Fault("node_crash", at_s + 0.8, 0.1),
+            Fault("links_cut", at_s + 0.8, 4.0, source="zone:a", target="node"),
         )
 
-    plan = Plan((Fault("cloud_down", 33.0, 0.5), *lost(10), *lost(26)), 34.0, 3, 20, 10.0)
-    unwritten = RunRequest(plan=plan, disabled_check="write-ahead")
-    # Broken before the cloud is down, which has nothing to do with it then.
+    plan = Plan(
+        (Fault("cloud_down", 33.0, 0.5), *crash_with_lost_commit(10), *crash_with_lost_commit(26)), 34.0, 3, 20, 10.0
+    )
+    request = RunRequest(plan=plan, disabled_check="write-ahead")
+    # The violation must precede the outage of the cloud, so that the outage can't have caused it.
     failed = next(
         result
         for seed in range(24)
-        if (result := run_scenario(unwritten, seed)).violations
+        if (result := run_scenario(request, seed)).violations
         and float(result.violations[0].split(" at ")[1].split(" ")[0]) < 33.0
     )
-    told = describe_failure(unwritten, failed)
-    assert f"seed {failed.seed} fails:" in told
-    assert "/commands" in told
-    assert "cloud_down" not in told  # it has nothing to do with it
+    report = describe_failure(request, failed)
+    assert f"seed {failed.seed} fails:" in report
+    assert "/commands" in report
+    assert "cloud_down" not in report  # shrinking must remove the unrelated fault
 
 
-def test_many_seeds_are_counted_together() -> None:
-    figures, bad = simulate(RunRequest(seed=1, seeds=2, machines=20, plan=SMALL), jobs=1)
-    assert bad == []
+def test_the_figures_cover_all_seeds() -> None:
+    figures, failed_results = simulate(RunRequest(seed=1, seeds=2, machines=20, plan=SMALL_PLAN), jobs=1)
+    assert failed_results == []
     assert (figures["seeds"], figures["violations"], figures["caught"], figures["errors"]) == (2, 0, 0, 0)
-    named = {"lease_kills", "leaderless_s_max", "served_min_class", "served_min_team", "state_429", "wall_s"}
-    assert named <= figures.keys()
+    expected_keys = {"lease_kills", "leaderless_s_max", "served_min_class", "served_min_team", "state_429", "wall_s"}
+    assert expected_keys <= figures.keys()
+
 
+def test_no_class_or_team_is_starved_while_capacity_is_free(monkeypatch: pytest.MonkeyPatch) -> None:
+    """While one class is submitted ten times as often, no class or team starves beside free capacity.
 
-def test_no_class_and_no_team_is_under_half_while_there_is_room(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A rush of one class ten times: the others and the least of the teams are served, or have no room."""
+    The second run passes over a class, and the statistics must report it and its team as starved.
+    """
     rush = Fault("rush", 5.0, 30.0, name="batch", amount=10.0)
     plan = Plan((rush, Fault("node_crash", 20.0, 0.1, node=ALL)), 60.0, 3, 24, 20.0)
-    served = run_scenario(RunRequest(plan=plan), 2)
-    assert (served.violations, served.errors, served.starved) == ([], [], [])
+    result = run_scenario(RunRequest(plan=plan), 2)
+    assert (result.violations, result.errors, result.starved) == ([], [], [])
     add = JobLifecycle.add
 
-    def passes_over(self: JobLifecycle, ref: str, spec: wire.Submission, version: int, at: int) -> Job:
+    def add_without_queueing(self: JobLifecycle, ref: str, spec: wire.Submission, version: int, at: int) -> Job:
         job = add(self, ref, spec, version, at)
         if spec.job_class == "batch":
             self.cluster.pending.discard(job)
         return job
 
-    monkeypatch.setattr(JobLifecycle, "add", passes_over)
+    monkeypatch.setattr(JobLifecycle, "add", add_without_queueing)
     starved = run_scenario(RunRequest(plan=Plan((), 60.0, 3, 24, 20.0)), 6).starved
     assert [row.split(":")[0] for row in starved] == ["batch", "south"]
