--- a/oatport/simulation/crash_patterns.py
+++ b/oatport/simulation/crash_patterns.py
@@ -133,7 +133,7 @@
 
 
 def long_zone_partition(builder: PlanBuilder) -> None:
-    """Cuts a zone off for longer than a cancellation may take, while jobs are cancelled."""
+    """Cuts a zone, which may be that of the leader, off for longer than a cancellation may take."""
     rng = builder.rng
     at_s = rng.uniform(10, max(11.0, builder.for_s - 75))
     builder.add("zone_cut", at_s, rng.uniform(46, 60), zone=rng.choice(builder.zones), mode="hold")
--- a/oatport/simulation/fault_plan.py
+++ b/oatport/simulation/fault_plan.py
@@ -30,7 +30,7 @@
     "state_slow": ("amount",),
     "cloud_down": (),
     "no_capacity": (),
-    "rush": ("name", "amount"),  # name: a job class; amount: the factor by which its submission rate rises
+    "rush": ("name", "amount"),  # name: a job class; amount: factor on its submission rate
     # count: users of unfinished jobs that cancel; amount: seconds within which they do; 0: at their next poll
     "users_cancel": ("count", "amount"),
     # Users cancel when the last task has just ended. amount: share of all jobs; 0: mostly jobs that others depend on
--- a/oatport/simulation/invariant_checker.py
+++ b/oatport/simulation/invariant_checker.py
@@ -1,6 +1,6 @@
 """Checks the invariants of PROTOCOL against the tasks on machines and the responses to users.
 
-The state that nodes hold is never consulted: it may be wrong in the same way as the node's actions.
+The state that nodes hold is never consulted.
 """
 
 from __future__ import annotations
@@ -155,8 +155,8 @@
                     self._acknowledged.setdefault(member, task)
 
     def _check_placement(self, body: dict[str, Any], worker: Worker, task: str) -> None:
-        members = self._workers_by_job[str(body["ref"])]
-        zones = Counter(other.zone for name, other in members.items() if name != task)
+        workers = self._workers_by_job[str(body["ref"])]
+        zones = Counter(other.zone for name, other in workers.items() if name != task)
         mismatch = ""
         if worker.spot and not body["driftwood"]:
             mismatch = "a spot machine"
--- a/oatport/simulation/plan_builder.py
+++ b/oatport/simulation/plan_builder.py
@@ -59,7 +59,7 @@
         return self.rng.uniform(0.05, 0.6) if self.rng.random() < 0.6 else self.rng.uniform(0.6, 6.0)
 
     def random_time_s(self, margin_s: float = 30.0) -> float:
-        """Returns a time that is at least `margin_s` before the end of the run, if that is long enough."""
+        """Returns a time that is at least `margin_s` before the end of the run, unless the run is too short."""
         return self.rng.uniform(12, max(13.0, self.for_s - margin_s))
 
     def wave_times_s(self) -> list[float]:
