--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -1,4 +1,4 @@
-"""Routing, prediction, the fleet and outages, on an injected clock."""
+"""Tier routing, run time prediction, scaling, failure detection and settings, tested on a simulated clock."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from oatport.cli import main
 from oatport.control.leadership.failure_detection import is_isolated, partition_suspects, silent_machines
 from oatport.control.leadership.lease_renewal import LeaseRenewalLimit
-from oatport.control.queueing.pending_job_router import jobs_in_order as order_of
+from oatport.control.queueing.pending_job_router import jobs_in_order
 from oatport.control.queueing.runtime_predictor import RuntimePredictor
 from oatport.control.queueing.tier_router import ON_DEMAND, OWNED, SPOT, TierAvailability, TierRouter
 from oatport.control.scaling.cloud_availability import ScaleOutRequest
@@ -21,7 +21,7 @@
 from tests.cluster_fixture import ClusterHarness, cluster_settings, job
 
 
-def test_the_estimate_seeds_and_finished_tasks_take_over() -> None:
+def test_predicted_run_time_starts_at_the_estimate_and_converges_to_measured_run_times() -> None:
     predictor = RuntimePredictor()
     spec = wire.decode_submission(job(voyageS=100.0))
     assert predictor.run_time("j-1", spec) == 100 * SECOND
@@ -33,32 +33,38 @@
     assert abs(other.run_time("j-1", spec) - predictor.run_time("j-1", spec)) < SECOND
 
 
-def test_the_half_life_counts_survivors() -> None:
+def test_spot_half_life_includes_machines_that_are_still_up() -> None:
     predictor = RuntimePredictor()
     for _ in range(4):
         predictor.spot_machine_ended(100 * SECOND, True)
     assert predictor.spot_half_life([]) == 100 * SECOND
     assert predictor.spot_half_life([500 * SECOND] * 20) is None
-    few = RuntimePredictor()
-    few.spot_machine_ended(SECOND, True)
-    assert few.spot_half_life([]) is None  # one early take-back says nothing
+    single = RuntimePredictor()
+    single.spot_machine_ended(SECOND, True)
+    assert single.spot_half_life([]) is None  # a single early reclamation is not enough data
 
 
-def test_short_tasks_end_first_and_do_not_lower_the_threshold() -> None:
-    """50 s into a day the threshold was 17 s: 240 tasks waited for owned room beside free spot machines."""
+def test_short_tasks_that_complete_first_do_not_lower_the_runtime_threshold() -> None:
+    """Guards against a percentile of completed tasks alone, among which short tasks prevail at first.
+
+    50 s into a simulated day the threshold was 17 s: 240 tasks waited for owned machines beside free spot machines.
+    """
     predictor = RuntimePredictor()
     spec = wire.decode_submission(job())
-    for took in range(1, 18):
-        predictor.task_completed("j-1", spec, took * SECOND)
+    for runtime_s in range(1, 18):
+        predictor.task_completed("j-1", spec, runtime_s * SECOND)
     assert predictor.runtime_percentile(0.99, []) == 17 * SECOND
-    assert predictor.runtime_percentile(0.99, [18 * SECOND] * 100) is None  # the start value holds
-    for took in range(18, 100):
-        predictor.task_completed("j-1", spec, took * SECOND)
+    assert predictor.runtime_percentile(0.99, [18 * SECOND] * 100) is None  # the configured threshold stays in use
+    for runtime_s in range(18, 100):
+        predictor.task_completed("j-1", spec, runtime_s * SECOND)
     assert predictor.runtime_percentile(0.9, [5 * SECOND] * 100) == 90 * SECOND
 
 
-def test_what_an_earlier_leader_started_teaches_no_run_time() -> None:
-    """It seems to run only since the new leader first heard of it; after each crash all tasks seemed short."""
+def test_tasks_started_by_an_earlier_leader_do_not_train_the_predictor() -> None:
+    """Guards against run times measured from the first heartbeat to the new leader.
+
+    After each leader crash, all tasks seemed short.
+    """
     harness = ClusterHarness()
     harness.machine(1)
     ref = harness.submit(legs=1, voyageS=30.0)
@@ -70,7 +76,7 @@
     assert harness.cluster.predictor.run_time("j-000002", spec) == 30 * SECOND
 
 
-def test_the_tiers_of_the_design() -> None:
+def test_jobs_are_routed_to_tiers_by_run_time_and_deadline() -> None:
     harness = ClusterHarness()
     router = TierRouter(RuntimePredictor(), 60 * SECOND, 2.0)
     harness.submit(voyageS=30.0, tideS=500.0)
@@ -78,18 +84,22 @@
     wall = harness.now
     assert router.route(short, wall, TierAvailability(None)) == SPOT
     short.loss_count = 1
-    assert router.route(short, wall, TierAvailability(None)) == SPOT  # the deadline leaves twice the predicted time
+    assert (
+        router.route(short, wall, TierAvailability(None)) == SPOT
+    )  # the time to the deadline is at least twice the predicted run time
     assert router.route(short, wall + 450 * SECOND, TierAvailability(None)) == ON_DEMAND
     harness.submit(ref="j-000002", voyageS=100.0, tideS=300.0)
     long = harness.cluster.jobs["j-000002"]
-    assert router.route(long, wall, TierAvailability(None)) == ON_DEMAND  # none is owned
+    assert router.route(long, wall, TierAvailability(None)) == ON_DEMAND  # there is no owned machine
     assert router.route(long, wall, TierAvailability(10 * SECOND)) == OWNED
-    assert router.route(long, wall, TierAvailability(250 * SECOND)) == ON_DEMAND  # the queue would miss the deadline
-    # DESIGN assumes that on-demand comes when called; here the cloud has none.
+    assert (
+        router.route(long, wall, TierAvailability(250 * SECOND)) == ON_DEMAND
+    )  # the wait for owned machines would miss the deadline
+    # DESIGN assumes that on-demand machines are always available; here the cloud has none.
     assert router.route(long, wall, TierAvailability(None, spot_rentable=True, on_demand_rentable=False)) == SPOT
 
 
-def test_rentals_fit_the_waiting_tasks_once() -> None:
+def test_machines_are_requested_once_for_the_pending_tasks() -> None:
     harness = ClusterHarness()
     harness.submit(legs=6, voyageS=30.0)
     harness.plan()
@@ -100,13 +110,13 @@
     harness.fleet.availability.requests_in_flight.clear()
     for number in range(3):
         harness.cluster.add_machine(f"vm-00000{number}", "m8", "a", True, "", harness.now, harness.now)
-    assert harness.fleet.scale_out.plan(harness.now) == []  # booting machines count
+    assert harness.fleet.scale_out.plan(harness.now) == []  # booting machines count as capacity
     harness.now += 200 * SECOND
-    assert harness.fleet.scale_out.plan(harness.now)  # but not for ever
-    assert len(harness.fleet.scale_in.machines_to_release(harness.now)) == 3  # the ones that never boot go back
+    assert harness.fleet.scale_out.plan(harness.now)  # but not indefinitely
+    assert len(harness.fleet.scale_in.machines_to_release(harness.now)) == 3  # machines that never boot are released
 
 
-def test_refused_capacity_is_sought_elsewhere() -> None:
+def test_refused_capacity_is_requested_in_another_zone() -> None:
     harness = ClusterHarness()
     harness.submit(legs=2, voyageS=30.0)
     harness.plan()
@@ -115,11 +125,14 @@
     (second,) = harness.fleet.scale_out.plan(harness.now)
     assert second.zone != first.zone
     harness.fleet.availability.refuse(second, harness.now)
-    assert harness.fleet.scale_out.plan(harness.now) == []  # GPU machines are too dear for it
+    assert harness.fleet.scale_out.plan(harness.now) == []  # GPU machines are too expensive for this job
+
 
+def test_only_one_probe_machine_is_rented_in_a_partitioned_zone() -> None:
+    """Guards against renting machines that cannot be reached.
 
-def test_nothing_is_rented_in_a_dark_zone_but_one_machine_to_find_out() -> None:
-    """26 machines were rented in a zone that was cut off: charged for 100 s, up only when the cut was over."""
+    26 machines were rented in a partitioned zone: they were charged for 100 s and came up only after the partition.
+    """
     harness = ClusterHarness()
     for number in range(1, 5):
         harness.machine(number, "a")
@@ -143,14 +156,17 @@
     assert (probe.zone, probe.count) == ("a", 1)
     harness.machine(9, "a")
     harness.settle(1)
-    assert not cluster.zones.partitioned  # heard from again
+    assert not cluster.zones.partitioned  # a machine of zone a has reported again
 
 
 GANG = {"rig": "gang", "urgency": "high", "cores": 14.0, "accelerators": 4.0, "samePlace": True, "voyageS": 150.0}
 
 
-def test_owned_room_that_cannot_hold_a_gang_is_not_waited_for() -> None:
-    """A gang without a deadline once waited for owned room of a type that has no GPUs, and nothing was rented."""
+def test_a_gang_does_not_wait_for_owned_machines_that_cannot_run_it() -> None:
+    """Guards against a gang without a deadline that waits for owned machines of a type without GPUs.
+
+    No machine was rented for it.
+    """
     harness = ClusterHarness()
     for number in range(1, 9):
         harness.machine(number, "a")
@@ -162,7 +178,7 @@
     assert rental.type == "g16"
 
 
-def test_where_a_start_is_expected_soon_a_gang_does_not_wait_for_long_work() -> None:
+def test_a_gang_with_a_wait_objective_does_not_wait_for_a_long_running_one() -> None:
     harness = ClusterHarness()
     harness.settings = msgspec.structs.replace(
         harness.settings, objectives=[Objective("wait", job_class="train", within_s=35.0)]
@@ -178,8 +194,8 @@
     assert harness.cluster.jobs["j-000008"].tier == ON_DEMAND
 
 
-def test_a_long_gang_that_saves_takes_a_spot_machine_that_stands_by() -> None:
-    """It waited 40 s for an ordinary machine to boot beside one."""
+def test_a_long_gang_with_checkpoints_takes_a_free_spot_machine() -> None:
+    """Guards against a wait of 40 s for an on-demand machine to boot while a suitable spot machine is free."""
     harness = ClusterHarness([Team("crew")])
     harness.settings = msgspec.structs.replace(
         harness.settings, objectives=[Objective("wait", job_class="train", within_s=35.0)]
@@ -191,7 +207,7 @@
     unsafe = harness.submit(ref="j-000006", legs=1, **long)
     harness.settle(3)
     assert harness.cluster.jobs[unsafe].tier == ON_DEMAND
-    assert not harness.task_locations(unsafe)  # what a take-back would cost whole stays off spot
+    assert not harness.task_locations(unsafe)  # without checkpoints, a reclamation would lose all its work
     harness.cancel(unsafe)
     saves = harness.submit(ref="j-000007", legs=1, mooringS=15.0, stowS=2.0, **long)
     harness.settle(3)
@@ -199,17 +215,17 @@
 
 
 def test_a_gang_of_two_keeps_its_first_machine_while_the_second_boots() -> None:
-    """Arrays and smaller gangs took the machines one by one as they came up, for minutes."""
+    """Guards against starvation of a gang: arrays and smaller gangs took the machines one by one for minutes."""
     harness = ClusterHarness([Team("crew")])
     harness.machine(1, "a", kind="g16")
     harness.settle(2)
     gang = harness.submit(ref="j-000007", legs=2, **GANG)
     harness.plan()
     (rental,) = harness.fleet.scale_out.plan(harness.now)
-    assert (rental.type, rental.zone, rental.count) == ("g16", "a", 1)  # where the free one is
+    assert (rental.type, rental.zone, rental.count) == ("g16", "a", 1)  # in the zone of the free machine
     harness.cluster.add_machine("vm-000002", "g16", "a", False, "", harness.now, harness.now)
     small = harness.submit(ref="j-000008", legs=1, **GANG)
-    harness.submit(ref="j-000009", legs=4)  # an array, which any machine can run
+    harness.submit(ref="j-000009", legs=4)  # an array that any machine can run
     harness.settle(3)
     assert not harness.task_locations(small)
     assert not harness.task_locations("j-000009")
@@ -218,8 +234,8 @@
     assert sorted(harness.task_locations(gang)) == [f"{gang}/0", f"{gang}/1"]
 
 
-def test_one_large_task_makes_room_for_several_replicas() -> None:
-    """Each of eight replicas of 1 CPU once stopped an array task of 4 CPUs of its own."""
+def test_preempting_one_large_task_makes_room_for_several_replicas() -> None:
+    """Guards against one victim per replica: each of eight replicas of 1 CPU stopped an array task of 4 CPUs."""
     harness = ClusterHarness([Team("crew")])
     for number in range(1, 9):
         harness.machine(number, "ab"[number % 2])
@@ -233,8 +249,8 @@
     assert len(harness.task_locations(array)) == 14
 
 
-def test_a_job_of_many_tasks_ends_with_its_slowest() -> None:
-    """The mean was held against the deadline: on-demand was rented when it was too late."""
+def test_a_job_of_many_tasks_is_routed_by_the_run_time_of_its_slowest_task() -> None:
+    """Guards against comparing the mean run time with the deadline: on-demand machines were rented too late."""
     harness = ClusterHarness()
     one = harness.cluster.jobs[harness.submit(legs=1, voyageS=40.0, tideS=100.0)]
     many = harness.cluster.jobs[harness.submit(ref="j-000002", legs=9, voyageS=40.0, tideS=100.0)]
@@ -245,7 +261,10 @@
 
 
 def test_as_many_jobs_as_possible_meet_their_deadlines() -> None:
-    """One large array, first by deadline, made six small ones late that were submitted after it."""
+    """Guards against plain earliest-deadline-first order.
+
+    One large array, first by deadline, made six small arrays late that were submitted after it.
+    """
     harness = ClusterHarness([Team("crew")])
     harness.settings = msgspec.structs.replace(
         harness.settings, objectives=[Objective("deadline", job_class="train", times=t) for t in (1.0, 3.0)]
@@ -260,7 +279,7 @@
     small = [harness.submit(ref=f"j-00001{n}", legs=4, voyageS=20.0, tideS=105.0) for n in range(6)]
     hopeless = harness.submit(ref="j-000020", legs=1, voyageS=20.0, tideS=5.0)
     harness.plan()
-    order = [job.job_id for job in order_of(harness.cluster, harness.now)]
+    order = [job.job_id for job in jobs_in_order(harness.cluster, harness.now)]
     assert blocker not in order
     assert order == [*small, large, hopeless]
     jobs = harness.cluster.jobs
@@ -268,7 +287,7 @@
     assert jobs[hopeless].deadline_missed
 
 
-def test_a_job_that_misses_its_deadline_is_still_wanted_by_its_classs_aim() -> None:
+def test_a_job_that_misses_its_deadline_gets_the_one_of_its_class_objective() -> None:
     harness = ClusterHarness([Team("crew")])
     harness.settings = msgspec.structs.replace(
         harness.settings, objectives=[Objective("finished", job_class="train", within_s=300.0)]
@@ -285,7 +304,7 @@
         assert not jobs[ref].deadline_missed
 
 
-def test_no_dearer_machine_for_a_deadline_that_is_lost_anyway() -> None:
+def test_a_job_that_misses_its_deadline_anyway_is_not_routed_to_on_demand() -> None:
     harness = ClusterHarness([Team("crew")])
     harness.machine(1)
     harness.settle(2)
@@ -301,7 +320,7 @@
     assert (jobs[lost].tier, jobs[near].tier) == (SPOT, ON_DEMAND)
 
 
-def test_the_status_tells_what_money_went_for() -> None:
+def test_costs_are_accounted_by_use() -> None:
     harness = ClusterHarness([Team("crew")])
     harness.machine(1)
     harness.cluster.add_machine("vm-000009", "g16", "a", True, "", harness.now, harness.now)
@@ -314,8 +333,11 @@
     assert (spent["boot"], spent["run"], spent["idle owned"]) == (3.0, 0.5, 0.5)
 
 
-def test_claims_do_not_wait_for_the_writes_of_ends() -> None:
-    """A zone's worth of ends to write once held lost replicas back for a second."""
+def test_bindings_are_written_before_completions() -> None:
+    """Guards against completions ahead of bindings in the write queue.
+
+    The completions of a whole zone once delayed the replacement of lost replicas by a second.
+    """
     harness = ClusterHarness([Team("crew")])
     for number in range(1, 7):
         harness.machine(number)
@@ -331,13 +353,16 @@
     assert next(iter(batch.sets)) == "live/j-000020"
     assert batch.operation_count == 2
     harness.cluster.writes.committed(batch, 1, harness.now)
-    # A batch of ends that the budget does not hold would have the next claim wait until it does.
+    # A batch of completions beyond the budget would delay the next binding until the budget allows it.
     assert harness.cluster.writes.take_batch(12, budget=0).operation_count == 0
     assert harness.cluster.writes.take_batch(12, budget=12).operation_count == 5
 
 
 def test_two_replicas_of_a_spread_job_move_within_their_zone() -> None:
-    """The second was taken to add to its zone: 27 machines were kept for replicas that fit on 13."""
+    """Guards against a spread check that takes the second move for an additional replica in the zone.
+
+    27 machines were kept up for replicas that fit on 13.
+    """
     harness = ClusterHarness([Team("crew")])
     for number, zone in ((1, "a"), (2, "a"), (3, "b")):
         harness.machine(number, zone)
@@ -355,7 +380,7 @@
     assert len(harness.fleet.rebalancer.replicas_to_move(harness.now)) == 2
 
 
-def test_moves_that_fetch_stay_within_what_replicas_may_miss() -> None:
+def test_moves_with_an_image_fetch_stay_within_the_allowed_replica_downtime() -> None:
     harness = ClusterHarness([Team("crew")])
     harness.machine(1)
     harness.settle(2)
@@ -367,13 +392,17 @@
     harness.settle(60)
     assert harness.task_locations(moving) == {f"{moving}/0": ["vm-000002"]}
     harness.cluster.accounting.replica_bound_us = 100 * SECOND
-    assert harness.fleet.rebalancer.replicas_to_move(harness.now) == []  # a fetch of 1 s would be 1 %
+    assert harness.fleet.rebalancer.replicas_to_move(harness.now) == []  # an image fetch of 1 s would be 1 % downtime
     harness.cluster.accounting.replica_bound_us = 100_000 * SECOND
     assert [task.name for task in harness.fleet.rebalancer.replicas_to_move(harness.now)] == [f"{moving}/0"]
 
 
-def test_replicas_of_a_job_leave_room_for_a_lost_mate() -> None:
-    """After a zone was cut off, every lost replica fetched its image: those that had it were full of replicas."""
+def test_replicas_of_a_job_leave_capacity_to_replace_a_lost_one() -> None:
+    """Guards against machines filled up with replicas of one job.
+
+    After a zone was partitioned, every lost replica had to fetch its image, because the machines that had it cached
+    were full of other replicas.
+    """
     harness = ClusterHarness([Team("crew")])
     workers = [harness.machine(number, "a") for number in range(1, 7)]
     harness.settle(2)
@@ -381,20 +410,23 @@
     harness.submit(ref="j-000002", legs=7, voyageS=900.0, hull="img-2")
     harness.settle(8)
     places = harness.task_locations(service)
-    assert len({names[0] for names in places.values()}) == 5  # one each, beside a task that can be stopped
+    assert len({names[0] for names in places.values()}) == 5  # one per machine, beside a task that can be preempted
     (lost,) = places[f"{service}/0"]
     harness.unreachable_machines.add(lost)
     harness.confirm_release(lost)
     harness.step(0.1)
     harness.step(0.1)
     harness.step(0.1)
-    (now_on,) = harness.task_locations(service)[f"{service}/0"]
-    assert now_on in {names[0] for task, names in places.items() if task != f"{service}/0"}
+    (replacement_machine,) = harness.task_locations(service)[f"{service}/0"]
+    assert replacement_machine in {names[0] for task, names in places.items() if task != f"{service}/0"}
     assert len(workers) == 6
 
 
-def test_gpu_machines_kept_for_a_while_are_filled_with_what_ends_in_time() -> None:
-    """Idle ones were a fifth of the money; filled ones were once never idle, and never went back."""
+def test_idle_gpu_machines_run_only_tasks_that_end_before_their_release() -> None:
+    """Guards against both extremes of idle GPU machines that are kept for a while.
+
+    Left idle they were a fifth of the cost; filled with any task they were never idle, and so never released.
+    """
     harness = ClusterHarness([Team("crew")])
     harness.machine(1, "a", kind="g16")
     harness.settle(2)
@@ -416,13 +448,15 @@
     harness.settle(3)
     for _ in range(9):
         harness.step(10.0)
-    assert [m.name for m in harness.fleet.scale_in.machines_to_release(harness.now)] == [
-        "vm-000001"
-    ]  # no warm room for services either
+    # It is not kept as warm capacity for services either.
+    assert [m.name for m in harness.fleet.scale_in.machines_to_release(harness.now)] == ["vm-000001"]
+
 
+def test_replicas_are_consolidated_once_no_other_task_needs_the_machines() -> None:
+    """Guards against machines that are kept up by a few replicas each.
 
-def test_replicas_move_together_once_nothing_else_wants_the_room() -> None:
-    """A third of a day's money was spent after its rush, on machines that a few replicas each kept up."""
+    A third of a simulated day's cost arose from them after its peak load.
+    """
     harness = ClusterHarness([Team("crew")])
     first, second = harness.machine(1), harness.machine(2)
     harness.settle(2)
@@ -437,9 +471,8 @@
         assert task.machine is not None
     used = {name for job in (service, other) for names in harness.task_locations(job).values() for name in names}
     assert len(used) == 2
-    assert (
-        harness.fleet.rebalancer.replicas_to_move(harness.now) == []
-    )  # too few replicas, for too short a time, for one to be missed
+    # With so few replicas, and after so short a time, the allowed downtime is less than one move takes.
+    assert harness.fleet.rebalancer.replicas_to_move(harness.now) == []
     harness.cluster.accounting.replica_bound_us = 10_000 * SECOND
     for _ in range(6):
         for task in harness.fleet.rebalancer.replicas_to_move(harness.now):
@@ -455,7 +488,7 @@
 
 
 def test_the_work_of_a_planning_pass_is_bounded() -> None:
-    """At 300 machines, each waiting job once looked for victims on all of them in every pass."""
+    """Guards against a victim search over all machines for each pending job in every pass, seen at 300 machines."""
     harness = ClusterHarness([Team("crew")])
     for number in range(1, 41):
         harness.machine(number, "a")
@@ -471,13 +504,12 @@
     for _ in range(10):
         harness.plan()
     services, machines = 28, 40
-    assert (
-        0 < harness.placer.preemption.victims.machines_examined <= services * machines
-    )  # once in a pause, and none for the arrays
+    # One search for each service within its backoff, and none for the arrays.
+    assert 0 < harness.placer.preemption.victims.machines_examined <= services * machines
 
 
-def test_when_no_more_spot_is_to_be_had_the_queue_decides() -> None:
-    """Arrays once waited for refused spot machines until it was too late for on-demand."""
+def test_without_rentable_spot_machines_the_wait_for_spot_decides() -> None:
+    """Guards against arrays that wait for refused spot machines until it is too late for on-demand machines."""
     harness = ClusterHarness()
     harness.submit(voyageS=30.0, tideS=100.0)
     waiting = harness.cluster.jobs["j-000001"]
@@ -486,8 +518,11 @@
     assert router.route(waiting, harness.now, TierAvailability(None, False, True, 90 * SECOND)) == ON_DEMAND
 
 
-def test_a_replica_takes_room_where_its_image_is() -> None:
-    """A fetch of 4 s breaks an aim of 1 s; lower work is stopped where the image lies."""
+def test_a_replica_preempts_where_its_image_is_cached() -> None:
+    """An image fetch of 4 s would break a wait objective of 1 s.
+
+    A task of lower priority is preempted on the machine that has the image cached.
+    """
     harness = ClusterHarness()
     harness.settings = msgspec.structs.replace(
         harness.settings, objectives=[Objective("wait", job_class="train", within_s=1.0)]
@@ -508,8 +543,11 @@
     assert cold.started_attempts == [] or cold.started_attempts[0][0].startswith("j-000002")
 
 
-def test_a_lost_replica_is_replaced_where_its_image_is() -> None:
-    """A replacement once fetched for 11 s on a free machine, while arrays ran where the image was."""
+def test_a_lost_replica_is_replaced_where_its_image_is_cached() -> None:
+    """Guards against a replacement on a free machine without the image.
+
+    A replacement spent 11 s on the image fetch, while arrays ran on the machine that had it cached.
+    """
     harness = ClusterHarness()
     first = harness.machine(1)
     ref = harness.submit(rig="standing", urgency="production", legs=1, sizeGb=4.0)
@@ -517,7 +555,7 @@
     warm = harness.machine(2)
     other = harness.submit(ref="j-000002", rig="standing", urgency="production", legs=2, sizeGb=4.0, crew="other")
     harness.settle(12)
-    harness.cancel(other)  # leaves its image behind
+    harness.cancel(other)  # its image stays cached
     harness.settle(2)
     harness.submit(ref="j-000003", legs=3, voyageS=500.0, hull="img-2", crew="other")
     harness.settle(3)
@@ -532,8 +570,11 @@
     assert all(not task.startswith(ref) for task, _ in cold.started_attempts)
 
 
-def test_room_made_for_a_replica_is_not_taken_by_an_array() -> None:
-    """While a replica waited for a warm machine, arrays once took the cold room made for it."""
+def test_capacity_preempted_for_a_replica_is_not_taken_by_an_array() -> None:
+    """Guards against arrays that take the capacity preempted for a replica.
+
+    They took it on a machine without its image, while the replica waited for a machine that has the image cached.
+    """
     harness = ClusterHarness()
     first = harness.machine(1)
     ref = harness.submit(rig="standing", urgency="production", legs=1, sizeGb=4.0)
@@ -554,7 +595,7 @@
     assert sum(r.count for r in harness.fleet.scale_out.plan(harness.now)) == 4  # 32 CPUs
 
 
-def test_idle_machines_go_back_but_not_busy_ones() -> None:
+def test_idle_machines_are_released_but_not_busy_ones() -> None:
     harness = ClusterHarness()
     busy, idle = harness.machine(1, spot=True), harness.machine(2, spot=True)
     harness.submit(legs=1, voyageS=100.0)
@@ -564,33 +605,33 @@
     assert names == [idle.name if busy.started_attempts else busy.name]
 
 
-def test_owned_machines_run_empty_when_spot_room_can_take_their_work() -> None:
+def test_owned_machines_are_cordoned_when_spot_capacity_can_take_their_work() -> None:
     harness = ClusterHarness()
     owned = harness.machine(1)
     harness.submit(legs=1, voyageS=30.0)
     harness.settle()
-    assert owned.started_attempts  # free owned room first
+    assert owned.started_attempts  # free owned machines are used first
     harness.machine(2, spot=True)
     harness.settle(2)
     harness.fleet.scale_in.update_cordons()
     assert harness.cluster.machines[owned.name].cordoned_for_scale_in
-    harness.submit(ref="j-000002", legs=6, voyageS=30.0)  # more than spot room can take
+    harness.submit(ref="j-000002", legs=6, voyageS=30.0)  # more than the spot capacity
     harness.fleet.scale_in.update_cordons()
     assert not harness.cluster.machines[owned.name].cordoned_for_scale_in
 
 
-def test_in_an_outage_leases_are_kept_only_as_long_as_cancellations_allow() -> None:
+def test_in_an_outage_leases_are_renewed_only_as_long_as_cancellations_allow() -> None:
     settings = cluster_settings()
     clock = LeaseRenewalLimit(settings, 100 * SECOND)
-    # A cancellation told right after that moment must be over cancel_s later, lease included.
+    # A cancellation confirmed right after the last read must take effect within cancel_s, including the lease.
     latest = clock.until + micros(settings.workers.lease_s) * 1.001
     assert latest < 100 * SECOND + micros(settings.workers.cancel_s)
-    assert clock.until > 100 * SECOND + 15 * SECOND  # and tasks outlive an outage of some length
+    assert clock.until > 100 * SECOND + 15 * SECOND  # and tasks survive an outage of that length
     clock.on_cancellations_read(90 * SECOND)
     assert clock.cancellations_read_at == 100 * SECOND
 
 
-def test_many_silent_machines_mean_that_i_am_cut_off() -> None:
+def test_many_silent_machines_mean_that_this_node_is_isolated() -> None:
     harness = ClusterHarness()
     for number in range(1, 7):
         harness.machine(number)
@@ -604,30 +645,30 @@
 
 
 def test_a_zone_that_goes_silent_as_a_whole_is_suspected_sooner() -> None:
-    """Its replicas were missed for as long as if its machines had died one by one."""
+    """Guards against a detection delay as long as for single machines, for which its replicas were missing."""
     harness = ClusterHarness()
     for number in range(1, 9):
         harness.machine(number, "ab"[number % 2])
     harness.settle(2)
     machines = list(harness.cluster.machines.values())
 
-    def hear(*zones: str) -> None:
+    def report_from(*zones: str) -> None:
         for worker in harness.workers.values():
             if worker.zone in zones:
                 harness.report(worker)
 
     harness.now += 3 * SECOND
-    hear("b")
+    report_from("b")
     assert {m.zone for m in partition_suspects(machines, harness.now, 5 * SECOND)} == {"a"}
-    hear("a")
+    report_from("a")
     harness.now += 3 * SECOND
-    assert partition_suspects(machines, harness.now, 5 * SECOND) == []  # all silent: it is I who hear nothing
-    hear("b")
+    assert partition_suspects(machines, harness.now, 5 * SECOND) == []  # all zones are silent: this node is isolated
+    report_from("b")
     harness.report(next(w for w in harness.workers.values() if w.zone == "a"))
-    assert partition_suspects(machines, harness.now, 5 * SECOND) == []  # one is heard: no cut
+    assert partition_suspects(machines, harness.now, 5 * SECOND) == []  # one machine of the zone reports: no partition
 
 
-def test_settings_name_the_broken_field(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_settings_errors_name_the_invalid_field(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     good = smoke_test.settings(0, list(range(4000, 4008)))
     path = tmp_path / "n.toml"
     path.write_text(good + "\n[unheard]\nof = 1\n")
@@ -647,7 +688,7 @@
         assert error.count("\n") == 1
 
 
-def test_the_operators_file(tmp_path: Path) -> None:
+def test_the_tuning_file_is_read_and_checked(tmp_path: Path) -> None:
     path = tmp_path / "own.ini"
     path.write_text("[fleet]\nidle_s = 40\n")
     assert load_tuning(path).idle_s == 40.0
@@ -657,8 +698,11 @@
             load_tuning(path)
 
 
-def test_who_is_served_is_told_by_class_and_by_each_teams_name() -> None:
-    """On a day with twelve teams only totals were told; less than half of any team served fails a day."""
+def test_the_job_summary_lists_served_jobs_per_class_and_per_team() -> None:
+    """A simulated day fails if any team has less than half of its jobs served.
+
+    With totals alone, this could not be seen on a day with twelve teams.
+    """
     harness = ClusterHarness()
     harness.machine(1)
     harness.settle()
