--- a/tests/test_safety_invariants.py
+++ b/tests/test_safety_invariants.py
@@ -1,4 +1,4 @@
-"""One story or more for each rule of the protocol and each safety point of the design."""
+"""At least one test for each rule of PROTOCOL and each safety point of DESIGN."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 from tests.cluster_fixture import ClusterHarness
 
 
-def test_an_array_runs_and_its_record_says_done() -> None:
+def test_an_array_runs_and_its_completion_is_recorded() -> None:
     harness = ClusterHarness()
     harness.machine(1)
     ref = harness.submit()
     harness.settle()
     assert len(harness.task_locations(ref)) == 2
-    assert harness.record(ref) == wire.JobStatus.QUEUED  # not_done: nothing but the end changes it
+    assert harness.record(ref) == wire.JobStatus.QUEUED  # not_done: only the completion changes the record
     harness.settle(31)
     assert harness.record(ref) == wire.JobStatus.COMPLETED
     assert harness.state.list("live/")[1]["rows"] == []
 
 
-def test_not_done_before_the_last_task() -> None:
+def test_a_job_is_not_completed_before_its_last_task() -> None:
     harness = ClusterHarness()
     worker = harness.machine(1)
     ref = harness.submit(legs=2)
@@ -38,7 +38,7 @@
     assert harness.record(ref) == wire.JobStatus.COMPLETED
 
 
-def test_no_start_goes_out_before_its_commit() -> None:
+def test_no_start_command_is_sent_before_its_binding_is_committed() -> None:
     harness = ClusterHarness()
     worker = harness.machine(1)
     harness.settle()
@@ -46,22 +46,22 @@
     harness.plan()
     harness.send()
     harness.report(worker)
-    assert worker.started_attempts == []  # claimed, not committed
+    assert worker.started_attempts == []  # bound, but not committed
     harness.commit()
-    harness.send()  # directly, not with the next report
+    harness.send()  # by a direct command, not with the next heartbeat response
     assert sorted(worker.started_attempts) == [(f"{ref}/0", 1), (f"{ref}/1", 1)]
     row = harness.state.get(chunk_key(ref, 0))[1]["value"]["t"]
     assert row == [[1, worker.name], [1, worker.name]]
 
 
-def test_a_start_is_conditioned_on_the_job_not_being_cancelled() -> None:
-    """Cancellation racing a start: whichever commit is first wins."""
+def test_a_binding_is_conditional_on_the_job_not_being_cancelled() -> None:
+    """A cancellation races with a binding: the first commit wins."""
     harness = ClusterHarness()
     worker = harness.machine(1)
     harness.settle()
     ref = harness.submit()
     harness.plan()
-    harness.cancel(ref, notify_leader=False)  # another node commits it, the leader has not heard
+    harness.cancel(ref, notify_leader=False)  # committed by another node, whose notification did not reach the leader
     batch = harness.cluster.writes.take_batch(12)
     status, value = harness.state.commit(harness.transaction(batch))
     assert status == 409
@@ -72,7 +72,7 @@
     assert worker.started_attempts == []
 
 
-def test_a_cancelled_job_leaves_its_machines_and_records() -> None:
+def test_a_cancelled_job_is_removed_from_its_machines_and_records() -> None:
     harness = ClusterHarness()
     worker = harness.machine(1)
     ref = harness.submit(rig="standing")
@@ -84,10 +84,10 @@
     harness.settle()
     assert harness.state.list(f"live/{ref}")[1]["rows"] == []
     assert harness.record(ref) == wire.JobStatus.CANCELLED
-    assert worker.tasks == {}  # forgotten, once the end needs no recording any more
+    assert worker.tasks == {}  # forgotten, as its exit need not be recorded any more
 
 
-def test_a_cancellation_between_commit_and_start_sends_no_start() -> None:
+def test_no_start_command_is_sent_for_a_job_cancelled_after_the_commit() -> None:
     harness = ClusterHarness()
     worker = harness.machine(1)
     harness.settle()
@@ -100,8 +100,8 @@
     assert worker.started_attempts == []
 
 
-def test_silence_is_no_proof() -> None:
-    """ran_twice: a task on a silent machine is not started elsewhere until the machine is gone."""
+def test_tasks_of_a_silent_machine_are_not_restarted_before_it_is_released() -> None:
+    """Guards against ran_twice: the task may still run on the silent machine until the machine is gone."""
     harness = ClusterHarness()
     first, second = harness.machine(1), harness.machine(2)
     ref = harness.submit(legs=1, cores=8.0)
@@ -117,19 +117,19 @@
     assert other.started_attempts == [(f"{ref}/0", 2)]
 
 
-def test_a_later_session_proves_the_tasks_gone() -> None:
+def test_a_later_session_confirms_that_the_tasks_have_ended() -> None:
     harness = ClusterHarness()
     worker = harness.machine(1)
     ref = harness.submit(legs=1)
     harness.settle()
-    worker.lease_renewed_at = harness.now - 60 * SECOND  # its lease ran out meanwhile
+    worker.lease_renewed_at = harness.now - 60 * SECOND  # its lease has expired meanwhile
     harness.settle()
     assert worker.session == 2
     assert worker.started_attempts == [(f"{ref}/0", 1), (f"{ref}/0", 2)]
 
 
-def test_an_older_report_changes_nothing() -> None:
-    """A report held by a cut is as old as its task list."""
+def test_an_outdated_heartbeat_has_no_effect() -> None:
+    """A heartbeat that a partition delayed has an outdated task list."""
     harness = ClusterHarness()
     worker = harness.machine(1)
     harness.settle(2)
@@ -142,8 +142,8 @@
     assert task.attempt == 1
 
 
-def test_an_unanswered_start_is_repeated_and_never_forgotten() -> None:
-    """It may land late: after a `forget` it would start the task again."""
+def test_an_unacknowledged_start_is_repeated_and_its_attempt_is_not_forgotten() -> None:
+    """A copy of the start command may arrive late: after a `forget` it would start the task again."""
     harness = ClusterHarness()
     worker = harness.machine(1)
     harness.settle()
@@ -151,7 +151,7 @@
     harness.plan()
     harness.commit()
     harness.unreachable_machines.add(worker.name)
-    harness.send()  # lost on the way, as far as the leader knows
+    harness.send()  # the leader cannot tell whether the command was lost
     harness.unreachable_machines.clear()
     assert worker.started_attempts == []
     harness.settle(2)
@@ -160,14 +160,17 @@
     harness.settle(3)
     assert harness.record(ref) == wire.JobStatus.COMPLETED
     key = (f"{ref}/0", 1)
-    assert key in worker.tasks  # still listed as ended, so the late copy has no effect
+    assert key in worker.tasks  # still listed as ended, so that the late copy has no effect
     worker.commands(wire.command_request(harness.cluster.fencing_token, worker.session, [wire.StartCommand(*key)]))
     assert worker.tasks[key].status == "ended"
     assert worker.started_attempts == [key]
 
 
-def test_a_start_in_an_answer_on_its_way_is_not_forgotten_by_direct_commands() -> None:
-    """On a slow link they overtook it: the task ran elsewhere when the answer started it once more."""
+def test_a_start_in_a_delayed_heartbeat_response_is_not_forgotten_by_direct_commands() -> None:
+    """Guards against direct commands that overtake a heartbeat response on a slow link.
+
+    The task was running elsewhere when the delayed response started it a second time.
+    """
     harness = ClusterHarness()
     worker = harness.machine(1)
     harness.settle()
@@ -180,7 +183,7 @@
     assert machine is not None
     cluster.commands.on_heartbeat_delivered(machine, report)
     late, starts = cluster.commands.for_machine(machine, harness.now, direct=False)
-    cluster.commands.on_sent(machine, starts, harness.now, direct=False)  # on its way
+    cluster.commands.on_sent(machine, starts, harness.now, direct=False)  # in flight
     cluster.machines_to_command.add(machine)
     harness.send()
     cluster.tasks.stop(cluster.jobs[ref].tasks[0], 0.0)
@@ -190,18 +193,18 @@
     assert cluster.jobs[ref].placed_task_count == 0  # it may run elsewhere
     cluster.machines_to_command.add(machine)
     harness.send()
-    cluster.commands.on_heartbeat_delivered(machine, report)  # held by a cut, that report comes once more
+    cluster.commands.on_heartbeat_delivered(machine, report)  # the same heartbeat arrives again, delayed by a partition
     cluster.machines_to_command.add(machine)
     harness.send()
     worker.commands(wire.command_request(cluster.fencing_token, 1, late))
     assert worker.started_attempts == [key]
-    harness.report(worker)  # it reports again, so it has had that answer, or dropped it
+    harness.report(worker)  # its next heartbeat shows that it has received or dropped the response
     cluster.machines_to_command.add(machine)
     harness.send()
     assert key not in worker.tasks
 
 
-def test_an_end_is_committed_before_it_is_forgotten() -> None:
+def test_an_exit_is_committed_before_its_attempt_is_forgotten() -> None:
     harness = ClusterHarness()
     worker = harness.machine(1)
     ref = harness.submit(legs=2, voyageS=30.0)
@@ -217,8 +220,8 @@
     assert key not in worker.tasks
 
 
-def test_a_refused_commit_of_an_old_leader() -> None:
-    """Writes arrive late: each is conditioned on the leader key's version."""
+def test_a_late_commit_of_a_former_leader_is_refused() -> None:
+    """Writes may arrive late: each is conditional on the version of the leader key."""
     harness = ClusterHarness()
     harness.machine(1)
     harness.settle()
@@ -231,8 +234,8 @@
     assert LEADER_KEY in value["failed"]
 
 
-def test_a_claim_made_anew_is_not_covered_by_the_old_commit() -> None:
-    """The machine died while the claim's commit was under way and the task was claimed elsewhere."""
+def test_a_new_binding_is_not_confirmed_by_the_commit_of_the_former_one() -> None:
+    """The machine failed while its binding was being committed, and the task was bound to another machine."""
     harness = ClusterHarness()
     harness.machine(1)
     harness.settle()
@@ -254,8 +257,8 @@
     assert second.started_attempts == []
 
 
-def test_takeover_with_a_silent_machine() -> None:
-    """Records say that a task is there: it stays there, and the rest goes on without it."""
+def test_a_failover_with_a_silent_machine() -> None:
+    """A task that is recorded on the silent machine stays bound there, and all other tasks go on."""
     harness = ClusterHarness()
     silent, other = harness.machine(1, "a"), harness.machine(2, "b")
     ref = harness.submit(legs=4)
@@ -268,28 +271,30 @@
     assert len([s for s in other.started_attempts if s[0].startswith(ref)]) == 2
     assert harness.record(more) == wire.JobStatus.COMPLETED
     assert harness.record(ref) == wire.JobStatus.QUEUED
-    assert harness.cluster.quotas["crew"].cpus == 8.0  # they count for the team's limit
+    assert (
+        harness.cluster.quotas["crew"].cpus == 8.0
+    )  # the tasks on the silent machine count towards the limit of the team
 
 
-def test_takeover_judges_absence_only_under_its_own_token() -> None:
-    """An old leader's start may still land at a worker that has not seen the new token."""
+def test_after_a_failover_a_missing_attempt_counts_as_ended_only_under_the_new_token() -> None:
+    """A start command of the former leader is still accepted by a worker that has not seen the new fencing token."""
     harness = ClusterHarness()
     worker = harness.machine(1)
     harness.settle()
     ref = harness.submit(legs=1)
     harness.plan()
-    harness.commit()  # the old leader dies here; its start is under way
+    harness.commit()  # the leader fails here, with its start command in flight
     late = wire.command_request(harness.cluster.fencing_token, worker.session, [wire.StartCommand(f"{ref}/0", 1)])
     harness.fail_over()
     harness.cluster.heartbeats.receive(wire.decode_heartbeat(worker.report()), harness.now, harness.now)
     assert harness.cluster.jobs[ref].tasks[0].phase is TaskPhase.BOUND
-    worker.commands(late)  # lands before the new token does
+    worker.commands(late)  # arrives before the new token
     harness.settle()
-    assert worker.started_attempts == [(f"{ref}/0", 1)]  # taken over, not started again
+    assert worker.started_attempts == [(f"{ref}/0", 1)]  # adopted, not started again
     assert harness.cluster.jobs[ref].tasks[0].start_acknowledged
 
 
-def test_takeover_finds_a_start_that_never_went_out() -> None:
+def test_after_a_failover_a_binding_whose_start_was_never_sent_is_started() -> None:
     harness = ClusterHarness()
     worker = harness.machine(1)
     harness.settle()
@@ -303,7 +308,7 @@
     assert worker.commands(late)[0] == 409
 
 
-def test_takeover_keeps_cancellations_told() -> None:
+def test_a_confirmed_cancellation_is_carried_out_after_a_failover() -> None:
     harness = ClusterHarness()
     harness.machine(1)
     ref = harness.submit(rig="standing")
@@ -315,8 +320,11 @@
     assert harness.record(ref) == wire.JobStatus.CANCELLED
 
 
-def test_a_machine_silent_since_the_last_leader_is_judged_sooner() -> None:
-    """A machine was cut just before its leader died: the next one waited 7 s before it released it."""
+def test_a_machine_silent_since_the_failover_is_suspected_sooner() -> None:
+    """Guards against a full detection delay after a failover.
+
+    A machine was partitioned just before its leader failed, and the next leader waited 7 s before it released it.
+    """
     harness = ClusterHarness()
     worker, other = harness.machine(1), harness.machine(2)
     harness.submit(legs=1)
@@ -329,7 +337,7 @@
     assert silent_machines(machines, harness.now + 4 * SECOND, 5 * SECOND) == [gone]
 
 
-def test_quota_counts_what_is_not_proven_gone() -> None:
+def test_quota_counts_tasks_that_are_not_confirmed_as_ended() -> None:
     harness = ClusterHarness([Team("crew", cpus=8.0, cpus_max=8.0)])
     first = harness.machine(1)
     harness.submit(legs=2)
@@ -344,7 +352,7 @@
     assert sum(len(places) for ref in ("j-000001", second) for places in harness.task_locations(ref).values()) == 2
 
 
-def test_wrong_place_spread_zone_type_and_kind() -> None:
+def test_placement_respects_spread_zone_and_tier() -> None:
     harness = ClusterHarness()
     for number, zone in ((1, "a"), (2, "a"), (3, "b"), (4, "b")):
         harness.machine(number, zone)
@@ -363,7 +371,7 @@
     assert not machine_allowed(job, machine)
 
 
-def test_same_place_holds_while_an_old_task_is_not_proven_gone() -> None:
+def test_a_single_zone_job_stays_in_its_zone_while_a_former_attempt_may_run() -> None:
     harness = ClusterHarness()
     first = harness.machine(1, "a")
     ref = harness.submit(legs=2, samePlace=True)
@@ -378,7 +386,7 @@
     assert all(harness.workers[p[0]].zone == "a" for p in harness.task_locations(ref).values())
 
 
-def test_a_gang_starts_whole_or_not() -> None:
+def test_a_gang_starts_all_its_tasks_or_none() -> None:
     harness = ClusterHarness()
     first = harness.machine(1)
     ref = harness.submit(rig="gang", legs=3)
@@ -390,7 +398,7 @@
     assert {attempt for _, attempt in first.started_attempts + second.started_attempts} == {1}
 
 
-def test_a_gang_that_lost_a_machine_starts_again_only_when_nothing_is_left() -> None:
+def test_a_gang_that_lost_a_machine_restarts_only_after_all_members_have_ended() -> None:
     harness = ClusterHarness()
     first, second = harness.machine(1), harness.machine(2)
     ref = harness.submit(rig="gang", legs=4)
@@ -399,7 +407,7 @@
     harness.confirm_release(first.name)
     harness.machine(3)
     harness.settle()
-    assert all(attempt == 1 for _, attempt in second.started_attempts)  # the rest still runs
+    assert all(attempt == 1 for _, attempt in second.started_attempts)  # the other members still run
     for key in list(second.tasks):
         second.tasks[key].status, second.tasks[key].exit_reason = "ended", "mates_gone"
     harness.settle()
@@ -407,7 +415,7 @@
     assert {a for w in harness.workers.values() for (n, a), t in w.tasks.items() if t.status != "ended"} == {2}
 
 
-def test_a_service_preempts_an_array_and_the_array_runs_again() -> None:
+def test_a_service_preempts_an_array_and_the_array_is_restarted() -> None:
     harness = ClusterHarness()
     worker = harness.machine(1)
     low = harness.submit(legs=2)
@@ -422,13 +430,16 @@
     assert len(harness.task_locations(low)) == 2
 
 
-def test_only_a_job_that_fits_its_teams_guarantee_stops_other_teams() -> None:
-    """Twelve teams below their guarantees, with jobs larger than those, once stopped one another's work in turns."""
+def test_only_a_job_within_its_teams_guarantee_preempts_other_teams() -> None:
+    """Guards against teams that preempt one another's tasks in turns.
+
+    Twelve teams did so that were below their guarantees and had jobs larger than those.
+    """
     harness = ClusterHarness([Team("crew", cpus=8.0, cpus_max=32.0), Team("other", cpus=0.0, cpus_max=32.0)])
     harness.machine(1)
     borrowed = harness.submit(crew="other", voyageS=500.0)
     harness.settle()
-    large = harness.submit(ref="j-000002", legs=3)  # 12 CPUs of 8
+    large = harness.submit(ref="j-000002", legs=3)  # needs 12 CPUs, the guarantee is 8
     harness.settle(6)
     assert len(harness.task_locations(borrowed)) == 2
     harness.cancel(large)
@@ -439,10 +450,10 @@
     assert len(harness.task_locations(borrowed)) == 1
 
 
-def test_full_corrects_the_view() -> None:
+def test_a_start_refused_as_full_corrects_the_leaders_view() -> None:
     harness = ClusterHarness()
     worker = harness.machine(1)
-    worker.cores = 4.0  # less than its type promises
+    worker.cores = 4.0  # less than its machine type has
     ref = harness.submit(legs=2)
     harness.settle(3)
     assert len(harness.task_locations(ref)) == 1
@@ -452,7 +463,7 @@
     assert len(harness.task_locations(ref)) == 2
 
 
-def test_a_notice_moves_what_would_not_finish() -> None:
+def test_a_reclamation_notice_moves_tasks_that_would_not_complete_in_time() -> None:
     harness = ClusterHarness()
     doomed = harness.machine(1, spot=True)
     ref = harness.submit(legs=1, voyageS=55.0)
@@ -465,8 +476,8 @@
     assert all(t.status == "ended" for t in doomed.tasks.values())
 
 
-def test_strays_are_stopped_before_their_task_is_placed() -> None:
-    """An attempt where no record puts it: nothing of the job starts until it is gone."""
+def test_orphaned_attempts_are_stopped_before_their_task_is_placed() -> None:
+    """An attempt runs on a machine where no record has it: no task of its job starts until it has ended."""
     harness = ClusterHarness()
     worker = harness.machine(1)
     harness.settle()
@@ -478,8 +489,8 @@
     assert worker.started_attempts == [(f"{ref}/0", 7), (f"{ref}/0", 1)]
 
 
-def test_a_large_job_is_dropped_in_parts_and_never_comes_back() -> None:
-    """Its head goes first; chunks that outlive it are swept up, also by the next leader."""
+def test_a_large_job_is_deleted_in_parts_and_does_not_reappear() -> None:
+    """The head of its record is deleted first; remaining chunks are deleted later, also by the next leader."""
     harness = ClusterHarness([Team("crew")])
     ref = harness.submit(legs=2500, cores=0.001, voyageS=8.0, memoryGb=0.0)
     worker = harness.machine(1)
@@ -492,7 +503,7 @@
         status, value = harness.state.commit(harness.transaction(batch))
         assert status == 200
         if f"jobs/{ref}" in batch.sets:
-            break  # the leader dies here
+            break  # the leader fails here
         harness.cluster.writes.committed(batch, value["ledgerRev"], harness.now)
     assert harness.record(ref) == wire.JobStatus.COMPLETED
     assert harness.state.list(live_key(ref))[1]["rows"]
@@ -502,8 +513,11 @@
     assert harness.state.list(live_key(ref))[1]["rows"] == []
 
 
-def test_a_service_does_not_wait_for_its_own_teams_arrays() -> None:
-    """Its team was at its limit with arrays: it waited 60 s, while other teams' work would have been stopped."""
+def test_a_service_preempts_arrays_of_its_own_team_at_the_limit() -> None:
+    """Guards against a service that waits while its own team's arrays use up the limit of the team.
+
+    The service waited 60 s, although tasks of other teams would have been preempted for it.
+    """
     harness = ClusterHarness([Team("crew", cpus_max=16.0)])
     for number in range(1, 5):
         harness.machine(number)
@@ -513,8 +527,8 @@
     service = harness.submit(ref="j-000002", rig="standing", urgency="production", legs=2, driftwood=False)
     harness.settle()
     assert len(harness.task_locations(service)) == 2
-    assert len(harness.task_locations(array)) == 2  # no more than the limit needs
-    harness.submit(ref="j-000003", legs=2)  # work of the same priority does not
+    assert len(harness.task_locations(array)) == 2  # no more are preempted than the limit requires
+    harness.submit(ref="j-000003", legs=2)  # a job of the same priority preempts none
     harness.settle()
     assert len(harness.task_locations(array)) == 2
     assert harness.cluster.quotas["crew"].cpus <= 16.0
