--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -1,4 +1,4 @@
-"""Jobs that depend on others: when they start, what cancels them, what is recorded, and what it costs."""
+"""Job dependencies: release, cancellation, records, failover and the cost of blocked jobs."""
 
 from __future__ import annotations
 
@@ -19,6 +19,7 @@
 
 
 def world_with_machines(machines: int = 4, teams: list[Team] | None = None) -> ClusterHarness:
+    """Returns a cluster with `machines` machines, all of which have reported."""
     harness = ClusterHarness(teams)
     for number in range(1, machines + 1):
         harness.machine(number, zone="ab"[number % 2])
@@ -27,10 +28,12 @@
 
 
 def recorded_keys(harness: ClusterHarness) -> set[str]:
+    """Returns all keys of the state service."""
     return set(harness.state.items)
 
 
 def dependency_chain(harness: ClusterHarness, count: int, **more: Any) -> list[str]:
+    """Submits jobs of which each depends on the one before, and returns their ids in order."""
     job_ids = [harness.submit(legs=1, voyageS=5.0, **more)]
     for _ in range(count - 1):
         job_ids.append(harness.submit(legs=1, voyageS=5.0, waitsOn=[job_ids[-1]], **more))
@@ -59,7 +62,10 @@
 
 
 def test_completed_tasks_release_no_dependents_before_the_completion_is_recorded() -> None:
-    """Their job may still be cancelled: it was, and what depended on it had been started."""
+    """Guards against a release before the commit, until which the job may still be cancelled.
+
+    It was cancelled, and its dependents had been started already.
+    """
     harness = world_with_machines()
     first, last = dependency_chain(harness, 2)
     harness.settle()
@@ -85,8 +91,8 @@
     assert not harness.task_locations(last)
 
 
-def test_blocked_jobs_cost_no_planning() -> None:
-    """No queue, guarantee, starvation, equivalence class or pass knows of them."""
+def test_blocked_jobs_add_no_planning_work() -> None:
+    """They take no part in queues, guarantees, starvation, equivalence classes and planning passes."""
     harness = world_with_machines()
     first = harness.submit(legs=1, voyageS=500.0)
     harness.settle()
@@ -101,8 +107,8 @@
     assert not harness.cluster.writes.has_writes()
 
 
-def test_a_dependent_job_costs_one_write_more() -> None:
-    """Puts and deletes: two when accepted, two for its first binding, two when completed; others have five."""
+def test_a_dependent_job_needs_one_additional_write() -> None:
+    """Puts and deletes: two on acceptance, two on its first binding, two on completion; other jobs need five."""
     harness = world_with_machines(1)
     first = harness.submit(legs=1, voyageS=2.0)
     before = len(harness.state.log)
@@ -113,7 +119,7 @@
 
 
 def test_the_first_binding_moves_a_released_job_from_waits_to_live() -> None:
-    """An earlier version starts whatever lies there; both changes are one transaction."""
+    """An earlier version starts every job under live/, so both changes are one transaction."""
     harness = world_with_machines()
     first, last = dependency_chain(harness, 2)
     for _ in range(20):
@@ -126,7 +132,7 @@
     assert harness.record(first) == wire.JobStatus.COMPLETED
 
 
-def test_times_count_from_the_release_after_a_failover_too() -> None:
+def test_the_eligible_time_is_the_release_also_after_a_failover() -> None:
     harness = world_with_machines()
     first = harness.submit(legs=1, voyageS=5.0)
     last = harness.submit(legs=1, voyageS=5.0, waitsOn=[first])
@@ -138,9 +144,8 @@
     harness.settle(2)
     harness.fail_over()
     assert harness.cluster.jobs[last].eligible_at == released  # recorded with its binding
-    assert (
-        for_gpus in harness.cluster.dependencies.blocked_jobs
-    )  # completed dependencies are not among live work: their records are read
+    # Completed dependencies are not under live/: the next leader reads their records.
+    assert for_gpus in harness.cluster.dependencies.blocked_jobs
     harness.resolve_dependencies()
     assert harness.cluster.jobs[for_gpus].eligible_at == released
 
@@ -187,7 +192,7 @@
 # --- failover --------------------------------------------------------------------------------------
 
 
-def test_a_failover_at_each_step_goes_on_from_the_records() -> None:
+def test_dependent_jobs_complete_despite_a_failover_at_each_step() -> None:
     harness = world_with_machines()
     first = harness.submit(legs=2, voyageS=3.0)
     middle = harness.submit(legs=2, voyageS=3.0, waitsOn=[first])
@@ -214,8 +219,8 @@
     assert {harness.record(ref) for ref in job_ids} == {wire.JobStatus.COMPLETED}
 
 
-def test_where_a_transaction_holds_one_change_each_part_is_safe_alone() -> None:
-    """live/ first, then waits/ goes: a leader that finds both knows that the job is released."""
+def test_with_one_change_per_transaction_each_part_is_safe_alone() -> None:
+    """The key under live/ is set before the one under waits/ is deleted: a job with both keys is released."""
     harness = world_with_machines()
     harness.ops = 1
     _, last = dependency_chain(harness, 2)
@@ -250,8 +255,8 @@
     assert not [key for key in recorded_keys(harness) if key.startswith(("live/", "waits/"))]
 
 
-def test_a_failover_in_the_middle_of_a_cascade_completes_it() -> None:
-    """Level-triggered: whatever the leader before had recorded of a cascade."""
+def test_a_cancellation_cascade_is_completed_after_a_failover() -> None:
+    """The cascade is level-triggered: it does not matter how much of it the former leader had recorded."""
     harness = world_with_machines()
     job_ids = dependency_chain(harness, 4)
     harness.settle()
@@ -264,7 +269,7 @@
     assert {harness.record(ref) for ref in job_ids} == {wire.JobStatus.CANCELLED}
 
 
-def test_a_dependent_that_its_user_cancelled_before_the_cascade() -> None:
+def test_a_dependent_cancelled_by_its_user_before_the_cascade_is_recorded_once() -> None:
     harness = world_with_machines()
     first, last = dependency_chain(harness, 2)
     harness.settle()
@@ -287,13 +292,13 @@
     harness.cancel(first)
     early = harness.submit(legs=1, waitsOn=[first])  # its tasks are still being stopped
     harness.settle()
-    later = harness.submit(legs=1, waitsOn=[first])  # nothing of it is live any more
+    later = harness.submit(legs=1, waitsOn=[first])  # it has no key under live/ any more
     harness.settle()
     assert {harness.record(ref) for ref in (early, later)} == {wire.JobStatus.CANCELLED}
 
 
 def test_a_job_that_is_received_twice_is_cancelled_once() -> None:
-    """By the node that accepted it, and by the watch: each time another object of the same job."""
+    """The leader receives it from the accepting node and by the watch, each time as another object."""
     harness = world_with_machines()
     first = harness.submit(legs=1)
     harness.settle()
@@ -306,7 +311,7 @@
     assert harness.cluster.job_statistics.classes["train"].accepted == counted
 
 
-def test_three_thousand_cancellations_at_once_leave_bindings_their_half() -> None:
+def test_three_thousand_cancellations_at_once_leave_half_of_the_writes_to_bindings() -> None:
     harness = world_with_machines()
     first = harness.submit(legs=1, voyageS=100.0)
     for _ in range(3000):
@@ -337,9 +342,8 @@
     harness.plan()
     job = harness.cluster.jobs[first]
     assert job.priority_rank == 1
-    assert (
-        harness.now + 140 * SECOND < job.inherited_deadlines[0] < harness.now + 160 * SECOND
-    )  # less both run times, fetches and steps
+    # The deadline less the run times of both dependents, image fetches and planning steps.
+    assert harness.now + 140 * SECOND < job.inherited_deadlines[0] < harness.now + 160 * SECOND
     assert job.deadline_at == job.inherited_deadlines[0]
     harness.cancel(last)
     harness.plan()
@@ -350,8 +354,11 @@
     assert job.priority_rank == 3
 
 
-def test_a_stage_whose_last_job_is_not_submitted_yet_is_not_best_effort() -> None:
-    """Some users submit the last one when the others have completed: until then a stage was behind everything else."""
+def test_a_pipeline_stage_without_dependents_yet_is_not_best_effort() -> None:
+    """Guards against stages that are scheduled after all other jobs until the last one is submitted.
+
+    Some users submit the last job of a pipeline only when the others have completed.
+    """
     harness = world_with_machines(0)
     first = harness.submit(legs=1, voyageS=1.0, urgency="idle")
     harness.cluster.dependencies.on_completion_recorded(first, harness.now)
@@ -363,7 +370,7 @@
     assert harness.cluster.jobs[alone].priority_rank == 3
 
 
-def test_a_changed_priority_leaves_no_trace_in_the_accounts() -> None:
+def test_a_changed_priority_leaves_the_accounting_balanced() -> None:
     harness = world_with_machines()
     first = harness.submit(legs=2, voyageS=5.0, urgency="idle")
     harness.settle()
@@ -379,7 +386,7 @@
 
 
 def test_urgency_is_propagated_once_for_thousands_of_dependents() -> None:
-    """A job that thousands depend on: each that goes does not make all the others be looked at again."""
+    """Guards against quadratic work: removing one of thousands of dependents must not evaluate all others again."""
     evaluated = 0
     graph = DependencyGraph()
     for number in range(3000):
@@ -398,11 +405,11 @@
     assert evaluated == 2000
 
 
-# --- against a plain model --------------------------------------------------------------------------
+# --- comparison with a reference model --------------------------------------------------------------
 
 
 class Model(RuleBasedStateMachine):
-    """Jobs that are accepted, completed and cancelled in any order; sets say what is blocked, released or cancelled."""
+    """Accepts, completes and cancels jobs in any order, and compares the graph with a state per job."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -410,7 +417,8 @@
         self.dependencies: dict[str, list[str]] = {}
         self.state: dict[str, str] = {}  # waits, runs, done, cancelled
 
-    def known(self, ref: str) -> DependencyState:
+    def dependency_state(self, ref: str) -> DependencyState:
+        """Returns the state of a job as the graph has to see it."""
         return {
             "waits": DependencyState.OPEN,
             "runs": DependencyState.OPEN,
@@ -418,23 +426,26 @@
             "cancelled": DependencyState.CANCELLED,
         }[self.state[ref]]
 
-    def cancelled(self, ref: str) -> bool:
+    def is_cancelled(self, ref: str) -> bool:
+        """Returns whether the job or an uncompleted job that it depends on is cancelled."""
         return self.state[ref] == "cancelled" or any(
-            self.cancelled(need) for need in self.dependencies[ref] if self.state[need] != "done"
+            self.is_cancelled(need) for need in self.dependencies[ref] if self.state[need] != "done"
         )
 
-    def ready(self, ref: str) -> bool:
+    def is_ready(self, ref: str) -> bool:
+        """Returns whether all dependencies of the job have completed."""
         return all(self.state[need] == "done" for need in self.dependencies[ref])
 
     @rule(data=st.data())
     def accept(self, data: st.DataObject) -> None:
+        """Accepts a job that depends on up to four others."""
         ref = f"j-{len(self.dependencies) + 1}"
         drawn = data.draw(st.lists(st.sampled_from(sorted(self.dependencies)), max_size=4)) if self.dependencies else []
         self.dependencies[ref] = list(dict.fromkeys(drawn))
         if not drawn:
             self.state[ref] = "runs"
             return
-        outcome = self.graph.add(ref, self.dependencies[ref], self.known)
+        outcome = self.graph.add(ref, self.dependencies[ref], self.dependency_state)
         self.state[ref] = {
             DependencyState.OPEN: "waits",
             DependencyState.COMPLETED: "runs",
@@ -443,7 +454,8 @@
 
     @precondition(lambda self: "runs" in self.state.values())
     @rule(data=st.data())
-    def end(self, data: st.DataObject) -> None:
+    def complete(self, data: st.DataObject) -> None:
+        """Completes a running job."""
         ref = data.draw(st.sampled_from([r for r, state in self.state.items() if state == "runs"]))
         self.state[ref] = "done"
         for name in self.graph.complete(ref).released:
@@ -453,6 +465,7 @@
     @precondition(lambda self: {"runs", "waits"} & set(self.state.values()))
     @rule(data=st.data())
     def cancel(self, data: st.DataObject) -> None:
+        """Cancels a running or blocked job."""
         ref = data.draw(st.sampled_from([r for r, s in self.state.items() if s in ("runs", "waits")]))
         self.state[ref] = "cancelled"
         for name in self.graph.cancel(ref):
@@ -460,17 +473,18 @@
             self.state[name] = "cancelled"
 
     @invariant()
-    def graph_agrees_with_the_sets(self) -> None:
+    def graph_agrees_with_the_model(self) -> None:
+        """Checks the state of each job and its unmet dependencies."""
         for ref, state in self.state.items():
-            if self.cancelled(ref):
+            if self.is_cancelled(ref):
                 assert state == "cancelled"
             elif state == "waits":
-                assert not self.ready(ref)
+                assert not self.is_ready(ref)
                 assert set(self.graph.dependencies_of(ref)) == {
                     n for n in self.dependencies[ref] if self.state[n] != "done"
                 }
             else:
-                assert self.ready(ref)
+                assert self.is_ready(ref)
         assert set(self.graph.unmet_dependencies) == {ref for ref, state in self.state.items() if state == "waits"}
         assert not self.graph.unresolved
 
