--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -108,7 +108,7 @@
 
 
 def test_a_dependent_job_needs_one_additional_write() -> None:
-    """Puts and deletes: two on acceptance, two on its first binding, two on completion; other jobs need five."""
+    """Such a job needs two puts or deletes on acceptance, two on first binding, two on completion; others need five."""
     harness = world_with_machines(1)
     first = harness.submit(legs=1, voyageS=2.0)
     before = len(harness.state.log)
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -1,4 +1,4 @@
-"""A backlog: thousands of pending tasks while all machines are full. What it may cost, and that no decision changes."""
+"""A backlog of thousands of pending tasks on full machines: bounds of its cost, and unchanged placement decisions."""
 
 from __future__ import annotations
 
@@ -19,20 +19,25 @@
 from oatport.control.state.machine import Machine
 from oatport.settings import Team
 from oatport.times import SECOND
-from tests.call_counts import backlog, calls
+from tests.call_counts import count_calls, measure_backlog
 from tests.cluster_fixture import TYPES, ClusterHarness, job
 
 
 def spec(**changes: Any) -> wire.Submission:
+    """Returns a decoded submission."""
     return wire.decode_submission(job(**changes))
 
 
 def pending_job(number: int, **changes: Any) -> Job:
+    """Returns a job submitted at second `number`."""
     return Job(f"j-{number:06d}", spec(ref=f"j-{number:06d}", **changes), 1, number * SECOND)
 
 
 def placements_of_a_random_day(seed: int) -> list[tuple[str, str]]:
-    """What ran where on a random day of arrays, services, gangs and best-effort jobs, with a lost machine."""
+    """Returns the attempts started on each machine, in order of their starts.
+
+    The random workload has arrays, services, gangs and best-effort jobs; one machine is lost.
+    """
     rng = random.Random(seed)
     harness = ClusterHarness([Team("crew", cpus=40.0), Team("other", cpus_max=24.0)])
     for number in range(1, 13):
@@ -43,16 +48,16 @@
     for step in range(30):
         for _ in range(rng.randrange(3)):
             number = 1000 + step * 10 + rng.randrange(10)
-            sort = rng.choice(["array", "array", "array", "service", "gang", "best-effort"])
+            job_kind = rng.choice(["array", "array", "array", "service", "gang", "best-effort"])
             changes: dict[str, Any] = {
                 "array": {"legs": rng.randrange(1, 9), "voyageS": rng.choice([20.0, 90.0]), "tideS": 60.0 * step},
                 "service": {"rig": "standing", "legs": 3, "cores": 2.0, "urgency": "production", "spread": True},
                 "gang": {"rig": "gang", "legs": 2, "accelerators": 2.0, "cores": 6.0, "urgency": "high"},
                 "best-effort": {"legs": 20, "cores": 1.0, "urgency": "idle"},
-            }[sort]
+            }[job_kind]
             ref = f"j-{number:06d}"
             if ref not in harness.cluster.jobs:
-                harness.submit(ref=ref, crew=rng.choice(["crew", "other"]), cargo=sort, **changes)
+                harness.submit(ref=ref, crew=rng.choice(["crew", "other"]), cargo=job_kind, **changes)
         harness.step(rng.choice([0.5, 2.0, 5.0]))
         if step == 12:
             name = sorted(harness.workers)[rng.randrange(len(harness.workers))]
@@ -68,17 +73,17 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_equivalence_classes_place_what_a_look_at_every_job_would_place(
+def test_equivalence_classes_place_the_same_tasks_as_examining_every_job(
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Leaving a class early saves looks and changes no placement: the same day with all jobs looked at one by one."""
+    """Skipping the rest of an equivalence class changes no placement, compared with a run that examines every job."""
     by_classes = placements_of_a_random_day(seed)
     monkeypatch.setattr(pending_queue, "is_interchangeable", lambda job: False)
     assert placements_of_a_random_day(seed) == by_classes
     assert len(by_classes) > 50
 
 
-def test_the_pending_queue_walks_in_order_while_jobs_come_and_go() -> None:
+def test_the_pending_queue_stays_in_order_while_jobs_are_added_and_discarded() -> None:
     rng = random.Random(7)
     found = PendingQueue()
     jobs = [
@@ -98,15 +103,15 @@
     walked = []
     for _, one in found.walk():
         walked.append(one)
-        found.discard(jobs[100])  # taken by an earlier one's step: it does not come any more
+        found.discard(jobs[100])  # discarded during the walk: it is not returned any more
     assert jobs[100] not in walked[1:]
     assert found.smallest_cpus() == 4.0
 
 
 def test_pending_jobs_are_not_examined_while_nothing_changes() -> None:
-    """Counted: a look at ten thousand pending tasks costs what one at none does."""
+    """A step of the loops with ten thousand pending tasks costs at most twice the calls of one with none."""
 
-    def look(tasks: int) -> int:
+    def calls_per_step(tasks: int) -> int:
         harness = ClusterHarness([Team("crew")])
         for number in range(1, 21):
             harness.machine(number)
@@ -121,20 +126,22 @@
         harness.placer.plan(harness.now)
         harness.now += SECOND // 10
         assert not harness.placer.is_due(harness.now)
-        return calls(lambda: (router.step(harness.now, harness.now), harness.placer.is_due(harness.now)))
+        return count_calls(lambda: (router.step(harness.now, harness.now), harness.placer.is_due(harness.now)))
 
-    assert look(10_000) <= 2 * look(0)
+    assert calls_per_step(10_000) <= 2 * calls_per_step(0)
 
 
 def test_a_backlog_ten_times_as_large_costs_at_most_ten_times_as_much() -> None:
-    small, large = backlog(60, 300), backlog(60, 3000)
-    assert small.bindings == large.bindings == 100  # all the capacity that came free was used
+    small, large = measure_backlog(60, 300), measure_backlog(60, 3000)
+    assert small.bindings == large.bindings == 100  # all freed capacity was used
     for name in ("unchanged", "completions", "submissions", "longest"):
         assert getattr(large, name) < 10 * getattr(small, name), name
-    assert large.heartbeats == small.heartbeats < 10 * 60  # unchanged ones cost the same however much is pending
+    assert (
+        large.heartbeats == small.heartbeats < 10 * 60
+    )  # the cost of unchanged heartbeats does not depend on the backlog
 
 
-def test_freed_capacity_is_planned_for_though_nothing_else_changed() -> None:
+def test_freed_capacity_alone_makes_a_planning_pass_due() -> None:
     harness = ClusterHarness()
     worker = harness.machine(1)
     harness.step()
@@ -150,8 +157,8 @@
     assert (f"{second}/0", 1) in worker.started_attempts
 
 
-def test_wakeups_that_a_pass_noted_bring_the_next_one() -> None:
-    """A refused start keeps a machine from more for three seconds; a job backs off: no event ends that."""
+def test_a_planning_pass_is_due_at_the_wakeups_of_the_last_one() -> None:
+    """A refused start cordons a machine for three seconds, and a job backs off: no event marks the end of either."""
     harness = ClusterHarness()
     harness.machine(1)
     harness.step()
@@ -167,8 +174,8 @@
     assert harness.placer.is_due(harness.now + SECOND // 2)
 
 
-def test_a_team_at_its_limit_is_not_searched_for_victims_that_it_does_not_have() -> None:
-    """Each of its pending jobs went through all that the team ran, twice a second."""
+def test_no_victims_are_searched_for_a_team_at_its_limit_without_lower_priorities() -> None:
+    """Guards against a search through all running tasks of the team, twice a second for each of its pending jobs."""
     harness = ClusterHarness([Team("crew", cpus_max=8.0)])
     for number in range(1, 6):
         harness.machine(number)
@@ -181,10 +188,10 @@
     assert all(not waits.preempt_after for waits in harness.cluster.pending)
     service = harness.submit(rig="standing", legs=1, urgency="production")
     harness.settle()
-    assert len(harness.task_locations(service)) == 1  # which it would make room for
+    assert len(harness.task_locations(service)) == 1  # it preempts an array of its team
 
 
-def test_a_job_submitted_between_routings_is_routed_by_its_place_in_the_queue() -> None:
+def test_a_job_submitted_between_routings_is_routed_by_its_position_in_the_queue() -> None:
     harness = ClusterHarness([Team("crew")])
     harness.machine(1)
     harness.step()
@@ -194,9 +201,9 @@
     router.step(harness.now, harness.now)
     routed = {one.job_id: one.tier for one in harness.cluster.pending}
     urgent = harness.cluster.jobs[harness.submit(legs=1, voyageS=10.0, tideS=60.0)]
-    counted = calls(lambda: router.step(harness.now, harness.now))
+    counted = count_calls(lambda: router.step(harness.now, harness.now))
     assert urgent.tier
-    assert counted < 150  # the others were not looked at
+    assert counted < 150  # the others were not examined
     assert {one.job_id: one.tier for one in harness.cluster.pending if one is not urgent} == routed
     assert next(one for _, one in harness.cluster.pending.walk()) is urgent
 
@@ -229,10 +236,10 @@
         if found is not None and expected is not None:
             assert plain[found.position] is expected
             assert found.reserve(want, 1) == expected.reserve(want, 1) == 1
-    assert incoming.slots_examined < 2 * len(wants) + 6 * len(plain)  # and not one times the other
+    assert incoming.slots_examined < 2 * len(wants) + 6 * len(plain)  # and not the product of both
 
 
-def test_no_more_machines_are_planned_than_are_requested() -> None:
+def test_scale_out_plans_no_more_machines_than_one_pass_requests() -> None:
     harness = ClusterHarness([Team("crew")])
     for _ in range(40):
         harness.submit(legs=100, voyageS=20.0)
@@ -252,7 +259,7 @@
     assert pauses[0] == REFUSAL_BACKOFF
     assert pauses == sorted(pauses)
     assert pauses[-1] == REFUSAL_BACKOFF_MAX
-    harness.fleet.availability.grant_partially(rental, harness.now)  # some came: there may be more soon
+    harness.fleet.availability.grant_partially(rental, harness.now)  # a partial grant: more capacity may follow soon
     assert harness.fleet.availability.refused_until["m8", "a", True] - harness.now == REFUSAL_BACKOFF
     harness.fleet.availability.refuse(rental, harness.now)
     harness.fleet.availability.grant(rental, harness.now)
@@ -263,7 +270,8 @@
 # --- unchanged heartbeats ----------------------------------------------------------------
 
 
-def settled_world(**changes: Any) -> tuple[ClusterHarness, Machine, str]:
+def settled_cluster(**changes: Any) -> tuple[ClusterHarness, Machine, str]:
+    """Returns a cluster, the machine that runs its only job, and the job's id; heartbeats are unchanged by now."""
     harness = ClusterHarness()
     harness.machine(1)
     harness.machine(2)
@@ -276,23 +284,23 @@
 
 
 def test_an_unchanged_heartbeat_costs_one_comparison() -> None:
-    harness, machine, _ = settled_world()
+    harness, machine, _ = settled_cluster()
     report = wire.decode_heartbeat(harness.workers[machine.name].report())
     harness.now += SECOND
-    assert calls(lambda: harness.cluster.heartbeats.receive(report, harness.now, harness.now)) < 10
+    assert count_calls(lambda: harness.cluster.heartbeats.receive(report, harness.now, harness.now)) < 10
     assert machine.last_heartbeat_at == harness.now
 
 
 def test_a_task_missing_from_a_settled_machine_is_noticed() -> None:
-    harness, machine, ref = settled_world()
+    harness, machine, ref = settled_cluster()
     del harness.workers[machine.name].tasks[(f"{ref}/0", 1)]
     harness.settle()
     assert [attempt for worker in harness.workers.values() for _, attempt in worker.started_attempts] == [1, 2]
 
 
 def test_an_orphaned_attempt_on_a_settled_machine_is_noticed() -> None:
-    """A start of an earlier leader's that arrives late."""
-    harness, machine, _ = settled_world(cores=4.0)
+    """The attempt arises from a late start command of an earlier leader."""
+    harness, machine, _ = settled_cluster(cores=4.0)
     other = harness.submit(legs=1, cores=1.0, berthKinds=["g16"], sizeGb=0.0)
     harness.workers[machine.name].commands(
         wire.command_request(harness.cluster.fencing_token, machine.agent_epoch, [wire.StartCommand(f"{other}/0", 7)])
@@ -303,14 +311,14 @@
 
 
 def test_a_cancelled_task_on_a_settled_machine_is_stopped() -> None:
-    harness, _, ref = settled_world()
+    harness, _, ref = settled_cluster()
     harness.cancel(ref)
     harness.settle()
     assert harness.task_locations(ref) == {}
 
 
 def test_a_new_agent_epoch_of_a_settled_machine_is_noticed() -> None:
-    harness, machine, ref = settled_world()
+    harness, machine, ref = settled_cluster()
     harness.workers[machine.name].lease_renewed_at = harness.now - 60 * SECOND
     harness.settle()
     assert sum(len(worker.started_attempts) for worker in harness.workers.values()) == 2
@@ -318,7 +326,10 @@
 
 
 def test_a_start_that_was_never_sent_is_sent() -> None:
-    """Beyond so many machines at a time, commands wait: a start was once left to the next look at all tasks."""
+    """Guards against a start command that is sent only by the next check of all tasks.
+
+    Commands beyond a number of machines at a time are deferred.
+    """
     harness = ClusterHarness()
     harness.machine(1)
     harness.step()
--- a/tests/test_scalability.py
+++ b/tests/test_scalability.py
@@ -1,4 +1,4 @@
-"""What grows with the size grows no faster than it: calls of functions and changes counted, never time."""
+"""The work of the leader grows no faster than the cluster: calls, changes and bytes are counted, never timed."""
 
 from __future__ import annotations
 
@@ -8,7 +8,10 @@
 
 
 def test_twice_the_machines_and_tasks_are_at_most_two_and_a_half_times_the_work() -> None:
-    """A planning pass after a start, or when a zone came back, once grew with the square of the size."""
+    """Guards against a planning pass whose cost grows with the square of the size.
+
+    It did so after a start of the cluster and after the recovery of a zone.
+    """
     small, large = asdict(measure(80)), asdict(measure(160))
     assert {name: (small[name], large[name]) for name in small if large[name] > 2.5 * small[name]} == {}
     assert large["tasks"] > 200
