--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -39,6 +39,7 @@
 
 @pytest.fixture
 def state() -> KeyStore:
+    """Returns an empty state service."""
     return KeyStore(lambda: 0)
 
 
@@ -70,32 +71,34 @@
 
 
 def test_a_reply_shows_that_the_process_began_later_or_dropped_entries() -> None:
-    asked, answered = 100 * SECOND, 100 * SECOND + SECOND // 10
-    young = cancellation_log(began_at=95 * SECOND)
-    assert not young.confirmed_within(asked, 10 * SECOND).covers(90 * SECOND, asked, answered)
-    assert young.confirmed_within(asked, SECOND).covers(99 * SECOND, asked, answered)
-    small = cancellation_log(max_entries=2)
+    requested_at, replied_at = 100 * SECOND, 100 * SECOND + SECOND // 10
+    started_later = cancellation_log(began_at=95 * SECOND)
+    assert not started_later.confirmed_within(requested_at, 10 * SECOND).covers(90 * SECOND, requested_at, replied_at)
+    assert started_later.confirmed_within(requested_at, SECOND).covers(99 * SECOND, requested_at, replied_at)
+    small_log = cancellation_log(max_entries=2)
     for number in range(4):
-        small.record(f"j-{number}", (90 + number) * SECOND)
-    assert small.confirmed_within(asked, 50 * SECOND).job_ids == ["j-2", "j-3"]
-    assert not small.confirmed_within(asked, 10 * SECOND).covers(90 * SECOND, asked, answered)
-    assert small.confirmed_within(asked, 8 * SECOND).covers(92 * SECOND, asked, answered)
-    old = cancellation_log(retention_s=5)
-    old.record("j-1", 10 * SECOND)
-    old.record("j-2", 16 * SECOND)
-    assert old.confirmed_within(16 * SECOND, 10 * SECOND).job_ids == ["j-2"]
-    assert not old.confirmed_within(16 * SECOND, 10 * SECOND).covers(6 * SECOND, 16 * SECOND, 16 * SECOND)
+        small_log.record(f"j-{number}", (90 + number) * SECOND)
+    assert small_log.confirmed_within(requested_at, 50 * SECOND).job_ids == ["j-2", "j-3"]
+    assert not small_log.confirmed_within(requested_at, 10 * SECOND).covers(90 * SECOND, requested_at, replied_at)
+    assert small_log.confirmed_within(requested_at, 8 * SECOND).covers(92 * SECOND, requested_at, replied_at)
+    short_retention = cancellation_log(retention_s=5)
+    short_retention.record("j-1", 10 * SECOND)
+    short_retention.record("j-2", 16 * SECOND)
+    assert short_retention.confirmed_within(16 * SECOND, 10 * SECOND).job_ids == ["j-2"]
+    assert not short_retention.confirmed_within(16 * SECOND, 10 * SECOND).covers(6 * SECOND, 16 * SECOND, 16 * SECOND)
 
 
 def test_the_bounds_of_what_a_reply_covers() -> None:
-    since, asked = 100 * SECOND, 120 * SECOND
+    since, requested_at = 100 * SECOND, 120 * SECOND
     complete_us = 21 * SECOND
-    answered = since + shortened_by_drift(complete_us)
-    assert ConfirmedCancellations([], complete_us).covers(since, asked, answered)
+    replied_at = since + shortened_by_drift(complete_us)
+    assert ConfirmedCancellations([], complete_us).covers(since, requested_at, replied_at)
     # A fast clock of the replying node could account for the difference.
-    assert not ConfirmedCancellations([], complete_us - SECOND // 100).covers(since, asked, answered)
+    assert not ConfirmedCancellations([], complete_us - SECOND // 100).covers(since, requested_at, replied_at)
     # The time in flight of such a late reply is not bounded.
-    assert not ConfirmedCancellations([], 10 * complete_us).covers(since, asked, asked + MAX_RESPONSE_TIME + 1)
+    assert not ConfirmedCancellations([], 10 * complete_us).covers(
+        since, requested_at, requested_at + MAX_RESPONSE_TIME + 1
+    )
 
 
 @pytest.mark.parametrize(
@@ -129,7 +132,7 @@
 
 
 class UserApi:
-    """A node's HTTP API for users; for each response, it is checked what the node had logged before it was sent."""
+    """Sends requests to a node's API for users, and checks which cancellations the node had logged by the response."""
 
     def __init__(self, state: KeyStore) -> None:
         self.client, self.controller = FakeStateClient(state), FakeControllerNode()
@@ -244,12 +247,12 @@
     node, lead = await leader_without_state_service(state)
     before = lead.lease_renewal_limit.cancellations_read_at
 
-    class PeerRepliesAfterLeadershipLoss(FakePeer):
+    class PeerThatRepliesAfterLeadershipLoss(FakePeer):
         async def ask(self, request: PeerMessage, decode: Callable[[PeerArray], Any], *, timeout_us: int = 0) -> Any:
             node.election.leader = None
             return decode_reply(["told", COMPLETE_WITHIN_US, []], decode)
 
-    node.peers = {"n1": PeerRepliesAfterLeadershipLoss(None)}  # type: ignore[dict-item]
+    node.peers = {"n1": PeerThatRepliesAfterLeadershipLoss(None)}  # type: ignore[dict-item]
     await node.peer_notifier.collect(lead)
     assert lead.lease_renewal_limit.cancellations_read_at == before
 
@@ -325,13 +328,13 @@
     harness.cluster.job_lifecycle.cancel_confirmed("j-000001", 0, harness.now)
     first = harness.submit()
     assert harness.cluster.jobs[first].cancelled_after == confirmed_at  # the first confirmation counts
-    after = harness.submit(waitsOn=[first])
+    dependent = harness.submit(waitsOn=[first])
     harness.cancel(first, notify_leader=False)
     harness.settle()
     assert harness.task_locations(first) == {}
     assert not harness.cluster.jobs[first].tasks
-    assert after not in harness.cluster.dependencies.blocked_jobs  # cancelled with the job that it depends on
-    assert harness.record(after) == wire.JobStatus.CANCELLED
+    assert dependent not in harness.cluster.dependencies.blocked_jobs  # cancelled with the job that it depends on
+    assert harness.record(dependent) == wire.JobStatus.CANCELLED
     # Its keys are deleted after its record was read: without its version the cancellation mark would stay.
     assert cancel_key(first) in harness.state.items
     harness.cluster.job_lifecycle.cancel(first, harness.state.items[cancel_key(first)][1])
@@ -344,14 +347,14 @@
     """The cancellation may be derived from a dependency, so that the blocked job has no cancellation record itself."""
     harness = ClusterHarness()
     first = harness.submit()
-    after, own = harness.submit(waitsOn=[first]), harness.submit(waitsOn=[first])
-    harness.cancel(own, notify_leader=False)
-    for ref in (after, own):
+    dependent, cancelled_dependent = harness.submit(waitsOn=[first]), harness.submit(waitsOn=[first])
+    harness.cancel(cancelled_dependent, notify_leader=False)
+    for ref in (dependent, cancelled_dependent):
         harness.cluster.job_lifecycle.cancel_confirmed(ref, 0, harness.now)
     batch = harness.cluster.writes.take_batch(12)
-    assert {job_key(after), job_key(own)} <= batch.sets.keys()
+    assert {job_key(dependent), job_key(cancelled_dependent)} <= batch.sets.keys()
     # The user's cancellation was recorded first: it fails the transaction, and the record's version gives its mark.
-    assert harness.state.commit(harness.transaction(batch))[1]["failed"] == [job_key(own)]
+    assert harness.state.commit(harness.transaction(batch))[1]["failed"] == [job_key(cancelled_dependent)]
 
 
 def start_without_response(harness: ClusterHarness, worker: Worker) -> tuple[str, Machine]:
@@ -439,10 +442,10 @@
 
 def run_with_confirmations_by_other_nodes(plan: Plan) -> RunResult:
     """Returns the result of a simulation in which users reach only the nodes that do not lead at first."""
-    harness = Simulation(plan, 5)
-    harness.users_reach = {"n1", "n2"}  # n0 leads at first
-    result = harness.run()
-    cancelled = [job for job in harness.deployed.checker.jobs.values() if 1020 < (job.cancelled_at or 0) < 1023]
+    simulation = Simulation(plan, 5)
+    simulation.users_reach = {"n1", "n2"}  # n0 leads at first
+    result = simulation.run()
+    cancelled = [job for job in simulation.deployed.checker.jobs.values() if 1020 < (job.cancelled_at or 0) < 1023]
     assert len(cancelled) >= 3, "too few cancellations were confirmed before the outage"
     return result
 
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -240,18 +240,18 @@
 # --- cancellation -----------------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("which", [0, 1, 2])
-def test_a_cancellation_cancels_all_that_depend_on_the_job(which: int) -> None:
+@pytest.mark.parametrize("cancelled_index", [0, 1, 2])
+def test_a_cancellation_cancels_all_that_depend_on_the_job(cancelled_index: int) -> None:
     harness = world_with_machines()
     job_ids = dependency_chain(harness, 3)
-    aside = harness.submit(legs=1, voyageS=5.0)
+    unrelated = harness.submit(legs=1, voyageS=5.0)
     harness.settle()
-    harness.cancel(job_ids[which])
+    harness.cancel(job_ids[cancelled_index])
     harness.settle(30)
-    assert [harness.record(ref) for ref in job_ids] == [wire.JobStatus.COMPLETED] * which + [
+    assert [harness.record(ref) for ref in job_ids] == [wire.JobStatus.COMPLETED] * cancelled_index + [
         wire.JobStatus.CANCELLED
-    ] * (3 - which)
-    assert harness.record(aside) == wire.JobStatus.COMPLETED
+    ] * (3 - cancelled_index)
+    assert harness.record(unrelated) == wire.JobStatus.COMPLETED
     assert not [key for key in recorded_keys(harness) if key.startswith(("live/", "waits/"))]
 
 
@@ -303,12 +303,12 @@
     first = harness.submit(legs=1)
     harness.settle()
     harness.cancel(first)
-    after = harness.submit(legs=1, waitsOn=[first])
-    job = harness.cluster.writes.jobs_to_cancel[after]
-    counted = harness.cluster.job_statistics.classes["train"].accepted
-    harness.cluster.dependencies.add_blocked(Job(after, job.spec, job.version, harness.now))
+    dependent = harness.submit(legs=1, waitsOn=[first])
+    job = harness.cluster.writes.jobs_to_cancel[dependent]
+    accepted_count = harness.cluster.job_statistics.classes["train"].accepted
+    harness.cluster.dependencies.add_blocked(Job(dependent, job.spec, job.version, harness.now))
     assert list(harness.cluster.writes.jobs_to_cancel.values()) == [job]
-    assert harness.cluster.job_statistics.classes["train"].accepted == counted
+    assert harness.cluster.job_statistics.classes["train"].accepted == accepted_count
 
 
 def test_three_thousand_cancellations_at_once_leave_half_of_the_writes_to_bindings() -> None:
@@ -429,12 +429,12 @@
     def is_cancelled(self, ref: str) -> bool:
         """Returns whether the job or an uncompleted job that it depends on is cancelled."""
         return self.state[ref] == "cancelled" or any(
-            self.is_cancelled(need) for need in self.dependencies[ref] if self.state[need] != "done"
+            self.is_cancelled(dependency) for dependency in self.dependencies[ref] if self.state[dependency] != "done"
         )
 
     def is_ready(self, ref: str) -> bool:
         """Returns whether all dependencies of the job have completed."""
-        return all(self.state[need] == "done" for need in self.dependencies[ref])
+        return all(self.state[dependency] == "done" for dependency in self.dependencies[ref])
 
     @rule(data=st.data())
     def accept(self, data: st.DataObject) -> None:
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -85,27 +85,27 @@
 
 def test_the_pending_queue_stays_in_order_while_jobs_are_added_and_discarded() -> None:
     rng = random.Random(7)
-    found = PendingQueue()
+    queue = PendingQueue()
     jobs = [
         pending_job(n, tideS=float(rng.randrange(60, 600)), urgency=rng.choice(["normal", "high", "idle"]))
         for n in range(1, 200)
     ]
-    for one in jobs[:150]:
-        found.add(one)
-    assert [one for _, one in found.walk()] == sorted(jobs[:150], key=order_key)
-    for one in jobs[150:]:
-        found.add(one)
-    for one in jobs[:40]:
-        found.discard(one)
+    for queued in jobs[:150]:
+        queue.add(queued)
+    assert [queued for _, queued in queue.walk()] == sorted(jobs[:150], key=order_key)
+    for queued in jobs[150:]:
+        queue.add(queued)
+    for queued in jobs[:40]:
+        queue.discard(queued)
     jobs[60].deadline_at = 1  # most urgent now
-    found.reposition(jobs[60])
-    assert [one for _, one in found.walk()] == sorted(jobs[40:], key=order_key)
+    queue.reposition(jobs[60])
+    assert [queued for _, queued in queue.walk()] == sorted(jobs[40:], key=order_key)
     walked = []
-    for _, one in found.walk():
-        walked.append(one)
-        found.discard(jobs[100])  # discarded during the walk: it is not returned any more
+    for _, queued in queue.walk():
+        walked.append(queued)
+        queue.discard(jobs[100])  # discarded during the walk: it is not returned any more
     assert jobs[100] not in walked[1:]
-    assert found.smallest_cpus() == 4.0
+    assert queue.smallest_cpus() == 4.0
 
 
 def test_pending_jobs_are_not_examined_while_nothing_changes() -> None:
@@ -136,9 +136,8 @@
     assert small.bindings == large.bindings == 100  # all freed capacity was used
     for name in ("unchanged", "completions", "submissions", "longest"):
         assert getattr(large, name) < 10 * getattr(small, name), name
-    assert (
-        large.heartbeats == small.heartbeats < 10 * 60
-    )  # the cost of unchanged heartbeats does not depend on the backlog
+    # The cost of unchanged heartbeats does not depend on the backlog.
+    assert large.heartbeats == small.heartbeats < 10 * 60
 
 
 def test_freed_capacity_alone_makes_a_planning_pass_due() -> None:
@@ -185,7 +184,7 @@
     for _ in range(50):
         harness.submit(legs=4)
     harness.plan()
-    assert all(not waits.preempt_after for waits in harness.cluster.pending)
+    assert all(not queued.preempt_after for queued in harness.cluster.pending)
     service = harness.submit(rig="standing", legs=1, urgency="production")
     harness.settle()
     assert len(harness.task_locations(service)) == 1  # it preempts an array of its team
@@ -199,13 +198,13 @@
         harness.submit(legs=8, voyageS=60.0, tideS=3000.0 + number)
     router = PendingJobRouter(harness.cluster, harness.fleet.availability)
     router.step(harness.now, harness.now)
-    routed = {one.job_id: one.tier for one in harness.cluster.pending}
+    routed = {pending.job_id: pending.tier for pending in harness.cluster.pending}
     urgent = harness.cluster.jobs[harness.submit(legs=1, voyageS=10.0, tideS=60.0)]
-    counted = count_calls(lambda: router.step(harness.now, harness.now))
+    call_count = count_calls(lambda: router.step(harness.now, harness.now))
     assert urgent.tier
-    assert counted < 150  # the others were not examined
-    assert {one.job_id: one.tier for one in harness.cluster.pending if one is not urgent} == routed
-    assert next(one for _, one in harness.cluster.pending.walk()) is urgent
+    assert call_count < 150  # the others were not examined
+    assert {pending.job_id: pending.tier for pending in harness.cluster.pending if pending is not urgent} == routed
+    assert next(pending for _, pending in harness.cluster.pending.walk()) is urgent
 
 
 def test_routing_interval_grows_with_the_backlog() -> None:
@@ -222,21 +221,21 @@
 
 def test_incoming_slots_are_found_in_order_and_examined_once_per_equivalence_class() -> None:
     rng = random.Random(3)
-    incoming, plain = IncomingCapacity(), []
+    incoming, slots = IncomingCapacity(), []
     for number in range(200):
         kind = TYPES[rng.choice(["m8", "g16"])]
         zone, on_spot = "ab"[number % 2], rng.random() < 0.5
         incoming.add(CapacitySlot.of(kind, zone, on_spot))
-        plain.append(CapacitySlot.of(kind, zone, on_spot))
-    wants = [(spec(cores=rng.choice([1.0, 4.0, 12.0])), rng.random() < 0.5) for _ in range(300)]
-    for want, on_spot in wants:
-        found = incoming.first_feasible(want, on_spot, ("m8", "g16"), ["a", "b"])
-        expected = next((r for r in plain if (on_spot or not r.spot) and r.free_slots(want) > 0), None)
+        slots.append(CapacitySlot.of(kind, zone, on_spot))
+    requests = [(spec(cores=rng.choice([1.0, 4.0, 12.0])), rng.random() < 0.5) for _ in range(300)]
+    for submission, on_spot in requests:
+        found = incoming.first_feasible(submission, on_spot, ("m8", "g16"), ["a", "b"])
+        expected = next((r for r in slots if (on_spot or not r.spot) and r.free_slots(submission) > 0), None)
         assert (found is None) == (expected is None)
         if found is not None and expected is not None:
-            assert plain[found.position] is expected
-            assert found.reserve(want, 1) == expected.reserve(want, 1) == 1
-    assert incoming.slots_examined < 2 * len(wants) + 6 * len(plain)  # and not the product of both
+            assert slots[found.position] is expected
+            assert found.reserve(submission, 1) == expected.reserve(submission, 1) == 1
+    assert incoming.slots_examined < 2 * len(requests) + 6 * len(slots)  # and not the product of both
 
 
 def test_scale_out_plans_no_more_machines_than_one_pass_requests() -> None:
@@ -277,8 +276,8 @@
     harness.machine(2)
     ref = harness.submit(**{"legs": 1, "cores": 8.0, "voyageS": 500.0, **changes})
     harness.settle()
-    (place,) = harness.task_locations(ref)[f"{ref}/0"]
-    machine = harness.cluster.machines[place]
+    (machine_name,) = harness.task_locations(ref)[f"{ref}/0"]
+    machine = harness.cluster.machines[machine_name]
     assert machine.settled_heartbeat
     return harness, machine, ref
 
--- a/tests/test_safety_invariants.py
+++ b/tests/test_safety_invariants.py
@@ -106,8 +106,8 @@
     first, second = harness.machine(1), harness.machine(2)
     ref = harness.submit(legs=1, cores=8.0)
     harness.settle()
-    (place,) = harness.task_locations(ref)[f"{ref}/0"]
-    silent, other = (first, second) if place == first.name else (second, first)
+    (machine_name,) = harness.task_locations(ref)[f"{ref}/0"]
+    silent, other = (first, second) if machine_name == first.name else (second, first)
     harness.unreachable_machines.add(silent.name)
     for _ in range(20):
         harness.step(5.0)
@@ -331,10 +331,10 @@
     harness.settle()
     harness.fail_over()
     harness.report(other)
-    gone = harness.cluster.machines[worker.name]
+    silent = harness.cluster.machines[worker.name]
     machines = list(harness.cluster.machines.values())
     assert silent_machines(machines, harness.now + 3 * SECOND, 5 * SECOND) == []
-    assert silent_machines(machines, harness.now + 4 * SECOND, 5 * SECOND) == [gone]
+    assert silent_machines(machines, harness.now + 4 * SECOND, 5 * SECOND) == [silent]
 
 
 def test_quota_counts_tasks_that_are_not_confirmed_as_ended() -> None:
@@ -465,15 +465,15 @@
 
 def test_a_reclamation_notice_moves_tasks_that_would_not_complete_in_time() -> None:
     harness = ClusterHarness()
-    doomed = harness.machine(1, spot=True)
+    reclaimed = harness.machine(1, spot=True)
     ref = harness.submit(legs=1, voyageS=55.0)
     harness.settle()
-    assert doomed.started_attempts
-    doomed.notice_s = 15.0
+    assert reclaimed.started_attempts
+    reclaimed.notice_s = 15.0
     other = harness.machine(2)
     harness.settle(3)
     assert other.started_attempts == [(f"{ref}/0", 2)]
-    assert all(t.status == "ended" for t in doomed.tasks.values())
+    assert all(t.status == "ended" for t in reclaimed.tasks.values())
 
 
 def test_orphaned_attempts_are_stopped_before_their_task_is_placed() -> None:
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -84,17 +84,15 @@
     wall = harness.now
     assert router.route(short, wall, TierAvailability(None)) == SPOT
     short.loss_count = 1
-    assert (
-        router.route(short, wall, TierAvailability(None)) == SPOT
-    )  # the time to the deadline is at least twice the predicted run time
+    # The time to the deadline is at least twice the predicted run time.
+    assert router.route(short, wall, TierAvailability(None)) == SPOT
     assert router.route(short, wall + 450 * SECOND, TierAvailability(None)) == ON_DEMAND
     harness.submit(ref="j-000002", voyageS=100.0, tideS=300.0)
     long = harness.cluster.jobs["j-000002"]
     assert router.route(long, wall, TierAvailability(None)) == ON_DEMAND  # there is no owned machine
     assert router.route(long, wall, TierAvailability(10 * SECOND)) == OWNED
-    assert (
-        router.route(long, wall, TierAvailability(250 * SECOND)) == ON_DEMAND
-    )  # the wait for owned machines would miss the deadline
+    # The wait for owned machines would miss the deadline.
+    assert router.route(long, wall, TierAvailability(250 * SECOND)) == ON_DEMAND
     # DESIGN assumes that on-demand machines are always available; here the cloud has none.
     assert router.route(long, wall, TierAvailability(None, spot_rentable=True, on_demand_rentable=False)) == SPOT
 
@@ -204,14 +202,14 @@
     harness.machine(1, "a", kind="g16", spot=True)
     harness.settle(2)
     long = {**GANG, "voyageS": 900.0}
-    unsafe = harness.submit(ref="j-000006", legs=1, **long)
+    without_checkpoints = harness.submit(ref="j-000006", legs=1, **long)
     harness.settle(3)
-    assert harness.cluster.jobs[unsafe].tier == ON_DEMAND
-    assert not harness.task_locations(unsafe)  # without checkpoints, a reclamation would lose all its work
-    harness.cancel(unsafe)
-    saves = harness.submit(ref="j-000007", legs=1, mooringS=15.0, stowS=2.0, **long)
+    assert harness.cluster.jobs[without_checkpoints].tier == ON_DEMAND
+    assert not harness.task_locations(without_checkpoints)  # without checkpoints, a reclamation would lose all its work
+    harness.cancel(without_checkpoints)
+    with_checkpoints = harness.submit(ref="j-000007", legs=1, mooringS=15.0, stowS=2.0, **long)
     harness.settle(3)
-    assert harness.task_locations(saves)
+    assert harness.task_locations(with_checkpoints)
 
 
 def test_a_gang_of_two_keeps_its_first_machine_while_the_second_boots() -> None:
@@ -252,12 +250,12 @@
 def test_a_job_of_many_tasks_is_routed_by_the_run_time_of_its_slowest_task() -> None:
     """Guards against comparing the mean run time with the deadline: on-demand machines were rented too late."""
     harness = ClusterHarness()
-    one = harness.cluster.jobs[harness.submit(legs=1, voyageS=40.0, tideS=100.0)]
-    many = harness.cluster.jobs[harness.submit(ref="j-000002", legs=9, voyageS=40.0, tideS=100.0)]
+    single_task_job = harness.cluster.jobs[harness.submit(legs=1, voyageS=40.0, tideS=100.0)]
+    many_task_job = harness.cluster.jobs[harness.submit(ref="j-000002", legs=9, voyageS=40.0, tideS=100.0)]
     router = TierRouter(RuntimePredictor(), 60 * SECOND, 2.0, tail_factor=1.5)
-    assert router.route(one, harness.now, TierAvailability(None, False, True, 50 * SECOND)) == SPOT
-    assert router.route(many, harness.now, TierAvailability(None, False, True, 50 * SECOND)) == ON_DEMAND
-    assert router.route(many, harness.now, TierAvailability(None, False, True, 30 * SECOND)) == SPOT
+    assert router.route(single_task_job, harness.now, TierAvailability(None, False, True, 50 * SECOND)) == SPOT
+    assert router.route(many_task_job, harness.now, TierAvailability(None, False, True, 50 * SECOND)) == ON_DEMAND
+    assert router.route(many_task_job, harness.now, TierAvailability(None, False, True, 30 * SECOND)) == SPOT
 
 
 def test_as_many_jobs_as_possible_meet_their_deadlines() -> None:
@@ -273,18 +271,18 @@
     for number in range(1, 5):
         harness.machine(number)
     harness.settle(2)
-    blocker = harness.submit(legs=8, voyageS=20.0, tideS=30.0)
+    running = harness.submit(legs=8, voyageS=20.0, tideS=30.0)
     harness.step(0.1)
     large = harness.submit(ref="j-000002", legs=30, voyageS=20.0, tideS=100.0)
     small = [harness.submit(ref=f"j-00001{n}", legs=4, voyageS=20.0, tideS=105.0) for n in range(6)]
-    hopeless = harness.submit(ref="j-000020", legs=1, voyageS=20.0, tideS=5.0)
+    too_late = harness.submit(ref="j-000020", legs=1, voyageS=20.0, tideS=5.0)
     harness.plan()
     order = [job.job_id for job in jobs_in_order(harness.cluster, harness.now)]
-    assert blocker not in order
-    assert order == [*small, large, hopeless]
+    assert running not in order
+    assert order == [*small, large, too_late]
     jobs = harness.cluster.jobs
     assert jobs[large].deadline_at == jobs[large].submitted_at + 300 * SECOND  # its second deadline can be met
-    assert jobs[hopeless].deadline_missed
+    assert jobs[too_late].deadline_missed
 
 
 def test_a_job_that_misses_its_deadline_gets_the_one_of_its_class_objective() -> None:
@@ -310,14 +308,14 @@
     harness.settle(2)
     harness.submit(ref="j-000009", legs=2, voyageS=50.0)
     harness.settle(2)
-    lost = harness.submit(legs=2, voyageS=50.0, tideS=30.0)
-    near = harness.submit(ref="j-000002", legs=2, voyageS=50.0, tideS=80.0)
+    too_late = harness.submit(legs=2, voyageS=50.0, tideS=30.0)
+    in_time = harness.submit(ref="j-000002", legs=2, voyageS=50.0, tideS=80.0)
     for zone in "ab":
         for kind in ("m8", "g16"):
             harness.fleet.availability.refuse(ScaleOutRequest(kind, zone, True, 1), harness.now)
     harness.plan()
     jobs = harness.cluster.jobs
-    assert (jobs[lost].tier, jobs[near].tier) == (SPOT, ON_DEMAND)
+    assert (jobs[too_late].tier, jobs[in_time].tier) == (SPOT, ON_DEMAND)
 
 
 def test_costs_are_accounted_by_use() -> None:
@@ -622,13 +620,13 @@
 
 def test_in_an_outage_leases_are_renewed_only_as_long_as_cancellations_allow() -> None:
     settings = cluster_settings()
-    clock = LeaseRenewalLimit(settings, 100 * SECOND)
+    renewal_limit = LeaseRenewalLimit(settings, 100 * SECOND)
     # A cancellation confirmed right after the last read must take effect within cancel_s, including the lease.
-    latest = clock.until + micros(settings.workers.lease_s) * 1.001
-    assert latest < 100 * SECOND + micros(settings.workers.cancel_s)
-    assert clock.until > 100 * SECOND + 15 * SECOND  # and tasks survive an outage of that length
-    clock.on_cancellations_read(90 * SECOND)
-    assert clock.cancellations_read_at == 100 * SECOND
+    latest_task_end = renewal_limit.until + micros(settings.workers.lease_s) * 1.001
+    assert latest_task_end < 100 * SECOND + micros(settings.workers.cancel_s)
+    assert renewal_limit.until > 100 * SECOND + 15 * SECOND  # and tasks survive an outage of that length
+    renewal_limit.on_cancellations_read(90 * SECOND)
+    assert renewal_limit.cancellations_read_at == 100 * SECOND
 
 
 def test_many_silent_machines_mean_that_this_node_is_isolated() -> None:
@@ -638,9 +636,9 @@
     harness.settle(2)
     machines = list(harness.cluster.machines.values())
     assert silent_machines(machines, harness.now + 2 * SECOND, 5 * SECOND) == []
-    gone = silent_machines(machines, harness.now + 9 * SECOND, 5 * SECOND)
-    assert len(gone) == 6
-    assert is_isolated(len(gone), machines)
+    silent = silent_machines(machines, harness.now + 9 * SECOND, 5 * SECOND)
+    assert len(silent) == 6
+    assert is_isolated(len(silent), machines)
     assert not is_isolated(1, machines)
 
 
@@ -706,14 +704,14 @@
     harness = ClusterHarness()
     harness.machine(1)
     harness.settle()
-    done = harness.submit(legs=1, voyageS=2.0)
-    lasting = harness.submit(crew="other", cargo="serve", rig="standing", legs=1, driftwood=False)
-    waits = harness.submit(crew="other", cargo="serve", legs=1, cores=8.0)
-    dropped = harness.submit(legs=1, voyageS=50.0)
+    completed = harness.submit(legs=1, voyageS=2.0)
+    service = harness.submit(crew="other", cargo="serve", rig="standing", legs=1, driftwood=False)
+    pending = harness.submit(crew="other", cargo="serve", legs=1, cores=8.0)
+    cancelled = harness.submit(legs=1, voyageS=50.0)
     harness.settle(2)
-    harness.cancel(dropped)
+    harness.cancel(cancelled)
     harness.settle(6)
-    assert [harness.record(ref) for ref in (done, lasting, waits)] == [
+    assert [harness.record(ref) for ref in (completed, service, pending)] == [
         wire.JobStatus.COMPLETED,
         wire.JobStatus.QUEUED,
         wire.JobStatus.QUEUED,
