--- a/oatport/simulation/attempt.py
+++ b/oatport/simulation/attempt.py
@@ -1,4 +1,4 @@
-"""Attempts of tasks on a machine."""
+"""Attempts of tasks on a simulated machine: their keys, their state and the exit reasons that the worker sets."""
 
 from __future__ import annotations
 
@@ -7,57 +7,60 @@
 
 from oatport.times import micros
 
-# Exit reasons on the wire that the worker itself decides.
+# Exit reasons on the wire that the worker sets itself.
 EXIT_DONE, EXIT_STOPPED, EXIT_GANG_LOST, EXIT_GANG_INCOMPLETE = "done", "halted", "mates_gone", "incomplete"
 
-GangAttempt = tuple[str, int]  # job and attempt
+GangAttempt = tuple[str, int]  # job id and attempt number
 
 
 class AttemptKey(NamedTuple):
-    """A task and the number of its attempt."""
+    """Identifies an attempt by its task and its attempt number."""
 
     task: str
     attempt: int
 
     @property
     def job_id(self) -> str:
-        """The job that the task belongs to."""
+        """Returns the id of the job that the task belongs to."""
         return self.task.rsplit("/", 1)[0]
 
     @property
     def gang_attempt(self) -> GangAttempt:
-        """What all tasks of the gang have in common in this attempt."""
+        """Returns the job id and attempt number, which all tasks of a gang share."""
         return self.job_id, self.attempt
 
 
 @dataclass(eq=False)
 class Attempt:
-    """A task on a machine; status, exit reason and job in the wire's own terms. Times are the worker's microseconds."""
+    """Holds the state of a task on a machine.
+
+    Status, exit reason and job are as on the wire; times are microseconds of the worker's clock.
+    """
 
     status: str
     exit_reason: str | None = None
-    completes_at: int | None = None  # if it runs on
-    fails_at: int | None = None  # when it ends with an error, if it does
+    completes_at: int | None = None  # unless the attempt is stopped or fails before
+    fails_at: int | None = None  # None: the attempt does not fail
     cores: float = 0.0
     job: dict[str, Any] = field(default_factory=dict)
     image_ready_at: int = 0
     started_at: int = 0
-    stopped_at: int | None = None  # its progress stops with the first stop
-    checkpoint_done_at: int = 0  # when what it saves is safe
+    stopped_at: int | None = None  # time of the first stop command: progress counts up to this time
+    checkpoint_done_at: int = 0  # when the checkpoint that a stop command started is stored
     checkpoint_stored: bool | None = None
-    on_machine: bool = False  # it has its image, and is on the machine as the invariants count
+    is_on_machine: bool = False  # whether the image is ready: the invariant checker counts the attempt from then on
 
     @property
     def is_ended(self) -> bool:
-        """It has exited, and is listed until it is forgotten."""
+        """Returns whether the attempt has exited. Heartbeats list an ended attempt until a forget command."""
         return self.status == "ended"
 
     @property
     def is_gang_member(self) -> bool:
-        """It belongs to a gang."""
+        """Returns whether the task belongs to a gang."""
         return self.job.get("rig") == "gang"
 
     @property
     def checkpoint_interval_us(self) -> int:
-        """How often it saves its progress; 0: never."""
+        """Returns the interval between checkpoints; 0: the task saves none."""
         return micros(float(self.job.get("mooringS") or 0.0))
--- a/oatport/simulation/cloud_service.py
+++ b/oatport/simulation/cloud_service.py
@@ -1,4 +1,4 @@
-"""The cloud: rentals by name, capacity, boot times, lists that lag behind, and outages of its interface."""
+"""The simulated cloud: rentals, capacity, boot times, lists that lag behind, rate limits and outages of its API."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 from oatport.simulation.virtual_time import Host
 from oatport.times import MS, micros, seconds
 
-Answer = tuple[int, Any]
-Sort = tuple[str, str, bool]  # machine type, zone, spot
+ServiceResponse = tuple[int, Any]
+Offering = tuple[str, str, bool]  # machine type, zone, spot
 
 
 class MachineRegistry:
-    """Machines and requests: the rules alone, on no clock of its own."""
+    """Holds the rented machines and the rental requests, without a clock: `CloudService` adds time and limits."""
 
-    def __init__(self, types: list[dict[str, Any]], capacity: int | dict[Sort, int] = 20) -> None:
+    def __init__(self, types: list[dict[str, Any]], capacity: int | dict[Offering, int] = 20) -> None:
         self.types = types
-        self.capacity = capacity  # of all sorts together, or of each
+        self.capacity = capacity  # machines in total, or per offering
         self.machines: dict[str, dict[str, Any]] = {}
         self.requests: dict[str, list[str]] = {}
         self.on_rent: Callable[[dict[str, Any]], None] = lambda machine: None
@@ -31,34 +31,37 @@
         self.rented_count = 0
 
     def catalog(self) -> dict[str, Any]:
-        """The machine types."""
+        """Returns the machine types."""
         return {"berthKinds": self.types}
 
-    def _available(self, sort: Sort) -> int:
+    def _available(self, offering: Offering) -> int:
         if isinstance(self.capacity, int):
             return self.capacity - len(self.machines)
-        there = sum((m["berthKind"], m["harbor"], m["driftwood"]) == sort for m in self.machines.values())
-        return self.capacity.get(sort, 0) - there
+        in_use = sum((m["berthKind"], m["harbor"], m["driftwood"]) == offering for m in self.machines.values())
+        return self.capacity.get(offering, 0) - in_use
 
-    def rent(self, body: dict[str, Any]) -> Answer:
-        """Rent machines; the same request again gives the same ones. 503 without capacity."""
+    def rent(self, body: dict[str, Any]) -> ServiceResponse:
+        """Rents machines, up to the available capacity; returns 503 if there is none.
+
+        A repeated request id returns the machines of the first request.
+        """
         if body["charter"] in self.requests:
             return 200, {"berths": self.requests[body["charter"]]}
-        sort = (body["berthKind"], body["harbor"], body["driftwood"])
-        names = [self.add(*sort) for _ in range(max(0, min(body["howMany"], self._available(sort))))]
+        offering = (body["berthKind"], body["harbor"], body["driftwood"])
+        names = [self.add(*offering) for _ in range(max(0, min(body["howMany"], self._available(offering))))]
         if not names:
             return 503, {"error": "no capacity"}
         self.requests[body["charter"]] = names
         return 200, {"berths": names}
 
-    def add(self, kind: str, zone: str, spot: bool) -> str:
-        """A new machine, booting; its name."""
+    def add(self, type_name: str, zone: str, spot: bool) -> str:
+        """Adds a booting machine and returns its name."""
         name = f"vm-{self.rented_count:06d}"
         self.rented_count += 1
         self.machines[name] = {
             "ref": name,
             "address": "",
-            "berthKind": kind,
+            "berthKind": type_name,
             "harbor": zone,
             "driftwood": spot,
             "status": "booting",
@@ -67,21 +70,21 @@
         self.on_rent(self.machines[name])
         return name
 
-    def release(self, body: dict[str, Any]) -> Answer:
-        """Give machines back."""
+    def release(self, body: dict[str, Any]) -> ServiceResponse:
+        """Removes machines from the registry; unknown names are ignored."""
         for name in body["berths"]:
             if self.machines.pop(name, None) is not None:
                 self.on_release(name)
         return 200, {}
 
-    def list(self) -> Answer:
-        """All machines, as they are now."""
+    def list(self) -> ServiceResponse:
+        """Returns all machines in their current state."""
         return 200, {"berths": [self.machines[name] for name in sorted(self.machines)], "hasNext": False}
 
 
 @dataclass
 class CloudService:
-    """The registry behind its address, as the lists show it: a while ago."""
+    """Serves the registry over the network, with delays, a rate limit, outages and lists of an earlier state."""
 
     host: Host
     rng: random.Random
@@ -96,7 +99,7 @@
     _snapshots: deque[tuple[float, list[dict[str, Any]]]] = field(default_factory=deque)
 
     def snapshot(self) -> None:
-        """Remember what a list says from a while later on; to be called every second."""
+        """Records the current machines for later list requests; the simulation calls it every second."""
         now = self.host.loop.time()
         self._snapshots.append(
             (
@@ -110,8 +113,8 @@
         while len(self._snapshots) > 2 and self._snapshots[1][0] < now - 2 * self.lag_s:
             self._snapshots.popleft()
 
-    async def serve(self, method: str, target: str, body: Any) -> Answer:
-        """Answer one request, after a delay."""
+    async def serve(self, method: str, target: str, body: Any) -> ServiceResponse:
+        """Responds to one request after a delay."""
         self.request_counts["requests"] += 1
         await asyncio.sleep(seconds(20 * MS + self.rng.randrange(60 * MS)))
         now = self.host.loop.time()
@@ -133,19 +136,19 @@
             return self.registry.release(body)
         return self._list(parse_qs(query), now)
 
-    def _list(self, options: dict[str, list[str]], now: float) -> Answer:
-        """A page of the machines as they were a while ago."""
+    def _list(self, options: dict[str, list[str]], now: float) -> ServiceResponse:
+        """Returns a page of the machines as they were one to two times `lag_s` ago."""
         as_of = now - self.lag_s * self.rng.uniform(1.0, 2.0)
-        seen: list[dict[str, Any]] = next((rows for at, rows in reversed(self._snapshots) if at <= as_of), [])
+        listed: list[dict[str, Any]] = next((rows for at, rows in reversed(self._snapshots) if at <= as_of), [])
         after = options.get("from", [""])[0]
-        rows = [row for row in seen if row["ref"] > after]
+        rows = [row for row in listed if row["ref"] > after]
         page = min(int(options.get("page", ["500"])[0]), 500)
         return 200, {"berths": rows[:page], "hasNext": len(rows) > page}
 
 
 def draw_boot_us(rng: random.Random, startup_s: float) -> int:
-    """Usually 0.6 to 1.5 times the nominal time; some take several times as long."""
-    times = rng.uniform(0.6, 1.5)
+    """Returns a random boot time: 0.6 to 1.5 times the nominal one, in 3 % of cases 2 to 4 times."""
+    factor = rng.uniform(0.6, 1.5)
     if rng.random() < 0.03:
-        times = rng.uniform(2.0, 4.0)
-    return micros(startup_s * times)
+        factor = rng.uniform(2.0, 4.0)
+    return micros(startup_s * factor)
--- a/oatport/simulation/deployment.py
+++ b/oatport/simulation/deployment.py
@@ -18,7 +18,7 @@
 from oatport.simulation.fault_plan import Plan
 
 ZONES = ("a", "b")
-STATE, CLOUD = "10.2.0.1:2379", "10.2.0.2:8443"
+STATE, CLOUD_ADDRESS = "10.2.0.1:2379", "10.2.0.2:8443"
 CATALOG = [
     {
         "label": "m8",
@@ -49,14 +49,14 @@
 
 
 def cluster_settings(plan: Plan) -> ClusterSettings:
-    """The settings that all nodes share; limits grow with the number of machines."""
+    """Returns the settings that all nodes share; the limits grow with the number of machines."""
     cpus = 8.0 * plan.machines
     write_rps = max(60.0, plan.machines / 5)
-    later = NextLimits(write_rps=write_rps * 0.7, value_kb=2.0, txn_ops=4) if plan.limits_fall else NextLimits()
+    next_limits = NextLimits(write_rps=write_rps * 0.7, value_kb=2.0, txn_ops=4) if plan.limits_fall else NextLimits()
     return ClusterSettings(
         workers=Workers(report_s=1.5, lease_s=12.0, gang_wait_s=30.0, gang_peer_s=4.0, cancel_s=36.0),
         state=StateLimits(
-            rps=max(150.0, plan.machines / 2), write_rps=write_rps, value_kb=32.0, txn_ops=16, next=later
+            rps=max(150.0, plan.machines / 2), write_rps=write_rps, value_kb=32.0, txn_ops=16, next=next_limits
         ),
         cloud=CloudLimits(rps=4.0, list_lag_s=3.0),
         size=plan.nodes,
@@ -73,7 +73,10 @@
 
 
 def _teams(plan: Plan, cpus: float) -> list[Team]:
-    """With less than their usual share a limit on GPUs too, of no less than the largest gang needs."""
+    """Returns the teams.
+
+    A plan that reduces the teams' share also limits GPUs, to no fewer than the largest gang needs.
+    """
     share = plan.team_share
     gpus = max(4.0, round(0.2 * plan.machines * share)) if share < 1 else 0.0
     return [
@@ -84,34 +87,38 @@
 
 
 def node_addresses(plan: Plan) -> dict[str, tuple[str, str]]:
-    """Name of each node -> where it serves users and workers, and where the other nodes."""
+    """Returns for each node name the address for users and workers and the address for the other nodes."""
     return {f"n{i}": (f"10.0.0.{i + 1}:8080", f"10.0.0.{i + 1}:8081") for i in range(plan.nodes)}
 
 
 def node_zone(name: str) -> str:
-    """The zone of a node, by its number."""
+    """Returns the zone of a node, by the number in its name."""
     return ZONES[int(name[1:]) % len(ZONES)]
 
 
 def node_settings(plan: Plan, name: str, cluster: ClusterSettings) -> Settings:
-    """The settings file of one node."""
-    places = node_addresses(plan)
+    """Returns the settings of one node."""
+    addresses = node_addresses(plan)
     return Settings(
         node_name=name,
-        bind=places[name][0],
-        internal_addr=places[name][1],
+        bind=addresses[name][0],
+        internal_addr=addresses[name][1],
         zone=node_zone(name),
         cluster=cluster,
-        services=Services(cloud=CLOUD, state=STATE),
-        peers=[Peer(other, inside, node_zone(other)) for other, (_, inside) in places.items() if other != name],
+        services=Services(cloud=CLOUD_ADDRESS, state=STATE),
+        peers=[
+            Peer(other, internal_address, node_zone(other))
+            for other, (_, internal_address) in addresses.items()
+            if other != name
+        ],
     )
 
 
 def capacity(plan: Plan) -> dict[tuple[str, str, bool], int]:
-    """How many machines the cloud has by type, zone and spot: a tenth large ones, half of all spot."""
-    found: dict[tuple[str, str, bool], int] = {}
+    """Returns the cloud's capacity by type, zone and spot: a tenth are large machines, and half are spot."""
+    capacities: dict[tuple[str, str, bool], int] = {}
     for number in range(plan.machines):
-        kind = "g16" if number % 10 == 9 else "m8"
-        sort = (kind, ZONES[number % 2], number % 4 in (1, 2))
-        found[sort] = found.get(sort, 0) + 1
-    return found
+        type_name = "g16" if number % 10 == 9 else "m8"
+        offering = (type_name, ZONES[number % 2], number % 4 in (1, 2))
+        capacities[offering] = capacities.get(offering, 0) + 1
+    return capacities
--- a/oatport/simulation/gang_coordinator.py
+++ b/oatport/simulation/gang_coordinator.py
@@ -1,4 +1,4 @@
-"""What the tasks of one attempt of a gang know of each other, wherever they run."""
+"""Coordination between the tasks of one attempt of a gang, across the workers that run them."""
 
 from __future__ import annotations
 
@@ -12,31 +12,33 @@
 
 
 class GangCoordinator:
-    """Starts the tasks of a gang together, ends them together, and knows which attempts are broken.
+    """Starts and completes the tasks of a gang together, and records which attempts have lost a task.
 
-    `wait_us`: how long a task with its image waits for the others; `peer_us`: how long one goes on after it lost one.
+    `assembly_timeout_us`: how long a task with its image waits for the others; `peer_loss_timeout_us`: how long a task
+    runs on after another task of its attempt is gone.
     """
 
-    def __init__(self, wait_us: int, peer_us: int) -> None:
-        self.wait_us, self.peer_us = wait_us, peer_us
+    def __init__(self, assembly_timeout_us: int, peer_loss_timeout_us: int) -> None:
+        self.assembly_timeout_us, self.peer_loss_timeout_us = assembly_timeout_us, peer_loss_timeout_us
         self.members: dict[GangAttempt, dict[str, tuple[Worker, Attempt]]] = {}
-        self.broken_at: dict[GangAttempt, int] = {}  # since when a task of the attempt is gone
+        self.broken_at: dict[GangAttempt, int] = {}  # when the first task of the attempt was lost
         self.first_image_at: dict[GangAttempt, int] = {}
-        self.on_completed: Callable[[list[Worker]], None] = lambda mates: None  # one is done; where the others are
-        self._stopping: set[GangAttempt] = set()  # attempts of which a task was told to stop: no progress since
+        # Called when one task has completed, with the workers of the other tasks.
+        self.on_completed: Callable[[list[Worker]], None] = lambda workers: None
+        self._stop_ordered: set[GangAttempt] = set()  # attempts with a stop command for a task: no progress since
 
     def join(self, key: AttemptKey, worker: Worker, attempt: Attempt) -> None:
-        """A task of the gang is being started on a worker."""
+        """Adds an attempt that a worker starts to its gang."""
         self.members.setdefault(key.gang_attempt, {})[key.task] = (worker, attempt)
 
     def on_image_ready(self, key: AttemptKey, now: int) -> None:
-        """A task has its image and waits for the others."""
+        """Records that a task has its image and waits, and notifies the workers of the gang."""
         self.first_image_at.setdefault(key.gang_attempt, now)
         for worker, _ in list(self.members.get(key.gang_attempt, {}).values()):
             worker.on_change()
 
     def is_ready(self, key: AttemptKey, now: int) -> bool:
-        """All tasks have their image: they start together."""
+        """Returns whether all tasks of the gang have their images, so that the gang can start."""
         members = self.members.get(key.gang_attempt, {})
         self.first_image_at.setdefault(key.gang_attempt, now)
         first = next(attempt for _, attempt in members.values())
@@ -44,46 +46,53 @@
         return complete and all(attempt.status in ("waiting", "running") for _, attempt in members.values())
 
     def start_all(self, key: AttemptKey, now: int) -> None:
-        """Start the tasks that wait."""
-        for mate, (worker, attempt) in list(self.members[key.gang_attempt].items()):
+        """Starts all waiting tasks of the attempt."""
+        for member, (worker, attempt) in list(self.members[key.gang_attempt].items()):
             if attempt.status == "waiting":
-                worker.run_attempt(AttemptKey(mate, key.attempt), attempt, now)
+                worker.run_attempt(AttemptKey(member, key.attempt), attempt, now)
                 worker.on_change()
 
     def on_task_gone(self, key: AttemptKey, now: int, *, done: bool) -> None:
-        """A task left its machine: they complete together, so if it is done, all are; else the attempt is broken."""
+        """Handles a task that left its machine.
+
+        The tasks of a gang complete together: if the task is done, all others complete; else the attempt counts as
+        broken from now on.
+        """
         members = self.members.get(key.gang_attempt, {})
         members.pop(key.task, None)
         if done:
-            self._complete_mates(key, members)
+            self._complete_other_members(key, members)
         else:
             self.broken_at.setdefault(key.gang_attempt, now)
             for worker, _ in members.values():
                 worker.on_change()
 
-    def _complete_mates(self, key: AttemptKey, members: dict[str, tuple[Worker, Attempt]]) -> None:
+    def _complete_other_members(self, key: AttemptKey, members: dict[str, tuple[Worker, Attempt]]) -> None:
         workers = [worker for worker, attempt in members.values() if not attempt.is_ended]
-        for mate, (worker, attempt) in list(members.items()):
+        for member, (worker, attempt) in list(members.items()):
             if not attempt.is_ended:
-                worker.complete_with_gang(AttemptKey(mate, key.attempt), attempt)
+                worker.complete_with_gang(AttemptKey(member, key.attempt), attempt)
         if workers:
             self.on_completed(workers)
 
     def on_stop_ordered(self, key: AttemptKey) -> None:
-        """A task was told to stop: the gang makes no progress from now on."""
-        self._stopping.add(key.gang_attempt)
+        """Records that a task was ordered to stop: the gang makes no progress from then on."""
+        self._stop_ordered.add(key.gang_attempt)
 
     def has_stopped(self, key: AttemptKey) -> bool:
-        """Its progress has stopped: a task of the attempt is gone, or was told to stop."""
-        return key.gang_attempt in self.broken_at or key.gang_attempt in self._stopping
+        """Returns whether the gang makes no progress: a task of the attempt is gone or was ordered to stop."""
+        return key.gang_attempt in self.broken_at or key.gang_attempt in self._stop_ordered
 
     # --- deadlines -----------------------------------------------------------------------------
 
-    def gives_up_at(self, key: AttemptKey) -> int | None:
-        """When a task that lost a mate ends; None: no mate is gone."""
+    def peer_loss_deadline(self, key: AttemptKey) -> int | None:
+        """Returns when a task ends because another task of its attempt is gone; None: no task is gone."""
         broken_at = self.broken_at.get(key.gang_attempt)
-        return None if broken_at is None else broken_at + self.peer_us
+        return None if broken_at is None else broken_at + self.peer_loss_timeout_us
+
+    def assembly_deadline(self, key: AttemptKey, default: int) -> int:
+        """Returns until when a task with its image waits for the others.
 
-    def waits_until(self, key: AttemptKey, default: int) -> int:
-        """Until when a task with its image waits for the others; from `default` on if none was noted to have one."""
-        return self.first_image_at.get(key.gang_attempt, default) + self.wait_us
+        The wait begins with the first image of the attempt, or at `default` if no task has reported one.
+        """
+        return self.first_image_at.get(key.gang_attempt, default) + self.assembly_timeout_us
--- a/oatport/simulation/load_balancer.py
+++ b/oatport/simulation/load_balancer.py
@@ -12,24 +12,24 @@
 from oatport.simulation.virtual_time import Host, VirtualLoop
 from oatport.times import SECOND
 
-PROBE_EVERY, PROBE_WITHIN = 1.0, SECOND
+PROBE_INTERVAL_S, PROBE_TIMEOUT = 1.0, SECOND
 
 
 @dataclass
 class BackendNode:
-    """A node as the balancer sees it."""
+    """Holds the load balancer's view of one node."""
 
     address: str
     healthy: bool = False
-    ever_healthy: bool = False
+    was_ever_healthy: bool = False
     consecutive_successes: int = 0
     recent_probes: list[bool] = field(default_factory=list)
     excluded_until: float = 0.0
     exclusion_s: float = 3.0
     removed_at: float = -1000.0
     open_connections: int = 0
-    # Of nodes with as few open connections the one that was given fewest is chosen: not always the first.
-    connections_given: int = 0
+    # Breaks ties between nodes with equally few open connections, so that not always the first one is chosen.
+    connections_opened: int = 0
 
 
 class LoadBalancer:
@@ -40,48 +40,51 @@
         self.nodes = [BackendNode(address) for address in addresses]
 
     async def probe(self, node: BackendNode) -> None:
-        """Ask a node for its readiness, for ever."""
+        """Probes a node for readiness, without end."""
         while True:
-            await asyncio.sleep(PROBE_EVERY)
+            await asyncio.sleep(PROBE_INTERVAL_S)
             try:
                 status, _ = await self._net.request(
-                    self._host, node.address, "GET", wire.READY_PATH, None, PROBE_WITHIN, ""
+                    self._host, node.address, "GET", wire.READY_PATH, None, PROBE_TIMEOUT, ""
                 )
             except NoResponseError:
                 status = 0
             self._on_probe_result(node, status == 200)
 
-    def _on_probe_result(self, node: BackendNode, good: bool) -> None:
+    def _on_probe_result(self, node: BackendNode, succeeded: bool) -> None:
         now = self._loop.time()
-        node.recent_probes = [*node.recent_probes[-5:], good]
-        node.consecutive_successes = node.consecutive_successes + 1 if good else 0
+        node.recent_probes = [*node.recent_probes[-5:], succeeded]
+        node.consecutive_successes = node.consecutive_successes + 1 if succeeded else 0
         if node.healthy and (node.recent_probes[-2:] == [False, False] or node.recent_probes.count(False) >= 3):
             node.healthy = False
             node.exclusion_s = min(60.0, 2 * node.exclusion_s) if now - node.removed_at < 120 else 3.0
             node.removed_at, node.excluded_until = now, now + node.exclusion_s
             node.recent_probes = []
-        elif not node.healthy and good:
-            proven = node.consecutive_successes >= 2 and now >= node.excluded_until
-            if proven or not node.ever_healthy:
-                node.healthy = node.ever_healthy = True
+        elif not node.healthy and succeeded:
+            has_recovered = node.consecutive_successes >= 2 and now >= node.excluded_until
+            if has_recovered or not node.was_ever_healthy:
+                node.healthy = node.was_ever_healthy = True
 
     async def request_node(
         self, user: Host, address: str, method: str, path: str, body: Any, timeout_us: int
     ) -> tuple[int, Any]:
-        """As if this node had been chosen. Raises NoResponseError."""
+        """Sends one request to a given node, without load balancing. Raises NoResponseError."""
         return await self._net.request(user, address, method, path, body, timeout_us, "")
 
     async def request(self, user: Host, method: str, path: str, body: Any, timeout_us: int) -> tuple[int, Any]:
-        """One request on a connection of its own. Raises NoResponseError."""
+        """Sends one request on a new connection to a healthy node, and tries up to three nodes until one accepts it.
+
+        Raises NoResponseError.
+        """
         tried: list[BackendNode] = []
         for _ in range(3):
-            left = [node for node in self.nodes if node.healthy and node not in tried]
-            if not left:
+            candidates = [node for node in self.nodes if node.healthy and node not in tried]
+            if not candidates:
                 break
-            node = min(left, key=lambda s: (s.open_connections, s.connections_given))
+            node = min(candidates, key=lambda backend: (backend.open_connections, backend.connections_opened))
             tried.append(node)
             node.open_connections += 1
-            node.connections_given += 1
+            node.connections_opened += 1
             try:
                 return await self._net.request(user, node.address, method, path, body, timeout_us, "")
             except RequestNotSentError:
--- a/oatport/simulation/machine_host.py
+++ b/oatport/simulation/machine_host.py
@@ -1,4 +1,4 @@
-"""A worker's machine on the network: when it sends heartbeats, to which node, and how it is reached."""
+"""The host of a worker on the simulated network: sends heartbeats to a node and serves the worker's address."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from oatport.times import MS, SECOND, micros, seconds
 
 HEARTBEAT_TIMEOUT = 4 * SECOND
-MIN_HEARTBEAT_GAP = 500 * MS
+MIN_HEARTBEAT_INTERVAL = 500 * MS
 
 
 class MachineHost:
-    """Sends a worker's heartbeats, and serves its address. `nodes`: name and address of each."""
+    """Sends a worker's heartbeats and serves the worker's address. `nodes` maps node names to addresses."""
 
     def __init__(
         self, net: Net, host: Host, worker: Worker, nodes: dict[str, str], timing: Workers, rng: random.Random
@@ -29,37 +29,37 @@
         self._names, self._addresses = list(nodes), list(nodes.values())
         self._node_index = rng.randrange(len(nodes))
         self._heartbeat_us = micros(timing.report_s)
-        self._half_lease = micros(timing.lease_s) // 2
-        self._changed = asyncio.Event()
+        self._half_lease_us = micros(timing.lease_s) // 2
+        self._heartbeat_needed = asyncio.Event()
         self._reported_signature: tuple[Any, ...] = ()
-        self._token_reported_at = -self._half_lease
+        self._token_reported_at = -self._half_lease_us
         self._timer: asyncio.TimerHandle | None = None
-        worker.on_change = self._wake_soon
-        # A node answered a heartbeat: the node's name, and the attempts that it listed.
+        worker.on_change = self._schedule_wake
+        # Called when a node has responded to a heartbeat, with the node's name and the attempts in the heartbeat.
         self.on_heartbeat_answered: Callable[[str, list[dict[str, Any]]], None] = lambda node, legs: None
         net.listen(worker.address, host, self._serve)
 
     def start(self) -> None:
-        """Begin to send heartbeats."""
+        """Starts to send heartbeats."""
         self.host.loop.create_task(self._heartbeat_loop(), context=self.host.context)
-        self._wake_soon()
+        self._schedule_wake()
 
-    def terminate(self, why: str) -> None:
-        """The machine and all on it are gone."""
-        self.worker.kill(why)
-        self._net.unplugged(self.worker.address)
+    def terminate(self, reason: str) -> None:
+        """Ends the host and all attempts on the worker, with `reason` as their exit reason."""
+        self.worker.kill(reason)
+        self._net.on_machine_gone(self.worker.address)
         self.host.end()
 
-    def _wake_soon(self) -> None:
+    def _schedule_wake(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
         self._timer = self.host.loop.call_later_us(0, self.host, self._wake)
 
     def _wake(self) -> None:
-        """Let what is due happen, send a heartbeat if something changed, and wake again when the next thing is due."""
+        """Advances the worker, requests a heartbeat if its state changed, and schedules the call at its next event."""
         self.worker.advance()
         if self._signature() != self._reported_signature:
-            self._changed.set()
+            self._heartbeat_needed.set()
         delay = max(self.worker.next_event_at() - self.host.steady(), 0) + MS
         if self._timer is not None:
             self._timer.cancel()
@@ -77,39 +77,43 @@
         if target == wire.WORKER_STATUS_PATH:
             return 200, self.worker.report()
         token = self.worker.token
-        answer = self.worker.commands(body)
-        self._wake_soon()
-        self._token_changed(token)
-        return answer
+        response = self.worker.commands(body)
+        self._schedule_wake()
+        self._on_token_received(token)
+        return response
 
-    def _token_changed(self, before: int) -> None:
-        """A higher token counts as a change at most once in half of the lease."""
+    def _on_token_received(self, previous_token: int) -> None:
+        """Requests a heartbeat for a higher fencing token, at most once per half of the lease."""
         now = self.host.steady()
-        if self.worker.token > before and now - self._token_reported_at >= self._half_lease:
+        if self.worker.token > previous_token and now - self._token_reported_at >= self._half_lease_us:
             self._token_reported_at = now
-            self._changed.set()
+            self._heartbeat_needed.set()
 
     async def _heartbeat_loop(self) -> None:
         host = self.host
-        sent = -SECOND
-        due = host.steady() + self._rng.randrange(self._heartbeat_us)
+        sent_at = -SECOND
+        next_due_at = host.steady() + self._rng.randrange(self._heartbeat_us)
         while True:
             try:
-                async with asyncio.timeout(max(0.0, seconds(due - host.steady()))):
-                    await self._changed.wait()
+                async with asyncio.timeout(max(0.0, seconds(next_due_at - host.steady()))):
+                    await self._heartbeat_needed.wait()
             except TimeoutError:
                 pass
-            gap = sent + MIN_HEARTBEAT_GAP - host.steady()
-            if gap > 0:
-                await asyncio.sleep(seconds(gap))
-            self._changed.clear()
+            remaining_us = sent_at + MIN_HEARTBEAT_INTERVAL - host.steady()
+            if remaining_us > 0:
+                await asyncio.sleep(seconds(remaining_us))
+            self._heartbeat_needed.clear()
             self.worker.advance()
-            sent = host.steady()
-            due = await self._send_heartbeat(sent)
-            self._wake_soon()
+            sent_at = host.steady()
+            next_due_at = await self._send_heartbeat(sent_at)
+            self._schedule_wake()
 
-    async def _send_heartbeat(self, sent: int) -> int:
-        """Send a heartbeat; returns when the next one is due. An answer of 421 names the leader."""
+    async def _send_heartbeat(self, sent_at: int) -> int:
+        """Sends a heartbeat and returns when the next one is due.
+
+        The next heartbeat goes to the node that a 421 response names as leader, and after a failure to the next node
+        of the list.
+        """
         worker, host = self.worker, self.host
         body, session, token = worker.report(), worker.session, worker.token
         self._reported_signature = self._signature()
@@ -121,12 +125,12 @@
             status, value = 0, None
         if status == 200:
             self.on_heartbeat_answered(self._names[self._node_index], body["legs"])
-            worker.answer(sent, session, value)
-            self._token_changed(token)
-            return sent + round(self._heartbeat_us * self._rng.uniform(0.75, 1.25))
-        named = value.get("harbormaster") if status == 421 and isinstance(value, dict) else None
-        if named in self._names and self._names.index(named) != self._node_index:
-            self._node_index = self._names.index(named)
-            return host.steady() + self._rng.randrange(MIN_HEARTBEAT_GAP)
+            worker.answer(sent_at, session, value)
+            self._on_token_received(token)
+            return sent_at + round(self._heartbeat_us * self._rng.uniform(0.75, 1.25))
+        leader_name = value.get("harbormaster") if status == 421 and isinstance(value, dict) else None
+        if leader_name in self._names and self._names.index(leader_name) != self._node_index:
+            self._node_index = self._names.index(leader_name)
+            return host.steady() + self._rng.randrange(MIN_HEARTBEAT_INTERVAL)
         self._node_index = (self._node_index + 1) % len(self._names)
         return host.steady() + SECOND
--- a/oatport/simulation/machine_pool.py
+++ b/oatport/simulation/machine_pool.py
@@ -1,4 +1,4 @@
-"""The rented machines of a simulated deployment: booted, killed, reclaimed and released, with a worker on each."""
+"""The rented machines of a simulated deployment, each with a worker: boots, failures, reclamations and releases."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 from oatport.simulation.worker import Worker
 from oatport.times import SECOND, micros
 
-FAILURE_LISTED_AFTER = 30 * SECOND  # a machine that died is listed as running for so long
-BOOTED_AT_START_S = 1_001  # what is rented before this time of the loop is up at once
+FAILURE_LISTING_DELAY = 30 * SECOND  # the cloud lists a dead machine as running for this long
+INSTANT_BOOT_UNTIL_S = 1_001  # loop time; machines that are rented before it boot immediately
 
 
 class MachinePool:
-    """Machines that are up now, by name. `nodes`: name and address of each node that takes heartbeats."""
+    """Holds the running machines by name. `nodes` maps the names of the nodes that accept heartbeats to addresses."""
 
     def __init__(
         self,
@@ -38,11 +38,11 @@
         self._loop, self._net, self._settings, self._seed, self._rng = loop, net, settings, seed, rng
         self._cloud, self._checker, self._nodes = cloud, checker, nodes
         self.machines: dict[str, MachineHost] = {}
-        self.quick_boots = False  # machines are up within two seconds
+        self.quick_boots = False  # new machines boot within two seconds
         self.gangs = GangCoordinator(micros(settings.workers.gang_wait_s), micros(settings.workers.gang_peer_s))
-        # A worker's task stopped: worker, task, attempt, reason.
+        # Called when a task has stopped, with worker, task, attempt and reason.
         self.on_task_stopped: Callable[[Worker, str, int, str], None] = checker.on_task_stopped
-        # A node answered a heartbeat: the node's name, and the attempts that the heartbeat listed.
+        # Called when a node has responded to a heartbeat, with the node's name and the attempts in the heartbeat.
         self.on_heartbeat_answered: Callable[[str, list[dict[str, Any]]], None] = lambda node, legs: None
         self._completed_tasks: set[str] = set()
         self._progress: dict[str, int] = {}
@@ -50,19 +50,19 @@
 
     @property
     def registry(self) -> MachineRegistry:
-        """The cloud's own account of the machines."""
+        """Returns the cloud's registry of rented machines."""
         return self._cloud.registry
 
-    # --- life of a machine ---------------------------------------------------------------------
+    # --- lifecycle ----------------------------------------------------------------------------
 
     def _on_rented(self, row: dict[str, Any]) -> None:
         self._cloud.rented_at[row["ref"]] = self._loop.time()
         startup_s = deployment.TYPES[row["berthKind"]].boot_time_s
-        delay = draw_boot_us(self._rng, startup_s) if self._loop.time() > BOOTED_AT_START_S else 0
+        delay = draw_boot_us(self._rng, startup_s) if self._loop.time() > INSTANT_BOOT_UNTIL_S else 0
         if self.quick_boots and delay:
             delay = round(self._rng.uniform(0.2, 2.0) * SECOND)
         if self._rng.random() < 0.01:
-            return  # it never comes up, and is charged until it is returned
+            return  # the machine never boots, and is charged until it is released
         self._loop.call_later_us(delay, None, self._boot, row)
 
     def _boot(self, row: dict[str, Any]) -> None:
@@ -80,7 +80,7 @@
         machine.start()
 
     def _make_worker(self, row: dict[str, Any], host: Host, rng: random.Random) -> Worker:
-        """A worker; some are slow, and on some most tasks fail."""
+        """Returns a new worker. 3 % of workers are slow, and 4 % fail most of their tasks."""
         machine_type = deployment.TYPES[row["berthKind"]]
         worker = Worker(
             host.steady,
@@ -116,42 +116,42 @@
         return job.body if job is not None and job.submit_at <= self._loop.time() else None
 
     def _runtime_us(self, task: str, job: dict[str, Any]) -> int:
-        """How long a task really runs: estimates are off by half and more."""
+        """Returns a task's actual run time. Estimates are off by half and more: it is 0.6 to 1.5 times the estimate."""
         return micros(float(job["voyageS"]) * random.Random(f"{self._seed} {task}").uniform(0.6, 1.5))
 
-    # --- ends of machines ----------------------------------------------------------------------
+    # --- termination ---------------------------------------------------------------------------
 
-    def release(self, name: str, why: str = "released") -> None:
-        """The cloud has taken a machine out of its lists: all on it is gone."""
+    def release(self, name: str, reason: str = "released") -> None:
+        """Terminates a machine that the cloud has removed from its registry, with all its tasks."""
         machine = self.machines.pop(name, None)
         if machine is not None:
-            machine.terminate(why)
+            machine.terminate(reason)
 
     def kill(self, name: str) -> None:
-        """A machine dies; the cloud notices it a while later."""
+        """Terminates a machine; the cloud lists it as failed `FAILURE_LISTING_DELAY` later."""
         machine = self.machines.pop(name, None)
         if machine is not None:
             machine.terminate("died")
-            self._loop.call_later_us(FAILURE_LISTED_AFTER, None, self._list_as_failed, name)
+            self._loop.call_later_us(FAILURE_LISTING_DELAY, None, self._list_as_failed, name)
 
     def _list_as_failed(self, name: str) -> None:
         if name in self.registry.machines:
             self.registry.machines[name]["status"] = "failed"
 
     def reclaim(self, machine: MachineHost, notice_s: float) -> None:
-        """The cloud takes a spot machine back, after a notice if it gives one."""
+        """Reclaims a spot machine after a notice; 0: without notice."""
         if notice_s > 0:
             machine.worker.reclaimed_at = machine.host.steady() + micros(notice_s)
             machine.worker.on_change()
-        self._loop.call_later_us(micros(notice_s), None, self._reclaimed, machine.host.name)
+        self._loop.call_later_us(micros(notice_s), None, self._complete_reclaim, machine.host.name)
 
-    def _reclaimed(self, name: str) -> None:
+    def _complete_reclaim(self, name: str) -> None:
         if self.registry.machines.pop(name, None) is not None:
             self.release(name, "taken")
 
-    # --- choice --------------------------------------------------------------------------------
+    # --- sampling ------------------------------------------------------------------------------
 
     def sample(self, count: int) -> list[MachineHost]:
-        """So many machines, chosen at random; all in random order if there are fewer."""
+        """Returns up to `count` machines, chosen at random and in random order."""
         names = sorted(self.machines)
         return [self.machines[name] for name in self._rng.sample(names, min(count, len(names)))]
--- a/oatport/simulation/network.py
+++ b/oatport/simulation/network.py
@@ -1,9 +1,9 @@
-"""The network between hosts: two links for each pair, one each way, on which requests and answers travel.
+"""The simulated network between hosts, with one link per direction for each pair of hosts.
 
-A request goes out on a kept-alive connection if there is one, else a connection is made first: it comes about only
-while both links carry, and one that was given up never completes later. What was sent on a connection arrives
-whatever its sender does meanwhile: when the link carries again (`hold`; each connection in its own time, since they
-try again at longer and longer intervals), or never (`lost`).
+A request uses a kept-alive connection if there is one; else a new connection is opened first. A connection opens only
+while both links deliver, and an attempt that was given up never completes later. A message that was sent on a
+connection arrives whatever its sender does meanwhile: after the cut if the rule's effect is `hold` (each connection at
+its own time, since connections retry at growing intervals), or never if the effect is `lost`.
 """
 
 from __future__ import annotations
@@ -22,32 +22,33 @@
 from oatport.simulation.virtual_time import Host, VirtualLoop
 from oatport.times import MS, SECOND
 
-ANY_HOST = "any"  # a tag that all hosts have
+ANY_HOST = "any"  # tag of all hosts
 LATENCY_US = MS // 2
-IDLE_CONNECTION_US = 30 * SECOND  # an idle connection is closed after this
-RETRANSMIT_US = 200 * MS  # a lost packet comes again
-RECONNECT_US, RECONNECT_MAX_US = 300 * MS, 12 * SECOND  # after a cut, until a connection tries again
-CONNECT_RETRY_US = SECOND  # so is a connection attempt
-MAX_KEPT_MESSAGES = 6_000
+IDLE_CONNECTION_US = 30 * SECOND  # an idle connection is closed after this time
+RETRANSMIT_US = 200 * MS  # delay of a lost packet until it is sent again
+# Longest delay after a cut until a connection retries: usually, and at most.
+RECONNECT_US, RECONNECT_MAX_US = 300 * MS, 12 * SECOND
+CONNECT_RETRY_US = SECOND  # interval between attempts to open a connection
+MAX_RECORDED_MESSAGES = 6_000
 DUPLICABLE_PATHS = frozenset((wire.COMMIT_PATH, wire.MACHINES_PATH, wire.RELEASE_PATH, wire.SUBMISSIONS_PATH))
 
-Serve = Callable[[str, str, Any], Any]  # method, path and body to (status, value), now or awaited
+RequestHandler = Callable[[str, str, Any], Any]  # method, path, body -> (status, value) or an awaitable of it
 
 
 @dataclass(frozen=True)
 class LinkRule:
-    """What the network does to messages from hosts with one tag to hosts with another."""
+    """Defines an effect on messages from hosts with one tag to hosts with another."""
 
     source: str
     target: str
-    # hold, lost, refuse (connections), slow, lossy, deaf (nothing arrives, what is sent back is sent), mute (no request
-    # arrives, answers do)
+    # hold, lost, refuse (connections), slow, lossy, deaf (no message arrives; messages in the other direction do),
+    # mute (no request arrives, responses do)
     effect: str
-    unless: str = ""  # not between two hosts that both have this tag
-    amount: float = 0.0  # seconds more, or the share lost
+    unless: str = ""  # the rule exempts messages between two hosts that both have this tag
+    amount: float = 0.0  # slow: additional seconds; lossy: share of lost packets
 
-    def covers(self, source: Host, target: Host) -> bool:
-        """It applies to messages from one host to the other."""
+    def applies_to(self, source: Host, target: Host) -> bool:
+        """Returns whether the rule applies to messages from `source` to `target`."""
         return (
             self.source in source.tags
             and self.target in target.tags
@@ -57,7 +58,7 @@
 
 @dataclass(slots=True)
 class Link:
-    """One way between two hosts. Each message is on a connection of its own for as long as it is under way."""
+    """Holds one direction between two hosts. Each message in transit is on a connection of its own."""
 
     source: Host
     target: Host
@@ -66,56 +67,57 @@
 
 @dataclass(slots=True, eq=False)
 class PendingRequest:
-    """A request under way, as its sender sees it."""
+    """Holds the sender's future of a request in progress."""
 
     future: asyncio.Future[tuple[int, bytes]]
 
 
 class Net:
-    """The network of one run: who listens where, what links do to messages, and all requests under way."""
+    """The network of one run: listening addresses, link rules and all requests in progress."""
 
     def __init__(self, loop: VirtualLoop, seed: int) -> None:
         self.loop = loop
         self._rng = random.Random(seed)
         self._links: dict[tuple[Host, Host], Link] = {}
-        self._served: dict[str, tuple[Host, Serve]] = {}
-        self._hosts: dict[str, Host] = {}  # by address, also of those that do not listen
-        self._idle: dict[tuple[Host, str], deque[float]] = {}  # until when kept-alive connections are usable
-        self._serving: dict[Host, dict[PendingRequest, Host]] = {}
+        self._listeners: dict[str, tuple[Host, RequestHandler]] = {}
+        self._hosts: dict[str, Host] = {}  # by address, including hosts that do not listen
+        # Loop times up to which the kept-alive connections are usable.
+        self._idle: dict[tuple[Host, str], deque[float]] = {}
+        self._requests_in_progress: dict[Host, dict[PendingRequest, Host]] = {}
         self.rules: list[LinkRule] = []
-        self.duplications: list[tuple[str, float, list[str]]] = []  # what comes again, up to when (s), and where
-        self.duplicate_for_next_leader_share = 0.0  # of reports: a copy is kept for the next leader
-        self._kept_duplicates: list[tuple[Host, str, str, bytes | None]] = []  # from whom, and what
-        self.denied_routes: list[tuple[str, str]] = []  # (host's name, address): answered 503, and nothing else
-        self.messages: deque[str] = deque(maxlen=MAX_KEPT_MESSAGES)
+        self.duplications: list[tuple[str, float, list[str]]] = []  # kind, longest delay (s), addresses
+        self.duplicate_for_next_leader_share = 0.0  # share of heartbeats of which a copy is kept for the next leader
+        self._kept_duplicates: list[tuple[Host, str, str, bytes | None]] = []  # sender, method, target, data
+        self.denied_routes: list[tuple[str, str]] = []  # (host name, address): all requests get 503
+        self.messages: deque[str] = deque(maxlen=MAX_RECORDED_MESSAGES)
         self.sent = 0
-        self.keeps_bodies = False  # messages are kept with what they say
-        self.closed = False  # the run is over: nobody is reached any more
-        self.digest = 0  # of all messages: the same seed gives the same one
+        self.keeps_bodies = False  # messages are recorded with their bodies
+        self.closed = False  # the run has ended: every request fails
+        self.digest = 0  # checksum of all messages: the same seed gives the same digest
 
     # --- hosts ------------------------------------------------------------------------------
 
-    def at(self, address: str, host: Host) -> None:
-        """An address belongs to a host."""
+    def register_address(self, address: str, host: Host) -> None:
+        """Assigns an address to a host that need not listen on it."""
         self._hosts[address] = host
 
-    def listen(self, address: str, host: Host, serve: Serve) -> None:
-        """A host serves an address from now on."""
+    def listen(self, address: str, host: Host, serve: RequestHandler) -> None:
+        """Starts to serve an address by a host's request handler."""
         self._hosts[address] = host
-        self._served[address] = (host, serve)
+        self._listeners[address] = (host, serve)
 
     def ended(self, host: Host) -> None:
-        """A process is gone: its connections are reset, its port refuses."""
-        for address in [a for a, (owner, _) in self._served.items() if owner is host]:
-            del self._served[address]
+        """Resets the connections of a process that ended; its ports refuse connections from then on."""
+        for address in [a for a, (owner, _) in self._listeners.items() if owner is host]:
+            del self._listeners[address]
         for key in [k for k in self._idle if k[0] is host or self._hosts.get(k[1]) is host]:
             del self._idle[key]
-        for pending, caller in self._serving.pop(host, {}).items():
-            self._travel(host, caller, lambda pending=pending: self._fail_request(pending, NoResponseError("reset")))  # type: ignore[misc]
+        for pending, caller in self._requests_in_progress.pop(host, {}).items():
+            self._transmit(host, caller, lambda pending=pending: self._fail_request(pending, NoResponseError("reset")))  # type: ignore[misc]
 
-    def unplugged(self, address: str) -> None:
-        """A machine is gone: connections to it hang."""
-        self._served.pop(address, None)
+    def on_machine_gone(self, address: str) -> None:
+        """Closes the connections of a machine that is gone; new connections to its address hang."""
+        self._listeners.pop(address, None)
         host = self._hosts.get(address)
         for key in [k for k in self._idle if k[1] == address or k[0] is host]:
             del self._idle[key]
@@ -123,41 +125,43 @@
     # --- links ------------------------------------------------------------------------------
 
     def add(self, rule: LinkRule) -> None:
-        """A rule holds from now on."""
+        """Adds a link rule. A `lost` rule also closes the idle connections on its links."""
         self.rules.append(rule)
-        if rule.effect == "lost":  # such a cut resets what is open
+        if rule.effect == "lost":
             for key in list(self._idle):
                 target = self._hosts.get(key[1])
-                if target is not None and (rule.covers(key[0], target) or rule.covers(target, key[0])):
+                if target is not None and (rule.applies_to(key[0], target) or rule.applies_to(target, key[0])):
                     del self._idle[key]
 
     def remove(self, rule: LinkRule) -> None:
-        """A rule ends: what it held up arrives, each message in its own time."""
+        """Removes a rule and delivers the messages that it held, each after a delay of its own."""
         self.rules.remove(rule)
         for link in list(self._links.values()):
             if link.held and not self._cut_mode(link.source, link.target):
                 held, link.held = link.held, deque()
                 for host, call in held:
-                    slow = self._rng.random() < 0.25
-                    self._arrive(link, host, call, self._rng.randrange(RECONNECT_MAX_US if slow else RECONNECT_US))
-
-    def _rule_amount(self, source: Host, target: Host, what: str) -> float | None:
-        """What rules of an effect add up to on a link; None: there is none."""
-        found = [rule.amount for rule in self.rules if rule.effect == what and rule.covers(source, target)]
+                    is_slow = self._rng.random() < 0.25
+                    self._schedule_delivery(
+                        link, host, call, self._rng.randrange(RECONNECT_MAX_US if is_slow else RECONNECT_US)
+                    )
+
+    def _rule_amount(self, source: Host, target: Host, effect_name: str) -> float | None:
+        """Returns the sum of the amounts of all rules with an effect on a link; None: no such rule."""
+        found = [rule.amount for rule in self.rules if rule.effect == effect_name and rule.applies_to(source, target)]
         return sum(found) if found else None
 
     def _cut_mode(self, source: Host, target: Host) -> str:
         for rule in self.rules:
-            if rule.effect in ("hold", "lost") and rule.covers(source, target):
+            if rule.effect in ("hold", "lost") and rule.applies_to(source, target):
                 return rule.effect
         return ""
 
-    def carries(self, source: Host, target: Host) -> bool:
-        """What is sent now arrives, at once or slowly."""
+    def can_deliver(self, source: Host, target: Host) -> bool:
+        """Returns whether a message that is sent now arrives, with or without additional delay."""
         return not self._cut_mode(source, target) and self._rule_amount(source, target, "deaf") is None
 
-    def _travel(self, source: Host, target: Host, call: Callable[[], None]) -> None:
-        """Bring a message over: `call` happens on the target when it arrives."""
+    def _transmit(self, source: Host, target: Host, call: Callable[[], None]) -> None:
+        """Sends a message over a link: `call` runs on the target when the message arrives."""
         link = self._links.get((source, target))
         if link is None:
             link = self._links[source, target] = Link(source, target)
@@ -167,24 +171,24 @@
         if cut:
             link.held.append((target, call))
             return
-        self._arrive(link, target, call)
+        self._schedule_delivery(link, target, call)
 
-    def _arrive(self, link: Link, host: Host, call: Callable[[], None], late: int = 0) -> None:
+    def _schedule_delivery(self, link: Link, host: Host, call: Callable[[], None], extra_delay_us: int = 0) -> None:
         delay = LATENCY_US + self._rng.randrange(LATENCY_US)
         if self.rules:
             delay += round((self._rule_amount(link.source, host, "slow") or 0.0) * SECOND)
             if self._rng.random() < (self._rule_amount(link.source, host, "lossy") or 0.0):
                 delay += RETRANSMIT_US
-        self.loop.call_at(self.loop.time() + (delay + late) / SECOND, call, context=host.context)
+        self.loop.call_at(self.loop.time() + (delay + extra_delay_us) / SECOND, call, context=host.context)
 
     # --- requests ---------------------------------------------------------------------------
 
     async def request(
         self, source: Host, address: str, method: str, path: str, body: Any, timeout_us: int, query: str
     ) -> tuple[int, Any]:
-        """Send one request and return its status and body. Raises RequestNotSentError or NoResponseError."""
+        """Sends one request and returns its status and body. Raises RequestNotSentError or NoResponseError."""
         if self.closed:
-            raise RequestNotSentError("the run is over")
+            raise RequestNotSentError("simulation has ended")
         data = None if body is None else wire.encode(body)
         pending = PendingRequest(self.loop.create_future())
         timer = self.loop.call_later_us(timeout_us, source, self._fail_request, pending, NoResponseError("timeout"))
@@ -197,7 +201,7 @@
                 self._duplicate(source, address, method, target, data)
             if path == wire.HEARTBEAT_PATH and self._chance(self.duplicate_for_next_leader_share):
                 self._kept_duplicates.append((source, method, target, data))
-            self._travel(source, host, lambda: self._serve(source, host, address, method, target, data, pending))
+            self._transmit(source, host, lambda: self._serve(source, host, address, method, target, data, pending))
             status, raw = await pending.future
         finally:
             timer.cancel()
@@ -205,42 +209,45 @@
         return status, wire.decode(raw) if raw else None
 
     def _chance(self, share: float) -> bool:
-        """Drawn only where there is one, so that runs without it draw the same numbers as ever."""
+        """Returns True with a probability of `share`.
+
+        A share of 0 draws no random number, so that runs without this fault keep their sequence of random numbers.
+        """
         return bool(share) and self._rng.random() < share
 
     async def _connect(self, source: Host, address: str, pending: PendingRequest) -> None:
-        """Return once there is a connection: a kept-alive one, or a new one. Raises RequestNotSentError if refused."""
+        """Returns once a kept-alive or new connection is open. Raises RequestNotSentError if it is refused."""
         idle = self._idle.get((source, address))
         while idle:
             if idle.pop() > self.loop.time() and not self._is_mute(source, address):
                 return
         while not pending.future.done():
             host = self._hosts.get(address)
-            if host is not None and self._may_connect(source, host, address):
+            if host is not None and self._can_connect(source, host, address):
                 if self._refuses(source, host, address):
                     raise RequestNotSentError("refused")
-                if address in self._served:
+                if address in self._listeners:
                     await asyncio.sleep(2 * LATENCY_US / SECOND)
                     if not self._is_cut(source, host):
                         return
                 elif "node" in host.tags:
-                    raise RequestNotSentError("refused")  # its machine is up, the process is not
-            # Nobody answers: tried again until the caller gives up.
+                    raise RequestNotSentError("refused")  # the node's machine is up, its process is not
+            # No response: the attempt is repeated until the request times out.
             await asyncio.wait([pending.future], timeout=CONNECT_RETRY_US / SECOND)
         await pending.future
 
     def _is_cut(self, source: Host, host: Host) -> bool:
-        """One way or the other nothing travels between them."""
+        """Returns whether at least one direction between two hosts is cut."""
         return bool(self._cut_mode(source, host) or self._cut_mode(host, source))
 
-    def _may_connect(self, source: Host, host: Host, address: str) -> bool:
-        """Both ways of a new connection carry."""
-        mute = self._is_mute(source, address) or self._rule_amount(source, host, "deaf") is not None
-        return not mute and not self._is_cut(source, host)
+    def _can_connect(self, source: Host, host: Host, address: str) -> bool:
+        """Returns whether both directions deliver, so that a connection can open."""
+        is_blocked = self._is_mute(source, address) or self._rule_amount(source, host, "deaf") is not None
+        return not is_blocked and not self._is_cut(source, host)
 
     def _refuses(self, source: Host, host: Host, address: str) -> bool:
-        refuse = self._rule_amount(source, host, "refuse") is not None
-        return refuse or (address not in self._served and not host.dead)
+        has_refuse_rule = self._rule_amount(source, host, "refuse") is not None
+        return has_refuse_rule or (address not in self._listeners and not host.dead)
 
     def _is_mute(self, source: Host, address: str) -> bool:
         host = self._hosts.get(address)
@@ -256,42 +263,44 @@
         data: bytes | None,
         pending: PendingRequest,
     ) -> None:
-        served = self._served.get(address)
-        if served is None or served[0] is not host:
+        listener = self._listeners.get(address)
+        if listener is None or listener[0] is not host:
             return
         if self.denied_routes and (source.name, address) in self.denied_routes:
             self._reply(host, source, (503, None), pending)
             return
         try:
-            value = served[1](method, target, wire.decode(data) if data else None)
+            value = listener[1](method, target, wire.decode(data) if data else None)
         except wire.InvalidMessageError:
             value = (400, None)
         if inspect.isawaitable(value):
-            self._serving.setdefault(host, {})[pending] = source
-            task = self.loop.create_task(self._answer(host, source, value, pending), context=host.context)
+            self._requests_in_progress.setdefault(host, {})[pending] = source
+            task = self.loop.create_task(self._reply_when_ready(host, source, value, pending), context=host.context)
             task.add_done_callback(lambda done: done.cancelled() or done.exception())
             return
         self._reply(host, source, value, pending)
 
     def _duplicate(self, source: Host, address: str, method: str, target: str, data: bytes | None) -> None:
-        """A copy of what was just sent comes again later: a report at any node, other requests where they went.
+        """Sends a copy of a request later: of a heartbeat to any node, of another request to the same address.
 
-        Commands come as they are sent, and no more: none is executed twice once its first was answered (PROTOCOL speaks
-        of copies of reports, and of requests that their sender repeats).
+        Commands are not duplicated: a command is not executed again after the response to it. PROTOCOL allows copies
+        of heartbeats, and of requests that their sender repeats.
         """
         path = target.split("?")[0]
-        for kind, most_s, addresses in self.duplications:
-            report = path == wire.HEARTBEAT_PATH
-            if (kind == "reports") != report or (not report and (method != "POST" or path not in DUPLICABLE_PATHS)):
+        for kind, max_delay_s, addresses in self.duplications:
+            is_heartbeat = path == wire.HEARTBEAT_PATH
+            if (kind == "reports") != is_heartbeat or (
+                not is_heartbeat and (method != "POST" or path not in DUPLICABLE_PATHS)
+            ):
                 continue
-            if self._rng.random() > (0.2 if report else 0.1):
+            if self._rng.random() > (0.2 if is_heartbeat else 0.1):
                 continue
-            there = self._rng.choice(addresses) if report else address
-            delay = round(self._rng.uniform(0.05, most_s) * SECOND)
-            self.loop.call_later_us(delay, None, self._send_copy, source, there, method, target, data)
+            destination = self._rng.choice(addresses) if is_heartbeat else address
+            delay = round(self._rng.uniform(0.05, max_delay_s) * SECOND)
+            self.loop.call_later_us(delay, None, self._send_copy, source, destination, method, target, data)
 
     def deliver_kept_duplicates(self, address: str) -> None:
-        """What was kept for the next leader arrives there, within the second in which it begins."""
+        """Sends the copies that were kept for the next leader to it, within one second."""
         for source, method, target, data in self._kept_duplicates:
             self.loop.call_later_us(
                 self._rng.randrange(SECOND), None, self._send_copy, source, address, method, target, data
@@ -302,23 +311,23 @@
         host = self._hosts.get(address)
         if host is None or self.closed:
             return
-        pending = PendingRequest(self.loop.create_future())  # nobody reads the answer
-        self._travel(source, host, lambda: self._serve(source, host, address, method, target, data, pending))
+        pending = PendingRequest(self.loop.create_future())  # the response is discarded
+        self._transmit(source, host, lambda: self._serve(source, host, address, method, target, data, pending))
 
-    async def _answer(self, host: Host, source: Host, value: Any, pending: PendingRequest) -> None:
+    async def _reply_when_ready(self, host: Host, source: Host, value: Any, pending: PendingRequest) -> None:
         try:
             self._reply(host, source, await value, pending)
         finally:
-            self._serving.get(host, {}).pop(pending, None)
+            self._requests_in_progress.get(host, {}).pop(pending, None)
 
     def _reply(self, host: Host, source: Host, value: tuple[int, Any], pending: PendingRequest) -> None:
         raw = b"" if value[1] is None else wire.encode(value[1])
 
-        def come() -> None:
+        def deliver() -> None:
             if not pending.future.done():
                 pending.future.set_result((value[0], raw))
 
-        self._travel(host, source, come)
+        self._transmit(host, source, deliver)
 
     @staticmethod
     def _fail_request(pending: PendingRequest, error: Exception) -> None:
--- a/oatport/simulation/node_network.py
+++ b/oatport/simulation/node_network.py
@@ -1,4 +1,4 @@
-"""A node's network in memory (`service.network.Network`): its clients and servers on the simulated network."""
+"""A node's clients and servers on the simulated network, in place of `service.network.Network`."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class NodeClient:
-    """What a host asks one address by (`clients.http.Requester`)."""
+    """Sends requests of a host to one address (`clients.http.Requester`)."""
 
     def __init__(self, net: Net, host: Host, address: str) -> None:
         self._net, self._host, self._address = net, host, address
@@ -23,54 +23,54 @@
     async def request(
         self, method: str, path: str, body: Any = None, *, timeout_us: int, query: str = ""
     ) -> tuple[int, Any]:
-        """Send one request. Raises RequestNotSentError or NoResponseError."""
+        """Sends one request and returns its status and body. Raises RequestNotSentError or NoResponseError."""
         return await self._net.request(self._host, self._address, method, path, body, timeout_us, query)
 
 
 class _Body:
-    """A request's body as `api.server.BodyReader` has it."""
+    """Holds a request body, with the interface of `api.server.BodyReader`."""
 
     def __init__(self, value: Any, limit: int) -> None:
         self._value, self._limit = value, limit
 
     async def read(self) -> Any:
-        """The decoded body. Raises InvalidMessageError if there is none."""
+        """Returns the decoded body. Raises InvalidMessageError if there is none."""
         if self._value is None:
             raise wire.InvalidMessageError("empty")
         return self._value
 
 
 class NodeNetwork:
-    """A node's network (`service.network.Network`)."""
+    """Creates clients and servers for a node, with the interface of `service.network.Network`."""
 
     def __init__(self, net: Net, host: Host) -> None:
         self._net, self._host = net, host
 
     def open(self) -> None:
-        """Nothing to open in memory."""
+        """Does nothing: the simulated network needs no setup."""
 
     @property
     def session(self) -> aiohttp.ClientSession:
-        """No price feeds in a simulation."""
-        raise NotImplementedError("no price feeds here")
+        """Raises NotImplementedError: the simulation has no price feeds."""
+        raise NotImplementedError("the simulation has no price feeds")
 
     def client(self, address: str, reuse: ConnectionReuse = ConnectionReuse.KEEP_ALIVE) -> NodeClient:
-        """What this host asks an address by."""
+        """Returns a client that sends this host's requests to an address."""
         return NodeClient(self._net, self._host, address)
 
     def set_expected_load(self, machines: int, a_second: float) -> None:
-        """Connections are not counted here."""
+        """Does nothing: the simulation has no connection limit."""
 
     def open_connections(self) -> int:
-        """Connections are not counted here."""
+        """Returns 0: the simulation does not count connections."""
         return 0
 
     def server(self, address: str, handler: Handler, body_limit: int = wire.MAX_BODY_BYTES) -> _Listener:
-        """What serves an address."""
+        """Returns a server for an address."""
         return _Listener(self._net, self._host, address, handler, body_limit)
 
     async def close(self) -> None:
-        """Nothing to close in memory."""
+        """Does nothing: the simulated network has nothing to close."""
 
 
 class _Listener:
--- a/oatport/simulation/node_processes.py
+++ b/oatport/simulation/node_processes.py
@@ -1,4 +1,4 @@
-"""The processes of the controller nodes in a simulated deployment: started, crashed, restarted and upgraded."""
+"""The processes of the controller nodes in a simulated deployment: starts, crashes, restarts and upgrades."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class NodeProcesses:
-    """The nodes that run now, of this version or of the version in production."""
+    """Holds the running nodes, of this version or of the version in production."""
 
     def __init__(
         self,
@@ -29,23 +29,24 @@
         self._loop, self._net, self._plan, self._settings, self._tuning = loop, net, plan, settings, tuning
         self._rng = rng
         self.addresses = deployment.node_addresses(plan)
-        self.nodes: dict[str, Any] = {}  # of this version or of that in production
+        self.nodes: dict[str, Any] = {}
         self.hosts: dict[str, Host] = {}
-        self.upgraded: set[str] = set() if plan.old_nodes else set(self.addresses)  # names of nodes of this version
+        # Names of the nodes that run this version when their process starts.
+        self.upgraded: set[str] = set() if plan.old_nodes else set(self.addresses)
         self._start_counts = dict.fromkeys(self.addresses, 0)
 
     @property
     def names(self) -> list[str]:
-        """All nodes, whether their processes run or not."""
+        """Returns the names of all nodes, whether their processes run or not."""
         return list(self.addresses)
 
     @property
     def user_addresses(self) -> list[str]:
-        """Where the nodes serve users and workers."""
+        """Returns the addresses at which the nodes serve users and workers."""
         return [user_address for user_address, _ in self.addresses.values()]
 
     def start(self, name: str) -> None:
-        """Start a node's process on a host of its own, whose clocks run a little off."""
+        """Starts a node's process on a new host, whose clocks have a random drift and offset."""
         host = Host(
             self._loop,
             name,
@@ -58,9 +59,10 @@
         self._start_counts[name] += 1
         settings = deployment.node_settings(self._plan, name, self._settings)
         for address in (settings.bind, settings.internal_addr):
-            self._net.at(address, host)
+            self._net.register_address(address, host)
         boot = f"{name}-{self._start_counts[name]}"
-        # By its host's clocks: by the machine's, when a process began depended on for how long that had been up.
+        # The node is created in its host's context, so that it reads the host's clocks. With the clocks of the real
+        # machine, its start time depended on that machine's uptime.
         if name in self.upgraded:
             network = NodeNetwork(self._net, host)
             node: Any = host.context.run(Node, settings, self._tuning, net=network, boot=boot)
@@ -70,7 +72,7 @@
         self._loop.create_task(node.run(), context=host.context)
 
     def crash(self, name: str) -> None:
-        """End a node's process at once, if it runs."""
+        """Ends a node's process at once if it runs."""
         host = self.hosts.pop(name, None)
         if host is not None:
             del self.nodes[name]
@@ -78,6 +80,6 @@
             self._net.ended(host)
 
     def ensure_started(self, name: str) -> None:
-        """Start a node unless the end of another fault was faster."""
+        """Starts a node unless it runs already because another fault has ended first."""
         if name not in self.hosts:
             self.start(name)
--- a/oatport/simulation/production_build.py
+++ b/oatport/simulation/production_build.py
@@ -1,8 +1,9 @@
-"""The version in production, beside this one in the same process: real nodes of both in one simulation.
+"""The version in production, loaded beside this one, so that nodes of both versions run in one simulation.
 
-Its tree comes from the repository's own history (`production` in deploy/service.toml) and is laid under target/. Its
-modules are imported under their own names while this version's are out of the way, and then put aside: each keeps its
-own classes. What has to fit is what passes between the two: the clocks of a node's context, and errors of the network.
+The source tree of that version comes from the repository's history (`production` in deploy/service.toml) and is
+unpacked under target/. Its modules are imported under their own names while this version's modules are removed from
+`sys.modules`; then this version's are put back, and each version keeps its own classes. Only the interface between the
+two has to be adapted: the clocks of a node's context, and the errors of the network.
 """
 
 from __future__ import annotations
@@ -31,12 +32,12 @@
 
 
 class HistoryUnavailableError(Exception):
-    """The version in production can't be had here; one line that says why."""
+    """Raised if the version in production is not available; the message is one line with the cause."""
 
 
 @dataclass(frozen=True)
 class Build:
-    """Modules of another version."""
+    """Holds the modules of another version."""
 
     node: Any
     net: Any
@@ -45,7 +46,7 @@
     settings: Any
 
     def make_node(self, settings: Any, network: Net, host: Host, boot: str) -> Any:
-        """A node of that version on a host of this one."""
+        """Returns a node of that version on a host of the simulation."""
         host.context.run(self.times.CLOCK.set, host)
         return host.context.run(
             self.node.Node, settings, self.settings.Tuning(), net=_ProductionNetwork(self, network, host), boot=boot
@@ -54,7 +55,7 @@
 
 @dataclass(frozen=True)
 class LeaderView:
-    """What the simulation observes of a leading node, whichever version it runs."""
+    """Holds the state of a leading node that the simulation observes, in either version."""
 
     token: int
     loaded: bool
@@ -62,7 +63,10 @@
 
 
 def leader_of(node: Any) -> LeaderView | None:
-    """The node's leader; the version in production has other names for it."""
+    """Returns the state of the node's leader; None: the node does not lead.
+
+    The version in production has other names for these attributes.
+    """
     if isinstance(node, Node):
         leader = node.leader
         return None if leader is None else LeaderView(leader.token, leader.loaded, leader.stopped)
@@ -71,7 +75,7 @@
 
 
 def production_commit(root: Path = ROOT) -> str:
-    """The commit that deploy/service.toml names as in production. Raises HistoryUnavailableError."""
+    """Returns the commit that deploy/service.toml names as in production. Raises HistoryUnavailableError."""
     try:
         value = tomllib.loads((root / "deploy" / "service.toml").read_text(encoding="utf-8"))
         return str(value["production"])
@@ -80,35 +84,38 @@
 
 
 def unpack_production_tree(root: Path = ROOT) -> Path:
-    """The tree of the version in production, under target/."""
+    """Returns the source tree of the version in production, unpacked under target/ if it is not there yet.
+
+    Raises HistoryUnavailableError.
+    """
     commit = production_commit(root)
     tree = root / "target" / "production" / commit
     if (tree / PACKAGE).is_dir():
         return tree
     try:
         archive = ["git", "-C", str(root), "archive", "--format=tar", commit, PACKAGE]
-        packed = subprocess.run(archive, capture_output=True, check=True).stdout
+        archive_bytes = subprocess.run(archive, capture_output=True, check=True).stdout
     except (OSError, subprocess.CalledProcessError):
         raise HistoryUnavailableError(
             f"the version in production, {commit}, is not in this repository's history"
         ) from None
-    part = tree.with_name(f"{commit}.{os.getpid()}")
-    part.mkdir(parents=True)
-    with tarfile.open(fileobj=io.BytesIO(packed)) as opened:
-        opened.extractall(part, filter="data")
+    partial_tree = tree.with_name(f"{commit}.{os.getpid()}")
+    partial_tree.mkdir(parents=True)
+    with tarfile.open(fileobj=io.BytesIO(archive_bytes)) as archive_file:
+        archive_file.extractall(partial_tree, filter="data")
     try:
-        part.rename(tree)
-    except OSError:  # another process was faster
+        partial_tree.rename(tree)
+    except OSError:  # another process has unpacked the tree meanwhile
         if not (tree / PACKAGE).is_dir():
             raise
     return tree
 
 
 def _resolve_annotations() -> None:
-    """Resolve the annotations of all message types imported now.
+    """Resolves the annotations of all message types that are imported now.
 
-    msgspec does so at a type's first use, by the name of its module in `sys.modules`: by then it finds this version's
-    module of the same name, or none.
+    msgspec resolves them at a type's first use, by the module name in `sys.modules`: by then it would find this
+    version's module of the same name, or none.
     """
     for name, module in list(sys.modules.items()):
         if name == PACKAGE or name.startswith(PACKAGE + "."):
@@ -119,10 +126,12 @@
 
 @cache
 def production(root: Path = ROOT) -> Build:
-    """Import the version in production. Raises HistoryUnavailableError."""
+    """Imports the version in production and returns its modules. Raises HistoryUnavailableError."""
     tree = unpack_production_tree(root)
-    own = {name: module for name, module in sys.modules.items() if name == PACKAGE or name.startswith(PACKAGE + ".")}
-    for name in own:
+    current_modules = {
+        name: module for name, module in sys.modules.items() if name == PACKAGE or name.startswith(PACKAGE + ".")
+    }
+    for name in current_modules:
         del sys.modules[name]
     sys.path.insert(0, str(tree))
     try:
@@ -138,20 +147,20 @@
         sys.path.remove(str(tree))
         for name in [n for n in sys.modules if n == PACKAGE or n.startswith(PACKAGE + ".")]:
             del sys.modules[name]
-        sys.modules.update(own)
+        sys.modules.update(current_modules)
     assert Path(build.node.__file__).is_relative_to(tree)
     return build
 
 
 class _ProductionClient:
-    """Sends requests over this version's network; errors are the other version's own."""
+    """Sends requests over this version's network and raises the error classes of the other version."""
 
     def __init__(self, build: Build, inner: Any) -> None:
         self._build, self._inner = build, inner
 
-    async def request(self, *args: Any, **more: Any) -> Any:
+    async def request(self, *args: Any, **options: Any) -> Any:
         try:
-            return await self._inner.request(*args, **more)
+            return await self._inner.request(*args, **options)
         except RequestNotSentError as error:
             raise self._build.http.NotSent(str(error)) from None
         except NoResponseError as error:
@@ -159,7 +168,7 @@
 
 
 class _ProductionNetwork:
-    """The network as a node of the other version has it."""
+    """Adapts this version's network to the interface that a node of the other version expects."""
 
     def __init__(self, build: Build, net: Net, host: Host) -> None:
         self._build = build
--- a/oatport/simulation/service_statistics.py
+++ b/oatport/simulation/service_statistics.py
@@ -1,4 +1,4 @@
-"""How well a run served its jobs: by class and team, starvation beside free capacity, largest jobs, pipelines."""
+"""Statistics of the jobs of a run: shares served by class and team, starvation, large jobs and pipelines."""
 
 from __future__ import annotations
 
@@ -11,28 +11,31 @@
 from oatport.simulation.worker import Worker
 from oatport.times import SECOND
 
-STARTED_WITHIN_S = 30.0  # a job accepted later than so long before the end may just be waiting for a boot
-CLASS_FIELD, TEAM_FIELD = "cargo", "crew"  # of a submission on the wire
+START_ALLOWANCE_S = 30.0  # a job accepted less than this before the end may still wait for a machine to boot
+CLASS_FIELD, TEAM_FIELD = "cargo", "crew"  # fields of a submission on the wire
 
 
 class ServiceStatistics:
-    """Figures over all jobs of a run, at its end (a time of the loop)."""
+    """Computes statistics over all jobs of a run. `end` is the loop time at which the run ended."""
 
     def __init__(self, jobs: Mapping[str, SubmittedJob], usage: TeamUsage, end: float) -> None:
         self._jobs, self._usage, self._end = jobs, usage, end
 
-    def _group(self, by: str, chosen: Callable[[SubmittedJob], bool]) -> dict[str, list[SubmittedJob]]:
+    def _group(self, body_field: str, is_eligible: Callable[[SubmittedJob], bool]) -> dict[str, list[SubmittedJob]]:
         groups: defaultdict[str, list[SubmittedJob]] = defaultdict(list)
         for job in self._jobs.values():
-            if chosen(job):
-                groups[str(job.body[by])].append(job)
+            if is_eligible(job):
+                groups[str(job.body[body_field])].append(job)
         return groups
 
     def _should_have_started(self, job: SubmittedJob) -> bool:
-        """It was accepted a while before the end, does not fail by itself, and waits for no other job."""
+        """Returns whether a job should have started.
+
+        Such a job was accepted `START_ALLOWANCE_S` before the end, is not one that always fails, and is not blocked.
+        """
         return (
             job.accepted_at is not None
-            and job.accepted_at < self._end - STARTED_WITHIN_S
+            and job.accepted_at < self._end - START_ALLOWANCE_S
             and not job.always_fails
             and not job.is_blocked
         )
@@ -40,26 +43,29 @@
     # --- shares --------------------------------------------------------------------------------
 
     def served_by_class(self) -> dict[str, dict[str, float]]:
-        """Shares accepted, started and completed of what was submitted, by class."""
+        """Returns the shares of submitted jobs that were accepted, started and completed, by class."""
         return self._served_shares(CLASS_FIELD)
 
     def served_by_team(self) -> dict[str, dict[str, float]]:
-        """Shares accepted, started and completed of what was submitted, by team."""
+        """Returns the shares of submitted jobs that were accepted, started and completed, by team."""
         return self._served_shares(TEAM_FIELD)
 
-    def _served_shares(self, by: str) -> dict[str, dict[str, float]]:
-        """Jobs that their users cancelled, or that always fail, count only as submitted and accepted."""
-        found = {}
-        for name, jobs in sorted(self._group(by, lambda job: job.submit_at < self._end).items()):
+    def _served_shares(self, body_field: str) -> dict[str, dict[str, float]]:
+        """Returns the shares accepted, started and completed, grouped by a field of the submission.
+
+        Jobs that their users cancelled or that always fail count only as submitted and accepted.
+        """
+        shares = {}
+        for name, jobs in sorted(self._group(body_field, lambda job: job.submit_at < self._end).items()):
             unblocked = [job for job in jobs if not job.is_blocked]
             counted = [job for job in unblocked if job.cancelled_at is None and not job.always_fails] or unblocked
             if counted:
-                found[name] = {
+                shares[name] = {
                     "accepted": sum(job.accepted_at is not None for job in jobs) / len(jobs),
                     "started": sum(job.started_at is not None for job in counted) / len(counted),
                     "completed": self._completed_sum(counted) / len(counted),
                 }
-        return found
+        return shares
 
     def _completed_sum(self, jobs: list[SubmittedJob]) -> float:
         completed = 0.0
@@ -68,7 +74,7 @@
         return completed
 
     def _completed_share(self, job: SubmittedJob) -> float:
-        """Of a service: the share of its replicas' time, from its submission on, that they were up."""
+        """Returns the share of a job's tasks that completed; for a service, its replicas' uptime since submission."""
         tasks = int(job.body["legs"])
         wanted_us = (self._end - job.submit_at) * SECOND * tasks
         if job.body["rig"] == "standing" and wanted_us > 0:
@@ -78,18 +84,21 @@
     # --- starvation ----------------------------------------------------------------------------
 
     def starved_groups(self, workers: list[Worker]) -> list[str]:
-        """Classes and teams less than half of whose jobs ever started, though one that waits fits somewhere now."""
+        """Returns a line for each starved class and team.
+
+        A group is starved if less than half of its jobs ever started although a waiting one fits on a machine now.
+        """
 
-        def chosen(job: SubmittedJob) -> bool:
+        def is_eligible(job: SubmittedJob) -> bool:
             return self._should_have_started(job) and (job.cancel_at is None or job.cancel_at > self._end)
 
-        found = []
-        for by in (CLASS_FIELD, TEAM_FIELD):
-            for name, jobs in sorted(self._group(by, chosen).items()):
+        starved = []
+        for body_field in (CLASS_FIELD, TEAM_FIELD):
+            for name, jobs in sorted(self._group(body_field, is_eligible).items()):
                 waiting = [job for job in jobs if job.started_at is None]
                 if len(waiting) * 2 > len(jobs) and any(self._fits(j.body, w) for j in waiting for w in workers):
-                    found.append(f"{name}: {len(waiting)} of {len(jobs)} jobs wait beside free room")
-        return found
+                    starved.append(f"{name}: {len(waiting)} of {len(jobs)} jobs wait despite free capacity")
+        return starved
 
     def _fits(self, body: dict[str, Any], worker: Worker) -> bool:
         if not self._usage.has_cpus_left(str(body["crew"]), float(body["cores"])):
@@ -100,33 +109,33 @@
             return False
         return body["harbor"] in (None, worker.zone) and worker.fits(body)
 
-    # --- the largest jobs, and pipelines -------------------------------------------------------
+    # --- large jobs and pipelines --------------------------------------------------------------
 
     def largest_job_figures(self) -> tuple[float, float]:
-        """Of each class's largest tenth (by tasks times CPUs): the least share that began, and the longest wait (s).
+        """Returns the lowest share of large jobs that started in any class, and the longest wait of one (s).
 
-        Of jobs that could begin: not cancelled, without a mistake, waiting for no other, accepted a while before the
-        end.
+        Large jobs are a class's largest tenth by tasks times CPUs, among those that could start: not cancelled, not
+        failing always, not blocked, and accepted `START_ALLOWANCE_S` before the end.
         """
 
-        def chosen(job: SubmittedJob) -> bool:
+        def is_eligible(job: SubmittedJob) -> bool:
             return self._should_have_started(job) and job.cancel_at is None and not job.may_be_cancelled_with_others
 
-        least_share, longest_s = 1.0, 0.0
-        for jobs in self._group(CLASS_FIELD, chosen).values():
+        min_share, max_wait_s = 1.0, 0.0
+        for jobs in self._group(CLASS_FIELD, is_eligible).values():
             jobs.sort(key=lambda job: -float(job.body["cores"]) * int(job.body["legs"]))
             largest = jobs[: max(1, len(jobs) // 10)]
-            least_share = min(least_share, sum(job.started_at is not None for job in largest) / len(largest))
+            min_share = min(min_share, sum(job.started_at is not None for job in largest) / len(largest))
             waits_s = [(job.started_at or self._end) - job.startable_at for job in largest]
-            longest_s = max([longest_s, *waits_s])
-        return least_share, longest_s
+            max_wait_s = max([max_wait_s, *waits_s])
+        return min_share, max_wait_s
 
     def pipeline_figures(self) -> dict[str, int]:
-        """Pipelines whose last job was submitted and not cancelled, and those of them that were complete in time."""
+        """Returns the number of due pipelines whose last job was accepted and not cancelled, and of those in time."""
         last_jobs = [
             job
             for job in self._jobs.values()
-            if job.ends_pipeline
+            if job.is_last_in_pipeline
             and job.accepted_at is not None
             and job.cancelled_at is None
             and job.deadline_at < self._end
--- a/oatport/simulation/simulated_deployment.py
+++ b/oatport/simulation/simulated_deployment.py
@@ -1,4 +1,7 @@
-"""A whole deployment in one process: network, outside systems, nodes, machines and users, before anything happens."""
+"""Assembly of a whole deployment in one process: network, external services, nodes, machines and users.
+
+`simulation.py` runs the deployment and injects the faults.
+"""
 
 from __future__ import annotations
 
@@ -14,14 +17,14 @@
 from oatport.simulation.machine_pool import MachinePool
 from oatport.simulation.network import ANY_HOST, Net
 from oatport.simulation.node_processes import NodeProcesses
-from oatport.simulation.state_service import KeyStore, StateService, leader_of
+from oatport.simulation.state_service import KeyStore, StateService, leader_node_of
 from oatport.simulation.users import User
 from oatport.simulation.virtual_time import Host, VirtualLoop
 from oatport.simulation.worker import Worker
 
 
 class SimulatedDeployment:
-    """All parts of one run on one virtual loop. `tuning`: operators' settings of all nodes."""
+    """Holds all components of one run on one virtual event loop. `tuning` applies to all nodes."""
 
     def __init__(self, plan: Plan, seed: int, tuning: Tuning) -> None:
         self.plan, self.seed = plan, seed
@@ -46,7 +49,7 @@
         self.machines.on_task_stopped = self._on_task_stopped
         self.machines.on_heartbeat_answered = self._on_heartbeat_answered
         self.users_host = Host(self.loop, "users", ANY_HOST)
-        self.users: dict[str, User] = {}  # by job
+        self.users: dict[str, User] = {}  # by job id
 
     def _make_state_service(self) -> tuple[KeyStore, StateService]:
         limits = self.settings.state
@@ -61,31 +64,34 @@
         registry = MachineRegistry(deployment.CATALOG, dict(deployment.capacity(self.plan)))
         limits = self.settings.cloud
         cloud = CloudService(host, random.Random(f"cloud {self.seed}"), registry, limits.rps, limits.list_lag_s)
-        self.net.listen(deployment.CLOUD, host, cloud.serve)
+        self.net.listen(deployment.CLOUD_ADDRESS, host, cloud.serve)
         return cloud
 
     def target_node(self, fault: Fault) -> str:
-        """The node that a fault names; the first one if that is the leader and nobody leads."""
+        """Returns the node that a fault names; `n0` if the fault names the leader and no node holds the leader key."""
         if fault.node == LEADER:
-            return leader_of(self.store) or "n0"
+            return leader_node_of(self.store) or "n0"
         return fault.node
 
     def _on_heartbeat_answered(self, node_name: str, legs: list[dict[str, Any]]) -> None:
-        """Completions count as acknowledged if the node that answered leads: others only renew leases."""
+        """Records the completions in a heartbeat as acknowledged if the node that responded leads.
+
+        Other nodes only renew leases.
+        """
         node = self.nodes.nodes.get(node_name)
         if node is not None and production_build.leader_of(node) is not None:
             completed = [leg["leg"] for leg in legs if leg.get("wreckCause") == EXIT_DONE]
             self.checker.on_completions_acknowledged(completed)
 
-    def _on_task_stopped(self, worker: Worker, task: str, attempt: int, why: str) -> None:
+    def _on_task_stopped(self, worker: Worker, task: str, attempt: int, reason: str) -> None:
         machine = self.machines.machines.get(worker.name)
-        if why == "lease" and machine is not None and not self._is_reachable(machine.host):
+        if reason == "lease" and machine is not None and not self._is_reachable(machine.host):
             self.checker.counts["lease_kills_unreached"] += 1
-        self.checker.on_task_stopped(worker, task, attempt, why)
+        self.checker.on_task_stopped(worker, task, attempt, reason)
 
     def _is_reachable(self, machine: Host) -> bool:
-        """A node that lives could answer this machine now."""
+        """Returns whether messages pass both ways between a machine and at least one running node now."""
         return not machine.frozen and any(
-            not node.frozen and self.net.carries(machine, node) and self.net.carries(node, machine)
+            not node.frozen and self.net.can_deliver(machine, node) and self.net.can_deliver(node, machine)
             for node in self.nodes.hosts.values()
         )
--- a/oatport/simulation/virtual_time.py
+++ b/oatport/simulation/virtual_time.py
@@ -1,7 +1,7 @@
-"""An event loop in virtual time, and hosts that can be paused, slowed down or ended on it.
+"""An event loop in virtual time, with hosts that can be paused, slowed down or ended.
 
-Time passes only when nothing is left to do. Each callback belongs to the host in whose context it was made, so a host
-that is paused simply runs none of its own until it goes on, while its clocks (and everybody else) do.
+Virtual time advances only when no callback is ready. Each callback belongs to the host in whose context it was created:
+a paused host runs none of its callbacks until it is resumed, while its clocks and all other hosts continue.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
 
 
 class SimulationStuckError(RuntimeError):
-    """Nothing is left that could ever happen."""
+    """Raised if neither a callback nor a timer is left."""
 
 
 class Host:
-    """A simulated computer: of a node, a worker, a service or the users. `tags`: what link rules name it by."""
+    """A simulated computer of a node, a worker, a service or the users. Link rules refer to hosts by their `tags`."""
 
     def __init__(self, loop: VirtualLoop, name: str, *tags: str, drift: float = 0.0, clock_offset_us: int = 0) -> None:
         self.loop, self.name = loop, name
@@ -31,9 +31,9 @@
         self.drift, self.clock_offset_us = drift, clock_offset_us
         self.dead = False
         self.frozen = False
-        self.step_us = 0  # what each callback takes, for one that computes slowly
-        self.busy_until = 0.0
-        self.parked: deque[asyncio.Handle] = deque()
+        self.step_us = 0  # duration of each callback on a slow host; 0: callbacks take no time
+        self.busy_until_s = 0.0
+        self.deferred: deque[asyncio.Handle] = deque()
         self.tasks: set[asyncio.Task[Any]] = set()
         self.context = contextvars.copy_context()
         self.context.run(HOST.set, self)
@@ -41,29 +41,29 @@
         loop.hosts.append(self)
 
     def steady(self) -> int:
-        """Whole microseconds; a steady clock runs up to 0.05% fast."""
+        """Returns the steady clock in whole microseconds; it runs fast by `drift`, up to 0.05 %."""
         return round(self.loop.time() * (1 + self.drift) * SECOND)
 
     def time_of_day(self) -> int:
-        """Whole microseconds, off by `clock_offset_us`."""
+        """Returns the time of day in whole microseconds, off by `clock_offset_us`."""
         return self.loop.now() + self.clock_offset_us + 1_000_000 * SECOND
 
     def freeze(self) -> None:
-        """Pause: callbacks are kept back, clocks run on."""
+        """Pauses the host: its callbacks are deferred, its clocks run on."""
         self.frozen = True
 
     def thaw(self) -> None:
-        """Go on after a pause."""
+        """Resumes the host after a pause."""
         self.frozen = False
-        self.loop.unpark(self)
+        self.loop.run_deferred(self)
 
     def end(self) -> None:
-        """Its process is gone: nothing of it runs any more, not even what would tidy up."""
+        """Ends the host's process: none of its callbacks run any more, not even cleanup."""
         self.dead = True
 
 
 class VirtualLoop(asyncio.BaseEventLoop):
-    """Runs what is ready; when nothing is, the time moves to the next timer."""
+    """Runs ready callbacks; when none is ready, virtual time advances to the next timer."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -75,28 +75,28 @@
         self.set_exception_handler(self._on_error)
 
     def time(self) -> float:
-        """Seconds of virtual time; a run begins at 1000."""
+        """Returns virtual time in seconds; a run begins at 1000."""
         return self._now_s
 
     def now(self) -> int:
-        """Whole microseconds since the world began, plus a constant."""
+        """Returns virtual time in whole microseconds; a run begins at 1000 s."""
         return round(self._now_s * SECOND)
 
-    def _make_task(self, loop: Any, work: Any, **more: Any) -> asyncio.Task[Any]:
-        task: asyncio.Task[Any] = asyncio.Task(work, loop=self, **more)
-        host = HOST.get() if more.get("context") is None else more["context"].get(HOST)
+    def _make_task(self, loop: Any, coroutine: Any, **options: Any) -> asyncio.Task[Any]:
+        task: asyncio.Task[Any] = asyncio.Task(coroutine, loop=self, **options)
+        host = HOST.get() if options.get("context") is None else options["context"].get(HOST)
         if host is not None:
             host.tasks.add(task)
-            task.add_done_callback(host.tasks.discard, context=self._bare)
+            task.add_done_callback(host.tasks.discard, context=self._empty_context)
         return task
 
-    _bare = contextvars.Context()
+    _empty_context = contextvars.Context()
 
     def cancel_all_tasks(self) -> None:
-        """At the end of a run: cancel all tasks of all hosts, also of those that ended, and close the loop."""
+        """Cancels all tasks of all hosts, including ended ones, and closes the loop. Called at the end of a run."""
         for host in self.hosts:
             host.dead, host.frozen, host.step_us = False, False, 0
-            self.unpark(host)
+            self.run_deferred(host)
 
         async def cancel() -> None:
             for _ in range(20):
@@ -110,23 +110,23 @@
         self.run_until_complete(asyncio.Task(cancel(), loop=self, context=contextvars.Context()))
         self.close()
 
-    def unpark(self, host: Host) -> None:
-        """Run what was kept back."""
-        while host.parked:
-            self._ready.append(host.parked.popleft())  # type: ignore[attr-defined]
+    def run_deferred(self, host: Host) -> None:
+        """Makes all deferred callbacks of a host ready."""
+        while host.deferred:
+            self._ready.append(host.deferred.popleft())  # type: ignore[attr-defined]
 
     def _on_error(self, loop: Any, context: dict[str, Any]) -> None:
         self.errors.append(f"{context.get('message')}: {context.get('exception')!r}")
 
     def _run_once(self) -> None:
-        """One pass of the event loop, in place of the base class's, which would wait on sockets and real clocks."""
+        """Runs one pass of the event loop; replaces the base class's method, which waits on sockets and real clocks."""
         ready: deque[asyncio.Handle] = self._ready  # type: ignore[attr-defined]
         if not ready:
             self._advance_to_next_timer()
         self._move_due_timers(ready)
         for _ in range(len(ready)):
             handle = ready.popleft()
-            if not handle._cancelled and not self._park(handle):
+            if not handle._cancelled and not self._defer_if_blocked(handle):
                 self.callback_count += 1
                 handle._run()
 
@@ -135,7 +135,7 @@
         while timers and timers[0]._cancelled:
             heapq.heappop(timers)._scheduled = False  # type: ignore[attr-defined]
         if not timers and not self._stopping:  # type: ignore[attr-defined]
-            raise SimulationStuckError("nothing is left to happen")
+            raise SimulationStuckError("no callback is ready and no timer is scheduled")
         if timers:
             self._now_s = max(self._now_s, timers[0].when())
 
@@ -147,35 +147,35 @@
             if not handle._cancelled:
                 ready.append(handle)
 
-    def _park(self, handle: asyncio.Handle) -> bool:
-        """Keep a callback back if its host is dead, paused, or busy; True if it was."""
+    def _defer_if_blocked(self, handle: asyncio.Handle) -> bool:
+        """Defers a callback if its host is dead, paused or busy; returns whether it was deferred."""
         host = handle._context.get(HOST)  # type: ignore[attr-defined]
         if host is None:
             return False
-        if host.dead or host.frozen or host.parked:
-            host.parked.append(handle)
+        if host.dead or host.frozen or host.deferred:
+            host.deferred.append(handle)
             return True
         if host.step_us:
-            if host.busy_until > self._now_s:
-                host.parked.append(handle)
-                self.call_at(host.busy_until, self._run_parked, host, context=self._bare)
+            if host.busy_until_s > self._now_s:
+                host.deferred.append(handle)
+                self.call_at(host.busy_until_s, self._run_next_deferred, host, context=self._empty_context)
                 return True
-            host.busy_until = self._now_s + host.step_us / SECOND
+            host.busy_until_s = self._now_s + host.step_us / SECOND
         return False
 
-    def _run_parked(self, host: Host) -> None:
-        """A slow host takes up the next callback."""
-        if host.dead or host.frozen or not host.parked:
+    def _run_next_deferred(self, host: Host) -> None:
+        """Runs the next deferred callback of a slow host and schedules the one after it."""
+        if host.dead or host.frozen or not host.deferred:
             return
-        handle = host.parked.popleft()
+        handle = host.deferred.popleft()
         if not handle._cancelled:
-            host.busy_until = self._now_s + host.step_us / SECOND
+            host.busy_until_s = self._now_s + host.step_us / SECOND
             handle._run()
-        if host.parked:
+        if host.deferred:
             if host.step_us:
-                self.call_at(host.busy_until, self._run_parked, host, context=self._bare)
+                self.call_at(host.busy_until_s, self._run_next_deferred, host, context=self._empty_context)
             else:
-                self.unpark(host)
+                self.run_deferred(host)
 
     def _process_events(self, events: Any) -> None:
         pass
@@ -184,8 +184,8 @@
         pass
 
     def call_later_us(
-        self, delay_us: int, host: Host | None, call: Callable[..., Any], *args: Any
+        self, delay_us: int, host: Host | None, callback: Callable[..., Any], *args: Any
     ) -> asyncio.TimerHandle:
-        """Call something on a host after a while."""
-        context = host.context if host is not None else self._bare
-        return self.call_at(self._now_s + delay_us / SECOND, call, *args, context=context)
+        """Calls `callback` on a host after a delay; without a host it runs in no host's context."""
+        context = host.context if host is not None else self._empty_context
+        return self.call_at(self._now_s + delay_us / SECOND, callback, *args, context=context)
--- a/oatport/simulation/worker.py
+++ b/oatport/simulation/worker.py
@@ -1,4 +1,4 @@
-"""A machine's worker by PROTOCOL: tasks, images, gangs, tokens and its lease, on an injected clock (microseconds)."""
+"""A model of a machine's worker by PROTOCOL: tasks, images, gangs, tokens and lease, on an injected clock (us)."""
 
 from __future__ import annotations
 
@@ -17,12 +17,14 @@
 from oatport.simulation.gang_coordinator import GangCoordinator
 from oatport.times import SECOND, micros
 
-EPSILON = 1e-9
+CAPACITY_TOLERANCE = 1e-9
 
 
 class Worker:
-    """The agent on one machine. Without `kind` images take no time, and CPUs alone are counted; without `gangs` tasks
-    of gangs run like others.
+    """Runs the tasks of one machine.
+
+    Without `hardware` images are ready at once, and only CPUs limit the capacity; without `gangs` the tasks of gangs
+    run independently.
     """
 
     def __init__(
@@ -36,12 +38,12 @@
         cores: float,
         job_of: Callable[[str], dict[str, Any] | None],
         lease_us: int = 10 * SECOND,
-        kind: wire.MachineType | None = None,
+        hardware: wire.MachineType | None = None,
         gangs: GangCoordinator | None = None,
     ) -> None:
         self._clock = clock
         self.name, self.address, self.type, self.zone, self.spot = name, address, type_name, zone, spot
-        self.cores, self.machine_type, self.gang_coordinator = cores, kind, gangs
+        self.cores, self.machine_type, self.gang_coordinator = cores, hardware, gangs
         self._job_of = job_of
         self.lease_us = lease_us
         self.session = 1
@@ -51,24 +53,24 @@
         self.notice_s: float | None = None
         self.tasks: dict[AttemptKey, Attempt] = {}
         self.cached_images: set[str] = set()
-        self.images_ready_at: dict[str, int] = {}  # image -> when it is there
-        self.completed_tasks: set[str] = set()  # tasks that completed: kept, shared by all machines
-        self.lost_completions: dict[str, str] = {}  # completions that it can't report any more, and why
-        self.progress: dict[str, int] = {}  # what tasks saved, shared by all machines (us of run time)
+        self.images_ready_at: dict[str, int] = {}  # image -> time at which its fetch completes
+        self.completed_tasks: set[str] = set()  # completed tasks of all machines; a completion is never dropped
+        self.lost_completions: dict[str, str] = {}  # task -> why its completion can no longer be reported
+        self.progress: dict[str, int] = {}  # task -> run time saved in checkpoints (us), shared by all machines
         self.speed = 1.0
         self.lease_renewed_at = clock()
-        self.started_attempts: list[AttemptKey] = []  # every start that was executed
-        self.lease_kill_count = 0  # tasks that the lease ended
+        self.started_attempts: list[AttemptKey] = []  # all executed start commands
+        self.lease_kill_count = 0  # tasks that ended because the lease expired
         self.on_task_started: Callable[[Worker, str, int], None] = lambda worker, task, attempt: None
-        self.on_task_stopped: Callable[[Worker, str, int, str], None] = lambda worker, task, attempt, why: None
-        self.on_change: Callable[[], None] = lambda: None  # something is to be looked at again
+        self.on_task_stopped: Callable[[Worker, str, int, str], None] = lambda worker, task, attempt, reason: None
+        self.on_change: Callable[[], None] = lambda: None  # called when `advance` or a heartbeat may be due
         self.failure_delay_us: Callable[[str, dict[str, Any]], int | None] = lambda task, job: None
         self.runtime_us: Callable[[str, dict[str, Any]], int] = lambda task, job: micros(float(job["voyageS"]))
 
     # --- time ----------------------------------------------------------------------------------
 
     def advance(self) -> None:
-        """Let what is due happen: the lease runs out, images arrive, tasks start, save and complete."""
+        """Processes all due events: expiry of the lease, image fetches, and starts, checkpoints and ends of tasks."""
         now = self._clock()
         if now - self.lease_renewed_at > self.lease_us:
             self.kill("lease")
@@ -90,19 +92,19 @@
 
     def _advance_waiting(self, key: AttemptKey, attempt: Attempt, now: int) -> None:
         assert self.gang_coordinator is not None
-        gives_up_at = self.gang_coordinator.gives_up_at(key)
-        if gives_up_at is not None:
-            if now >= gives_up_at:
+        peer_loss_deadline = self.gang_coordinator.peer_loss_deadline(key)
+        if peer_loss_deadline is not None:
+            if now >= peer_loss_deadline:
                 self._exit(key, attempt, EXIT_GANG_LOST)
         elif self.gang_coordinator.is_ready(key, now):
             self.gang_coordinator.start_all(key, now)
-        elif now >= self.gang_coordinator.waits_until(key, now):
+        elif now >= self.gang_coordinator.assembly_deadline(key, now):
             self._exit(key, attempt, EXIT_GANG_INCOMPLETE)
 
     def _advance_running(self, key: AttemptKey, attempt: Attempt, now: int) -> None:
         gang = self._gang_of(attempt)
-        gives_up_at = gang.gives_up_at(key) if gang is not None else None
-        if gives_up_at is not None and now >= gives_up_at:
+        peer_loss_deadline = gang.peer_loss_deadline(key) if gang is not None else None
+        if peer_loss_deadline is not None and now >= peer_loss_deadline:
             self._exit(key, attempt, EXIT_GANG_LOST)
         elif attempt.fails_at is not None and now >= attempt.fails_at:
             self._exit(key, attempt, "error")
@@ -112,7 +114,7 @@
                 self._exit(key, attempt, EXIT_DONE)
 
     def next_event_at(self) -> int:
-        """When `advance` has something to do, if nothing else happens."""
+        """Returns the time of the next event for `advance`, if no message arrives before."""
         times = [self.lease_renewed_at + self.lease_us + 1, *self.images_ready_at.values()]
         for key, attempt in self.tasks.items():
             if attempt.status == "pulling":
@@ -123,39 +125,42 @@
                 times.append(attempt.checkpoint_done_at)
             gang = self._gang_of(attempt)
             if gang is not None and attempt.status in ("waiting", "running"):
-                times += [at for at in (gang.gives_up_at(key),) if at is not None]
+                times += [at for at in (gang.peer_loss_deadline(key),) if at is not None]
                 if attempt.status == "waiting":
-                    times.append(gang.waits_until(key, 0))
+                    times.append(gang.assembly_deadline(key, 0))
         return min(times)
 
     def _gang_of(self, attempt: Attempt) -> GangCoordinator | None:
-        """What coordinates this attempt with others; None: it runs by itself."""
+        """Returns the gang coordinator of an attempt; None: the attempt runs independently."""
         return self.gang_coordinator if attempt.is_gang_member else None
 
     def _completes_at(self, key: AttemptKey, attempt: Attempt) -> int | None:
-        """When a running attempt completes; None: never, or its gang makes no progress any more."""
+        """Returns when a running attempt completes; None: never, or its gang has stopped making progress."""
         gang = self._gang_of(attempt)
         return None if gang is not None and gang.has_stopped(key) else attempt.completes_at
 
-    def on_resumed_after_hang(self, for_us: int) -> None:
-        """It executed nothing for a while."""
+    def on_resumed_after_hang(self, duration_us: int) -> None:
+        """Delays the completion of running tasks by the duration of a hang."""
         for attempt in self.tasks.values():
             if attempt.status == "running" and attempt.completes_at is not None:
-                attempt.completes_at += for_us
+                attempt.completes_at += duration_us
 
-    def kill(self, why: str) -> None:
-        """All tasks are gone at once: the lease ran out, or the machine is no more."""
+    def kill(self, reason: str) -> None:
+        """Ends all tasks at once because the lease has expired or the machine is gone; `reason` is the exit reason."""
         for key, attempt in list(self.tasks.items()):
             if not attempt.is_ended:
-                self.lease_kill_count += why == "lease"
-                self._remove(key, attempt, why)
+                self.lease_kill_count += reason == "lease"
+                self._remove(key, attempt, reason)
             elif attempt.exit_reason == EXIT_DONE:
-                self.lost_completions[key[0]] = why
+                self.lost_completions[key[0]] = reason
         self.tasks.clear()
         self.images_ready_at.clear()
 
     def restart(self, *, anew: bool) -> None:
-        """The machine ended and is back at once, empty, under its name and address; `anew`: its sessions too."""
+        """Restarts the machine at once without tasks and images, under its name and address.
+
+        `anew`: session and heartbeat numbers begin at their first values again.
+        """
         self.kill("died")
         self.cached_images.clear()
         self.token = 0
@@ -164,10 +169,10 @@
         self.lease_renewed_at = self._clock()
         self.on_change()
 
-    # --- life of an attempt --------------------------------------------------------------------
+    # --- lifecycle of an attempt-----------------------------------------------------------------
 
     def _on_image_ready(self, key: AttemptKey, attempt: Attempt, now: int) -> None:
-        attempt.on_machine = True
+        attempt.is_on_machine = True
         self.on_task_started(self, *key)
         gang = self._gang_of(attempt)
         if key.task in self.completed_tasks:
@@ -179,16 +184,16 @@
             self.run_attempt(key, attempt, now)
 
     def run_attempt(self, key: AttemptKey, attempt: Attempt, now: int) -> None:
-        """The task starts to run, from its last checkpoint on."""
+        """Starts to run a task, from its last checkpoint on."""
         attempt.status, attempt.started_at = "running", now
         failure_delay = self.failure_delay_us(key.task, attempt.job)
         attempt.fails_at = None if failure_delay is None else now + failure_delay
         if attempt.job["rig"] != "standing":
-            left = self.runtime_us(key.task, attempt.job) - self.progress.get(key.task, 0)
-            attempt.completes_at = now + round(max(left, 0) / self.speed)
+            remaining_us = self.runtime_us(key.task, attempt.job) - self.progress.get(key.task, 0)
+            attempt.completes_at = now + round(max(remaining_us, 0) / self.speed)
 
     def complete_with_gang(self, key: AttemptKey, attempt: Attempt) -> None:
-        """A task of its gang has completed, so this one has."""
+        """Completes an attempt because another task of its gang has completed."""
         self._exit(key, attempt, EXIT_DONE)
         self.on_change()
 
@@ -199,29 +204,31 @@
         attempt.status, attempt.exit_reason = "ended", reason
 
     def _remove(self, key: AttemptKey, attempt: Attempt, reason: str) -> None:
-        """It is on the machine no more; what it saved is kept."""
+        """Removes an attempt from the machine; its checkpointed progress is kept."""
         if reason != EXIT_DONE:
-            self._keep_progress(key.task, attempt)
-        if attempt.on_machine:
-            attempt.on_machine = False
+            self._save_progress(key.task, attempt)
+        if attempt.is_on_machine:
+            attempt.is_on_machine = False
             self.on_task_stopped(self, *key, reason)
         gang = self._gang_of(attempt)
         if gang is not None:
             gang.on_task_gone(key, self._clock(), done=reason == EXIT_DONE)
 
-    def _keep_progress(self, task: str, attempt: Attempt) -> None:
+    def _save_progress(self, task: str, attempt: Attempt) -> None:
         interval = attempt.checkpoint_interval_us
         if attempt.completes_at is None or not interval or attempt.status not in ("running", "flushing"):
             return
-        until = self._clock() if attempt.stopped_at is None else attempt.stopped_at
-        before = self.progress.get(task, 0)
-        reached = before + round((until - attempt.started_at) * self.speed)
-        self.progress[task] = reached if attempt.checkpoint_stored else max(before, reached // interval * interval)
+        progress_until = self._clock() if attempt.stopped_at is None else attempt.stopped_at
+        saved_us = self.progress.get(task, 0)
+        reached_us = saved_us + round((progress_until - attempt.started_at) * self.speed)
+        self.progress[task] = (
+            reached_us if attempt.checkpoint_stored else max(saved_us, reached_us // interval * interval)
+        )
 
     # --- messages ------------------------------------------------------------------------------
 
     def report(self) -> dict[str, Any]:
-        """A heartbeat: the machine and all attempts on it."""
+        """Returns a heartbeat with the machine and all its attempts."""
         self.advance()
         self.seq += 1
         legs: list[dict[str, Any]] = []
@@ -248,7 +255,10 @@
         }
 
     def answer(self, sent_at: int, session: int, body: dict[str, Any]) -> bool:
-        """A 200 to a heartbeat; False if it is dropped."""
+        """Processes a 200 response to a heartbeat; returns False if it is dropped.
+
+        A response from an older leader or to an earlier session is dropped.
+        """
         self.advance()
         if body.get("helm", -1) < self.token or session != self.session:
             return False
@@ -258,7 +268,10 @@
         return True
 
     def commands(self, body: dict[str, Any]) -> tuple[int, dict[str, Any]]:
-        """A leader's commands; status and answer. 409: of an older leader, or for an earlier session."""
+        """Executes a leader's commands and returns status and response.
+
+        409: the commands are from an older leader or for an earlier session.
+        """
         self.advance()
         if "helm" not in body or "watch" not in body:
             return 400, self.report()
@@ -285,7 +298,10 @@
                     self.lost_completions[key.task] = "forgotten"
 
     def _stop(self, key: AttemptKey, attempt: Attempt, grace_s: float) -> None:
-        """Stop a task; it saves its progress first if it runs, can do so, and the grace period is long enough."""
+        """Stops a task.
+
+        A running task saves a checkpoint first if it supports checkpoints and the grace period is long enough.
+        """
         gang = self._gang_of(attempt)
         if attempt.status == "running" and gang is not None:
             gang.on_stop_ordered(key)
@@ -295,10 +311,10 @@
             attempt.checkpoint_done_at = attempt.stopped_at + micros(float(attempt.job["stowS"]))
         elif attempt.status != "flushing" or grace_s <= 0:
             self._exit(key, attempt, EXIT_STOPPED)
-            self._drop_unused_fetch(str(attempt.job.get("hull")))
+            self._cancel_unused_image_fetch(str(attempt.job.get("hull")))
 
-    def _drop_unused_fetch(self, image: str) -> None:
-        """An image that no task waits for any more is not fetched on."""
+    def _cancel_unused_image_fetch(self, image: str) -> None:
+        """Cancels the fetch of an image that no task waits for any more."""
         if not any(other.status == "pulling" and other.job.get("hull") == image for other in self.tasks.values()):
             self.images_ready_at.pop(image, None)
 
@@ -321,7 +337,7 @@
         self.on_change()
 
     def _refusal(self, key: AttemptKey, job: dict[str, Any] | None) -> str:
-        """The exit reason of a task that is not started; empty if it is."""
+        """Returns the exit reason of a task that can't be started; empty if it can be."""
         if job is None:
             return "unknown"
         live = [(other, attempt) for other, attempt in self.tasks.items() if not attempt.is_ended]
@@ -330,24 +346,27 @@
         return "" if self._has_capacity(job, [attempt for _, attempt in live]) else "full"
 
     def _image_ready_at(self, job: dict[str, Any], now: int) -> int:
-        """When the job's image is there; images are fetched one after the other."""
+        """Returns when the job's image is ready; images are fetched one after the other."""
         image = str(job["hull"])
         if self.machine_type is None or image in self.cached_images:
             return now
-        fetch = micros(float(job["sizeGb"]) / max(self.machine_type.image_fetch_gb_per_s, 0.01))
-        return self.images_ready_at.setdefault(image, now + fetch * (1 + len(self.images_ready_at)))
+        fetch_us = micros(float(job["sizeGb"]) / max(self.machine_type.image_fetch_gb_per_s, 0.01))
+        return self.images_ready_at.setdefault(image, now + fetch_us * (1 + len(self.images_ready_at)))
 
     # --- capacity ------------------------------------------------------------------------------
 
     def fits(self, job: dict[str, Any]) -> bool:
-        """A task of this job finds capacity here now."""
+        """Returns whether the machine has capacity for a task of the job now."""
         return self._has_capacity(job, [attempt for attempt in self.tasks.values() if not attempt.is_ended])
 
     def _has_capacity(self, job: dict[str, Any], live: list[Attempt]) -> bool:
-        if sum(attempt.cores for attempt in live) + float(job["cores"]) > self.cores + EPSILON:
+        if sum(attempt.cores for attempt in live) + float(job["cores"]) > self.cores + CAPACITY_TOLERANCE:
             return False
         if self.machine_type is None:
             return True
         gpus = sum(float(attempt.job["accelerators"]) for attempt in live) + float(job["accelerators"])
         memory_gb = sum(float(attempt.job["memoryGb"]) for attempt in live) + float(job["memoryGb"])
-        return gpus <= self.machine_type.gpus + EPSILON and memory_gb <= self.machine_type.memory_gb + EPSILON
+        return (
+            gpus <= self.machine_type.gpus + CAPACITY_TOLERANCE
+            and memory_gb <= self.machine_type.memory_gb + CAPACITY_TOLERANCE
+        )
--- a/oatport/simulation/workload.py
+++ b/oatport/simulation/workload.py
@@ -1,6 +1,6 @@
-"""The jobs that users submit in a run: by class at random times, in bursts, and pipelines of dependent jobs.
+"""Generates the jobs that users submit in a run: by class at random times, in bursts, and in pipelines.
 
-Bodies are submissions in the wire's own terms.
+Bodies are submissions as on the wire.
 """
 
 from __future__ import annotations
@@ -13,60 +13,64 @@
 from oatport.simulation.fault_plan import Fault, Plan
 from oatport.simulation.submitted_job import SubmittedJob
 
-# class -> its share of the jobs; what one is like is drawn in `_job_body`
-CLASSES = {"serve": 0.12, "batch": 0.5, "train": 0.08, "guest": 0.2, "local": 0.1}
-TEAMS = {"serve": "north", "batch": "south", "train": "north", "guest": "east", "local": "east"}
-SERVICES_AT_START = 0.15  # for each machine
-JOBS_FROM_S = 4.0  # nothing is submitted before
-CANCELLED_SHARE, CANCELLED_SHARE_OF_SINGLES, MISTAKEN_SHARE = 0.12, 0.25, 0.04
+# class -> share of all jobs; `_job_body` draws the fields of each job
+CLASS_SHARES = {"serve": 0.12, "batch": 0.5, "train": 0.08, "guest": 0.2, "local": 0.1}
+TEAM_OF_CLASS = {"serve": "north", "batch": "south", "train": "north", "guest": "east", "local": "east"}
+SERVICES_PER_MACHINE = 0.15  # services per machine that are submitted at the start
+JOBS_FROM_S = 4.0  # seconds after the start of the run before which no job is submitted
+CANCELLED_SHARE, CANCELLED_SHARE_OF_SINGLE_TASKS, ALWAYS_FAILS_SHARE = 0.12, 0.25, 0.04
 
 
-def jobs(plan: Plan, rng: random.Random, begins: float) -> list[SubmittedJob]:
-    """The jobs of a run, in the order in which they come; some are cancelled by their users, some always fail."""
-    found: list[SubmittedJob] = []
-    for name, share in CLASSES.items():
-        found += _jobs_of_class(plan, rng, begins, name, share)
+def jobs(plan: Plan, rng: random.Random, start_s: float) -> list[SubmittedJob]:
+    """Returns the jobs of a run in order of submission; users cancel some of them, and some always fail."""
+    submitted: list[SubmittedJob] = []
+    for name, share in CLASS_SHARES.items():
+        submitted += _jobs_of_class(plan, rng, start_s, name, share)
     for fault in plan.faults:
         if fault.kind == "singles":
-            found += _single_task_jobs(plan, rng, begins, fault)
-    for _ in range(round(SERVICES_AT_START * plan.machines)):
-        found.append(SubmittedJob(_job_body(rng, "serve", plan), begins + rng.uniform(0, 1)))
-    found.sort(key=lambda job: job.submit_at)
-    for number, job in enumerate(found):
+            submitted += _single_task_jobs(plan, rng, start_s, fault)
+    for _ in range(round(SERVICES_PER_MACHINE * plan.machines)):
+        submitted.append(SubmittedJob(_job_body(rng, "serve", plan), start_s + rng.uniform(0, 1)))
+    submitted.sort(key=lambda job: job.submit_at)
+    for number, job in enumerate(submitted):
         job.body["ref"] = f"j-{number + 1:06d}"
         _draw_user_behaviour(job, rng)
-    return found
+    return submitted
 
 
-def _jobs_of_class(plan: Plan, rng: random.Random, begins: float, name: str, share: float) -> list[SubmittedJob]:
-    """Drawn at the highest rate and thinned: else a burst shorter than the usual gap would be passed over."""
-    found: list[SubmittedJob] = []
+def _jobs_of_class(plan: Plan, rng: random.Random, start_s: float, name: str, share: float) -> list[SubmittedJob]:
+    """Returns the jobs of a class.
+
+    Arrivals are drawn at the highest rate and thinned to the current one, since a burst shorter than the usual gap
+    between arrivals would otherwise be skipped.
+    """
+    submitted: list[SubmittedJob] = []
     rate = plan.jobs_a_minute * share / 60
     bursts = [fault for fault in plan.faults if fault.kind == "rush" and fault.name == name]
-    highest = max([1.0, *(burst.amount for burst in bursts)])
+    peak_factor = max([1.0, *(burst.amount for burst in bursts)])
     at = 0.0
     while rate > 0:
-        at += rng.expovariate(rate * highest)
+        at += rng.expovariate(rate * peak_factor)
         if at >= plan.for_s:
             break
-        times = max([f.amount for f in bursts if 0 <= JOBS_FROM_S + at - f.at_s < f.for_s], default=1.0)
-        if rng.random() * highest < times:
-            found.append(SubmittedJob(_job_body(rng, name, plan), begins + at))
-    return found
+        factor = max([f.amount for f in bursts if 0 <= JOBS_FROM_S + at - f.at_s < f.for_s], default=1.0)
+        if rng.random() * peak_factor < factor:
+            submitted.append(SubmittedJob(_job_body(rng, name, plan), start_s + at))
+    return submitted
 
 
-def _single_task_jobs(plan: Plan, rng: random.Random, begins: float, fault: Fault) -> list[SubmittedJob]:
-    found = []
+def _single_task_jobs(plan: Plan, rng: random.Random, start_s: float, fault: Fault) -> list[SubmittedJob]:
+    submitted = []
     for _ in range(round(fault.amount * fault.for_s)):
         body = _job_body(rng, "local", plan) | {"legs": 1, "cores": 1.0, "voyageS": rng.uniform(1, 8)}
-        found.append(SubmittedJob(body, begins + fault.at_s - JOBS_FROM_S + rng.uniform(0, fault.for_s)))
-    return found
+        submitted.append(SubmittedJob(body, start_s + fault.at_s - JOBS_FROM_S + rng.uniform(0, fault.for_s)))
+    return submitted
 
 
 def _draw_user_behaviour(job: SubmittedJob, rng: random.Random) -> None:
-    job.always_fails = job.body["rig"] != "standing" and rng.random() < MISTAKEN_SHARE
-    single = job.body["rig"] == "array" and job.body["legs"] == 1
-    if job.always_fails or rng.random() < (CANCELLED_SHARE_OF_SINGLES if single else CANCELLED_SHARE):
+    job.always_fails = job.body["rig"] != "standing" and rng.random() < ALWAYS_FAILS_SHARE
+    has_single_task = job.body["rig"] == "array" and job.body["legs"] == 1
+    if job.always_fails or rng.random() < (CANCELLED_SHARE_OF_SINGLE_TASKS if has_single_task else CANCELLED_SHARE):
         job.cancel_at = job.submit_at + rng.uniform(2, 50)
 
 
@@ -74,7 +78,7 @@
 
 
 class Stage(NamedTuple):
-    """A stage of a pipeline: what its jobs are like, and which earlier stages it depends on."""
+    """Defines a stage of a pipeline: the properties of its job and the earlier stages that it depends on."""
 
     job_class: str
     team: str
@@ -93,30 +97,36 @@
 )
 
 
-def pipelines(plan: Plan, rng: random.Random, begins: float) -> list[SubmittedJob]:
-    """Stages that their users submit one after another; some last ones only when the others are over."""
-    found: list[SubmittedJob] = []
+def pipelines(plan: Plan, rng: random.Random, start_s: float) -> list[SubmittedJob]:
+    """Returns the jobs of all pipelines.
+
+    Users submit the stages one after another, and some last stages only once the others are done or cancelled.
+    """
+    submitted: list[SubmittedJob] = []
     at = plan.pipelines_from_s
     while plan.pipelines_a_minute > 0:
         at += rng.expovariate(plan.pipelines_a_minute / 60)
         if at >= plan.for_s:
             break
-        found += _pipeline(plan, rng, begins + at, found)
-    return found
+        submitted += _pipeline(plan, rng, start_s + at, submitted)
+    return submitted
 
 
-def _pipeline(plan: Plan, rng: random.Random, submit_at: float, before: list[SubmittedJob]) -> list[SubmittedJob]:
+def _pipeline(plan: Plan, rng: random.Random, submit_at: float, earlier_jobs: list[SubmittedJob]) -> list[SubmittedJob]:
     jobs_of_stages: list[SubmittedJob] = []
-    earlier = [job for job in before if job.ends_pipeline and rng.random() < 0.1][:1]  # some need what is long over
+    # Some pipelines also depend on the last job of an earlier pipeline, which may have ended long before.
+    earlier_last_jobs = [job for job in earlier_jobs if job.is_last_in_pipeline and rng.random() < 0.1][:1]
     for number, stage in enumerate(STAGES):
-        body = _stage_body(plan, rng, stage, f"j-{700_000 + len(before) + number}")
-        dependencies = [jobs_of_stages[i] for i in stage.dependencies] + ([] if stage.dependencies else earlier)
+        body = _stage_body(plan, rng, stage, f"j-{700_000 + len(earlier_jobs) + number}")
+        dependencies = [jobs_of_stages[i] for i in stage.dependencies] + (
+            [] if stage.dependencies else earlier_last_jobs
+        )
         if dependencies:
             body["waitsOn"] = [job.job_id for job in dependencies]
         jobs_of_stages.append(SubmittedJob(body, submit_at, dependencies=dependencies))
     last = jobs_of_stages[-1]
     last.body["tideS"] = 75.0
-    last.ends_pipeline, last.submitted_after_dependencies = True, rng.random() < 0.15
+    last.is_last_in_pipeline, last.submitted_after_dependencies = True, rng.random() < 0.15
     if rng.random() < 0.2:
         rng.choice(jobs_of_stages).cancel_at = submit_at + rng.uniform(0.5, 45)
     return jobs_of_stages
@@ -150,7 +160,7 @@
     body: dict[str, Any] = {
         "ref": "",
         "cargo": name,
-        "crew": TEAMS[name],
+        "crew": TEAM_OF_CLASS[name],
         "rig": "array",
         "urgency": "normal",
         "legs": 1,
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""The pages name modules that exist."""
+"""Checks that the modules which README.md, CONTRIBUTING.md and the pages of docs/ name exist."""
 
 import re
 from pathlib import Path
@@ -7,7 +7,7 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 PAGES = [ROOT / "README.md", ROOT / "CONTRIBUTING.md", *sorted((ROOT / "docs").glob("*.md"))]
-HISTORY = {"measurements.md"}  # tells of trials with the names of their day
+HISTORY = {"measurements.md"}  # reports earlier measurements under the module names of their time
 MODULE = re.compile(r"`((?:[a-z_]+/)+[a-z_]+\.py)")
 
 
--- a/tests/test_rolling_upgrade.py
+++ b/tests/test_rolling_upgrade.py
@@ -1,4 +1,4 @@
-"""The version in production itself, from the repository's history, beside this one."""
+"""Tests of rolling upgrades: nodes of the version in production, from the repository's history, beside this one's."""
 
 from __future__ import annotations
 
@@ -22,15 +22,15 @@
 from oatport.simulation.simulation import RunResult, Simulation
 
 
-def quiet(world: Simulation) -> RunResult:
+def run_without_logs(simulation: Simulation) -> RunResult:
     logging.disable(logging.CRITICAL)
     try:
-        return world.run()
+        return simulation.run()
     finally:
         logging.disable(logging.NOTSET)
 
 
-def test_it_is_another_version_of_the_same_names() -> None:
+def test_the_production_build_has_its_own_classes_under_the_same_module_names() -> None:
     old = production()
     assert old.node.Node is not Node
     assert old.node.Node.__module__ == Node.__module__
@@ -38,7 +38,7 @@
     assert not hasattr(old.node.Node, "_on_formats")
 
 
-def test_without_history_there_is_one_line_and_no_run(tmp_path: Path) -> None:
+def test_an_unavailable_production_version_raises_an_error(tmp_path: Path) -> None:
     with pytest.raises(HistoryUnavailableError, match="names no version"):
         production_commit(tmp_path)
     (tmp_path / "deploy").mkdir()
@@ -48,8 +48,11 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_an_old_leader_starts_no_job_that_waits(seed: int) -> None:
-    """Users reach the one new node alone, old ones lead: what waits is safe before anything is switched on."""
+def test_an_old_leader_starts_no_blocked_job(seed: int) -> None:
+    """Guards against an old leader that starts a job before its dependencies are done.
+
+    Users reach only the one new node while old nodes lead, and no new schema version is enabled yet.
+    """
     plan = Plan(
         (
             Fault("node_crash", 8.0, 4.0, node="n1"),
@@ -64,32 +67,34 @@
         12.0,
         old_nodes=True,
     )
-    world = Simulation(plan, seed)
-    world.deployed.nodes.upgraded, world.users_reach = {"n1"}, {"n1"}
-    led: set[str] = set()
-    sample = world.leadership.sample
-
-    def watch() -> None:
-        led.update(name for name, node in world.deployed.nodes.nodes.items() if leader_of(node) is not None)
+    simulation = Simulation(plan, seed)
+    simulation.deployed.nodes.upgraded, simulation.users_reach = {"n1"}, {"n1"}
+    leader_names: set[str] = set()
+    sample = simulation.leadership.sample
+
+    def record_leaders() -> None:
+        leader_names.update(
+            name for name, node in simulation.deployed.nodes.nodes.items() if leader_of(node) is not None
+        )
         sample()
 
-    world.leadership.sample = watch  # type: ignore[method-assign]
-    found = quiet(world)
-    assert (found.violations, found.errors) == ([], [])
-    assert led & {"n0", "n2"}
-    assert SCHEMA_VERSION_KEY not in world.deployed.store.items
-    assert any(key.startswith("jobs/j-7") for key in world.deployed.store.items)
+    simulation.leadership.sample = record_leaders  # type: ignore[method-assign]
+    result = run_without_logs(simulation)
+    assert (result.violations, result.errors) == ([], [])
+    assert leader_names & {"n0", "n2"}
+    assert SCHEMA_VERSION_KEY not in simulation.deployed.store.items
+    assert any(key.startswith("jobs/j-7") for key in simulation.deployed.store.items)
 
 
-def test_an_upgrade_among_troubles() -> None:
+def test_a_rolling_upgrade_under_faults_keeps_all_invariants() -> None:
     pipelines = 0
     for seed in (1, 2):
-        found = run_scenario(RunRequest(plan=rolling_upgrade_plan(seed)), seed)
-        assert (found.violations, found.errors) == ([], [])
-        pipelines += found.counts["pipelines"]
+        result = run_scenario(RunRequest(plan=rolling_upgrade_plan(seed)), seed)
+        assert (result.violations, result.errors) == ([], [])
+        pipelines += result.counts["pipelines"]
     assert pipelines > 0
 
 
-def test_a_new_schema_version_before_all_nodes_read_it_is_noticed() -> None:
-    asked = RunRequest(scenario="rolling-upgrade", disabled_check="feature-gate")
-    assert any("gate" in row for seed in range(1, 9) for row in run_scenario(asked, seed).violations)
+def test_the_checker_detects_a_schema_version_enabled_before_all_nodes_read_it() -> None:
+    request = RunRequest(scenario="rolling-upgrade", disabled_check="feature-gate")
+    assert any("gate" in row for seed in range(1, 9) for row in run_scenario(request, seed).violations)
