--- a/oatport/simulation/load_balancer.py
+++ b/oatport/simulation/load_balancer.py
@@ -72,7 +72,7 @@
         return await self._net.request(user, address, method, path, body, timeout_us, "")
 
     async def request(self, user: Host, method: str, path: str, body: Any, timeout_us: int) -> tuple[int, Any]:
-        """Sends one request on a new connection to a healthy node, and tries up to three nodes until one accepts it.
+        """Sends one request on a new connection to a healthy node; tries up to three nodes until a connection opens.
 
         Raises NoResponseError.
         """
--- a/oatport/simulation/network.py
+++ b/oatport/simulation/network.py
@@ -26,7 +26,7 @@
 LATENCY_US = MS // 2
 IDLE_CONNECTION_US = 30 * SECOND  # an idle connection is closed after this time
 RETRANSMIT_US = 200 * MS  # delay of a lost packet until it is sent again
-# Longest delay after a cut until a connection retries: usually, and at most.
+# Longest delay after a cut until a connection retries: for most connections, and for the slow quarter of them.
 RECONNECT_US, RECONNECT_MAX_US = 300 * MS, 12 * SECOND
 CONNECT_RETRY_US = SECOND  # interval between attempts to open a connection
 MAX_RECORDED_MESSAGES = 6_000
@@ -147,8 +147,8 @@
 
     def _rule_amount(self, source: Host, target: Host, effect_name: str) -> float | None:
         """Returns the sum of the amounts of all rules with an effect on a link; None: no such rule."""
-        found = [rule.amount for rule in self.rules if rule.effect == effect_name and rule.applies_to(source, target)]
-        return sum(found) if found else None
+        amounts = [rule.amount for rule in self.rules if rule.effect == effect_name and rule.applies_to(source, target)]
+        return sum(amounts) if amounts else None
 
     def _cut_mode(self, source: Host, target: Host) -> str:
         for rule in self.rules:
@@ -300,7 +300,7 @@
             self.loop.call_later_us(delay, None, self._send_copy, source, destination, method, target, data)
 
     def deliver_kept_duplicates(self, address: str) -> None:
-        """Sends the copies that were kept for the next leader to it, within one second."""
+        """Sends the copies that were kept for the next leader to `address`, each after a delay of up to one second."""
         for source, method, target, data in self._kept_duplicates:
             self.loop.call_later_us(
                 self._rng.randrange(SECOND), None, self._send_copy, source, address, method, target, data
--- a/oatport/simulation/node_network.py
+++ b/oatport/simulation/node_network.py
@@ -85,18 +85,18 @@
 
     async def _serve(self, method: str, path: str, body: Any) -> tuple[int, Any]:
         try:
-            answer = await self._handler(method, path, _Body(body, self._limit))  # type: ignore[arg-type]
+            response = await self._handler(method, path, _Body(body, self._limit))  # type: ignore[arg-type]
         except BodyTooLargeError:
-            answer = Response(413)
+            response = Response(413)
         except wire.InvalidMessageError as error:
-            answer = Response(400, {"error": str(error)})
+            response = Response(400, {"error": str(error)})
         except asyncio.CancelledError:
             raise
         except Exception as error:
             self._net.loop.errors.append(f"{self._host.name} {method} {path}: {error!r}")
-            answer = Response(500)
-        value = answer.value
-        after = answer.headers.get("Retry-After")
-        if after is not None and isinstance(value, dict):
-            value = {**value, "retryAfter": int(after)}
-        return answer.status, value
+            response = Response(500)
+        value = response.value
+        retry_after = response.headers.get("Retry-After")
+        if retry_after is not None and isinstance(value, dict):
+            value = {**value, "retryAfter": int(retry_after)}
+        return response.status, value
--- a/oatport/simulation/simulated_deployment.py
+++ b/oatport/simulation/simulated_deployment.py
@@ -1,6 +1,6 @@
 """Assembly of a whole deployment in one process: network, external services, nodes, machines and users.
 
-`simulation.py` runs the deployment and injects the faults.
+`simulation.py` runs the deployment, with its users and faults.
 """
 
 from __future__ import annotations
--- a/oatport/simulation/users.py
+++ b/oatport/simulation/users.py
@@ -37,7 +37,7 @@
         self._request_lock = asyncio.Lock()  # one request at a time, so that no response overtakes another
 
     async def run(self) -> None:
-        """Submits the job at its time, polls it until it is done, and cancel_first it if a cancellation is due."""
+        """Submits the job at its time, polls it until it is done, and cancels it if a cancellation is due."""
         loop, job = self._host.loop, self.job
         await asyncio.sleep(max(0.0, job.submit_at - loop.time()))
         if not await self._wait_for_dependencies() or not await self._submit():
@@ -95,7 +95,7 @@
     async def query_all_nodes(self, addresses: list[str], cancel_first: bool) -> None:
         """Polls the job at every node twice, in random order, and repeats the submission now and then.
 
-        `cancel_first`: the user first cancel_first the job, unless it is done or its cancellation is planned.
+        `cancel_first`: the user first cancels the job, unless it is done or its cancellation is planned.
         """
         if cancel_first and self.job.cancel_at is None and self.job.done_at is None:
             self.job.cancel_at = self._host.loop.time()
--- a/oatport/simulation/worker.py
+++ b/oatport/simulation/worker.py
@@ -169,7 +169,7 @@
         self.lease_renewed_at = self._clock()
         self.on_change()
 
-    # --- lifecycle of an attempt-----------------------------------------------------------------
+    # --- lifecycle of an attempt ---------------------------------------------------------------
 
     def _on_image_ready(self, key: AttemptKey, attempt: Attempt, now: int) -> None:
         attempt.is_on_machine = True
--- a/oatport/simulation/workload.py
+++ b/oatport/simulation/workload.py
@@ -17,7 +17,7 @@
 CLASS_SHARES = {"serve": 0.12, "batch": 0.5, "train": 0.08, "guest": 0.2, "local": 0.1}
 TEAM_OF_CLASS = {"serve": "north", "batch": "south", "train": "north", "guest": "east", "local": "east"}
 SERVICES_PER_MACHINE = 0.15  # services per machine that are submitted at the start
-JOBS_FROM_S = 4.0  # seconds after the start of the run before which no job is submitted
+JOBS_FROM_S = 4.0  # seconds from the start of the run to the first submission
 CANCELLED_SHARE, CANCELLED_SHARE_OF_SINGLE_TASKS, ALWAYS_FAILS_SHARE = 0.12, 0.25, 0.04
 
 
