--- a/emulators/amqp_broker.py
+++ b/emulators/amqp_broker.py
@@ -50,7 +50,7 @@
         self.fault: Callable[[str], bool] = lambda point: False
         self.delay_s = 0.0
         self.blocked = False
-        self.refuse = False
+        self.refuses_connections = False
         self.port = 0
         self.redelivered = self.dropped = 0
         self._server: asyncio.Server | None = None
@@ -96,7 +96,7 @@
         return self.queues.setdefault(name, Queue(name, durable, dead_letter))
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if self.refuse:
+        if self.refuses_connections:
             writer.close()
             return
         connection = Connection(self, reader, writer)
--- a/emulators/serve.py
+++ b/emulators/serve.py
@@ -198,7 +198,7 @@
             except NoResponseError:
                 status, value = 0, None
             if status == 200:
-                worker.answer(sent_at, session, value)
+                worker.on_heartbeat_response(sent_at, session, value)
                 await asyncio.sleep(self._heartbeat_s)
             elif status == 421 and value.get("harbormaster") in self.nodes and value["harbormaster"] != node:
                 node = value["harbormaster"]
--- a/oatport/api/job_api.py
+++ b/oatport/api/job_api.py
@@ -17,7 +17,7 @@
 from oatport.clients.http import NoResponseError, RequestRefusedError
 from oatport.clients.state import Applied, StateClient
 from oatport.control.limits.rate_limiter import AdaptiveRateLimiter
-from oatport.control.queueing.dependency_tracker import list_job_ids
+from oatport.control.queueing.dependency_tracker import format_job_ids
 from oatport.control.state.capacity import feasible_machine_types
 from oatport.control.state.job import JobKind
 from oatport.control.storage.job_records import encode_submission
@@ -196,7 +196,7 @@
             self._jobs.on_created(job_id, record, result.revision, eviction_count)
             self._node.notify_accepted(job_id, record, result.revision)
             if submission.dependencies:
-                dependencies = list_job_ids(submission.dependencies)
+                dependencies = format_job_ids(submission.dependencies)
                 log.info("job accepted as blocked job=%s dependencies=%s", job_id, dependencies)
             return Response(201, {"ref": job_id, "status": wire.JobStatus.QUEUED})
         value = None if result.outcome is SubmitOutcome.UNKNOWN else await self._read(job_id)
--- a/oatport/control/placement/feasibility.py
+++ b/oatport/control/placement/feasibility.py
@@ -11,7 +11,7 @@
 from oatport.control.state.machine import Machine
 
 
-def machine_allowed(job: Job, machine: Machine) -> bool:
+def is_machine_allowed(job: Job, machine: Machine) -> bool:
     """Returns whether the machine's type, zone and tier are allowed for the job's next task.
 
     The zones of the job's other tasks at this moment count too. This is the rule `wrong_place`.
@@ -70,7 +70,7 @@
         """
         is_feasible = self.predicate(job)
         error_machines = job.error_machines if len(machines) > len(job.error_machines) else ()
-        return [m for m in machines if is_feasible(m) and machine_allowed(job, m) and m.name not in error_machines]
+        return [m for m in machines if is_feasible(m) and is_machine_allowed(job, m) and m.name not in error_machines]
 
     def should_avoid_gpus(self, job: Job) -> bool:
         """Returns whether the job needs no GPUs and could run on a machine type without any."""
--- a/oatport/control/placement/gang_placement.py
+++ b/oatport/control/placement/gang_placement.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from oatport.control.placement.feasibility import FeasibilityFilter, machine_allowed
+from oatport.control.placement.feasibility import FeasibilityFilter, is_machine_allowed
 from oatport.control.placement.scoring import SLOWDOWN_MAX
 from oatport.control.state.capacity import max_tasks_per_zone
 from oatport.control.state.cluster_state import ClusterState
@@ -90,7 +90,7 @@
             (
                 m
                 for m in machines
-                if m.has_capacity_for(spec) and machine_allowed(job, m) and (may_use_spot or not m.spot)
+                if m.has_capacity_for(spec) and is_machine_allowed(job, m) and (may_use_spot or not m.spot)
             ),
             key=lambda m: (
                 m.slowdown > SLOWDOWN_MAX and m.slowdown_samples > 1,
@@ -132,7 +132,9 @@
         for zone in sorted({m.zone for m in machines}) if spec.single_zone else [None]:
             free = [m for m in self._feasibility.feasible_machines(job, machines) if zone in (None, m.zone)]
             incoming = [
-                m for m in booting if zone in (None, m.zone) and m.can_hold_when_empty(spec) and machine_allowed(job, m)
+                m
+                for m in booting
+                if zone in (None, m.zone) and m.can_hold_when_empty(spec) and is_machine_allowed(job, m)
             ]
             slots = sum(m.free_slots(spec) for m in free)
             if slots > most_slots and slots + sum(m.free_slots(spec) for m in incoming) >= job.pending:
--- a/oatport/control/placement/victim_selection.py
+++ b/oatport/control/placement/victim_selection.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from oatport.control.placement.feasibility import FeasibilityFilter, machine_allowed
+from oatport.control.placement.feasibility import FeasibilityFilter, is_machine_allowed
 from oatport.control.placement.image_fetch import image_fetch_time
 from oatport.control.state.capacity import max_tasks_per_zone
 from oatport.control.state.cluster_state import ClusterState
@@ -102,7 +102,7 @@
                 continue
             if (machine.spot and not may_use_spot) or (machine.type.gpus > 0 and should_avoid_gpus):
                 continue
-            if not machine.can_hold_when_empty(spec) or not machine_allowed(job, machine):
+            if not machine.can_hold_when_empty(spec) or not is_machine_allowed(job, machine):
                 continue
             stopping = [task for task in machine.tasks if task.stop_grace_s is not None]
             if stopping and job.kind is not JobKind.GANG:
--- a/oatport/control/queueing/dependency_tracker.py
+++ b/oatport/control/queueing/dependency_tracker.py
@@ -68,7 +68,7 @@
         elif state is DependencyState.OPEN:
             self.blocked_jobs[job.job_id] = job
             log.info(
-                "job blocked job=%s dependencies=%s", job.job_id, list_job_ids(self.graph.dependencies_of(job.job_id))
+                "job blocked job=%s dependencies=%s", job.job_id, format_job_ids(self.graph.dependencies_of(job.job_id))
             )
         elif state is DependencyState.CANCELLED:
             self._cancel_blocked(job)
@@ -189,8 +189,8 @@
             for dependency in self.graph.dependencies_of(job_id)
             if dependency in self.cluster.jobs and self.cluster.jobs[dependency].failure_reason
         ]
-        text = f"waits for {list_job_ids(self.graph.dependencies_of(job_id))}" if job_id in self.blocked_jobs else ""
-        return text + (f"; lost, so that it waits until it is cancelled: {list_job_ids(failed)}" if failed else "")
+        text = f"waits for {format_job_ids(self.graph.dependencies_of(job_id))}" if job_id in self.blocked_jobs else ""
+        return text + (f"; lost, so that it waits until it is cancelled: {format_job_ids(failed)}" if failed else "")
 
 
 def stage_priority_rank(job: Job) -> int:
@@ -204,7 +204,7 @@
     return min(own_rank, NORMAL_RANK) if job.dependencies else own_rank
 
 
-def list_job_ids(job_ids: list[str]) -> str:
+def format_job_ids(job_ids: list[str]) -> str:
     """Returns the first of the job ids and the number of the others, for one line of text."""
     more = len(job_ids) - MAX_LISTED_JOBS
     return ", ".join(job_ids[:MAX_LISTED_JOBS]) + (f" and {more} more" if more > 0 else "")
--- a/oatport/control/state/cancellations.py
+++ b/oatport/control/state/cancellations.py
@@ -43,7 +43,7 @@
     job_ids: list[str]
     complete_within_us: int
 
-    def covers(self, since: int, asked: int, answered: int) -> bool:
+    def is_complete_since(self, since: int, asked: int, answered: int) -> bool:
         """Returns whether the list has all confirmations after `since`; times are on the requester's steady clock (us).
 
         The node's clock may run fast, and the node responded no later than `answered`, when its response arrived.
--- a/oatport/control/state/cluster_state.py
+++ b/oatport/control/state/cluster_state.py
@@ -61,9 +61,9 @@
         self.predictor = predictor
         self.now = 0  # time of the last event or scheduling pass
         self.wall_offset = 0  # time of day minus the steady clock, at the last heartbeat
-        self.heartbeat_us = micros(settings.workers.report_s)
+        self.heartbeat_interval_us = micros(settings.workers.report_s)
         self.lease_us = micros(settings.workers.lease_s)
-        self.max_heartbeat_age_us = 2 * self.heartbeat_us + SECOND
+        self.max_heartbeat_age_us = 2 * self.heartbeat_interval_us + SECOND
         self.retry_policies: RetryPolicies = {}
 
         self.jobs: dict[str, Job] = {}
@@ -84,8 +84,8 @@
         self.job_statistics = JobStatistics()
         self.catalog = MachineTypeCatalog(types)
         self.accounting = FleetAccounting(self)
-        longest_zone_name = max(map(len, settings.zones), default=0)
-        self.writes = WriteBuffer(self, RecordLayout(settings.state.min_value_bytes, longest_zone_name))
+        max_zone_name_length = max(map(len, settings.zones), default=0)
+        self.writes = WriteBuffer(self, RecordLayout(settings.state.min_value_bytes, max_zone_name_length))
         self.dependencies = DependencyTracker(self)
         self.job_lifecycle = JobLifecycle(self)
         self.tasks = TaskLifecycle(self)
--- a/oatport/control/storage/record_layout.py
+++ b/oatport/control/storage/record_layout.py
@@ -46,7 +46,7 @@
     """Maps tasks and machines to keys. `should_split_records`: all nodes can read chunks that are split into parts."""
 
     max_value_bytes: int  # as JSON
-    longest_zone_name: int  # in characters
+    max_zone_name_length: int  # in characters
     should_split_records: bool = False
 
     @property
@@ -65,7 +65,7 @@
             rows_per_value(
                 self.max_value_bytes,
                 RECORD_OVERHEAD_BYTES,
-                MACHINE_ROW_BYTES + self.longest_zone_name,
+                MACHINE_ROW_BYTES + self.max_zone_name_length,
                 MACHINES_PER_GROUP,
             )
             if self.should_split_records
--- a/oatport/control/storage/write_buffer.py
+++ b/oatport/control/storage/write_buffer.py
@@ -185,7 +185,7 @@
         job = self.cluster.jobs.get(job_id)
         return [] if job is None else [key, *self.layout.task_keys(job, low, min(low + rows, job.next_unbound_index))]
 
-    def has_writes(self) -> bool:
+    def has_pending_writes(self) -> bool:
         """Returns whether there are pending writes."""
         return bool(
             self.urgent_keys
--- a/oatport/lab/cli.py
+++ b/oatport/lab/cli.py
@@ -84,7 +84,7 @@
     deprecated_names.warn_of_options(arguments)
     try:
         request = _run_request(arguments)
-        if request.needs_production:
+        if request.needs_production_build:
             production()
     except (InvalidPlanError, HistoryUnavailableError) as error:
         print(f"oatport: lab {arguments.experiment}: {error}", file=sys.stderr)
--- a/oatport/lab/queues.py
+++ b/oatport/lab/queues.py
@@ -23,8 +23,8 @@
 from oatport.clients.state import StateClient
 from oatport.control.placement.retry_policy import RetryPolicy
 from oatport.queues import intake
-from oatport.queues.client import Answers
-from oatport.queues.core import HttpCore
+from oatport.queues.client import AnswerCache
+from oatport.queues.core import HttpSchedulerClient
 from oatport.queues.gateway import Gateway
 from oatport.queues.identity import identity_of, job_id_of
 from oatport.queues.link import Link
@@ -73,7 +73,7 @@
         """Publishes an answer; returns whether the broker confirmed it, or True at once with `outbox` disabled."""
         if self._disabled_check != "outbox":
             return await super().publish(row)
-        self.group.spawn("unconfirmed", super().publish(row))  # without waiting for the broker's confirm
+        self.background.spawn("unconfirmed", super().publish(row))  # without waiting for the broker's confirm
         return True
 
 
@@ -183,7 +183,7 @@
         )
         link = UnsafeLink(settings, self.disabled_check) if self.disabled_check else Link(settings)
         state = StateClient(HttpConnector(self.session), settings.state)
-        gateway = Gateway(settings, state, HttpCore(self.session, settings.nodes), link.publish)
+        gateway = Gateway(settings, state, HttpSchedulerClient(self.session, settings.nodes), link.publish)
         gateway.start()
         link.start(gateway)
         self.gateways[name] = gateway, link
@@ -217,7 +217,7 @@
     answer_counts: Counter[str] = field(default_factory=Counter)  # by identity, after the client's deduplication
     latencies_s: list[float] = field(default_factory=list)
     last_answer_at: float = 0.0
-    _deduplicator: Answers = field(default_factory=Answers)
+    _deduplicator: AnswerCache = field(default_factory=AnswerCache)
     _answer_arrived: asyncio.Event = field(default_factory=asyncio.Event)
 
     async def listen(self) -> None:
@@ -229,16 +229,16 @@
                 replies = await channel.get_queue(REPLY_QUEUE, ensure=False)
                 async with replies.iterator() as messages:
                     async for message in messages:
-                        self._got(str(message.message_id), str(message.correlation_id), message.body.decode())
+                        self._store_answer(str(message.message_id), str(message.correlation_id), message.body.decode())
                         await message.ack()
             except asyncio.CancelledError:
                 raise
             except Exception:
                 await asyncio.sleep(0.1)  # the broker is down; its durable queue keeps the answers
 
-    def _got(self, message_id: str, identity: str, answer: str) -> None:
+    def _store_answer(self, message_id: str, identity: str, answer: str) -> None:
         self.answers.append((message_id, identity, answer))
-        if self._deduplicator.fresh(message_id):
+        if self._deduplicator.add_if_new(message_id):
             self.answer_counts[identity] += 1
             self.last_answer_at = time.monotonic()
             self._answer_arrived.set()
--- a/oatport/lab/windows.py
+++ b/oatport/lab/windows.py
@@ -1,8 +1,8 @@
 """Compares two schedules of one night, immediate and by windows, with a cost lower bound, in virtual time from a seed.
 
 The cluster is simulated as a number of CPUs on which released tasks start in the order of their deadlines, the earliest
-first. Jobs are held and released by the code that the leader runs: `ClusterState`, `Holder` and its planner, and the
-price book. The same seed gives the same schedules.
+first. Jobs are held and released by the code that the leader runs: `ClusterState`, `DeferralManager` and its planner,
+and the price book. The same seed gives the same schedules.
 """
 
 from __future__ import annotations
@@ -28,8 +28,8 @@
 )
 from oatport.settings import CloudLimits, ClusterSettings, StateLimits, Team, Tuning, Workers
 from oatport.times import SECOND
-from oatport.windows.holding import Holder
-from oatport.windows.prices import Book
+from oatport.windows.holding import DeferralManager
+from oatport.windows.prices import PriceBook
 from oatport.windows.settings import Deferral, WindowSettings
 from oatport.wire import MachineType
 
@@ -153,10 +153,10 @@
     outcome = ScheduleOutcome()
     capacity = SimulatedCapacity(workload, outcome)
     cluster = _cluster()
-    book = Book(3 * HOUR, 12 * HOUR)
+    book = PriceBook(3 * HOUR, 12 * HOUR)
     now = NIGHT_START
-    book.learn(workload.published_intervals(now) or [], now, now)
-    holder = Holder(cluster, window_settings(workload), book, now)
+    book.add_series(workload.published_intervals(now) or [], now, now)
+    deferrals = DeferralManager(cluster, window_settings(workload), book, now)
     released_counts: dict[str, int] = {}
     arrivals = list(workload.jobs)[::-1]
     polled_at = now
@@ -166,13 +166,13 @@
             polled_at = now
             intervals = workload.published_intervals(now)
             if intervals is not None:
-                book.learn(intervals, now, now)
+                book.add_series(intervals, now, now)
         while arrivals and arrivals[-1].submitted_at <= now:
             job = arrivals.pop()
             cluster_job = cluster.job_lifecycle.add(job.job_id, job.spec, 1, job.submitted_at)
             released_counts[job.job_id] = 0
-            _record_plan_time(outcome, holder.joined, cluster_job, now)
-        _record_plan_time(outcome, holder.tick, now)
+            _record_plan_time(outcome, deferrals.on_job_added, cluster_job, now)
+        _record_plan_time(outcome, deferrals.tick, now)
         for job_id, runtime in capacity.advance(now, previous):
             cluster_job = cluster.jobs[job_id]
             cluster.tasks.on_runtime_measured(cluster_job, runtime)
@@ -190,7 +190,7 @@
         cluster.pending.clear()
         outcome.cpus_in_use.append(capacity.cpus_in_use)
         outcome.tasks_held.append(sum(job.deferred for job in cluster.jobs.values()))
-    outcome.released_late, outcome.replans = holder.late, holder.anew
+    outcome.released_late, outcome.replans = deferrals.late_release_count, deferrals.replan_count
     return outcome
 
 
--- a/oatport/queues/client.py
+++ b/oatport/queues/client.py
@@ -20,7 +20,7 @@
 from aio_pika.abc import AbstractChannel, AbstractConnection, AbstractIncomingMessage
 
 
-class Answers:
+class AnswerCache:
     """Detects duplicate answers by message id and caches answers by identity, the last `remember` of each."""
 
     def __init__(self, remember: int = 100_000) -> None:
@@ -28,7 +28,7 @@
         self._by_identity: OrderedDict[str, dict[str, Any]] = OrderedDict()
         self._remember = remember
 
-    def fresh(self, message_id: str) -> bool:
+    def add_if_new(self, message_id: str) -> bool:
         """Returns whether the message id is new, and stores it."""
         if message_id in self._seen:
             return False
@@ -59,7 +59,7 @@
         self._url = url
         self._queue = queue
         self._reply_to = reply_to
-        self._answers = Answers(remember)
+        self._answers = AnswerCache(remember)
         self._waiting: dict[str, asyncio.Future[dict[str, Any]]] = {}
         self._connection: AbstractConnection | None = None
         self._channel: AbstractChannel | None = None
@@ -130,7 +130,7 @@
             self._waiting.pop(identity, None)
 
     async def _on_reply(self, message: AbstractIncomingMessage) -> None:
-        if message.message_id and self._answers.fresh(message.message_id):
+        if message.message_id and self._answers.add_if_new(message.message_id):
             try:
                 answer = json.loads(message.body)
             except ValueError:
--- a/oatport/queues/core.py
+++ b/oatport/queues/core.py
@@ -45,7 +45,7 @@
         """Cancels a job. The outcome is TERMINATED, NOT_FOUND or RETRY_LATER."""
 
 
-class HttpCore:
+class HttpSchedulerClient:
     """Sends POST /submissions and cancellations to one node; if that does not respond or fails, to the next one."""
 
     def __init__(self, session: aiohttp.ClientSession, nodes: tuple[str, ...]) -> None:
--- a/oatport/queues/link.py
+++ b/oatport/queues/link.py
@@ -31,24 +31,24 @@
     def __init__(self, settings: GatewaySettings) -> None:
         self.settings = settings
         self.gateway: Gateway | None = None
-        self.group = BackgroundTasks()
+        self.background = BackgroundTasks()
         self._publish_channel: AbstractChannel | None = None
         self._connection: AbstractConnection | None = None
 
     def start(self, gateway: Gateway) -> None:
         """Connects and consumes in the background until `close`; `gateway` processes the messages."""
         self.gateway = gateway
-        self.group.supervise("broker", self._connection_loop)
+        self.background.supervise("broker", self._connection_loop)
 
     async def close(self) -> None:
         """Cancels all background tasks and closes the connection."""
-        self.group.close()
+        self.background.close()
         if self._connection is not None and not self._connection.is_closed:
             await self._connection.close()
 
     def drop(self) -> None:
         """Aborts the connection as a killed process does: no further frame is sent."""
-        self.group.close()
+        self.background.close()
         connection = self._connection
         if connection is not None and connection.transport is not None:
             writer = getattr(connection.transport.connection, "_writer", None) or getattr(
@@ -110,7 +110,7 @@
         consumed_queue = await channel.get_queue(queue.name, ensure=False)
 
         async def handle(message: AbstractIncomingMessage) -> None:
-            self.group.spawn("message", self._handle(queue, message))
+            self.background.spawn("message", self._handle(queue, message))
 
         await consumed_queue.consume(handle, no_ack=False)
 
@@ -235,12 +235,12 @@
     """Runs a gateway until the task is cancelled."""
     from oatport.clients.http import HttpConnector, make_session
     from oatport.clients.state import StateClient
-    from oatport.queues.core import HttpCore
+    from oatport.queues.core import HttpSchedulerClient
 
     session = make_session(512)
     link = Link(settings)
     state = StateClient(HttpConnector(session), settings.state)
-    gateway = Gateway(settings, state, HttpCore(session, settings.nodes), link.publish)
+    gateway = Gateway(settings, state, HttpSchedulerClient(session, settings.nodes), link.publish)
     gateway.start()
     link.start(gateway)
     try:
--- a/oatport/service/failure_detector.py
+++ b/oatport/service/failure_detector.py
@@ -62,7 +62,7 @@
         self.probe(quiet, now)
         self._check_commands(connected, now)
         self._probe_partitioned([m for m in machines if m.zone in cluster.zones.partitioned], now)
-        all_silent = all_silent_machines(machines, now, cluster.heartbeat_us, self._leader.led_since)
+        all_silent = all_silent_machines(machines, now, cluster.heartbeat_interval_us, self._leader.led_since)
         if all_silent and now - self._peers_asked_at > self._silent_us // 2:
             self._peers_asked_at = now
             await self.reachability.step_down_if_reached_by_peer(all_silent)
--- a/oatport/service/group_commit.py
+++ b/oatport/service/group_commit.py
@@ -61,7 +61,7 @@
         while not self._leader.stopped:
             await self.wakeup.wait()
             self.wakeup.clear()
-            while self.cluster.writes.has_writes() and not self._leader.stopped:
+            while self.cluster.writes.has_pending_writes() and not self._leader.stopped:
                 if not self.cluster.writes.has_urgent_writes():
                     await asyncio.sleep(seconds(BATCHING_WINDOW))
                 await self._write_batch()
--- a/oatport/service/leader.py
+++ b/oatport/service/leader.py
@@ -213,7 +213,7 @@
         cluster = self.cluster
         if cluster.planning_needed:
             self.planning_loop.wakeup.set()
-        if cluster.writes.has_writes():
+        if cluster.writes.has_pending_writes():
             self.commits.wakeup.set()
         if cluster.machines_to_command:
             self.command_sender.wakeup.set()
--- a/oatport/service/peer_notifications.py
+++ b/oatport/service/peer_notifications.py
@@ -135,7 +135,7 @@
                 raise reply
             job_ids |= dict.fromkeys(reply.job_ids)
             confirmed = ConfirmedCancellations(reply.job_ids, reply.complete_us)
-            complete = complete and confirmed.covers(since, asked_at, answered_at)
+            complete = complete and confirmed.is_complete_since(since, asked_at, answered_at)
         for job_id in job_ids:
             leader.on_job_hint(JobCancelled(job_id, None, 0))
         if complete:
--- a/oatport/service/window_controller.py
+++ b/oatport/service/window_controller.py
@@ -11,8 +11,8 @@
 from oatport.service.network import Network
 from oatport.times import SECOND, micros, steady, time_of_day
 from oatport.windows.client import FeedClient
-from oatport.windows.holding import DayClock, Holder
-from oatport.windows.prices import Book
+from oatport.windows.holding import DayClock, DeferralManager
+from oatport.windows.prices import PriceBook
 from oatport.windows.settings import WindowSettings
 
 log = logging.getLogger(__name__)
@@ -29,9 +29,9 @@
         self._leader = leader
         self._session = net.session
         self.settings = settings
-        self.book = Book(micros(settings.fresh_s), micros(settings.dead_s))
+        self.book = PriceBook(micros(settings.fresh_s), micros(settings.dead_s))
         self._clock = DayClock(time_of_day(), steady())
-        self.holder = Holder(leader.cluster, settings, self.book, self.wall())
+        self.deferrals = DeferralManager(leader.cluster, settings, self.book, self.wall())
         self._written: tuple[int, int] = (0, 0)  # the last written version of the book, and when (steady)
 
     def wall(self) -> int:
@@ -48,15 +48,15 @@
             self._leader.cluster.writes.versions[WINDOWS_KEY] = found[1]
             if isinstance(found[0], dict):
                 self.book.load(found[0].get("book"), self.wall())
-                self.holder.set_up(found[0])
+                self.deferrals.load_record(found[0])
         self._leader.cluster.writes.singleton_records[WINDOWS_KEY] = self.record
         now = self.wall()
         for job in sorted(self._leader.cluster.jobs.values(), key=lambda job: (job.submitted_at, job.job_id)):
-            self.holder.joined(job, now)
+            self.deferrals.on_job_added(job, now)
 
     def record(self) -> dict[str, Any]:
         """Returns the record to store: the price series and the learnt margins."""
-        return {"book": self.book.record(self.wall()), **self.holder.record()}
+        return {"book": self.book.record(self.wall()), **self.deferrals.record()}
 
     def start(self) -> None:
         """Starts the loops."""
@@ -75,7 +75,7 @@
 
     def on_job_admitted(self, job: Job) -> None:
         """Adds a newly pending job, whose start may be deferred."""
-        self.holder.joined(job, self.wall())
+        self.deferrals.on_job_added(job, self.wall())
 
     async def _loop(self) -> None:
         while not self._leader.stopped:
@@ -87,17 +87,17 @@
 
         Both are always safe under the scheduling rules: a release only makes a job eligible, and starts no task.
         """
-        released_tasks = self.holder.tick(self.wall())
+        released_tasks = self.deferrals.tick(self.wall())
         if released_tasks:
-            plans = self.holder.planner.plans
+            plans = self.deferrals.planner.plans
             log.info("released deferred starts tasks=%d jobs_deferred=%d", released_tasks, len(plans))
         now = steady()
         if self.book.version != self._written[0] or now - self._written[1] > WRITE_INTERVAL:
-            if self.book.read_at or self.holder.margins:
+            if self.book.read_at or self.deferrals.margins:
                 self._leader.cluster.writes.dirty_keys[WINDOWS_KEY] = None
             self._written = self.book.version, now
         self._leader.wake()
 
     def explain(self, job_id: str) -> dict[str, Any]:
         """Returns an explanation for operators of why a job is waiting."""
-        return self.holder.explain(job_id, self.wall())
+        return self.deferrals.explain(job_id, self.wall())
--- a/oatport/simulation/deployment.py
+++ b/oatport/simulation/deployment.py
@@ -18,7 +18,7 @@
 from oatport.simulation.fault_plan import Plan
 
 ZONES = ("a", "b")
-STATE, CLOUD_ADDRESS = "10.2.0.1:2379", "10.2.0.2:8443"
+STATE_SERVICE_ADDRESS, CLOUD_ADDRESS = "10.2.0.1:2379", "10.2.0.2:8443"
 CATALOG = [
     {
         "label": "m8",
@@ -45,14 +45,16 @@
         "harbors": list(ZONES),
     },
 ]
-TYPES = wire.decode_catalog({"berthKinds": CATALOG})
+MACHINE_TYPES = wire.decode_catalog({"berthKinds": CATALOG})
 
 
 def cluster_settings(plan: Plan) -> ClusterSettings:
     """Returns the settings that all nodes share; the limits grow with the number of machines."""
     cpus = 8.0 * plan.machines
     write_rps = max(60.0, plan.machines / 5)
-    next_limits = NextLimits(write_rps=write_rps * 0.7, value_kb=2.0, txn_ops=4) if plan.limits_fall else NextLimits()
+    next_limits = (
+        NextLimits(write_rps=write_rps * 0.7, value_kb=2.0, txn_ops=4) if plan.lowers_state_limits else NextLimits()
+    )
     return ClusterSettings(
         workers=Workers(report_s=1.5, lease_s=12.0, gang_wait_s=30.0, gang_peer_s=4.0, cancel_s=36.0),
         state=StateLimits(
@@ -105,7 +107,7 @@
         internal_addr=addresses[name][1],
         zone=node_zone(name),
         cluster=cluster,
-        services=Services(cloud=CLOUD_ADDRESS, state=STATE),
+        services=Services(cloud=CLOUD_ADDRESS, state=STATE_SERVICE_ADDRESS),
         peers=[
             Peer(other, internal_address, node_zone(other))
             for other, (_, internal_address) in addresses.items()
--- a/oatport/simulation/fault_plan.py
+++ b/oatport/simulation/fault_plan.py
@@ -119,7 +119,7 @@
     old_nodes: bool = False  # the nodes start with the version in production
 
     @property
-    def limits_fall(self) -> bool:
+    def lowers_state_limits(self) -> bool:
         """Returns whether the state service's limits are lowered during the run."""
         return any(fault.kind == "state_limits" for fault in self.faults)
 
--- a/oatport/simulation/faults/network.py
+++ b/oatport/simulation/faults/network.py
@@ -37,20 +37,20 @@
 
     def _apply(self, *rules: LinkRule) -> EndFault:
         for rule in rules:
-            self._net.add(rule)
+            self._net.add_rule(rule)
 
         def end() -> None:
             for rule in rules:
-                self._net.remove(rule)
+                self._net.remove_rule(rule)
 
         return end
 
-    def _cut(self, source: str, target_tag: str, mode: str, way: str = "both", unless: str = "") -> EndFault:
+    def _cut(self, source: str, target_tag: str, mode: str, way: str = "both", exempt_tag: str = "") -> EndFault:
         rules = []
         if way in ("both", "to"):
-            rules.append(LinkRule(source, target_tag, mode, unless))
+            rules.append(LinkRule(source, target_tag, mode, exempt_tag))
         if way in ("both", "from"):
-            rules.append(LinkRule(target_tag, source, mode, unless))
+            rules.append(LinkRule(target_tag, source, mode, exempt_tag))
         return self._apply(*rules)
 
     # --- nodes ---------------------------------------------------------------------------------
@@ -61,7 +61,7 @@
 
     def deny_state_service(self, fault: Fault) -> EndFault:
         """Lets the state service answer 503 to one node only."""
-        route = (self._deployed.target_node(fault), deployment.STATE)
+        route = (self._deployed.target_node(fault), deployment.STATE_SERVICE_ADDRESS)
         self._net.denied_routes.append(route)
         return lambda: self._net.denied_routes.remove(route)
 
@@ -72,7 +72,9 @@
     def isolate_node(self, fault: Fault) -> EndFault:
         """Cuts a node off from the state service and the other nodes, but not from workers and users."""
         name = self._deployed.target_node(fault)
-        return end_all([self._cut(name, target_tag, fault.mode, unless="worker") for target_tag in ("state", "node")])
+        return end_all(
+            [self._cut(name, target_tag, fault.mode, exempt_tag="worker") for target_tag in ("state", "node")]
+        )
 
     # --- machines ------------------------------------------------------------------------------
 
@@ -105,7 +107,7 @@
     def partition_zone(self, fault: Fault) -> EndFault:
         """Cuts a zone off from all hosts outside it."""
         tag = f"zone:{fault.zone}"
-        return self._cut(tag, ANY_HOST, fault.mode, unless=tag)
+        return self._cut(tag, ANY_HOST, fault.mode, exempt_tag=tag)
 
     def cut_links(self, fault: Fault) -> EndFault:
         """Cuts the links from some hosts to others, in this direction only."""
--- a/oatport/simulation/faults/nodes.py
+++ b/oatport/simulation/faults/nodes.py
@@ -53,10 +53,10 @@
         host = self._host(fault)
         if host is None:
             return None
-        host.step_us = round(CALLBACK_US_PER_UNIT * fault.amount)
+        host.callback_duration_us = round(CALLBACK_US_PER_UNIT * fault.amount)
 
         def end() -> None:
-            host.step_us = 0
+            host.callback_duration_us = 0
 
         return end
 
--- a/oatport/simulation/faults/services.py
+++ b/oatport/simulation/faults/services.py
@@ -32,10 +32,10 @@
 
     def slow_state_service(self, fault: Fault) -> EndFault:
         """Lets the share `amount` of requests take 100 to 400 ms."""
-        self._state.slow_share += fault.amount
+        self._state.slow_response_share += fault.amount
 
         def end() -> None:
-            self._state.slow_share -= fault.amount
+            self._state.slow_response_share -= fault.amount
 
         return end
 
@@ -50,10 +50,10 @@
 
     def lose_commit_answers(self, fault: Fault) -> EndFault:
         """Applies the share `amount` of transactions at once, but loses their responses."""
-        self._state.lost_answer_share += fault.amount
+        self._state.lost_response_share += fault.amount
 
         def end() -> None:
-            self._state.lost_answer_share -= fault.amount
+            self._state.lost_response_share -= fault.amount
 
         return end
 
--- a/oatport/simulation/invariant_checker.py
+++ b/oatport/simulation/invariant_checker.py
@@ -246,7 +246,7 @@
             )
 
     def _on_reported_cancelled(self, job: SubmittedJob, request: str) -> None:
-        if request != "cancel" and job.cancel_at is None and not job.may_be_cancelled_with_others:
+        if request != "cancel" and job.cancel_at is None and not job.may_inherit_cancellation:
             self.report_violation("went_back", f"{job.job_id} is reported as cancelled, but no user cancelled it")
         if job.cancelled_at is None:
             job.cancelled_at = self.loop.time()
--- a/oatport/simulation/load_balancer.py
+++ b/oatport/simulation/load_balancer.py
@@ -8,7 +8,7 @@
 
 from oatport import wire
 from oatport.clients.http import NoResponseError, RequestNotSentError
-from oatport.simulation.network import Net
+from oatport.simulation.network import SimulatedNetwork
 from oatport.simulation.virtual_time import Host, VirtualLoop
 from oatport.times import SECOND
 
@@ -35,7 +35,7 @@
 class LoadBalancer:
     """Chooses a healthy node for each new connection (PROTOCOL, "Users -> controller nodes")."""
 
-    def __init__(self, loop: VirtualLoop, net: Net, host: Host, addresses: list[str]) -> None:
+    def __init__(self, loop: VirtualLoop, net: SimulatedNetwork, host: Host, addresses: list[str]) -> None:
         self._loop, self._net, self._host = loop, net, host
         self.nodes = [BackendNode(address) for address in addresses]
 
--- a/oatport/simulation/machine_host.py
+++ b/oatport/simulation/machine_host.py
@@ -10,7 +10,7 @@
 from oatport import wire
 from oatport.clients.http import NoResponseError
 from oatport.settings import Workers
-from oatport.simulation.network import Net
+from oatport.simulation.network import SimulatedNetwork
 from oatport.simulation.virtual_time import Host
 from oatport.simulation.worker import Worker
 from oatport.times import MS, SECOND, micros, seconds
@@ -23,7 +23,13 @@
     """Sends a worker's heartbeats and serves the worker's address. `nodes` maps node names to addresses."""
 
     def __init__(
-        self, net: Net, host: Host, worker: Worker, nodes: dict[str, str], timing: Workers, rng: random.Random
+        self,
+        net: SimulatedNetwork,
+        host: Host,
+        worker: Worker,
+        nodes: dict[str, str],
+        timing: Workers,
+        rng: random.Random,
     ) -> None:
         self._net, self.host, self.worker, self._rng = net, host, worker, rng
         self._names, self._addresses = list(nodes), list(nodes.values())
@@ -125,7 +131,7 @@
             status, value = 0, None
         if status == 200:
             self.on_heartbeat_answered(self._names[self._node_index], body["legs"])
-            worker.answer(sent_at, session, value)
+            worker.on_heartbeat_response(sent_at, session, value)
             self._on_token_received(token)
             return sent_at + round(self._heartbeat_us * self._rng.uniform(0.75, 1.25))
         leader_name = value.get("harbormaster") if status == 421 and isinstance(value, dict) else None
--- a/oatport/simulation/machine_pool.py
+++ b/oatport/simulation/machine_pool.py
@@ -12,7 +12,7 @@
 from oatport.simulation.gang_coordinator import GangCoordinator
 from oatport.simulation.invariant_checker import InvariantChecker
 from oatport.simulation.machine_host import MachineHost
-from oatport.simulation.network import ANY_HOST, Net
+from oatport.simulation.network import ANY_HOST, SimulatedNetwork
 from oatport.simulation.virtual_time import Host, VirtualLoop
 from oatport.simulation.worker import Worker
 from oatport.times import SECOND, micros
@@ -27,7 +27,7 @@
     def __init__(
         self,
         loop: VirtualLoop,
-        net: Net,
+        net: SimulatedNetwork,
         settings: ClusterSettings,
         seed: int,
         rng: random.Random,
@@ -57,7 +57,7 @@
 
     def _on_rented(self, row: dict[str, Any]) -> None:
         self._cloud.rented_at[row["ref"]] = self._loop.time()
-        startup_s = deployment.TYPES[row["berthKind"]].boot_time_s
+        startup_s = deployment.MACHINE_TYPES[row["berthKind"]].boot_time_s
         delay = draw_boot_us(self._rng, startup_s) if self._loop.time() > INSTANT_BOOT_UNTIL_S else 0
         if self.quick_boots and delay:
             delay = round(self._rng.uniform(0.2, 2.0) * SECOND)
@@ -81,7 +81,7 @@
 
     def _make_worker(self, row: dict[str, Any], host: Host, rng: random.Random) -> Worker:
         """Returns a new worker. 3 % of workers are slow, and 4 % fail most of their tasks."""
-        machine_type = deployment.TYPES[row["berthKind"]]
+        machine_type = deployment.MACHINE_TYPES[row["berthKind"]]
         worker = Worker(
             host.steady,
             row["ref"],
--- a/oatport/simulation/mutations.py
+++ b/oatport/simulation/mutations.py
@@ -311,7 +311,7 @@
 
 
 @contextmanager
-def mutated(name: str) -> Iterator[None]:
+def safety_check_disabled(name: str) -> Iterator[None]:
     """Returns a context in which the named safety check is disabled; an empty name disables none."""
     with ExitStack() as stack:
         for method_patch in MUTATIONS[name]() if name else []:
--- a/oatport/simulation/network.py
+++ b/oatport/simulation/network.py
@@ -44,7 +44,7 @@
     # hold, lost, refuse (connections), slow, lossy, deaf (no message arrives; messages in the other direction do),
     # mute (no request arrives, responses do)
     effect: str
-    unless: str = ""  # the rule exempts messages between two hosts that both have this tag
+    exempt_tag: str = ""  # the rule exempts messages between two hosts that both have this tag
     amount: float = 0.0  # slow: additional seconds; lossy: share of lost packets
 
     def applies_to(self, source: Host, target: Host) -> bool:
@@ -52,7 +52,7 @@
         return (
             self.source in source.tags
             and self.target in target.tags
-            and not (self.unless and self.unless in source.tags and self.unless in target.tags)
+            and not (self.exempt_tag and self.exempt_tag in source.tags and self.exempt_tag in target.tags)
         )
 
 
@@ -72,7 +72,7 @@
     future: asyncio.Future[tuple[int, bytes]]
 
 
-class Net:
+class SimulatedNetwork:
     """The network of one run: listening addresses, link rules and all requests in progress."""
 
     def __init__(self, loop: VirtualLoop, seed: int) -> None:
@@ -90,8 +90,8 @@
         self._kept_duplicates: list[tuple[Host, str, str, bytes | None]] = []  # sender, method, target, data
         self.denied_routes: list[tuple[str, str]] = []  # (host name, address): all requests get 503
         self.messages: deque[str] = deque(maxlen=MAX_RECORDED_MESSAGES)
-        self.sent = 0
-        self.keeps_bodies = False  # messages are recorded with their bodies
+        self.request_count = 0
+        self.records_bodies = False  # messages are recorded with their bodies
         self.closed = False  # the run has ended: every request fails
         self.digest = 0  # checksum of all messages: the same seed gives the same digest
 
@@ -106,7 +106,7 @@
         self._hosts[address] = host
         self._listeners[address] = (host, serve)
 
-    def ended(self, host: Host) -> None:
+    def on_process_ended(self, host: Host) -> None:
         """Resets the connections of a process that ended; its ports refuse connections from then on."""
         for address in [a for a, (owner, _) in self._listeners.items() if owner is host]:
             del self._listeners[address]
@@ -124,7 +124,7 @@
 
     # --- links ------------------------------------------------------------------------------
 
-    def add(self, rule: LinkRule) -> None:
+    def add_rule(self, rule: LinkRule) -> None:
         """Adds a link rule. A `lost` rule also closes the idle connections on its links."""
         self.rules.append(rule)
         if rule.effect == "lost":
@@ -133,7 +133,7 @@
                 if target is not None and (rule.applies_to(key[0], target) or rule.applies_to(target, key[0])):
                     del self._idle[key]
 
-    def remove(self, rule: LinkRule) -> None:
+    def remove_rule(self, rule: LinkRule) -> None:
         """Removes a rule and delivers the messages that it held, each after a delay of its own."""
         self.rules.remove(rule)
         for link in list(self._links.values()):
@@ -335,9 +335,9 @@
             pending.future.set_exception(error)
 
     def _record(self, source: Host, address: str, method: str, target: str, data: bytes | None) -> None:
-        self.sent += 1
+        self.request_count += 1
         line = f"{self.loop.time() - 1000:10.4f} {source.name} -> {self._hosts[address].name} {method} {target}"
         self.digest = zlib.crc32(line.encode(), self.digest)
         if data:
             self.digest = zlib.crc32(data, self.digest)
-        self.messages.append(f"{line} {wire.decode(data)}" if self.keeps_bodies and data else line)
+        self.messages.append(f"{line} {wire.decode(data)}" if self.records_bodies and data else line)
--- a/oatport/simulation/node_network.py
+++ b/oatport/simulation/node_network.py
@@ -10,14 +10,14 @@
 from oatport import wire
 from oatport.api.server import BodyTooLargeError, Handler, Response
 from oatport.clients.http import ConnectionReuse
-from oatport.simulation.network import Net
+from oatport.simulation.network import SimulatedNetwork
 from oatport.simulation.virtual_time import Host
 
 
 class NodeClient:
     """Sends requests of a host to one address (`clients.http.Requester`)."""
 
-    def __init__(self, net: Net, host: Host, address: str) -> None:
+    def __init__(self, net: SimulatedNetwork, host: Host, address: str) -> None:
         self._net, self._host, self._address = net, host, address
 
     async def request(
@@ -43,7 +43,7 @@
 class NodeNetwork:
     """Creates clients and servers for a node, with the interface of `service.network.Network`."""
 
-    def __init__(self, net: Net, host: Host) -> None:
+    def __init__(self, net: SimulatedNetwork, host: Host) -> None:
         self._net, self._host = net, host
 
     def open(self) -> None:
@@ -74,7 +74,7 @@
 
 
 class _Listener:
-    def __init__(self, net: Net, host: Host, address: str, handler: Handler, limit: int) -> None:
+    def __init__(self, net: SimulatedNetwork, host: Host, address: str, handler: Handler, limit: int) -> None:
         self._net, self._host, self._address, self._handler, self._limit = net, host, address, handler, limit
 
     async def start(self) -> None:
--- a/oatport/simulation/node_processes.py
+++ b/oatport/simulation/node_processes.py
@@ -9,7 +9,7 @@
 from oatport.settings import ClusterSettings, Tuning
 from oatport.simulation import deployment, production_build
 from oatport.simulation.fault_plan import Plan
-from oatport.simulation.network import ANY_HOST, Net
+from oatport.simulation.network import ANY_HOST, SimulatedNetwork
 from oatport.simulation.node_network import NodeNetwork
 from oatport.simulation.virtual_time import Host, VirtualLoop
 
@@ -20,7 +20,7 @@
     def __init__(
         self,
         loop: VirtualLoop,
-        net: Net,
+        net: SimulatedNetwork,
         plan: Plan,
         settings: ClusterSettings,
         tuning: Tuning,
@@ -77,7 +77,7 @@
         if host is not None:
             del self.nodes[name]
             host.end()
-            self._net.ended(host)
+            self._net.on_process_ended(host)
 
     def ensure_started(self, name: str) -> None:
         """Starts a node unless it runs already because another fault has ended first."""
--- a/oatport/simulation/production_build.py
+++ b/oatport/simulation/production_build.py
@@ -24,7 +24,7 @@
 
 from oatport.clients.http import ConnectionReuse, NoResponseError, RequestNotSentError
 from oatport.service.node import Node
-from oatport.simulation.network import Net
+from oatport.simulation.network import SimulatedNetwork
 from oatport.simulation.virtual_time import Host
 
 ROOT = Path(__file__).resolve().parents[2]
@@ -45,7 +45,7 @@
     times: Any
     settings: Any
 
-    def make_node(self, settings: Any, network: Net, host: Host, boot: str) -> Any:
+    def make_node(self, settings: Any, network: SimulatedNetwork, host: Host, boot: str) -> Any:
         """Returns a node of that version on a host of the simulation."""
         host.context.run(self.times.CLOCK.set, host)
         return host.context.run(
@@ -170,7 +170,7 @@
 class _ProductionNetwork:
     """Adapts this version's network to the interface that a node of the other version expects."""
 
-    def __init__(self, build: Build, net: Net, host: Host) -> None:
+    def __init__(self, build: Build, net: SimulatedNetwork, host: Host) -> None:
         self._build = build
         self._inner = build.net.NodeNetwork(net, host)
 
--- a/oatport/simulation/runner.py
+++ b/oatport/simulation/runner.py
@@ -17,7 +17,7 @@
 from oatport.simulation import fault_plan
 from oatport.simulation.fault_interactions import fault_interaction_plan
 from oatport.simulation.fault_plan import Plan
-from oatport.simulation.mutations import mutated
+from oatport.simulation.mutations import safety_check_disabled
 from oatport.simulation.quota_scenarios import quota_plan
 from oatport.simulation.scenario_generator import random_plan, rolling_upgrade_plan, unreachable_machines_plan
 from oatport.simulation.simulation import RunResult, Simulation
@@ -53,7 +53,7 @@
     disabled_check: str = ""  # the safety check to disable: a name of `mutations.MUTATIONS`, or empty
 
     @property
-    def needs_production(self) -> bool:
+    def needs_production_build(self) -> bool:
         """Returns whether some nodes run the version in production."""
         return self.scenario == "rolling-upgrade" or (self.plan is not None and self.plan.old_nodes)
 
@@ -66,9 +66,9 @@
     """Runs one seed and returns its result. With `keep_bodies`, the messages of the result include their bodies."""
     logging.disable(logging.CRITICAL)
     try:
-        with mutated(request.disabled_check):
+        with safety_check_disabled(request.disabled_check):
             simulation = Simulation(plan or request.plan_for_seed(seed), seed)
-            simulation.deployed.net.keeps_bodies = keep_bodies
+            simulation.deployed.net.records_bodies = keep_bodies
             return simulation.run()
     finally:
         logging.disable(logging.NOTSET)
--- a/oatport/simulation/service_statistics.py
+++ b/oatport/simulation/service_statistics.py
@@ -119,7 +119,7 @@
         """
 
         def is_eligible(job: SubmittedJob) -> bool:
-            return self._should_have_started(job) and job.cancel_at is None and not job.may_be_cancelled_with_others
+            return self._should_have_started(job) and job.cancel_at is None and not job.may_inherit_cancellation
 
         min_share, max_wait_s = 1.0, 0.0
         for jobs in self._group(CLASS_FIELD, is_eligible).values():
--- a/oatport/simulation/simulated_deployment.py
+++ b/oatport/simulation/simulated_deployment.py
@@ -15,7 +15,7 @@
 from oatport.simulation.fault_plan import LEADER, Fault, Plan
 from oatport.simulation.invariant_checker import InvariantChecker
 from oatport.simulation.machine_pool import MachinePool
-from oatport.simulation.network import ANY_HOST, Net
+from oatport.simulation.network import ANY_HOST, SimulatedNetwork
 from oatport.simulation.node_processes import NodeProcesses
 from oatport.simulation.state_service import KeyStore, StateService, leader_node_of
 from oatport.simulation.users import User
@@ -29,7 +29,7 @@
     def __init__(self, plan: Plan, seed: int, tuning: Tuning) -> None:
         self.plan, self.seed = plan, seed
         self.loop = VirtualLoop()
-        self.net = Net(self.loop, seed)
+        self.net = SimulatedNetwork(self.loop, seed)
         self.settings = deployment.cluster_settings(plan)
         self.rng = random.Random(f"world {seed}")
         self.checker = InvariantChecker(self.loop, self.settings)
@@ -56,7 +56,7 @@
         host = Host(self.loop, "state", ANY_HOST)
         store = KeyStore(self.loop.now, int(limits.value_kb * 1024), limits.txn_ops)
         state = StateService(host, random.Random(f"state {self.seed}"), limits.rps, limits.write_rps, store)
-        self.net.listen(deployment.STATE, host, state.serve)
+        self.net.listen(deployment.STATE_SERVICE_ADDRESS, host, state.serve)
         return store, state
 
     def _make_cloud(self) -> CloudService:
--- a/oatport/simulation/simulation.py
+++ b/oatport/simulation/simulation.py
@@ -88,7 +88,7 @@
         self.plan, self.seed = plan, seed
         self.deployed = SimulatedDeployment(plan, seed, tuning or Tuning())
         self.leadership = LeadershipMonitor(self.deployed)
-        self.users_reach: set[str] | None = None  # names of the nodes behind the load balancer; None: all
+        self.balanced_nodes: set[str] | None = None  # names of the nodes behind the load balancer; None: all
         self._faults = FaultInjector(self.deployed)
         self._gate_opened_early = 0
         self._last_messages: list[str] = []
@@ -124,7 +124,7 @@
             checker.violations,
             errors,
             deployed.net.digest,
-            deployed.net.sent,
+            deployed.net.request_count,
             {**self._counts(), **statistics.pipeline_figures()},
             round(self.leadership.leaderless_s_max, 2),
             statistics.served_by_class(),
@@ -195,7 +195,7 @@
         addresses = [
             user_address
             for name, (user_address, _) in deployed.nodes.addresses.items()
-            if self.users_reach is None or name in self.users_reach
+            if self.balanced_nodes is None or name in self.balanced_nodes
         ]
         balancer = LoadBalancer(deployed.loop, deployed.net, deployed.users_host, addresses)
         for node in balancer.nodes:
@@ -203,9 +203,9 @@
         return balancer
 
     def _generate_jobs(self) -> list[SubmittedJob]:
-        begin_at = self.deployed.loop.time() + workload.JOBS_FROM_S
-        jobs = workload.jobs(self.plan, random.Random(f"jobs {self.seed}"), begin_at)
-        return jobs + workload.pipelines(self.plan, random.Random(f"pipelines {self.seed}"), begin_at)
+        begin_at = self.deployed.loop.time() + workload.FIRST_SUBMISSION_S
+        jobs = workload.generate_jobs(self.plan, random.Random(f"jobs {self.seed}"), begin_at)
+        return jobs + workload.generate_pipelines(self.plan, random.Random(f"pipelines {self.seed}"), begin_at)
 
     def _start_user(self, job: SubmittedJob, balancer: LoadBalancer) -> None:
         deployed = self.deployed
--- a/oatport/simulation/state_service.py
+++ b/oatport/simulation/state_service.py
@@ -159,9 +159,9 @@
         # Token buckets: rate, level, time of the level.
         self._rates = {"requests": [rps, rps, 0.0], "changes": [write_rps, write_rps, 0.0]}
         self.down = False
-        self.slow_share = 0.01
+        self.slow_response_share = 0.01
         self.delayed_commit_share = 0.0  # share of transactions that get no response and are applied later
-        self.lost_answer_share = 0.0  # share of transactions that are applied at once and get no response
+        self.lost_response_share = 0.0  # share of transactions that are applied at once and get no response
         self.request_counts: Counter[str] = Counter()
 
     def set_down(self, down: bool) -> None:
@@ -188,7 +188,7 @@
         """Responds to one request after a delay."""
         self.request_counts["requests"] += 1
         delay = 2 * MS + self._rng.randrange(6 * MS)
-        if self._rng.random() < self.slow_share:
+        if self._rng.random() < self.slow_response_share:
             delay = 100 * MS + self._rng.randrange(300 * MS)
         await asyncio.sleep(seconds(delay))
         if self.down:
@@ -222,7 +222,7 @@
             self.request_counts["429"] += 1
             return 429, None
         response = self.store.commit(body)
-        if self._rng.random() < self.lost_answer_share:
+        if self._rng.random() < self.lost_response_share:
             await asyncio.Event().wait()
         return response
 
--- a/oatport/simulation/submitted_job.py
+++ b/oatport/simulation/submitted_job.py
@@ -51,9 +51,9 @@
         return any(not dependency.releases_dependents for dependency in self.dependencies)
 
     @property
-    def may_be_cancelled_with_others(self) -> bool:
+    def may_inherit_cancellation(self) -> bool:
         """Returns whether a user cancels a direct or indirect dependency."""
-        return any(job.cancel_at is not None or job.may_be_cancelled_with_others for job in self.dependencies)
+        return any(job.cancel_at is not None or job.may_inherit_cancellation for job in self.dependencies)
 
     @property
     def dependency_cancelled_at(self) -> float | None:
--- a/oatport/simulation/virtual_time.py
+++ b/oatport/simulation/virtual_time.py
@@ -31,7 +31,7 @@
         self.drift, self.clock_offset_us = drift, clock_offset_us
         self.dead = False
         self.frozen = False
-        self.step_us = 0  # duration of each callback on a slow host; 0: callbacks take no time
+        self.callback_duration_us = 0  # duration of each callback on a slow host; 0: callbacks take no time
         self.busy_until_s = 0.0
         self.deferred: deque[asyncio.Handle] = deque()
         self.tasks: set[asyncio.Task[Any]] = set()
@@ -95,7 +95,7 @@
     def cancel_all_tasks(self) -> None:
         """Cancels all tasks of all hosts, including ended ones, and closes the loop. Called at the end of a run."""
         for host in self.hosts:
-            host.dead, host.frozen, host.step_us = False, False, 0
+            host.dead, host.frozen, host.callback_duration_us = False, False, 0
             self.run_deferred(host)
 
         async def cancel() -> None:
@@ -155,12 +155,12 @@
         if host.dead or host.frozen or host.deferred:
             host.deferred.append(handle)
             return True
-        if host.step_us:
+        if host.callback_duration_us:
             if host.busy_until_s > self._now_s:
                 host.deferred.append(handle)
                 self.call_at(host.busy_until_s, self._run_next_deferred, host, context=self._empty_context)
                 return True
-            host.busy_until_s = self._now_s + host.step_us / SECOND
+            host.busy_until_s = self._now_s + host.callback_duration_us / SECOND
         return False
 
     def _run_next_deferred(self, host: Host) -> None:
@@ -169,10 +169,10 @@
             return
         handle = host.deferred.popleft()
         if not handle._cancelled:
-            host.busy_until_s = self._now_s + host.step_us / SECOND
+            host.busy_until_s = self._now_s + host.callback_duration_us / SECOND
             handle._run()
         if host.deferred:
-            if host.step_us:
+            if host.callback_duration_us:
                 self.call_at(host.busy_until_s, self._run_next_deferred, host, context=self._empty_context)
             else:
                 self.run_deferred(host)
--- a/oatport/simulation/worker.py
+++ b/oatport/simulation/worker.py
@@ -156,16 +156,16 @@
         self.tasks.clear()
         self.images_ready_at.clear()
 
-    def restart(self, *, anew: bool) -> None:
+    def restart(self, *, reset_session: bool) -> None:
         """Restarts the machine at once without tasks and images, under its name and address.
 
-        `anew`: session and heartbeat numbers begin at their first values again.
+        `reset_session`: session and heartbeat numbers begin at their first values again.
         """
         self.kill("died")
         self.cached_images.clear()
         self.token = 0
-        self.session = 1 if anew else self.session + 1
-        self.seq = 0 if anew else self.seq
+        self.session = 1 if reset_session else self.session + 1
+        self.seq = 0 if reset_session else self.seq
         self.lease_renewed_at = self._clock()
         self.on_change()
 
@@ -254,7 +254,7 @@
             "legs": legs,
         }
 
-    def answer(self, sent_at: int, session: int, body: dict[str, Any]) -> bool:
+    def on_heartbeat_response(self, sent_at: int, session: int, body: dict[str, Any]) -> bool:
         """Processes a 200 response to a heartbeat; returns False if it is dropped.
 
         A response from an older leader or to an earlier session is dropped.
--- a/oatport/simulation/workload.py
+++ b/oatport/simulation/workload.py
@@ -17,11 +17,11 @@
 CLASS_SHARES = {"serve": 0.12, "batch": 0.5, "train": 0.08, "guest": 0.2, "local": 0.1}
 TEAM_OF_CLASS = {"serve": "north", "batch": "south", "train": "north", "guest": "east", "local": "east"}
 SERVICES_PER_MACHINE = 0.15  # services per machine that are submitted at the start
-JOBS_FROM_S = 4.0  # seconds from the start of the run to the first submission
+FIRST_SUBMISSION_S = 4.0  # seconds from the start of the run to the first submission
 CANCELLED_SHARE, CANCELLED_SHARE_OF_SINGLE_TASKS, ALWAYS_FAILS_SHARE = 0.12, 0.25, 0.04
 
 
-def jobs(plan: Plan, rng: random.Random, start_s: float) -> list[SubmittedJob]:
+def generate_jobs(plan: Plan, rng: random.Random, start_s: float) -> list[SubmittedJob]:
     """Returns the jobs of a run in order of submission; users cancel some of them, and some always fail."""
     submitted: list[SubmittedJob] = []
     for name, share in CLASS_SHARES.items():
@@ -53,7 +53,7 @@
         at += rng.expovariate(rate * peak_factor)
         if at >= plan.for_s:
             break
-        factor = max([f.amount for f in bursts if 0 <= JOBS_FROM_S + at - f.at_s < f.for_s], default=1.0)
+        factor = max([f.amount for f in bursts if 0 <= FIRST_SUBMISSION_S + at - f.at_s < f.for_s], default=1.0)
         if rng.random() * peak_factor < factor:
             submitted.append(SubmittedJob(_job_body(rng, name, plan), start_s + at))
     return submitted
@@ -63,7 +63,7 @@
     submitted = []
     for _ in range(round(fault.amount * fault.for_s)):
         body = _job_body(rng, "local", plan) | {"legs": 1, "cores": 1.0, "voyageS": rng.uniform(1, 8)}
-        submitted.append(SubmittedJob(body, start_s + fault.at_s - JOBS_FROM_S + rng.uniform(0, fault.for_s)))
+        submitted.append(SubmittedJob(body, start_s + fault.at_s - FIRST_SUBMISSION_S + rng.uniform(0, fault.for_s)))
     return submitted
 
 
@@ -97,7 +97,7 @@
 )
 
 
-def pipelines(plan: Plan, rng: random.Random, start_s: float) -> list[SubmittedJob]:
+def generate_pipelines(plan: Plan, rng: random.Random, start_s: float) -> list[SubmittedJob]:
     """Returns the jobs of all pipelines.
 
     Users submit the stages one after another, and some last stages only once the others are done or cancelled.
--- a/oatport/windows/client.py
+++ b/oatport/windows/client.py
@@ -13,7 +13,7 @@
 from oatport.clients.token_bucket import TokenBucket
 from oatport.times import SECOND, micros, seconds, time_of_day
 from oatport.windows.feed import JSON_TYPE, MAX_BODY_BYTES, decode_series
-from oatport.windows.prices import Book, InvalidPriceSeriesError
+from oatport.windows.prices import InvalidPriceSeriesError, PriceBook
 
 log = logging.getLogger(__name__)
 
@@ -30,7 +30,7 @@
         session: aiohttp.ClientSession,
         url: str,
         zone: str,
-        book: Book,
+        book: PriceBook,
         poll_s: float,
         timeout_s: float,
         changed: Callable[[], None],
@@ -57,7 +57,7 @@
         try:
             body, content_type = await self._fetch()
             intervals, made_at = decode_series(body, content_type, self._zone)
-            changed = self._book.learn(intervals, made_at, time_of_day())
+            changed = self._book.add_series(intervals, made_at, time_of_day())
         except (InvalidPriceSeriesError, aiohttp.ClientError, TimeoutError, OSError, ValueError) as error:
             self.failures += 1
             self._book.last_error = f"{type(error).__name__}: {error}"[:200]
--- a/oatport/windows/holding.py
+++ b/oatport/windows/holding.py
@@ -17,7 +17,7 @@
 from oatport.times import SECOND, micros, seconds
 from oatport.windows.margins import RuntimeMargins
 from oatport.windows.planner import JobDemand, Plan, Planner
-from oatport.windows.prices import Book
+from oatport.windows.prices import PriceBook
 from oatport.windows.settings import Deferral, WindowSettings
 
 MAX_REPLANS_PER_STEP = 150
@@ -74,10 +74,10 @@
         return max(wall, self.wall + steady - self.steady)
 
 
-class Holder:
+class DeferralManager:
     """Decides which jobs of the leader are deferred, releases their tasks when due, and records their plans."""
 
-    def __init__(self, cluster: ClusterState, settings: WindowSettings, book: Book, wall: int) -> None:
+    def __init__(self, cluster: ClusterState, settings: WindowSettings, book: PriceBook, wall: int) -> None:
         self.cluster = cluster
         self.settings = settings
         self.book = book
@@ -91,14 +91,14 @@
         self._pause_checked_slot = self._early_start_slot = 0
         self.arrival_forecast = ArrivalForecast()
         self._pending_updates: dict[str, None] = {}  # jobs whose latest safe start changed
-        self.anew = 0  # plans changed by a replan, for the figures of the lab
-        self.late = 0  # releases after a job's latest safe start
+        self.replan_count = 0  # plans changed by a replan, for the figures of the lab
+        self.late_release_count = 0  # releases after a job's latest safe start
         cluster.tasks.on_runtime_measured = self.on_runtime_measured
         self._update_prices(wall)
 
     # --- jobs -------------------------------------------------------------------------------------
 
-    def joined(self, job: Job, wall: int) -> None:
+    def on_job_added(self, job: Job, wall: int) -> None:
         """Defers a job that is new to this leader: as recorded, or as planned now if that saves enough."""
         deferral = self._deferral(job)
         if deferral is None or job.cancelled or job.completing:
@@ -257,7 +257,7 @@
         overdue = planner.overdue()
         for job_id, count in planner.take_due():
             job = self.cluster.jobs[job_id]
-            self.late += job_id in overdue
+            self.late_release_count += job_id in overdue
             self._predicted_runtimes.setdefault(job_id, self.cluster.predictor.run_time(job_id, job.spec))
             tasks = self._task_count(job, count)
             if job.deferral is not None:
@@ -277,7 +277,7 @@
             else []
         )
         for job_id in planner.replan_dirty(MAX_REPLANS_PER_STEP, frozen):
-            self.anew += 1
+            self.replan_count += 1
             job = self.cluster.jobs[job_id]
             self._write_plan(job, planner.plans[job_id], max(job.start_limit, job.next_unbound_index))
         self._update_upcoming_starts(wall)
@@ -380,7 +380,7 @@
         """Returns the record of the run time margins for the next leader."""
         return {"margins": self.margins.record()}
 
-    def set_up(self, value: Any) -> None:
+    def load_record(self, value: Any) -> None:
         """Restores the run time margins from an earlier leader's record."""
         if isinstance(value, dict):
             self.margins.load(value.get("margins"))
--- a/oatport/windows/prices.py
+++ b/oatport/windows/prices.py
@@ -65,7 +65,7 @@
 
 
 @dataclass(slots=True)
-class Book:
+class PriceBook:
     """Holds the last known price of each hour and the weight that its age leaves it.
 
     A new series replaces the hours that it covers. Other hours keep their last price and its age, so that a shorter
@@ -86,7 +86,7 @@
         if not 0 <= self.fresh_us < self.dead_us:
             raise ValueError(f"expected 0 <= fresh_us < dead_us, got {self.fresh_us} and {self.dead_us}")
 
-    def learn(self, intervals: Iterable[Interval], made_at: int, now: int) -> bool:
+    def add_series(self, intervals: Iterable[Interval], made_at: int, now: int) -> bool:
         """Merges a series; returns whether the price of any coming hour changed. Raises InvalidPriceSeriesError."""
         fresh = [
             Interval(row.start, row.end, row.price, row.co2, now) for row in validate_intervals(intervals, made_at, now)
--- a/tests/cluster_fixture.py
+++ b/tests/cluster_fixture.py
@@ -175,7 +175,7 @@
     def commit(self) -> None:
         """Commits batches until nothing is left to write."""
         for _ in range(500):
-            if not self.cluster.writes.has_writes():
+            if not self.cluster.writes.has_pending_writes():
                 return
             batch = self.cluster.writes.take_batch(self.ops)
             if not batch.operation_count:
@@ -221,7 +221,9 @@
             due_commands, starts = self.cluster.commands.for_machine(machine, self.now, direct=False)
             self.cluster.commands.on_sent(machine, starts, self.now, direct=False)
         if worker.name not in self.one_way_partitioned:
-            worker.answer(sent, session, wire.heartbeat_response(self.cluster.fencing_token, due_commands))
+            worker.on_heartbeat_response(
+                sent, session, wire.heartbeat_response(self.cluster.fencing_token, due_commands)
+            )
 
     def step(self, seconds: float = 0.0) -> None:
         """Advances the clock, delivers all heartbeats, then lets the leader commit, plan and send commands."""
--- a/tests/test_amqp_queues.py
+++ b/tests/test_amqp_queues.py
@@ -22,7 +22,7 @@
 from oatport.clients.state import LeaseExpiredError, Listing
 from oatport.control.leadership.leader_lease import LeaderLease
 from oatport.lab.queues import Senders, audit
-from oatport.queues.client import Answers, Sender
+from oatport.queues.client import AnswerCache, Sender
 from oatport.queues.core import SchedulerOutcome, SchedulerResponse
 from oatport.queues.gateway import Gateway
 from oatport.queues.identity import PART_COUNT, answer_id, identity_of, job_id_of, part_of
@@ -287,8 +287,8 @@
     await harness.settle()
     first, second = harness.published
     assert (first.answer_id, first.answer_body()) == (second.answer_id, second.answer_body())
-    seen = Answers()
-    assert [seen.fresh(row.answer_id) for row in harness.published] == [True, False]
+    seen = AnswerCache()
+    assert [seen.add_if_new(row.answer_id) for row in harness.published] == [True, False]
 
 
 async def test_a_refused_job_is_answered_and_dead_lettered_once() -> None:
@@ -585,10 +585,10 @@
     async with Sender(deployment.url, "moves") as sender:
         await sender.send({}, message_id="m-1")
     await wait_until(lambda: deployment.state.items.get(f"jobs/{job_id_of('moves', 'm-1')}") is not None)
-    deployment.broker.refuse = True
+    deployment.broker.refuses_connections = True
     await deployment.broker.restart()
     await asyncio.sleep(0.3)
-    deployment.broker.refuse = False
+    deployment.broker.refuses_connections = False
     deployment.broker.delay_s = 0.005
     await wait_until(lambda: deployment.broker.queues["moves"].consumers)
     deployment.broker.block(True)
@@ -784,10 +784,10 @@
     senders = Senders(1)
     senders.sent = {"a": ("moves", 0.0), "b": ("moves", 0.0), "c": ("replays", 0.0)}
     senders.confirmed = {"a", "b", "c"}
-    senders._got("x", "a", '{"answer": "done"}')
-    senders._got("y", "a", '{"answer": "done"}')
-    senders._got("z", "b", '{"answer": "done"}')
-    senders._got("z", "b", '{"answer": "lost"}')
+    senders._store_answer("x", "a", '{"answer": "done"}')
+    senders._store_answer("y", "a", '{"answer": "done"}')
+    senders._store_answer("z", "b", '{"answer": "done"}')
+    senders._store_answer("z", "b", '{"answer": "lost"}')
     runs = Counter({f"{job_id_of('moves', 'a')}/0": 2, f"{job_id_of('replays', 'c')}/0": 2, "j-9/0": 1})
     found = audit(senders, runs)
     assert (found["double_answers"], found["lost"], found["answered_once"]) == (2, 1, 1)
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -26,7 +26,7 @@
 from oatport.service.peer_notifications import RECORDS_STALE_AFTER
 from oatport.settings import Tuning
 from oatport.simulation.fault_plan import Fault, Plan
-from oatport.simulation.mutations import mutated
+from oatport.simulation.mutations import safety_check_disabled
 from oatport.simulation.simulation import RunResult, Simulation
 from oatport.simulation.state_outage_scenario import state_outage_plan
 from oatport.simulation.state_service import KeyStore
@@ -73,30 +73,38 @@
 def test_a_reply_shows_that_the_process_began_later_or_dropped_entries() -> None:
     requested_at, replied_at = 100 * SECOND, 100 * SECOND + SECOND // 10
     started_later = cancellation_log(began_at=95 * SECOND)
-    assert not started_later.confirmed_within(requested_at, 10 * SECOND).covers(90 * SECOND, requested_at, replied_at)
-    assert started_later.confirmed_within(requested_at, SECOND).covers(99 * SECOND, requested_at, replied_at)
+    assert not started_later.confirmed_within(requested_at, 10 * SECOND).is_complete_since(
+        90 * SECOND, requested_at, replied_at
+    )
+    assert started_later.confirmed_within(requested_at, SECOND).is_complete_since(99 * SECOND, requested_at, replied_at)
     small_log = cancellation_log(max_entries=2)
     for number in range(4):
         small_log.record(f"j-{number}", (90 + number) * SECOND)
     assert small_log.confirmed_within(requested_at, 50 * SECOND).job_ids == ["j-2", "j-3"]
-    assert not small_log.confirmed_within(requested_at, 10 * SECOND).covers(90 * SECOND, requested_at, replied_at)
-    assert small_log.confirmed_within(requested_at, 8 * SECOND).covers(92 * SECOND, requested_at, replied_at)
+    assert not small_log.confirmed_within(requested_at, 10 * SECOND).is_complete_since(
+        90 * SECOND, requested_at, replied_at
+    )
+    assert small_log.confirmed_within(requested_at, 8 * SECOND).is_complete_since(92 * SECOND, requested_at, replied_at)
     short_retention = cancellation_log(retention_s=5)
     short_retention.record("j-1", 10 * SECOND)
     short_retention.record("j-2", 16 * SECOND)
     assert short_retention.confirmed_within(16 * SECOND, 10 * SECOND).job_ids == ["j-2"]
-    assert not short_retention.confirmed_within(16 * SECOND, 10 * SECOND).covers(6 * SECOND, 16 * SECOND, 16 * SECOND)
+    assert not short_retention.confirmed_within(16 * SECOND, 10 * SECOND).is_complete_since(
+        6 * SECOND, 16 * SECOND, 16 * SECOND
+    )
 
 
 def test_the_bounds_of_what_a_reply_covers() -> None:
     since, requested_at = 100 * SECOND, 120 * SECOND
     complete_us = 21 * SECOND
     replied_at = since + shortened_by_drift(complete_us)
-    assert ConfirmedCancellations([], complete_us).covers(since, requested_at, replied_at)
+    assert ConfirmedCancellations([], complete_us).is_complete_since(since, requested_at, replied_at)
     # A fast clock of the replying node could account for the difference.
-    assert not ConfirmedCancellations([], complete_us - SECOND // 100).covers(since, requested_at, replied_at)
+    assert not ConfirmedCancellations([], complete_us - SECOND // 100).is_complete_since(
+        since, requested_at, replied_at
+    )
     # The time in flight of such a late reply is not bounded.
-    assert not ConfirmedCancellations([], 10 * complete_us).covers(
+    assert not ConfirmedCancellations([], 10 * complete_us).is_complete_since(
         since, requested_at, requested_at + MAX_RESPONSE_TIME + 1
     )
 
@@ -140,11 +148,11 @@
 
     async def request(self, method: str, path: str, body: Any = None) -> tuple[str, bool]:
         """Returns the job status in the response, and whether the cancellation had been logged by then."""
-        self.controller.told.clear()
+        self.controller.notifications.clear()
         answer = await self.users.handle(method, path, Body(body))  # type: ignore[arg-type]
         assert answer.status in (200, 201), answer
         ref = answer.value["ref"]
-        return answer.value["status"], f"x{ref}" in self.controller.told
+        return answer.value["status"], f"x{ref}" in self.controller.notifications
 
 
 async def test_every_confirmed_cancellation_is_logged_before_the_response_is_sent(state: KeyStore) -> None:
@@ -443,7 +451,7 @@
 def run_with_confirmations_by_other_nodes(plan: Plan) -> RunResult:
     """Returns the result of a simulation in which users reach only the nodes that do not lead at first."""
     simulation = Simulation(plan, 5)
-    simulation.users_reach = {"n1", "n2"}  # n0 leads at first
+    simulation.balanced_nodes = {"n1", "n2"}  # n0 leads at first
     result = simulation.run()
     cancelled = [job for job in simulation.deployed.checker.jobs.values() if 1020 < (job.cancelled_at or 0) < 1023]
     assert len(cancelled) >= 3, "too few cancellations were confirmed before the outage"
@@ -498,7 +506,7 @@
 
 
 def test_disabling_the_cancellation_log_is_detected() -> None:
-    with mutated("cancellation-log"):
+    with safety_check_disabled("cancellation-log"):
         found = run_with_confirmations_by_other_nodes(outage_plan(count=1000, notifications_lost_s=6.0)).violations
     assert any(row.startswith("ran_cancelled") for row in found)
 
--- a/tests/test_client_consistency.py
+++ b/tests/test_client_consistency.py
@@ -21,16 +21,16 @@
     def __init__(self) -> None:
         self.types = dict(TYPES)
         self.job_progress: dict[str, tuple[int, int]] = {}
-        self.told: list[str] = []
+        self.notifications: list[str] = []
 
     def is_ready(self) -> bool:
         return True
 
     def notify_accepted(self, ref: str, record: dict[str, Any], revision: int) -> None:
-        self.told.append(ref)
+        self.notifications.append(ref)
 
     def notify_cancelled(self, ref: str, revision: int = 0) -> None:
-        self.told.append("x" + ref)
+        self.notifications.append("x" + ref)
 
 
 def job(ref: str = "j-000001", **changes: Any) -> wire.Submission:
@@ -53,7 +53,7 @@
     assert (await api.submit(job())).status == 201
     assert (await other.submit(job())).status == 200
     assert state.revision == 1
-    assert controller.told == ["j-000001"]
+    assert controller.notifications == ["j-000001"]
     assert (await other.cancel("j-000001")).value == {"ref": "j-000001", "status": "aborted"}
     again = await api.submit(job())  # a retry may arrive after the job has terminated
     assert (again.status, again.value["status"]) == (200, "aborted")
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -104,7 +104,7 @@
     assert (len(harness.cluster.pending), harness.cluster.pending.version) == before
     assert harness.placer.preemption.victims.machines_examined == examined
     assert set(harness.cluster.jobs) == {first}
-    assert not harness.cluster.writes.has_writes()
+    assert not harness.cluster.writes.has_pending_writes()
 
 
 def test_a_dependent_job_needs_one_additional_write() -> None:
--- a/tests/test_limits_properties.py
+++ b/tests/test_limits_properties.py
@@ -260,7 +260,7 @@
         cluster.commands.on_heartbeat_delivered(machine, report)
         due_commands, starts = cluster.commands.for_machine(machine, self.harness.now, direct=False)
         cluster.commands.on_sent(machine, starts, self.harness.now, direct=False)
-        worker.answer(sent, session, wire.heartbeat_response(cluster.fencing_token, due_commands))
+        worker.on_heartbeat_response(sent, session, wire.heartbeat_response(cluster.fencing_token, due_commands))
 
     def _reports(self) -> None:
         """Delivers reports of all machines without writing anything."""
--- a/tests/test_rolling_upgrade.py
+++ b/tests/test_rolling_upgrade.py
@@ -68,7 +68,7 @@
         old_nodes=True,
     )
     simulation = Simulation(plan, seed)
-    simulation.deployed.nodes.upgraded, simulation.users_reach = {"n1"}, {"n1"}
+    simulation.deployed.nodes.upgraded, simulation.balanced_nodes = {"n1"}, {"n1"}
     leader_names: set[str] = set()
     sample = simulation.leadership.sample
 
--- a/tests/test_safety_invariants.py
+++ b/tests/test_safety_invariants.py
@@ -4,7 +4,7 @@
 
 from oatport import wire
 from oatport.control.leadership.failure_detection import silent_machines
-from oatport.control.placement.feasibility import machine_allowed
+from oatport.control.placement.feasibility import is_machine_allowed
 from oatport.control.state.task import TaskPhase
 from oatport.control.storage.keys import LEADER_KEY, chunk_key, live_key
 from oatport.settings import Team
@@ -368,7 +368,7 @@
     assert harness.task_locations(ref) == {}
     machine = harness.cluster.machines[spot.name]
     job = harness.cluster.jobs[ref]
-    assert not machine_allowed(job, machine)
+    assert not is_machine_allowed(job, machine)
 
 
 def test_a_single_zone_job_stays_in_its_zone_while_a_former_attempt_may_run() -> None:
--- a/tests/test_schema_versions.py
+++ b/tests/test_schema_versions.py
@@ -123,7 +123,7 @@
                 if rng.random() < 0.05 and task.phase is TaskPhase.BOUND:
                     harness.cluster.tasks.stop(task, 0.0)
         harness.plan()
-        if harness.cluster.writes.has_writes():
+        if harness.cluster.writes.has_pending_writes():
             batch = harness.cluster.writes.take_batch(rng.choice([2, 3, 4]))
             if batch.operation_count:
                 status, value = harness.state.commit(harness.transaction(batch))
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -15,12 +15,12 @@
 from oatport.control.state.job import Job
 from oatport.control.state.job_lifecycle import JobLifecycle
 from oatport.lab import SAFETY_CHECKS
-from oatport.simulation.deployment import TYPES, cluster_settings
+from oatport.simulation.deployment import MACHINE_TYPES, cluster_settings
 from oatport.simulation.fault_plan import ALL, Fault, InvalidPlanError, Plan, parse, read
 from oatport.simulation.gang_coordinator import GangCoordinator
 from oatport.simulation.invariant_checker import InvariantChecker
-from oatport.simulation.mutations import MUTATIONS, mutated
-from oatport.simulation.network import RECONNECT_MAX_US, LinkRule, Net
+from oatport.simulation.mutations import MUTATIONS, safety_check_disabled
+from oatport.simulation.network import RECONNECT_MAX_US, LinkRule, SimulatedNetwork
 from oatport.simulation.runner import RunRequest, describe_failure, run_scenario, simulate
 from oatport.simulation.scenario_generator import random_plan
 from oatport.simulation.state_service import KeyStore
@@ -38,7 +38,7 @@
 
     def __init__(self) -> None:
         self.loop = VirtualLoop()
-        self.net = Net(self.loop, 1)
+        self.net = SimulatedNetwork(self.loop, 1)
         self.a, self.b = Host(self.loop, "a", "any"), Host(self.loop, "b", "any", "node")
         self.received: list[tuple[float, Any]] = []
         self.net.listen("b:1", self.b, self._serve)
@@ -68,12 +68,12 @@
     async def scenario() -> None:
         assert await pair.send_request("first") == (200, "first")  # leaves one connection open, which is reused
         cut = LinkRule("a", "b", "hold")
-        pair.net.add(cut)
+        pair.net.add_rule(cut)
         for body in ("on the connection", "would need another"):
             with pytest.raises(NoResponseError):
                 await pair.send_request(body)
         assert len(pair.received) == 1
-        pair.net.remove(cut)
+        pair.net.remove_rule(cut)
         await asyncio.sleep(RECONNECT_MAX_US / SECOND + 1)
 
     pair.run(scenario())
@@ -85,7 +85,7 @@
 
     async def scenario() -> None:
         await pair.send_request("first")
-        pair.net.add(LinkRule("b", "a", "hold"))
+        pair.net.add_rule(LinkRule("b", "a", "hold"))
         with pytest.raises(NoResponseError):
             await pair.send_request("executed")
 
@@ -99,11 +99,11 @@
     async def scenario() -> None:
         await pair.send_request("first")
         cut = LinkRule("a", "b", "lost")
-        pair.net.add(cut)
+        pair.net.add_rule(cut)
         with pytest.raises(NoResponseError):
             await pair.send_request("lost")
-        pair.net.remove(cut)
-        pair.net.add(LinkRule("a", "b", "refuse"))
+        pair.net.remove_rule(cut)
+        pair.net.add_rule(LinkRule("a", "b", "refuse"))
         with pytest.raises(RequestNotSentError):
             await pair.send_request("refused")
 
@@ -146,7 +146,7 @@
 
     async def scenario() -> None:
         pair.net.listen("b:1", pair.b, slow)
-        pair.loop.call_later_us(SECOND, None, lambda: (pair.b.end(), pair.net.ended(pair.b)))
+        pair.loop.call_later_us(SECOND, None, lambda: (pair.b.end(), pair.net.on_process_ended(pair.b)))
         began = pair.loop.time()
         with pytest.raises(NoResponseError, match="reset"):
             await pair.send_request("under way", 30 * SECOND)
@@ -199,7 +199,7 @@
                 8.0,
                 lambda ref: body,
                 12 * SECOND,
-                TYPES["m8"],
+                MACHINE_TYPES["m8"],
                 gangs,
             )
             for n in (1, 2)
@@ -265,7 +265,7 @@
     worker = gang.workers[0]
     worker._job_of = lambda ref: job(legs=1, voyageS=500.0)
     gang.send_command(0, "start")
-    assert not worker.answer(0, 1, {"helm": 0, "orders": []})
+    assert not worker.on_heartbeat_response(0, 1, {"helm": 0, "orders": []})
     gang.now = 13 * SECOND
     worker.advance()
     assert (worker.tasks, worker.session, worker.lease_kill_count) == ({}, 2, 1)
@@ -418,7 +418,7 @@
 @pytest.mark.parametrize("name", MUTATIONS)
 def test_a_safety_check_can_be_disabled(name: str) -> None:
     """Guards against a mutation that patches a renamed method by its old name; otherwise only a run would show it."""
-    with mutated(name):
+    with safety_check_disabled(name):
         pass
 
 
--- a/tests/test_windows.py
+++ b/tests/test_windows.py
@@ -21,9 +21,9 @@
 from oatport.times import SECOND, time_of_day
 from oatport.windows.client import FeedClient
 from oatport.windows.feed import decode_series, encode_series
-from oatport.windows.holding import MAX_MOVES_PER_JOB, DayClock, Holder
+from oatport.windows.holding import MAX_MOVES_PER_JOB, DayClock, DeferralManager
 from oatport.windows.margins import RuntimeMargins
-from oatport.windows.prices import Book, Interval, InvalidPriceSeriesError
+from oatport.windows.prices import Interval, InvalidPriceSeriesError, PriceBook
 from oatport.windows.settings import Deferral, WindowSettings, load_window_settings
 from tests.cluster_fixture import ClusterHarness, UnreachableNetwork
 from tests.test_node_failures import leader
@@ -36,10 +36,10 @@
     return [Interval(start + n * HOUR, start + (n + 1) * HOUR, price) for n, price in enumerate(prices)]
 
 
-def book(*prices: float, now: int = DAY) -> Book:
-    price_book = Book(2 * HOUR, 8 * HOUR)
+def book(*prices: float, now: int = DAY) -> PriceBook:
+    price_book = PriceBook(2 * HOUR, 8 * HOUR)
     if prices:
-        price_book.learn(hours(*prices), now, now)
+        price_book.add_series(hours(*prices), now, now)
     return price_book
 
 
@@ -62,13 +62,13 @@
 def test_an_invalid_series_changes_nothing(rows: list[Interval], made_at: int, why: str) -> None:
     price_book = book(5.0, 6.0)
     with pytest.raises(InvalidPriceSeriesError, match=why):
-        price_book.learn(rows, made_at, DAY)
+        price_book.add_series(rows, made_at, DAY)
     assert [row.price for row in price_book.rows] == [5.0, 6.0]
 
 
 def test_gaps_and_negative_prices_are_legal_and_unknown_prices_are_ordinary() -> None:
     price_book = book()
-    price_book.learn([Interval(DAY, DAY + HOUR, -50.0), *hours(100.0, 100.0, start=DAY + 3 * HOUR)], DAY, DAY)
+    price_book.add_series([Interval(DAY, DAY + HOUR, -50.0), *hours(100.0, 100.0, start=DAY + 3 * HOUR)], DAY, DAY)
     costs = price_book.slot_costs(DAY // HOUR, 6, HOUR, DAY, 1.0, 0.0)
     assert costs[0] < 0
     assert costs[1] == costs[2] == costs[5] == 1.0
@@ -78,7 +78,7 @@
 def test_a_shorter_series_removes_no_prices_and_each_hour_ages_on_its_own() -> None:
     price_book = book(10.0, 20.0, 40.0, 20.0)
     later = DAY + 3 * HOUR // 2
-    price_book.learn(hours(30.0, start=DAY + 2 * HOUR), later, later)
+    price_book.add_series(hours(30.0, start=DAY + 2 * HOUR), later, later)
     assert [row.price for row in price_book.rows if row.end > later] == [20.0, 30.0, 20.0]
     much_later = later + 3 * HOUR
     weights = {row.price: price_book.weight(row, much_later) for row in price_book.rows if row.end > later}
@@ -187,26 +187,26 @@
             classes=(("train", Deferral(**deferral)),),
         )
         self.book = book(*prices)
-        self.holder = Holder(self.harness.cluster, self.settings, self.book, self.harness.now)
+        self.deferrals = DeferralManager(self.harness.cluster, self.settings, self.book, self.harness.now)
 
     def submit(self, **changes: Any) -> Job:
         ref = self.harness.submit(**{"voyageS": 300.0, "tideS": 4 * 3600.0, "legs": 2, **changes})
         job = self.harness.cluster.jobs[ref]
-        self.holder.joined(job, self.harness.now)
+        self.deferrals.on_job_added(job, self.harness.now)
         return job
 
     def run_for(self, seconds: float, step: float = 5.0) -> None:
         until = self.harness.now + round(seconds * SECOND)
         while self.harness.now < until:
             self.harness.step(step)
-            self.holder.tick(self.harness.now)
+            self.deferrals.tick(self.harness.now)
             self.harness.commit()
 
     def fail_over(self) -> None:
         self.harness.fail_over()
-        self.holder = Holder(self.harness.cluster, self.settings, self.book, self.harness.now)
+        self.deferrals = DeferralManager(self.harness.cluster, self.settings, self.book, self.harness.now)
         for job in list(self.harness.cluster.jobs.values()):
-            self.holder.joined(job, self.harness.now)
+            self.deferrals.on_job_added(job, self.harness.now)
 
 
 def test_a_job_is_deferred_to_the_cheap_hour_and_meets_its_deadline() -> None:
@@ -217,7 +217,7 @@
     assert (
         fixture.harness.cluster.pending == set()
     )  # deferred, not pending: no machine is rented and no task stopped for it
-    explanation = fixture.holder.explain(job.job_id, fixture.harness.now)
+    explanation = fixture.deferrals.explain(job.job_id, fixture.harness.now)
     assert explanation["held"]
     assert explanation["saves"] > 0.5
     assert 0 < explanation["until_s"] <= 2 * 3600
@@ -259,13 +259,13 @@
     fixture = DeferralFixture(50.0, 50.0, 10.0, 50.0)
     job = fixture.submit()
     fixture.harness.commit()
-    plan = dict(fixture.holder.planner.plans[job.job_id].starts)
+    plan = dict(fixture.deferrals.planner.plans[job.job_id].starts)
     fixture.book = book(1.0, 90.0, 90.0, 90.0)  # a new plan would differ at these prices
     fixture.fail_over()
     restored = fixture.harness.cluster.jobs[job.job_id]
     assert restored.deferred == 2
     assert restored not in fixture.harness.cluster.pending
-    assert fixture.holder.planner.plans[job.job_id].starts == plan
+    assert fixture.deferrals.planner.plans[job.job_id].starts == plan
 
 
 def test_a_leader_killed_between_release_and_placement_releases_nothing_twice() -> None:
@@ -273,7 +273,7 @@
     job = fixture.submit(legs=4)
     fixture.harness.commit()
     fixture.harness.now += HOUR + SECOND
-    assert fixture.holder.tick(fixture.harness.now) == 4  # released, but not recorded
+    assert fixture.deferrals.tick(fixture.harness.now) == 4  # released, but not recorded
     fixture.fail_over()
     assert fixture.harness.cluster.jobs[job.job_id].deferred in (0, 4)
     fixture.run_for(1800, 30)
@@ -303,19 +303,19 @@
     job = fixture.submit()
     fixture.harness.commit()
     fixture.harness.cancel(job.job_id)
-    fixture.holder.tick(fixture.harness.now)
+    fixture.deferrals.tick(fixture.harness.now)
     fixture.harness.commit()
     assert not [key for key in fixture.harness.state.items if key.startswith("live/")]
-    assert not fixture.holder.planner.plans
+    assert not fixture.deferrals.planner.plans
 
 
 def test_a_job_is_released_at_its_latest_start_while_the_state_service_is_down() -> None:
     """A release needs no commit: the job becomes pending, and starts once commits succeed again."""
     fixture = DeferralFixture(50.0, 50.0, 10.0)
     job = fixture.submit(tideS=3600.0)
-    latest = fixture.holder.planner.plans[job.job_id].demand.latest_start if job.deferred else fixture.harness.now
+    latest = fixture.deferrals.planner.plans[job.job_id].demand.latest_start if job.deferred else fixture.harness.now
     fixture.harness.now = latest + SECOND
-    fixture.holder.tick(fixture.harness.now)  # nothing is committed
+    fixture.deferrals.tick(fixture.harness.now)  # nothing is committed
     assert job.deferred == 0
     assert job in fixture.harness.cluster.pending
 
@@ -345,7 +345,7 @@
     for number in range(5_000):
         fixture.submit(ref=f"j-{number:06d}", legs=1, cores=1.0, voyageS=300.0, tideS=4 * 3600.0)
     taken: dict[int, int] = {}
-    for plan in fixture.holder.planner.plans.values():
+    for plan in fixture.deferrals.planner.plans.values():
         for slot, count in plan.starts.items():
             taken[slot] = taken.get(slot, 0) + count
     assert max(taken.values()) <= 400
@@ -366,7 +366,7 @@
 
     before = wait()
     harness.now += HOUR - 60 * SECOND
-    fixture.holder.tick(harness.now)
+    fixture.deferrals.tick(harness.now)
     assert [(upcoming.job_id, count) for upcoming, count in harness.cluster.upcoming_starts] == [(job.job_id, 2)]
     assert wait() > before + 100 * SECOND
 
@@ -376,8 +376,8 @@
     job = fixture.submit(tideS=8 * 3600.0)
     for number in range(30):
         prices = [50.0 - (n == 2 + number % 4) * 30 for n in range(8)]
-        fixture.book.learn(hours(*prices), fixture.harness.now, fixture.harness.now)
-        fixture.holder.tick(fixture.harness.now)
+        fixture.book.add_series(hours(*prices), fixture.harness.now, fixture.harness.now)
+        fixture.deferrals.tick(fixture.harness.now)
     assert job.deferral is not None
     assert 1 < job.deferral.write_count <= MAX_MOVES_PER_JOB + 1
 
@@ -385,11 +385,11 @@
 def test_a_running_job_is_paused_only_if_it_has_checkpoints_and_may_pause() -> None:
     for checkpoint, pause, stopped in ((0.0, True, False), (15.0, False, False), (15.0, True, True)):
         fixture = DeferralFixture(300.0, 10.0, 10.0, 10.0, pause=pause)
-        fixture.holder._deferral(fixture.harness.cluster.jobs.get("x") or Job("x", _spec(), 1, 0))
+        fixture.deferrals._deferral(fixture.harness.cluster.jobs.get("x") or Job("x", _spec(), 1, 0))
         job = fixture.submit(legs=1, voyageS=1200.0, mooringS=checkpoint, stowS=1.0, tideS=None)
         fixture.run_for(20)
         job.spec = _with_deadline(job)
-        fixture.holder._pause_running(fixture.harness.now)
+        fixture.deferrals._pause_running(fixture.harness.now)
         task = job.tasks[0]
         assert (task.stop_grace_s is not None) is stopped
         if stopped:
@@ -417,8 +417,8 @@
     settings = WindowSettings(on=True, capacity_cpus=8.0, classes=(("train", Deferral()),))
     controller = WindowController(lead, UnreachableNetwork(), settings)  # type: ignore[arg-type]
     now = controller.wall()
-    controller.book.learn(hours(10.0, 20.0, start=now), now, now)
-    controller.holder.margins.load({"train": [1.0] * 30})
+    controller.book.add_series(hours(10.0, 20.0, start=now), now, now)
+    controller.deferrals.margins.load({"train": [1.0] * 30})
     await controller.fail_over()
     controller.step()
     assert WINDOWS_KEY in lead.cluster.writes.dirty_keys
@@ -428,7 +428,7 @@
     successor = WindowController(later, UnreachableNetwork(), settings)  # type: ignore[arg-type]
     await successor.fail_over()
     assert [row.price for row in successor.book.rows] == [10.0, 20.0]
-    assert successor.holder.margins.factor("train") < RuntimeMargins().factor("train")
+    assert successor.deferrals.margins.factor("train") < RuntimeMargins().factor("train")
 
 
 def test_margins_start_conservative_and_follow_the_observed_ratios() -> None:
