--- a/oatport/control/leadership/election_priority.py
+++ b/oatport/control/leadership/election_priority.py
@@ -1,4 +1,4 @@
-"""Election priority: a node that is a less suitable leader backs off to let other candidates go first."""
+"""Election priority: a node that is a less suitable leader backs off, so that other candidates are elected first."""
 
 from __future__ import annotations
 
--- a/oatport/control/leadership/leader_lease.py
+++ b/oatport/control/leadership/leader_lease.py
@@ -1,4 +1,4 @@
-"""The leader lease from the holder's point of view, and the detection of process pauses.
+"""The leader lease as its holder tracks it, and the detection of process pauses.
 
 A process may be paused for seconds while its clocks continue. When the process resumes, its timers fire before it reads
 the responses in its socket buffers, every machine appears silent, and another node may lead. Therefore whether the
--- a/oatport/control/leadership/lease_proxy.py
+++ b/oatport/control/leadership/lease_proxy.py
@@ -1,17 +1,17 @@
-"""The lease proxy: a node that does not lead renews the leases of agents that no leader reaches.
+"""The lease proxy: a node that does not lead renews the leases of workers that no leader reaches.
 
 In a partitioned zone, tasks continue as long as a node there answers its workers' reports with a valid token
 (PROTOCOL, "Outages and cuts"). A node that reaches neither the leader nor the state service answers them with the
 leader's token and without commands. Tasks are moved only after the leader has proved them gone, so a lease proxy can't
 cause a task to run twice. It could violate a cancellation: tasks of a job whose cancellation was confirmed to its user
 must be gone `cancel_s` later. Therefore, like a leader during an outage (`LeaseRenewalLimit`), a lease proxy stops
-early enough for leases to expire before that. The time counts from the cancellation watermark: the latest time of which
-the leader said that all cancellations confirmed up to then were carried out.
+early enough for leases to expire before that. The time counts from the cancellation watermark: the latest time such
+that, by the leader's answer, all cancellations confirmed up to then were carried out.
 
-A node that restarts in the zone obtains the watermark from another node there. If all of them ended, no lease can be
-renewed: a live lease of a worker only shows that the worker was answered up to `lease_s` ago, possibly by a proxy at
-the end of its own limit. A new process can't rule out that a cancellation was confirmed so long ago that a further
-answer, and the lease that it renews, would last beyond `cancel_s`.
+A node that restarts in the zone obtains the watermark from another node there. If all of them stopped, no lease can be
+renewed: a live lease of a worker only shows that a report of the worker was answered up to `lease_s` ago, possibly by
+a proxy at the end of its own limit. A new process can't rule out that a cancellation was confirmed so long ago that a
+further answer, and the lease that it renews, would last beyond `cancel_s`.
 """
 
 from __future__ import annotations
@@ -81,7 +81,7 @@
         return self.renewal_limit.until if self.fencing_token else 0
 
     def may_answer(self, report_token: int, now: int, state_ok_at: int, state_failed_at: int) -> bool:
-        """Returns whether this node may answer a report of a worker that has seen `report_token`.
+        """Returns whether this node may answer a report of a worker that has seen the token `report_token`.
 
         The node may not answer while the leader or the state service answers it: then other nodes have newer
         information. It may not answer a worker that has seen another token. A higher token belongs to a leader whose
--- a/oatport/control/leadership/lease_renewal.py
+++ b/oatport/control/leadership/lease_renewal.py
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True)
 class LeaseRenewalLimit:
-    """Limits how long a leader may renew its agents' leases without an answer from the state service."""
+    """Limits how long a leader may renew its workers' leases without an answer from the state service."""
 
     settings: ClusterSettings
     # Cancellation watermark (steady): all cancellations confirmed up to then were read. The value is the time at which
--- a/oatport/control/leadership/zone_partition.py
+++ b/oatport/control/leadership/zone_partition.py
@@ -7,9 +7,9 @@
 images, and capacity that may not be available elsewhere. The rules, in order of value:
 
 1. A replica that may run in another zone is moved before its lease can expire. Replicas are moved a few at a time, so
-   that each is unavailable only for a start and an image fetch, and few are left without a machine if the leader ends
-   meanwhile. A replica that may not move (its job's spread over zones allows no more in other zones) stays: it is back
-   on a machine with its image as soon as the zone recovers.
+   that each is unavailable only for a start and an image fetch, and few are left without a machine if the leader's
+   term ends meanwhile. A replica that may not move (its job's spread over zones allows no more in other zones) stays:
+   it is back on a machine with its image as soon as the zone recovers.
 2. Machines without replicas are kept until the predicted completion of their tasks, if a replacement is available
    elsewhere (results are stored, so a completed task that is started again finishes at once). If none is available,
    they are kept for one boot time after the leases expire: a long partition then costs at most twice what an immediate
@@ -51,7 +51,7 @@
     """Returns how many more replicas of a service, besides the pending ones, may run in zones without a partition."""
     spec = job.spec
     zones = {
-        zone for kind in cluster.catalog.preferred_types(job) for zone in kind.zones
+        zone for machine_type in cluster.catalog.preferred_types(job) for zone in machine_type.zones
     } - cluster.zones.partitioned.keys()
     if spec.zone is not None:
         zones &= {spec.zone}
@@ -123,7 +123,7 @@
         )
 
     def _movable_machines(self, machines: list[Machine]) -> list[tuple[Machine, int]]:
-        """Returns the machines of whose replicas most may run elsewhere, each with the number of those replicas."""
+        """Returns the machines most of whose replicas may run elsewhere, each with the number of those replicas."""
         found = []
         for machine in machines:
             movable: Counter[Job] = Counter()
--- a/oatport/control/limits/connection_budget.py
+++ b/oatport/control/limits/connection_budget.py
@@ -1,9 +1,9 @@
 """Connection budget of a node: shares of its connections, and the idle timeout of connections to workers.
 
-Each worker holds one connection for its reports to the node that it reports to; after a node ends, all workers may
-report to the same node. A leader holds another connection to each worker that it recently sent a command. When these
-were kept for 30 s each, a leader with 929 machines held 1,873 of its 2,044 connections and refused any further ones,
-whether they came from users or from workers.
+Each worker holds one connection for its reports to the node that it reports to; after a node has stopped, all workers
+may report to the same node. A leader holds another connection to each worker that it recently sent a command. When
+these were kept for 30 s each, a leader with 929 machines held 1,873 of its 2,044 connections and refused any further
+ones, whether they came from users or from workers.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 from oatport.times import SECOND
 
 MIN_IDLE_TIMEOUT, MAX_IDLE_TIMEOUT = SECOND, 30 * SECOND
-TARGET_UTILIZATION = 0.72  # in normal operation; the rest is for all workers connecting at once
+TARGET_UTILIZATION = 0.72  # in normal operation; the rest is for the case that all workers connect at once
 RESERVED_FOR_USERS = 64
-MIN_WORKER_CONNECTIONS = 32  # idle ones, even if the limit is low
+MIN_WORKER_CONNECTIONS = 32  # idle connections to keep, even if the limit is low
 MIN_CONCURRENT_CALLS = 16
-CALLS_DIVISOR = 8  # 1/8 of the connections is for calls to workers
+CALLS_DIVISOR = 8  # 1/8 of the connections is for requests to workers
 MIN_COMMANDS_PER_S = 0.1
 
 
--- a/oatport/control/limits/rate_limiter.py
+++ b/oatport/control/limits/rate_limiter.py
@@ -12,13 +12,13 @@
 from oatport.times import SECOND
 
 TARGET_UTILIZATION = 0.9  # of the limit; the rest is for the leader's records
-BURST_FRACTION = 0.3  # of the limit; three idle nodes that burst at once stay within the burst of the limit
+BURST_FRACTION = 0.3  # of the limit; bursts of three idle nodes at once stay within the burst that the service allows
 UNTHROTTLED_BURST_FRACTION = 0.6  # of the limit, after UNTHROTTLED_AFTER without throttling
 UNTHROTTLED_AFTER = 10 * SECOND
 NEARLY_FULL_FRACTION = 0.1  # of a burst; a bucket that lacks no more than this is nearly full
 RESERVED_FROM_BEST_EFFORT_FRACTION = 0.6  # of a burst; not available to the lowest priority
 RATE_INCREASE_FRACTION = 0.3  # of the limit per second, while demand exceeds the rate
-THROTTLED_DURATION = SECOND  # after a refused request
+THROTTLED_DURATION = SECOND  # how long a node counts as throttled after a refused request
 MAX_RETRY_AFTER_S = 9  # the longest retry time
 
 
--- a/oatport/control/placement/placer.py
+++ b/oatport/control/placement/placer.py
@@ -85,7 +85,7 @@
     """Holds the outcome of placing a job's tasks one by one."""
 
     bound_count: int
-    fallback: Machine | None = None  # the machine for a replica that first waits for one that has its image
+    fallback: Machine | None = None  # the machine to use if no machine with the replica's image becomes free in time
 
 
 class Placer:
@@ -120,17 +120,17 @@
         if not cluster.pending:
             return 0
         self._schedule_wakeups_for_cordons(now)
-        current = self._begin_pass(now, usable)
+        planning_pass = self._begin_pass(now, usable)
         bound_count = 0
         for equivalence_class, job in cluster.pending.walk():
-            startable = self._startable_tasks(job, equivalence_class, current)
+            startable = self._startable_tasks(job, equivalence_class, planning_pass)
             if startable <= 0:
                 continue
             if job.kind is JobKind.GANG:
-                bound_count += self._place_gang(job, current)
+                bound_count += self._place_gang(job, planning_pass)
             else:
-                bound_count += self._place_tasks(job, startable, equivalence_class, current)
-            current.drop_full_machines(len(self.candidates.bound_machines))
+                bound_count += self._place_tasks(job, startable, equivalence_class, planning_pass)
+            planning_pass.drop_full_machines(len(self.candidates.bound_machines))
         return bound_count
 
     def _schedule_wakeups_for_cordons(self, now: int) -> None:
@@ -139,28 +139,28 @@
                 self._wakeup.schedule_by(machine.cordoned_until)
 
     def _begin_pass(self, now: int, usable: list[Machine]) -> PlacementPass:
-        current = PlacementPass.begin(now, usable, self._cluster.pending.smallest_cpus() - 1e-9)
+        planning_pass = PlacementPass.begin(now, usable, self._cluster.pending.smallest_cpus() - 1e-9)
         self._scorer.start_pass(usable)
-        self.candidates.start_pass(current.with_capacity)
+        self.candidates.start_pass(planning_pass.with_capacity)
         self._gang_placer.start_pass()
-        return current
+        return planning_pass
 
-    def _startable_tasks(self, job: Job, equivalence_class: EquivalenceClass, current: PlacementPass) -> int:
+    def _startable_tasks(self, job: Job, equivalence_class: EquivalenceClass, planning_pass: PlacementPass) -> int:
         """Returns how many tasks of a job may start now if capacity is found."""
-        if job.retry_at > current.now:
+        if job.retry_at > planning_pass.now:
             self._wakeup.schedule_by(job.retry_at)
             return 0
         if job.orphaned_attempt_count:
             return 0
-        startable = self._tasks_within_quota(job, equivalence_class, current.now)
+        startable = self._tasks_within_quota(job, equivalence_class, planning_pass.now)
         if job.priority_rank == IDLE_RANK and len(self._cluster.writes.urgent_keys) > UNWRITTEN_BINDINGS_MAX:
             # Capacity that is bound but not yet recorded cannot be given to any other work.
-            self._wakeup.schedule_by(current.now + UNWRITTEN_BINDINGS_PAUSE)
+            self._wakeup.schedule_by(planning_pass.now + UNWRITTEN_BINDINGS_PAUSE)
             equivalence_class.exhausted = equivalence_class.interchangeable
             return 0
         if job.suspected_faulty and job.kind is not JobKind.GANG:
             startable = min(startable, 1 - job.placed_task_count)  # one task shows whether the job fails again
-        if startable > 0 and job.spec.spread and self._is_every_zone_full(job, current.zones):
+        if startable > 0 and job.spec.spread and self._is_every_zone_full(job, planning_pass.zones):
             return 0  # while a zone is partitioned, the tasks that belong there are not placed in other zones
         return startable
 
@@ -184,45 +184,45 @@
             equivalence_class.exhausted = equivalence_class.interchangeable and not can_preempt
         return allowed
 
-    def _place_gang(self, job: Job, current: PlacementPass) -> int:
+    def _place_gang(self, job: Job, planning_pass: PlacementPass) -> int:
         """Binds a whole gang, or preempts and reserves machines for it; returns the number of tasks that were bound."""
-        machines = self._gang_placer.place(job, current.with_capacity, current.now)
+        machines = self._gang_placer.place(job, planning_pass.with_capacity, planning_pass.now)
         if machines:
             self.candidates.bound_machines += machines
             # Machines with GPUs may have capacity left beside the gang for jobs that found none earlier in the pass.
             self._cluster.planning_needed = True
         elif not job.placed_task_count and not job.suspected_faulty:
-            self.preemption.preempt(job, current.usable, current.now)
-            reserved = self._gang_placer.machines_to_reserve(job, current.with_capacity, current.now)
+            self.preemption.preempt(job, planning_pass.usable, planning_pass.now)
+            reserved = self._gang_placer.machines_to_reserve(job, planning_pass.with_capacity, planning_pass.now)
             if reserved:
-                self._reserve(reserved, current)
+                self._reserve(reserved, planning_pass)
         return len(machines)
 
-    def _reserve(self, reserved: set[Machine], current: PlacementPass) -> None:
+    def _reserve(self, reserved: set[Machine], planning_pass: PlacementPass) -> None:
         """Reserves machines for a job: the other jobs of the pass are placed on the rest."""
         self.candidates.exclude(reserved)
-        current.exclude(reserved)
+        planning_pass.exclude(reserved)
 
     def _place_tasks(
-        self, job: Job, startable: int, equivalence_class: EquivalenceClass, current: PlacementPass
+        self, job: Job, startable: int, equivalence_class: EquivalenceClass, planning_pass: PlacementPass
     ) -> int:
         """Binds tasks that start independently of each other; returns how many were bound."""
         spec = job.spec
         key = self._capacity_key(job)
         can_use_any_zone = not (spec.spread or spec.single_zone)
-        if can_use_any_zone and current.infeasible.covers(key, spec):
+        if can_use_any_zone and planning_pass.infeasible.covers(key, spec):
             equivalence_class.exhausted = equivalence_class.interchangeable
             return 0
-        placement = self._bind_tasks(job, startable, current)
+        placement = self._bind_tasks(job, startable, planning_pass)
         if placement.fallback is not None:
             # No other job takes the fallback's capacity, which may have been freed for this replica.
-            self._reserve({placement.fallback}, current)
-            self._wakeup.schedule_by(current.now + WARM_START_WAIT // 4)
+            self._reserve({placement.fallback}, planning_pass)
+            self._wakeup.schedule_by(planning_pass.now + WARM_START_WAIT // 4)
         elif placement.bound_count < startable:
             if can_use_any_zone:
-                current.infeasible.add(key, spec)
+                planning_pass.infeasible.add(key, spec)
             equivalence_class.exhausted = equivalence_class.interchangeable
-            self.preemption.preempt(job, current.usable, current.now)
+            self.preemption.preempt(job, planning_pass.usable, planning_pass.now)
         return placement.bound_count
 
     def _capacity_key(self, job: Job) -> tuple[object, ...]:
@@ -237,15 +237,17 @@
             self.candidates.has_gpu_machines and job.runtime_bucket,
         )
 
-    def _bind_tasks(self, job: Job, startable: int, current: PlacementPass) -> TaskPlacement:
+    def _bind_tasks(self, job: Job, startable: int, planning_pass: PlacementPass) -> TaskPlacement:
         bound_count = 0
         while bound_count < startable:
-            machine = self.candidates.best(job, current.with_capacity)
+            machine = self.candidates.best(job, planning_pass.with_capacity)
             if machine is None:
                 break
-            if job.kind is JobKind.SERVICE and self._warm_starts.should_wait(job, machine, current.usable, current.now):
+            if job.kind is JobKind.SERVICE and self._warm_starts.should_wait(
+                job, machine, planning_pass.usable, planning_pass.now
+            ):
                 return TaskPlacement(bound_count, machine)
-            self._cluster.tasks.begin_binding(job, machine, current.now)
+            self._cluster.tasks.begin_binding(job, machine, planning_pass.now)
             self.candidates.bound_machines.append(machine)
             bound_count += 1
         return TaskPlacement(bound_count)
--- a/oatport/control/placement/retry_policy.py
+++ b/oatport/control/placement/retry_policy.py
@@ -1,11 +1,11 @@
-"""Decides which lost tasks may be retried: the retry policy of each class of jobs, and the proof that none began.
+"""Decides which lost tasks may be retried: the policies of the job classes, and the proof that an attempt never began.
 
 By default a lost task is retried (`any`). The policy of a class may forbid a retry: `before_start` once the attempt may
 have begun, `never` once its start command was sent. Such a job then ends as lost. An attempt provably never began if:
 
 - its start was never sent: the binding was not committed, or this leader sent no start for it;
 - the worker refused it (`full`, `in_use`, `unknown`), or its gang never became complete (`incomplete`);
-- the worker does not list it under the leader's own fencing token and in the agent epoch in which it was bound. An
+- the worker does not list it under the leader's own fencing token and in the worker epoch in which it was bound. An
   executed start stays listed until a `forget`, which is sent only after its completion was recorded, and starts under
   an earlier token are refused from then on.
 
--- a/oatport/control/placement/scoring.py
+++ b/oatport/control/placement/scoring.py
@@ -30,7 +30,7 @@
     def _is_contended(self, usable: list[Machine]) -> bool:
         """Returns whether owned machines are nearly full, or work other than services is pending that could use them.
 
-        Headroom for replacements is reserved only then. Otherwise it would be paid for without being needed.
+        Headroom for replacements is reserved only then; at other times it would cost money without being needed.
         """
         if any(job.kind is not JobKind.SERVICE for job in self._cluster.pending):
             return True
--- a/oatport/control/placement/wakeup.py
+++ b/oatport/control/placement/wakeup.py
@@ -16,5 +16,5 @@
         self.at = at
 
     def schedule_by(self, at: int) -> None:
-        """Schedules the next pass at `at` or earlier, for a change that comes with time and without an event."""
+        """Schedules the next pass at `at` or earlier, for a change that depends on time alone and causes no event."""
         self.at = min(self.at, at)
--- a/oatport/control/queueing/deadlines.py
+++ b/oatport/control/queueing/deadlines.py
@@ -38,7 +38,7 @@
 ) -> None:
     """Sets the first deadline that the job could meet if it ran now.
 
-    Deadlines that are already lost are skipped, since they do not justify a more expensive machine. A job without a
+    Deadlines that can no longer be met are skipped, since they do not justify a more expensive machine. A job without a
     deadline whose class has a start objective is expected to end one predicted run time after that objective.
     """
     start = cluster.objectives.start_within.get(job.spec.job_class)
@@ -58,16 +58,16 @@
     """Decides which pending jobs meet which of their deadlines, so that as many as possible do (Moore-Hodgson rule).
 
     Jobs are scheduled by deadline. When one would end too late, the largest job scheduled so far is dropped, since a
-    job that ends late anyway would make others late too if it ran ahead of them. A dropped job is then scheduled for
-    its next deadline, if it has several. (J. M. Moore, "An n job, one machine sequencing algorithm for minimizing the
-    number of late jobs", Management Science 15, 1968.)
+    job that ends late anyway would delay others beyond their deadlines if it ran before them. A dropped job is
+    then scheduled for its next deadline, if it has several. (J. M. Moore, "An n job, one machine sequencing algorithm
+    for minimizing the number of late jobs", Management Science 15, 1968.)
     """
     groups: dict[tuple[int, tuple[str, ...]], list[DeadlineCandidate]] = {}
     starving_after = cluster.tuning.duration_us("begin_within_s") // 2
     for job in cluster.pending:
         deadlines = deadlines_of(cluster, job)
-        # The rule would delay the largest jobs for as long as a burst lasts. At half of `begin_within_s` they count as
-        # starving and go first.
+        # The rule alone would delay the largest jobs for as long as a burst lasts. After half of `begin_within_s` they
+        # count as starving and are placed first.
         may_starve = not (job.started or job.placed_task_count or job.suspected_faulty)
         job.starving = may_starve and wall - job.eligible_at > starving_after
         job.predicted_runtime = cluster.predictor.run_time(job.job_id, job.spec)
--- a/oatport/control/queueing/dependency_graph.py
+++ b/oatport/control/queueing/dependency_graph.py
@@ -1,6 +1,6 @@
 """Tracks dependencies between jobs: which jobs are blocked, released or cancelled transitively, and their urgency.
 
-The graph is pure and holds only job ids; the state of a job is always passed in. A dependency is met when its
+The graph holds only job ids and does no I/O; the state of a job is always passed in. A dependency is met when its
 completion is *recorded*, because a job whose tasks have all ended may still be cancelled before that. The whole graph
 follows from records (`waits/REF`, `live/REF`, and the states under `jobs/`), so every leader derives the same one.
 """
@@ -77,7 +77,7 @@
         return DependencyState.OPEN
 
     def mark_resolved(self, job_id: str) -> None:
-        """Notes that the job is known to be unfinished, so that its record need not be read."""
+        """Records that the job is known to be unfinished, so that its record need not be read."""
         self.unresolved.pop(job_id, None)
 
     def dependencies_of(self, job_id: str) -> list[str]:
--- a/oatport/control/queueing/dependency_tracker.py
+++ b/oatport/control/queueing/dependency_tracker.py
@@ -111,9 +111,9 @@
     def cancel_blocked(self, job_id: str, mark_version: int) -> None:
         """Cancels a blocked job at the request of its own user.
 
-        If the cancellation is recorded already, the job's remaining records are deleted. With `mark_version` 0 another
-        node only reported the cancellation, which may also follow from a dependency. It is then recorded like that of
-        a job whose dependency was cancelled, on the condition that it is not recorded yet.
+        If the cancellation is recorded already, the job's remaining records are deleted. With `mark_version` 0, another
+        node reported the cancellation, which may also follow from a dependency: it is then recorded in the same way as
+        that of a job whose dependency was cancelled, on the condition that it is not recorded yet.
         """
         job = self.blocked_jobs.pop(job_id, None) or self.cluster.writes.jobs_to_cancel.pop(job_id, None)
         if job is None:
@@ -128,7 +128,7 @@
         self.cluster.writes.jobs_to_delete[job] = None
 
     def remember_cancelled(self, job_id: str, confirmed_after: int) -> None:
-        """Remembers a cancellation that was confirmed to the user, of a job that this leader does not know.
+        """Stores a cancellation that was confirmed to the user, of a job that this leader does not know.
 
         Either the job was accepted while the records could not be read, or it has ended. If it becomes known later,
         none of its tasks starts. The number of entries is bounded; the binding of a job whose entry was dropped fails
--- a/oatport/control/queueing/guarantees.py
+++ b/oatport/control/queueing/guarantees.py
@@ -10,9 +10,9 @@
 def mark_within_guarantee(cluster: ClusterState) -> None:
     """Marks the jobs that fit into their team's guarantee together with all earlier jobs of the team.
 
-    Each job is judged by itself. If any use below the guarantee counted, a team with a job larger than the guarantee
-    would stop other teams' work for a job that need not be served at once (PROTOCOL, "How aims are counted"), and
-    twelve teams would do so in turn.
+    A job is marked only if it fits as a whole. If any use below the guarantee counted, a team with a job larger than
+    the guarantee would stop other teams' work for a job that need not be served at once (PROTOCOL, "How aims are
+    counted"), and twelve teams would do so in turn.
     """
     requested: dict[str, tuple[float, float]] = {}  # team -> CPUs and GPUs of its earlier jobs
     teams = {name: usage for name, usage in cluster.quotas.items() if usage.limits.cpus > 0}
--- a/oatport/control/queueing/runtime_predictor.py
+++ b/oatport/control/queueing/runtime_predictor.py
@@ -19,8 +19,8 @@
 RECLAMATIONS_MIN = 4  # fewer reclamations yield no estimate of the half-life of spot machines
 RECENT_RUNTIMES = 1000  # from which the spot threshold is computed
 RECENT_RUNTIMES_MIN = 10
-SAMPLE_WINDOW = 200  # older tasks lose weight, so that the prediction follows a day of too high estimates
-DECAY_FACTOR = 0.9
+SAMPLE_WINDOW = 200  # tasks; older ones lose weight, so that the prediction adapts to a day of too high estimates
+DECAY_FACTOR = 0.9  # of the older tasks' weight
 RATIO_MAX = 20.0  # cap on the ratio of run time to estimate
 ESTIMATE_WEIGHT = 2  # weight of the prediction for the class, in completed tasks of the same job
 BEST_EFFORT = "idle"  # the priority's name on the wire
@@ -29,7 +29,7 @@
 RECORDED_CLASSES = 40
 RECORDED_RUNTIMES = 60
 RECORDED_LIFETIMES = 60
-RUNTIME_UNIT = SECOND // 10
+RUNTIME_UNIT = SECOND // 10  # of the recorded run times
 RECORD_MARGIN_BYTES = 64  # bytes for the envelope of the value
 
 
@@ -187,7 +187,7 @@
                 (int(lifetime_s) * SECOND, bool(reclaimed)) for lifetime_s, reclaimed in value["lives"]
             )
         except (KeyError, TypeError, ValueError):
-            # The record is of another version: the predictor starts from scratch rather than let a failover fail.
+            # The record is of another version: the ratios are learnt again, since a failover must not fail due to it.
             self._ratios = {}
 
 
--- a/oatport/control/queueing/tier_router.py
+++ b/oatport/control/queueing/tier_router.py
@@ -19,7 +19,7 @@
     """
 
     owned_wait: int | None  # predicted wait for owned machines; None if there is none that the job can use
-    spot_rentable: bool = True  # whether the cloud still rents such machines
+    spot_rentable: bool = True  # False while the cloud refuses such machines
     on_demand_rentable: bool = True
     spot_wait: int = 0  # predicted wait for any machine that the job may use, in case no spot machine is rentable
 
@@ -48,7 +48,7 @@
         self.threshold = min(percentile, self.predictor.spot_half_life(spot_ages) or percentile)
 
     def route(self, job: Job, wall: int, availability: TierAvailability) -> str:
-        """Returns the tier of a job for which no owned machine is free; `wall` is the time of day.
+        """Returns the tier of a job's pending tasks while no owned machine is free for them; `wall`: the time of day.
 
         If the cloud has refused on-demand machines, a job that may use spot is routed to spot instead of waiting, and
         the other way round.
@@ -84,7 +84,7 @@
         return round(predicted * self.tail_factor) if job.pending > 1 else predicted
 
     def _preferred_tier(self, job: Job, wall: int, owned_wait: int | None) -> str:
-        """Returns the tier for the case that the cloud rents both spot and on-demand machines (DESIGN)."""
+        """Returns the tier to use if both spot and on-demand machines can be rented (DESIGN)."""
         predicted = self.predictor.run_time(job.job_id, job.spec)
         deadline = job.attainable_deadline or job.deadline
         if predicted < self.threshold:
--- a/oatport/control/scaling/offering_selector.py
+++ b/oatport/control/scaling/offering_selector.py
@@ -14,7 +14,7 @@
 from oatport.control.state.job import Job, JobKind
 from oatport.times import SECOND, micros
 
-COST_RATIO_MAX = 2.5  # a type that costs more times as much as the cheapest one is not rented in its place
+COST_RATIO_MAX = 2.5  # relative to the cheapest type; a type that costs more is not rented in its place
 PARTITION_PROBE_DELAY = 20 * SECOND
 RUNTIME_MIN = 10 * SECOND
 UNUSED_SLOT_WEIGHT = 0.7  # of a slot that later work is expected to fill, relative to a used one
--- a/oatport/control/scaling/scale_in.py
+++ b/oatport/control/scaling/scale_in.py
@@ -150,11 +150,11 @@
         budget = ReleaseBudget(free_owned_cpus(cluster), warm_cpus(cluster))
         is_node_isolated = is_isolated(sum(m.command_unreachable for m in machines), list(machines))
         for machine in machines:
-            if not machine.releasing:  # otherwise an earlier release request got no answer, and is repeated
+            if not machine.releasing:  # otherwise an earlier release request got no response, and is repeated
                 if machine.tasks or machine.orphaned_attempts:
                     continue
                 if machine.command_unreachable and is_node_isolated:
-                    continue  # the fault is probably this node's: it could not reach new machines either
+                    continue  # the fault is probably this node's, which could not reach new machines either
                 if not self._should_release(machine, budget, now):
                     continue
             # This check comes last because it has the completions that it finds written at once. If it ran for all
--- a/oatport/control/scaling/scale_out.py
+++ b/oatport/control/scaling/scale_out.py
@@ -26,13 +26,13 @@
 
 @dataclass(slots=True)
 class ReleasedCpus:
-    """Holds the CPUs that pending array tasks will find without a rental, minus those already counted on."""
+    """Holds the CPUs that pending array tasks will find without a rental, minus those already assigned to tasks."""
 
     by_completions: float = 0.0  # of running tasks that end before a rented machine could be up
     by_best_effort: float = 0.0  # of best-effort tasks, which all others may preempt
 
     def absorb(self, demand: Demand) -> None:
-        """Assigns tasks to the CPUs that completions will free, then to those that best-effort tasks give up."""
+        """Assigns tasks to the CPUs that completions will free, then to those of preemptible best-effort tasks."""
         job, cpus = demand.job, demand.job.spec.cpus
         absorbed = min(demand.remaining, int(self.by_completions // cpus))
         self.by_completions -= absorbed * cpus
@@ -45,7 +45,7 @@
 
 @dataclass(slots=True)
 class ScaleOutPass:
-    """Holds the capacity that one planning pass counts on, and the rentals that it has planned so far."""
+    """Holds the capacity that one planning pass expects, and the rentals that it has planned so far."""
 
     now: int
     incoming: IncomingCapacity
@@ -99,19 +99,19 @@
     def plan(self, now: int) -> list[ScaleOutRequest]:
         """Returns the rentals for the pending tasks of each tier beyond the incoming capacity."""
         self._planned_at, self._planned_inputs_version = now, self._inputs_version(now)
-        current = ScaleOutPass(now, self._incoming(now), self._released_cpus(now))
+        planning_pass = ScaleOutPass(now, self._incoming(now), self._released_cpus(now))
         self._selector.start_pass()
         self._gang_scale_out.start_pass()
         by_urgency = sorted(
             self.cluster.pending, key=lambda j: (j.priority_rank, not j.starving, j.deadline or j.eligible_at)
         )
         for job in by_urgency:
-            if sum(current.planned.values()) >= MACHINES_PER_PASS:
+            if sum(planning_pass.planned.values()) >= MACHINES_PER_PASS:
                 break
             if job.tier == OWNED or job.retry_at > now or not job.tier or job.suspected_faulty:
                 continue
-            self._plan_job(job, current)
-        return self._requests(current.planned)
+            self._plan_job(job, planning_pass)
+        return self._requests(planning_pass.planned)
 
     def _requests(self, planned: dict[Offering, int]) -> list[ScaleOutRequest]:
         requests = []
@@ -155,23 +155,23 @@
                     released.by_completions += job.spec.cpus
         return released
 
-    def _plan_job(self, job: Job, current: ScaleOutPass) -> None:
+    def _plan_job(self, job: Job, planning_pass: ScaleOutPass) -> None:
         wanted = min(job.pending, self.cluster.quotas.remaining_tasks(job.spec))
         if job.kind is not JobKind.GANG:
-            self._plan_tasks(Demand.of_tasks(job, wanted), current)
+            self._plan_tasks(Demand.of_tasks(job, wanted), planning_pass)
         elif wanted == job.pending and not job.placed_task_count:
-            for slot in self._gang_scale_out.plan(job, current.incoming, current.now):
-                current.add(slot)
+            for slot in self._gang_scale_out.plan(job, planning_pass.incoming, planning_pass.now):
+                planning_pass.add(slot)
 
-    def _plan_tasks(self, demand: Demand, current: ScaleOutPass) -> None:
+    def _plan_tasks(self, demand: Demand, planning_pass: ScaleOutPass) -> None:
         """Plans rentals for tasks that start independently of each other."""
         job = demand.job
         if job.kind is JobKind.ARRAY and not job.spec.gpus:
-            current.released.absorb(demand)
+            planning_pass.released.absorb(demand)
         if demand.remaining <= 0:
             return
-        self._use_incoming(demand, current.incoming)
-        self._rent_for(demand, current)
+        self._use_incoming(demand, planning_pass.incoming)
+        self._rent_for(demand, planning_pass)
 
     def _use_incoming(self, demand: Demand, incoming: IncomingCapacity) -> None:
         spec = demand.job.spec
@@ -185,18 +185,18 @@
                 return
             demand.assign(slot.zone, slot.reserve(spec, demand.limit_in(slot.zone)))
 
-    def _rent_for(self, demand: Demand, current: ScaleOutPass) -> None:
+    def _rent_for(self, demand: Demand, planning_pass: ScaleOutPass) -> None:
         job = demand.job
         feasible_types = self.cluster.catalog.feasible_types(job)
         slots_max = max((task_slots_when_empty(machine_type, job.spec) for machine_type in feasible_types), default=0)
         equivalence = equivalence_key(job, demand.spot)
         while demand.remaining > 0:
-            slot = self._selector.choose_shared(demand, equivalence, slots_max, current.now)
+            slot = self._selector.choose_shared(demand, equivalence, slots_max, planning_pass.now)
             if slot is None:
                 return
             count = slot.reserve(job.spec, demand.limit_in(slot.zone))
             if count <= 0:
                 return
             demand.assign(slot.zone, count)
-            current.incoming.add(slot)
-            current.add(slot)
+            planning_pass.incoming.add(slot)
+            planning_pass.add(slot)
--- a/oatport/control/state/cancellations.py
+++ b/oatport/control/state/cancellations.py
@@ -1,4 +1,4 @@
-"""Cancellations that were confirmed to users, and the bound that they put on the renewal of agents' leases.
+"""Cancellations that were confirmed to users, and the bound that they put on the renewal of workers' leases.
 
 A leader whose requests the state service refuses can't read the cancellations that other nodes confirm. Each node
 therefore logs the cancellations that it confirmed to its own users, however it learnt of them, and adds the entry
@@ -17,20 +17,20 @@
 from oatport.times import MS, SECOND, micros, shortened_by_drift
 
 RENEWAL_MARGIN = 2 * SECOND  # for clock drift and timer delays in `renewals_allowed_until`
-# In one response: 64 KiB of job ids, more than any state service here records in `cancel_s`.
+# Limit of one response: 64 KiB of job ids. No supported state service records as many cancellations within `cancel_s`.
 MAX_LOG_ENTRIES = 4_000
 REQUEST_DELAY_ALLOWANCE = 2 * SECOND  # added to the requested age: upper bound on the transit time of the request
-MAX_RESPONSE_TIME = 1_500 * MS  # after a slower reply, the transit of the request may have exceeded that bound
+MAX_RESPONSE_TIME = 1_500 * MS  # after a slower response, the transit of the request may have exceeded that bound
 
 
 def renewals_allowed_until(workers: Workers, known_at: int) -> int:
     """Returns until when (steady, us) a leader that knows all cancellations up to `known_at` may answer heartbeats.
 
-    Another node may confirm a cancellation at any time, and the job's tasks must be gone `cancel_s` later. An agent
-    that receives nothing more kills its tasks `lease_s` after it *sent* its report, which precedes the response,
+    Another node may confirm a cancellation at any time, and the job's tasks must be gone `cancel_s` later. A worker
+    that receives nothing more kills its tasks `lease_s` after it *sent* its heartbeat, which precedes the response,
     however late the response goes out. With K = `known_at`, a response at t < K + cancel_s - lease_s - margin renews a
     lease that ends before K + cancel_s - margin, and an unknown cancellation was confirmed after K. A start command
-    delayed by a partition finds its agent epoch still valid for no longer than that. The response itself stops the
+    delayed by a partition finds its worker epoch still valid for no longer than that. The response itself stops the
     tasks of known cancellations. The margin covers clock drift (0.05% of both spans, 20 ms) and timer delays.
     """
     return known_at + shortened_by_drift(micros(workers.cancel_s - workers.lease_s)) - RENEWAL_MARGIN
@@ -38,22 +38,25 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfirmedCancellations:
-    """One node's response: jobs whose cancellation it confirmed, and the age (us) up to which the list is complete."""
+    """Holds one node's response: jobs whose cancellation it confirmed, and the age (us) back to which these are all."""
 
     job_ids: list[str]
     complete_within_us: int
 
-    def is_complete_since(self, since: int, asked: int, answered: int) -> bool:
+    def is_complete_since(self, since: int, requested_at: int, responded_at: int) -> bool:
         """Returns whether the list has all confirmations after `since`; times are on the requester's steady clock (us).
 
-        The node's clock may run fast, and the node responded no later than `answered`, when its response arrived.
+        The node's clock may run fast, and the node responded no later than `responded_at`, when its response arrived.
         """
-        return answered - asked <= MAX_RESPONSE_TIME and answered - shortened_by_drift(self.complete_within_us) <= since
+        return (
+            responded_at - requested_at <= MAX_RESPONSE_TIME
+            and responded_at - shortened_by_drift(self.complete_within_us) <= since
+        )
 
 
 @dataclass(slots=True)
 class CancellationLog:
-    """The cancellations that this node confirmed: each job once, with the time of its first confirmation (steady, us).
+    """Holds the cancellations that this node confirmed: each job once, with its first confirmation time (steady, us).
 
     The first time suffices: a leader knows all cancellations up to its watermark, and a later leader reads the records,
     which contain a cancellation before it is confirmed to any user. Confirmations by an earlier process, before
--- a/oatport/control/state/cluster_state.py
+++ b/oatport/control/state/cluster_state.py
@@ -1,4 +1,6 @@
-"""The leader's in-memory view of jobs and machines: events and the time go in, records and commands to send come out.
+"""The leader's in-memory view of jobs and machines.
+
+Its inputs are events and the time, its outputs are records to write and commands to send.
 
 Records are written ahead of commands: a task is bound only once the commit of its binding is known to be applied, and
 only then is its start command sent. A task stays on its machine until it is proven gone.
@@ -39,7 +41,7 @@
 
 
 class ClusterState:
-    """The leader's view of jobs and machines, and the components that decide about them.
+    """Holds the leader's view of jobs and machines, and the components that decide about them.
 
     Each component has one responsibility and reaches the others through this object: `writes` (records to write),
     `dependencies` (blocked jobs), `job_lifecycle`, `tasks`, `orphans` (attempts without a record), `completions`
@@ -162,16 +164,17 @@
     def add_machine(
         self, name: str, type_name: str, zone: str, spot: bool, address: str, now: int, wall: int, age: int = 0
     ) -> Machine | None:
-        """Returns a machine that was rented, listed, recorded or reporting, and adds it if it is new.
+        """Returns the machine of this name, and adds it if it is new: rented, listed, recorded or sending heartbeats.
 
-        Returns None if the machine can't belong to this cluster: its type is unknown or it was released.
+        `age`: time since it was rented. Returns None if the machine can't belong to this cluster: its type is unknown
+        or it was released.
         """
         machine = self.machines.get(name)
         if machine is None:
-            kind = self.catalog.types.get(type_name)
-            if kind is None or name in self.released_machines:
+            machine_type = self.catalog.types.get(type_name)
+            if machine_type is None or name in self.released_machines:
                 return None
-            machine = Machine(name, kind, zone, spot, address, rented_at=now - age)
+            machine = Machine(name, machine_type, zone, spot, address, rented_at=now - age)
             machine.rented_at_wall = wall - age
             machine.idle_since = machine.first_known_at = now
             self.machines[name] = machine
--- a/oatport/control/state/completions.py
+++ b/oatport/control/state/completions.py
@@ -12,7 +12,7 @@
 Completion = tuple[str, int, int]  # job id, task index and the completed attempt
 
 MAX_COMPLETIONS = 2_000  # per message, and stored per leader
-MAX_LEADERS = 4  # the newest leaders, whose completions are stored
+MAX_LEADERS = 4  # leaders whose completions are stored, the newest ones
 
 
 def decode_completions(rows: Any) -> list[Completion]:
@@ -28,7 +28,7 @@
 
 
 class CompletionLog:
-    """The completions known to this node that leaders may not have recorded."""
+    """Holds the completions known to this node that leaders may not have recorded."""
 
     def __init__(self) -> None:
         # Fencing token -> the last completions that this leader received; some of them are recorded by now.
--- a/oatport/control/state/heartbeats.py
+++ b/oatport/control/state/heartbeats.py
@@ -1,4 +1,4 @@
-"""Processing of agents' heartbeats, which update the leader's view of machines and tasks."""
+"""Processing of workers' heartbeats, which update the leader's view of machines and tasks."""
 
 from __future__ import annotations
 
@@ -19,20 +19,20 @@
 
 log = logging.getLogger(__name__)
 
-UNREPORTED_START_TIMEOUT = 6 * SECOND  # time after a binding by which heartbeats must list the started task
+UNREPORTED_START_TIMEOUT = 6 * SECOND  # after a binding; if heartbeats still don't list the task, commands don't arrive
 INSUFFICIENT_CAPACITY_PAUSE = 3 * SECOND  # no placement on a machine for this long after it refused a start
-OTHER_ATTEMPT_PAUSE = SECOND
-UNKNOWN_TASK_BACKOFF = 2 * SECOND
+OTHER_ATTEMPT_PAUSE = SECOND  # the same, after a refusal because another attempt of the task is on the machine
+UNKNOWN_TASK_BACKOFF = 2 * SECOND  # of a job, after a machine refused to start one of its tasks as unknown
 
 
 class HeartbeatReceiver:
-    """Applies heartbeats and agents' responses to commands, which have the same form, to the cluster state."""
+    """Applies heartbeats and workers' responses to commands, which have the same form, to the cluster state."""
 
     def __init__(self, cluster: ClusterState) -> None:
         self.cluster = cluster
 
     def receive(self, report: wire.Heartbeat, now: int, wall: int) -> Machine | None:
-        """Applies an agent's report; returns its machine, or None if it is unknown or released. `wall`: time of day."""
+        """Applies a heartbeat; returns its machine, or None if it is unknown or released. `wall`: time of day."""
         cluster = self.cluster
         machine = cluster.add_machine(
             report.machine_name, report.machine_type, report.zone, report.spot, report.address, now, wall
@@ -57,12 +57,12 @@
         if is_new_epoch:
             self._on_new_epoch(machine, now)
         elif machine.command_unreachable and now - machine.agent_epoch_seen_at > cluster.lease_us:
-            machine.command_unreachable = False  # otherwise the agent's lease and epoch would have ended
+            machine.command_unreachable = False  # otherwise the worker's lease and epoch would have ended
         machine.agent_epoch, machine.heartbeat_seq = report.agent_epoch, report.heartbeat_seq
         machine.fencing_token = report.fencing_token
         self._apply_reclamation_notice(machine, report.reclamation_notice_s, now)
         if machine.settled_heartbeat is not None and not is_new_epoch and machine.settled_heartbeat == report.tasks:
-            return machine  # its tasks are unchanged since the last report, and as intended
+            return machine  # its tasks are unchanged since the last heartbeat, and as intended
         self._apply_tasks(machine, report, now)
         return machine
 
@@ -78,13 +78,13 @@
 
     @staticmethod
     def _on_new_epoch(machine: Machine, now: int) -> None:
-        """Handles a new agent epoch: all tasks of the machine ended, and starts of earlier epochs are refused."""
+        """Handles a new worker epoch: all tasks of the machine ended, and starts of earlier epochs are refused."""
         if machine.agent_epoch:
-            # The agent received no response for a whole lease, though its heartbeats may have arrived all the time.
+            # The worker received no response for a whole lease, though its heartbeats may have arrived all the time.
             # The machine is now empty and would otherwise look like the best place for the next tasks.
             machine.command_unreachable = True
         machine.agent_epoch_seen_at = now
-        # From now on the agent refuses starts sent under an earlier epoch, and starts under an earlier fencing token
+        # From now on the worker refuses starts sent under an earlier epoch, and starts under an earlier fencing token
         # once it has seen this leader's token.
         machine.unacknowledged_starts.clear()
         machine.starts_in_response.clear()
@@ -134,7 +134,7 @@
 
     @staticmethod
     def _is_settled(machine: Machine, listed_count: int) -> bool:
-        """Returns whether the same report again would change nothing: the machine runs exactly the intended tasks.
+        """Returns whether the same heartbeat again would change nothing: the machine runs exactly the intended tasks.
 
         `TaskLifecycle` and `MachineCommands` clear `settled_heartbeat` with every change to the machine.
         """
@@ -208,7 +208,7 @@
         self.cluster.tasks.requeue(task, lost=is_loss and not was_stopped, unexecuted=reason in REFUSAL_REASONS)
 
     def _on_unlisted_task(self, task: Task, machine: Machine, report: wire.Heartbeat, now: int) -> None:
-        """Requeues a bound task that the newest report does not list, unless a start command may still create it."""
+        """Requeues a bound task that the newest heartbeat does not list, unless a start command may still create it."""
         if report.fencing_token != self.cluster.fencing_token:
             return  # a start of an earlier leader may still arrive
         if task.binding_at and not task.start_epoch:
@@ -224,7 +224,7 @@
                     machine.command_unreachable = True
                 return
         log.info("task gone from machine task=%s attempt=%d machine=%s", task.name, task.attempt, machine.name)
-        # Same epoch as at the binding, and never reported to this leader: no start of the attempt was executed.
+        # The epoch is that of the binding, and no heartbeat to this leader listed the attempt: no start was executed.
         unexecuted = (
             task.start_acknowledged is None and report.agent_epoch == task.binding_epoch and not is_start_in_flight
         )
@@ -241,7 +241,7 @@
         )
 
     def _on_unbound_attempts(self, machine: Machine, rows: list[wire.TaskReport]) -> None:
-        """Updates the terminated attempts, and the orphaned ones: in the report, but not bound to this machine."""
+        """Updates the terminated attempts, and the orphaned ones: in the heartbeat, but not bound to this machine."""
         terminated: set[tuple[str, int]] = set()
         orphaned: dict[tuple[str, int], None] = {}
         bound = {(task.name, task.attempt) for task in machine.tasks if task.phase is not TaskPhase.PENDING}
--- a/oatport/control/state/job.py
+++ b/oatport/control/state/job.py
@@ -17,7 +17,7 @@
 
 
 class JobKind(StrEnum):
-    """The relation between the tasks of a job; the values are those of the protocol."""
+    """Defines the relation between the tasks of a job; the values are those of the protocol."""
 
     ARRAY = "array"
     GANG = "gang"
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True)
 class DeferredStart:
-    """The deferral of some of a job's tasks; recorded with the job, so that the next leader continues it."""
+    """Holds the deferral of some of a job's tasks; recorded with the job, so that the next leader continues it."""
 
     plan: list[tuple[int, int]]  # (time of day, number of further tasks that may start from then)
     reason: str
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CompactSpec:
-    """The part of a job's description in its own record, if lists of the description are in overflow records."""
+    """Holds the part of a job's description in its own record, if lists of the description are in overflow records."""
 
     description: dict[str, Any]
     overflow: list[Any]  # number of overflow records, and the names of the lists in them
@@ -45,7 +45,7 @@
 
 @dataclass(slots=True, eq=False)
 class Job:
-    """An unfinished job. Times are in microseconds of the steady clock, except those marked as times of day."""
+    """Holds an unfinished job. Times are in microseconds of the steady clock, except those marked as times of day."""
 
     job_id: str
     spec: wire.Submission
@@ -78,10 +78,10 @@
     orphaned_attempt_count: int = 0  # while above 0, none of its tasks is placed
     deadline_at: int = 0  # time of day of the next deadline that can still be met
     deadline_missed: bool = False  # no deadline can be met any more
-    attainable_deadline: int = 0  # time of day of the first deadline met if the job runs now; 0: not computed
+    attainable_deadline: int = 0  # time of day of the first deadline that the job meets if it runs now; 0: not computed
     within_guarantee: bool = False  # fits its team's guarantee along with the team's earlier jobs
     unplaced_since: int = 0  # start of the current wait for a machine
-    preempt_after: int = 0  # no further round of preemption before this time
+    preempt_after: int = 0  # no search for victims before this time
     predicted_runtime: int = 0  # as of the last routing
     runtime_bucket: int = 0  # `predicted_runtime` in coarse steps
     queue_entry: object = None  # its entry in the pending queue (`control/queueing/pending_queue.py`)
@@ -111,19 +111,19 @@
 
     @property
     def pending(self) -> int:
-        """The number of tasks that wait for a machine now, without the deferred ones."""
+        """Returns the number of tasks that wait for a machine now, without the deferred ones."""
         if self.start_limit < 0:
             return self.spec.task_count - self.next_unbound_index + len(self.retry_queue)
         return max(self.start_limit - self.next_unbound_index, 0) + len(self.retry_queue)
 
     @property
     def deferred(self) -> int:
-        """The number of tasks that may not start yet."""
+        """Returns the number of tasks that may not start yet."""
         return 0 if self.start_limit < 0 else self.spec.task_count - max(self.start_limit, self.next_unbound_index)
 
     @property
     def deadline(self) -> int | None:
-        """Time of day by which the job should complete: its own deadline, else the first inherited from dependents."""
+        """Returns the time of day by which the job should complete: its own deadline, else the first inherited one."""
         if self.spec.deadline_s is None:
             return self.inherited_deadlines[0] if self.inherited_deadlines else None
         return self.submitted_at + micros(self.spec.deadline_s)
--- a/oatport/control/state/job_lifecycle.py
+++ b/oatport/control/state/job_lifecycle.py
@@ -72,7 +72,7 @@
     def cancel(self, job_id: str, mark_version: int, confirmed_after: int = 0) -> None:
         """Cancels a job whose cancellation was confirmed to its user: none of its tasks starts any more, all must stop.
 
-        All jobs that depend on it are cancelled too. `mark_version` is the version of its cancellation mark under
+        All jobs that depend on it are cancelled too. `mark_version` is the revision of its cancellation mark under
         `live/`; 0 if the cancellation is confirmed but not yet read from the records. `confirmed_after` (steady) is a
         lower bound on the time of the confirmation, as far as known.
         """
@@ -176,11 +176,11 @@
             job.completing = True
             self.cluster.writes.jobs_to_complete[job] = None
         elif self.cluster.writes.versions.get(cancel_key(job.job_id)):
-            # The keys are deleted only once the mark's version was read, since the mark is deleted along with them.
+            # The keys are deleted only once the mark's revision was read, since the mark is deleted along with them.
             self.cluster.writes.jobs_to_delete[job] = None
 
     def lease_renewal_bound(self, job: Job) -> int:
-        """Returns until when (steady) leases may be renewed of workers that may still run tasks of a cancelled job."""
+        """Returns until when (steady) leases of workers that may run tasks of a cancelled job may be renewed."""
         return renewals_allowed_until(self.cluster.settings.workers, job.cancelled_after)
 
     def remove(self, job: Job) -> None:
--- a/oatport/control/state/job_statistics.py
+++ b/oatport/control/state/job_statistics.py
@@ -42,8 +42,8 @@
         sizes = self._sizes.setdefault(job.spec.job_class, {})
         sizes[job.job_id] = (job.spec.cpus * job.spec.task_count, job.started)
         if len(sizes) > MAX_TRACKED_JOBS:
-            started_of_largest = sorted(sizes.items(), key=lambda item: item[1], reverse=True)[: MAX_TRACKED_JOBS // 2]
-            self._sizes[job.spec.job_class] = dict(started_of_largest)
+            largest = sorted(sizes.items(), key=lambda item: item[1], reverse=True)[: MAX_TRACKED_JOBS // 2]
+            self._sizes[job.spec.job_class] = dict(largest)
 
     def _set_started(self, job: Job, started: bool) -> None:
         sizes = self._sizes.get(job.spec.job_class, {})
@@ -61,7 +61,7 @@
             rows = sorted(sizes.values(), key=lambda row: row[0], reverse=True)
             top = rows[: max(1, len(rows) // 10)]
             if top:
-                found[name] = (sum(started_count for _, started_count in top), len(top))
+                found[name] = (sum(started for _, started in top), len(top))
         return found
 
     def on_started(self, job: Job) -> None:
--- a/oatport/control/state/machine.py
+++ b/oatport/control/state/machine.py
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True, eq=False)
 class Machine:
-    """A rented machine. Times are in microseconds of the steady clock, except those marked as times of day."""
+    """Holds a rented machine. Times are in microseconds of the steady clock, except those marked as times of day."""
 
     name: str
     type: wire.MachineType
@@ -37,9 +37,9 @@
     reclaimed_at: int = 0  # time of the cloud's reclamation; 0: no notice
     tasks: set[Task] = field(default_factory=set)
     finite_tasks: set[Task] = field(default_factory=set)  # those of `tasks` that run to completion: no service replicas
-    # Attempts in the newest report that no record binds to this machine -> their job, and its specification if known.
+    # Attempts in the newest heartbeat that no record binds to this machine -> their job and specification, if known.
     orphaned_attempts: dict[tuple[str, int], tuple[Job | None, wire.Submission | None]] = field(default_factory=dict)
-    # Terminated attempts that the agent's reports still list.
+    # Terminated attempts that the worker's heartbeats still list.
     terminated_attempts: set[tuple[str, int]] = field(default_factory=set)
     # Attempt -> number of start commands sent whose outcome is unknown. One of them may still arrive, so no `forget` is
     # sent for the attempt: a start after a `forget` would start it again.
@@ -116,7 +116,10 @@
         )
 
     def is_incoming(self, now: int, token: int) -> bool:
-        """Returns whether the machine is expected to become usable: booting, and not too long overdue."""
+        """Returns whether the machine should become usable soon: it boots, or is about to receive this leader's token.
+
+        A machine whose boot is long overdue does not count.
+        """
         if self.releasing or self.draining:
             return False
         if self.ready_at:
@@ -157,7 +160,7 @@
 
     @property
     def price(self) -> float:
-        """The price of the machine per hour."""
+        """Returns the price of the machine per hour."""
         return self.type.spot_price if self.spot else self.type.price
 
 
--- a/oatport/control/state/machine_commands.py
+++ b/oatport/control/state/machine_commands.py
@@ -17,13 +17,13 @@
 
 
 class MachineCommands:
-    """Determines the start, stop and forget commands for agents, and tracks start commands in flight."""
+    """Determines the start, stop and forget commands for workers, and tracks start commands in flight."""
 
     def __init__(self, cluster: ClusterState) -> None:
         self.cluster = cluster
 
     def for_machine(self, machine: Machine, now: int, *, direct: bool) -> tuple[list[wire.Command], list[Task]]:
-        """Returns the commands due for a machine, and the tasks that they start. `direct`: not in a response."""
+        """Returns the commands due for a machine, and the tasks that they start. `direct`: not a heartbeat response."""
         commands: list[wire.Command] = []
         starts: list[Task] = []
         confirmed = machine.fencing_token == self.cluster.fencing_token
@@ -54,7 +54,7 @@
     def _may_start(self, task: Task, now: int) -> bool:
         """Returns whether a start may be sent; a gang starts as a whole, so all its bindings must be committed.
 
-        A start of a cancelled job that may be in flight is repeated, and stopped at once: the agent then knows the
+        A start of a cancelled job that may be in flight is repeated, and stopped at once: the worker then knows the
         attempt, and a start that arrives late has no effect. It is not repeated if the cancellation was confirmed too
         long ago, as after an outage.
         """
@@ -66,7 +66,7 @@
         return all(member.phase is not TaskPhase.BINDING for member in job.tasks.values())
 
     def must_let_lease_expire(self, machine: Machine, now: int) -> bool:
-        """Returns whether a start of a cancelled job may arrive so late that only a new agent epoch can refuse it.
+        """Returns whether a start of a cancelled job may arrive so late that only a new worker epoch can refuse it.
 
         A start delayed in the network is neither on the machine, to be stopped, nor proven lost: the machine's lease
         has to end before `cancel_s` is over.
@@ -82,7 +82,7 @@
         )
 
     def _may_forget(self, machine: Machine, name: str, attempt: int) -> bool:
-        """Returns whether an agent may forget an attempt.
+        """Returns whether a worker may forget an attempt.
 
         It may not while a start may still arrive, which would start the attempt again, nor before the attempt's
         completion is committed.
--- a/oatport/control/state/machine_types.py
+++ b/oatport/control/state/machine_types.py
@@ -9,7 +9,7 @@
 
 
 class MachineTypeCatalog:
-    """The machine types that can currently be rented."""
+    """Holds the machine types that can currently be rented."""
 
     def __init__(self, types: dict[str, wire.MachineType]) -> None:
         self.types = types
--- a/oatport/control/state/objectives.py
+++ b/oatport/control/state/objectives.py
@@ -10,7 +10,7 @@
 
 
 class ServiceObjectives:
-    """How soon jobs of each class should start and complete, and the multiples of their deadlines that count."""
+    """Holds how soon jobs of each class should start and complete, and by which multiples of their deadlines."""
 
     def __init__(self, objectives: Iterable[Objective]) -> None:
         rows = list(objectives)
--- a/oatport/control/state/orphaned_attempts.py
+++ b/oatport/control/state/orphaned_attempts.py
@@ -22,7 +22,7 @@
 
 
 class OrphanedAttempts:
-    """Counts orphaned attempts like any task on a machine until a report or a release proves them gone."""
+    """Counts orphaned attempts like any task on a machine until a heartbeat or a release proves them gone."""
 
     def __init__(self, cluster: ClusterState) -> None:
         self.cluster = cluster
@@ -30,7 +30,8 @@
     def add(self, machine: Machine, key: tuple[str, int]) -> None:
         """Adds an orphaned attempt of a machine.
 
-        The attempt counts for its team and its job's zones like any task, until a report or a release proves it gone.
+        The attempt counts for its team and its job's zones like any task until a heartbeat or a release proves it
+        gone.
         """
         log.info("orphaned attempt task=%s attempt=%d machine=%s", *key, machine.name)
         job_id = _job_id_of(key[0])
@@ -44,7 +45,7 @@
         self.cluster.machines_to_command.add(machine)
 
     def remove(self, machine: Machine, key: tuple[str, int]) -> None:
-        """Removes an attempt that a newer report, or the release of its machine, proves gone."""
+        """Removes an attempt that a newer heartbeat, or the release of its machine, proves gone."""
         job, spec = machine.orphaned_attempts.pop(key)
         job_id = _job_id_of(key[0])
         if spec is not None:
--- a/oatport/control/state/partitioned_zones.py
+++ b/oatport/control/state/partitioned_zones.py
@@ -18,12 +18,12 @@
 
 
 class PartitionedZones:
-    """The partitioned zones, and those of them in which another node renews the agents' leases."""
+    """Holds the partitioned zones, and those of them in which another node renews the workers' leases."""
 
     def __init__(self, cluster: ClusterState) -> None:
         self.cluster = cluster
         self.partitioned: dict[str, int] = {}  # zone without heartbeats -> since when (steady)
-        # Partitioned zones with a node in the same partition that renews the agents' leases.
+        # Partitioned zones with a node in the same partition that renews the workers' leases.
         self.lease_proxied: set[str] = set()
         self.recovered: set[str] = set()  # heartbeats arrive again; machines to be probed at once
 
--- a/oatport/control/state/quota.py
+++ b/oatport/control/state/quota.py
@@ -3,8 +3,8 @@
 | counted for its team | from | until |
 | --- | --- | --- |
 | a binding, recorded or being recorded | `TaskLifecycle.begin_binding`: before its start can be sent | it is withdrawn with no start sent, or as below |
-| a task on a machine, stopped or not, cancelled or not, started by this leader or an earlier one | its binding, or its record at a takeover | a report under this leader's token or of a later epoch doesn't list it or lists it as exited; its machine is proven gone |
-| an orphaned attempt: reported by a machine to which no record binds it | that report | a newer report doesn't list it, or its machine is proven gone |
+| a task on a machine, stopped or not, cancelled or not, started by this leader or an earlier one | its binding, or its record at a takeover | a heartbeat under this leader's token or of a later epoch doesn't list it or lists it as exited; its machine is proven gone |
+| an orphaned attempt: listed in a heartbeat of a machine to which no record binds it | that heartbeat | a newer heartbeat doesn't list it, or its machine is proven gone |
 
 An attempt of an unknown job may belong to any team: until the job's record is read, no team has any quota left.
 """  # noqa: E501 (a table)
@@ -22,7 +22,7 @@
 
 @dataclass(slots=True)
 class TeamUsage:
-    """The resources that a team's tasks take, including all not proven gone (PROTOCOL, rule `quota`)."""
+    """Holds the resources that a team's tasks take, including all not proven gone (PROTOCOL, rule `quota`)."""
 
     limits: Team
     cpus: float = 0.0
@@ -44,7 +44,7 @@
 
 
 class TeamQuotas(dict[str, TeamUsage]):
-    """The usage of all teams by name, and the attempts on machines whose team is unknown."""
+    """Holds the usage of all teams by name, and the attempts on machines whose team is unknown."""
 
     def __init__(self, teams: Iterable[Team]) -> None:
         super().__init__((team.name, TeamUsage(team)) for team in teams)
--- a/oatport/control/state/task.py
+++ b/oatport/control/state/task.py
@@ -12,7 +12,7 @@
 
 
 class TaskPhase(IntEnum):
-    """The progress of the binding of a task to a machine."""
+    """Defines the progress of the binding of a task to a machine."""
 
     PENDING = 0  # on no machine, waiting for one
     BINDING = 1  # machine selected, commit not known to be applied: no start sent
@@ -21,25 +21,24 @@
 
 @dataclass(slots=True, eq=False)
 class Task:
-    """A task that was bound at least once and is not completed; other tasks are only indexes in their job."""
+    """Holds a task that was bound at least once and is not completed; other tasks are only indexes in their job."""
 
     job: Job
     index: int
     phase: TaskPhase = TaskPhase.PENDING
     attempt: int = 0
     machine: Machine | None = None
-    # Agent epoch under which this leader first sent the start; 0: not sent by this leader.
+    # Worker epoch under which this leader last sent the start; 0: not sent by this leader.
     start_epoch: int = 0
-    # Agent epoch and number of the first report that listed this attempt, after a start.
+    # Worker epoch and number of the last processed heartbeat that listed this attempt; None: none has.
     start_acknowledged: tuple[int, int] | None = None
-    status: str = ""  # as in the last report
-    binding_at: int = 0
+    status: str = ""  # as in the newest heartbeat
+    binding_at: int = 0  # when this leader last bound it; 0: it never did
     running_since: int = 0
-    # Set when the task is to leave its machine: the grace period (s), and the time of the first stop.
-    stop_grace_s: float | None = None
+    stop_grace_s: float | None = None  # set when the task is to leave its machine: its grace period
     stop_sent_at: int = 0
     start_retry_at: int = 0
-    binding_epoch: int = 0  # agent epoch at the binding (recorded for classes that limit retries)
+    binding_epoch: int = 0  # worker epoch at the binding (recorded for classes that limit retries)
     retry_exhausted: bool = False  # it may not run again
 
     def __hash__(self) -> int:
@@ -48,7 +47,7 @@
 
     @property
     def name(self) -> str:
-        """The name of the task in the protocol: job id and index."""
+        """Returns the name of the task in the protocol: job id and index."""
         return f"{self.job.job_id}/{self.index}"
 
     def reset_to_pending(self) -> None:
--- a/oatport/control/state/unwritten_completions.py
+++ b/oatport/control/state/unwritten_completions.py
@@ -19,7 +19,7 @@
 
 
 class UnwrittenCompletions:
-    """The completions that were reported and may be in no record yet."""
+    """Holds the completions that were reported and may be in no record yet."""
 
     def __init__(self, cluster: ClusterState) -> None:
         self.cluster = cluster
@@ -64,7 +64,7 @@
     def apply(self, completions: list[Completion]) -> None:
         """Applies completions that earlier leaders received and may not have recorded.
 
-        The attempt was reported as terminated, so it is on no machine. A later attempt is left to its own reports.
+        The attempt was reported as terminated, so it is on no machine. A later attempt is updated by heartbeats.
         """
         for job_id, index, attempt in completions:
             job = self.cluster.jobs.get(job_id)
@@ -83,8 +83,8 @@
     def apply_stale_heartbeat(self, machine: Machine, report: wire.Heartbeat) -> None:
         """Applies the completions of an out-of-order heartbeat, as a completion is final whatever the message's age.
 
-        A machine that returned at once counted its epochs from the start: after an old copy of a message had arrived,
-        its new reports were taken for older ones, though they were answered.
+        A machine that restarted at once counted its epochs from the start again: after a delayed copy of an old
+        heartbeat had arrived, its new heartbeats were taken for older ones, though they were answered.
         """
         finished = {
             (row.task_name, row.attempt)
@@ -122,7 +122,7 @@
         return bool(found)
 
     def expedite(self, machine: Machine) -> None:
-        """Expedites the records of completions that only this machine reports, as its reports will end soon."""
+        """Expedites the records of completions that only this machine reports, as its heartbeats will end soon."""
         self._expedite(self._unwritten_on(machine))
 
     def _expedite(self, completions: list[tuple[Job, int]]) -> None:
--- a/oatport/control/storage/fleet_records.py
+++ b/oatport/control/storage/fleet_records.py
@@ -90,13 +90,13 @@
 class PartitionedZonesRecord(msgspec.Struct):
     """Holds the value of `dark`: the partitioned zones."""
 
-    zones: dict[str, int]  # zone -> start of the partition (wall clock)
-    # Partitioned zones in which a node acts as the lease proxy and renews the agents' leases.
+    zones: dict[str, int]  # zone -> start of the partition (time of day)
+    # Partitioned zones in which a node acts as the lease proxy and renews the workers' leases.
     lease_proxied: list[str] | UnsetType = field(name="kept", default=UNSET)
 
 
 def encode_partitioned_zones(zones: dict[str, int], lease_proxied: set[str]) -> dict[str, Any]:
-    """Returns the value of `dark`. `zones`: zone -> start of the partition (wall clock)."""
+    """Returns the value of `dark`. `zones`: zone -> start of the partition (time of day)."""
     record = PartitionedZonesRecord(zones, sorted(lease_proxied) if lease_proxied else UNSET)
     value: dict[str, Any] = msgspec.to_builtins(record)
     return value
--- a/oatport/control/storage/job_records.py
+++ b/oatport/control/storage/job_records.py
@@ -6,7 +6,7 @@
 | `LiveRecord` | `live/JOB` from the first binding on | the leader | the next leader |
 | `TasksRecord` | `live/JOB/0001`, `live/JOB/0001.40` | the leader | the next leader |
 
-Times in records are wall-clock times, because they must mean the same to the next leader. A field that is UNSET is
+Times in records are times of day, because they must mean the same to the next leader. A field that is UNSET is
 not written. Unknown fields are ignored, because a later version may have written them.
 """  # noqa: E501 (a table)
 
@@ -62,7 +62,7 @@
 class TasksRecord(msgspec.Struct, kw_only=True):
     """Holds consecutive tasks of a job."""
 
-    # Each is ROW_COMPLETED, ROW_UNTOUCHED, or a row as described in `TaskRow`.
+    # Each is ROW_COMPLETED, ROW_NEVER_BOUND, or a row as described in `TaskRow`.
     rows: list[Any] = field(name="t")
     # The fields below are only in the head record and, before version 0.3, in the separate `live/JOB/0000`.
     tier: str | UnsetType = UNSET
@@ -154,7 +154,7 @@
 def encode_completed_job(job: Job, completed_at: int) -> dict[str, Any]:
     """Returns the value of `jobs/JOB` of a finished job: failed if it has a failure reason, otherwise completed.
 
-    The value includes the completion time (wall clock), because dependent jobs count their times from it, also under
+    The value includes the completion time (time of day), because dependent jobs count their times from it, also under
     another leader.
     """
     state = wire.JobStatus.FAILED if job.failure_reason else wire.JobStatus.COMPLETED
--- a/oatport/control/storage/keys.py
+++ b/oatport/control/storage/keys.py
@@ -1,4 +1,4 @@
-"""Names of all keys that this software writes to the state service.
+"""Names of all keys that the scheduler writes to the state service; those of the job queues are in `queues/rows.py`.
 
 | key | value |
 | --- | --- |
--- a/oatport/control/storage/schema_version.py
+++ b/oatport/control/storage/schema_version.py
@@ -1,7 +1,7 @@
 """Schema version of the stored records; a new format is written only once all nodes can read it.
 
 An earlier version answers the schema version request with 400, and a node that is down or partitioned does not answer:
-in both cases the node may be able to read the old formats only. Each node is asked twice, and both answers must come
+in both cases the node may be able to read the old formats only. Each node is asked twice, and both replies must come
 from the same process. The schema version that all nodes can read is recorded (`formats`), on the condition that the
 writer leads and that the version is not recorded yet; the record is never reverted.
 """
--- a/oatport/control/storage/write_batch.py
+++ b/oatport/control/storage/write_batch.py
@@ -29,7 +29,7 @@
 class WriteBatch:
     """Holds one transaction of the leader, without the condition on the leader key that its sender adds."""
 
-    completed_at: int = 0  # wall clock; recorded with finished jobs
+    completed_at: int = 0  # time of day; recorded with finished jobs
     conditions: dict[str, int] = field(default_factory=dict)  # key -> required revision; 0: absent
     sets: dict[str, Any] = field(default_factory=dict)  # key -> new value
     deletes: list[str] = field(default_factory=list)
