--- a/oatport/control/leadership/failure_detection.py
+++ b/oatport/control/leadership/failure_detection.py
@@ -18,15 +18,17 @@
     ]
 
 
-def all_silent_machines(machines: list[Machine], now: int, report_us: int, leading_since: int) -> list[Machine]:
-    """Returns all machines if none of them sent a report for 1.5 report intervals; otherwise an empty list.
+def all_silent_machines(
+    machines: list[Machine], now: int, heartbeat_interval_us: int, leading_since: int
+) -> list[Machine]:
+    """Returns all machines if none of them sent a heartbeat for 1.5 heartbeat intervals; otherwise an empty list.
 
     With several machines, this detects a leader that is cut off from its workers sooner than the timeout of a single
     machine would. A new leader contacts all machines at once, so the time counts from `leading_since` at the earliest.
     """
     up = [m for m in machines if (m.ready_at or m.was_ready) and not m.releasing]
     if len(up) < MIN_PARTITION_MACHINES or any(
-        now - max(m.last_heartbeat_at, leading_since) <= report_us * 3 // 2 for m in up
+        now - max(m.last_heartbeat_at, leading_since) <= heartbeat_interval_us * 3 // 2 for m in up
     ):
         return []
     return up
--- a/oatport/control/leadership/lease_proxy.py
+++ b/oatport/control/leadership/lease_proxy.py
@@ -1,6 +1,6 @@
 """The lease proxy: a node that does not lead renews the leases of workers that no leader reaches.
 
-In a partitioned zone, tasks continue as long as a node there answers its workers' reports with a valid token
+In a partitioned zone, tasks continue as long as a node there answers its workers' heartbeats with a valid token
 (PROTOCOL, "Outages and cuts"). A node that reaches neither the leader nor the state service answers them with the
 leader's token and without commands. Tasks are moved only after the leader has proved them gone, so a lease proxy can't
 cause a task to run twice. It could violate a cancellation: tasks of a job whose cancellation was confirmed to its user
@@ -9,9 +9,9 @@
 that, by the leader's answer, all cancellations confirmed up to then were carried out.
 
 A node that restarts in the zone obtains the watermark from another node there. If all of them stopped, no lease can be
-renewed: a live lease of a worker only shows that a report of the worker was answered up to `lease_s` ago, possibly by
-a proxy at the end of its own limit. A new process can't rule out that a cancellation was confirmed so long ago that a
-further answer, and the lease that it renews, would last beyond `cancel_s`.
+renewed: a live lease of a worker only shows that a heartbeat of the worker was answered up to `lease_s` ago, possibly
+by a proxy at the end of its own limit. A new process can't rule out that a cancellation was confirmed so long ago that
+a further answer, and the lease that it renews, would last beyond `cancel_s`.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 
 @dataclass(slots=True)
 class LeaseProxy:
-    """Holds the leader's token and cancellation watermark, and decides whether a report may be answered.
+    """Holds the leader's token and cancellation watermark, and decides whether a heartbeat may be answered.
 
     Times are steady, in microseconds; ages are by the leader's clock.
     """
@@ -77,18 +77,18 @@
         )
 
     def valid_until(self) -> int:
-        """Returns the time until which reports may be answered; 0 if no leader ever answered."""
+        """Returns the time until which heartbeats may be answered; 0 if no leader ever answered."""
         return self.renewal_limit.until if self.fencing_token else 0
 
-    def may_answer(self, report_token: int, now: int, state_ok_at: int, state_failed_at: int) -> bool:
-        """Returns whether this node may answer a report of a worker that has seen the token `report_token`.
+    def may_answer(self, seen_token: int, now: int, state_ok_at: int, state_failed_at: int) -> bool:
+        """Returns whether this node may answer a heartbeat of a worker that has seen the token `seen_token`.
 
         The node may not answer while the leader or the state service answers it: then other nodes have newer
         information. It may not answer a worker that has seen another token. A higher token belongs to a leader whose
         cancellations are unknown here, so this node has no valid answer under that token. A lower token means that the
         leader never reached that worker, so no cancellation was carried out there.
         """
-        if not self.fencing_token or report_token != self.fencing_token or now >= self.valid_until():
+        if not self.fencing_token or seen_token != self.fencing_token or now >= self.valid_until():
             return False
         return self.is_isolated(now, state_ok_at, state_failed_at)
 
--- a/oatport/control/leadership/zone_partition.py
+++ b/oatport/control/leadership/zone_partition.py
@@ -34,7 +34,7 @@
 MAX_REPLICAS_MOVING = 24  # replicas without a machine at the same time during evacuation
 EVACUATE_AFTER = 6 * SECOND  # a shorter partition costs nothing
 RELEASE_UNMOVABLE_AFTER = 600 * SECOND  # for machines with replicas that may not run elsewhere
-MAX_REPORT_AGE_INTERVALS = 1.25  # of a worker's last answered report (PROTOCOL)
+MAX_HEARTBEAT_AGE_INTERVALS = 1.25  # of a worker's last answered heartbeat (PROTOCOL)
 
 
 def tasks_alive_until(settings: ClusterSettings, since: int, has_proxy: bool) -> int:
@@ -42,9 +42,9 @@
 
     `has_proxy`: a node in the zone is a lease proxy for its workers.
     """
-    lease, report = micros(settings.workers.lease_s), micros(settings.workers.report_s * MAX_REPORT_AGE_INTERVALS)
+    lease, max_age = micros(settings.workers.lease_s), micros(settings.workers.report_s * MAX_HEARTBEAT_AGE_INTERVALS)
     answered_until = max(LeaseRenewalLimit(settings, since).until, since) if has_proxy else since
-    return answered_until - report + lease
+    return answered_until - max_age + lease
 
 
 def placeable_elsewhere(cluster: ClusterState, job: Job) -> int:
--- a/oatport/control/limits/connection_budget.py
+++ b/oatport/control/limits/connection_budget.py
@@ -1,9 +1,9 @@
 """Connection budget of a node: shares of its connections, and the idle timeout of connections to workers.
 
-Each worker holds one connection for its reports to the node that it reports to; after a node has stopped, all workers
-may report to the same node. A leader holds another connection to each worker that it recently sent a command. When
-these were kept for 30 s each, a leader with 929 machines held 1,873 of its 2,044 connections and refused any further
-ones, whether they came from users or from workers.
+Each worker holds one connection for its heartbeats to the node that it reports to; after a node has stopped, all
+workers may report to the same node. A leader holds another connection to each worker that it recently sent a command.
+When these were kept for 30 s each, a leader with 929 machines held 1,873 of its 2,044 connections and refused any
+further ones, whether they came from users or from workers.
 """
 
 from __future__ import annotations
@@ -44,5 +44,5 @@
         return open_connections > self.limit - self.concurrent_calls - RESERVED_FOR_USERS
 
     def is_exhausted(self, open_connections: int) -> bool:
-        """Returns whether to refuse users' requests: the rest is reserved for reports and the leader's calls."""
+        """Returns whether to refuse users' requests: the rest is reserved for heartbeats and the leader's calls."""
         return open_connections > self.limit - self.concurrent_calls
--- a/oatport/control/queueing/dependency_tracker.py
+++ b/oatport/control/queueing/dependency_tracker.py
@@ -134,7 +134,7 @@
         none of its tasks starts. The number of entries is bounded; the binding of a job whose entry was dropped fails
         by its transaction condition.
         """
-        self.confirmed_cancellations.setdefault(job_id, confirmed_after)  # a repeated report does not make it later
+        self.confirmed_cancellations.setdefault(job_id, confirmed_after)  # the first confirmation counts
         if len(self.confirmed_cancellations) > MAX_REMEMBERED_CANCELLATIONS:
             del self.confirmed_cancellations[next(iter(self.confirmed_cancellations))]
 
