--- a/oatport/control/state/job_statistics.py
+++ b/oatport/control/state/job_statistics.py
@@ -95,7 +95,5 @@
                 for name, row in sorted(named.items())
             )
             + "; largest "
-            + " ".join(
-                f"{name} {started_count}/{count}" for name, (started_count, count) in self.started_of_largest().items()
-            )
+            + " ".join(f"{name} {started}/{count}" for name, (started, count) in self.started_of_largest().items())
         )
