--- a/oatport/windows/client.py
+++ b/oatport/windows/client.py
@@ -71,7 +71,7 @@
         return seconds(self._poll) * 0.9 + jitter(self._poll) * 0.1
 
     async def _fetch(self) -> tuple[bytes, str]:
-        """Returns the body and its content type; the whole body must arrive within the timeout, so a slow one fails."""
+        """Returns the body and its content type; raises TimeoutError unless all of it arrives in time."""
         async with asyncio.timeout(self._timeout_s):
             async with self._session.get(
                 self._url,
@@ -79,12 +79,12 @@
                 allow_redirects=False,
             ) as response:
                 if response.status != 200:
-                    raise InvalidPriceSeriesError(f"status {response.status}")
+                    raise InvalidPriceSeriesError(f"status {response.status}, expected 200")
                 chunks: list[bytes] = []
                 size = 0
                 async for chunk in response.content.iter_any():
                     size += len(chunk)
                     if size > MAX_BODY_BYTES:
-                        raise InvalidPriceSeriesError(f"more than {MAX_BODY_BYTES} bytes")
+                        raise InvalidPriceSeriesError(f"body of more than {MAX_BODY_BYTES} bytes")
                     chunks.append(chunk)
                 return b"".join(chunks), response.content_type
--- a/oatport/windows/feed.py
+++ b/oatport/windows/feed.py
@@ -22,8 +22,8 @@
 MAX_BODY_BYTES = 256 * 1024
 JSON_TYPE = "application/json"
 VERSION = 1
-MAX_TIME_S = 1e11  # the limit of a time of day
-MAX_LENGTH_S = 1e9  # the limit of an interval
+MAX_TIME_S = 1e11  # upper bound of `at` and `start`
+MAX_LENGTH_S = 1e9  # upper bound of `len`
 
 
 class IntervalRow(msgspec.Struct, frozen=True):
@@ -80,7 +80,7 @@
 
 
 def encode_series(intervals: list[Interval], zone: str, made_at: int) -> dict[str, Any]:
-    """Returns the body of a response for these intervals, to be encoded as JSON or CBOR."""
+    """Returns the body of the feed's response for these intervals, to be encoded as JSON or CBOR."""
     return {
         "v": VERSION,
         "zone": zone,
--- a/oatport/windows/holding.py
+++ b/oatport/windows/holding.py
@@ -22,7 +22,7 @@
 
 MAX_REPLANS_PER_STEP = 150
 MAX_DEMAND_UPDATES_PER_STEP = 100
-MAX_STALE_PREDICTIONS = 1_000  # predictions of finished jobs that are kept before a clean-up
+MAX_STALE_PREDICTIONS = 1_000  # predictions of finished jobs that are stored before a clean-up
 MAX_MOVES_PER_JOB = 6  # bounds how often a job's record is written for a changed plan
 MAX_PAUSES_PER_JOB = 2
 ARRIVAL_RATE_PERIOD = 3600 * SECOND
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True)
 class ArrivalForecast:
-    """Estimates the deferrable work that is still to arrive, and that needs cheap hours too, from recent arrivals."""
+    """Estimates from recent arrivals how much deferrable work will still arrive and need cheap hours too."""
 
     _started_at: int = 0
     _recent: deque[tuple[int, float]] = field(default_factory=deque)  # (time, CPU-us) of the last hour
@@ -92,17 +92,20 @@
         self.arrival_forecast = ArrivalForecast()
         self._pending_updates: dict[str, None] = {}  # jobs whose latest safe start changed
         self.replan_count = 0  # plans changed by a replan, for the figures of the lab
-        self.late_release_count = 0  # releases after a job's latest safe start
+        self.late_release_count = 0  # releases more than a slot after a job's latest safe start
         cluster.tasks.on_runtime_measured = self.on_runtime_measured
         self._update_prices(wall)
 
     # --- jobs -------------------------------------------------------------------------------------
 
     def on_job_added(self, job: Job, wall: int) -> None:
-        """Defers a job that is new to this leader: as recorded, or as planned now if that saves enough."""
+        """Defers a job that is new to this leader: as recorded, or as planned now if that saves enough.
+
+        A recorded deferral that the settings no longer allow is released.
+        """
         deferral = self._deferral(job)
         if deferral is None or job.cancelled or job.completing:
-            if job.start_limit >= 0:  # it was deferred under other settings
+            if job.start_limit >= 0:  # an earlier leader deferred it under other settings
                 self._release_all(job)
             return
         if job.deferral is not None:
@@ -245,7 +248,7 @@
         """Releases the tasks that are due, and replans jobs affected by a change; returns the number released."""
         planner = self.planner
         for job_id in [job_id for job_id in planner.plans if self._is_finished(job_id)]:
-            planner.remove(job_id)  # it was cancelled or removed since the last step
+            planner.remove(job_id)  # cancelled, completing or removed since the last step
         planner.advance_to(wall)
         self._apply_demand_updates()
         if planner.now // planner.step != self._early_start_slot:
@@ -297,7 +300,9 @@
             return
         self._prices_key = key
         planner = self.planner
-        weights = {(d.price, d.carbon) for _, d in (*self.settings.classes, *self.settings.priorities)}
+        weights = {
+            (deferral.price, deferral.carbon) for _, deferral in (*self.settings.classes, *self.settings.priorities)
+        }
         for price, carbon in sorted(weights):
             costs = self.book.slot_costs(wall // planner.step, planner.slots, planner.step, wall, price, carbon)
             planner.set_prices(self._profile(price, carbon), [round(cost, 2) for cost in costs])
--- a/oatport/windows/margins.py
+++ b/oatport/windows/margins.py
@@ -1,4 +1,4 @@
-"""Run time margins by job class: the error of past predictions, for which a latest safe start must allow."""
+"""Run time margins by job class: factors for the error of predictions, from which latest safe starts are computed."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 SUFFICIENT_RATIOS = 20  # below this number PRIOR_FACTOR counts as well
 PRIOR_FACTOR = 3.0  # a task may take three times as long as predicted
 MIN_FACTOR = 1.2
-MAX_RATIO = 100.0
-QUANTILE = 0.97
+MAX_RATIO = 100.0  # larger ratios are stored as this
+QUANTILE = 0.97  # of the ratios, which a factor must cover
 RECOMPUTE_EVERY = 10  # completions of a class
 CHANGE_THRESHOLD = 0.1  # share of the previous factor
 
@@ -24,16 +24,16 @@
     _factors: dict[str, float] = field(default_factory=dict)
 
     def on_task_completed(self, job_class: str, runtime: int, predicted: int) -> bool:
-        """Records a completion; returns whether the class's factor changed enough to replan."""
+        """Records a completed task; returns whether the class's factor changed by more than CHANGE_THRESHOLD."""
         if predicted <= 0 or runtime < 0:
             return False
         ratios = self._ratios.setdefault(job_class, deque(maxlen=MAX_RATIOS))
         ratios.append(min(runtime / predicted, MAX_RATIO))
         if len(ratios) % RECOMPUTE_EVERY and len(ratios) > SUFFICIENT_RATIOS:
             return False  # sorting on each of thousands of completions would be too slow
-        before, now = self._factors.get(job_class, PRIOR_FACTOR), self._compute_factor(ratios)
-        self._factors[job_class] = now
-        return abs(now - before) > CHANGE_THRESHOLD * before
+        previous, current = self._factors.get(job_class, PRIOR_FACTOR), self._compute_factor(ratios)
+        self._factors[job_class] = current
+        return abs(current - previous) > CHANGE_THRESHOLD * previous
 
     def factor(self, job_class: str) -> float:
         """Returns the multiple of its predicted run time that nearly every task of this class stays below."""
--- a/oatport/windows/planner.py
+++ b/oatport/windows/planner.py
@@ -4,7 +4,7 @@
 tasks are independent, so a plan states how many of them start in each slot. A task that runs for longer than one slot
 uses capacity in the slots that follow as well.
 
-- The latest safe start is a hard limit: no plan exceeds it. Tasks without free capacity before it start immediately.
+- The latest safe start is a hard limit: no plan exceeds it. Tasks without free capacity up to it start immediately.
 - A plan never costs more than an immediate start at the prices it was made with; otherwise the job starts immediately.
 - Jobs compete for capacity. A job that finds none before its latest start displaces jobs that can start later.
 - Planning is incremental: a new job is planned on its own. A price change marks the affected jobs as dirty, and
@@ -110,8 +110,8 @@
             return
         if previous is not None:
             pairs = enumerate(zip(previous, costs, strict=True), self._first_slot)
-            changed = {number for number, (a, b) in pairs if abs(a - b) > EPSILON}
-            increased = {n for n in changed if costs[n - self._first_slot] > previous[n - self._first_slot]}
+            changed = {slot for slot, (a, b) in pairs if abs(a - b) > EPSILON}
+            increased = {slot for slot in changed if costs[slot - self._first_slot] > previous[slot - self._first_slot]}
             decreased = changed - increased
             self._mark_dirty(profile, increased, decreased)
         self._unit_costs[profile] = costs
@@ -120,16 +120,16 @@
 
     def _mark_dirty(self, profile: str, increased: set[int], decreased: set[int]) -> None:
         """Marks the jobs in slots whose cost increased and the jobs that could move to slots whose cost decreased."""
-        for number in increased:
-            for job_id in self._tasks_by_slot.get(number, ()):
+        for slot in increased:
+            for job_id in self._tasks_by_slot.get(slot, ()):
                 if self.plans[job_id].demand.profile == profile:
                     self._dirty[job_id] = None
         if decreased:
-            soonest = min(decreased)
+            earliest = min(decreased)
             for job_id, plan in self.plans.items():
                 if (
                     plan.demand.profile == profile
-                    and self._last_slot(plan.demand) >= soonest
+                    and self._last_slot(plan.demand) >= earliest
                     and job_id not in self._dirty
                 ):
                     self.operation_count += 1
@@ -194,20 +194,20 @@
         }
 
     def take_due(self) -> list[tuple[str, int]]:
-        """Removes the tasks that start now from the plans; returns their jobs, and how many tasks of each."""
-        ready: dict[str, int] = {}
+        """Removes the tasks that are due from the plans; returns their jobs and the number of tasks of each."""
+        due: dict[str, int] = {}
         while self._latest_starts and self._latest_starts[0][0] <= self.now:
             _, job_id = heapq.heappop(self._latest_starts)
             plan = self.plans.get(job_id)
             if plan is not None and plan.demand.latest_start <= self.now:  # the latest start overrides the plan
-                ready[job_id] = sum(plan.starts.values())
-        for number in [n for n in self._tasks_by_slot if n <= self._first_slot]:
-            for job_id, count in self._tasks_by_slot[number].items():
-                if job_id not in ready:
-                    ready[job_id] = ready.get(job_id, 0) + count
-        for job_id, count in list(ready.items()):
+                due[job_id] = sum(plan.starts.values())
+        for slot in [slot for slot in self._tasks_by_slot if slot <= self._first_slot]:
+            for job_id, count in self._tasks_by_slot[slot].items():
+                if job_id not in due:
+                    due[job_id] = due.get(job_id, 0) + count
+        for job_id, count in list(due.items()):
             self._remove_started(job_id, count)
-        return sorted((job_id, count) for job_id, count in ready.items() if count)
+        return sorted((job_id, count) for job_id, count in due.items() if count)
 
     def _remove_started(self, job_id: str, count: int) -> None:
         """Removes started tasks from a job's plan; their capacity stays reserved, and other tasks keep their slots."""
@@ -237,7 +237,8 @@
     def replan_dirty(self, max_jobs: int, frozen: Iterable[str] = ()) -> list[str]:
         """Replans up to `max_jobs` dirty jobs, earliest start first, and returns the jobs whose plan changed.
 
-        Jobs in `frozen` keep their plan.
+        A job keeps its plan if it is in `frozen`, or if a new plan saves at most MIN_SAVING, the old one starts no task
+        after the latest start, and the new one does not end an overcommitment.
         """
         if not self._dirty:
             return []
@@ -254,9 +255,11 @@
             self._detach(old)
             new = self._make_plan(old.demand)
             current_cost = sum(n * self._task_cost(old.demand, slot) for slot, n in old.starts.items())
-            overdue = max(old.starts) > max(self._last_slot(old.demand), self._first_slot)
-            saves = current_cost - new.cost > MIN_SAVING * abs(current_cost) + EPSILON
-            if new.starts != old.starts and (saves or overdue or new.is_overcommitted < old.is_overcommitted):
+            is_too_late = max(old.starts) > max(self._last_slot(old.demand), self._first_slot)
+            saves_enough = current_cost - new.cost > MIN_SAVING * abs(current_cost) + EPSILON
+            if new.starts != old.starts and (
+                saves_enough or is_too_late or new.is_overcommitted < old.is_overcommitted
+            ):
                 new.move_count = old.move_count + 1
                 changed.append(job_id)
             else:
@@ -288,8 +291,8 @@
         costs = sorted(self._unit_costs.get(profile, [1.0] * self.slots)[: max(until - self._first_slot + 1, 1)])
         slot_capacity = self.capacity * self.step
         thresholds = [
-            costs[min(int((planned_work + expected * share) / slot_capacity), len(costs) - 1)]
-            for share in DEMAND_FACTORS
+            costs[min(int((planned_work + expected * factor) / slot_capacity), len(costs) - 1)]
+            for factor in DEMAND_FACTORS
         ]
         return sum(thresholds) / len(thresholds)
 
@@ -336,13 +339,13 @@
         """Returns the jobs with tasks planned to start up to a time, and the number of these tasks."""
         return [
             (job_id, count)
-            for number in sorted(n for n in self._tasks_by_slot if n <= until // self.step)
-            for job_id, count in self._tasks_by_slot[number].items()
+            for slot in sorted(slot for slot in self._tasks_by_slot if slot <= until // self.step)
+            for job_id, count in self._tasks_by_slot[slot].items()
         ]
 
     @property
     def dirty_count(self) -> int:
-        """Returns the number of jobs that wait to be replanned."""
+        """Returns the number of dirty jobs, which `replan_dirty` has yet to replan."""
         return len(self._dirty)
 
     # --- planning --------------------------------------------------------------------------------
@@ -370,13 +373,13 @@
         if slots_by_cost is None:
             # Tasks that take the same number of slots share one order: fractions of a slot make little difference.
             sample = JobDemand("", 1.0, 1, slots_taken * self.step, 1 << 62, demand.profile)
-            numbers = range(self._first_slot, self._first_slot + self.slots)
-            costs = {number: round(self._task_cost(sample, number), 3) for number in numbers}
-            slots_by_cost = self._slots_by_cost[key] = sorted(numbers, key=lambda number: (costs[number], number))
+            horizon = range(self._first_slot, self._first_slot + self.slots)
+            costs = {slot: round(self._task_cost(sample, slot), 3) for slot in horizon}
+            slots_by_cost = self._slots_by_cost[key] = sorted(horizon, key=lambda slot: (costs[slot], slot))
             self.operation_count += self.slots
         if demand.delay_penalty <= 0:
             return slots_by_cost
-        return sorted(slots_by_cost, key=lambda number: (self._task_cost(demand, number), number))
+        return sorted(slots_by_cost, key=lambda slot: (self._task_cost(demand, slot), slot))
 
     def _make_plan(self, demand: JobDemand) -> Plan:
         plan = Plan(demand, immediate_cost=demand.task_count * self._task_cost(demand, self._first_slot))
@@ -485,7 +488,7 @@
             self.operation_count += 1
             if len(candidates) >= 4 * MAX_DISPLACEMENT_CANDIDATES:
                 break
-        for job_id in heapq.nlargest(MAX_DISPLACEMENT_CANDIDATES, candidates, key=lambda r: (candidates[r], r)):
+        for job_id in heapq.nlargest(MAX_DISPLACEMENT_CANDIDATES, candidates, key=lambda c: (candidates[c], c)):
             old = self.plans[job_id]
             self._detach(old)
             new = self._plan_after(old, last)
@@ -504,7 +507,7 @@
         return False
 
     def _plan_after(self, old: Plan, after: int) -> Plan | None:
-        """Returns a plan that starts only after a slot; None if there is no capacity or it costs more."""
+        """Returns a plan that starts only after a slot; None if later slots are full or cost more than a start now."""
         demand = old.demand
         plan = Plan(
             demand,
--- a/oatport/windows/prices.py
+++ b/oatport/windows/prices.py
@@ -43,7 +43,7 @@
     """Returns the intervals in order of time.
 
     Negative prices are legal, and so are gaps, in which the price is unknown. Raises InvalidPriceSeriesError for an
-    empty or too long series, overlaps, lengths or numbers out of range, and a series from the future.
+    empty or too long series, overlaps, lengths or numbers out of range, and a series made in the future.
     """
     if made_at > now + MAX_CLOCK_SKEW:
         raise InvalidPriceSeriesError(f"made {(made_at - now) // SECOND} s in the future")
@@ -58,15 +58,15 @@
         for name, value in (("price", row.price), ("co2", row.co2)):
             if value is not None and not (math.isfinite(value) and abs(value) <= MAX_PRICE):
                 raise InvalidPriceSeriesError(f"interval at {row.start // SECOND}: {name} is not a usable number")
-    for before, after in pairwise(rows):
-        if after.start < before.end:
-            raise InvalidPriceSeriesError(f"intervals at {before.start // SECOND} and {after.start // SECOND} overlap")
+    for earlier, later in pairwise(rows):
+        if later.start < earlier.end:
+            raise InvalidPriceSeriesError(f"intervals at {earlier.start // SECOND} and {later.start // SECOND} overlap")
     return rows
 
 
 @dataclass(slots=True)
 class PriceBook:
-    """Holds the last known price of each hour and the weight that its age leaves it.
+    """Holds the last known price of each hour; the weight of a price falls with its age.
 
     A new series replaces the hours that it covers. Other hours keep their last price and its age, so that a shorter
     series removes nothing.
@@ -88,14 +88,14 @@
 
     def add_series(self, intervals: Iterable[Interval], made_at: int, now: int) -> bool:
         """Merges a series; returns whether the price of any coming hour changed. Raises InvalidPriceSeriesError."""
-        fresh = [
+        added = [
             Interval(row.start, row.end, row.price, row.co2, now) for row in validate_intervals(intervals, made_at, now)
         ]
         remaining: list[Interval] = []
         for old in self.rows:
             if old.end > now - self.dead_us:
-                remaining += _subtract(old, fresh)
-        rows = sorted(remaining + fresh, key=lambda row: row.start)
+                remaining += _subtract(old, added)
+        rows = sorted(remaining + added, key=lambda row: row.start)
         changed = [_price_terms(r) for r in rows if r.end > now] != [_price_terms(r) for r in self.rows if r.end > now]
         self.rows, self.read_at, self.last_error = rows[-2 * MAX_INTERVALS :], now, ""
         self.version += changed
@@ -103,12 +103,12 @@
         return changed
 
     def _rescale(self) -> None:
-        now = (
+        medians = (
             _median_magnitude([row.price for row in self.rows]),
             _median_magnitude([row.co2 for row in self.rows if row.co2 is not None]),
         )
-        if any(abs(new - old) > 0.2 * abs(old) for new, old in zip(now, self._medians, strict=True)):
-            self._medians = now
+        if any(abs(new - old) > 0.2 * abs(old) for new, old in zip(medians, self._medians, strict=True)):
+            self._medians = medians
 
     def weight(self, row: Interval, now: int) -> float:
         """Returns an interval's weight: 1 up to the age `fresh_us`, then falling linearly to 0 at `dead_us`."""
@@ -177,13 +177,14 @@
 
 
 def _price_terms(row: Interval) -> tuple[int, int, float, float | None]:
+    """Returns the fields that count as a change of price: all but `read_at`."""
     return row.start, row.end, row.price, row.co2
 
 
-def _subtract(old: Interval, fresh: list[Interval]) -> list[Interval]:
-    """Returns the parts of an interval that no new interval covers."""
+def _subtract(old: Interval, added: list[Interval]) -> list[Interval]:
+    """Returns the parts of an interval that no added interval covers."""
     parts = [(old.start, old.end)]
-    for row in fresh:
+    for row in added:
         if row.end <= old.start or row.start >= old.end:
             continue
         parts = [
--- a/oatport/windows/settings.py
+++ b/oatport/windows/settings.py
@@ -38,13 +38,13 @@
     zone: str = ""  # the feed's zone
     poll_s: float = field(default=300.0, metadata={"range": (2.0, 86400.0)})
     timeout_s: float = field(default=5.0, metadata={"range": (0.1, 60.0)})
-    fresh_s: float = field(default=7200.0, metadata={"range": (1.0, 1e6)})
-    dead_s: float = field(default=28800.0, metadata={"range": (2.0, 1e7)})
-    step_s: float = field(default=300.0, metadata={"range": (5.0, 3600.0)})
+    fresh_s: float = field(default=7200.0, metadata={"range": (1.0, 1e6)})  # a price up to this age has full weight
+    dead_s: float = field(default=28800.0, metadata={"range": (2.0, 1e7)})  # a price from this age on has no weight
+    step_s: float = field(default=300.0, metadata={"range": (5.0, 3600.0)})  # length of a slot of the planner
     horizon_s: float = field(default=129600.0, metadata={"range": (60.0, 604800.0)})
-    capacity_cpus: float = field(default=0.0, metadata={"range": (0.0, 1e7)})
-    reserve_s: float = field(default=180.0, metadata={"range": (0.0, 86400.0)})
-    ahead_s: float = field(default=120.0, metadata={"range": (0.0, 86400.0)})
+    capacity_cpus: float = field(default=0.0, metadata={"range": (0.0, 1e7)})  # CPUs that deferred jobs can use
+    reserve_s: float = field(default=180.0, metadata={"range": (0.0, 86400.0)})  # subtracted from each latest start
+    ahead_s: float = field(default=120.0, metadata={"range": (0.0, 86400.0)})  # earlier releases count in queue waits
     classes: tuple[tuple[str, Deferral], ...] = ()
     priorities: tuple[tuple[str, Deferral], ...] = ()
 
@@ -102,7 +102,7 @@
     if settings.horizon_s / settings.step_s > MAX_STEPS:
         raise SettingsError(f"{where} step_s: too small for the horizon, at most {MAX_STEPS} steps")
     if settings.on and settings.capacity_cpus <= 0:
-        raise SettingsError(f"{where} capacity_cpus: must be above 0: how many CPUs deferred work may expect")
+        raise SettingsError(f"{where} capacity_cpus: must be above 0, the number of CPUs available to deferred jobs")
 
 
 def load_window_settings(path: str | Path | None) -> WindowSettings:
