--- a/oatport/queues/core.py
+++ b/oatport/queues/core.py
@@ -17,7 +17,7 @@
 
 
 class SchedulerOutcome(Enum):
-    """The outcome of a request."""
+    """The outcomes of a request to the scheduler."""
 
     ACCEPTED = auto()  # by this request or an earlier one
     REFUSED = auto()  # permanently
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SchedulerResponse:
-    """The outcome of a request, with the `cause` of a refusal, or `retry_after_s` for RETRY_LATER."""
+    """Holds the outcome of a request, the `cause` of a refusal, and `retry_after_s` for RETRY_LATER."""
 
     outcome: SchedulerOutcome
     cause: str = ""
@@ -36,7 +36,7 @@
 
 
 class SchedulerClient(Protocol):
-    """Submits and cancels jobs."""
+    """The calls to the scheduler that the gateway makes."""
 
     async def submit(self, job: dict[str, Any]) -> SchedulerResponse:
         """Submits a job. The outcome is ACCEPTED, REFUSED or RETRY_LATER."""
@@ -46,7 +46,7 @@
 
 
 class HttpSchedulerClient:
-    """Sends POST /submissions and cancellations to one node; if that does not respond or fails, to the next one."""
+    """Submits and cancels jobs through one node, and changes to the next one if that does not respond or fails."""
 
     def __init__(self, session: aiohttp.ClientSession, nodes: tuple[str, ...]) -> None:
         self._nodes = [HttpClient(session, node) for node in nodes]
@@ -61,7 +61,7 @@
                 self._current += 1
                 continue
             if status >= 500:
-                self._current += 1  # the next request goes to another node
+                self._current += 1  # the next request is sent to the next node
             return status, value
         return 503, None
 
--- a/oatport/queues/gateway.py
+++ b/oatport/queues/gateway.py
@@ -32,12 +32,12 @@
 WATCH_WAIT = 2 * SECOND  # a watch request returns after this long without a change
 WATCH_INTERVAL = 100 * MS  # pause between watch requests, so that under load not every change costs a request
 SWEEP_INTERVAL_S = 1.0
-MAX_ROWS_PER_SWEEP = 20  # per kind: rows that are expired, and rows whose jobs are read
-DELIVERED_ROW_RETENTION = 30 * 86_400 * SECOND  # identities of answered messages are kept for this long
+MAX_ROWS_PER_SWEEP = 20  # of expired rows, and as many of rows to reconcile
+DELIVERED_ROW_RETENTION = 30 * 86_400 * SECOND  # identities of answered messages are stored for this long
 
 
 class Gateway:
-    """Runs one gateway: joins the others under a lease, owns some parts of the outbox and publishes their answers.
+    """Runs one gateway: joins as a member under a lease, owns some parts of the outbox and publishes their answers.
 
     `publish` sends an answer to its sender, and returns True once the broker confirmed it or if there is no recipient.
     """
@@ -81,7 +81,7 @@
         self.background.close()
 
     def holds_lease(self) -> bool:
-        """Returns whether the lease of this gateway's parts can't have expired, as it may during a process pause."""
+        """Returns whether the lease of the parts is certainly held; a paused process may have lost it."""
         return self._lease_id > 0 and self._member_lease.is_held(steady())
 
     def _on_row_changed(self, row: MessageRow, version: int) -> None:
@@ -118,7 +118,7 @@
             self.outbox.remove_part(part)
 
     async def _join(self) -> None:
-        """Writes the member key under a new lease. A key that an earlier process of this name left is replaced."""
+        """Writes the member key under a new lease, replacing a key that an earlier process of this name left."""
         key = MEMBERS_PREFIX + self.settings.name
         found = await self.state.get(key)
         if found is not None and self._is_name_taken:
@@ -155,7 +155,7 @@
         for part in sorted(assigned_parts - self.outbox.parts.keys()):
             existing = part_entries.get(part)
             if existing is not None and existing[0].get("boot") != self.boot_id:
-                continue  # until its owner releases the part or the owner's lease expires
+                continue  # retried until the owner releases the part or its lease expires
             await self._acquire_part(part, existing[1] if existing else 0)
 
     async def _acquire_part(self, part: int, version: int) -> None:
@@ -163,8 +163,8 @@
         result = await self.state.commit({part_key(part): version}, {part_key(part): value}, lease=self._lease_id)
         if not isinstance(result, Applied):
             return
-        # The part is added before its rows are listed: a row that was written during the listing was in neither the
-        # listing nor the outbox, and was never answered.
+        # The part is added before its rows are listed: otherwise a row written during the listing would be in neither
+        # the listing nor the outbox, and would never be answered.
         self.outbox.add_part(part, result.revision, [])
         try:
             rows, _ = await self.store.list_rows(part_prefix(part))
@@ -259,7 +259,7 @@
             self._answers_ready.clear()
             if not self.holds_lease():
                 continue
-            # Only the first ones: thousands may be ready, and this loop runs again after each published answer.
+            # Only the first ones are tried: thousands may be ready, and the loop runs again after each publishing.
             for job_id in islice(self.outbox.ready_answers, MAX_CONCURRENT_PUBLISHES):
                 if len(self._publishing_ids) >= MAX_CONCURRENT_PUBLISHES:
                     break
@@ -288,7 +288,7 @@
                 await self._reconcile(job_id)
 
     async def _prune_loop(self) -> None:
-        """Deletes rows long after their delivery: no broker redelivers a message that late."""
+        """Deletes rows DELIVERED_ROW_RETENTION after their delivery: no broker redelivers a message that late."""
         while True:
             await asyncio.sleep(3600)
             for part, token in list(self.outbox.parts.items()):
--- a/oatport/queues/identity.py
+++ b/oatport/queues/identity.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 MAX_JOB_ID_TRIES = 4  # job ids tried per message; one that belongs to another message is skipped
-PART_COUNT = 16  # partitions of the outbox, each owned by one gateway
+PART_COUNT = 16  # parts (partitions) of the outbox, each owned by one gateway at a time
 
 
 def job_id_of(queue: str, identity: str, attempt: int = 0) -> str:
--- a/oatport/queues/intake.py
+++ b/oatport/queues/intake.py
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Message:
-    """The properties of an AMQP message that the intake uses. `expires_s`: time from now, None if it never expires."""
+    """Holds the properties of an AMQP message that the intake uses. `expires_s` counts from now; None: never."""
 
     body: bytes
     message_id: str | None = None
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Disposition:
-    """How a message is to be settled: ACK, REQUEUE or DEAD_LETTER, and why."""
+    """Holds how a message is to be settled, ACK, REQUEUE or DEAD_LETTER, and why."""
 
     action: str
     reason: str = ""
@@ -74,7 +74,7 @@
         self._sleep = sleep
 
     async def process(self, queue: QueueSettings, message: Message) -> Disposition:
-        """Returns how a message is to be settled; the caller settles it."""
+        """Submits or cancels the job of a message; returns how the caller is to settle the message."""
         if message.kind == CANCEL_TYPE:
             return await self._cancel(queue, message)
         identity = identity_of(
@@ -119,7 +119,7 @@
         found = await self._store.get_row(job_id)
         if found is None:
             raise StoreUnavailableError  # the row was pruned meanwhile; the message is retried later
-        self._on_row_written(*found)  # our own write may have been applied without a response
+        self._on_row_written(*found)  # this gateway's write may have been applied without a response
         return found[0], found[1], reason if found[0].answer == AnswerKind.REFUSED else ""
 
     async def _settle(self, row: MessageRow, version: int, reason: str) -> Disposition:
--- a/oatport/queues/link.py
+++ b/oatport/queues/link.py
@@ -26,7 +26,7 @@
 
 
 class Link:
-    """Keeps a connection to the broker, passes its messages to the gateway's intake and publishes the answers."""
+    """Maintains a connection to the broker, passes its messages to the gateway's intake and publishes the answers."""
 
     def __init__(self, settings: GatewaySettings) -> None:
         self.settings = settings
@@ -47,7 +47,7 @@
             await self._connection.close()
 
     def drop(self) -> None:
-        """Aborts the connection as a killed process does: no further frame is sent."""
+        """Aborts the connection as if the process was killed: no further frame is sent."""
         self.background.close()
         connection = self._connection
         if connection is not None and connection.transport is not None:
--- a/oatport/queues/outbox.py
+++ b/oatport/queues/outbox.py
@@ -27,7 +27,7 @@
 
 log = logging.getLogger(__name__)
 
-RECONCILE_INTERVAL = 10 * SECOND  # a taken row without news of its job for this long is reconciled
+RECONCILE_INTERVAL = 10 * SECOND  # taken rows are reconciled with the records of their jobs this often
 Publish = Callable[[MessageRow], Awaitable[bool]]  # True: confirmed, or there is no recipient
 
 
@@ -115,7 +115,7 @@
         await self._reload_row(row.job_id)
 
     async def _reload_row(self, job_id: str) -> None:
-        """Reads a row again whose version differs: another writer changed it, or our change got no response."""
+        """Reads a row again after a failed change: another writer changed it, or an earlier change got no response."""
         found = await self._store.get_row(job_id)
         if found is None:
             self._remove_row(job_id)
@@ -151,7 +151,7 @@
     # --- expiry and reconciliation ------------------------------------------------------------------
 
     def mark_all_stale(self) -> None:
-        """Makes all rows stale after missed changes: any job may have terminated. The next sweeps reconcile them."""
+        """Makes all rows stale after missed changes, as any job may have terminated; the next sweeps reconcile them."""
         self._reconciled_at = dict.fromkeys(self.rows, 0)
 
     def list_expired(self) -> list[str]:
@@ -169,14 +169,14 @@
         The gateway that wrote such a row may have died before it submitted the job.
         """
         now = self._clock()
-        found = [
+        stale = [
             job_id
             for job_id, (row, _) in self.rows.items()
             if row.state == RowState.TAKEN and now - self._reconciled_at.get(job_id, now) > RECONCILE_INTERVAL
         ]
-        for job_id in found:
+        for job_id in stale:
             self._reconciled_at[job_id] = now
-        return found
+        return stale
 
     async def reconcile(self, job_id: str, record: Any) -> None:
         """Answers a taken row from its job's current record, or submits the job if `record` is None (no such job).
--- a/oatport/queues/rows.py
+++ b/oatport/queues/rows.py
@@ -24,7 +24,7 @@
 
 
 class RowState(StrEnum):
-    """The stored state of a message."""
+    """The states of a row, as stored."""
 
     TAKEN = "taken"
     ANSWERED = "answered"
@@ -32,7 +32,7 @@
 
 
 class AnswerKind(StrEnum):
-    """The kind of answer that the sender receives, as stored and published."""
+    """The kinds of answer that a sender receives, as stored and published."""
 
     COMPLETED = "done"
     REFUSED = "refused"
@@ -42,7 +42,7 @@
 
 
 class Answer(NamedTuple):
-    """The kind of an answer, and its cause as text for people."""
+    """Holds the kind of an answer, and its cause as text for people."""
 
     kind: AnswerKind
     cause: str
@@ -65,9 +65,9 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageRow:
-    """The row of a message. Times are wall-clock times; 0 means none.
+    """Holds the row of a message. Times are wall-clock times; 0 means none.
 
-    `job` is the submission; it is stored until the row is answered.
+    `job` is the submission, which is stored until the row is answered.
     """
 
     job_id: str
--- a/oatport/queues/settings.py
+++ b/oatport/queues/settings.py
@@ -14,24 +14,24 @@
 from oatport.settings import SettingsError, parse_ini_number, read_ini, unknown_setting_error
 
 GATEWAY_SECTION, BROKER_SECTION = "gateway", "broker"
-QUEUE_SECTION_PREFIX = "queue "
+QUEUE_PREFIX = "queue "
 
 
 @dataclass(frozen=True, slots=True)
 class QueueSettings:
-    """The settings of one work queue: its job template and how its messages are consumed and identified."""
+    """Holds the settings of one work queue: its job template and how its messages are consumed and identified."""
 
     name: str
     template: Template
     prefetch: int = 200
-    identity_header: str = ""
-    hash_identity: bool = False
+    identity_header: str = ""  # header that identifies a message without a message id
+    hash_identity: bool = False  # whether the body's hash identifies a message without an id
     dead_letter: str = ""  # exchange for messages that can't become a job
 
 
 @dataclass(frozen=True, slots=True)
 class GatewaySettings:
-    """The settings of a gateway: its name, the services that it uses, its limits and its queues."""
+    """Holds the settings of a gateway: its name, the services that it uses, its limits and its queues."""
 
     name: str
     state: str
@@ -51,7 +51,7 @@
 
 
 def read_private_file(path: str, where: str) -> str:
-    """Returns the content of a file. Raises SettingsError if other users may read it, or it can't be read."""
+    """Returns the text of a file. Raises SettingsError if other users may read the file, or it can't be read."""
     try:
         mode = os.stat(path).st_mode
         text = Path(path).read_text(encoding="utf-8").strip()
@@ -74,10 +74,10 @@
 
 
 def load_gateway_settings(path: str | Path) -> GatewaySettings:
-    """Reads the settings of a gateway. Raises SettingsError: one line that names the field."""
+    """Reads the settings of a gateway. Raises SettingsError with one line that names the field."""
     parser = read_ini(path)
     for section in parser.sections():
-        if section not in (GATEWAY_SECTION, BROKER_SECTION) and not section.startswith(QUEUE_SECTION_PREFIX):
+        if section not in (GATEWAY_SECTION, BROKER_SECTION) and not section.startswith(QUEUE_PREFIX):
             raise SettingsError(f"{path}: [{section}]: no such section")
     for section in (GATEWAY_SECTION, BROKER_SECTION):
         if not parser.has_section(section):
@@ -103,9 +103,7 @@
         if "password_file" in broker
         else "guest"
     )
-    queues = tuple(
-        _queue(parser, section, path) for section in parser.sections() if section.startswith(QUEUE_SECTION_PREFIX)
-    )
+    queues = tuple(_queue(parser, section, path) for section in parser.sections() if section.startswith(QUEUE_PREFIX))
     if not queues:
         raise SettingsError(f"{path}: at least one [queue NAME] must be given")
     return GatewaySettings(
@@ -129,7 +127,7 @@
 
 def _queue(parser: configparser.ConfigParser, section: str, path: str | Path) -> QueueSettings:
     where = f"{path}: [{section}]"
-    name = section.removeprefix(QUEUE_SECTION_PREFIX).strip()
+    name = section.removeprefix(QUEUE_PREFIX).strip()
     if not name:
         raise SettingsError(f"{where}: names no queue")
     values = parser[section]
--- a/oatport/queues/store.py
+++ b/oatport/queues/store.py
@@ -17,14 +17,14 @@
 
 log = logging.getLogger(__name__)
 
-BATCHING_WINDOW_S = 0.004  # a batch is collected for this long
+BATCHING_WINDOW_S = 0.004  # changes are collected into a batch for this long
 MAX_PENDING_CHANGES = 5_000
-MAX_BATCH_BYTES = 40 * 1024  # of a transaction: the protocol's 64 KiB less its other parts
+MAX_BATCH_BYTES = 40 * 1024  # of values; the protocol's 64 KiB per transaction include keys and conditions
 MAX_COMMIT_TRIES = 6
 
 
 class StoreUnavailableError(OatportError):
-    """The state service is unavailable now, and it is not known that anything was changed. Retry later."""
+    """Raised if a row can't be read or changed now; a change may or may not have been applied. Callers retry later."""
 
 
 @dataclass(slots=True)
@@ -46,7 +46,7 @@
         self._txn_ops = txn_ops
         self._pending: list[_PendingChange] = []
         self._commit_task: asyncio.Task[None] | None = None
-        self.write_count = self.request_count = 0  # for the cost of a message: operations and requests
+        self.write_count = self.request_count = 0  # operations and requests, for the cost per message
 
     async def change(self, key: str, value: Any, conditions: dict[str, int], size: int = 512) -> int:
         """Writes or deletes a key. Returns the revision; 0 if a condition fails. Raises StoreUnavailableError."""
@@ -112,7 +112,7 @@
                 change.outcome.set_result(revision)
 
     async def _commit(self, batch: list[_PendingChange]) -> None:
-        tries = 0
+        failures = 0
         while batch:
             conditions: dict[str, int] = {}
             for change in batch:
@@ -132,10 +132,12 @@
             except (NoResponseError, RequestRefusedError) as error:
                 # The same transaction is repeated. If an earlier attempt of unknown outcome was applied, its own
                 # conditions fail now, and the caller reads the current row.
-                tries += 1
-                if tries >= MAX_COMMIT_TRIES or (isinstance(error, RequestRefusedError) and 400 <= error.status < 429):
+                failures += 1
+                if failures >= MAX_COMMIT_TRIES or (
+                    isinstance(error, RequestRefusedError) and 400 <= error.status < 429
+                ):
                     return
-                await asyncio.sleep(jitter(min(50 * MS << tries, SECOND)))
+                await asyncio.sleep(jitter(min(50 * MS << failures, SECOND)))
                 continue
             if isinstance(result, Applied):
                 self._resolve(batch, result.revision)
@@ -146,7 +148,7 @@
 
 
 def decode_row(key: str, value: Any, version: int) -> tuple[MessageRow, int] | None:
-    """Decodes a row; None if it is malformed (logged as an error: only gateways write under this prefix)."""
+    """Returns a decoded row and its version; None if it is malformed, which is logged, as only gateways write rows."""
     job_id = key.rpartition("/")[2]
     try:
         return MessageRow.decode(job_id, value), int(version)
--- a/oatport/queues/templates.py
+++ b/oatport/queues/templates.py
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Template:
-    """A job template. `fields`: INI key -> text or jinja2 source; `opens`: the fields that a message may set itself."""
+    """Holds a job template. `fields`: INI key -> text or jinja2 source; `opens`: fields that messages may set."""
 
     fields: Mapping[str, str]
     opens: frozenset[str]
--- a/oatport/windows/margins.py
+++ b/oatport/windows/margins.py
@@ -43,7 +43,7 @@
     def _compute_factor(ratios: deque[float]) -> float:
         ordered = sorted(ratios)
         high = ordered[min(int(len(ordered) * QUANTILE), len(ordered) - 1)]
-        # A few fast tasks are weak evidence, so the prior stands in for the ratios that are still missing.
+        # A few fast tasks are weak evidence, so PRIOR_FACTOR replaces the ratios that are still missing.
         observed_share = min(len(ordered) / SUFFICIENT_RATIOS, 1.0)
         return max(MIN_FACTOR, high * observed_share + PRIOR_FACTOR * (1 - observed_share), high)
 
