--- a/tests/test_amqp_queues.py
+++ b/tests/test_amqp_queues.py
@@ -83,13 +83,13 @@
 
 
 class FakeScheduler:
-    """Returns the `outcomes` in turn, then accepts each job and records it in the state `end`."""
+    """Returns the `outcomes` in turn, then accepts each job and records it with the status `recorded_status`."""
 
     def __init__(self, state: KeyStore) -> None:
         self.state = state
         self.outcomes: list[SchedulerResponse] = []
         self.submitted: list[str] = []
-        self.end = wire.JobStatus.COMPLETED
+        self.recorded_status = wire.JobStatus.COMPLETED
 
     async def submit(self, job: dict[str, Any]) -> SchedulerResponse:
         if self.outcomes:
@@ -97,7 +97,9 @@
         self.submitted.append(job["ref"])
         key = f"jobs/{job['ref']}"
         if key not in self.state.items:
-            self.state.commit({"if": [], "then": [{"set": key, "value": {"state": self.end, "at": 1, "job": job}}]})
+            self.state.commit(
+                {"if": [], "then": [{"set": key, "value": {"state": self.recorded_status, "at": 1, "job": job}}]}
+            )
         return SchedulerResponse(SchedulerOutcome.ACCEPTED)
 
     async def cancel(self, job_id: str) -> SchedulerResponse:
@@ -179,14 +181,14 @@
 
 
 def test_a_member_that_leaves_moves_only_its_own_parts() -> None:
-    three = {name: parts_for(name, ["a", "b", "c"]) for name in "abc"}
-    assert sorted(part for parts in three.values() for part in parts) == list(range(PART_COUNT))
-    two = {name: parts_for(name, ["a", "b"]) for name in "ab"}
-    assert all(three[name] <= two[name] for name in "ab")
+    parts_of_three = {name: parts_for(name, ["a", "b", "c"]) for name in "abc"}
+    assert sorted(part for parts in parts_of_three.values() for part in parts) == list(range(PART_COUNT))
+    parts_of_two = {name: parts_for(name, ["a", "b"]) for name in "ab"}
+    assert all(parts_of_three[name] <= parts_of_two[name] for name in "ab")
 
 
 @pytest.mark.parametrize(
-    ("body", "why"),
+    ("body", "expected_error"),
     [
         (b"[1]", "not a JSON object"),
         (b"{", "not JSON"),
@@ -199,8 +201,8 @@
         (b"\xff\xfe", "not JSON"),
     ],
 )
-def test_invalid_messages_are_rejected_with_a_reason(body: bytes, why: str) -> None:
-    with pytest.raises(InvalidMessageError, match=why):
+def test_invalid_messages_are_rejected_with_a_reason(body: bytes, expected_error: str) -> None:
+    with pytest.raises(InvalidMessageError, match=expected_error):
         MOVES.template.render_job("j-1", body)
 
 
@@ -287,8 +289,8 @@
     await harness.settle()
     first, second = harness.published
     assert (first.answer_id, first.answer_body()) == (second.answer_id, second.answer_body())
-    seen = AnswerCache()
-    assert [seen.add_if_new(row.answer_id) for row in harness.published] == [True, False]
+    answers = AnswerCache()
+    assert [answers.add_if_new(row.answer_id) for row in harness.published] == [True, False]
 
 
 async def test_a_refused_job_is_answered_and_dead_lettered_once() -> None:
@@ -307,8 +309,8 @@
     assert disposition.action == DEAD_LETTER
     assert disposition.unrecorded_answer is not None
     assert disposition.unrecorded_answer.answer == "refused"
-    again = await harness.process(message_id=None)
-    assert again.unrecorded_answer.answer_id == disposition.unrecorded_answer.answer_id
+    repeated = await harness.process(message_id=None)
+    assert repeated.unrecorded_answer.answer_id == disposition.unrecorded_answer.answer_id
     assert not [key for key in harness.state.items if key.startswith("q/")]
 
 
@@ -327,7 +329,7 @@
     await harness.process(message_id=None, kind="cancel", correlation_id="m-early")
     assert (await harness.process(message_id="m-early")).action == ACK
     assert harness.scheduler.submitted == []
-    harness.scheduler.end = "queued"
+    harness.scheduler.recorded_status = "queued"
     await harness.process()
     assert (await harness.process(message_id=None, kind="cancel", correlation_id="m-1")).action == ACK
     await harness.settle()
@@ -340,7 +342,7 @@
     harness.scheduler.outcomes = [SchedulerResponse(SchedulerOutcome.RETRY_LATER)] * 10
     await harness.process(expires_s=2.0)
     harness.scheduler.outcomes = []
-    harness.scheduler.end = "queued"
+    harness.scheduler.recorded_status = "queued"
     await harness.process(message_id="m-2", expires_s=50.0)
     harness.now += 51 * SECOND
     assert harness.outbox.list_expired() == [job_id_of("moves", "m-2")]
@@ -385,7 +387,7 @@
     _, value = harness.state.commit({"if": [], "then": [{"set": part_key(part), "value": {"name": "successor"}}]})
     rows, _ = await successor.store.list_rows()
     successor.outbox.add_part(part, value["ledgerRev"], rows)
-    await harness.settle()  # the former owner has not noticed the change of ownership
+    await harness.settle()  # the former owner has not yet read the new part key
     assert harness.published == []
     await successor.settle()
     await successor.settle()
@@ -539,7 +541,7 @@
             if any(q.consumers and q.consumers[0][0].connection is c for q in [deployment.broker.queues["moves"]])
         ]
 
-        # Limited by number, not by duration: on a busy machine the connection never came up again for long enough.
+        # The faults are limited by number, not by time: on a busy machine the connection was never up for long enough.
         faults_left = 4
 
         def fault(at: str) -> bool:
@@ -614,8 +616,8 @@
 async def test_a_silent_connection_is_kept_for_its_negotiated_heartbeat_interval(deployment: Deployment) -> None:
     """The broker must use the client's longer heartbeat interval, not the one that the broker proposed.
 
-    The emulator used its own proposal: a sender that waited for the lease of a dead gateway to expire lost its
-    connection and with it its reply queue.
+    The broker emulator used its own proposal: a sender that waited for the lease of a dead gateway to expire lost its
+    connection, and its reply queue was deleted with it.
     """
     deployment.broker.heartbeat_s = 1
     async with Sender(deployment.url, "moves") as sender:
@@ -662,8 +664,8 @@
 @settings(max_examples=60, derandomize=True, deadline=None)
 def test_mutated_frames_end_only_their_own_connection(changes: list[tuple[int, int]], cut: int) -> None:
     data = bytearray(_frames())
-    for place, value in changes:
-        data[place] = value
+    for offset, value in changes:
+        data[offset] = value
 
     async def scenario() -> None:
         broker = Broker()
@@ -677,8 +679,8 @@
             await writer.wait_closed()
         except ConnectionError:
             pass
-        _, again = await asyncio.open_connection("127.0.0.1", broker.port)  # the broker still accepts connections
-        again.close()
+        _, second = await asyncio.open_connection("127.0.0.1", broker.port)  # the broker still accepts connections
+        second.close()
         assert reader is not None
         await broker.stop()
 
@@ -710,8 +712,8 @@
         disposition = await harness.intake.process(MOVES, message)
         assert disposition.action in (ACK, DEAD_LETTER)
         await harness.settle()
-        again = await harness.intake.process(MOVES, message)
-        assert again.action == disposition.action
+        repeated = await harness.intake.process(MOVES, message)
+        assert repeated.action == disposition.action
         await harness.settle()
         assert len({row.answer_id for row in harness.published}) <= 1 >= len(harness.published) - 0
 
@@ -733,7 +735,7 @@
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "why"),
+    ("old", "new", "expected_error"),
     [
         ("name = g\n", "", "name"),
         ("state = h:1", "state = h", "state"),
@@ -750,11 +752,11 @@
     ],
 )
 def test_errors_in_gateway_settings_name_the_field(
-    old: str, new: str, why: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
+    old: str, new: str, expected_error: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path = tmp_path / "queues.ini"
     path.write_text(VALID_SETTINGS.replace(old, new))
-    with pytest.raises(SettingsError, match=why):
+    with pytest.raises(SettingsError, match=expected_error):
         load_gateway_settings(path)
     assert main(["queues", "--config", str(path), "--check"]) == 2
     assert len(capsys.readouterr().err.splitlines()) == 1
--- a/tests/test_fault_interactions.py
+++ b/tests/test_fault_interactions.py
@@ -16,8 +16,8 @@
 INTERACTION_NAMES = [interaction.__name__ for interaction in FAULT_INTERACTIONS]
 
 
-def _seed(name: str, turn: int = 1) -> int:
-    return INTERACTION_NAMES.index(name) + turn * INTERACTION_COUNT
+def _seed(name: str, cycle: int = 1) -> int:
+    return INTERACTION_NAMES.index(name) + cycle * INTERACTION_COUNT
 
 
 @pytest.mark.parametrize("name", INTERACTION_NAMES)
@@ -31,7 +31,7 @@
 @pytest.mark.parametrize(
     ("disabled_check", "name", "invariant"),
     [
-        ("read-freshness", "reads_after_status_changes", "went_back"),  # a response from a cache that is a second old
+        ("read-freshness", "reads_after_status_changes", "went_back"),  # responses come from a cache up to a second old
         ("read-freshness", "requests_at_last_completion", "went_back"),
         ("transaction-conditions", "lost_commit_answers", "went_back"),
         ("transaction-conditions", "cancellations_in_failover", "ran_twice"),
@@ -42,11 +42,11 @@
     ],
 )
 def test_a_disabled_check_is_caught_where_two_faults_interact(disabled_check: str, name: str, invariant: str) -> None:
-    seeds = [_seed(name, turn) for turn in range(12)]  # which of them show the violation depends on the hash seed
+    seeds = [_seed(name, cycle) for cycle in range(12)]  # which seeds show the violation depends on PYTHONHASHSEED
     assert any(
-        row.startswith(invariant)
+        violation.startswith(invariant)
         for seed in seeds
-        for row in run_scenario(
+        for violation in run_scenario(
             RunRequest(plan=fault_interaction_plan(seed), disabled_check=disabled_check), seed
         ).violations
     ), (disabled_check, name)
@@ -59,7 +59,7 @@
     assert checked.counts["odd_requests"] > 20
     with patch.object(JobApi, "infeasibility_reason", lambda self, job: None):
         unchecked = run_scenario(RunRequest(plan=plan), 1)
-    assert any(row.startswith("accepted_wrongly") for row in unchecked.violations)
+    assert any(violation.startswith("accepted_wrongly") for violation in unchecked.violations)
 
 
 # --- teams at their quotas ------------------------------------------------------------------------------
@@ -88,9 +88,9 @@
 ) -> None:
     candidate_seeds = dict.fromkeys([*seeds, *range(1, 51)])
     assert any(
-        row.startswith("ran_twice")
+        violation.startswith("ran_twice")
         for seed in candidate_seeds
-        for row in run_scenario(RunRequest(scenario="quota", disabled_check=disabled_check), seed).violations
+        for violation in run_scenario(RunRequest(scenario="quota", disabled_check=disabled_check), seed).violations
     ), disabled_check
 
 
--- a/tests/test_rolling_upgrade.py
+++ b/tests/test_rolling_upgrade.py
@@ -1,4 +1,4 @@
-"""Tests of rolling upgrades: nodes of the version in production, from the repository's history, beside this one's."""
+"""Tests of rolling upgrades: nodes of the production version, from the repository's history, beside current nodes."""
 
 from __future__ import annotations
 
@@ -70,13 +70,13 @@
     simulation = Simulation(plan, seed)
     simulation.deployed.nodes.upgraded, simulation.balanced_nodes = {"n1"}, {"n1"}
     leader_names: set[str] = set()
-    sample = simulation.leadership.sample
+    original_sample = simulation.leadership.sample
 
     def record_leaders() -> None:
         leader_names.update(
             name for name, node in simulation.deployed.nodes.nodes.items() if leader_of(node) is not None
         )
-        sample()
+        original_sample()
 
     simulation.leadership.sample = record_leaders  # type: ignore[method-assign]
     result = run_without_logs(simulation)
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -63,98 +63,98 @@
 
 
 def test_messages_held_by_a_cut_arrive_later_and_unconnected_requests_never() -> None:
-    pair = EchoHosts()
+    hosts = EchoHosts()
 
     async def scenario() -> None:
-        assert await pair.send_request("first") == (200, "first")  # leaves one connection open, which is reused
+        assert await hosts.send_request("first") == (200, "first")  # leaves one connection open, which is reused
         cut = LinkRule("a", "b", "hold")
-        pair.net.add_rule(cut)
+        hosts.net.add_rule(cut)
         for body in ("on the connection", "would need another"):
             with pytest.raises(NoResponseError):
-                await pair.send_request(body)
-        assert len(pair.received) == 1
-        pair.net.remove_rule(cut)
+                await hosts.send_request(body)
+        assert len(hosts.received) == 1
+        hosts.net.remove_rule(cut)
         await asyncio.sleep(RECONNECT_MAX_US / SECOND + 1)
 
-    pair.run(scenario())
-    assert [body for _, body in pair.received] == ["first", "on the connection"]
+    hosts.run(scenario())
+    assert [body for _, body in hosts.received] == ["first", "on the connection"]
 
 
 def test_a_one_way_cut_delivers_a_request_and_holds_its_response() -> None:
-    pair = EchoHosts()
+    hosts = EchoHosts()
 
     async def scenario() -> None:
-        await pair.send_request("first")
-        pair.net.add_rule(LinkRule("b", "a", "hold"))
+        await hosts.send_request("first")
+        hosts.net.add_rule(LinkRule("b", "a", "hold"))
         with pytest.raises(NoResponseError):
-            await pair.send_request("executed")
+            await hosts.send_request("executed")
 
-    pair.run(scenario())
-    assert [body for _, body in pair.received] == ["first", "executed"]
+    hosts.run(scenario())
+    assert [body for _, body in hosts.received] == ["first", "executed"]
 
 
 def test_lost_messages_never_arrive_and_refused_requests_raise_not_sent() -> None:
-    pair = EchoHosts()
+    hosts = EchoHosts()
 
     async def scenario() -> None:
-        await pair.send_request("first")
+        await hosts.send_request("first")
         cut = LinkRule("a", "b", "lost")
-        pair.net.add_rule(cut)
+        hosts.net.add_rule(cut)
         with pytest.raises(NoResponseError):
-            await pair.send_request("lost")
-        pair.net.remove_rule(cut)
-        pair.net.add_rule(LinkRule("a", "b", "refuse"))
+            await hosts.send_request("lost")
+        hosts.net.remove_rule(cut)
+        hosts.net.add_rule(LinkRule("a", "b", "refuse"))
         with pytest.raises(RequestNotSentError):
-            await pair.send_request("refused")
+            await hosts.send_request("refused")
 
-    pair.run(scenario())
-    assert [body for _, body in pair.received] == ["first"]
+    hosts.run(scenario())
+    assert [body for _, body in hosts.received] == ["first"]
 
 
 def test_a_paused_host_answers_after_it_resumes_and_its_clocks_advance() -> None:
-    pair = EchoHosts()
-    seen: list[tuple[float, int]] = []
+    hosts = EchoHosts()
+    readings: list[tuple[float, int]] = []
 
-    async def clock() -> None:
+    async def read_clocks() -> None:
         while True:
-            seen.append((pair.loop.time(), steady()))
+            readings.append((hosts.loop.time(), steady()))
             await asyncio.sleep(1.0)
 
     async def scenario() -> None:
-        pair.loop.create_task(clock(), context=pair.b.context)
+        hosts.loop.create_task(read_clocks(), context=hosts.b.context)
         await asyncio.sleep(2.5)
-        pair.b.freeze()
+        hosts.b.freeze()
         with pytest.raises(NoResponseError):
-            await pair.send_request("waits")
+            await hosts.send_request("waits")
         await asyncio.sleep(4)
-        pair.b.thaw()
+        hosts.b.thaw()
         await asyncio.sleep(1.5)
 
-    pair.run(scenario())
-    gaps = [later - earlier for (earlier, _), (later, _) in pairwise(seen)]
+    hosts.run(scenario())
+    gaps = [later - earlier for (earlier, _), (later, _) in pairwise(readings)]
     assert max(gaps) > 4.9  # the host executed nothing while paused
-    assert seen[-1][1] - seen[0][1] >= 8 * SECOND  # its clocks advanced meanwhile
-    assert pair.received[0][0] > 1_007
+    assert readings[-1][1] - readings[0][1] >= 8 * SECOND  # its clocks advanced during the pause
+    assert hosts.received[0][0] > 1_007
 
 
 def test_a_crashed_host_resets_its_connections_and_refuses_new_ones() -> None:
-    pair = EchoHosts()
+    hosts = EchoHosts()
 
     async def slow(method: str, path: str, body: Any) -> tuple[int, Any]:
         await asyncio.sleep(100)
         return 200, None
 
     async def scenario() -> None:
-        pair.net.listen("b:1", pair.b, slow)
-        pair.loop.call_later_us(SECOND, None, lambda: (pair.b.end(), pair.net.on_process_ended(pair.b)))
-        began = pair.loop.time()
+        hosts.net.listen("b:1", hosts.b, slow)
+        hosts.loop.call_later_us(SECOND, None, lambda: (hosts.b.end(), hosts.net.on_process_ended(hosts.b)))
+        started_at = hosts.loop.time()
         with pytest.raises(NoResponseError, match="reset"):
-            await pair.send_request("under way", 30 * SECOND)
-        assert pair.loop.time() - began < 1.1
+            await hosts.send_request("under way", 30 * SECOND)
+        assert hosts.loop.time() - started_at < 1.1
         with pytest.raises(RequestNotSentError):
-            await pair.send_request("after")
+            await hosts.send_request("after")
 
-    pair.run(scenario())
+    hosts.run(scenario())
 
 
 # --- models of external systems -----------------------------------------------------------------------
@@ -285,8 +285,10 @@
         self.checker.jobs[self.job.job_id] = self.job
 
     def worker(self, number: int, **changes: Any) -> Worker:
-        of = {"zone": "a", "spot": False, **changes}
-        return Worker(lambda: 0, f"vm-{number}", f"h{number}", "m8", of["zone"], of["spot"], 8.0, lambda ref: None)
+        placement = {"zone": "a", "spot": False, **changes}
+        return Worker(
+            lambda: 0, f"vm-{number}", f"h{number}", "m8", placement["zone"], placement["spot"], 8.0, lambda ref: None
+        )
 
     def task(self, number: int) -> str:
         return f"{self.job.job_id}/{number}"
--- a/tests/test_windows.py
+++ b/tests/test_windows.py
@@ -47,7 +47,7 @@
 
 
 @pytest.mark.parametrize(
-    ("rows", "made_at", "why"),
+    ("rows", "made_at", "expected_error"),
     [
         ([], 0, "no intervals"),
         (hours(1.0) + hours(2.0), 0, "overlap"),
@@ -59,9 +59,9 @@
         (hours(*[1.0] * 3000), 0, "at most"),
     ],
 )
-def test_an_invalid_series_changes_nothing(rows: list[Interval], made_at: int, why: str) -> None:
+def test_an_invalid_series_changes_nothing(rows: list[Interval], made_at: int, expected_error: str) -> None:
     price_book = book(5.0, 6.0)
-    with pytest.raises(InvalidPriceSeriesError, match=why):
+    with pytest.raises(InvalidPriceSeriesError, match=expected_error):
         price_book.add_series(rows, made_at, DAY)
     assert [row.price for row in price_book.rows] == [5.0, 6.0]
 
@@ -105,12 +105,12 @@
 
 def test_daylight_saving_changes_move_no_hour() -> None:
     """The local night at the end of summer time has 25 hours; the format uses UTC, in which each hour occurs once."""
-    body = wire_body(encode_series(hours(*range(1, 26)), "tallinn", DAY))
+    body = json_body(encode_series(hours(*range(1, 26)), "tallinn", DAY))
     rows, _ = decode_series(body, "application/json", "tallinn")
     assert [row.end for row in rows[:-1]] == [row.start for row in rows[1:]]
 
 
-def wire_body(value: Any) -> bytes:
+def json_body(value: Any) -> bytes:
     import json
 
     return json.dumps(value).encode()
@@ -123,10 +123,10 @@
         b"{}",
         b"[1]",
         b"\xff",
-        wire_body({"v": 2, "zone": "z", "at": 1, "intervals": []}),
-        wire_body({"v": 1, "zone": "other", "at": 1, "intervals": []}),
+        json_body({"v": 2, "zone": "z", "at": 1, "intervals": []}),
+        json_body({"v": 1, "zone": "other", "at": 1, "intervals": []}),
         b"[" * 100_000,
-        wire_body({"v": 1, "zone": "z", "at": 1, "intervals": [{"start": 0, "len": -1, "price": 1}]}),
+        json_body({"v": 1, "zone": "z", "at": 1, "intervals": [{"start": 0, "len": -1, "price": 1}]}),
         b'{"v": 1, "zone": "z", "at": NaN, "intervals": []}',
         b" " * 300_000,
     ],
@@ -242,10 +242,10 @@
     assert fixture.harness.record(job.job_id) == "done"
 
 
-@pytest.mark.parametrize("tide", [30.0, 300.0, 700.0])
-def test_a_job_without_slack_starts_immediately(tide: float) -> None:
+@pytest.mark.parametrize("deadline_s", [30.0, 300.0, 700.0])
+def test_a_job_without_slack_starts_immediately(deadline_s: float) -> None:
     fixture = DeferralFixture(50.0, 1.0)
-    assert fixture.submit(tideS=tide).start_limit < 0
+    assert fixture.submit(tideS=deadline_s).start_limit < 0
 
 
 def test_services_and_jobs_without_a_deadline_are_never_deferred() -> None:
@@ -344,12 +344,12 @@
     fixture = DeferralFixture(50.0, 10.0, 20.0, 20.0, 20.0, capacity=400.0)
     for number in range(5_000):
         fixture.submit(ref=f"j-{number:06d}", legs=1, cores=1.0, voyageS=300.0, tideS=4 * 3600.0)
-    taken: dict[int, int] = {}
+    tasks_by_slot: dict[int, int] = {}
     for plan in fixture.deferrals.planner.plans.values():
         for slot, count in plan.starts.items():
-            taken[slot] = taken.get(slot, 0) + count
-    assert max(taken.values()) <= 400
-    assert len(taken) >= 12
+            tasks_by_slot[slot] = tasks_by_slot.get(slot, 0) + count
+    assert max(tasks_by_slot.values()) <= 400
+    assert len(tasks_by_slot) >= 12
 
 
 def test_deferred_tasks_that_are_due_soon_count_in_the_queue_estimate() -> None:
@@ -446,7 +446,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "why"),
+    ("text", "expected_error"),
     [
         ("[windows]\non = yes", "capacity_cpus"),
         ("[windows]\non = maybe", "yes or no"),
@@ -461,11 +461,11 @@
     ],
 )
 def test_errors_in_settings_name_the_field(
-    text: str, why: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
+    text: str, expected_error: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path = tmp_path / "own.ini"
     path.write_text(text)
-    with pytest.raises(SettingsError, match=why):
+    with pytest.raises(SettingsError, match=expected_error):
         load_window_settings(path)
     assert main(["--tuning", str(path), "check", "deploy/service.toml"]) == 2
     assert len(capsys.readouterr().err.splitlines()) == 1
