--- a/oatport/queues/store.py
+++ b/oatport/queues/store.py
@@ -112,6 +112,7 @@
                 change.outcome.set_result(revision)
 
     async def _commit(self, batch: list[_PendingChange]) -> None:
+        """Commits a batch. Changes whose conditions fail get the outcome 0; the others are committed without them."""
         failures = 0
         while batch:
             conditions: dict[str, int] = {}
--- a/oatport/windows/holding.py
+++ b/oatport/windows/holding.py
@@ -114,11 +114,13 @@
             self._plan_job(job, deferral, wall)
 
     def _deferral(self, job: Job) -> Deferral | None:
+        """Returns how a job may be deferred; None for a service, without a deadline, or if no setting applies."""
         if job.kind is JobKind.SERVICE or job.spec.deadline_s is None:
             return None
         return self.settings.deferral(job.spec.job_class, job.spec.priority)
 
     def _demand(self, job: Job, deferral: Deferral, tasks: int) -> JobDemand:
+        """Returns the demand of `tasks` tasks of a job, with the latest safe start; a gang counts as one task."""
         spec = job.spec
         runtime = self.cluster.predictor.run_time(job.job_id, spec)
         is_gang = job.kind is JobKind.GANG
--- a/oatport/windows/planner.py
+++ b/oatport/windows/planner.py
@@ -367,6 +367,7 @@
         return demand.cpus * (cost + demand.delay_penalty * min(wait, 1.0) * demand.runtime)
 
     def _cheapest_slots(self, demand: JobDemand) -> list[int]:
+        """Returns the slots of the horizon in the order of the cost of a task that starts in them."""
         slots_taken = max(1, -(-demand.runtime // self.step))
         key = (demand.profile, slots_taken)
         slots_by_cost = self._slots_by_cost.get(key)
@@ -382,6 +383,7 @@
         return sorted(slots_by_cost, key=lambda slot: (self._task_cost(demand, slot), slot))
 
     def _make_plan(self, demand: JobDemand) -> Plan:
+        """Returns a plan that uses the cheapest free slots in time, or an immediate start if they save too little."""
         plan = Plan(demand, immediate_cost=demand.task_count * self._task_cost(demand, self._first_slot))
         last, remaining = self._last_slot(demand), demand.task_count
         if last < self._first_slot:
@@ -458,6 +460,7 @@
             self._free_capacity[index] += count * usage
 
     def _insert(self, plan: Plan) -> None:
+        """Stores a plan and reserves its capacity."""
         self.plans[plan.demand.job_id] = plan
         for slot, count in plan.starts.items():
             self._release_capacity(plan.demand, slot, -count)
@@ -468,6 +471,7 @@
             heapq.heapify(self._latest_starts)
 
     def _detach(self, plan: Plan) -> None:
+        """Releases a plan's capacity, so that the plan can be changed; `plans` still holds it."""
         for slot, count in plan.starts.items():
             self._release_capacity(plan.demand, slot, count)
             jobs_in_slot = self._tasks_by_slot.get(slot)
@@ -499,6 +503,7 @@
         return moved
 
     def _has_capacity(self, demand: JobDemand) -> bool:
+        """Returns whether the slots up to the latest start, each taken on its own, have capacity for all tasks."""
         remaining = demand.task_count
         for slot in range(self._first_slot, self._last_slot(demand) + 1):
             remaining -= min(remaining, self._startable_tasks(demand, slot))
