--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,1 +1,1 @@
-"""TODO: what this package is for."""
+"""Tests of oatport, with the in-memory cluster and the call counts that several of them share."""
--- a/tests/call_counts.py
+++ b/tests/call_counts.py
@@ -2,10 +2,10 @@
 
     python -m tests.call_counts [MACHINES ...] [--waiting TASKS ...] [--on MACHINES]   tables for docs/measurements.md
 
-It counts function calls (Python's and built-in), changes of the state service, bytes of records and bytes held by the
-leader's view. Each measurement includes many small jobs, a huge array and a failover. With `--waiting`, all machines
-are full and that many tasks are pending: the calls of ten seconds of the leader's loops are counted while nothing
-changes, while tasks complete, and while jobs are submitted.
+The counts are function calls (Python's and built-in), changes of the state service, bytes of records and bytes held
+by the leader's view. Each measurement includes many small jobs, a huge array and a failover. With `--waiting`, all
+machines are full and that many tasks are pending: the calls of ten seconds of the leader's loops are counted while
+nothing changes, while tasks complete, and while jobs are submitted.
 """
 
 from __future__ import annotations
@@ -58,14 +58,14 @@
     failover: int = 0
     failover_bytes: int = 0
     changes: int = 0  # puts and deletes from an empty cluster to a full one
-    held: int = 0  # bytes
+    held: int = 0  # bytes held by the leader's view
 
 
 def measure(machines: int) -> Counts:
     """Returns the counts for a cluster of `machines` machines."""
     counts = Counts(machines)
     tracemalloc.start()
-    before = tracemalloc.get_traced_memory()[0]
+    initial_memory = tracemalloc.get_traced_memory()[0]
     harness = ClusterHarness([Team("crew")])
     for number in range(1, machines + 1):
         harness.machine(number, "ab"[number % 2], spot=number % 4 == 3)
@@ -120,7 +120,7 @@
     counts.small_jobs = count_calls(harness.plan)
     harness.commit()
     harness.send()
-    counts.held = tracemalloc.get_traced_memory()[0] - before
+    counts.held = tracemalloc.get_traced_memory()[0] - initial_memory
     tracemalloc.stop()
     counts.changes = len(harness.state.log)
     rows = [
@@ -136,16 +136,16 @@
 
 @dataclass
 class Backlog:
-    """Calls within ten seconds while `pending` tasks are pending on full machines.
+    """Calls within ten seconds while `pending` tasks are pending and all machines are full.
 
     The field names are the rows of the printed table.
     """
 
     pending: int
     unchanged: int = 0  # while nothing changes
-    longest: int = 0  # the most expensive step, for which a binding, a heartbeat or a lease renewal may have to wait
+    longest: int = 0  # the most expensive step, which may delay a binding, a heartbeat or a lease renewal
     completions: int = 0  # while ten tasks complete each second
-    bindings: int = 0  # tasks bound to the freed capacity meanwhile
+    bindings: int = 0  # tasks bound while ten tasks complete each second
     submissions: int = 0  # while a job is submitted each second and no machine has capacity
     heartbeats: int = 0  # one unchanged heartbeat of each machine
     held: int = 0  # bytes held by the leader's view
@@ -180,12 +180,12 @@
     ]:
         harness.fleet.availability.refused_until[offering] = harness.now + 3600 * SECOND
     tracemalloc.start()
-    before = tracemalloc.get_traced_memory()[0]
+    initial_memory = tracemalloc.get_traced_memory()[0]
     for number in range(tasks // 12):
         submit(legs=12, voyageS=50.0 + number % 7, tideS=120.0 + 10 * (number % 50), cargo="van")
     router, cluster = PendingJobRouter(harness.cluster, harness.fleet.availability), harness.cluster
     harness.plan()
-    counts.held = tracemalloc.get_traced_memory()[0] - before
+    counts.held = tracemalloc.get_traced_memory()[0] - initial_memory
     tracemalloc.stop()
 
     def run_planning_step() -> None:
@@ -240,7 +240,7 @@
 
 
 def print_table(rows: list[Any], names: list[str]) -> None:
-    """Prints a Markdown table: a row for each count, with its growth from size to size."""
+    """Prints a Markdown table: a row for each count, with its growth from each size to the next."""
     for name in names:
         values = [getattr(row, name) for row in rows]
         growth = [f"x{b / a:.2f}" if a else "-" for a, b in pairwise(values)]
--- a/tests/cluster_fixture.py
+++ b/tests/cluster_fixture.py
@@ -130,7 +130,7 @@
 
 
 class ClusterHarness:
-    """A cluster in memory whose time passes only when a test advances it."""
+    """A cluster in memory: state service, workers and leader; the clock advances only on request of a test."""
 
     def __init__(self, teams: list[Team] | None = None, state: StateLimits | None = None) -> None:
         self.now = 1_000 * SECOND
@@ -142,7 +142,7 @@
         self.workers: dict[str, Worker] = {}
         self.jobs: dict[str, dict[str, Any]] = {}
         self.unreachable_machines: set[str] = set()  # machines that send and receive nothing
-        self.one_way_partitioned: set[str] = set()  # machines whose reports arrive but which receive nothing
+        self.one_way_partitioned: set[str] = set()  # machines whose heartbeats arrive but which receive nothing
         self.retry_policies: RetryPolicies = {}
         self.fail_over()
 
@@ -307,7 +307,7 @@
         self.cluster.on_machine_removed(self.cluster.machines[name], self.now, "returned")
 
     def task_locations(self, ref: str) -> dict[str, list[str]]:
-        """Returns the locations of a job's tasks: task name -> machines on which an attempt has not ended."""
+        """Returns, by task name, the machines on which an attempt of this job's task has not ended."""
         places: dict[str, list[str]] = {}
         for worker in self.workers.values():
             worker.advance()
@@ -327,17 +327,19 @@
     session = None
 
     def client(self, address: str, keep: Any = None) -> UnreachableNetwork:
+        """Returns the network itself as the client of any address."""
         return self
 
     def set_expected_load(self, machines: int, a_second: float) -> None:
-        pass
+        """Ignores the expected load."""
 
-    async def request(self, *args: Any, **more: Any) -> tuple[int, Any]:
-        raise RequestNotSentError("unplugged")
+    async def request(self, *args: Any, **kwargs: Any) -> tuple[int, Any]:
+        """Raises RequestNotSentError."""
+        raise RequestNotSentError("network unreachable")
 
 
 class FakeStateClient:
-    """The calls of StateClient on a KeyStore, with faults for the next requests.
+    """Offers the calls of StateClient on a KeyStore, and applies `faults` to the next requests in order.
 
     Faults: "refuse"; "lose" (applied, but without a response); "late" (applied only by `deliver_late`).
     """
@@ -345,7 +347,7 @@
     def __init__(self, state: KeyStore) -> None:
         self.state = state
         self.faults: list[str] = []
-        self.held: list[dict[str, Any]] = []
+        self.delayed_transactions: list[dict[str, Any]] = []
         self.last_success_at = 1
         self.last_failure_at = 0
         self.reads = 0
@@ -354,6 +356,7 @@
         return self.faults.pop(0) if self.faults else ""
 
     async def get(self, key: str, timeout_us: int = 0) -> wire.StoredValue | None:
+        """Returns the value of a key, or None."""
         self.reads += 1
         fault = self._fault()
         if fault == "refuse":
@@ -364,6 +367,7 @@
         return wire.decode_stored_value(value) if status == 200 else None
 
     async def get_many(self, prefix: str, names: list[str]) -> PartialRead:
+        """Returns the values of the first 100 of these keys."""
         self.reads += 1
         if self._fault():
             raise NoResponseError("some")
@@ -374,10 +378,12 @@
         )
 
     async def current_revision(self, prefix: str, timeout_us: int = 0) -> int:
+        """Returns the revision of the state service."""
         self.reads += 1
         return self.state.revision
 
     async def watch(self, prefix: str, revision: int, wait_us: int, timeout_us: int = 0) -> wire.ChangeSet | None:
+        """Returns the changes after `revision` without waiting for any."""
         self.reads += 1
         fault = self._fault()
         if fault == "refuse":
@@ -394,6 +400,7 @@
         lease: int | None = None,
         timeout_us: int = 0,
     ) -> Applied | Conflict:
+        """Commits a transaction, unless a fault prevents it."""
         body = {
             "if": [{"path": k, "entryRev": v} for k, v in conditions.items()],
             "then": [{"set": k, "value": v} for k, v in sets.items()] + [{"drop": k} for k in drops or ()],
@@ -402,7 +409,7 @@
         if fault == "refuse":
             raise RequestRefusedError(503)
         if fault == "late":
-            self.held.append(body)
+            self.delayed_transactions.append(body)
             raise NoResponseError(fault)
         status, value = self.state.commit(body)
         if fault == "lose":
@@ -413,8 +420,8 @@
 
     def deliver_late(self) -> list[int]:
         """Applies the transactions delayed by "late" faults; returns their statuses."""
-        held, self.held = self.held, []
-        return [self.state.commit(body)[0] for body in held]
+        delayed, self.delayed_transactions = self.delayed_transactions, []
+        return [self.state.commit(body)[0] for body in delayed]
 
 
 __all__ = [
--- a/tests/test_best_effort_jobs.py
+++ b/tests/test_best_effort_jobs.py
@@ -14,16 +14,15 @@
 
 
 def test_spot_machines_and_no_owned_one_are_rented_for_a_long_best_effort_array() -> None:
-    # Guards against routing long best-effort arrays to owned machines, where they found no capacity all day.
+    # Guards against routing long best-effort arrays to owned machines, where no capacity was free all day.
     harness = ClusterHarness(TEAMS)
     harness.machine(1)
     harness.settle()
     ref = harness.submit(legs=20, voyageS=300.0, **BEST_EFFORT)
     harness.settle()
     assert harness.cluster.jobs[ref].tier == SPOT
-    assert (
-        harness.task_locations(ref) == {}
-    )  # the empty owned machine is not used, which would keep it rented for this array
+    # A task on the empty owned machine would keep that machine rented.
+    assert harness.task_locations(ref) == {}
     rentals = harness.fleet.scale_out.plan(harness.now)
     assert rentals
     assert all(rental.spot for rental in rentals)
@@ -102,13 +101,13 @@
 
     harness.placer.candidates.best = counting_best  # type: ignore[method-assign]
     harness.plan()
-    assert 0 < len(searched) <= 30  # a job that found no capacity ends the search for all jobs that need as much
+    assert 0 < len(searched) <= 30  # a job without a feasible machine ends the search for all jobs that need as much
 
 
-def test_best_effort_tasks_are_preempted_at_once_and_no_machine_is_rented_for_what_they_free() -> None:
+def test_best_effort_tasks_are_preempted_at_once_and_no_machine_is_rented_for_the_freed_capacity() -> None:
     """Guards against slow preemption of best-effort tasks.
 
-    Capacity for only eight array tasks was freed in four seconds, and machines were rented for the rest.
+    Capacity for only eight array tasks was freed in four seconds, and on-demand machines were rented for the rest.
     """
     harness = ClusterHarness([Team("crew", cpus=8.0), Team("scavenger")])
     for number in range(1, 11):
@@ -168,7 +167,7 @@
 
 
 def test_no_task_is_stopped_for_capacity_that_is_being_freed() -> None:
-    """Guards against excess preemption: while the first victims saved for 3 s, more were stopped each second."""
+    """Guards against excess preemption: while the first victims saved for 3 s, others were stopped each second."""
     harness = ClusterHarness([Team("crew", cpus=8.0), Team("scavenger")])
     for number in range(1, 11):
         harness.machine(number, spot=True)
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -62,7 +62,7 @@
 
 
 def test_a_reply_is_complete_despite_clock_drift_and_delayed_requests() -> None:
-    """The request was in flight for a while, and the clock of the replying node ran faster than the requester's."""
+    """The request is in flight for a while, and the clock of the replying node runs faster than the requester's."""
     log, age = cancellation_log(), 40 * SECOND
     log.record("j-1", 100 * SECOND)
     latest = 100 * SECOND + age + age // 2000 + MAX_RESPONSE_TIME  # confirmed just after the requested time
@@ -94,7 +94,7 @@
     )
 
 
-def test_the_bounds_of_what_a_reply_covers() -> None:
+def test_a_reply_is_complete_only_within_the_bounds_of_drift_and_response_time() -> None:
     since, requested_at = 100 * SECOND, 120 * SECOND
     complete_us = 21 * SECOND
     replied_at = since + shortened_by_drift(complete_us)
@@ -110,7 +110,7 @@
 
 
 @pytest.mark.parametrize(
-    "answer",
+    "reply",
     [
         None,
         [],
@@ -124,9 +124,9 @@
         {"told": 5},
     ],
 )
-def test_a_malformed_reply_is_rejected(answer: object) -> None:
+def test_a_malformed_reply_is_rejected(reply: object) -> None:
     with pytest.raises(ValueError, match="not what was told"):
-        ConfirmedCancellationsReply.decode(answer)  # type: ignore[arg-type]
+        ConfirmedCancellationsReply.decode(reply)  # type: ignore[arg-type]
 
 
 def test_a_lease_renewed_at_the_bound_ends_before_an_unread_cancellation_must_take_effect() -> None:
@@ -140,7 +140,7 @@
 
 
 class UserApi:
-    """Sends requests to a node's API for users, and checks which cancellations the node had logged by the response."""
+    """Sends requests to a node's API for users, and checks whether cancellations are logged before the response."""
 
     def __init__(self, state: KeyStore) -> None:
         self.client, self.controller = FakeStateClient(state), FakeControllerNode()
@@ -149,10 +149,10 @@
     async def request(self, method: str, path: str, body: Any = None) -> tuple[str, bool]:
         """Returns the job status in the response, and whether the cancellation had been logged by then."""
         self.controller.notifications.clear()
-        answer = await self.users.handle(method, path, Body(body))  # type: ignore[arg-type]
-        assert answer.status in (200, 201), answer
-        ref = answer.value["ref"]
-        return answer.value["status"], f"x{ref}" in self.controller.notifications
+        response = await self.users.handle(method, path, Body(body))  # type: ignore[arg-type]
+        assert response.status in (200, 201), response
+        ref = response.value["ref"]
+        return response.value["status"], f"x{ref}" in self.controller.notifications
 
 
 async def test_every_confirmed_cancellation_is_logged_before_the_response_is_sent(state: KeyStore) -> None:
@@ -160,30 +160,30 @@
 
     Only acknowledged commits were logged; cancellations known in other ways were confirmed in the middle of an outage.
     """
-    one, other = UserApi(state), UserApi(state)
+    api, other = UserApi(state), UserApi(state)
     submit, path = ("POST", wire.SUBMISSIONS_PATH), f"{wire.SUBMISSIONS_PATH}/"
     for number in range(1, 8):
-        assert await one.request(*submit, job(f"j-{number:06d}")) == ("queued", False)
+        assert await api.request(*submit, job(f"j-{number:06d}")) == ("queued", False)
         assert await other.request("GET", f"{path}j-{number:06d}") == ("queued", False)
-    await one.request(*submit, job("j-000010", waitsOn=["j-000006"]))
+    await api.request(*submit, job("j-000010", waitsOn=["j-000006"]))
     confirmed = (wire.JobStatus.CANCELLED, True)
-    assert await one.request("POST", f"{path}j-000001/cancel") == confirmed  # committed
-    assert await one.request("POST", f"{path}j-000001/cancel") == confirmed  # from the cache
-    assert await one.request("GET", f"{path}j-000001") == confirmed
+    assert await api.request("POST", f"{path}j-000001/cancel") == confirmed  # committed
+    assert await api.request("POST", f"{path}j-000001/cancel") == confirmed  # from the cache
+    assert await api.request("GET", f"{path}j-000001") == confirmed
     assert await other.request("GET", f"{path}j-000001") == confirmed  # found by a poll
     assert await other.request(*submit, job("j-000001")) == confirmed  # a late retry of the submission
-    one.client.faults = ["", "lose"]  # applied without a response, then read back
-    assert await one.request("POST", f"{path}j-000002/cancel") == confirmed
+    api.client.faults = ["", "lose"]  # applied without a response, then read back
+    assert await api.request("POST", f"{path}j-000002/cancel") == confirmed
     assert await other.request("POST", f"{path}j-000002/cancel") == confirmed  # cancelled through another node
-    one.client.faults = ["", "lose", "refuse"]  # applied, and the read fails
-    assert (await one.users.handle("POST", f"{path}j-000003/cancel", Body(None))).status == 503  # type: ignore[arg-type]
-    assert await one.request("GET", f"{path}j-000003") == confirmed
+    api.client.faults = ["", "lose", "refuse"]  # applied, and the read fails
+    assert (await api.users.handle("POST", f"{path}j-000003/cancel", Body(None))).status == 503  # type: ignore[arg-type]
+    assert await api.request("GET", f"{path}j-000003") == confirmed
     await other.request("GET", f"{path}j-000003")
     other.client.faults = ["refuse"] * 9  # the outage
     assert await other.request("GET", f"{path}j-000003") == confirmed
     assert await other.request("POST", f"{path}j-000003/cancel") == confirmed
     other.client.faults = []
-    assert await one.request("POST", f"{path}j-000006/cancel") == confirmed
+    assert await api.request("POST", f"{path}j-000006/cancel") == confirmed
     assert await other.request("GET", f"{path}j-000010") == confirmed  # derived from the job that it depends on
     assert await other.request(*submit, job("j-000010", waitsOn=["j-000006"])) == confirmed
     assert await other.request("GET", f"{path}j-000007") == ("queued", False)
@@ -204,7 +204,7 @@
     return node, lead
 
 
-def add_job(lead: Any, world_state: KeyStore, ref: str = "j-000001") -> None:
+def add_job(lead: Any, state: KeyStore, ref: str = "j-000001") -> None:
     """Adds a job to the leader's view."""
     spec = wire.decode_submission(job(ref))
     lead.cluster.job_lifecycle.add(ref, spec, 1, 0)
@@ -217,8 +217,8 @@
     ("replies", "advances"),
     [
         ([["told", COMPLETE_WITHIN_US, ["j-000001"]], ["told", COMPLETE_WITHIN_US, []]], True),
-        ([["told", COMPLETE_WITHIN_US, []], None], False),  # one does not reply, or runs an earlier version
-        # One began, or dropped entries, after the last read.
+        ([["told", COMPLETE_WITHIN_US, []], None], False),  # one node does not reply, or runs an earlier version
+        # The log of one node began, or dropped entries, after the last read.
         ([["told", 19 * SECOND, []], ["told", COMPLETE_WITHIN_US, []]], False),
         ([["told", COMPLETE_WITHIN_US, []], ["pong", "n2", None, 0, False, COMPLETE_WITHIN_US]], False),
         ([["told", COMPLETE_WITHIN_US, [5]], ["told", COMPLETE_WITHIN_US, []]], False),
@@ -228,11 +228,11 @@
     state: KeyStore, replies: list[Any], advances: bool
 ) -> None:
     node, lead = await leader_without_state_service(state)
-    before = lead.lease_renewal_limit.cancellations_read_at
+    previous_read_at = lead.lease_renewal_limit.cancellations_read_at
     add_job(lead, state)
     node.peers = {f"n{i}": FakePeer(reply) for i, reply in enumerate(replies)}  # type: ignore[misc]
     await node.peer_notifier.collect(lead)
-    assert (lead.lease_renewal_limit.cancellations_read_at > before + 19 * SECOND) is advances
+    assert (lead.lease_renewal_limit.cancellations_read_at > previous_read_at + 19 * SECOND) is advances
     assert lead.cluster.jobs["j-000001"].cancelled is ("j-000001" in str(replies))
 
 
@@ -246,14 +246,14 @@
     assert lead.cluster.jobs["j-000001"].cancelled
     # The log begins only after the last read.
     node.peer_notifier.confirmed_cancellations = cancellation_log(began_at=steady() - SECOND)
-    before = lead.lease_renewal_limit.cancellations_read_at = steady() - 20 * SECOND
+    previous_read_at = lead.lease_renewal_limit.cancellations_read_at = steady() - 20 * SECOND
     await node.peer_notifier.collect(lead)
-    assert lead.lease_renewal_limit.cancellations_read_at == before
+    assert lead.lease_renewal_limit.cancellations_read_at == previous_read_at
 
 
 async def test_a_reply_that_arrives_after_the_leadership_was_lost_has_no_effect(state: KeyStore) -> None:
     node, lead = await leader_without_state_service(state)
-    before = lead.lease_renewal_limit.cancellations_read_at
+    previous_read_at = lead.lease_renewal_limit.cancellations_read_at
 
     class PeerThatRepliesAfterLeadershipLoss(FakePeer):
         async def ask(self, request: PeerMessage, decode: Callable[[PeerArray], Any], *, timeout_us: int = 0) -> Any:
@@ -262,13 +262,13 @@
 
     node.peers = {"n1": PeerThatRepliesAfterLeadershipLoss(None)}  # type: ignore[dict-item]
     await node.peer_notifier.collect(lead)
-    assert lead.lease_renewal_limit.cancellations_read_at == before
+    assert lead.lease_renewal_limit.cancellations_read_at == previous_read_at
 
 
 async def test_a_lost_notification_delays_a_cancellation_only_until_the_next_collection(state: KeyStore) -> None:
-    """Guards against reliance on the notification, which is sent twice and was lost twice.
+    """Guards against reliance on the notification, which is sent twice; both copies were lost.
 
-    The tasks ran on until their leases expired, and so did the leases of all other tasks.
+    The job's tasks ran until their leases expired, and the leases of all other tasks expired with them.
     """
     other = Node(node_settings(), Tuning())
     other.peer_notifier.confirmed_cancellations = cancellation_log(began_at=steady() - 600 * SECOND)
@@ -283,10 +283,10 @@
             return decode_reply(await peer_reply(other, request.encode()), decode)
 
     node.peers = {"n1": PeerOfOtherNode(None)}  # type: ignore[dict-item]
-    before = lead.lease_renewal_limit.cancellations_read_at
+    previous_read_at = lead.lease_renewal_limit.cancellations_read_at
     await node.peer_notifier.collect(lead)
     assert lead.cluster.jobs["j-000001"].cancelled
-    assert lead.lease_renewal_limit.cancellations_read_at > before + RECORDS_STALE_AFTER
+    assert lead.lease_renewal_limit.cancellations_read_at > previous_read_at + RECORDS_STALE_AFTER
     other.background.close()
 
 
@@ -301,7 +301,7 @@
     node.peer_notifier.confirmed_cancellations = cancellation_log(began_at=steady() - 600 * SECOND)
     ping = ["ping", "n1", None, 0, True]
     assert (await peer_reply(node, ping))[5] >= 600 * SECOND
-    node.notify_cancelled("j-000001")  # the way in which the node learned of the cancellation does not matter
+    node.notify_cancelled("j-000001")  # each confirmation counts, also one without the revision of the cancellation
     assert (await peer_reply(node, ping))[5] < SECOND
     assert len(await peer_reply(node, ping)) == 6
 
@@ -309,7 +309,7 @@
 async def test_a_peer_of_an_earlier_version_does_not_advance_the_last_read_time(state: KeyStore) -> None:
     """Such a peer replies to the request with status 400, which counts as no reply."""
     node, lead = await leader_without_state_service(state)
-    before = lead.lease_renewal_limit.cancellations_read_at
+    previous_read_at = lead.lease_renewal_limit.cancellations_read_at
 
     class OlderPeer(FakePeer):
         async def ask(self, request: PeerMessage, decode: Callable[[PeerArray], Any], *, timeout_us: int = 0) -> Any:
@@ -319,7 +319,7 @@
 
     node.peers = {"n1": OlderPeer(None)}  # type: ignore[dict-item]
     await node.peer_notifier.collect(lead)
-    assert lead.lease_renewal_limit.cancellations_read_at == before
+    assert lead.lease_renewal_limit.cancellations_read_at == previous_read_at
 
 
 # --- effects of a confirmed cancellation on the leader -----------------------------------------
@@ -332,7 +332,7 @@
     harness.cluster.job_lifecycle.cancel_confirmed("j-000001", 0, harness.now)
     confirmed_at = harness.now
     harness.step(1.0)
-    # Reported again, by another node or by the same one.
+    # Another node, or the same one, reports the cancellation again.
     harness.cluster.job_lifecycle.cancel_confirmed("j-000001", 0, harness.now)
     first = harness.submit()
     assert harness.cluster.jobs[first].cancelled_after == confirmed_at  # the first confirmation counts
@@ -343,7 +343,7 @@
     assert not harness.cluster.jobs[first].tasks
     assert dependent not in harness.cluster.dependencies.blocked_jobs  # cancelled with the job that it depends on
     assert harness.record(dependent) == wire.JobStatus.CANCELLED
-    # Its keys are deleted after its record was read: without its version the cancellation mark would stay.
+    # The job's keys are deleted only after its record was read: without the version of its mark, the mark would stay.
     assert cancel_key(first) in harness.state.items
     harness.cluster.job_lifecycle.cancel(first, harness.state.items[cancel_key(first)][1])
     harness.settle()
@@ -361,7 +361,7 @@
         harness.cluster.job_lifecycle.cancel_confirmed(ref, 0, harness.now)
     batch = harness.cluster.writes.take_batch(12)
     assert {job_key(dependent), job_key(cancelled_dependent)} <= batch.sets.keys()
-    # The user's cancellation was recorded first: it fails the transaction, and the record's version gives its mark.
+    # The user's cancellation was recorded first: the transaction fails on that record, whose version is the mark's.
     assert harness.state.commit(harness.transaction(batch))[1]["failed"] == [job_key(cancelled_dependent)]
 
 
@@ -388,12 +388,12 @@
         commands, _ = harness.cluster.commands.for_machine(machine, harness.now, direct=False)
         return [order["orderKind"] for order in wire.heartbeat_response(0, commands)["orders"]]
 
-    assert order_kinds() == ["start", "stop"]  # the worker knows the attempt whenever the first start arrives
+    assert order_kinds() == ["start", "stop"]  # the worker then has the attempt, however late the first start arrives
     assert not harness.cluster.commands.must_let_lease_expire(machine, harness.now)
     bound = renewals_allowed_until(harness.settings.workers, harness.now)
     harness.now = bound
     assert order_kinds() == ["stop"]
-    # The first start may still arrive: the machine's lease has to expire, and with it the session.
+    # The first start may still arrive, so the machine's lease has to expire, which ends the agent session.
     assert harness.cluster.commands.must_let_lease_expire(machine, harness.now)
     harness.now += round(harness.settings.workers.lease_s * SECOND)
     worker.advance()
@@ -404,7 +404,7 @@
     assert harness.task_locations(ref) == {}
 
 
-def test_a_cancelled_task_whose_start_certainly_never_arrived_is_removed() -> None:
+def test_a_cancelled_task_whose_start_was_provably_not_sent_is_removed() -> None:
     harness = ClusterHarness()
     worker = harness.machine(1)
     ref, machine = start_without_response(harness, worker)
@@ -413,10 +413,10 @@
     harness.cancel(ref)
     harness.cluster.commands.for_machine(machine, harness.now, direct=False)
     harness.unreachable_machines.clear()
-    harness.now += 30 * SECOND  # beyond the bound no start is repeated
+    harness.now += 30 * SECOND  # no start is repeated this long after the confirmation
     harness.report(worker)
     assert not machine.tasks
-    assert ref in [held.job_id for held in harness.cluster.writes.jobs_to_delete]
+    assert ref in [deleted.job_id for deleted in harness.cluster.writes.jobs_to_delete]
 
 
 async def test_the_lease_of_a_machine_that_may_still_receive_a_cancelled_start_is_not_renewed(state: KeyStore) -> None:
@@ -424,8 +424,8 @@
     lead.lease_renewal_limit.cancellations_read_at = steady()
     worker = Worker(lambda: steady(), "vm-000001", "h:1", "m8", "a", False, 8.0, lambda ref: None)
     worker.token = lead.token
-    answer = lead.answer_heartbeat(wire.decode_heartbeat(worker.report()))
-    assert answer is not None
+    response = lead.answer_heartbeat(wire.decode_heartbeat(worker.report()))
+    assert response is not None
     lead.cluster.commands.must_let_lease_expire = lambda machine, now: True  # type: ignore[method-assign]
     assert lead.answer_heartbeat(wire.decode_heartbeat(worker.report())) is None
 
@@ -433,10 +433,12 @@
 # --- simulated deployments ---------------------------------------------------------------------
 
 
-def outage_plan(*more: Fault, refused_s: float = 5.0, notifications_lost_s: float = 2.4, count: int = 20) -> Plan:
+def outage_plan(
+    *extra_faults: Fault, refused_s: float = 5.0, notifications_lost_s: float = 2.4, count: int = 20
+) -> Plan:
     """Returns a plan in which other nodes confirm cancellations that the leader cannot read.
 
-    At 20 s the state service refuses the leader alone, other nodes confirm cancellations; at 22.2 s it is down.
+    At 20 s the state service refuses only the leader, and other nodes confirm cancellations; at 22.2 s it is down.
     """
     faults = [
         Fault("node_refused", 20.0, refused_s),
@@ -445,7 +447,7 @@
     ]
     if notifications_lost_s:
         faults.append(Fault("node_cut", 20.0, notifications_lost_s, what="nodes", mode="lost"))
-    return Plan(tuple(sorted([*faults, *more], key=lambda f: f.at_s)), 80.0, 3, 20, 20.0, 5.0)
+    return Plan(tuple(sorted([*faults, *extra_faults], key=lambda f: f.at_s)), 80.0, 3, 20, 20.0, 5.0)
 
 
 def run_with_confirmations_by_other_nodes(plan: Plan) -> RunResult:
@@ -459,14 +461,14 @@
 
 
 VARIANTS = {
-    "hints lost": outage_plan(),
-    "hints come": outage_plan(notifications_lost_s=0.0),
+    "notifications lost": outage_plan(),
+    "notifications arrive": outage_plan(notifications_lost_s=0.0),
     "handover begun": outage_plan(refused_s=30.0, notifications_lost_s=0.0),
-    "users unsure": outage_plan(
+    "responses to users lost": outage_plan(
         Fault("links_lossy", 20.0, 6.0, source="node", target="users", amount=0.8),
         Fault("links_cut", 20.5, 2.0, source="n1", target="users", mode="lost"),
     ),
-    "commits unsure": outage_plan(
+    "commit responses lost": outage_plan(
         Fault("links_cut", 20.2, 2.0, source="state", target="n1", mode="lost"),
         Fault("links_cut", 20.2, 1.0, source="state", target="n2", mode="lost"),
     ),
@@ -480,7 +482,7 @@
 def test_jobs_cancelled_through_other_nodes_stop_in_time_and_others_survive_the_outage(name: str) -> None:
     """Guards against one lost notification that lets the leases of all workers expire.
 
-    This ended 1,073 tasks on a simulated day of 3,509 tasks.
+    The expiry ended 1,073 of the 3,509 tasks of a simulated day.
     """
     result = run_with_confirmations_by_other_nodes(VARIANTS[name])
     assert result.violations == []
@@ -489,7 +491,7 @@
 
 
 @pytest.mark.parametrize(
-    "more",
+    "extra_fault",
     [
         Fault("node_crash", 21.9, 0.1, node="n1"),
         Fault("node_crash", 21.9, 0.1, node="n2"),  # before the leader requests the confirmed cancellations
@@ -498,17 +500,17 @@
         Fault("links_cut", 23.0, 30.0, source="n0", target="n2", mode="lost"),
     ],
 )
-def test_leases_expire_in_time_when_confirmed_cancellations_cannot_be_collected(more: Fault) -> None:
-    """The process that confirmed cancellations has ended or does not reply: the bound for renewals stays as it is."""
-    result = run_with_confirmations_by_other_nodes(outage_plan(more))
+def test_leases_expire_in_time_when_confirmed_cancellations_cannot_be_collected(extra_fault: Fault) -> None:
+    """The process that confirmed cancellations has ended or does not reply, so the bound for renewals is unchanged."""
+    result = run_with_confirmations_by_other_nodes(outage_plan(extra_fault))
     assert result.violations == []
     assert result.errors == []
 
 
 def test_disabling_the_cancellation_log_is_detected() -> None:
     with safety_check_disabled("cancellation-log"):
-        found = run_with_confirmations_by_other_nodes(outage_plan(count=1000, notifications_lost_s=6.0)).violations
-    assert any(row.startswith("ran_cancelled") for row in found)
+        violations = run_with_confirmations_by_other_nodes(outage_plan(count=1000, notifications_lost_s=6.0)).violations
+    assert any(row.startswith("ran_cancelled") for row in violations)
 
 
 def test_a_random_state_outage_violates_no_invariant() -> None:
--- a/tests/test_client_consistency.py
+++ b/tests/test_client_consistency.py
@@ -16,7 +16,7 @@
 
 
 class FakeControllerNode:
-    """Records the notifications of accepted jobs in `told`, those of cancelled jobs with the prefix "x"."""
+    """Records the job ids of notifications in `notifications`, those of cancellations with the prefix "x"."""
 
     def __init__(self) -> None:
         self.types = dict(TYPES)
@@ -24,25 +24,31 @@
         self.notifications: list[str] = []
 
     def is_ready(self) -> bool:
+        """Returns True: requests are accepted."""
         return True
 
     def notify_accepted(self, ref: str, record: dict[str, Any], revision: int) -> None:
+        """Records the notification of an accepted job."""
         self.notifications.append(ref)
 
     def notify_cancelled(self, ref: str, revision: int = 0) -> None:
+        """Records the notification of a cancelled job."""
         self.notifications.append("x" + ref)
 
 
 def job(ref: str = "j-000001", **changes: Any) -> wire.Submission:
+    """Returns a decoded submission, with the given fields changed."""
     return wire.decode_submission(body_of(ref, **changes))
 
 
 @pytest.fixture
 def state() -> KeyStore:
+    """Returns an empty state service."""
     return KeyStore(lambda: 0)
 
 
 def make_api(state: KeyStore) -> tuple[JobApi, FakeStateClient, FakeControllerNode]:
+    """Returns a node's API for users, with its state client and its controller node."""
     client, controller = FakeStateClient(state), FakeControllerNode()
     return JobApi(node_settings(), client, controller), client, controller  # type: ignore[arg-type]
 
@@ -55,8 +61,8 @@
     assert state.revision == 1
     assert controller.notifications == ["j-000001"]
     assert (await other.cancel("j-000001")).value == {"ref": "j-000001", "status": "aborted"}
-    again = await api.submit(job())  # a retry may arrive after the job has terminated
-    assert (again.status, again.value["status"]) == (200, "aborted")
+    retry = await api.submit(job())  # a retry may arrive after the job has terminated
+    assert (retry.status, retry.value["status"]) == (200, "aborted")
 
 
 async def test_a_commit_with_a_lost_response_is_read_back(state: KeyStore) -> None:
@@ -78,28 +84,28 @@
 async def test_requests_that_cannot_be_decided_get_503_at_once(state: KeyStore) -> None:
     api, client, controller = make_api(state)
     client.faults = ["refuse"] * 4
-    for answer in (
+    for response in (
         await api.submit(job()),
         await api.show("j-000001"),
         await api.cancel("j-000001"),
         await api.submit(job(crew="nobody")),  # 422 would be wrong, since the job may have been accepted earlier
     ):
-        assert answer.status == 503
-        assert answer.headers["Retry-After"]
+        assert response.status == 503
+        assert response.headers["Retry-After"]
     controller.types = {}
     assert (await api.submit(job())).status == 503  # machine types unknown
 
 
 async def test_a_submission_with_unknown_outcome_gets_503_after_two_attempts(state: KeyStore) -> None:
-    """Such a submission was once delayed for seconds, so that the user would not retry."""
+    """Guards against a response that is delayed for seconds, which keeps the user from retrying."""
     api, client, _ = make_api(state)
     client.faults = ["late"] * 9
-    answer = await api.submit(job())
-    assert answer.status == 503
-    assert answer.headers["Retry-After"]
-    assert len(client.held) == 2
+    response = await api.submit(job())
+    assert response.status == 503
+    assert response.headers["Retry-After"]
+    assert len(client.delayed_transactions) == 2
     client.faults = []
-    client.deliver_late()  # whichever commit arrives first, a retry finds the job
+    client.deliver_late()  # whichever of the delayed commits is applied, a retry finds the job
     assert (await api.submit(job())).status == 200
 
 
@@ -148,7 +154,7 @@
     original = client.get
 
     async def finish_first(key: str, timeout_us: int = 0) -> Any:
-        if client.held:
+        if client.delayed_transactions:
             state.commit({"if": [{"path": key, "entryRev": version}], "then": [{"set": key, "value": done}]})
         return await original(key)
 
@@ -216,19 +222,21 @@
 
 
 async def test_concurrent_polls_share_one_read_and_are_never_stale(state: KeyStore) -> None:
-    """With many one-task jobs, one read for each poll used the whole budget of the state service."""
+    """Guards against one read per poll, which with many one-task jobs used the whole request budget."""
     api, client, _ = make_api(state)
     refs = [f"j-{n:06d}" for n in range(40)]
     for ref in refs:
         assert (await api.submit(job(ref, legs=1))).status == 201
     await api.show(refs[0])
     other, _, _ = make_api(state)
-    assert (await other.cancel(refs[7])).status == 200  # once one node has confirmed it, every node has to report it
+    assert (
+        await other.cancel(refs[7])
+    ).status == 200  # after one node's confirmation, every node has to report the cancellation
     client.reads = 0
-    answers = await asyncio.gather(*(api.show(ref) for ref in refs))
-    assert [a.status for a in answers] == [200] * 40
-    assert answers[7].value["status"] == "aborted"
-    assert sum(a.value["status"] == "queued" for a in answers) == 39
+    responses = await asyncio.gather(*(api.show(ref) for ref in refs))
+    assert [a.status for a in responses] == [200] * 40
+    assert responses[7].value["status"] == "aborted"
+    assert sum(a.value["status"] == "queued" for a in responses) == 39
     assert client.reads <= 2
     assert (await api.show("j-999999")).status == 404
 
@@ -241,11 +249,11 @@
     changes_read = asyncio.Event()
     original = client.watch
 
-    async def slow(*args: Any, **more: Any) -> Any:
-        found = await original(*args, **more)
+    async def slow(*args: Any, **kwargs: Any) -> Any:
+        changes = await original(*args, **kwargs)
         changes_read.set()
         await asyncio.sleep(0.01)
-        return found
+        return changes
 
     client.watch = slow  # type: ignore[method-assign]
     first_poll = asyncio.create_task(api.show("j-000001"))
@@ -271,16 +279,16 @@
     await api.submit(job("j-000003"))
     original = client.commit
 
-    async def slow(*args: Any, **more: Any) -> Any:
+    async def slow(*args: Any, **kwargs: Any) -> Any:
         await asyncio.sleep(0.01)
-        return await original(*args, **more)
+        return await original(*args, **kwargs)
 
     client.commit = slow  # type: ignore[method-assign]
-    before = state.commit_count
-    answers = await asyncio.gather(*(api.submit(job(f"j-{n:06d}")) for n in range(1, 8)))
+    initial_commit_count = state.commit_count
+    responses = await asyncio.gather(*(api.submit(job(f"j-{n:06d}")) for n in range(1, 8)))
     # The job that exists already does not make the other jobs in its transaction fail.
-    assert sorted(a.status for a in answers) == [200] + [201] * 6
-    assert state.commit_count - before <= 6
+    assert sorted(a.status for a in responses) == [200] + [201] * 6
+    assert state.commit_count - initial_commit_count <= 6
 
 
 async def test_best_effort_jobs_get_503_before_other_jobs(state: KeyStore) -> None:
@@ -303,14 +311,14 @@
         async def read(self) -> Any:
             return self.value
 
-    async def ask(method: str, path: str, value: Any = None) -> int:
+    async def status_of(method: str, path: str, value: Any = None) -> int:
         return (await api.handle(method, path, Body(value))).status  # type: ignore[arg-type]
 
-    assert await ask("GET", "/submissions/strange") == 404
-    assert await ask("POST", "/submissions/strange/cancel") == 404
-    assert await ask("DELETE", "/submissions/j-000001") == 405
-    assert await ask("GET", "/elsewhere") == 404
+    assert await status_of("GET", "/submissions/strange") == 404
+    assert await status_of("POST", "/submissions/strange/cancel") == 404
+    assert await status_of("DELETE", "/submissions/j-000001") == 405
+    assert await status_of("GET", "/elsewhere") == 404
     with pytest.raises(wire.InvalidMessageError):  # 400
-        await ask("POST", "/submissions", {**body_of(), "cores": -1.0})
-    assert await ask("POST", "/submissions", body_of()) == 503
-    assert await ask("GET", "/submissions/j-000001") == 503
+        await status_of("POST", "/submissions", {**body_of(), "cores": -1.0})
+    assert await status_of("POST", "/submissions", body_of()) == 503
+    assert await status_of("GET", "/submissions/j-000001") == 503
--- a/tests/test_connection_budget.py
+++ b/tests/test_connection_budget.py
@@ -1,4 +1,4 @@
-"""Connection budget: how connections scale with the machines, and which requests are refused first at the limit."""
+"""Tests the connection budget: connections as the cluster grows, and requests that are refused at the limit."""
 
 from __future__ import annotations
 
@@ -21,7 +21,10 @@
 
 @pytest.mark.parametrize(("sockets", "machines"), [(2044, 929), (1515, 836), (1208, 929), (1087, 836), (600, 28)])
 def test_a_leader_keeps_connections_free_for_all_workers_and_for_users_at_any_size(sockets: int, machines: int) -> None:
-    """At 929 machines, 1,873 of 2,044 connections were open: one per machine for reports, one for 30 s per command."""
+    """Guards against 1,873 of 2,044 connections open at 929 machines.
+
+    Each machine kept one open for its heartbeats, and each command kept one open for another 30 s.
+    """
     budget = ConnectionBudget(sockets)
     for commands_per_s in (0.0, 3.0, 30.0, 300.0):
         idle_connections = budget.idle_timeout_us(machines, commands_per_s) / SECOND * commands_per_s
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -1,4 +1,4 @@
-"""Job dependencies: release, cancellation, records, failover and the cost of blocked jobs."""
+"""Tests job dependencies: release, cancellation, records, failover and the cost of blocked jobs."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from tests.cluster_fixture import ClusterHarness
 
 
-def world_with_machines(machines: int = 4, teams: list[Team] | None = None) -> ClusterHarness:
+def harness_with_machines(machines: int = 4, teams: list[Team] | None = None) -> ClusterHarness:
     """Returns a cluster with `machines` machines, all of which have reported."""
     harness = ClusterHarness(teams)
     for number in range(1, machines + 1):
@@ -32,11 +32,11 @@
     return set(harness.state.items)
 
 
-def dependency_chain(harness: ClusterHarness, count: int, **more: Any) -> list[str]:
-    """Submits jobs of which each depends on the one before, and returns their ids in order."""
-    job_ids = [harness.submit(legs=1, voyageS=5.0, **more)]
+def dependency_chain(harness: ClusterHarness, count: int, **changes: Any) -> list[str]:
+    """Submits `count` jobs, each of which depends on the previous one; returns their ids in order."""
+    job_ids = [harness.submit(legs=1, voyageS=5.0, **changes)]
     for _ in range(count - 1):
-        job_ids.append(harness.submit(legs=1, voyageS=5.0, waitsOn=[job_ids[-1]], **more))
+        job_ids.append(harness.submit(legs=1, voyageS=5.0, waitsOn=[job_ids[-1]], **changes))
     return job_ids
 
 
@@ -44,7 +44,7 @@
 
 
 def test_a_diamond_over_two_teams_runs_in_order_of_its_dependencies() -> None:
-    harness = world_with_machines()
+    harness = harness_with_machines()
     first = harness.submit(legs=2, voyageS=3.0)
     left = harness.submit(legs=2, voyageS=3.0, waitsOn=[first, first], crew="other")
     right = harness.submit(legs=1, voyageS=9.0, waitsOn=[first])
@@ -64,9 +64,9 @@
 def test_completed_tasks_release_no_dependents_before_the_completion_is_recorded() -> None:
     """Guards against a release before the commit, until which the job may still be cancelled.
 
-    It was cancelled, and its dependents had been started already.
+    A job was cancelled in that time, and its dependents had been started already.
     """
-    harness = world_with_machines()
+    harness = harness_with_machines()
     first, last = dependency_chain(harness, 2)
     harness.settle()
     harness.now += 6 * SECOND
@@ -77,10 +77,10 @@
     assert last in harness.cluster.dependencies.blocked_jobs
     assert not harness.cluster.dependencies.blocked_jobs[last].tasks
     batch = harness.cluster.writes.take_batch(12)
-    harness.cancel(first, notify_leader=False)  # at another node, a moment before that commit
-    status, answer = harness.state.commit(harness.transaction(batch))
+    harness.cancel(first, notify_leader=False)  # through another node, just before that commit
+    status, value = harness.state.commit(harness.transaction(batch))
     assert status == 409
-    assert answer["failed"] == [f"jobs/{first}"]
+    assert value["failed"] == [f"jobs/{first}"]
     harness.cluster.writes.restore_batch(batch)
     job = harness.cluster.jobs[first]
     job.completing = False
@@ -92,35 +92,35 @@
 
 
 def test_blocked_jobs_add_no_planning_work() -> None:
-    """They take no part in queues, guarantees, starvation, equivalence classes and planning passes."""
-    harness = world_with_machines()
+    """Blocked jobs take no part in queues, guarantees, starvation, equivalence classes and planning passes."""
+    harness = harness_with_machines()
     first = harness.submit(legs=1, voyageS=500.0)
     harness.settle()
-    examined = harness.placer.preemption.victims.machines_examined
-    before = len(harness.cluster.pending), harness.cluster.pending.version
+    machines_examined = harness.placer.preemption.victims.machines_examined
+    queue_at_first = len(harness.cluster.pending), harness.cluster.pending.version
     for _ in range(300):
         harness.submit(legs=8, waitsOn=[first], cores=4.0)
     harness.settle()
-    assert (len(harness.cluster.pending), harness.cluster.pending.version) == before
-    assert harness.placer.preemption.victims.machines_examined == examined
+    assert (len(harness.cluster.pending), harness.cluster.pending.version) == queue_at_first
+    assert harness.placer.preemption.victims.machines_examined == machines_examined
     assert set(harness.cluster.jobs) == {first}
     assert not harness.cluster.writes.has_pending_writes()
 
 
 def test_a_dependent_job_needs_one_additional_write() -> None:
-    """Such a job needs two puts or deletes on acceptance, two on first binding, two on completion; others need five."""
-    harness = world_with_machines(1)
+    """A dependent job takes two puts or deletes each for acceptance, binding and completion; other jobs take five."""
+    harness = harness_with_machines(1)
     first = harness.submit(legs=1, voyageS=2.0)
-    before = len(harness.state.log)
+    log_length = len(harness.state.log)
     ref = harness.submit(legs=1, voyageS=2.0, waitsOn=[first])
     harness.settle(20)
     assert harness.record(ref) == wire.JobStatus.COMPLETED
-    assert len([key for _, key, _ in harness.state.log[before:] if ref in key]) == 6
+    assert len([key for _, key, _ in harness.state.log[log_length:] if ref in key]) == 6
 
 
 def test_the_first_binding_moves_a_released_job_from_waits_to_live() -> None:
-    """An earlier version starts every job under live/, so both changes are one transaction."""
-    harness = world_with_machines()
+    """An earlier version starts every job under live/, so both keys change in one transaction."""
+    harness = harness_with_machines()
     first, last = dependency_chain(harness, 2)
     for _ in range(20):
         harness.step(1.0)
@@ -132,8 +132,8 @@
     assert harness.record(first) == wire.JobStatus.COMPLETED
 
 
-def test_the_eligible_time_is_the_release_also_after_a_failover() -> None:
-    harness = world_with_machines()
+def test_a_job_is_eligible_since_its_release_also_after_a_failover() -> None:
+    harness = harness_with_machines()
     first = harness.submit(legs=1, voyageS=5.0)
     last = harness.submit(legs=1, voyageS=5.0, waitsOn=[first])
     for_gpus = harness.submit(legs=1, accelerators=1.0, waitsOn=[first])  # no machine has capacity for it
@@ -144,14 +144,14 @@
     harness.settle(2)
     harness.fail_over()
     assert harness.cluster.jobs[last].eligible_at == released  # recorded with its binding
-    # Completed dependencies are not under live/: the next leader reads their records.
+    # The dependency has completed and has no key under live/, so the next leader reads its record.
     assert for_gpus in harness.cluster.dependencies.blocked_jobs
     harness.resolve_dependencies()
     assert harness.cluster.jobs[for_gpus].eligible_at == released
 
 
 def test_a_gang_depends_on_a_job_that_completed_long_ago() -> None:
-    harness = world_with_machines()
+    harness = harness_with_machines()
     first = harness.submit(legs=1, voyageS=2.0)
     harness.settle(8)
     assert harness.record(first) == wire.JobStatus.COMPLETED
@@ -160,8 +160,8 @@
     assert harness.record(gang) == wire.JobStatus.COMPLETED
 
 
-def test_a_lost_job_keeps_its_dependents_blocked_and_the_explanation_says_so() -> None:
-    harness = world_with_machines(1)
+def test_a_lost_job_keeps_its_dependents_blocked_and_is_named_in_the_explanation() -> None:
+    harness = harness_with_machines(1)
     first, last = dependency_chain(harness, 2)
     harness.settle()
     task = harness.cluster.jobs[first].tasks[0]
@@ -177,7 +177,7 @@
 
 
 def test_a_job_that_failed_and_was_retried_releases_its_dependents() -> None:
-    harness = world_with_machines()
+    harness = harness_with_machines()
     first, last = dependency_chain(harness, 2)
     harness.settle()
     worker = next(w for w in harness.workers.values() if w.started_attempts)
@@ -193,7 +193,7 @@
 
 
 def test_dependent_jobs_complete_despite_a_failover_at_each_step() -> None:
-    harness = world_with_machines()
+    harness = harness_with_machines()
     first = harness.submit(legs=2, voyageS=3.0)
     middle = harness.submit(legs=2, voyageS=3.0, waitsOn=[first])
     last = harness.submit(legs=1, voyageS=3.0, waitsOn=[middle, first])
@@ -209,7 +209,7 @@
 
 
 def test_a_failover_while_two_hundred_jobs_are_blocked() -> None:
-    harness = world_with_machines()
+    harness = harness_with_machines()
     first = harness.submit(legs=1, voyageS=4.0)
     job_ids = [harness.submit(legs=1, voyageS=1.0, cores=0.5, waitsOn=[first]) for _ in range(200)]
     harness.settle(2)
@@ -220,8 +220,8 @@
 
 
 def test_with_one_change_per_transaction_each_part_is_safe_alone() -> None:
-    """The key under live/ is set before the one under waits/ is deleted: a job with both keys is released."""
-    harness = world_with_machines()
+    """The key under live/ is set before the one under waits/ is deleted, so a job with both keys is released."""
+    harness = harness_with_machines()
     harness.ops = 1
     _, last = dependency_chain(harness, 2)
     while live_key(last) not in recorded_keys(harness):
@@ -242,7 +242,7 @@
 
 @pytest.mark.parametrize("cancelled_index", [0, 1, 2])
 def test_a_cancellation_cancels_all_that_depend_on_the_job(cancelled_index: int) -> None:
-    harness = world_with_machines()
+    harness = harness_with_machines()
     job_ids = dependency_chain(harness, 3)
     unrelated = harness.submit(legs=1, voyageS=5.0)
     harness.settle()
@@ -256,8 +256,8 @@
 
 
 def test_a_cancellation_cascade_is_completed_after_a_failover() -> None:
-    """The cascade is level-triggered: it does not matter how much of it the former leader had recorded."""
-    harness = world_with_machines()
+    """The cascade is level-triggered, so it completes whatever part of it the former leader recorded."""
+    harness = harness_with_machines()
     job_ids = dependency_chain(harness, 4)
     harness.settle()
     harness.cancel(job_ids[0])
@@ -270,7 +270,7 @@
 
 
 def test_a_dependent_cancelled_by_its_user_before_the_cascade_is_recorded_once() -> None:
-    harness = world_with_machines()
+    harness = harness_with_machines()
     first, last = dependency_chain(harness, 2)
     harness.settle()
     harness.cancel(first)
@@ -286,20 +286,20 @@
 
 
 def test_a_job_that_depends_on_a_cancelled_one_is_cancelled() -> None:
-    harness = world_with_machines()
+    harness = harness_with_machines()
     first = harness.submit(legs=1)
     harness.settle()
     harness.cancel(first)
-    early = harness.submit(legs=1, waitsOn=[first])  # its tasks are still being stopped
+    early = harness.submit(legs=1, waitsOn=[first])  # while the tasks of the first job are being stopped
     harness.settle()
-    later = harness.submit(legs=1, waitsOn=[first])  # it has no key under live/ any more
+    later = harness.submit(legs=1, waitsOn=[first])  # when the first job has no key under live/
     harness.settle()
     assert {harness.record(ref) for ref in (early, later)} == {wire.JobStatus.CANCELLED}
 
 
 def test_a_job_that_is_received_twice_is_cancelled_once() -> None:
-    """The leader receives it from the accepting node and by the watch, each time as another object."""
-    harness = world_with_machines()
+    """The leader receives a job from the accepting node and by the watch, each time as another object."""
+    harness = harness_with_machines()
     first = harness.submit(legs=1)
     harness.settle()
     harness.cancel(first)
@@ -312,7 +312,7 @@
 
 
 def test_three_thousand_cancellations_at_once_leave_half_of_the_writes_to_bindings() -> None:
-    harness = world_with_machines()
+    harness = harness_with_machines()
     first = harness.submit(legs=1, voyageS=100.0)
     for _ in range(3000):
         harness.submit(legs=1, waitsOn=[first])
@@ -332,7 +332,7 @@
 
 
 def test_deadline_and_priority_are_inherited_and_revoked() -> None:
-    harness = world_with_machines(0)
+    harness = harness_with_machines(0)
     first = harness.submit(legs=1, voyageS=20.0, urgency="idle")
     middle = harness.submit(legs=1, voyageS=30.0, urgency="normal", waitsOn=[first])
     harness.plan()
@@ -355,11 +355,11 @@
 
 
 def test_a_pipeline_stage_without_dependents_yet_is_not_best_effort() -> None:
-    """Guards against stages that are scheduled after all other jobs until the last one is submitted.
+    """Guards against pipeline stages that are scheduled after all other jobs until the last stage is submitted.
 
     Some users submit the last job of a pipeline only when the others have completed.
     """
-    harness = world_with_machines(0)
+    harness = harness_with_machines(0)
     first = harness.submit(legs=1, voyageS=1.0, urgency="idle")
     harness.cluster.dependencies.on_completion_recorded(first, harness.now)
     stage = harness.submit(legs=1, urgency="idle", waitsOn=[first])
@@ -371,7 +371,7 @@
 
 
 def test_a_changed_priority_leaves_the_accounting_balanced() -> None:
-    harness = world_with_machines()
+    harness = harness_with_machines()
     first = harness.submit(legs=2, voyageS=5.0, urgency="idle")
     harness.settle()
     harness.submit(legs=1, voyageS=1.0, urgency="high", waitsOn=[first])
@@ -409,13 +409,13 @@
 
 
 class Model(RuleBasedStateMachine):
-    """Accepts, completes and cancels jobs in any order, and compares the graph with a state per job."""
+    """Accepts, completes and cancels jobs in any order, and compares the graph with the expected state of each job."""
 
     def __init__(self) -> None:
         super().__init__()
         self.graph = DependencyGraph()
         self.dependencies: dict[str, list[str]] = {}
-        self.state: dict[str, str] = {}  # waits, runs, done, cancelled
+        self.state: dict[str, str] = {}  # waits, runs, done or cancelled
 
     def dependency_state(self, ref: str) -> DependencyState:
         """Returns the state of a job as the graph has to see it."""
@@ -474,7 +474,7 @@
 
     @invariant()
     def graph_agrees_with_the_model(self) -> None:
-        """Checks the state of each job and its unmet dependencies."""
+        """Checks that the graph has the expected state and unmet dependencies of each job."""
         for ref, state in self.state.items():
             if self.is_cancelled(ref):
                 assert state == "cancelled"
--- a/tests/test_dependency_submissions.py
+++ b/tests/test_dependency_submissions.py
@@ -1,4 +1,4 @@
-"""Submissions with dependencies, and the consistency of their status between nodes with different caches."""
+"""Tests submissions with dependencies, and the consistency of their status between nodes with different caches."""
 
 from __future__ import annotations
 
@@ -20,10 +20,12 @@
 
 @pytest.fixture
 def state() -> KeyStore:
+    """Returns an empty state service."""
     return KeyStore(lambda: 0)
 
 
 def complete_job(state: KeyStore, ref: str) -> None:
+    """Records a job as completed."""
     record, version, _ = state.items[job_key(ref)]
     assert (
         state.commit(
@@ -54,7 +56,7 @@
         wire.decode_submission(body_of("j-000009", waitsOn=dependencies))
 
 
-def test_null_missing_and_empty_lists_are_none_and_duplicates_are_removed() -> None:
+def test_null_missing_and_empty_dependency_lists_are_none_and_duplicates_are_removed() -> None:
     assert (
         wire.decode_submission(body_of()).dependencies
         is wire.decode_submission(body_of(waitsOn=None)).dependencies
@@ -73,8 +75,8 @@
     job_status = (await api.show("j-000002")).value
     assert job_status["status"] == "queued"
     assert job_status["waitsOn"] == ["j-000001"]
-    again = await api.submit(job("j-000002", waitsOn=["j-000001"]))
-    assert (again.status, again.value["status"]) == (200, "queued")
+    retry = await api.submit(job("j-000002", waitsOn=["j-000001"]))
+    assert (retry.status, retry.value["status"]) == (200, "queued")
 
 
 async def test_a_dependency_that_was_never_accepted_is_refused(state: KeyStore) -> None:
@@ -103,7 +105,7 @@
 
 
 async def test_every_node_reports_dependents_of_a_cancelled_job_as_cancelled_at_once(state: KeyStore) -> None:
-    """The dependents' cancellation is not recorded yet, and one node has an older state of the dependency cached."""
+    """The dependents' cancellation is not recorded yet, and one node has an outdated state of the dependency cached."""
     api, _, _ = make_api(state)
     stale, _, _ = make_api(state)
     for ref, waits_on in (("j-000001", None), ("j-000002", ["j-000001"]), ("j-000003", ["j-000002"])):
@@ -114,8 +116,8 @@
     for api_of_node in (api, stale, fresh):
         assert [(await api_of_node.show(f"j-00000{n}")).value["status"] for n in (3, 2, 1)] == ["aborted"] * 3
     assert (await fresh.submit(job("j-000003", waitsOn=["j-000002"]))).value["status"] == "aborted"
-    late = await fresh.submit(job("j-000004", waitsOn=["j-000003"]))
-    assert late.status == 201
+    new_dependent = await fresh.submit(job("j-000004", waitsOn=["j-000003"]))
+    assert new_dependent.status == 201
     assert (await stale.show("j-000004")).value["status"] == "aborted"
     assert state.items[job_key("j-000003")][0]["state"] == "queued"  # the record is not updated yet
 
@@ -132,7 +134,7 @@
     assert (await stale.show("j-000002")).value["status"] == "aborted"
 
 
-async def test_a_completed_dependency_can_not_be_cancelled_and_its_dependents_continue(state: KeyStore) -> None:
+async def test_a_completed_dependency_cannot_be_cancelled_and_its_dependents_continue(state: KeyStore) -> None:
     api, _, _ = make_api(state)
     await api.submit(job("j-000001"))
     await api.submit(job("j-000002", waitsOn=["j-000001"]))
@@ -151,20 +153,20 @@
 
 
 async def test_a_job_with_a_thousand_dependencies_needs_few_reads(state: KeyStore) -> None:
-    """Counts the requests: jobs that are close together share one, and cached jobs need none."""
+    """Reads of jobs with neighbouring ids share one request, and cached jobs need none."""
     api, client, _ = make_api(state)
     submission = job("j-000001")
     for number in range(1, 1001):
         ref = f"j-{number:06d}"
         record = {"state": "queued", "at": 0, "job": {**wire_of(submission), "ref": ref}}
         state.commit({"if": [], "then": [{"set": job_key(ref), "value": record}]})
-    before = client.reads
+    initial_reads = client.reads
     assert (await api.submit(job("j-005000", waitsOn=[f"j-{n:06d}" for n in range(1, 1001)]))).status == 201
-    assert client.reads - before <= 12
+    assert client.reads - initial_reads <= 12
     await api.show("j-005000")
-    before = client.reads
+    initial_reads = client.reads
     await asyncio.gather(*(api.show("j-005000") for _ in range(50)))
-    assert client.reads - before <= 2
+    assert client.reads - initial_reads <= 2
     for number in range(1, 1001):
         complete_job(state, f"j-{number:06d}")
     await api.show("j-005000")
@@ -172,6 +174,7 @@
 
 
 def wire_of(submission: wire.Submission) -> dict[str, Any]:
+    """Returns a submission as a record stores it."""
     return dict(msgspec.to_builtins(submission))
 
 
@@ -222,12 +225,12 @@
             }
         )
     api, client, _ = make_api(state)
-    waiting, rounds = list(refs), 0
-    while waiting and rounds < 15:  # users retry every 5 s, so 15 rounds are 75 s
+    pending_refs, rounds = list(refs), 0
+    while pending_refs and rounds < 15:  # users retry every 5 s, so 15 rounds are 75 s
         rounds += 1
-        answers = await asyncio.gather(*(api.show(ref) for ref in waiting))
-        waiting = [ref for ref, answer in zip(waiting, answers, strict=True) if answer.status != 200]
-    assert not waiting
+        responses = await asyncio.gather(*(api.show(ref) for ref in pending_refs))
+        pending_refs = [ref for ref, response in zip(pending_refs, responses, strict=True) if response.status != 200]
+    assert not pending_refs
     assert client.reads <= 120
     assert (await api.show("j-999999")).status == 404
 
@@ -243,7 +246,7 @@
 
 
 async def test_a_poll_does_not_share_a_read_sent_before_its_arrival(state: KeyStore) -> None:
-    """Another node confirmed the cancellation in between: sharing the older read reverted a reported state."""
+    """Guards against a reverted status: another node confirmed a cancellation after the shared read was sent."""
     api, client, _ = make_api(state)
     other, _, _ = make_api(state)
     await other.submit(job("j-000001"))
@@ -251,9 +254,9 @@
     original, release_read = client.get_many, asyncio.Event()
 
     async def slow(prefix: str, names: list[str]) -> Any:
-        found = await original(prefix, names)
+        page = await original(prefix, names)
         await release_read.wait()
-        return found
+        return page
 
     client.get_many = slow  # type: ignore[method-assign]
     first_poll = asyncio.ensure_future(api.show("j-000001"))
--- a/tests/test_failure_attribution.py
+++ b/tests/test_failure_attribution.py
@@ -1,4 +1,4 @@
-"""Attribution of failures to faulty jobs or faulty machines, by where else jobs and machines fail or succeed."""
+"""Tests that failures are attributed to faulty jobs or machines by where else these fail or succeed."""
 
 from __future__ import annotations
 
@@ -20,11 +20,12 @@
 
 
 def machines(harness: ClusterHarness) -> list[Machine]:
+    """Returns the machines of the leader's view."""
     return list(harness.cluster.machines.values())
 
 
 def test_jobs_that_fail_everywhere_drain_no_machine() -> None:
-    # Two faulty jobs each failed on two healthy machines, which were drained permanently and released.
+    # Guards against two faulty jobs that fail on two healthy machines: those were drained permanently and released.
     harness = ClusterHarness()
     for number in (1, 2):
         harness.machine(number)
@@ -38,9 +39,9 @@
     assert all(harness.cluster.jobs[ref].suspected_faulty for ref in refs)
     assert not any(m.draining for m in machines(harness))
     assert all(m.cordoned_until <= harness.now for m in machines(harness))
-    good = harness.submit(ref="j-000003", legs=6)
+    healthy_job = harness.submit(ref="j-000003", legs=6)
     harness.settle()
-    assert len(harness.task_locations(good)) == 6
+    assert len(harness.task_locations(healthy_job)) == 6
 
 
 def test_a_suspected_job_runs_a_task_at_a_time_with_backoff_and_without_preemption_or_rental() -> None:
@@ -58,9 +59,8 @@
     assert failures[0] == 5 or failures[0] == 6
     assert max(failures[2:]) <= 1
     assert 1 <= sum(failures[2:]) <= 6
-    assert (
-        harness.cluster.predictor.run_time(ref, harness.cluster.jobs[ref].spec) == 30_000_000
-    )  # failures don't change the prediction
+    # Failures do not change the prediction.
+    assert harness.cluster.predictor.run_time(ref, harness.cluster.jobs[ref].spec) == 30_000_000
     # The suspected job preempts no other job, and no machine is rented for it.
     assert len(harness.task_locations(idle)) == 1
     job = harness.cluster.jobs[ref]
@@ -77,23 +77,23 @@
 
 def test_a_faulty_machine_is_drained_by_jobs_that_run_elsewhere() -> None:
     harness = ClusterHarness()
-    bad = harness.machine(1)
+    faulty = harness.machine(1)
     refs = [harness.submit(ref=f"j-00000{number}", legs=1) for number in (1, 2)]
     harness.settle()
     for ref in refs:
         assert fail_all(harness, ref) == 1
-    good = harness.machine(2)
+    healthy = harness.machine(2)
     harness.settle()
-    assert len(good.started_attempts) == 2  # both jobs run on another machine at once
-    assert not harness.cluster.machines[bad.name].draining  # not confirmed yet: the jobs may be faulty
+    assert len(healthy.started_attempts) == 2  # both jobs run on another machine at once
+    assert not harness.cluster.machines[faulty.name].draining  # not confirmed yet: the jobs may be faulty
     harness.settle(32)
-    assert harness.cluster.machines[bad.name].draining
-    assert [m.name for m in harness.fleet.scale_in.machines_to_release(harness.now)] == [bad.name]
+    assert harness.cluster.machines[faulty.name].draining
+    assert [m.name for m in harness.fleet.scale_in.machines_to_release(harness.now)] == [faulty.name]
 
 
 def test_a_wrongly_suspected_job_is_cleared_by_its_first_completed_task() -> None:
     harness = ClusterHarness()
-    bad: list[Worker] = [harness.machine(1), harness.machine(2)]
+    faulty: list[Worker] = [harness.machine(1), harness.machine(2)]
     ref = harness.submit(legs=4)
     harness.settle()
     fail_all(harness, ref)
@@ -103,7 +103,7 @@
     harness.machine(3)
     harness.settle(45)
     assert not job.suspected_faulty
-    assert all(ref in harness.cluster.machines[w.name].confirmed_failed_jobs for w in bad)
+    assert all(ref in harness.cluster.machines[w.name].confirmed_failed_jobs for w in faulty)
     harness.settle(40)
     assert harness.record(ref) == "done"
 
--- a/tests/test_limits_properties.py
+++ b/tests/test_limits_properties.py
@@ -1,4 +1,4 @@
-"""Property test: `quota` and `ran_twice` hold under any order of events.
+"""Property test: the invariants `quota` and `ran_twice` hold under any order of events.
 
 Usage is counted from the workers' state, never from the leader's own sums.
 """
@@ -29,6 +29,7 @@
 
     @initialize()
     def begin(self) -> None:
+        """Creates a leader, four machines and four jobs."""
         self.harness = ClusterHarness([Team(name, cpus_max=cpu_limit) for name, cpu_limit in CPU_LIMITS.items()])
         self.reports: list[wire.Heartbeat] = []  # sent reports, which may arrive again
         self.commands: list[tuple[str, dict[str, Any]]] = []  # in flight
@@ -36,7 +37,7 @@
         self.unconfirmed_batch: WriteBatch | None = None
         self.replicated: list[Completion] = []  # replicated to the other nodes
         self.known_completions: set[str] = set()  # tasks whose completion a leader received, and replicated or wrote
-        # Those that a leader neither wrote nor replicated to the next one, and that no machine reported since.
+        # Known completions that a leader neither wrote nor replicated to the next one, and no machine reported since.
         self.unreplicated: set[str] = set()
         self.leader_since = 0
         self.violations: list[str] = []
@@ -74,10 +75,12 @@
                 and now - other.lease_renewed_at <= other.lease_us
             ]
             if other is not worker and held:
-                self.violations.append(f"{task} attempt {attempt} starts on {worker.name}, and is on {other.name}")
+                self.violations.append(
+                    f"{task} attempt {attempt} starts on {worker.name} while the task is on {other.name}"
+                )
         is_completion_known = task in self.known_completions and not self._is_lost_with_lease(task)
         if is_completion_known and task.rsplit("/", 1)[0] not in self.cancelled:
-            self.violations.append(f"{task} attempt {attempt} starts on {worker.name} though its end is known")
+            self.violations.append(f"{task} attempt {attempt} starts on {worker.name} although its completion is known")
 
     # --- users ------------------------------------------------------------------------------
 
@@ -88,6 +91,7 @@
         run=st.sampled_from([2.0, 6.0, 30.0]),
     )
     def submit(self, team: str, kind: str, tasks: int, run: float) -> None:
+        """Submits a job, unless there are eight."""
         if len(self.harness.jobs) < 8:
             self.harness.submit(
                 crew=team,
@@ -100,12 +104,13 @@
 
     @rule(pick=st.integers(0, 7), notify_leader=st.booleans())
     def cancel(self, pick: int, notify_leader: bool) -> None:
+        """Cancels a queued job, with or without a notification of the leader."""
         refs = sorted(ref for ref in self.harness.jobs if self.harness.record(ref) == wire.JobStatus.QUEUED)
         if refs:
             ref = refs[pick % len(refs)]
             self.harness.cancel(ref, notify_leader=notify_leader)
             self.cancelled.add(ref)
-            if not notify_leader:  # the leader learns of it from the records a moment later
+            if not notify_leader:  # the leader reads the cancellation from the records just after
                 self.harness.cluster.job_lifecycle.cancel(ref, self.harness.state.revision)
 
     # --- the leader ---------------------------------------------------------------------------
@@ -127,6 +132,7 @@
 
     @rule()
     def plan(self) -> None:
+        """Runs a planning pass, unless the outcome of a transaction is unknown."""
         if self.unconfirmed_batch is None:
             self.harness.plan()
 
@@ -155,7 +161,7 @@
             cluster.writes.committed(batch, value["ledgerRev"], self.harness.now)
         elif self._was_applied(batch):
             cluster.writes.committed(batch, self.harness.state.revision, self.harness.now)
-            self.fail_over()  # the next leader reads the revisions of the keys
+            self.fail_over()  # the next leader loads the versions of the keys
         else:
             cluster.writes.restore_batch(batch)
             self.fail_over()
@@ -172,11 +178,12 @@
     @precondition(lambda self: self.delayed_transactions)
     @rule()
     def delayed_transaction_arrives(self) -> None:
+        """Delivers a delayed transaction whose response is lost."""
         self.harness.state.commit(self.delayed_transactions.pop(0))
 
-    @rule(sent=st.booleans())
-    def send(self, sent: bool) -> None:
-        """Sends direct commands; unless `sent`, they stay in flight."""
+    @rule(delivered=st.booleans())
+    def send(self, delivered: bool) -> None:
+        """Sends direct commands; unless `delivered`, they stay in flight."""
         cluster = self.harness.cluster
         for machine in list(cluster.machines_to_command):
             cluster.machines_to_command.discard(machine)
@@ -185,7 +192,7 @@
                 continue
             cluster.commands.on_sent(machine, starts, self.harness.now, direct=True)
             body = wire.command_request(cluster.fencing_token, machine.agent_epoch, due_commands)
-            if sent and machine.name in self.harness.workers:
+            if delivered and machine.name in self.harness.workers:
                 _, report = self.harness.workers[machine.name].commands(body)
                 cluster.commands.on_start_response(machine, [(t.name, t.attempt) for t in starts])
                 cluster.heartbeats.receive(wire.decode_heartbeat(report), self.harness.now, self.harness.now)
@@ -245,6 +252,7 @@
 
     @rule(number=MACHINE_NUMBERS, seconds=st.sampled_from([0.1, 0.5, 2.0]))
     def report(self, number: int, seconds: float) -> None:
+        """Advances the clock, and delivers one machine's heartbeat and the response."""
         worker = self.harness.workers.get(f"vm-{number:06d}")
         self.harness.now += round(seconds * SECOND)
         if worker is None:
@@ -263,7 +271,7 @@
         worker.on_heartbeat_response(sent, session, wire.heartbeat_response(cluster.fencing_token, due_commands))
 
     def _reports(self) -> None:
-        """Delivers reports of all machines without writing anything."""
+        """Delivers one heartbeat of each machine without writing anything."""
         for number in range(1, self.machines + 1):
             self.report(number, 0.1)
 
@@ -279,13 +287,14 @@
     @precondition(lambda self: self.reports)
     @rule(pick=st.integers(0, 30))
     def duplicate_report_arrives(self, pick: int) -> None:
-        """Delivers an old report of any age to the present leader."""
+        """Delivers a copy of an old heartbeat to the current leader."""
         report = self.reports[-1 - pick % len(self.reports)]
         if report.fencing_token <= self.harness.cluster.fencing_token:
             self.harness.cluster.heartbeats.receive(report, self.harness.now, self.harness.now)
 
     @rule(number=MACHINE_NUMBERS)
     def lease_expires(self, number: int) -> None:
+        """Lets the lease of a machine expire."""
         worker = self.harness.workers.get(f"vm-{number:06d}")
         if worker is not None:
             worker.lease_renewed_at = self.harness.now - worker.lease_us - 1
@@ -293,12 +302,13 @@
 
     @rule()
     def release(self) -> None:
-        """Releases the idle, drained and given-up machines that scale-in has no reason to hold."""
+        """Releases the machines that scale-in chooses: idle, drained, or already being released."""
         for machine in self.harness.fleet.scale_in.machines_to_release(self.harness.now):
             self._release_machine(machine.name)
 
     @rule(number=MACHINE_NUMBERS)
     def drain(self, number: int) -> None:
+        """Drains a machine."""
         machine = self.harness.cluster.machines.get(f"vm-{number:06d}")
         if machine is not None:
             machine.draining = True
@@ -330,6 +340,7 @@
 
     @invariant()
     def no_invariant_is_violated(self) -> None:
+        """Checks each team's limit, and that at most one attempt of each task runs."""
         for worker in self.harness.workers.values():
             worker.advance()
         assert not self.violations, self.violations
@@ -344,7 +355,7 @@
         assert all(count == 1 for count in unfinished_attempts.values()), unfinished_attempts
 
 
-def test_a_machine_that_may_report_unknown_completions_is_not_given_up() -> None:
+def test_a_machine_that_may_report_unknown_completions_is_not_released() -> None:
     """Case found by the property test.
 
     A completion was lost with its leader, and the machine that could report the completion was released.
