--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""Checks that the modules which README.md, CONTRIBUTING.md and the pages of docs/ name exist."""
+"""Tests that the modules named in README.md, CONTRIBUTING.md and the pages of docs/ exist."""
 
 import re
 from pathlib import Path
--- a/tests/test_node_failures.py
+++ b/tests/test_node_failures.py
@@ -1,4 +1,4 @@
-"""Tests of nodes and leaders with failures of the state service, of peers and of the cloud."""
+"""Tests nodes and leaders during failures of the state service, of peers and of the cloud."""
 
 from __future__ import annotations
 
@@ -31,34 +31,43 @@
 
 
 class Body:
+    """A request body that passes through the encoder and the decoder."""
+
     def __init__(self, value: Any) -> None:
         self.value = value
 
     async def read(self) -> Any:
+        """Returns the decoded body."""
         return wire.decode(wire.encode(self.value))
 
 
 class FakePeer:
-    def __init__(self, answer: list[Any] | None, name: str = "n1") -> None:
-        self.answer, self.name = answer, name
+    """A peer that gives a fixed reply, or is unreachable if the reply is None."""
+
+    def __init__(self, reply: list[Any] | None, name: str = "n1") -> None:
+        self.reply, self.name = reply, name
 
     async def ask(self, request: PeerMessage, decode: Callable[[PeerArray], Any], *, timeout_us: int = 0) -> Any:
-        if self.answer is None:
-            raise NoResponseError("cut")
-        return decode_reply(self.answer, decode)
+        """Returns the decoded reply."""
+        if self.reply is None:
+            raise NoResponseError("unreachable")
+        return decode_reply(self.reply, decode)
 
     async def notify(self, request: PeerMessage) -> None:
+        """Sends a message and ignores the reply."""
         await self.ask(request, ignore_reply)
 
 
 async def peer_reply(node: Node, message: list[Any]) -> list[Any]:
     """Returns a node's reply to a message of another node."""
-    answer = await node.peer_api().handle("POST", wire.PEER_PATH, Body(message))  # type: ignore[arg-type]
-    assert answer.status == 200
-    return answer.value  # type: ignore[no-any-return]
+    response = await node.peer_api().handle("POST", wire.PEER_PATH, Body(message))  # type: ignore[arg-type]
+    assert response.status == 200
+    return response.value  # type: ignore[no-any-return]
 
 
 class FakeLeadingNode:
+    """The calls of Node that a leader uses; records the reasons for which it stepped down in `lost`."""
+
     def __init__(self) -> None:
         self.types = dict(TYPES)
         self.peers: dict[str, Any] = {}
@@ -67,19 +76,23 @@
         self.lost: list[str] = []
 
     def step_down(self, reason: str) -> None:
+        """Records the reason."""
         self.lost.append(reason)
 
     async def completions_before(self, token: int) -> EarlierCompletions:
+        """Returns a complete list without completions."""
         return EarlierCompletions([], complete=True)
 
     def peer_contact_times(self) -> dict[str, list[int]]:
+        """Returns no contact times."""
         return {}
 
     def mark_workers_unreachable(self, addresses: list[str]) -> None:
-        pass
+        """Does nothing."""
 
 
 def leader(state: KeyStore) -> tuple[Leader, FakeStateClient, FakeLeadingNode]:
+    """Returns a loaded leader without running loops, with its state client and its node."""
     token = state.commit({"if": [], "then": [{"set": LEADER_KEY, "value": {"node": "n0"}}]})[1]["ledgerRev"]
     client, leading_node = FakeStateClient(state), FakeLeadingNode()
     lead = Leader(leading_node, node_settings(), Tuning(), UnreachableNetwork(), client, token, 1, steady())  # type: ignore[arg-type]
@@ -89,23 +102,24 @@
 
 @pytest.fixture
 def state() -> KeyStore:
+    """Returns an empty state service."""
     return KeyStore(lambda: 0)
 
 
 async def test_a_handover_is_accepted_only_while_the_state_service_answers(state: KeyStore) -> None:
-    """At the start of an outage for all nodes, a leader handed over to a node that had lost the state service too."""
+    """Guards against a handover, at the start of an outage, to a node that had lost the state service as well."""
     node = Node(node_settings(), Tuning())
     client = FakeStateClient(state)
     node.state = client  # type: ignore[assignment]
     client.faults = ["refuse"]
     assert await peer_reply(node, ["handover", 5]) == ["no"]
     assert await peer_reply(node, ["handover", 5]) == ["ok"]
-    # A leader handed over to a node that had lost contact with the workers shortly before.
+    # A node that has just lost contact with the workers refuses as well; a leader once handed over to such a node.
     node.mark_workers_unreachable(["h:1"])
     assert await peer_reply(node, ["handover", 6]) == ["no"]
 
 
-async def test_a_lost_answer_to_a_leaders_commit_is_resolved(state: KeyStore) -> None:
+async def test_a_leaders_commit_with_a_lost_response_is_resolved(state: KeyStore) -> None:
     lead, client, leading_node = leader(state)
     client.faults = ["lose"]
     batch = WriteBatch(conditions={"live/j-1/0000": 0}, sets={"live/j-1/0000": {"t": [[1]]}})
@@ -114,7 +128,7 @@
     assert lead.cluster.writes.versions["live/j-1/0000"] == state.revision
 
 
-async def test_a_late_leader_commit_cannot_be_applied_twice(state: KeyStore) -> None:
+async def test_a_delayed_leader_commit_cannot_be_applied_twice(state: KeyStore) -> None:
     lead, client, leading_node = leader(state)
     client.faults = ["late"]
     await lead.commits.commit(WriteBatch(conditions={"fleet/000000": 0}, sets={"fleet/000000": {"m": []}}))
@@ -131,18 +145,19 @@
 
 
 async def survey(lead: Leader) -> PeerSurvey:
+    """Returns the result of a survey of the leader's peers."""
     return await lead.cloud_controller.failure_detector.reachability.survey_peers([])
 
 
 async def test_no_machine_is_released_without_contact_to_the_state_service_and_most_peers(state: KeyStore) -> None:
-    """A partition may hold a release request and deliver it minutes later, when another leader uses the machines."""
+    """A partition may delay a release request for minutes, until another leader uses the machines."""
     lead, client, leading_node = leader(state)
     client.faults = ["refuse", "lose"]
     assert not await lead.cloud_controller.failure_detector.reachability.verify_leadership()
     assert not await lead.cloud_controller.failure_detector.reachability.verify_leadership()
     assert await lead.cloud_controller.failure_detector.reachability.verify_leadership()
     leading_node.peers = {"n1": FakePeer(None)}
-    assert await survey(lead) == PeerSurvey(None, False)  # a peer that doesn't answer proves nothing
+    assert await survey(lead) == PeerSurvey(None, False)  # a peer that does not reply proves nothing
     leading_node.peers = {"n1": FakePeer(["seen", 3, True])}
     assert await survey(lead) == PeerSurvey(None, False)
     leading_node.peers = {"n1": FakePeer(["seen", 0, True])}
@@ -150,13 +165,13 @@
 
 
 async def test_a_node_in_a_partitioned_zone_does_not_delay_the_release(state: KeyStore) -> None:
-    """A zone was partitioned together with its node, and its machines' tasks were not replaced for two minutes."""
+    """Guards against replacing the tasks of a zone that is partitioned with its node two minutes late."""
     lead, _, leading_node = leader(state)
     reaches_none, silent, reaches_one = FakePeer(["seen", 0, True]), FakePeer(None), FakePeer(["seen", 1, True])
     leading_node.peers = {"n1": reaches_none, "n2": silent}
-    assert await survey(lead) == PeerSurvey(None, True)  # two of three nodes
+    assert await survey(lead) == PeerSurvey(None, True)  # two of the three nodes do not reach the machines
     leading_node.peers = {"n1": silent, "n2": silent}
-    assert await survey(lead) == PeerSurvey(None, False)  # this node itself is more likely partitioned
+    assert await survey(lead) == PeerSurvey(None, False)  # more likely, this node itself is partitioned
     leading_node.peers = {"n1": reaches_none, "n2": reaches_one}
     assert await survey(lead) == PeerSurvey(None, False)
 
@@ -167,10 +182,10 @@
     client.last_success_at, client.last_failure_at = now - 5 * SECOND, now
     lead.lease_renewal_limit.cancellations_read_at = now - 5 * SECOND
     report = wire.Heartbeat("vm-000001", "h:1", "m8", "a", False, 1, 1, lead.token, [])
-    answer = lead.answer_heartbeat(report)
-    assert answer is not None
-    assert answer["helm"] == lead.token
-    assert all(order["orderKind"] != "start" for order in answer["orders"])
+    response = lead.answer_heartbeat(report)
+    assert response is not None
+    assert response["helm"] == lead.token
+    assert all(order["orderKind"] != "start" for order in response["orders"])
     lead.lease_renewal_limit.cancellations_read_at = now - 30 * SECOND  # a cancellation may have been confirmed since
     assert lead.answer_heartbeat(report) is None
 
@@ -190,8 +205,8 @@
         "helm": 0,
         "legs": [],
     }
-    answer = await handle_heartbeat(node, "POST", Body(report))  # type: ignore[arg-type]
-    assert (answer.status, answer.value) == (421, {"harbormaster": "n1"})
+    response = await handle_heartbeat(node, "POST", Body(report))  # type: ignore[arg-type]
+    assert (response.status, response.value) == (421, {"harbormaster": "n1"})
     for bad in ({}, [], {**report, "legs": [{"leg": 3}]}, {**report, "watch": "x"}):
         with pytest.raises(wire.InvalidMessageError):
             await handle_heartbeat(node, "POST", Body(bad))  # type: ignore[arg-type]
@@ -224,7 +239,7 @@
 
 
 async def test_a_background_task_closed_before_its_first_step_leaves_no_coroutine_behind() -> None:
-    """A deposed leader left coroutines behind that were never awaited; pytest turns that warning into an error."""
+    """Guards against coroutines of a deposed leader that are never awaited; pytest turns that warning into an error."""
     group, ran = BackgroundTasks(), []
 
     async def work() -> None:
@@ -237,45 +252,47 @@
     assert ran == []
 
 
-async def test_a_rental_without_an_answer_is_repeated_under_its_request_id_which_is_never_reused(
+async def test_a_rental_without_a_response_is_repeated_under_its_request_id_which_is_never_reused(
     state: KeyStore,
 ) -> None:
     lead, _, _ = leader(state)
-    asked: list[str] = []
+    request_ids: list[str] = []
 
     class Cloud:
         async def rent(self, request: str, *rest: Any) -> list[str]:
-            asked.append(request)
-            if len(asked) == 1:
+            request_ids.append(request)
+            if len(request_ids) == 1:
                 raise NoResponseError("lost")
-            return [f"vm-{len(asked):06d}"]
+            return [f"vm-{len(request_ids):06d}"]
 
     lead.cloud_controller.cloud = Cloud()  # type: ignore[assignment]
     for _ in range(2):
         rental = ScaleOutRequest("m8", "a", True, 1)
         lead.cloud_controller.capacity_planner.availability.requests_in_flight.append(rental)
         await lead.cloud_controller.rent(rental)
-    assert asked == [f"r-{lead.token}-1", f"r-{lead.token}-1", f"r-{lead.token}-2"]
+    assert request_ids == [f"r-{lead.token}-1", f"r-{lead.token}-1", f"r-{lead.token}-2"]
     assert sorted(lead.cluster.machines) == ["vm-000002", "vm-000003"]
 
 
-async def test_a_machine_to_be_released_is_sent_stops_for_what_it_runs(state: KeyStore) -> None:
-    """While the cloud left a release unanswered, the machine's leases were renewed and no stop command was sent."""
+async def test_a_machine_to_be_released_is_sent_stops_for_its_running_tasks(state: KeyStore) -> None:
+    """Guards against a machine whose leases are renewed, without stop commands, until the cloud answers its release."""
     lead, _, _ = leader(state)
     lead.lease_renewal_limit.cancellations_read_at = lead.leader_lease.renewal_requested_at = steady()
-    rows = [wire.TaskReport("j-000001/0", 1, wire.TaskStatus.RUNNING)]  # for example, of a cancelled job that has ended
+    rows = [
+        wire.TaskReport("j-000001/0", 1, wire.TaskStatus.RUNNING)
+    ]  # for example, of a cancelled job whose record is deleted
     report = wire.Heartbeat("vm-000001", "h:1", "m8", "a", False, 1, 1, lead.token, rows)
     assert lead.answer_heartbeat(report) is not None
     lead.cluster.machines["vm-000001"].releasing = True
-    answer = lead.answer_heartbeat(wire.Heartbeat("vm-000001", "h:1", "m8", "a", False, 1, 2, lead.token, rows))
-    assert answer is not None
-    assert [(order["orderKind"], order["leg"]) for order in answer["orders"]] == [("stop", "j-000001/0")]
+    response = lead.answer_heartbeat(wire.Heartbeat("vm-000001", "h:1", "m8", "a", False, 1, 2, lead.token, rows))
+    assert response is not None
+    assert [(order["orderKind"], order["leg"]) for order in response["orders"]] == [("stop", "j-000001/0")]
 
 
 async def test_a_leader_without_a_catalog_reads_the_recorded_one_and_loses_no_machine(state: KeyStore) -> None:
     """Guards against task loss when a node restarts quickly and leads at once while the cloud is down.
 
-    Without the recorded catalog it took all machines for lost, and started their tasks again elsewhere.
+    Without the recorded catalog, the leader took all machines for lost and started their tasks again elsewhere.
     """
     types = {"berthKinds": [msgspec.to_builtins(kind) for kind in TYPES.values()]}
     state.commit({"if": [], "then": [{"set": CATALOG_KEY, "value": types}]})
--- a/tests/test_one_way_partitions.py
+++ b/tests/test_one_way_partitions.py
@@ -1,4 +1,4 @@
-"""Tests of one-way partitions, where commands do not reach machines; of late copies of heartbeats; of large jobs."""
+"""Tests one-way partitions, in which commands do not reach machines; late copies of heartbeats; large jobs."""
 
 from __future__ import annotations
 
@@ -14,8 +14,11 @@
 from tests.test_node_failures import leader
 
 
-def test_a_machine_that_commands_do_not_reach_gets_no_work_until_one_does() -> None:
-    """The agent session expired and the machine reported itself empty, so it looked best for the tasks that it lost."""
+def test_a_machine_unreachable_for_commands_gets_no_tasks_until_a_command_reaches_it() -> None:
+    """Guards against binding lost tasks to the machine that lost them.
+
+    Its agent session expired and its heartbeats listed no tasks, so it ranked best.
+    """
     harness = ClusterHarness()
     command_unreachable, other = harness.machine(1), harness.machine(2)
     harness.settle(2)
@@ -48,7 +51,7 @@
     assert harness.cluster.machines["vm-000001"].command_unreachable
 
 
-def test_a_leader_that_reaches_no_machine_does_not_release_them() -> None:
+def test_a_leader_that_reaches_no_machine_releases_none() -> None:
     harness = ClusterHarness()
     for number in range(1, 6):
         harness.machine(number)
@@ -60,17 +63,17 @@
     assert all(m.command_unreachable for m in harness.cluster.machines.values())
 
 
-async def test_no_start_in_the_answer_to_a_late_copy_counts_as_sent() -> None:
-    """The response to a late copy may not reach the machine, but its start counted as sent.
+async def test_no_start_in_the_response_to_a_late_heartbeat_copy_counts_as_sent() -> None:
+    """Guards against start commands in a response that may not reach the machine.
 
-    The leader then waited for the start to be acknowledged, and relied on it to prove a task gone.
+    They counted as sent: the leader waited for their acknowledgement, and took them as evidence that a task had ended.
     """
     state = KeyStore(lambda: 0)
     lead, _, _ = leader(state)
     harness = ClusterHarness()
     worker = harness.machine(1)
     lead.cluster.catalog.types.update(harness.cluster.catalog.types)
-    old = wire.decode_heartbeat(worker.report())
+    late_copy = wire.decode_heartbeat(worker.report())
     worker.token = lead.token
     lead.cluster.heartbeats.receive(wire.decode_heartbeat(worker.report()), steady(), time_of_day())
     machine = lead.cluster.machines[worker.name]
@@ -80,14 +83,14 @@
     task = lead.cluster.tasks.begin_binding(waiting, machine, steady())
     batch = lead.cluster.writes.take_batch(12)
     lead.cluster.writes.committed(batch, 9, steady())
-    before = (machine.agent_epoch, machine.heartbeat_seq, machine.last_heartbeat_at)
-    answer = lead.answer_heartbeat(old)
-    assert answer == {"helm": lead.token, "orders": []}
+    initial_heartbeat = (machine.agent_epoch, machine.heartbeat_seq, machine.last_heartbeat_at)
+    response = lead.answer_heartbeat(late_copy)
+    assert response == {"helm": lead.token, "orders": []}
     assert not task.start_epoch
-    assert (machine.agent_epoch, machine.heartbeat_seq, machine.last_heartbeat_at) == before
-    answer = lead.answer_heartbeat(wire.decode_heartbeat(worker.report()))
-    assert answer is not None
-    assert [order["orderKind"] for order in answer["orders"]] == ["start"]
+    assert (machine.agent_epoch, machine.heartbeat_seq, machine.last_heartbeat_at) == initial_heartbeat
+    response = lead.answer_heartbeat(wire.decode_heartbeat(worker.report()))
+    assert response is not None
+    assert [order["orderKind"] for order in response["orders"]] == ["start"]
 
 
 def test_one_way_partitions_and_late_copies_violate_no_invariant() -> None:
@@ -103,8 +106,8 @@
         )
     ):
         plan = Plan((fault, Fault("node_crash", 20.0, 0.1)), 50.0, 3, 20, 20.0, 6.0)
-        found = run_scenario(RunRequest(plan=plan), number)
-        assert (found.violations, found.errors) == ([], []), fault.kind
+        result = run_scenario(RunRequest(plan=plan), number)
+        assert (result.violations, result.errors) == ([], []), fault.kind
 
 
 def test_the_invariant_checker_detects_copies_of_heartbeats_taken_for_new_ones() -> None:
@@ -114,7 +117,7 @@
 
 
 def test_the_largest_job_starves_only_for_a_limited_time() -> None:
-    """The Moore-Hodgson rule drops the largest job first, so such a job never started while a burst lasted."""
+    """Guards against starvation: the Moore-Hodgson rule drops the largest job first, as long as a burst lasts."""
     harness = ClusterHarness([Team("crew")])
     harness.machine(1)
     harness.settle(2)
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -1,4 +1,4 @@
-"""A backlog of thousands of pending tasks on full machines: bounds of its cost, and unchanged placement decisions."""
+"""Tests a backlog of thousands of pending tasks on full machines: its cost is bounded, placements are unchanged."""
 
 from __future__ import annotations
 
@@ -97,13 +97,13 @@
         queue.add(queued)
     for queued in jobs[:40]:
         queue.discard(queued)
-    jobs[60].deadline_at = 1  # most urgent now
+    jobs[60].deadline_at = 1  # the earliest deadline
     queue.reposition(jobs[60])
     assert [queued for _, queued in queue.walk()] == sorted(jobs[40:], key=order_key)
     walked = []
     for _, queued in queue.walk():
         walked.append(queued)
-        queue.discard(jobs[100])  # discarded during the walk: it is not returned any more
+        queue.discard(jobs[100])  # discarded during the walk, so it is not returned
     assert jobs[100] not in walked[1:]
     assert queue.smallest_cpus() == 4.0
 
@@ -156,7 +156,7 @@
     assert (f"{second}/0", 1) in worker.started_attempts
 
 
-def test_a_planning_pass_is_due_at_the_wakeups_of_the_last_one() -> None:
+def test_a_planning_pass_is_due_when_a_cordon_or_a_backoff_ends() -> None:
     """A refused start cordons a machine for three seconds, and a job backs off: no event marks the end of either."""
     harness = ClusterHarness()
     harness.machine(1)
@@ -174,7 +174,7 @@
 
 
 def test_no_victims_are_searched_for_a_team_at_its_limit_without_lower_priorities() -> None:
-    """Guards against a search through all running tasks of the team, twice a second for each of its pending jobs."""
+    """Guards against a search of all running tasks of the team, twice a second for each of its pending jobs."""
     harness = ClusterHarness([Team("crew", cpus_max=8.0)])
     for number in range(1, 6):
         harness.machine(number)
@@ -235,10 +235,10 @@
         if found is not None and expected is not None:
             assert slots[found.position] is expected
             assert found.reserve(submission, 1) == expected.reserve(submission, 1) == 1
-    assert incoming.slots_examined < 2 * len(requests) + 6 * len(slots)  # and not the product of both
+    assert incoming.slots_examined < 2 * len(requests) + 6 * len(slots)  # rather than the product of both
 
 
-def test_scale_out_plans_no_more_machines_than_one_pass_requests() -> None:
+def test_one_scale_out_pass_plans_a_bounded_number_of_machines() -> None:
     harness = ClusterHarness([Team("crew")])
     for _ in range(40):
         harness.submit(legs=100, voyageS=20.0)
@@ -290,15 +290,15 @@
     assert machine.last_heartbeat_at == harness.now
 
 
-def test_a_task_missing_from_a_settled_machine_is_noticed() -> None:
+def test_a_task_missing_from_a_settled_machine_is_restarted() -> None:
     harness, machine, ref = settled_cluster()
     del harness.workers[machine.name].tasks[(f"{ref}/0", 1)]
     harness.settle()
     assert [attempt for worker in harness.workers.values() for _, attempt in worker.started_attempts] == [1, 2]
 
 
-def test_an_orphaned_attempt_on_a_settled_machine_is_noticed() -> None:
-    """The attempt arises from a late start command of an earlier leader."""
+def test_an_orphaned_attempt_on_a_settled_machine_is_detected() -> None:
+    """The attempt was started by a delayed command of an earlier leader."""
     harness, machine, _ = settled_cluster(cores=4.0)
     other = harness.submit(legs=1, cores=1.0, berthKinds=["g16"], sizeGb=0.0)
     harness.workers[machine.name].commands(
@@ -316,7 +316,7 @@
     assert harness.task_locations(ref) == {}
 
 
-def test_a_new_agent_epoch_of_a_settled_machine_is_noticed() -> None:
+def test_a_new_agent_epoch_of_a_settled_machine_is_detected() -> None:
     harness, machine, ref = settled_cluster()
     harness.workers[machine.name].lease_renewed_at = harness.now - 60 * SECOND
     harness.settle()
@@ -325,9 +325,9 @@
 
 
 def test_a_start_that_was_never_sent_is_sent() -> None:
-    """Guards against a start command that is sent only by the next check of all tasks.
+    """Guards against a deferred start command that is sent only by the next check of all tasks.
 
-    Commands beyond a number of machines at a time are deferred.
+    Commands are sent to a limited number of machines at a time; the others are deferred.
     """
     harness = ClusterHarness()
     harness.machine(1)
--- a/tests/test_peer_messages.py
+++ b/tests/test_peer_messages.py
@@ -1,4 +1,4 @@
-"""Messages between nodes: the arrays on the wire and the replies are those of the released version 0.8."""
+"""Tests that messages between nodes and the replies to them are those of the released version 0.8."""
 
 from __future__ import annotations
 
@@ -46,8 +46,8 @@
 from tests.cluster_fixture import FakeStateClient, node_settings
 from tests.test_node_failures import Body
 
-# Recorded from the code before the messages were typed: a request to a node that is not the leader, the response's
-# status, and the reply or the error text. Times in replies are 0.
+# Recorded with the untyped messages of version 0.8: a request to a node that does not lead, the status of the response,
+# and the reply or the error text. Times in replies are 0.
 REPLIES = Path(__file__).parent / "fixtures" / "peer_replies.jsonl"
 
 RECORD = {"state": "queued", "at": 5, "job": {"ref": "j-000001", "cores": 0.5, "tideS": None}}
@@ -100,16 +100,16 @@
     node.state = FakeStateClient(KeyStore(lambda: 0))  # type: ignore[assignment]
     api, body = node.peer_api(), Body(request)
     if status == 400:
-        with pytest.raises(wire.InvalidMessageError) as refused:  # the server responds with this text and status 400
+        with pytest.raises(wire.InvalidMessageError) as refused:  # the server sends this text with status 400
             await api.handle("POST", wire.PEER_PATH, body)  # type: ignore[arg-type]
         assert str(refused.value) == expected
         return
-    answer = await api.handle("POST", wire.PEER_PATH, body)  # type: ignore[arg-type]
-    reply = wire.decode(wire.encode(answer.value))
-    for tag, position in (("pong", 5), ("told", 1)):
+    response = await api.handle("POST", wire.PEER_PATH, body)  # type: ignore[arg-type]
+    reply = wire.decode(wire.encode(response.value))
+    for tag, time_position in (("pong", 5), ("told", 1)):
         if reply[0] == tag:
-            reply[position] = 0
-    assert (answer.status, reply) == (status, expected)
+            reply[time_position] = 0
+    assert (response.status, reply) == (status, expected)
 
 
 async def test_other_paths_and_methods_are_refused() -> None:
@@ -125,11 +125,13 @@
         self.reply, self.sent = (status, value), list[Any]()
 
     def client(self, address: str, reuse: ConnectionReuse = ConnectionReuse.KEEP_ALIVE) -> FixedReply:
+        """Returns the network itself as the client of any address."""
         return self
 
     async def request(
         self, method: str, path: str, body: Any = None, *, timeout_us: int, query: str = ""
     ) -> tuple[int, Any]:
+        """Records the request, and returns the fixed status and reply."""
         self.sent.append((method, path, body))
         return self.reply
 
--- a/tests/test_process_pauses.py
+++ b/tests/test_process_pauses.py
@@ -1,4 +1,4 @@
-"""Process pauses: a node stops running while its clocks advance, simulated by a jump of the clock between two steps."""
+"""Tests process pauses: a node stops while its clocks advance, simulated by a jump of the clock between two steps."""
 
 from __future__ import annotations
 
@@ -28,6 +28,8 @@
 
 
 class Clock:
+    """A steady clock that tests advance by setting `at`."""
+
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.at = 1_000 * SECOND
         for module in (leader_module, heartbeat_controller, token_bucket):
@@ -36,11 +38,13 @@
 
 @pytest.fixture
 def state() -> KeyStore:
+    """Returns an empty state service."""
     return KeyStore(lambda: 0)
 
 
 @pytest.fixture
 def clock(monkeypatch: pytest.MonkeyPatch) -> Clock:
+    """Returns the clock of the leader, the heartbeat controller and the token buckets."""
     return Clock(monkeypatch)
 
 
@@ -51,6 +55,7 @@
         self.paths: list[str] = []
 
     async def request(self, method: str, path: str, *_: Any, **__: Any) -> tuple[int, Any]:
+        """Records the path, and responds with an empty list of machines."""
         self.paths.append(path)
         return 200, {"berths": []}
 
@@ -60,7 +65,7 @@
     assert lease.is_held(2_700 * MS)
     assert not lease.is_held(2_800 * MS)  # a margin for clock drift and for the time until a request is sent
     lease.on_renewed(2 * SECOND)
-    lease.on_renewed(1 * SECOND)  # an older answer that arrived late
+    lease.on_renewed(1 * SECOND)  # an older response that arrived late
     assert lease.is_held(4_700 * MS)
     # Another node was asked to take over, so the lease no longer proves ownership of the leader key.
     lease.on_handover_requested(4 * SECOND)
@@ -95,7 +100,7 @@
     await lead.cloud_controller.release([machine], "returned")
     await lead.command_sender.send(machine)
     assert http_client.paths == [wire.RELEASE_PATH]
-    assert not machine.removed  # a machine stays until it is proven gone
+    assert not machine.removed  # a machine stays until its release is confirmed
     assert leading_node.lost == []  # only the state service decides whether this node still leads
 
 
@@ -104,20 +109,20 @@
 ) -> None:
     lead, _, _ = leader(state)
     lead.leader_lease.renewal_requested_at = clock.at
-    asked: list[str] = []
+    request_ids: list[str] = []
 
     class Cloud:
         async def rent(self, request: str, *_: Any) -> list[str]:
-            asked.append(request)
+            request_ids.append(request)
             clock.at += 9 * SECOND
-            lead.stopped = True  # this node learnt of another leader
+            lead.stopped = True  # this node has learned of another leader
             raise NoResponseError("timers fire before the pending data of sockets is read")
 
     lead.cloud_controller.cloud = Cloud()  # type: ignore[assignment]
     rental = ScaleOutRequest("m8", "a", True, 1)
     lead.cloud_controller.capacity_planner.availability.requests_in_flight.append(rental)
     await lead.cloud_controller.rent(rental)
-    assert asked == [f"r-{lead.token}-1"]
+    assert request_ids == [f"r-{lead.token}-1"]
     assert lead.cloud_controller.capacity_planner.availability.requests_in_flight == []
 
 
@@ -129,10 +134,10 @@
     report = wire.Heartbeat("vm-000001", "h:1", "m8", "a", False, 1, 1, lead.token, [])
     assert lead.answer_heartbeat(report) is not None
     clock.at += 7 * SECOND
-    answer = lead.answer_heartbeat(wire.Heartbeat("vm-000001", "h:1", "m8", "a", False, 1, 2, lead.token, []))
-    assert answer is not None
-    assert answer["helm"] == lead.token
-    clock.at += 25 * SECOND  # a cancellation may have been confirmed by then without this node
+    response = lead.answer_heartbeat(wire.Heartbeat("vm-000001", "h:1", "m8", "a", False, 1, 2, lead.token, []))
+    assert response is not None
+    assert response["helm"] == lead.token
+    clock.at += 25 * SECOND  # another node may have confirmed a cancellation by then
     assert lead.answer_heartbeat(wire.Heartbeat("vm-000001", "h:1", "m8", "a", False, 1, 3, lead.token, [])) is None
 
 
@@ -154,12 +159,12 @@
     assert machines[0].last_heartbeat_at == harness.now
     assert silent_machines(machines, harness.now, 5 * SECOND) == []
     assert harness.fleet.scale_in.machines_to_release(harness.now) == []
-    # Times of real events are not shifted, such as spot notices and boots.
+    # Times of events outside this process, such as spot notices and boots, are not shifted.
     assert all(machine.rented_at < harness.now - gap for machine in machines)
 
 
 def test_a_leader_without_heartbeats_releases_no_machine() -> None:
-    """A leader that was partitioned from all workers released the machines that passed the silence threshold first."""
+    """Guards against a leader partitioned from all workers that releases the first ones past the silence threshold."""
     harness = ClusterHarness()
     for number in range(1, 7):
         harness.machine(number)
@@ -178,7 +183,7 @@
     assert is_isolated(len(quiet), machines)
 
 
-async def test_a_handover_whose_answer_is_lost_suspends_the_lease(state: KeyStore) -> None:
+async def test_a_handover_whose_reply_is_lost_suspends_the_lease(state: KeyStore) -> None:
     """The other node may replace the leader key while this node still renews its lease."""
     lead, _, _ = leader(state)
     node = Node(node_settings(), Tuning())
@@ -189,7 +194,7 @@
     with pytest.raises(NoResponseError):
         await node.handover.hand_over(lead, peer, "")  # type: ignore[arg-type]
     assert not lead.holds_lease()
-    peer.answer = ["no"]
+    peer.reply = ["no"]
     await node.handover.hand_over(lead, peer, "")  # type: ignore[arg-type]
     assert lead.holds_lease()
 
@@ -210,8 +215,8 @@
 async def test_a_worse_placed_candidate_backs_off(state: KeyStore) -> None:
     """Guards against two failures of worse placed leaders.
 
-    With the leader frozen and its successor down, workers waited for both in turn until their leases expired. And a
-    node that was partitioned from workers became the leader repeatedly while another node could reach them.
+    With the leader paused and its successor down, workers waited for both in turn until their leases expired. A node
+    that was partitioned from workers became the leader repeatedly although another node could reach them.
     """
     node = Node(replace(node_settings(), peers=[Peer("n1", "h:1"), Peer("n2", "h:2")]), Tuning())
     reached: list[str] = []
@@ -223,16 +228,16 @@
     node.peers = {"n1": FakePeer(None), "n2": FakePeer(None)}  # type: ignore[dict-item]
     answering = node.peer_status.state_service_answers
     answering["n2"] = StateServiceStatus(True, 0)
-    alone = await node.election.backoff()  # n1, the successor of n0, does not answer
+    backoff_without_successor = await node.election.backoff()  # n1, the successor of n0, does not reply
     assert node.handover.better_placed_peer() is None  # the successor may be down only briefly
     node.peer_status.successor_answered_at -= 5 * SECOND
     assert node.handover.better_placed_peer() is node.peers["n2"]  # whose successor is n0
     answering.clear()
     answering["n1"] = StateServiceStatus(True, 0)
-    assert await node.election.backoff() == 0 < alone
+    assert await node.election.backoff() == 0 < backoff_without_successor
     assert node.handover.better_placed_peer() is None
     node.mark_workers_unreachable(["h:1"])
-    assert await node.election.backoff() > alone
+    assert await node.election.backoff() > backoff_without_successor
     reached.append("h:1")
     assert await node.election.backoff() == 0
     reached.clear()
@@ -240,7 +245,7 @@
 
 
 async def test_election_priority_prefers_nodes_whose_successor_is_in_another_zone() -> None:
-    """With the leader and its successor in one partitioned zone, workers outside waited for both nodes in turn."""
+    """Guards against a leader and a successor in one partitioned zone: workers outside waited for both in turn."""
 
     def node(name: str, **zones: str) -> Node:
         settings = replace(
@@ -249,20 +254,20 @@
             zone=zones[name],
             peers=[Peer(n, "h:1", zone) for n, zone in zones.items() if n != name],
         )
-        found = Node(settings, Tuning())
-        found.peers = {peer.node_name: FakePeer(None) for peer in settings.peers}  # type: ignore[misc]
-        found.peer_status.state_service_answers = dict.fromkeys(found.peers, StateServiceStatus(True, 0))
-        return found
+        created = Node(settings, Tuning())
+        created.peers = {peer.node_name: FakePeer(None) for peer in settings.peers}  # type: ignore[misc]
+        created.peer_status.state_service_answers = dict.fromkeys(created.peers, StateServiceStatus(True, 0))
+        return created
 
     two = [await node(name, n0="a", n1="b", n2="a").election.backoff() for name in ("n0", "n1", "n2")]
     assert two[0] == two[1] == 0 < two[2]
     assert [await node(name, n0="a", n1="a", n2="a").election.backoff() for name in ("n0", "n1", "n2")] == [0, 0, 0]
 
 
-async def test_cancellations_confirmed_during_failover_are_not_taken_as_known(
+async def test_cancellations_confirmed_during_failover_do_not_count_as_read(
     state: KeyStore, clock: Clock, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """If an outage began during the load, leases were renewed beyond the bound, by the time that the load had taken."""
+    """Guards against renewals beyond the bound, by the duration of the load, if an outage begins during the load."""
     lead, _, _ = leader(state)
     began = clock.at
 
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -1,4 +1,4 @@
-"""Bursts of submissions: requests stay within the state service's limit, and retry times suffice."""
+"""Tests bursts of submissions: requests stay within the state service's limit, and retry times are spread."""
 
 from __future__ import annotations
 
@@ -23,6 +23,7 @@
         self.changes_per_s, self.level, self.at, self.refused = changes_per_s, changes_per_s, 0, 0
 
     def take(self, now: int, changes: int) -> bool:
+        """Returns whether the limit allows these changes now, and counts them or the refusal."""
         self.level = min(self.changes_per_s, self.level + (now - self.at) * self.changes_per_s / SECOND)
         self.at = now
         if self.level < changes:
@@ -66,7 +67,10 @@
 
 
 def test_a_burst_is_accepted_near_the_limit_without_refusals() -> None:
-    """With 490 jobs at once and 120 changes per second, 736 requests were refused: each node used the whole limit."""
+    """Guards against nodes that each use the whole limit.
+
+    With 490 jobs at once and 120 changes per second, 736 requests were refused.
+    """
     limit = ChangeLimit(120.0)
     assert submit_burst(3, 3, 490, limit)[-1] < 15 * SECOND  # 980 changes take 8 s at best
     assert limit.refused == 0
@@ -79,9 +83,12 @@
 
 
 def test_writes_of_the_leader_reduce_no_node_below_its_share() -> None:
-    """Refusals due to many best-effort jobs reduced every node to a tenth: 0.716 of all other jobs were in time."""
+    """Guards against refusals, due to many best-effort jobs, that reduce every node's rate to a tenth.
+
+    Only 0.716 of all other jobs were in time.
+    """
     limit = ChangeLimit(60.0)
-    assert submit_burst(3, 3, 200, limit, others=35.0)[-1] < 20 * SECOND  # 25 per second are left: 16 s at best
+    assert submit_burst(3, 3, 200, limit, others=35.0)[-1] < 20 * SECOND  # 25 changes per second are left: 16 s at best
     limiter = AdaptiveRateLimiter(60.0, 3)
     node_share = limiter.rate
     for second in range(1, 4):
@@ -118,7 +125,9 @@
     batcher = SubmissionBatcher(State(), 12, AdaptiveRateLimiter(60.0, 3))  # type: ignore[arg-type]
     assert not batcher.is_full()
     assert (await batcher.submit("j-000001", {"job": {}})).outcome is not SubmitOutcome.CREATED
-    assert batcher.is_throttled()  # no failure of the state service: the user gets a retry time
+    assert (
+        batcher.is_throttled()
+    )  # the limit is exhausted, the state service has not failed: the user gets a retry time
     assert batcher.retry_after_s() >= 1
     assert change_counts == [KEYS_PER_ACCEPTED_JOB]
     now[0] += 2 * SECOND
@@ -127,7 +136,7 @@
 
 
 async def test_pending_best_effort_jobs_do_not_delay_others(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A batch waited until the limit allowed all of it, with best-effort jobs at its head."""
+    """Guards against a batch that waits until the limit allows all of it, with best-effort jobs at its head."""
     now = [SECOND]
     monkeypatch.setattr(batcher_module, "steady", lambda: now[0])
     sent: list[list[str]] = []
--- a/tests/test_retry_policy.py
+++ b/tests/test_retry_policy.py
@@ -36,6 +36,7 @@
 
 
 def harness_with_running_task(policy: RetryPolicy, **changes: Any) -> tuple[ClusterHarness, str, Worker]:
+    """Returns a harness whose job runs, with the job's id and the worker of its first task."""
     harness, ref, worker = harness_with_unsent_binding(policy, **changes)
     harness.send()
     harness.step(1.0)
@@ -63,26 +64,31 @@
 
 @pytest.fixture(autouse=True)
 def clear_released_workers() -> None:
+    """Forgets the workers that an earlier test released."""
     RELEASED_WORKERS.clear()
 
 
 def release(harness: ClusterHarness, worker: Worker) -> None:
+    """Removes a machine, and remembers its worker for the count of starts."""
     RELEASED_WORKERS.append(worker)
     harness.unreachable_machines.discard(worker.name)
     harness.confirm_release(worker.name)
 
 
 def reclaimed(harness: ClusterHarness, worker: Worker) -> None:
+    """Removes a machine without notice."""
     release(harness, worker)
 
 
 def silent_and_released(harness: ClusterHarness, worker: Worker) -> None:
+    """Makes a machine silent for 6 s, then removes it."""
     harness.unreachable_machines.add(worker.name)
     harness.step(6.0)
     release(harness, worker)
 
 
 def lease_expired(harness: ClusterHarness, worker: Worker) -> None:
+    """Makes a machine unreachable for longer than its lease."""
     harness.unreachable_machines.add(worker.name)
     harness.now += 12 * SECOND
     harness.unreachable_machines.clear()
@@ -90,6 +96,7 @@
 
 
 def failed(harness: ClusterHarness, worker: Worker) -> None:
+    """Fails all tasks of a worker."""
     for task in worker.tasks.values():
         task.status, task.exit_reason = "ended", wire.ExitReason.ERROR
     harness.step(0.5)
@@ -97,7 +104,7 @@
 
 @pytest.mark.parametrize("end_attempt", [reclaimed, silent_and_released, lease_expired, failed])
 @pytest.mark.parametrize("policy", POLICIES)
-def test_an_attempt_that_may_have_begun_is_retried_only_if_its_class_allows(
+def test_an_attempt_that_may_have_begun_is_retried_only_if_its_class_allows_it(
     policy: RetryPolicy, end_attempt: Callable[[ClusterHarness, Worker], None]
 ) -> None:
     harness, ref, worker = harness_with_running_task(policy)
@@ -126,7 +133,7 @@
 def test_an_unanswered_start_may_have_begun(policy: RetryPolicy) -> None:
     harness, ref, worker = harness_with_unsent_binding(policy)
     harness.unreachable_machines.add(worker.name)
-    harness.send()  # the leader cannot tell whether the command was lost
+    harness.send()  # the leader does not know whether the command arrived
     release(harness, worker)
     state, starts = state_and_starts_after_recovery(harness, ref)
     assert (state, starts) == (("queued", 1) if policy is RetryPolicy.ANY else (wire.JobStatus.FAILED, 0))
@@ -163,9 +170,9 @@
 
 
 def test_a_forbidden_retry_survives_a_failover_before_and_after_its_commit() -> None:
-    """Guards against retries after a failover.
+    """Guards against forbidden retries after a failover.
 
-    The row of a task that may not be retried was mistaken for one that waits for its next attempt.
+    The next leader took the row of a task that may not be retried for that of a task pending its next attempt.
     """
     for committed in (False, True):
         RELEASED_WORKERS.clear()
@@ -238,8 +245,8 @@
     users = JobApi(node_settings(), client, FakeBackend())  # type: ignore[arg-type]
     assert (await users.show(ref)).value["status"] == "queued"
     assert (await users.submit(wire.decode_submission(harness.jobs[ref]))).status in (200, 422)
-    answer = await users.cancel(ref)
-    assert (answer.status, answer.value["status"]) == (200, "aborted")
+    response = await users.cancel(ref)
+    assert (response.status, response.value["status"]) == (200, "aborted")
     assert (await users.show(ref)).value["status"] == "aborted"
 
 
--- a/tests/test_safety_invariants.py
+++ b/tests/test_safety_invariants.py
@@ -1,4 +1,4 @@
-"""At least one test for each rule of PROTOCOL and each safety point of DESIGN."""
+"""Tests each rule of PROTOCOL and each safety point of DESIGN at least once."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     ref = harness.submit()
     harness.settle()
     assert len(harness.task_locations(ref)) == 2
-    assert harness.record(ref) == wire.JobStatus.QUEUED  # not_done: only the completion changes the record
+    assert harness.record(ref) == wire.JobStatus.QUEUED  # rule `not_done`: only the completion changes the record
     harness.settle(31)
     assert harness.record(ref) == wire.JobStatus.COMPLETED
     assert harness.state.list("live/")[1]["rows"] == []
@@ -84,7 +84,7 @@
     harness.settle()
     assert harness.state.list(f"live/{ref}")[1]["rows"] == []
     assert harness.record(ref) == wire.JobStatus.CANCELLED
-    assert worker.tasks == {}  # forgotten, as its exit need not be recorded any more
+    assert worker.tasks == {}  # forgotten: the exit of a cancelled job's task need not be recorded
 
 
 def test_no_start_command_is_sent_for_a_job_cancelled_after_the_commit() -> None:
@@ -101,7 +101,7 @@
 
 
 def test_tasks_of_a_silent_machine_are_not_restarted_before_it_is_released() -> None:
-    """Guards against ran_twice: the task may still run on the silent machine until the machine is gone."""
+    """Rule `ran_twice`: the task may run on the silent machine until the machine is released."""
     harness = ClusterHarness()
     first, second = harness.machine(1), harness.machine(2)
     ref = harness.submit(legs=1, cores=8.0)
@@ -122,14 +122,14 @@
     worker = harness.machine(1)
     ref = harness.submit(legs=1)
     harness.settle()
-    worker.lease_renewed_at = harness.now - 60 * SECOND  # its lease has expired meanwhile
+    worker.lease_renewed_at = harness.now - 60 * SECOND  # its lease has expired
     harness.settle()
     assert worker.session == 2
     assert worker.started_attempts == [(f"{ref}/0", 1), (f"{ref}/0", 2)]
 
 
 def test_an_outdated_heartbeat_has_no_effect() -> None:
-    """A heartbeat that a partition delayed has an outdated task list."""
+    """A heartbeat that a partition delayed lists outdated tasks."""
     harness = ClusterHarness()
     worker = harness.machine(1)
     harness.settle(2)
@@ -151,7 +151,7 @@
     harness.plan()
     harness.commit()
     harness.unreachable_machines.add(worker.name)
-    harness.send()  # the leader cannot tell whether the command was lost
+    harness.send()  # the leader does not know whether the command arrived
     harness.unreachable_machines.clear()
     assert worker.started_attempts == []
     harness.settle(2)
@@ -169,7 +169,7 @@
 def test_a_start_in_a_delayed_heartbeat_response_is_not_forgotten_by_direct_commands() -> None:
     """Guards against direct commands that overtake a heartbeat response on a slow link.
 
-    The task was running elsewhere when the delayed response started it a second time.
+    The delayed response started a task that was running elsewhere by then.
     """
     harness = ClusterHarness()
     worker = harness.machine(1)
@@ -182,7 +182,7 @@
     machine = cluster.heartbeats.receive(report, harness.now, harness.now)
     assert machine is not None
     cluster.commands.on_heartbeat_delivered(machine, report)
-    late, starts = cluster.commands.for_machine(machine, harness.now, direct=False)
+    delayed, starts = cluster.commands.for_machine(machine, harness.now, direct=False)
     cluster.commands.on_sent(machine, starts, harness.now, direct=False)  # in flight
     cluster.machines_to_command.add(machine)
     harness.send()
@@ -190,13 +190,13 @@
     harness.send()
     harness.commit()
     assert worker.tasks[key].status == "ended"
-    assert cluster.jobs[ref].placed_task_count == 0  # it may run elsewhere
+    assert cluster.jobs[ref].placed_task_count == 0  # the task may be bound elsewhere
     cluster.machines_to_command.add(machine)
     harness.send()
-    cluster.commands.on_heartbeat_delivered(machine, report)  # the same heartbeat arrives again, delayed by a partition
+    cluster.commands.on_heartbeat_delivered(machine, report)  # a partition delivers a copy of the same heartbeat
     cluster.machines_to_command.add(machine)
     harness.send()
-    worker.commands(wire.command_request(cluster.fencing_token, 1, late))
+    worker.commands(wire.command_request(cluster.fencing_token, 1, delayed))
     assert worker.started_attempts == [key]
     harness.report(worker)  # its next heartbeat shows that it has received or dropped the response
     cluster.machines_to_command.add(machine)
@@ -220,16 +220,16 @@
     assert key not in worker.tasks
 
 
-def test_a_late_commit_of_a_former_leader_is_refused() -> None:
+def test_a_delayed_commit_of_a_former_leader_is_refused() -> None:
     """Writes may arrive late: each is conditional on the version of the leader key."""
     harness = ClusterHarness()
     harness.machine(1)
     harness.settle()
     harness.submit()
     harness.plan()
-    late = harness.transaction(harness.cluster.writes.take_batch(12))
+    delayed = harness.transaction(harness.cluster.writes.take_batch(12))
     harness.fail_over()
-    status, value = harness.state.commit(late)
+    status, value = harness.state.commit(delayed)
     assert status == 409
     assert LEADER_KEY in value["failed"]
 
@@ -257,8 +257,8 @@
     assert second.started_attempts == []
 
 
-def test_a_failover_with_a_silent_machine() -> None:
-    """A task that is recorded on the silent machine stays bound there, and all other tasks go on."""
+def test_a_failover_with_a_silent_machine_keeps_its_tasks_bound() -> None:
+    """A task that is recorded on the silent machine stays bound there, and all other tasks run."""
     harness = ClusterHarness()
     silent, other = harness.machine(1, "a"), harness.machine(2, "b")
     ref = harness.submit(legs=4)
@@ -266,14 +266,13 @@
     harness.unreachable_machines.add(silent.name)
     harness.fail_over()
     harness.settle()
-    more = harness.submit(ref="j-000002", legs=1, voyageS=1.0)
+    new_job = harness.submit(ref="j-000002", legs=1, voyageS=1.0)
     harness.settle(40)
     assert len([s for s in other.started_attempts if s[0].startswith(ref)]) == 2
-    assert harness.record(more) == wire.JobStatus.COMPLETED
+    assert harness.record(new_job) == wire.JobStatus.COMPLETED
     assert harness.record(ref) == wire.JobStatus.QUEUED
-    assert (
-        harness.cluster.quotas["crew"].cpus == 8.0
-    )  # the tasks on the silent machine count towards the limit of the team
+    # The tasks on the silent machine count towards the limit of the team.
+    assert harness.cluster.quotas["crew"].cpus == 8.0
 
 
 def test_after_a_failover_a_missing_attempt_counts_as_ended_only_under_the_new_token() -> None:
@@ -284,11 +283,11 @@
     ref = harness.submit(legs=1)
     harness.plan()
     harness.commit()  # the leader fails here, with its start command in flight
-    late = wire.command_request(harness.cluster.fencing_token, worker.session, [wire.StartCommand(f"{ref}/0", 1)])
+    delayed = wire.command_request(harness.cluster.fencing_token, worker.session, [wire.StartCommand(f"{ref}/0", 1)])
     harness.fail_over()
     harness.cluster.heartbeats.receive(wire.decode_heartbeat(worker.report()), harness.now, harness.now)
     assert harness.cluster.jobs[ref].tasks[0].phase is TaskPhase.BOUND
-    worker.commands(late)  # arrives before the new token
+    worker.commands(delayed)  # arrives before the new token
     harness.settle()
     assert worker.started_attempts == [(f"{ref}/0", 1)]  # adopted, not started again
     assert harness.cluster.jobs[ref].tasks[0].start_acknowledged
@@ -301,11 +300,11 @@
     ref = harness.submit(legs=1)
     harness.plan()
     harness.commit()
-    late = wire.command_request(harness.cluster.fencing_token, worker.session, [wire.StartCommand(f"{ref}/0", 1)])
+    delayed = wire.command_request(harness.cluster.fencing_token, worker.session, [wire.StartCommand(f"{ref}/0", 1)])
     harness.fail_over()
     harness.settle()
     assert worker.started_attempts == [(f"{ref}/0", 2)]
-    assert worker.commands(late)[0] == 409
+    assert worker.commands(delayed)[0] == 409
 
 
 def test_a_confirmed_cancellation_is_carried_out_after_a_failover() -> None:
@@ -433,7 +432,7 @@
 def test_only_a_job_within_its_teams_guarantee_preempts_other_teams() -> None:
     """Guards against teams that preempt one another's tasks in turns.
 
-    Twelve teams did so that were below their guarantees and had jobs larger than those.
+    Twelve teams below their guarantees, with jobs larger than the guarantees, did so.
     """
     harness = ClusterHarness([Team("crew", cpus=8.0, cpus_max=32.0), Team("other", cpus=0.0, cpus_max=32.0)])
     harness.machine(1)
@@ -450,7 +449,7 @@
     assert len(harness.task_locations(borrowed)) == 1
 
 
-def test_a_start_refused_as_full_corrects_the_leaders_view() -> None:
+def test_a_start_refused_as_full_cordons_the_machine() -> None:
     harness = ClusterHarness()
     worker = harness.machine(1)
     worker.cores = 4.0  # less than its machine type has
@@ -477,7 +476,7 @@
 
 
 def test_orphaned_attempts_are_stopped_before_their_task_is_placed() -> None:
-    """An attempt runs on a machine where no record has it: no task of its job starts until it has ended."""
+    """An attempt runs without a record of its binding: no task of its job starts until the attempt has ended."""
     harness = ClusterHarness()
     worker = harness.machine(1)
     harness.settle()
@@ -489,8 +488,8 @@
     assert worker.started_attempts == [(f"{ref}/0", 7), (f"{ref}/0", 1)]
 
 
-def test_a_large_job_is_deleted_in_parts_and_does_not_reappear() -> None:
-    """The head of its record is deleted first; remaining chunks are deleted later, also by the next leader."""
+def test_a_large_job_is_deleted_in_several_batches_and_does_not_reappear() -> None:
+    """The head of the job's record is deleted first; remaining chunks are deleted later, also by the next leader."""
     harness = ClusterHarness([Team("crew")])
     ref = harness.submit(legs=2500, cores=0.001, voyageS=8.0, memoryGb=0.0)
     worker = harness.machine(1)
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -1,4 +1,4 @@
-"""Tier routing, run time prediction, scaling, failure detection and settings, tested on a simulated clock."""
+"""Tests tier routing, run time prediction, scaling, failure detection and settings on a simulated clock."""
 
 from __future__ import annotations
 
@@ -45,9 +45,9 @@
 
 
 def test_short_tasks_that_complete_first_do_not_lower_the_runtime_threshold() -> None:
-    """Guards against a percentile of completed tasks alone, among which short tasks prevail at first.
+    """Guards against a threshold from completed tasks alone, most of which are short at first.
 
-    50 s into a simulated day the threshold was 17 s: 240 tasks waited for owned machines beside free spot machines.
+    50 s into a simulated day the threshold was 17 s: 240 tasks waited for owned machines while spot machines were free.
     """
     predictor = RuntimePredictor()
     spec = wire.decode_submission(job())
@@ -63,7 +63,7 @@
 def test_tasks_started_by_an_earlier_leader_do_not_train_the_predictor() -> None:
     """Guards against run times measured from the first heartbeat to the new leader.
 
-    After each leader crash, all tasks seemed short.
+    After each crash of a leader, all tasks seemed short.
     """
     harness = ClusterHarness()
     harness.machine(1)
@@ -93,11 +93,11 @@
     assert router.route(long, wall, TierAvailability(10 * SECOND)) == OWNED
     # The wait for owned machines would miss the deadline.
     assert router.route(long, wall, TierAvailability(250 * SECOND)) == ON_DEMAND
-    # DESIGN assumes that on-demand machines are always available; here the cloud has none.
+    # DESIGN assumes that on-demand machines are always available, but here the cloud refuses them.
     assert router.route(long, wall, TierAvailability(None, spot_rentable=True, on_demand_rentable=False)) == SPOT
 
 
-def test_machines_are_requested_once_for_the_pending_tasks() -> None:
+def test_pending_tasks_cause_one_request_for_machines() -> None:
     harness = ClusterHarness()
     harness.submit(legs=6, voyageS=30.0)
     harness.plan()
@@ -110,7 +110,7 @@
         harness.cluster.add_machine(f"vm-00000{number}", "m8", "a", True, "", harness.now, harness.now)
     assert harness.fleet.scale_out.plan(harness.now) == []  # booting machines count as capacity
     harness.now += 200 * SECOND
-    assert harness.fleet.scale_out.plan(harness.now)  # but not indefinitely
+    assert harness.fleet.scale_out.plan(harness.now)  # but not after their boot time
     assert len(harness.fleet.scale_in.machines_to_release(harness.now)) == 3  # machines that never boot are released
 
 
@@ -163,7 +163,7 @@
 def test_a_gang_does_not_wait_for_owned_machines_that_cannot_run_it() -> None:
     """Guards against a gang without a deadline that waits for owned machines of a type without GPUs.
 
-    No machine was rented for it.
+    No machine was rented for the gang.
     """
     harness = ClusterHarness()
     for number in range(1, 9):
@@ -176,7 +176,7 @@
     assert rental.type == "g16"
 
 
-def test_a_gang_with_a_wait_objective_does_not_wait_for_a_long_running_one() -> None:
+def test_a_gang_with_a_wait_objective_does_not_wait_for_a_long_gang() -> None:
     harness = ClusterHarness()
     harness.settings = msgspec.structs.replace(
         harness.settings, objectives=[Objective("wait", job_class="train", within_s=35.0)]
@@ -232,8 +232,8 @@
     assert sorted(harness.task_locations(gang)) == [f"{gang}/0", f"{gang}/1"]
 
 
-def test_preempting_one_large_task_makes_room_for_several_replicas() -> None:
-    """Guards against one victim per replica: each of eight replicas of 1 CPU stopped an array task of 4 CPUs."""
+def test_preempting_one_large_task_frees_capacity_for_several_replicas() -> None:
+    """Guards against one victim per replica: eight replicas of 1 CPU preempted eight array tasks of 4 CPUs."""
     harness = ClusterHarness([Team("crew")])
     for number in range(1, 9):
         harness.machine(number, "ab"[number % 2])
@@ -285,7 +285,7 @@
     assert jobs[too_late].deadline_missed
 
 
-def test_a_job_that_misses_its_deadline_gets_the_one_of_its_class_objective() -> None:
+def test_a_job_that_misses_its_deadline_gets_the_deadline_of_its_class_objective() -> None:
     harness = ClusterHarness([Team("crew")])
     harness.settings = msgspec.structs.replace(
         harness.settings, objectives=[Objective("finished", job_class="train", within_s=300.0)]
@@ -334,7 +334,7 @@
 def test_bindings_are_written_before_completions() -> None:
     """Guards against completions ahead of bindings in the write queue.
 
-    The completions of a whole zone once delayed the replacement of lost replicas by a second.
+    The completions of a whole zone delayed the replacement of lost replicas by a second.
     """
     harness = ClusterHarness([Team("crew")])
     for number in range(1, 7):
@@ -398,7 +398,7 @@
 def test_replicas_of_a_job_leave_capacity_to_replace_a_lost_one() -> None:
     """Guards against machines filled up with replicas of one job.
 
-    After a zone was partitioned, every lost replica had to fetch its image, because the machines that had it cached
+    After a partition of a zone, every lost replica had to fetch its image, because the machines with the image cached
     were full of other replicas.
     """
     harness = ClusterHarness([Team("crew")])
@@ -421,9 +421,9 @@
 
 
 def test_idle_gpu_machines_run_only_tasks_that_end_before_their_release() -> None:
-    """Guards against both extremes of idle GPU machines that are kept for a while.
+    """Guards against two extremes for GPU machines that are kept for a while after their last task.
 
-    Left idle they were a fifth of the cost; filled with any task they were never idle, and so never released.
+    Idle GPU machines were a fifth of the cost; with any task bound to them they were never idle, and never released.
     """
     harness = ClusterHarness([Team("crew")])
     harness.machine(1, "a", kind="g16")
@@ -446,14 +446,14 @@
     harness.settle(3)
     for _ in range(9):
         harness.step(10.0)
-    # It is not kept as warm capacity for services either.
+    # The machine is not kept as warm capacity for services either.
     assert [m.name for m in harness.fleet.scale_in.machines_to_release(harness.now)] == ["vm-000001"]
 
 
 def test_replicas_are_consolidated_once_no_other_task_needs_the_machines() -> None:
     """Guards against machines that are kept up by a few replicas each.
 
-    A third of a simulated day's cost arose from them after its peak load.
+    They caused a third of the cost of a simulated day, after its peak load.
     """
     harness = ClusterHarness([Team("crew")])
     first, second = harness.machine(1), harness.machine(2)
@@ -516,7 +516,7 @@
     assert router.route(waiting, harness.now, TierAvailability(None, False, True, 90 * SECOND)) == ON_DEMAND
 
 
-def test_a_replica_preempts_where_its_image_is_cached() -> None:
+def test_a_replica_preempts_on_a_machine_with_its_image_cached() -> None:
     """An image fetch of 4 s would break a wait objective of 1 s.
 
     A task of lower priority is preempted on the machine that has the image cached.
@@ -541,10 +541,10 @@
     assert cold.started_attempts == [] or cold.started_attempts[0][0].startswith("j-000002")
 
 
-def test_a_lost_replica_is_replaced_where_its_image_is_cached() -> None:
+def test_a_lost_replica_is_replaced_on_a_machine_with_its_image_cached() -> None:
     """Guards against a replacement on a free machine without the image.
 
-    A replacement spent 11 s on the image fetch, while arrays ran on the machine that had it cached.
+    A replacement took 11 s for the image fetch, while arrays ran on the machine with the image cached.
     """
     harness = ClusterHarness()
     first = harness.machine(1)
@@ -571,7 +571,7 @@
 def test_capacity_preempted_for_a_replica_is_not_taken_by_an_array() -> None:
     """Guards against arrays that take the capacity preempted for a replica.
 
-    They took it on a machine without its image, while the replica waited for a machine that has the image cached.
+    The arrays took it on a machine without the image, while the replica waited for a machine with the image cached.
     """
     harness = ClusterHarness()
     first = harness.machine(1)
@@ -622,9 +622,9 @@
     settings = cluster_settings()
     renewal_limit = LeaseRenewalLimit(settings, 100 * SECOND)
     # A cancellation confirmed right after the last read must take effect within cancel_s, including the lease.
-    latest_task_end = renewal_limit.until + micros(settings.workers.lease_s) * 1.001
-    assert latest_task_end < 100 * SECOND + micros(settings.workers.cancel_s)
-    assert renewal_limit.until > 100 * SECOND + 15 * SECOND  # and tasks survive an outage of that length
+    latest_lease_end = renewal_limit.until + micros(settings.workers.lease_s) * 1.001
+    assert latest_lease_end < 100 * SECOND + micros(settings.workers.cancel_s)
+    assert renewal_limit.until > 100 * SECOND + 15 * SECOND  # tasks survive an outage of that length
     renewal_limit.on_cancellations_read(90 * SECOND)
     assert renewal_limit.cancellations_read_at == 100 * SECOND
 
@@ -643,7 +643,7 @@
 
 
 def test_a_zone_that_goes_silent_as_a_whole_is_suspected_sooner() -> None:
-    """Guards against a detection delay as long as for single machines, for which its replicas were missing."""
+    """Guards against a detection delay as long as for single machines, in which replicas of the zone are missing."""
     harness = ClusterHarness()
     for number in range(1, 9):
         harness.machine(number, "ab"[number % 2])
@@ -667,9 +667,9 @@
 
 
 def test_settings_errors_name_the_invalid_field(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    good = smoke_test.settings(0, list(range(4000, 4008)))
+    valid = smoke_test.settings(0, list(range(4000, 4008)))
     path = tmp_path / "n.toml"
-    path.write_text(good + "\n[unheard]\nof = 1\n")
+    path.write_text(valid + "\n[unheard]\nof = 1\n")
     assert load_settings(path).node_name == "n0"
     for old, new, named in (
         ("lease_s = 10.0", "lease_s = -1.0", "lease_s"),
@@ -679,7 +679,7 @@
         ("cancel_s = 30.0", 'cancel_s = "soon"', "cancel_s"),
         ("size = 3", "size = = 3", "not TOML"),
     ):
-        path.write_text(good.replace(old, new))
+        path.write_text(valid.replace(old, new))
         assert main(["check", str(path)]) == 2
         error = capsys.readouterr().err
         assert named in error
@@ -699,7 +699,7 @@
 def test_the_job_summary_lists_served_jobs_per_class_and_per_team() -> None:
     """A simulated day fails if any team has less than half of its jobs served.
 
-    With totals alone, this could not be seen on a day with twelve teams.
+    Totals alone did not show this on a day with twelve teams.
     """
     harness = ClusterHarness()
     harness.machine(1)
--- a/tests/test_schema_versions.py
+++ b/tests/test_schema_versions.py
@@ -1,4 +1,4 @@
-"""Records that fit lowered limits, oversized records of earlier versions, and when new formats are written."""
+"""Tests records that fit lowered limits, oversized records of earlier versions, and when new formats are written."""
 
 from __future__ import annotations
 
@@ -36,6 +36,7 @@
 
 
 def make_harness(machines: int, *, gate_open: bool) -> ClusterHarness:
+    """Returns a cluster with `machines` machines, which writes the new formats if `gate_open`."""
     harness = ClusterHarness(UNLIMITED_TEAM, STATE_LIMITS)
     if gate_open:
         harness.state.commit({"if": [], "then": [{"set": SCHEMA_VERSION_KEY, "value": {"reads": SCHEMA_VERSION}}]})
@@ -52,13 +53,14 @@
 
 
 def open_gate_and_lower_limits(harness: ClusterHarness) -> None:
-    """Opens the gate, as if all nodes had answered, and then lowers the limits."""
+    """Opens the gate, as after replies of all nodes, and then lowers the limits."""
     harness.state.commit({"if": [], "then": [{"set": SCHEMA_VERSION_KEY, "value": {"reads": SCHEMA_VERSION}}]})
     harness.cluster.writes.enable_record_parts()
     lower_limits(harness)
 
 
 def task_placements(harness: ClusterHarness, ref: str) -> dict[int, tuple[int, str | None]]:
+    """Returns the attempt and the machine of each task, by index."""
     return {i: (t.attempt, t.machine.name if t.machine else None) for i, t in harness.cluster.jobs[ref].tasks.items()}
 
 
@@ -109,15 +111,15 @@
 
 @pytest.mark.parametrize("seed", range(12))
 def test_a_new_leader_loads_all_committed_bindings_after_any_transaction(seed: int) -> None:
-    """Oversized records, parts beside them, and rewritten smaller records, in any order that batches can produce."""
+    """Covers oversized records, parts beside them, and rewritten smaller records, in any order that batches produce."""
     rng = random.Random(seed)
     harness = make_harness(70, gate_open=False)
     refs = [harness.submit(legs=rng.choice([60, 90, 120]), cores=1.0, voyageS=rng.uniform(20, 60)) for _ in range(3)]
     harness.settle(4)
     open_gate_and_lower_limits(harness)
     for step in range(12):
-        gone = rng.choice(sorted(harness.cluster.machines))
-        harness.confirm_release(gone)
+        removed = rng.choice(sorted(harness.cluster.machines))
+        harness.confirm_release(removed)
         for ref in refs:
             for task in list(harness.cluster.jobs[ref].tasks.values()) if ref in harness.cluster.jobs else []:
                 if rng.random() < 0.05 and task.phase is TaskPhase.BOUND:
@@ -141,14 +143,14 @@
         harness.fail_over()
         for ref, rows in bound.items():
             after = task_placements(harness, ref)
-            # A machine that is gone may still be recorded; no placed task may be missing.
+            # A removed machine may still be recorded; no placed task may be missing.
             assert all(after.get(i) == row for i, row in rows.items()), (seed, step, ref)
         harness.settle(1)
     harness.settle(150)
     assert {harness.record(ref) for ref in refs} == {wire.JobStatus.COMPLETED}
 
 
-def test_a_head_record_without_space_holds_no_tasks() -> None:
+def test_a_head_record_without_space_left_has_no_tasks() -> None:
     layout = RecordLayout(2048, 1, should_split_records=True)
     large = Job(
         "j-1", wire.decode_submission(job("j-1", legs=300, berthKinds=[f"kind-{i:020d}" for i in range(60)])), 1, 0
@@ -255,8 +257,8 @@
 @pytest.mark.parametrize(
     "second",
     [
-        [version_reply("n0", "a")],  # n1 is silent
-        # n1 was restarted, and may run an earlier version next time.
+        [version_reply("n0", "a")],  # n1 does not reply
+        # n1 was restarted, so its next process may run an earlier version.
         [version_reply("n0", "a"), version_reply("n1", "c")],
         [version_reply("n0", "a"), ["formats", "n1", "b", 1]],
         [version_reply("n0", "a"), ["pong", "n1"]],
@@ -274,6 +276,7 @@
 
 
 async def run_poll_rounds(lead: Leader, times: int) -> None:
+    """Polls the versions of all nodes `times` times, and opens the gate if the replies allow it."""
     gate = SchemaVersionGate([lead.node.node_name, *lead.node.peers])
     for _ in range(times):
         own = SchemaVersionReply(lead.node.node_name, lead.node.boot_id, SCHEMA_VERSION)
@@ -285,8 +288,8 @@
 
 async def test_the_schema_version_is_recorded_once_and_only_by_the_leader() -> None:
     state = KeyStore(lambda: 0)
-    lead, client, home = leader(state)
-    home.peers["n1"] = FakePeer(version_reply("n1", "b"))
+    lead, client, leading_node = leader(state)
+    leading_node.peers["n1"] = FakePeer(version_reply("n1", "b"))
     await run_poll_rounds(lead, 1)
     assert SCHEMA_VERSION_KEY not in state.items
     assert not lead.cluster.writes.layout.should_split_records
@@ -299,13 +302,16 @@
     assert state.items[SCHEMA_VERSION_KEY][0]["reads"] == SCHEMA_VERSION
     second, _, other = leader(state)
     other.peers["n1"] = FakePeer(version_reply("n1", "b"))
-    await run_poll_rounds(lead, 2)  # it no longer leads, and finds the record
+    await run_poll_rounds(lead, 2)  # the former leader finds the record
     await run_poll_rounds(second, 2)
     assert second.cluster.writes.layout.should_split_records
 
 
 async def test_a_record_refused_for_its_size_before_the_gate_opens_is_not_retried() -> None:
-    """The limits are lowered while a node is down. The refusal once was an error that deposed leader after leader."""
+    """The limits are lowered while a node is down.
+
+    Guards against a refusal that is handled as an error, which deposed leader after leader.
+    """
     harness = ClusterHarness(UNLIMITED_TEAM, STATE_LIMITS)
     for number in range(1, 61):
         harness.machine(number)
@@ -314,20 +320,20 @@
     small = harness.submit(legs=2, voyageS=5.0)
     harness.plan()
     lower_limits(harness)
-    lead, _, home = leader(harness.state)
+    lead, _, leading_node = leader(harness.state)
     lead.cluster = lead.commits.cluster = harness.cluster
     harness.cluster.fencing_token = lead.token
     refused = harness.cluster.writes.take_batch(4)
     assert max(json_size(value) for value in refused.sets.values()) > 2048
     harness.state.commit = _fail_on_repeated_refusal(harness.state.commit)  # type: ignore[method-assign]
     await lead.commits.commit(refused)
-    assert not home.lost
+    assert not leading_node.lost
     assert harness.cluster.writes.is_value_limit_lowered
     for _ in range(20):
         batch = harness.cluster.writes.take_batch(4)
         if batch.operation_count:
             await lead.commits.commit(batch)
-    assert not home.lost
+    assert not leading_node.lost
     assert live_key(small) in harness.state.items
     assert "t" in harness.state.items[live_key(small)][0]
     assert "t" not in harness.state.items[live_key(ref)][0]
@@ -373,7 +379,7 @@
 async def test_a_job_with_overflow_records_and_no_dependencies_is_loaded_from_its_blocked_record() -> None:
     """The job is stored under waits/ although it has no dependencies.
 
-    When it was assumed to be under live/, the write of its first binding failed forever.
+    While it was assumed to be under live/, every write of its first binding failed.
     """
     spec = wire.decode_submission(job("j-000001", berthKinds=["m8", *(f"kind-{number:050d}" for number in range(40))]))
     record, parts = split_overflow(encode_submission(spec, 5, wire.JobStatus.QUEUED), 2048)
@@ -382,9 +388,9 @@
     assert not is_accepted_as_blocked(encode_submission(wire.decode_submission(job()), 5, wire.JobStatus.QUEUED))
     lead, _, _ = leader(KeyStore(lambda: 0))
     lead.job_watch.admit("j-000001", merge_overflow(record, parts), 7)
-    taken = lead.cluster.jobs["j-000001"]
-    assert taken.spec == spec
-    assert taken in lead.cluster.pending
+    loaded = lead.cluster.jobs["j-000001"]
+    assert loaded.spec == spec
+    assert loaded in lead.cluster.pending
     assert lead.cluster.writes.versions[blocked_key("j-000001")] == 7
     assert live_key("j-000001") not in lead.cluster.writes.versions
-    assert encode_job(taken, wire.JobStatus.COMPLETED)["job"] == record["job"]
+    assert encode_job(loaded, wire.JobStatus.COMPLETED)["job"] == record["job"]
--- a/tests/test_task_locations.py
+++ b/tests/test_task_locations.py
@@ -1,4 +1,4 @@
-"""Task locations, usage of teams and unrecorded completions across failovers."""
+"""Tests task locations, usage of teams and unwritten completions across failovers."""
 
 from __future__ import annotations
 
@@ -27,16 +27,17 @@
 from tests.cluster_fixture import ClusterHarness, job, node_settings
 from tests.test_node_failures import leader, peer_reply
 
-# --- completions without a record -----------------------------------------------------------------------
+# --- unwritten completions -------------------------------------------------------------------------------
 
 
 @pytest.fixture
 def state() -> KeyStore:
+    """Returns an empty state service."""
     return KeyStore(lambda: 0)
 
 
 def _run_until_task_ends(harness: ClusterHarness, worker: Worker) -> None:
-    """Advances time, with reports but no writes, until a task of this worker has ended and been reported."""
+    """Advances the clock without writes until a task of this worker has ended and a heartbeat has reported that."""
     for _ in range(400):
         harness.now += SECOND // 4
         worker.advance()
@@ -49,7 +50,10 @@
 
 
 def _job_with_unwritten_completion(harness: ClusterHarness) -> tuple[str, Worker]:
-    """Submits a job with two tasks on two machines; the first completes, which is reported but not written."""
+    """Returns a job with a completion that is reported but not written, and the worker that reported it.
+
+    The job has two tasks on two machines.
+    """
     workers = [harness.machine(1), harness.machine(2)]
     harness.settle(2)
     ref = harness.submit(legs=2, cores=8.0, voyageS=20.0)
@@ -61,9 +65,9 @@
 
 
 def test_a_machine_with_the_only_report_of_a_completion_is_not_released() -> None:
-    """Drained machines were released at once.
+    """Guards against drained machines that are released at once.
 
-    When the record was delayed and the leader's term ended, the task ran again.
+    If the write was delayed until the leader's term ended, the completed task ran again.
     """
     harness = ClusterHarness()
     ref, worker = _job_with_unwritten_completion(harness)
@@ -76,9 +80,9 @@
 
 
 def test_a_release_without_a_response_is_repeated_though_tasks_are_recorded_there() -> None:
-    """The machine was given up as silent while the cloud was down.
+    """The machine was released as silent while the cloud was down.
 
-    The request is repeated here, as no other component repeats it.
+    Scale-in repeats the release request, as no other component does.
     """
     harness = ClusterHarness()
     worker = harness.machine(1)
@@ -93,7 +97,7 @@
 
 
 def test_completions_on_machines_that_stay_are_batched_with_others_of_their_record() -> None:
-    """Completions written at once for every machine used up the write limit that submissions need."""
+    """Guards against completions written at once for every machine, which used up the write limit of submissions."""
     harness = ClusterHarness()
     ref, worker = _job_with_unwritten_completion(harness)
     assert harness.fleet.scale_in.machines_to_release(harness.now) == []
@@ -116,9 +120,9 @@
 
 
 def test_a_completion_in_an_oversized_record_is_not_forgotten() -> None:
-    """Records that are too large are not written for a while.
+    """Guards against attempts that are forgotten before their completion is written.
 
-    A completion in such a record counted as written, and the agent was told to forget the attempt.
+    Oversized records are not written for a while, but a completion in such a record counted as written.
     """
     harness = ClusterHarness()
     ref, worker = _job_with_unwritten_completion(harness)
@@ -133,8 +137,8 @@
     assert harness.cluster.completions.has_unwritten_completions(machine)
 
 
-async def test_a_machine_with_the_only_report_of_a_completion_is_not_given_up(state: KeyStore) -> None:
-    """The rule applies to releases for any reason: silent, partitioned, not listed or idle."""
+async def test_a_machine_with_the_only_report_of_a_completion_is_not_released_for_any_reason(state: KeyStore) -> None:
+    """The rule applies to releases of silent, partitioned, unlisted and idle machines."""
     lead, _, _ = leader(state)
     requests: list[list[str]] = []
 
@@ -170,12 +174,12 @@
 
 
 def test_the_next_leader_applies_replicated_completions() -> None:
-    """The machine hung after its report and was given up; the task must not start again."""
+    """The machine hangs after its report and is released; the task must not start again."""
     harness = ClusterHarness()
     ref, worker = _job_with_unwritten_completion(harness)
     replicated = harness.cluster.completions.to_replicate()
     assert [completion[:2] for completion in replicated] == [(ref, 0)]
-    harness.unreachable_machines.add(worker.name)  # none of its heartbeats arrives any more
+    harness.unreachable_machines.add(worker.name)  # none of its heartbeats arrives
     harness.fail_over()
     assert harness.cluster.jobs[ref].tasks[0].phase is TaskPhase.BOUND  # as recorded
     harness.cluster.completions.apply(replicated)
@@ -244,15 +248,13 @@
     assert log.before_token(4) == [("j-000003", 0, 1)]
     assert len(log.before_token(100) or []) == MAX_LEADERS
     log.add(MAX_LEADERS + 2, [("j-000099", 0, 1)])
-    assert (log.before_token(100) or [])[:2] == [
-        ("j-000099", 0, 1),
-        (f"j-{MAX_LEADERS + 2:06d}", 0, 1),
-    ]  # newest first
+    # The newest completions come first.
+    assert (log.before_token(100) or [])[:2] == [("j-000099", 0, 1), (f"j-{MAX_LEADERS + 2:06d}", 0, 1)]
     for number in range(2 * MAX_COMPLETIONS):
         log.add(99, [("j-000001", number, 1)])
-    found = log.before_token(100) or []
-    assert len(found) == MAX_COMPLETIONS
-    assert found[0] == ("j-000001", 2 * MAX_COMPLETIONS - 1, 1)
+    completions = log.before_token(100) or []
+    assert len(completions) == MAX_COMPLETIONS
+    assert completions[0] == ("j-000001", 2 * MAX_COMPLETIONS - 1, 1)
 
 
 @pytest.mark.parametrize(
@@ -275,26 +277,28 @@
 
 
 class Peer:
-    """A peer that gives a fixed answer, as of this version or an earlier one."""
+    """A peer with a fixed reply, or a fixed error, of this version or an earlier one."""
 
-    def __init__(self, answer: Any) -> None:
-        self.answer, self.requests = answer, list[Any]()
+    def __init__(self, reply: Any) -> None:
+        self.reply, self.requests = reply, list[Any]()
 
     async def ask(self, request: PeerMessage, decode: Callable[[PeerArray], Any], *, timeout_us: int = 0) -> Any:
+        """Records the request, and returns the decoded reply or raises the error."""
         self.requests.append(request.encode())
-        if isinstance(self.answer, Exception):
-            raise self.answer
-        return decode_reply(self.answer, decode)
+        if isinstance(self.reply, Exception):
+            raise self.reply
+        return decode_reply(self.reply, decode)
 
     async def notify(self, request: PeerMessage) -> None:
+        """Sends a message and ignores the reply."""
         await self.ask(request, ignore_reply)
 
 
-async def test_a_takeover_asks_all_nodes_and_ignores_malformed_or_missing_answers() -> None:
+async def test_a_new_leader_requests_completions_from_all_nodes_and_ignores_malformed_or_missing_replies() -> None:
     node = Node(node_settings(), Tuning())
     node.peers = {
-        name: Peer(answer)
-        for name, answer in {  # type: ignore[assignment, misc]
+        name: Peer(reply)
+        for name, reply in {  # type: ignore[assignment, misc]
             "old": UnexpectedReplyError("status 400"),
             "strange": ["ended", [["x"]]],
             "other": ["seen", 1, True],
@@ -312,9 +316,8 @@
     assert set(earlier.completions) == {("j-000001", 2, 1), ("j-000002", 0, 1)}
     assert earlier.complete
     node.peers["cut"] = Peer(NoResponseError("timeout"))  # type: ignore[assignment]
-    assert not (
-        await node.completion_replicator.completions_before(9)
-    ).complete  # it may have been leader, and have more completions
+    # The unreachable node may have led, and may have more completions.
+    assert not (await node.completion_replicator.completions_before(9)).complete
     node.election.learn_leader("n3", 8)
     assert (await node.completion_replicator.completions_before(9)).complete
     node.election.learn_leader("cut", 9)
@@ -329,7 +332,7 @@
             await peer_reply(node, message)
 
 
-async def test_a_deposed_leader_replicates_what_it_could_not_record(state: KeyStore) -> None:
+async def test_a_deposed_leader_replicates_its_unwritten_completions(state: KeyStore) -> None:
     lead, _, _ = leader(state)
     harness = ClusterHarness()
     ref, _ = _job_with_unwritten_completion(harness)
@@ -348,7 +351,7 @@
 
 
 def test_a_gang_completes_when_one_of_its_tasks_completes() -> None:
-    """The machine of the other task failed before it could report its completion: that task was started again alone."""
+    """Guards against a gang task that is started again alone because its machine failed before it reported."""
     harness = ClusterHarness()
     workers = [harness.machine(1), harness.machine(2)]
     harness.settle(2)
@@ -377,7 +380,7 @@
     assert harness.record(ref) == wire.JobStatus.QUEUED
     harness.unreachable_machines.add(workers[1].name)
     harness.fail_over()
-    assert harness.cluster.jobs[ref].placed_task_count == 1  # on its recorded machine, until proven gone
+    assert harness.cluster.jobs[ref].placed_task_count == 1  # on its recorded machine, until that is released
     harness.confirm_release(workers[1].name)
     harness.machine(3)
     harness.settle(6)
@@ -401,10 +404,10 @@
     harness.cluster.heartbeats.receive(wire.decode_heartbeat(worker.report()), harness.now, harness.now)
 
 
-def test_orphaned_attempts_count_for_their_team_and_zone() -> None:
-    """Orphaned attempts counted for their machine only.
+def test_orphaned_attempts_count_towards_their_team_and_zone() -> None:
+    """Guards against orphaned attempts that count towards the usage of their machine only.
 
-    The team's limit was exceeded by the tasks placed in addition to them.
+    The tasks that were placed in addition to them exceeded the limit of the team.
     """
     harness = ClusterHarness([Team("crew", cpus_max=8.0)])
     worker, other = harness.machine(1), harness.machine(2)
@@ -426,7 +429,7 @@
     assert other.name in harness.cluster.machines
 
 
-def test_no_team_has_quota_left_while_a_task_of_an_unknown_job_runs() -> None:
+def test_no_task_is_placed_while_an_attempt_of_an_unknown_job_runs() -> None:
     harness = ClusterHarness()
     worker = harness.machine(1)
     harness.settle(2)
@@ -443,7 +446,7 @@
     assert not harness.cluster.machines[worker.name].orphaned_attempts
 
 
-def test_an_orphaned_attempt_counts_once_its_job_is_known() -> None:
+def test_an_orphaned_attempt_counts_towards_its_team_when_its_job_becomes_known() -> None:
     harness = ClusterHarness([Team("crew", cpus_max=8.0)])
     worker = harness.machine(1)
     harness.settle(2)
@@ -480,9 +483,9 @@
 
 
 async def test_lookups_of_unknown_jobs_are_limited_in_number(state: KeyStore) -> None:
-    """Reports delayed from before a takeover list many attempts of jobs that have ended.
+    """Delayed heartbeats from before a failover list many attempts of jobs that have ended.
 
-    One read for each of them at once would use up the request limit.
+    Reading all those jobs at once would use up the request limit.
     """
     lead, client, _ = leader(state)
     harness = ClusterHarness()
@@ -502,7 +505,7 @@
 
 
 def test_a_start_refused_as_in_use_keeps_the_task_from_other_machines() -> None:
-    """`in_use` means that the task is on that machine, so it must not start on another one while it is there."""
+    """`in_use` means that the machine runs the task, which must not start on another machine in that time."""
     harness = ClusterHarness()
     worker = harness.machine(1)
     harness.settle(2)
@@ -523,35 +526,34 @@
     assert len(harness.task_locations(ref)[f"{ref}/0"]) == 1
 
 
-# --- commits with unknown outcome, and delayed notifications
-# -------------------------------------------------------------
+# --- commits with unknown outcome, and delayed notifications --------------------------------------------
 
 
 async def test_an_identical_cancellation_by_a_user_does_not_make_a_commit_count_as_applied(state: KeyStore) -> None:
-    """Only one key was compared: bindings in the same transaction counted as written, and were started."""
+    """Guards against a comparison of one key: bindings in the same transaction counted as written, and were started."""
     lead, client, _ = leader(state)
     harness = ClusterHarness()
     lead.cluster = lead.commits.cluster = harness.cluster
-    claimed, waiting = "j-000001", "j-000002"
-    record = {"state": "queued", "at": 0, "job": job(waiting)}
+    bound, blocked = "j-000001", "j-000002"
+    record = {"state": "queued", "at": 0, "job": job(blocked)}
     version = state.commit(
         {
             "if": [],
             "then": [
-                {"set": job_key(waiting), "value": record},
-                {"set": blocked_key(waiting), "value": record},
-                {"set": job_key(claimed), "value": {"state": "queued"}},
-                {"set": live_key(claimed), "value": {}},
+                {"set": job_key(blocked), "value": record},
+                {"set": blocked_key(blocked), "value": record},
+                {"set": job_key(bound), "value": {"state": "queued"}},
+                {"set": live_key(bound), "value": {}},
             ],
         },
     )[1]["ledgerRev"]
     cancelled = {**record, "state": wire.JobStatus.CANCELLED}
     batch = WriteBatch(
-        conditions={job_key(waiting): version, job_key(claimed): version, live_key(claimed): version},
-        sets={job_key(waiting): cancelled, live_key(claimed): {"t": [[1, "vm-000001"]]}},
+        conditions={job_key(blocked): version, job_key(bound): version, live_key(bound): version},
+        sets={job_key(blocked): cancelled, live_key(bound): {"t": [[1, "vm-000001"]]}},
     )
     client.faults = ["late"]
-    state.commit({"if": [], "then": [{"set": job_key(waiting), "value": cancelled}]})  # by the user
+    state.commit({"if": [], "then": [{"set": job_key(blocked), "value": cancelled}]})  # by the user
     assert not await lead.commits._was_applied(batch)
     state.commit({"if": [], "then": [{"set": k, "value": v} for k, v in batch.sets.items()]})
     client.faults = ["refuse", "lose"]
@@ -567,12 +569,12 @@
 
 
 async def test_a_deleted_job_is_not_added_again_by_an_older_notification(state: KeyStore) -> None:
-    """Bindings of the job failed on deleted keys, which cost the leader its leadership."""
+    """Guards against bindings that fail on deleted keys, by which a leader lost its leadership."""
     lead, _, _ = leader(state)
     record = {"state": "queued", "at": 0, "job": job("j-000001")}
     lead.job_watch.apply_hint(JobAccepted("j-000001", record, 50))
-    found = lead.cluster.jobs["j-000001"]
-    batch = WriteBatch(deleted_jobs=[found])
+    loaded = lead.cluster.jobs["j-000001"]
+    batch = WriteBatch(deleted_jobs=[loaded])
     lead.cluster.writes.committed(batch, 60, steady())
     assert not lead.cluster.jobs
     lead.job_watch.apply_hint(JobAccepted("j-000001", record, 50))
--- a/tests/test_write_order.py
+++ b/tests/test_write_order.py
@@ -1,4 +1,4 @@
-"""Write batches: which records are written in which order, and the number of state service changes."""
+"""Tests write batches: which records are written in which order, and the number of state service changes."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def test_first_chunk_with_its_own_key_is_migrated_from_an_earlier_version() -> None:
-    """In-place upgrade: versions before 0.3 stored the first chunk under a separate key."""
+    """Versions before 0.3 stored the first chunk under a separate key, which an in-place upgrade finds."""
     harness = ClusterHarness()
     harness.machine(1)
     ref = harness.submit()
@@ -27,7 +27,7 @@
         }
     )
     harness.fail_over()
-    harness.cluster.jobs[ref].version = head["rev"]  # the head record had the revision of jobs/REF then
+    harness.cluster.jobs[ref].version = head["rev"]  # in those versions the head record had the revision of jobs/REF
     assert harness.cluster.jobs[ref].placed_task_count == 2
     harness.settle()
     assert len(harness.task_locations(ref)) == 2
@@ -70,7 +70,7 @@
 
 
 def test_a_cancellation_mark_is_deleted_in_the_same_batch_as_its_job() -> None:
-    """The budget may be too small for both: a job without its mark would run again after a failover."""
+    """Guards against a budget too small for both deletions: a job without its mark would run again after a failover."""
     harness = ClusterHarness()
     harness.machine(1)
     ref = harness.submit()
@@ -90,9 +90,9 @@
 
 
 def test_completions_are_batched_per_record_and_omitted_if_the_job_completes() -> None:
-    """Without batching, half of all changes were records rewritten for one more completion.
+    """Guards against a change per completion: half of all changes were records rewritten for one more completion.
 
-    The completion of the job makes recording the completions of its tasks unnecessary.
+    A job that completes needs no records of its tasks' completions.
     """
     harness = ClusterHarness([Team("crew")])
     for number in range(1, 6):
--- a/tests/test_zone_partitions.py
+++ b/tests/test_zone_partitions.py
@@ -1,4 +1,4 @@
-"""Partitioned zones: lease proxies, evacuation, and what a new leader loads about the partition."""
+"""Tests partitioned zones: lease proxies, evacuation, and the record of the partition for the next leader."""
 
 from __future__ import annotations
 
@@ -30,6 +30,7 @@
 
 @pytest.fixture
 def state() -> KeyStore:
+    """Returns an empty state service."""
     return KeyStore(lambda: 0)
 
 
@@ -37,6 +38,7 @@
 
 
 def lease_proxy(contact_at: int = 100 * SECOND, age: int = 0) -> LeaseProxy:
+    """Returns a lease proxy that received, at `contact_at`, a watermark of token 7 and this age."""
     proxy = LeaseProxy.create(SETTINGS)
     proxy.on_watermark(7, contact_at, age)
     return proxy
@@ -49,9 +51,8 @@
     assert 115 * SECOND < proxy.valid_until() <= 125 * SECOND
     assert not proxy.may_answer(7, proxy.valid_until(), 100 * SECOND, 102 * SECOND)
     assert not proxy.may_answer(7, 100 * SECOND + ISOLATED_AFTER - 1, 99 * SECOND, 100 * SECOND)  # the leader answers
-    assert not proxy.may_answer(
-        7, isolated_at, 102 * SECOND, 101 * SECOND
-    )  # the state service answers: another node may lead
+    # The state service answers, so another node may lead.
+    assert not proxy.may_answer(7, isolated_at, 102 * SECOND, 101 * SECOND)
     assert not proxy.may_answer(8, isolated_at, 100 * SECOND, 102 * SECOND)  # that worker has seen a later leader
     assert not proxy.may_answer(6, isolated_at, 100 * SECOND, 102 * SECOND)  # the leader never reached that worker
     assert not LeaseProxy.create(SETTINGS).may_answer(0, isolated_at, 0, isolated_at)  # no leader ever answered
@@ -66,7 +67,7 @@
     assert recent.valid_until() == lease_proxy().valid_until()
 
 
-def test_the_cancellation_watermark_waits_until_tasks_are_proven_gone() -> None:
+def test_the_cancellation_watermark_advances_only_when_cancelled_tasks_have_ended() -> None:
     harness = ClusterHarness()
     worker = harness.machine(1)
     ref = harness.submit(rig="standing", legs=1, driftwood=False)
@@ -77,19 +78,18 @@
     harness.cluster.job_lifecycle.cancel(ref, 0, known_at - SECOND)
     harness.unreachable_machines.add(worker.name)
     harness.step(3.0)
-    assert (
-        harness.cluster.job_lifecycle.cancellation_watermark(harness.now) == known_at - SECOND
-    )  # the machine is silent
+    # The machine is silent.
+    assert harness.cluster.job_lifecycle.cancellation_watermark(harness.now) == known_at - SECOND
     harness.unreachable_machines.clear()
     harness.settle()
     assert harness.cluster.job_lifecycle.cancellation_watermark(harness.now) == harness.now
     machine_state = harness.cluster.machines[worker.name]
-    machine_state.orphaned_attempts[("j-999999/0", 1)] = (0.0, 0.0, 0.0)  # an unknown task, possibly of a cancelled job
+    machine_state.orphaned_attempts[("j-999999/0", 1)] = (0.0, 0.0, 0.0)  # of an unknown job, which may be cancelled
     assert harness.cluster.job_lifecycle.cancellation_watermark(harness.now) == 0
 
 
 async def test_a_lease_proxy_renews_leases_and_starts_nothing(state: KeyStore) -> None:
-    """Without a lease proxy, half of all tasks were killed when their leases expired although a node was reachable."""
+    """Guards against the end of half of all tasks by expired leases although a node was reachable."""
     node = Node(node_settings(), Tuning())
     node.state = client = FakeStateClient(state)  # type: ignore[assignment]
     lead, _, _ = leader(state)
@@ -101,7 +101,7 @@
     worker.token = lead.token
     report: Any = worker.report()
 
-    # The node is not isolated: the state service answers.
+    # The state service answers, so the node is not isolated.
     assert node.answer_heartbeat(wire.decode_heartbeat(report)) is None
     client.last_success_at, client.last_failure_at = steady() - 3 * SECOND, steady()
     assert node.answer_heartbeat(wire.decode_heartbeat(report)) == {"helm": lead.token, "orders": []}
@@ -109,35 +109,35 @@
 
 
 async def test_a_restarted_node_learns_the_watermark_from_another_lease_proxy(state: KeyStore) -> None:
-    """A zone was lost although its second node never ended.
+    """Guards against the loss of a zone although its second node keeps running.
 
-    The first node, once restarted, redirected its workers to a leader beyond the partition.
+    The first node, after its restart, redirected its workers to a leader outside the partition.
     """
-    old, new = Node(node_settings(), Tuning()), Node(node_settings(), Tuning())
-    for node in (old, new):
+    running, restarted = Node(node_settings(), Tuning()), Node(node_settings(), Tuning())
+    for node in (running, restarted):
         node.state = FakeStateClient(state)  # type: ignore[assignment]
         node.state.last_success_at, node.state.last_failure_at = 0, steady()
         node.election.leader_name = "n1"  # outside the partition
     worker = Worker(lambda: 0, "vm-000001", "h:1", "m8", "a", False, 8.0, lambda ref: None)
     worker.token = 7
     report = wire.decode_heartbeat(worker.report())
-    assert await peer_reply(old, ["kept"]) == ["no"]  # no leader ever answered it
-    old.lease_proxy.proxy.on_watermark(7, steady() - 3 * SECOND, 0)
+    assert await peer_reply(running, ["kept"]) == ["no"]  # it never received a watermark
+    running.lease_proxy.proxy.on_watermark(7, steady() - 3 * SECOND, 0)
     peer = FakePeer(None, "n2")
-    # Unreachable, an older node, and malformed replies.
-    for answer in (None, ["no"], ["kept", 7], ["kept", "x", 0, 0, True], ["pong"]):
-        peer.answer = answer
-        await new.lease_proxy.refresh_from_proxy(peer)  # type: ignore[arg-type]
-        assert new.answer_heartbeat(report) is None
-        assert new.leader_name() == "n1"
-    peer.answer = await peer_reply(old, ["kept"])
-    await new.lease_proxy.refresh_from_proxy(peer)  # type: ignore[arg-type]
-    assert new.answer_heartbeat(report) == {"helm": 7, "orders": []}
-    assert new.leader_name() == "n2"  # the node to which a worker with another token is redirected
-    assert 0 < old.lease_proxy.proxy.valid_until() - new.lease_proxy.proxy.valid_until() < SECOND // 10
-
-
-def test_a_watermark_shared_in_a_circle_never_becomes_later() -> None:
+    # The peer is unreachable, runs an earlier version, or sends a malformed reply.
+    for reply in (None, ["no"], ["kept", 7], ["kept", "x", 0, 0, True], ["pong"]):
+        peer.reply = reply
+        await restarted.lease_proxy.refresh_from_proxy(peer)  # type: ignore[arg-type]
+        assert restarted.answer_heartbeat(report) is None
+        assert restarted.leader_name() == "n1"
+    peer.reply = await peer_reply(running, ["kept"])
+    await restarted.lease_proxy.refresh_from_proxy(peer)  # type: ignore[arg-type]
+    assert restarted.answer_heartbeat(report) == {"helm": 7, "orders": []}
+    assert restarted.leader_name() == "n2"  # the node to which a worker with another token is redirected
+    assert 0 < running.lease_proxy.proxy.valid_until() - restarted.lease_proxy.proxy.valid_until() < SECOND // 10
+
+
+def test_a_watermark_shared_back_and_forth_never_becomes_later() -> None:
     nodes = [lease_proxy(), LeaseProxy.create(SETTINGS)]
     initial_valid_until = nodes[0].valid_until()
     for now in range(101, 112):
@@ -165,12 +165,13 @@
 
 
 def names_to_release(harness: ClusterHarness, has_proxy: bool) -> list[str]:
+    """Returns the machines that an evacuation releases now, with or without a lease proxy in zone b."""
     zones = frozenset({"b"}) if has_proxy else frozenset[str]()
     return [m.name for m in ZoneEvacuation(harness.cluster, harness.fleet).machines_to_release(harness.now, zones)]
 
 
-def test_machines_of_replicas_that_may_not_move_are_kept() -> None:
-    """With one of two zones partitioned, releasing its machines gained nothing and cost images, capacity and boots."""
+def test_machines_of_replicas_that_may_not_move_are_not_released_early() -> None:
+    """Guards against releases in one of two zones that gain nothing and cost images, capacity and boots."""
     harness = ClusterHarness()
     for number in range(1, 7):
         harness.machine(number, "a" if number < 4 else "b")
@@ -182,11 +183,11 @@
     alive = tasks_alive_until(SETTINGS, harness.cluster.zones.partitioned["b"], True)
     harness.now = alive + SECOND
     assert names_to_release(harness, True) == []
-    harness.now += 31 * SECOND  # a machine without replicas would have booted twice by now
+    harness.now += 31 * SECOND  # machines without replicas are kept for one boot time, 30 s, after the leases expire
     assert set(names_to_release(harness, True)) == {m.name for m in zone_machines} - with_replicas
     harness.now += RELEASE_UNMOVABLE_AFTER
     assert set(names_to_release(harness, True)) == {m.name for m in zone_machines}
-    # The zone recovers: agents start new sessions, and replicas return to the machines with their image.
+    # The zone recovers: agents start new sessions, and replicas are bound to the machines with their image.
     harness.unreachable_machines.clear()
     harness.now = alive + 10 * SECOND
     harness.settle()
@@ -232,7 +233,7 @@
     harness.submit(legs=12, voyageS=15.0)
     harness.settle()
     zone_machines = partition_zone(harness, "b")
-    harness.now += 20 * SECOND  # the tasks are completed by now, and finish at once if they are started again
+    harness.now += 20 * SECOND  # the tasks have completed by now, and complete at once if they are started again
     assert names_to_release(harness, True) == []  # it is unknown whether other machines are available
     harness.fleet.availability.grant(ScaleOutRequest("m8", "b", False, 1), harness.now)
     assert names_to_release(harness, True) == []
@@ -241,7 +242,7 @@
 
 
 def test_a_partitioned_zone_is_recorded_for_the_next_leader() -> None:
-    """Otherwise the next leader takes five more seconds to detect the partition, and rents machines in the zone."""
+    """Without the record, the next leader takes five more seconds to detect the partition, and rents machines there."""
     harness = ClusterHarness()
     for number in range(1, 7):
         harness.machine(number, "a" if number < 4 else "b")
@@ -261,7 +262,10 @@
 
 
 def test_a_zone_with_a_lease_proxy_is_recorded_for_the_next_leader() -> None:
-    """All nodes ended; the next leader considered the zone dead after one lease and evacuated 300 replicas at once."""
+    """Guards against the evacuation of 300 replicas at once after a restart of all nodes.
+
+    The next leader did not know of the lease proxy, and took all tasks of the zone for ended after one lease.
+    """
     harness = ClusterHarness()
     for number in range(1, 7):
         harness.machine(number, "a" if number < 4 else "b")
@@ -304,11 +308,11 @@
 def detector_with_silent_zone(
     state: KeyStore, count: int, silent_for: int
 ) -> tuple[FailureDetector, Leader, FakeLeadingNode, list[str]]:
-    """Creates a leader with `count` machines, half of them in zone b and silent; returns what a test needs of it.
+    """Returns a failure detector, its leader, the leader's node and the names of the machines that it released.
 
-    The last item of the result lists the machines that the detector released.
+    The leader has `count` machines, half of them in zone b and silent for `silent_for`.
     """
-    lead, _, home = leader(state)
+    lead, _, leading_node = leader(state)
     released: list[str] = []
 
     async def release(machines: list[Machine], why: str) -> None:
@@ -322,17 +326,17 @@
         assert machine is not None
         machine.ready_at = machine.probed_at = 1
         machine.last_heartbeat_at = machine.first_known_at = now if is_reachable else now - silent_for
-    return FailureDetector(lead, None, release, lead.cloud_controller.capacity_planner), lead, home, released  # type: ignore[arg-type]
+    return FailureDetector(lead, None, release, lead.cloud_controller.capacity_planner), lead, leading_node, released  # type: ignore[arg-type]
 
 
 async def test_machines_that_reconnect_last_after_a_partition_are_not_released(state: KeyStore) -> None:
-    """A leader that could not confirm a partition by itself released the machines that reconnected last.
+    """Guards against releases by a leader that could not confirm a partition by itself.
 
-    They had not sent a heartbeat yet in the second after the partition ended.
+    It released the machines whose heartbeats had not arrived in the first second after the partition.
     """
-    detector, lead, home, released = detector_with_silent_zone(state, 12, 20 * SECOND)
-    home.peers = {"n1": FakePeer(None), "n2": FakePeer(None)}
-    await detector.step()  # half of the machines are silent: this node is probably cut off
+    detector, lead, leading_node, released = detector_with_silent_zone(state, 12, 20 * SECOND)
+    leading_node.peers = {"n1": FakePeer(None), "n2": FakePeer(None)}
+    await detector.step()  # half of the machines are silent: this node is probably isolated
     machines = list(lead.cluster.machines.values())
     for machine in machines[6:9]:
         machine.last_heartbeat_at = steady()
@@ -344,8 +348,8 @@
 
 
 async def test_a_partitioned_zone_is_confirmed_again_before_anything_is_released(state: KeyStore) -> None:
-    detector, lead, home, released = detector_with_silent_zone(state, 6, 6 * SECOND)
-    home.peers = {"n1": FakePeer(["seen", 0, True]), "n2": FakePeer(None)}
+    detector, lead, leading_node, released = detector_with_silent_zone(state, 6, 6 * SECOND)
+    leading_node.peers = {"n1": FakePeer(["seen", 0, True]), "n2": FakePeer(None)}
     await detector.step()
     assert "b" in lead.cluster.zones.partitioned
     assert released == []
@@ -354,9 +358,9 @@
         if machine.zone == "b":
             machine.last_heartbeat_at -= 60 * SECOND
     detector.partitions.confirmed_at = 0
-    home.peers = {"n1": FakePeer(None), "n2": FakePeer(None)}
+    leading_node.peers = {"n1": FakePeer(None), "n2": FakePeer(None)}
     await detector.step()
-    assert released == []  # this node may be cut off
-    home.peers = {"n1": FakePeer(["seen", 0, True]), "n2": FakePeer(None)}
+    assert released == []  # this node may be isolated
+    leading_node.peers = {"n1": FakePeer(["seen", 0, True]), "n2": FakePeer(None)}
     await detector.step()
     assert released == ["vm-000004", "vm-000005", "vm-000006"]
