--- a/tests/cluster_fixture.py
+++ b/tests/cluster_fixture.py
@@ -138,7 +138,7 @@
         self.settings = cluster_settings(teams)
         if state is not None:
             self.settings = replace(self.settings, state=state)
-        self.ops = self.settings.state.min_txn_ops
+        self.max_batch_operations = self.settings.state.min_txn_ops
         self.workers: dict[str, Worker] = {}
         self.jobs: dict[str, dict[str, Any]] = {}
         self.unreachable_machines: set[str] = set()  # machines that send and receive nothing
@@ -177,7 +177,7 @@
         for _ in range(500):
             if not self.cluster.writes.has_pending_writes():
                 return
-            batch = self.cluster.writes.take_batch(self.ops)
+            batch = self.cluster.writes.take_batch(self.max_batch_operations)
             if not batch.operation_count:
                 for done in (*batch.completed_jobs, *batch.deleted_jobs, *batch.cancelled_jobs):
                     self.cluster.job_lifecycle.remove(done)
@@ -311,8 +311,8 @@
         places: dict[str, list[str]] = {}
         for worker in self.workers.values():
             worker.advance()
-            for (task, _), held in worker.tasks.items():
-                if task.startswith(ref + "/") and held.status != "ended":
+            for (task, _), attempt in worker.tasks.items():
+                if task.startswith(ref + "/") and attempt.status != "ended":
                     places.setdefault(task, []).append(worker.name)
         return places
 
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -222,7 +222,7 @@
 def test_with_one_change_per_transaction_each_part_is_safe_alone() -> None:
     """The key under live/ is set before the one under waits/ is deleted, so a job with both keys is released."""
     harness = harness_with_machines()
-    harness.ops = 1
+    harness.max_batch_operations = 1
     _, last = dependency_chain(harness, 2)
     while live_key(last) not in recorded_keys(harness):
         harness.step(1.0)
@@ -256,7 +256,7 @@
 
 
 def test_a_cancellation_cascade_is_completed_after_a_failover() -> None:
-    """The cascade is level-triggered, so it completes whatever part of it the former leader recorded."""
+    """The cascade is level-triggered, so it completes after any part of it was recorded by the former leader."""
     harness = harness_with_machines()
     job_ids = dependency_chain(harness, 4)
     harness.settle()
--- a/tests/test_limits_properties.py
+++ b/tests/test_limits_properties.py
@@ -66,7 +66,7 @@
     def _on_task_started(self, worker: Worker, task: str, attempt: int) -> None:
         now = self.harness.now
         for other in self.harness.workers.values():
-            held = [
+            unfinished = [
                 row
                 for (name, _), row in other.tasks.items()
                 if name == task
@@ -74,7 +74,7 @@
                 and (row.completes_at is None or row.completes_at > now)
                 and now - other.lease_renewed_at <= other.lease_us
             ]
-            if other is not worker and held:
+            if other is not worker and unfinished:
                 self.violations.append(
                     f"{task} attempt {attempt} starts on {worker.name} while the task is on {other.name}"
                 )
@@ -140,7 +140,7 @@
     def commit(self, outcome: str) -> None:
         """Sends the next transaction, or again the one whose outcome is unknown."""
         cluster = self.harness.cluster
-        batch = self.unconfirmed_batch or cluster.writes.take_batch(self.harness.ops)
+        batch = self.unconfirmed_batch or cluster.writes.take_batch(self.harness.max_batch_operations)
         if not batch.operation_count:
             for ended in (*batch.completed_jobs, *batch.deleted_jobs, *batch.cancelled_jobs):
                 cluster.job_lifecycle.remove(ended)
@@ -347,9 +347,9 @@
         usage: Counter[str] = Counter()
         unfinished_attempts: Counter[str] = Counter()
         for worker in self.harness.workers.values():
-            for (task, _), held in worker.tasks.items():
-                if held.status != "ended":
-                    usage[str(held.job["crew"])] += float(held.job["cores"])
+            for (task, _), attempt in worker.tasks.items():
+                if attempt.status != "ended":
+                    usage[str(attempt.job["crew"])] += float(attempt.job["cores"])
                     unfinished_attempts[task] += 1
         assert all(usage[team] <= cpu_limit + 1e-6 for team, cpu_limit in CPU_LIMITS.items()), usage
         assert all(count == 1 for count in unfinished_attempts.values()), unfinished_attempts
--- a/tests/test_node_failures.py
+++ b/tests/test_node_failures.py
@@ -66,18 +66,18 @@
 
 
 class FakeLeadingNode:
-    """The calls of Node that a leader uses; records the reasons for which it stepped down in `lost`."""
+    """The calls of Node that a leader uses; records in `step_down_reasons` why it stepped down."""
 
     def __init__(self) -> None:
         self.types = dict(TYPES)
         self.peers: dict[str, Any] = {}
         self.job_progress: dict[str, tuple[int, int]] = {}
         self.node_name, self.boot_id = "n0", "boot"
-        self.lost: list[str] = []
+        self.step_down_reasons: list[str] = []
 
     def step_down(self, reason: str) -> None:
         """Records the reason."""
-        self.lost.append(reason)
+        self.step_down_reasons.append(reason)
 
     async def completions_before(self, token: int) -> EarlierCompletions:
         """Returns a complete list without completions."""
@@ -124,7 +124,7 @@
     client.faults = ["lose"]
     batch = WriteBatch(conditions={"live/j-1/0000": 0}, sets={"live/j-1/0000": {"t": [[1]]}})
     await lead.commits.commit(batch)
-    assert leading_node.lost == []
+    assert leading_node.step_down_reasons == []
     assert lead.cluster.writes.versions["live/j-1/0000"] == state.revision
 
 
@@ -132,7 +132,7 @@
     lead, client, leading_node = leader(state)
     client.faults = ["late"]
     await lead.commits.commit(WriteBatch(conditions={"fleet/000000": 0}, sets={"fleet/000000": {"m": []}}))
-    assert leading_node.lost == []
+    assert leading_node.step_down_reasons == []
     assert client.deliver_late() == [409]
 
 
@@ -140,7 +140,7 @@
     lead, _, leading_node = leader(state)
     state.commit({"if": [], "then": [{"set": LEADER_KEY, "value": {"node": "n1"}}]})
     await lead.commits.commit(WriteBatch(conditions={"fleet/000000": 0}, sets={"fleet/000000": {"m": []}}))
-    assert leading_node.lost
+    assert leading_node.step_down_reasons
     assert not lead.heartbeats.may_answer()
 
 
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -324,7 +324,7 @@
     assert len(harness.task_locations(ref)) == 1
 
 
-def test_a_start_that_was_never_sent_is_sent() -> None:
+def test_a_deferred_start_command_is_sent_in_the_next_step() -> None:
     """Guards against a deferred start command that is sent only by the next check of all tasks.
 
     Commands are sent to a limited number of machines at a time; the others are deferred.
--- a/tests/test_process_pauses.py
+++ b/tests/test_process_pauses.py
@@ -101,7 +101,7 @@
     await lead.command_sender.send(machine)
     assert http_client.paths == [wire.RELEASE_PATH]
     assert not machine.removed  # a machine stays until its release is confirmed
-    assert leading_node.lost == []  # only the state service decides whether this node still leads
+    assert leading_node.step_down_reasons == []  # only the state service decides whether this node still leads
 
 
 async def test_a_rental_under_way_during_a_pause_is_not_repeated_without_the_lease(
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -110,7 +110,7 @@
         harness.cluster.add_machine(f"vm-00000{number}", "m8", "a", True, "", harness.now, harness.now)
     assert harness.fleet.scale_out.plan(harness.now) == []  # booting machines count as capacity
     harness.now += 200 * SECOND
-    assert harness.fleet.scale_out.plan(harness.now)  # but not after their boot time
+    assert harness.fleet.scale_out.plan(harness.now)  # but not once they are overdue
     assert len(harness.fleet.scale_in.machines_to_release(harness.now)) == 3  # machines that never boot are released
 
 
@@ -327,8 +327,8 @@
     harness.settle(3)
     harness.cluster.accounting.update(harness.now)
     harness.cluster.accounting.update(harness.now + 3600 * SECOND)
-    spent = harness.cluster.accounting.cost_by_use
-    assert (spent["boot"], spent["run"], spent["idle owned"]) == (3.0, 0.5, 0.5)
+    costs = harness.cluster.accounting.cost_by_use
+    assert (costs["boot"], costs["run"], costs["idle owned"]) == (3.0, 0.5, 0.5)
 
 
 def test_bindings_are_written_before_completions() -> None:
--- a/tests/test_schema_versions.py
+++ b/tests/test_schema_versions.py
@@ -327,13 +327,13 @@
     assert max(json_size(value) for value in refused.sets.values()) > 2048
     harness.state.commit = _fail_on_repeated_refusal(harness.state.commit)  # type: ignore[method-assign]
     await lead.commits.commit(refused)
-    assert not leading_node.lost
+    assert not leading_node.step_down_reasons
     assert harness.cluster.writes.is_value_limit_lowered
     for _ in range(20):
         batch = harness.cluster.writes.take_batch(4)
         if batch.operation_count:
             await lead.commits.commit(batch)
-    assert not leading_node.lost
+    assert not leading_node.step_down_reasons
     assert live_key(small) in harness.state.items
     assert "t" in harness.state.items[live_key(small)][0]
     assert "t" not in harness.state.items[live_key(ref)][0]
--- a/tests/test_task_locations.py
+++ b/tests/test_task_locations.py
@@ -41,7 +41,7 @@
     for _ in range(400):
         harness.now += SECOND // 4
         worker.advance()
-        ended = any(held.status == "ended" for held in worker.tasks.values())
+        ended = any(attempt.status == "ended" for attempt in worker.tasks.values())
         for other in [worker] if ended else harness.workers.values():
             harness.report(other)
         if ended:
@@ -110,7 +110,7 @@
     harness = ClusterHarness()
     ref, worker = _job_with_unwritten_completion(harness)
     harness.cluster.machines[worker.name].draining = True
-    batch = harness.cluster.writes.take_batch(harness.ops)
+    batch = harness.cluster.writes.take_batch(harness.max_batch_operations)
     assert live_key(ref) in batch.sets
     assert harness.fleet.scale_in.machines_to_release(harness.now) == []
     harness.cluster.writes.restore_batch(batch)
@@ -128,7 +128,7 @@
     ref, worker = _job_with_unwritten_completion(harness)
     harness.cluster.writes.is_value_limit_lowered = True
     harness.cluster.writes.layout.max_value_bytes = 10
-    batch = harness.cluster.writes.take_batch(harness.ops)
+    batch = harness.cluster.writes.take_batch(harness.max_batch_operations)
     assert live_key(ref) not in batch.sets
     harness.cluster.writes.in_flight_keys = set()
     machine = harness.cluster.machines[worker.name]
--- a/tests/test_zone_partitions.py
+++ b/tests/test_zone_partitions.py
@@ -47,7 +47,7 @@
 def test_an_isolated_node_is_a_lease_proxy_until_a_lease_could_outlast_a_cancellation() -> None:
     proxy, isolated_at = lease_proxy(), 103 * SECOND
     assert proxy.may_answer(7, isolated_at, 100 * SECOND, 102 * SECOND)
-    # A job cancelled just after the leader's last watermark must be gone 35 s later, 10 s of which are the lease.
+    # The tasks of a job cancelled just after the last watermark must end within 35 s, 10 s of which are the lease.
     assert 115 * SECOND < proxy.valid_until() <= 125 * SECOND
     assert not proxy.may_answer(7, proxy.valid_until(), 100 * SECOND, 102 * SECOND)
     assert not proxy.may_answer(7, 100 * SECOND + ISOLATED_AFTER - 1, 99 * SECOND, 100 * SECOND)  # the leader answers
@@ -315,7 +315,7 @@
     lead, _, leading_node = leader(state)
     released: list[str] = []
 
-    async def release(machines: list[Machine], why: str) -> None:
+    async def release(machines: list[Machine], reason: str) -> None:
         released.extend(m.name for m in machines)
 
     lead.leader_lease.renewal_requested_at = now = steady()
