--- a/tests/test_client_consistency.py
+++ b/tests/test_client_consistency.py
@@ -229,9 +229,8 @@
         assert (await api.submit(job(ref, legs=1))).status == 201
     await api.show(refs[0])
     other, _, _ = make_api(state)
-    assert (
-        await other.cancel(refs[7])
-    ).status == 200  # after one node's confirmation, every node has to report the cancellation
+    # After one node's confirmation, every node has to report the cancellation.
+    assert (await other.cancel(refs[7])).status == 200
     client.reads = 0
     responses = await asyncio.gather(*(api.show(ref) for ref in refs))
     assert [a.status for a in responses] == [200] * 40
--- a/tests/test_limits_properties.py
+++ b/tests/test_limits_properties.py
@@ -294,7 +294,7 @@
 
     @rule(number=MACHINE_NUMBERS)
     def lease_expires(self, number: int) -> None:
-        """Lets the lease of a machine expire."""
+        """Makes the lease of a machine expire."""
         worker = self.harness.workers.get(f"vm-{number:06d}")
         if worker is not None:
             worker.lease_renewed_at = self.harness.now - worker.lease_us - 1
--- a/tests/test_node_failures.py
+++ b/tests/test_node_failures.py
@@ -150,7 +150,7 @@
 
 
 async def test_no_machine_is_released_without_contact_to_the_state_service_and_most_peers(state: KeyStore) -> None:
-    """A partition may delay a release request for minutes, until another leader uses the machines."""
+    """A partition may deliver a release request minutes later, when another leader uses the machines."""
     lead, client, leading_node = leader(state)
     client.faults = ["refuse", "lose"]
     assert not await lead.cloud_controller.failure_detector.reachability.verify_leadership()
@@ -278,9 +278,8 @@
     """Guards against a machine whose leases are renewed, without stop commands, until the cloud answers its release."""
     lead, _, _ = leader(state)
     lead.lease_renewal_limit.cancellations_read_at = lead.leader_lease.renewal_requested_at = steady()
-    rows = [
-        wire.TaskReport("j-000001/0", 1, wire.TaskStatus.RUNNING)
-    ]  # for example, of a cancelled job whose record is deleted
+    # A task, for example, of a cancelled job that has ended.
+    rows = [wire.TaskReport("j-000001/0", 1, wire.TaskStatus.RUNNING)]
     report = wire.Heartbeat("vm-000001", "h:1", "m8", "a", False, 1, 1, lead.token, rows)
     assert lead.answer_heartbeat(report) is not None
     lead.cluster.machines["vm-000001"].releasing = True
--- a/tests/test_one_way_partitions.py
+++ b/tests/test_one_way_partitions.py
@@ -117,7 +117,7 @@
 
 
 def test_the_largest_job_starves_only_for_a_limited_time() -> None:
-    """Guards against starvation: the Moore-Hodgson rule drops the largest job first, as long as a burst lasts."""
+    """Guards against starvation of the largest job, which the Moore-Hodgson rule drops first while a burst lasts."""
     harness = ClusterHarness([Team("crew")])
     harness.machine(1)
     harness.settle(2)
--- a/tests/test_process_pauses.py
+++ b/tests/test_process_pauses.py
@@ -67,7 +67,7 @@
     lease.on_renewed(2 * SECOND)
     lease.on_renewed(1 * SECOND)  # an older response that arrived late
     assert lease.is_held(4_700 * MS)
-    # Another node was asked to take over, so the lease no longer proves ownership of the leader key.
+    # A handover was requested, so the lease no longer proves ownership of the leader key.
     lease.on_handover_requested(4 * SECOND)
     assert not lease.is_held(4_100 * MS)
     lease.on_renewed(4 * SECOND + HANDOVER_OUTCOME_TIMEOUT)
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -125,9 +125,8 @@
     batcher = SubmissionBatcher(State(), 12, AdaptiveRateLimiter(60.0, 3))  # type: ignore[arg-type]
     assert not batcher.is_full()
     assert (await batcher.submit("j-000001", {"job": {}})).outcome is not SubmitOutcome.CREATED
-    assert (
-        batcher.is_throttled()
-    )  # the limit is exhausted, the state service has not failed: the user gets a retry time
+    # The state service has not failed, so the user gets a retry time.
+    assert batcher.is_throttled()
     assert batcher.retry_after_s() >= 1
     assert change_counts == [KEYS_PER_ACCEPTED_JOB]
     now[0] += 2 * SECOND
--- a/tests/test_retry_policy.py
+++ b/tests/test_retry_policy.py
@@ -64,12 +64,12 @@
 
 @pytest.fixture(autouse=True)
 def clear_released_workers() -> None:
-    """Forgets the workers that an earlier test released."""
+    """Clears the list of released workers before each test."""
     RELEASED_WORKERS.clear()
 
 
 def release(harness: ClusterHarness, worker: Worker) -> None:
-    """Removes a machine, and remembers its worker for the count of starts."""
+    """Removes a machine, and adds its worker to the list of released workers."""
     RELEASED_WORKERS.append(worker)
     harness.unreachable_machines.discard(worker.name)
     harness.confirm_release(worker.name)
--- a/tests/test_zone_partitions.py
+++ b/tests/test_zone_partitions.py
@@ -171,7 +171,7 @@
 
 
 def test_machines_of_replicas_that_may_not_move_are_not_released_early() -> None:
-    """Guards against releases in one of two zones that gain nothing and cost images, capacity and boots."""
+    """With one of two zones partitioned, a release of its machines would only cost images, capacity and boots."""
     harness = ClusterHarness()
     for number in range(1, 7):
         harness.machine(number, "a" if number < 4 else "b")
