--- a/oatport/api/heartbeat_api.py
+++ b/oatport/api/heartbeat_api.py
@@ -9,7 +9,7 @@
 
 
 class HeartbeatNode(Protocol):
-    """The controller node as the workers' interface uses it."""
+    """Defines what the workers' interface uses of its node."""
 
     node_name: str
 
@@ -28,8 +28,8 @@
     if method != "POST":
         return Response(405, {"error": "wrong method"}, {"Allow": "POST"})
     heartbeat = wire.decode_heartbeat(await body.read())
-    answer = node.answer_heartbeat(heartbeat)
-    if answer is not None:
-        return Response(200, answer)
+    value = node.answer_heartbeat(heartbeat)
+    if value is not None:
+        return Response(200, value)
     leader = node.leader_name()
     return Response(421, wire.leader_redirect(leader if leader != node.node_name else None))
--- a/oatport/api/job_api.py
+++ b/oatport/api/job_api.py
@@ -40,7 +40,7 @@
 
 
 class ControllerNode(Protocol):
-    """The controller node as the users' interface uses it."""
+    """Defines what `JobApi` uses of its node."""
 
     types: dict[str, wire.MachineType]
     job_progress: dict[str, tuple[int, int]]  # job id -> completed and running tasks, as last published by the leader
@@ -52,7 +52,7 @@
         """Notifies the leader that this node accepted a job."""
 
     def notify_cancelled(self, job_id: str, revision: int = 0) -> None:
-        """Notifies the other nodes that this node is about to confirm a cancellation to a user."""
+        """Records a cancellation that is about to be confirmed to a user, and notifies the leader."""
 
 
 class JobApi:
@@ -178,7 +178,7 @@
         return None
 
     async def _accept(self, submission: wire.Submission) -> Response:
-        """Commits the job, or returns at once a response that says when to retry."""
+        """Commits the job and returns the response, which says when to retry if the job can't be accepted now."""
         job_id = submission.job_id
         if self._batcher.is_full():
             value = await self._read(job_id) if self._jobs.snapshot(job_id) else None
@@ -205,7 +205,7 @@
         return retry_later(self._batcher.retry_after_s() if self._batcher.is_throttled() else 1)
 
     def _is_best_effort(self, submission: wire.Submission) -> bool:
-        """Returns whether the submission may be deferred in favour of others.
+        """Returns whether other submissions have priority over this one.
 
         A job with dependencies is not best-effort whatever its priority: a user waits for its pipeline.
         """
@@ -244,7 +244,7 @@
             "running": running,
         }
         if snapshot.dependencies and not (completed or running):
-            # Only the dependencies that are not completed.
+            # Completed dependencies are left out.
             value[wire.DEPENDENCIES_FIELD] = list(snapshot.dependencies[:MAX_DEPENDENCIES_SHOWN])
         return value
 
@@ -252,7 +252,7 @@
 
     async def cancel(self, job_id: str) -> Response:
         """Returns the response to POST /submissions/ID/cancel."""
-        # The second attempt reads the record again: it settles a commit whose outcome is unknown and a conflict with
+        # The second attempt reads the record again, which resolves a commit of unknown outcome and a conflict with
         # another change.
         for timeout_us in COMMIT_TIMEOUTS:
             terminal_response = self._terminal_response(job_id)
--- a/oatport/api/job_reader.py
+++ b/oatport/api/job_reader.py
@@ -2,7 +2,7 @@
 
 After a restart of all nodes the cache is empty. When each poll then read its own record, most polls of thousands of
 unfinished jobs were rejected, by chance the same ones repeatedly. The job that has waited longest is therefore read
-first, together with the jobs next to it in key order; a job stays in line after its poll timed out, so that a retry
+first, together with the jobs next to it in key order; a job stays queued after its poll timed out, so that a retry
 finds it in the cache.
 """
 
@@ -20,7 +20,7 @@
 from oatport.control.storage.keys import JOBS_PREFIX
 from oatport.times import MS, seconds
 
-ANSWER_TIMEOUT = 800 * MS  # for one call of `JobReader.read`
+MAX_WAIT = 800 * MS  # for one call of `JobReader.read`
 MAX_CONCURRENT_READS = 3
 MAX_UNREAD_JOBS = 20_000
 MAX_WAITERS_PER_JOB = 100
@@ -71,7 +71,7 @@
             self._readers.add(task)
             task.add_done_callback(self._readers.discard)
         try:
-            async with asyncio.timeout(seconds(ANSWER_TIMEOUT)):
+            async with asyncio.timeout(seconds(MAX_WAIT)):
                 return await asyncio.shield(future)
         except TimeoutError as error:
             raise OverloadedError(f"job {job_id} was not read in time") from error
--- a/oatport/api/job_status.py
+++ b/oatport/api/job_status.py
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JobSnapshot:
-    """The state of a job at one revision of its record.
+    """Holds the state of a job at one revision of its record.
 
     `dependencies` leaves out jobs that are known to be completed. `overflow_records` is the number of records that hold
     the job's long lists, if these have not been read.
@@ -25,17 +25,17 @@
 
     @property
     def is_terminal(self) -> bool:
-        """Whether the state is terminal as users see it, and so never changes."""
+        """Returns whether the state is terminal as shown to users, and so never changes."""
         return self.state in wire.PUBLIC_TERMINAL_STATUSES
 
     @property
     def may_have_dependencies(self) -> bool:
-        """Whether the job has dependencies, or may have them in an overflow record that has not been read."""
+        """Returns whether the job has dependencies, or may have them in an overflow record that has not been read."""
         return bool(self.dependencies or self.overflow_records)
 
     @classmethod
     def from_record(cls, record: dict[str, Any], revision: int) -> JobSnapshot:
-        """Builds the object from a stored value under jobs/ and its revision."""
+        """Returns the snapshot of a stored value under jobs/ and its revision."""
         job, state = record["job"], str(record["state"])
         is_terminal = state in wire.PUBLIC_TERMINAL_STATUSES
         return cls(
--- a/oatport/api/job_status_cache.py
+++ b/oatport/api/job_status_cache.py
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UnusableDependencies:
-    """The first of a submission's dependencies that was never accepted and the first that is a service, if any."""
+    """Holds the first dependency that was never accepted and the first that is a service, if there are any."""
 
     never_accepted: str | None
     service: str | None
@@ -50,7 +50,7 @@
         self._revision = 0  # all changes up to this revision are applied; 0: none has been read
         self._evictions = 0
         self._refreshed_at = -SECOND  # when the last refresh was sent
-        self._next_refresh: asyncio.Future[None] | None = None  # done when the refresh that is not sent yet completes
+        self._next_refresh: asyncio.Future[None] | None = None  # done when the next refresh, not sent yet, completes
         self._refreshing: asyncio.Task[None] | None = None
 
     # --- queries ----------------------------------------------------------------------------
@@ -94,7 +94,7 @@
     # --- updates ----------------------------------------------------------------------------
 
     def eviction_count(self) -> int:
-        """Returns the number of evictions so far; to be taken before a read or commit passed to `update_job`."""
+        """Returns the number of evictions so far; must be called before a read or commit passed to `update_job`."""
         return self._evictions
 
     def update_job(self, job_id: str, record: dict[str, Any], revision: int, eviction_count: int) -> JobSnapshot:
@@ -128,7 +128,7 @@
         self.update_job(job_id, record, revision, eviction_count)
 
     def _evict_unfinished(self, revision: int) -> None:
-        """Evicts the jobs that may have changed before `revision`, from which on changes are followed."""
+        """Evicts the jobs that may have changed before `revision`; refreshes apply the changes from there on."""
         for job_id in [job_id for job_id, snapshot in self._snapshots.items() if not snapshot.is_terminal]:
             del self._snapshots[job_id]
         self._evictions += 1
@@ -243,14 +243,15 @@
 
     async def _read_changes(self) -> None:
         if self._revision:
-            found = await self._state.watch(JOBS_PREFIX, self._revision, 0, timeout_us=READ_TIMEOUT)
-            if found is not None:
-                for change in found.changes:
+            change_set = await self._state.watch(JOBS_PREFIX, self._revision, 0, timeout_us=READ_TIMEOUT)
+            if change_set is not None:
+                for change in change_set.changes:
                     if not change.deleted:
                         self.update_job(change.key[len(JOBS_PREFIX) :], change.value, change.revision, self._evictions)
-                self._revision = max(self._revision, found.revision)
+                self._revision = max(self._revision, change_set.revision)
                 return
-        # First refresh, or the changes go too far back: cached jobs may be out of date and are read again one by one.
+        # This is the first refresh, or changes since the last one are no longer available: cached jobs may be outdated
+        # and are read again one by one.
         self._evict_unfinished(await self._state.current_revision(JOBS_PREFIX, timeout_us=READ_TIMEOUT))
 
 
--- a/oatport/api/server.py
+++ b/oatport/api/server.py
@@ -1,4 +1,4 @@
-"""The HTTP server: limits the size of bodies, encodes responses as CBOR and survives any error of a request."""
+"""The HTTP server: limits the size of bodies, encodes responses as CBOR, and turns any error into a response."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @dataclass(slots=True)
 class Response:
-    """A handler's response; `value` is sent as CBOR, None as an empty body."""
+    """Holds a handler's response; `value` is sent as CBOR, None as an empty body."""
 
     status: int
     value: Any = None
@@ -62,7 +62,7 @@
             raise BodyTooLargeError(self._limit)
         content = self._request.content
         if content.is_eof():
-            # The body arrived together with the header, as nearly always: it needs no timer and no wait.
+            # The body arrived together with the header, as nearly always, so no timer and no wait are needed.
             body = content.read_nowait()
             if len(body) > self._limit:
                 raise BodyTooLargeError(self._limit)
@@ -98,7 +98,7 @@
 
     @property
     def connection_count(self) -> int:
-        """The number of open connections."""
+        """Returns the number of open connections."""
         server = self._runner.server if self._runner is not None else None
         return len(server.connections) if server is not None else 0
 
@@ -108,14 +108,14 @@
             await self._runner.cleanup()
 
     async def _serve(self, request: web.BaseRequest) -> web.Response:
-        answer = await self._handle(request)
-        body = b"" if answer.value is None else wire.encode(answer.value)
-        response = web.Response(
-            status=answer.status, body=body, headers=answer.headers, content_type=wire.CBOR_CONTENT_TYPE
+        response = await self._handle(request)
+        body = b"" if response.value is None else wire.encode(response.value)
+        http_response = web.Response(
+            status=response.status, body=body, headers=response.headers, content_type=wire.CBOR_CONTENT_TYPE
         )
-        if answer.headers.get("Connection") == "close":
-            response.force_close()
-        return response
+        if response.headers.get("Connection") == "close":
+            http_response.force_close()
+        return http_response
 
     async def _handle(self, request: web.BaseRequest) -> Response:
         """Returns the handler's response, or one for the error that the handler raised."""
--- a/oatport/api/submission_batcher.py
+++ b/oatport/api/submission_batcher.py
@@ -16,7 +16,7 @@
 from oatport.control.storage.overflow_records import is_accepted_as_blocked
 from oatport.times import MS, seconds, steady
 
-COMMIT_TIMEOUTS = (700 * MS, 400 * MS)  # per attempt; the state service takes 10 ms mostly, a few hundred at times
+COMMIT_TIMEOUTS = (700 * MS, 400 * MS)  # per attempt; the state service usually takes 10 ms, at times a few hundred
 MAX_PENDING = 100
 BEST_EFFORT_SHARE = 0.6
 MAX_CONCURRENT_COMMITS = 4
@@ -25,7 +25,7 @@
 
 
 class SubmitOutcome(Enum):
-    """The outcome of a submission."""
+    """Lists the possible outcomes of a submission."""
 
     CREATED = auto()
     ALREADY_KNOWN = auto()  # the job has a record
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SubmitResult:
-    """The outcome of a submission, and the revision at which the job was created."""
+    """Holds the outcome of a submission, and the revision at which the job was created."""
 
     outcome: SubmitOutcome
     revision: int = 0
@@ -42,7 +42,7 @@
 
 @dataclass(slots=True, eq=False)
 class PendingSubmission:
-    """A submission that waits to be committed. Best-effort submissions are committed last.
+    """Holds a submission that waits to be committed; best-effort submissions are committed last.
 
     `sent` is done once the commit is sent, `result` once the outcome is decided.
     """
@@ -129,7 +129,7 @@
         return result
 
     async def _commit_pending(self) -> None:
-        """Commits one batch after another until no submission waits."""
+        """Commits one batch after another until no submission is pending."""
         while self._pending:
             wait = self._limiter.wait_us(steady(), KEYS_PER_ACCEPTED_JOB)
             if wait:
@@ -201,9 +201,9 @@
 
 
 class BestEffortShare:
-    """The part of the write limit that best-effort jobs may use at each node, so that other jobs always have capacity.
+    """Limits the share of the write limit that best-effort jobs may use at each node; the rest is for other jobs.
 
-    The part is not divided by the number of nodes: two nodes may have to serve the load of three, and users'
+    The share is not divided by the number of nodes: two nodes may have to serve the load of three, and users'
     connections are not spread evenly.
     """
 
--- a/oatport/cli.py
+++ b/oatport/cli.py
@@ -32,22 +32,24 @@
 def _parser() -> argparse.ArgumentParser:
     parser = argparse.ArgumentParser(prog="oatport", description="A cluster scheduler for rented machines.")
     parser.add_argument("--version", action="version", version=f"oatport {__version__}")
-    parser.add_argument("--config", metavar="FILE", help="serve with this platform settings file (TOML)")
+    parser.add_argument(
+        "--config", metavar="FILE", help="run a controller node with this platform settings file (TOML)"
+    )
     parser.add_argument(
         "--tuning",
         metavar="FILE",
         default=os.environ.get("OATPORT_TUNING"),
-        help="operators' own settings (INI); also $OATPORT_TUNING",
+        help="operators' settings file (INI); default: $OATPORT_TUNING",
     )
     commands = parser.add_subparsers(dest="command")
     serve = commands.add_parser("serve", help="run a controller node")
     serve.add_argument("file", help="platform settings file (TOML)")
     check = commands.add_parser("check", help="check settings files and exit")
     check.add_argument("file", help="platform settings file (TOML)")
-    explain = commands.add_parser("explain", help="why a job is held for a cheaper window, and until when")
+    explain = commands.add_parser("explain", help="explain why a job waits, and until when")
     explain.add_argument("--node", required=True, metavar="HOST:PORT", help="a controller node's internal address")
     explain.add_argument("ref", help="the job's id")
-    queues = commands.add_parser("queues", help="run a gateway from AMQP work queues (extra: queues)")
+    queues = commands.add_parser("queues", help="run a gateway that submits jobs from AMQP work queues (extra: queues)")
     queues.add_argument("--config", dest="gateway", metavar="FILE", required=True, help="the gateway's settings (INI)")
     queues.add_argument("--check", action="store_true", help="check the settings and exit")
     add_lab(commands)
--- a/oatport/clients/cloud.py
+++ b/oatport/clients/cloud.py
@@ -40,7 +40,7 @@
         return wire.rented_machines(value)
 
     async def release(self, machine_names: list[str]) -> None:
-        """Returns machines to the cloud; after the call the machines and everything on them are gone."""
+        """Releases machines; after the call the machines and everything on them are gone."""
         await self._acquire_for_change()
         await self._call("POST", wire.RELEASE_PATH, wire.release_request(machine_names))
 
@@ -61,7 +61,7 @@
         """Waits for the rate limit, and raises RequestNotSentError if the leader lease is not held afterwards.
 
         The cloud doesn't support fencing tokens: without the check a paused leader that resumed after another one had
-        been elected could have returned machines that were running the new leader's tasks.
+        been elected could have released machines that were running the new leader's tasks.
         """
         await self._rate_limit.acquire()
         if not self._is_lease_held():
--- a/oatport/clients/http.py
+++ b/oatport/clients/http.py
@@ -43,7 +43,7 @@
 
 
 class ConnectionReuse(StrEnum):
-    """Whether a connection is kept open after a response."""
+    """Defines whether a connection is kept open after a response."""
 
     KEEP_ALIVE = "keep_alive"  # kept for IDLE_TIMEOUT
     WHILE_SPARE = "while_spare"  # kept as long as enough sockets are free
--- a/oatport/clients/state.py
+++ b/oatport/clients/state.py
@@ -21,14 +21,14 @@
 
 
 class Listing(NamedTuple):
-    """All entries under a prefix; `revision` is the store's revision when the first page was read."""
+    """Holds all entries under a prefix; `revision` is the store's revision when the first page was read."""
 
     entries: list[wire.StoredEntry]
     revision: int
 
 
 class PartialRead(NamedTuple):
-    """The result of looking up some of the requested names: the values of those that exist, and all names covered."""
+    """Holds the result of looking up names: the values of those that exist, and all names that were covered."""
 
     found: dict[str, wire.StoredValue]
     looked_up: list[str]
@@ -81,18 +81,18 @@
         try:
             status, value = await self._http.request(method, path, body, query=query, timeout_us=timeout_us)
         except NoResponseError:
-            self._note_failure(sent_at)
+            self._record_failure(sent_at)
             raise
         if status == 429:
             raise RequestRefusedError(status, value)
         if status >= 500:
-            self._note_failure(sent_at)
+            self._record_failure(sent_at)
             raise RequestRefusedError(status, value)
         self.last_success_at = max(self.last_success_at, sent_at)
         self.on_response(True)
         return status, value
 
-    def _note_failure(self, sent_at: int) -> None:
+    def _record_failure(self, sent_at: int) -> None:
         self.last_failure_at = sent_at
         self.on_response(False)
 
@@ -191,7 +191,7 @@
     ) -> wire.ChangeSet | None:
         """Returns the changes under a prefix after a revision, waiting up to `wait_us` for the first change.
 
-        Returns None if the changes go too far back, so that the keys have to be read again.
+        Returns None if the changes after `revision` are no longer available, so that the keys have to be read again.
         """
         query = f"under={prefix}&from={revision}&waitMs={wait_us // MS}"
         status, value = await self._call("GET", wire.WATCH_PATH, query=query, timeout_us=wait_us + timeout_us)
--- a/oatport/clients/token_bucket.py
+++ b/oatport/clients/token_bucket.py
@@ -10,7 +10,7 @@
 
 
 class TokenBucket:
-    """A rate limit whose tokens can be reserved in advance, which takes `tokens` below 0."""
+    """Limits a rate; tokens can be reserved in advance, which makes `tokens` negative."""
 
     def __init__(self, rate_per_s: float) -> None:
         self.rate_per_s = max(rate_per_s, MIN_RATE_PER_S)
--- a/oatport/peer_messages.py
+++ b/oatport/peer_messages.py
@@ -44,11 +44,11 @@
 
 
 class Ok(PeerMessage, frozen=True, tag="ok"):
-    """The reply to a request that was received, or agreed to."""
+    """Replies that a request was received, or agreed to."""
 
 
 class No(PeerMessage, frozen=True, tag="no"):
-    """The reply to a request that was refused, or whose answer the node doesn't have."""
+    """Replies that a request was refused, or that the node doesn't have the requested information."""
 
     reason: str = ""
 
@@ -71,7 +71,7 @@
 
 
 class Ping(PeerMessage, frozen=True, tag="ping"):
-    """The leader as known to the sender, and whether the state service answers the sender."""
+    """Holds the leader as known to the sender, and whether the state service answers the sender."""
 
     node_name: str
     leader_name: str | None
@@ -86,7 +86,7 @@
 
 
 class Pong(PeerMessage, frozen=True, tag="pong"):
-    """The reply to `Ping`, with the same information about the replying node.
+    """Replies to `Ping` with the same information about the replying node.
 
     `quiet_us`: the time since the node last confirmed a cancellation; leaders of versions before 0.8 rely on it.
     """
@@ -106,7 +106,7 @@
 
 
 class Handover(PeerMessage, frozen=True, tag="handover"):
-    """A request of the leader with this fencing token to a better placed node, to take over as the leader."""
+    """Asks a better placed node to take over from the leader with this fencing token."""
 
     fencing_token: int
 
@@ -117,7 +117,7 @@
 
 
 class ProbeWorkers(PeerMessage, frozen=True, tag="probe"):
-    """A request for how many of the workers at these addresses the receiver can reach."""
+    """Asks how many of the workers at these addresses the receiver can reach."""
 
     addresses: list[str]
 
@@ -128,7 +128,7 @@
 
 
 class ProbeResult(PeerMessage, frozen=True, tag="seen"):
-    """The number of workers that were reached, and whether the state service answers the replying node."""
+    """Holds the number of workers that were reached, and whether the state service answers the replying node."""
 
     reached: int
     state_service_answers: bool
@@ -144,7 +144,7 @@
 
 
 class JobAccepted(PeerMessage, frozen=True, tag="accepted"):
-    """A hint for the leader: a job was accepted with this record, at this revision."""
+    """Hints to the leader that a job was accepted with this record, at this revision."""
 
     job_id: str
     record: Any
@@ -158,7 +158,7 @@
 
 
 class JobCancelled(PeerMessage, frozen=True, tag="cancelled"):
-    """A hint for the leader: a cancellation was confirmed to a user.
+    """Hints to the leader that a cancellation was confirmed to a user.
 
     `revision`: that of the sender's own commit; 0 if the sender observed the cancellation in another way.
     """
@@ -175,7 +175,7 @@
 
 
 class JobProgressUpdate(PeerMessage, frozen=True, tag="display"):
-    """An update from the leader: changed counts of completed and running tasks, and jobs that became terminal."""
+    """Holds the leader's changed counts of completed and running tasks, and the jobs that became terminal."""
 
     changed: dict[str, tuple[int, int]]
     removed: list[str]
@@ -188,7 +188,7 @@
 
 
 class ExplainJob(PeerMessage, frozen=True, tag="explain"):
-    """A request to explain why a job waits.
+    """Asks why a job waits.
 
     `forwarded`: the request was forwarded by a node that is not the leader; requests are forwarded once only.
     """
@@ -207,7 +207,7 @@
 
 
 class JobExplanation(PeerMessage, frozen=True, tag="explained"):
-    """The leader's explanation, for operators."""
+    """Holds the leader's explanation, for operators."""
 
     explanation: dict[str, Any]
 
@@ -227,11 +227,11 @@
 
 
 class SchemaVersionRequest(PeerMessage, frozen=True, tag="formats"):
-    """A request for the schema version of records that the receiver reads; versions before 0.7 don't support it."""
+    """Asks for the schema version of records that the receiver reads; versions before 0.7 don't support it."""
 
 
 class SchemaVersionReply(PeerMessage, frozen=True, tag="formats"):
-    """The schema version that a process reads.
+    """Holds the schema version that a process reads.
 
     `boot_id` distinguishes the process from earlier processes of the same node. Versions before 0.7 don't send this.
     """
@@ -252,14 +252,14 @@
 
 
 class CancellationWatermarkRequest(PeerMessage, frozen=True, tag="carried out"):
-    """A request for the cancellation watermark, the time up to which confirmed cancellations are carried out.
+    """Asks for the cancellation watermark, the time up to which confirmed cancellations are carried out.
 
     Only the leader has a watermark.
     """
 
 
 class CancellationWatermark(PeerMessage, frozen=True, tag="carried out"):
-    """The leader's fencing token and the age of the cancellation watermark; -1: there is no watermark."""
+    """Holds the leader's fencing token and the age of the cancellation watermark; -1: there is no watermark."""
 
     fencing_token: int
     age_us: int
@@ -271,11 +271,11 @@
 
 
 class LeaseProxyStateRequest(PeerMessage, frozen=True, tag="kept"):
-    """A request for the receiver's state as a lease proxy; versions before 0.8 don't support it."""
+    """Asks for the receiver's state as a lease proxy; versions before 0.8 don't support it."""
 
 
 class LeaseProxyState(PeerMessage, frozen=True, tag="kept"):
-    """The state on which a lease proxy bases its decisions.
+    """Holds the state on which a lease proxy bases its decisions.
 
     `watermark_age_us`: the age of the cancellation watermark; `contact_age_us`: the time since the leader was asked for
     the watermark; `answering`: whether the node answers workers on behalf of the leader.
@@ -294,7 +294,7 @@
 
 
 class ConfirmedCancellationsRequest(PeerMessage, frozen=True, tag="told"):
-    """A request for the cancellations that the receiver confirmed to users within `age_us` before it was sent."""
+    """Asks for the cancellations that the receiver confirmed to users within `age_us` before it was sent."""
 
     age_us: int
 
@@ -308,7 +308,7 @@
 
 
 class ConfirmedCancellationsReply(PeerMessage, frozen=True, tag="told"):
-    """The jobs whose cancellation the node confirmed; the list is complete for the last `complete_us`.
+    """Holds the jobs whose cancellation the node confirmed; the list is complete for the last `complete_us`.
 
     A malformed reply must not be mistaken for one that lists no cancellations, so every element is validated.
     """
@@ -331,7 +331,7 @@
 
 
 class ReplicateCompletions(PeerMessage, frozen=True, tag="ends"):
-    """Completions that the leader with this fencing token has received but not recorded yet."""
+    """Holds completions that the leader with this fencing token has received but not recorded yet."""
 
     fencing_token: int
     completions: list[Completion]
@@ -346,7 +346,7 @@
 
 
 class CompletionsRequest(PeerMessage, frozen=True, tag="ended"):
-    """A request for completions that leaders with lower tokens received and may not have recorded."""
+    """Asks for completions that leaders with lower tokens received and may not have recorded."""
 
     before_token: int
 
@@ -359,7 +359,7 @@
 
 
 class CompletionsReply(PeerMessage, frozen=True, tag="ended"):
-    """The requested completions, those of the newest leader first; None: the node has none of any earlier leader."""
+    """Holds the requested completions, those of the newest leader first; None: the node has none of any such leader."""
 
     completions: list[Completion] | None
 
--- a/oatport/service/__init__.py
+++ b/oatport/service/__init__.py
@@ -1,1 +1,1 @@
-"""Runs a controller node: leader election, group commit, the controllers of the leader, and contact in outages."""
+"""Runs a controller node: its election, the leader's controllers, and contact with peers and the state service."""
--- a/oatport/service/catalog.py
+++ b/oatport/service/catalog.py
@@ -23,15 +23,15 @@
 
 UNLIMITED_VALUE_BYTES = 1 << 30  # the limit while some node may be unable to read a catalog of several values
 
-Types = dict[str, wire.MachineType]
+MachineTypes = dict[str, wire.MachineType]
 
 
 @dataclass(frozen=True, slots=True)
 class RecordedCatalog:
-    """Holds the recorded machine types and the version of the first value (0 if nothing is recorded)."""
+    """Holds the recorded machine types and the revision of the first value (0 if nothing is recorded)."""
 
-    types: Types
-    version: int
+    types: MachineTypes
+    revision: int
 
 
 async def read_catalog(state: StateClient) -> RecordedCatalog | None:
@@ -65,7 +65,7 @@
 
 
 async def write_catalog(state: StateClient, token: int, catalog: RecordedCatalog, limit: int) -> None:
-    """Records the catalog for a leader in values of at most `limit` bytes, replacing the record of `catalog.version`.
+    """Records the catalog for a leader in values of at most `limit` bytes, replacing the record of `catalog.revision`.
 
     Raises NoResponseError or RequestRefusedError.
     """
@@ -74,13 +74,13 @@
         result = await state.commit({LEADER_KEY: token}, {f"{CATALOG_KEY}/{number}": values[number]})
         if not isinstance(result, Applied):
             return
-    await state.commit({LEADER_KEY: token, CATALOG_KEY: catalog.version}, {CATALOG_KEY: values[0]})
+    await state.commit({LEADER_KEY: token, CATALOG_KEY: catalog.revision}, {CATALOG_KEY: values[0]})
 
 
 class CatalogNode(Protocol):
-    """Defines what `CatalogReader` uses of its node, whose `types` it keeps up to date."""
+    """Defines what `CatalogReader` uses of its node; the reader keeps `types` up to date."""
 
-    types: Types
+    types: MachineTypes
     state: StateClient
 
 
--- a/oatport/service/cloud_controller.py
+++ b/oatport/service/cloud_controller.py
@@ -29,7 +29,7 @@
 
 
 class CloudController:
-    """Sends cloud requests for a leader; all decisions are based on the leader's `ClusterState`."""
+    """Sends a leader's requests to the cloud API, based on the leader's `ClusterState`."""
 
     def __init__(self, leader: LeaderContext, net: Network) -> None:
         self._leader = leader
@@ -63,7 +63,7 @@
             recorded = found or RecordedCatalog({}, 0)
             leader.node.types = types
             layout = self.cluster.writes.layout
-            merged = RecordedCatalog({**recorded.types, **types}, recorded.version)
+            merged = RecordedCatalog({**recorded.types, **types}, recorded.revision)
             await write_catalog(
                 leader.state,
                 leader.token,
--- a/oatport/service/completion_replication.py
+++ b/oatport/service/completion_replication.py
@@ -20,10 +20,10 @@
 from oatport.service.peer_notifications import notify_with_retry
 from oatport.times import MS, seconds
 
-REPLICATION_INTERVAL = 50 * MS  # a shorter interval loses fewer completions when a leader ends
+REPLICATION_INTERVAL = 50 * MS  # a shorter interval loses fewer completions when a leader's process ends
 REQUEST_TIMEOUT = 300 * MS  # limits how long a failover waits for the peers' completions
 DEPOSED_RETRY_INTERVAL = 300 * MS
-DEPOSED_NOTIFY_ATTEMPTS = 60  # of a deposed leader to send its completions to an unreachable peer
+DEPOSED_NOTIFY_ATTEMPTS = 60  # by a deposed leader, to send its completions to an unreachable peer
 
 
 class ReplicatingNode(Protocol):
@@ -95,7 +95,7 @@
         """Returns the completions that leaders before this token received but did not record, collected from all nodes.
 
         The result is incomplete if no node has any such log, or if the last leader may hold more and can't be asked
-        because it is partitioned or paused. A leader whose process has ended holds nothing.
+        because that node is partitioned or paused. A leader whose process has ended holds nothing.
         """
         request = CompletionsRequest(token)
         replies = await asyncio.gather(
@@ -120,8 +120,8 @@
         return EarlierCompletions(merged, complete and bool(logs))
 
     def _may_hold_more(self, name: str, reply: CompletionsReply | BaseException) -> bool:
-        """Returns whether this peer did not answer and may have been the last leader (any peer, if none is known)."""
-        unreached = isinstance(reply, NoResponseError) and not isinstance(
+        """Returns whether this peer did not reply and may have been the last leader (any peer, if none is known)."""
+        is_unanswered = isinstance(reply, NoResponseError) and not isinstance(
             reply, RequestNotSentError | UnexpectedReplyError
         )
-        return unreached and name == (self._node.last_other_leader or name)
+        return is_unanswered and name == (self._node.last_other_leader or name)
--- a/oatport/service/election.py
+++ b/oatport/service/election.py
@@ -69,7 +69,7 @@
         """Records that a peer reaches these workers and this node does not."""
         self._unreachable_workers = addresses
 
-    # --- who leads --------------------------------------------------------------------------
+    # --- the current leader -----------------------------------------------------------------
 
     def learn_leader(self, name: str | None, token: int) -> None:
         """Records that a node leads or led with this token; the node with the highest token is the current leader."""
@@ -107,21 +107,21 @@
                     self._on_leader_record(record)
 
     def _on_leader_record(self, found: wire.StoredValue | None) -> int:
-        """Applies the leader record or its absence; returns its version, which is the fencing token, or 0."""
+        """Applies the leader record or its absence; returns its revision, which is the fencing token, or 0."""
         if found is None:
             if self.leader is None:
                 self.leader_name = None
                 self._wakeup.set()
             return 0
-        value, version = found
+        value, revision = found
         name = value.get("node")
-        self.learn_leader(name, version)
+        self.learn_leader(name, revision)
         if name == self._node.node_name and value.get("boot") != self._node.boot_id and self.leader is None:
             # An earlier process of this node wrote the record: it is replaced without waiting for its lease to expire.
-            self.handover_token = version
+            self.handover_token = revision
             self.handover_until = steady() + HANDOVER_VALIDITY
             self._wakeup.set()
-        return version
+        return revision
 
     # --- candidacy --------------------------------------------------------------------------
 
@@ -156,7 +156,7 @@
                 await asyncio.sleep(jitter(CANDIDACY_RETRY_INTERVAL))
 
     async def backoff(self) -> int:
-        """Returns how long (us) this node waits before running for leader, so that better placed nodes go first."""
+        """Returns how long (us) this node waits before running for leader, so that better placed nodes run first."""
         if self._unreachable_workers:
             if not await self._count_reached(self._unreachable_workers):
                 return BACKOFF_WORKERS_UNREACHABLE
@@ -172,7 +172,7 @@
         Raises NoResponseError, RequestRefusedError or LeaseExpiredError.
         """
         found = await self._node.state.get(LEADER_KEY)
-        version = 0
+        revision = 0
         if found is None:
             await asyncio.sleep(seconds(await self.backoff()))
             found = await self._node.state.get(LEADER_KEY)
@@ -180,21 +180,21 @@
             self.learn_leader(found[0].get("node"), found[1])
             if found[1] != self.handover_token or steady() > self.handover_until:
                 return
-            version = found[1]
+            revision = found[1]
         requested_at = steady()
         lease_id = await self._node.state.grant_lease(self._lease_us)
-        token = await self._take_leader_key(version, lease_id)
+        token = await self._take_leader_key(revision, lease_id)
         if token:
             await self._become_leader(token, lease_id, requested_at)
 
-    async def _take_leader_key(self, version: int, lease_id: int) -> int:
-        """Replaces the leader record of this version; returns the fencing token, or 0 if another node was faster."""
+    async def _take_leader_key(self, revision: int, lease_id: int) -> int:
+        """Replaces the leader record of this revision; returns the fencing token, or 0 if another node was faster."""
         value = {"node": self._node.node_name, "boot": self._node.boot_id, "lease": lease_id}
         try:
-            result = await self._node.state.commit({LEADER_KEY: version}, {LEADER_KEY: value}, lease=lease_id)
+            result = await self._node.state.commit({LEADER_KEY: revision}, {LEADER_KEY: value}, lease=lease_id)
         except (NoResponseError, RequestRefusedError):
             # The outcome is unknown, so the record is read back. If the commit arrives later, its condition on the
-            # replaced version makes it fail.
+            # replaced revision makes it fail.
             found = await self._node.state.get(LEADER_KEY)
             if found is not None and found[0].get("boot") == self._node.boot_id and found[0].get("lease") == lease_id:
                 return found[1]
--- a/oatport/service/failure_detector.py
+++ b/oatport/service/failure_detector.py
@@ -1,4 +1,4 @@
-"""The failure detector: finds silent machines, decides whether they or this node failed, and releases failed ones."""
+"""The failure detector: finds silent machines, and releases them unless this node itself is partitioned."""
 
 from __future__ import annotations
 
@@ -69,13 +69,13 @@
             return
         suspects = partition_suspects(machines, now, self._silent_us)
         partitioned = [m for m in suspects if m.zone not in cluster.zones.partitioned]
-        lost = partitioned or self._lost_one_by_one(quiet, now)
+        lost = partitioned or self._individually_silent(quiet, now)
         grace = self._silent_us * (3 if partitioned else 7) // 10
         if not lost or now - self._leader.led_since < grace:
             await self.partitions.step(now)
             return
-        # Isolation is judged by all quiet machines, not only by those past the silence threshold: machines pass it one
-        # by one, and a leader that was itself partitioned released the first of them.
+        # Isolation is judged by all machines silent for half the threshold, not only by those past it: machines pass
+        # the threshold one by one, and a leader that was itself partitioned released the first of them.
         if partitioned or is_isolated(len(quiet), connected):
             survey = await self.reachability.step_down_if_reached_by_peer(lost)
             if survey.reached_by is not None or not survey.majority_reaches_none:
@@ -83,13 +83,13 @@
                 return
         elif now - self._node_suspected_at < self._silent_us:
             # The partition has just ended, and heartbeats arrive machine by machine, since a worker may have just begun
-            # to wait for an unreachable node. The last machines were released as if they had failed individually.
+            # to wait for an unreachable node. Without this check the last machines were released as failed ones.
             await self.partitions.step(now)
             return
         if await self.reachability.may_release_machines():
             await self._release_silent_machines(lost, zones_suspected=bool(partitioned))
 
-    def _lost_one_by_one(self, quiet: list[Machine], now: int) -> list[Machine]:
+    def _individually_silent(self, quiet: list[Machine], now: int) -> list[Machine]:
         """Returns machines past the silence threshold, except those that may hold the only copy of a completion."""
         leader = self._leader
         leases_expired_at = leader.led_since + leader.cluster.lease_us
@@ -138,7 +138,7 @@
     def _announce_to_recovered_zones(self, machines: list[Machine]) -> None:
         """Contacts all machines of recovered zones, those with replicas first.
 
-        Their own heartbeats arrive over several seconds: each may have just begun to wait for an unreachable node.
+        Their own heartbeats arrive over several seconds: a worker may have just begun to wait for an unreachable node.
         """
         cluster = self._leader.cluster
         recovered, cluster.zones.recovered = cluster.zones.recovered, set()
--- a/oatport/service/group_commit.py
+++ b/oatport/service/group_commit.py
@@ -91,11 +91,11 @@
     async def commit(self, batch: WriteBatch) -> None:
         """Commits a batch, retrying the same transaction until its outcome is known.
 
-        Nothing else is written meanwhile. Each key's version is a condition of the transaction, so once the outcome is
+        Nothing else is written meanwhile. Each key's revision is a condition of the transaction, so once the outcome is
         known no earlier attempt can be applied any more.
         """
         conditions = {LEADER_KEY: self._leader.token, **batch.conditions}
-        tries = 0
+        failed_attempts = 0
         self._commit_started_at = steady()
         while not self._leader.stopped:
             try:
@@ -113,10 +113,10 @@
                 if isinstance(result, Applied):
                     self.cluster.writes.committed(batch, result.revision, steady())
                 else:
-                    await self._on_conflict(batch, result.failed_keys, tries)
+                    await self._on_conflict(batch, result.failed_keys, failed_attempts)
                 return
-            tries += 1
-            await asyncio.sleep(jitter(min(RETRY_DELAY_STEP * tries, MAX_RETRY_DELAY)))
+            failed_attempts += 1
+            await asyncio.sleep(jitter(min(RETRY_DELAY_STEP * failed_attempts, MAX_RETRY_DELAY)))
 
     def _on_refused(self, error: RequestRefusedError) -> None:
         if error.status == TOO_MANY_REQUESTS:
@@ -136,11 +136,11 @@
         self.cluster.writes.is_value_limit_lowered = True
         self.cluster.writes.restore_batch(batch)
 
-    async def _on_conflict(self, batch: WriteBatch, failed: tuple[str, ...], tries: int) -> None:
+    async def _on_conflict(self, batch: WriteBatch, failed: tuple[str, ...], failed_attempts: int) -> None:
         if LEADER_KEY in failed:
-            self._leader.step_down("the leader key has another version")
+            self._leader.step_down("the leader key has another revision")
             return
-        if tries and await self._was_applied(batch):
+        if failed_attempts and await self._was_applied(batch):
             return
         others = [key for key in failed if not key.startswith(JOBS_PREFIX)]
         if others or not failed:
@@ -150,11 +150,11 @@
             return
         cancelled = {key: await self._refresh_job(key[len(JOBS_PREFIX) :]) for key in failed}
         self.cluster.writes.restore_batch(batch)
-        for key, version in cancelled.items():
+        for key, revision in cancelled.items():
             job_id = key[len(JOBS_PREFIX) :]
-            if version:
+            if revision:
                 # The user cancelled the blocked job before the outcome of its dependency was applied.
-                self.cluster.dependencies.cancel_blocked(job_id, version)
+                self.cluster.dependencies.cancel_blocked(job_id, revision)
             job = self.cluster.jobs.get(job_id)
             if job is not None and job.cancelled:
                 job.completing = False
@@ -166,7 +166,8 @@
 
         One key proves nothing: a job that the batch cancels may have been cancelled by its user with an identical
         record, while bindings of the same batch were never written. A record that was changed since does not match, so
-        the batch counts as not applied. Others write only `jobs/REF`, and only if the commit was not applied first.
+        the batch counts as not applied. Other
+        processes write only `jobs/REF`, and only if the commit was not applied first.
         """
         revisions: set[int] = set()
         for key in (*batch.sets, *batch.deletes):
@@ -199,7 +200,7 @@
         return None
 
     async def _refresh_job(self, job_id: str) -> int:
-        """Reads a job's record and applies its state; returns the record's version if the job is cancelled, else 0."""
+        """Reads a job's record and applies its state; returns the record's revision if the job is cancelled, else 0."""
         found = await self.read_with_retry(job_key(job_id))
         job = self.cluster.jobs.get(job_id)
         state = None if found is None else found[0].get("state")
--- a/oatport/service/handover.py
+++ b/oatport/service/handover.py
@@ -1,4 +1,4 @@
-"""Hands leadership over to a node that is better placed."""
+"""Hands leadership over to a better placed node: its successor or the state service answers it."""
 
 from __future__ import annotations
 
@@ -66,12 +66,12 @@
 
     async def hand_over_if_isolated(self, leader: Leader, peer: PeerClient) -> None:
         """Hands over to a peer that the state service answers, if the state service does not answer this node."""
-        if leader.state_service_down(steady()):
+        if leader.is_state_service_down(steady()):
             await self.hand_over(leader, peer, "the state service answers it")
 
     async def hand_over(self, leader: Leader, peer: PeerClient, reason: str) -> None:
         """Asks a peer to lead, and steps down if it agrees. Raises NoResponseError."""
-        leader.leader_lease.on_handover_requested(steady())  # the peer may take over even if its answer is lost
+        leader.leader_lease.on_handover_requested(steady())  # the peer may take over even if its reply is lost
         agreed = await peer.ask(Handover(leader.token), is_ok, timeout_us=HANDOVER_TIMEOUT)
         if not agreed:
             leader.leader_lease.on_handover_declined()
--- a/oatport/service/heartbeat_controller.py
+++ b/oatport/service/heartbeat_controller.py
@@ -59,7 +59,7 @@
             return None
         commands, starts = cluster.commands.for_machine(machine, now, direct=False)
         # An outdated report is a late copy, or was overtaken by the response to a command. Its sender may not receive
-        # the answer, so no start in it may count as sent.
+        # the response, so no start command in the response may count as sent.
         if is_outdated or not leader.holds_lease() or machine.releasing:
             # Tasks keep running, but none is started while the state service is unreachable, or after a process pause.
             # Machines that are being released are still sent stops: their release may stay unanswered for long, and
@@ -73,10 +73,10 @@
 
     def _is_outdated(self, report: wire.Heartbeat) -> bool:
         """Returns whether this heartbeat or a later one of the same machine was received before."""
-        known = self._leader.cluster.machines.get(report.machine_name)
-        return known is not None and (report.agent_epoch, report.heartbeat_seq) <= (
-            known.agent_epoch,
-            known.heartbeat_seq,
+        machine = self._leader.cluster.machines.get(report.machine_name)
+        return machine is not None and (report.agent_epoch, report.heartbeat_seq) <= (
+            machine.agent_epoch,
+            machine.heartbeat_seq,
         )
 
     def receive(self, report: wire.Heartbeat, now: int) -> Machine | None:
--- a/oatport/service/job_progress_publisher.py
+++ b/oatport/service/job_progress_publisher.py
@@ -1,4 +1,4 @@
-"""Publishes the counts of completed and running tasks, which users are shown, to all nodes."""
+"""Publishes the counts of completed and running tasks to all nodes, which show them to users."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
                     self._leader.background.spawn("job progress", _notify(peer, update))
 
     def _collect(self, *, full: bool) -> JobProgressUpdate:
-        """Updates this node's counts, and returns the changes that the other nodes have to apply to theirs."""
+        """Updates this node's counts, and returns the changes to send to the other nodes."""
         cluster, counts = self._leader.cluster, self._leader.node.job_progress
         jobs = cluster.jobs
         dirty = list(cluster.jobs_with_changed_counts)
--- a/oatport/service/job_watch.py
+++ b/oatport/service/job_watch.py
@@ -33,7 +33,7 @@
         self._leader = leader
         self._commits = commits
         self.on_admitted: Callable[[Job], None] | None = None  # called for each job that is not blocked
-        self.revision = 0  # all changes of job records up to this revision are known
+        self.revision = 0  # all change_set of job records up to this revision are known
         self._early_hints: list[JobAccepted | JobCancelled] = []  # received before the records were loaded
 
     def start_from(self, revision: int) -> None:
@@ -96,21 +96,21 @@
     # --- watch ------------------------------------------------------------------------------
 
     async def loop(self) -> None:
-        """Watches the job records, and records up to when all cancellations are known, until the leader stops."""
+        """Watches the job records until the leader stops, and advances the time up to which cancellations are known."""
         leader = self._leader
         while not leader.stopped:
             asked_at = steady()
             try:
-                found = await leader.state.watch(JOBS_PREFIX, self.revision, WATCH_TIMEOUT)
+                change_set = await leader.state.watch(JOBS_PREFIX, self.revision, WATCH_TIMEOUT)
             except (NoResponseError, RequestRefusedError):
                 await asyncio.sleep(jitter(RETRY_INTERVAL))
                 continue
-            if found is None:
+            if change_set is None:
                 log.warning("job watch fell behind fencing_token=%d revision=%d", leader.token, self.revision)
                 leader.step_down("the watch on jobs fell behind")
                 return
             # Only the last change of each job counts: a job that was accepted and has ended since is not admitted.
-            latest = {change.key: change for change in found.changes if not change.deleted}
+            latest = {change.key: change for change in change_set.changes if not change.deleted}
             try:
                 await self._read_overflow(latest)
             except (NoResponseError, RequestRefusedError):
@@ -118,7 +118,7 @@
                 continue
             for key, change in latest.items():
                 self._apply_change(key[len(JOBS_PREFIX) :], change.value, change.revision)
-            self._advance(found.revision)
+            self._advance(change_set.revision)
             leader.lease_renewal_limit.on_cancellations_read(asked_at)
             leader.wake()
 
--- a/oatport/service/leader.py
+++ b/oatport/service/leader.py
@@ -125,8 +125,8 @@
             len(self.cluster.machines),
         )
         self._start_controllers()
-        machines = len(self.cluster.machines)
-        self._net.set_expected_load(machines, machines)  # each machine is sent a request at first
+        machine_count = len(self.cluster.machines)
+        self._net.set_expected_load(machine_count, machine_count)  # at first, each machine is sent a request
         announce_leader_to_all(self, self._net)
         self.wake()
 
@@ -145,10 +145,10 @@
         self.job_watch.start_from(snapshot.revision)
 
     async def _load_machine_types(self, needed: set[str]) -> None:
-        """Loads the machine types that this node does not know yet from the records, or else from the cloud.
+        """Loads the machine types that this node has not read yet from the records, or else from the cloud.
 
         A process that leads right after its start may not have read the types. Without them such a leader took every
-        machine for lost while the cloud was down, and started all of its tasks again.
+        machine for lost while the cloud was down, and restarted all tasks.
         """
         types = self.cluster.catalog.types  # updated in place by `update`
         if not types or not needed <= types.keys():
@@ -198,10 +198,10 @@
         return not self.stopped and self.leader_lease.is_held(steady())
 
     def decisions_paused(self, now: int) -> bool:
-        """Returns whether new decisions must wait, because a commit is unanswered or the leader lease is not held."""
+        """Returns whether new decisions must wait: a commit is unanswered, or the leader lease is not held."""
         return self.commits.is_stuck(now) or not self.holds_lease()
 
-    def state_service_down(self, now: int) -> bool:
+    def is_state_service_down(self, now: int) -> bool:
         """Returns whether the state service has stopped answering this node."""
         return (
             now - self.state.last_success_at > STATE_SERVICE_DOWN_AFTER
@@ -243,20 +243,20 @@
 
         Lease proxies on other nodes depend on it (`control/leadership/lease_proxy.py`).
         """
-        is_known = self.loaded and not self.stopped
+        may_have_watermark = self.loaded and not self.stopped
         watermark = (
             self.cluster.job_lifecycle.cancellation_watermark(self.lease_renewal_limit.cancellations_read_at)
-            if is_known
+            if may_have_watermark
             else 0
         )
         return steady() - watermark if watermark > 0 else -1
 
     def explain(self, job_id: str) -> dict[str, Any]:
         """Returns an explanation for operators of why a job is waiting."""
-        waits = self.cluster.dependencies.explain(job_id)
-        if waits:
-            waits_on = self.cluster.dependencies.graph.dependencies_of(job_id)[:100]
-            return {"job": job_id, "held": False, "why": waits, "waitsOn": waits_on}
+        reason = self.cluster.dependencies.explain(job_id)
+        if reason:
+            dependencies = self.cluster.dependencies.graph.dependencies_of(job_id)[:100]
+            return {"job": job_id, "held": False, "why": reason, "waitsOn": dependencies}
         if self.window_controller is not None:
             return self.window_controller.explain(job_id)
         job = self.cluster.jobs.get(job_id)
--- a/oatport/service/lease_proxy_service.py
+++ b/oatport/service/lease_proxy_service.py
@@ -26,7 +26,7 @@
 from oatport.settings import ClusterSettings
 from oatport.times import SECOND, steady
 
-PROXY_STATUS_VALIDITY = 2 * SECOND  # workers are redirected to a proxy whose last answer is no older
+PROXY_STATUS_VALIDITY = 2 * SECOND  # workers are redirected to a proxy whose last reply is no older
 
 
 class ProxyNode(Protocol):
@@ -40,7 +40,7 @@
 
 
 class LeaseProxyService:
-    """Renews agents' leases on behalf of an unreachable leader, as long as this is safe."""
+    """Renews workers' leases on behalf of an unreachable leader, as long as this is safe."""
 
     def __init__(self, node: ProxyNode, settings: ClusterSettings) -> None:
         self._node = node
@@ -70,7 +70,7 @@
     # --- messages between nodes -------------------------------------------------------------
 
     async def on_watermark_request(self, request: CancellationWatermarkRequest) -> CancellationWatermark | No:
-        """Returns the cancellation watermark, which only the leader has; other nodes answer `No`."""
+        """Returns the cancellation watermark, which only the leader has; other nodes reply `No`."""
         leader = self._node.leader
         if leader is None:
             return No()
@@ -79,11 +79,11 @@
     async def on_proxy_state_request(self, request: LeaseProxyStateRequest) -> LeaseProxyState | No:
         """Returns this node's lease proxy state to a restarted node, or `No` if this node leads or has none."""
         now = steady()
-        known = self.proxy.share(now)
-        if self._node.leader is not None or known is None:
+        shared = self.proxy.share(now)
+        if self._node.leader is not None or shared is None:
             return No()
         answering = self._is_isolated(now) and now < self.proxy.valid_until()
-        return LeaseProxyState(known.fencing_token, known.watermark_age_us, known.contact_age_us, answering)
+        return LeaseProxyState(shared.fencing_token, shared.watermark_age_us, shared.contact_age_us, answering)
 
     async def refresh_from_leader(self, peer: PeerClient) -> None:
         """Updates the proxy state from the leader. Raises NoResponseError or MalformedReplyError."""
@@ -97,7 +97,7 @@
         self._other_proxies.pop(peer.name, None)
         asked_at = steady()
         try:
-            # A node of an earlier version answers with status 400.
+            # A node of an earlier version responds with status 400.
             state = await peer.ask(LeaseProxyStateRequest(), LeaseProxyState.decode_if_known)
         except (NoResponseError, MalformedReplyError):
             return
--- a/oatport/service/machine_list_controller.py
+++ b/oatport/service/machine_list_controller.py
@@ -19,7 +19,7 @@
 log = logging.getLogger(__name__)
 
 MIN_INTERVAL_S = 2.0
-REQUESTS_PER_LIST = 4.0  # lists may use one in this many requests of the rate limit
+REQUESTS_PER_LIST = 4.0  # one in this many requests of the rate limit may be for the machine list
 RETRY_INTERVAL = SECOND
 UNLISTED_SILENCE_TIMEOUT = 2 * SECOND  # how long an unlisted machine must be silent before it is released
 MAX_FAILED_PER_RELEASE = 100
@@ -52,9 +52,9 @@
     async def _apply(self, rows: list[wire.ListedMachine]) -> None:
         now = steady()
         failed = self._merge_listed(rows, now, time_of_day())
-        lost = self._unlisted_machines({row.machine_name for row in rows}, now)
-        if lost:
-            await self._cloud_controller.release(lost, "taken")
+        unlisted = self._unlisted_machines({row.machine_name for row in rows}, now)
+        if unlisted:
+            await self._cloud_controller.release(unlisted, "taken")
         if failed:
             with contextlib.suppress(NoResponseError, RequestRefusedError):
                 await self._cloud_controller.cloud.release(failed[:MAX_FAILED_PER_RELEASE])
@@ -65,9 +65,9 @@
         failed = []
         for row in rows:
             if row.status == wire.MachineStatus.FAILED:
-                known = cluster.machines.get(row.machine_name)
-                if known is not None:
-                    cluster.on_machine_removed(known, now, "failed")
+                failed_machine = cluster.machines.get(row.machine_name)
+                if failed_machine is not None:
+                    cluster.on_machine_removed(failed_machine, now, "failed")
                 failed.append(row.machine_name)
                 continue
             age_us = round(row.age_s * SECOND)
@@ -81,8 +81,8 @@
     def _unlisted_machines(self, listed: set[str], now: int) -> list[Machine]:
         """Returns silent machines that are no longer listed.
 
-        A machine stays listed until it is gone, but the list may be outdated. So only a machine that was listed before
-        and is silent is removed, and only by a release, which proves it gone.
+        A machine stays listed until it is gone, but the list may be outdated. So a machine is removed only if it was
+        listed before and is silent, and only by a release, which proves it gone.
         """
         return [
             machine
--- a/oatport/service/maintenance.py
+++ b/oatport/service/maintenance.py
@@ -39,10 +39,10 @@
         self._orphaned_job_lookup = orphaned_job_lookup
         self._capacity_planner = capacity_planner
         self._accounted_at = self._model_written_at = self._status_logged_at = 0
-        self._max_requests = 0  # most requests to workers in one interval since the last accounting
+        self._max_requests = 0  # maximum number of requests to workers in one interval since the last accounting
 
     async def loop(self) -> None:
-        """Runs until the leader stops."""
+        """Runs the periodic work until the leader stops."""
         self._accounted_at = self._model_written_at = self._status_logged_at = steady()
         self._max_requests = 0
         while not self._leader.stopped:
@@ -53,7 +53,7 @@
         cluster = self._leader.cluster
         self._max_requests = max(self._max_requests, self._command_sender.take_request_count())
         if now - self._accounted_at > ACCOUNTING_INTERVAL:
-            self._account(now)
+            self._update_accounting(now)
         self._retry_unanswered_starts(now)
         self._orphaned_job_lookup.look_up()
         cluster.completions.to_replicate()  # drops completions that have been recorded by now
@@ -67,7 +67,7 @@
             log.info("cluster status %s", status_line(cluster, self._capacity_planner, now))
             log.info("%s", cluster.job_statistics.summary())
 
-    def _account(self, now: int) -> None:
+    def _update_accounting(self, now: int) -> None:
         self._accounted_at = now
         self._net.set_expected_load(len(self._leader.cluster.machines), self._max_requests / INTERVAL_S)
         self._max_requests = 0
--- a/oatport/service/network.py
+++ b/oatport/service/network.py
@@ -19,7 +19,7 @@
 IDLE_TIMEOUT_HYSTERESIS = 1.5  # the idle timeout is changed only if the new one differs by this factor
 CONNECTION_COUNT_VALIDITY = 250 * MS
 SESSION_CLOSE_DELAY = 5 * SECOND  # requests on a replaced session have been answered or timed out by then
-PROBE_CONNECTION_FACTOR = 4  # times the limit of other calls, since most probes hang
+PROBE_CONNECTION_FACTOR = 4  # as a multiple of the limit of other calls, since most probes hang
 
 
 class Listener(Protocol):
--- a/oatport/service/node.py
+++ b/oatport/service/node.py
@@ -167,10 +167,10 @@
         connections = self.net.open_connections()
         if self.connection_budget.is_exhausted(connections) and path != wire.READY_PATH:
             return Response(503, {"error": "no connections left"}, dict(OVERLOADED_HEADERS))
-        answer = await self.users.handle(method, path, body)
+        response = await self.users.handle(method, path, body)
         if self.connection_budget.should_close_after_response(connections):
-            answer.headers["Connection"] = "close"
-        return answer
+            response.headers["Connection"] = "close"
+        return response
 
     # --- leadership -------------------------------------------------------------------------
 
@@ -229,7 +229,7 @@
         return wire.heartbeat_response(report.fencing_token, [])  # a response without commands only renews the lease
 
     def leader_name(self) -> str | None:
-        """Returns the node to which workers should send heartbeats, or None if it is not known."""
+        """Returns the name of the node to which workers should send heartbeats, or None if that node is not known."""
         return self.lease_proxy.redirect_target(self.election.leader_name)
 
     # --- users ------------------------------------------------------------------------------
@@ -241,8 +241,8 @@
     def is_ready(self) -> bool:
         """Returns whether this node is ready.
 
-        A node that the state service does not answer is unready only if it answers a peer: in an outage for all,
-        staying ready costs least. Before its first contact with the state service a node is never ready.
+        A node that the state service does not answer is unready only if the state service answers a peer: in an outage
+        for all nodes, staying ready costs least. Before its first contact with the state service a node is never ready.
         """
         if self.state_service_answers():
             self._was_ever_ready = True
--- a/oatport/service/orphaned_job_lookup.py
+++ b/oatport/service/orphaned_job_lookup.py
@@ -1,4 +1,4 @@
-"""Looks up the jobs of orphaned attempts, which a machine reports but none of this leader's records names.
+"""Looks up the jobs of orphaned attempts, which a machine reports but which are in none of the leader's records.
 
 Until the team of such an attempt is known, no team has any quota left.
 """
--- a/oatport/service/partition_controller.py
+++ b/oatport/service/partition_controller.py
@@ -18,7 +18,9 @@
 
 log = logging.getLogger(__name__)
 
-CONFIRMATION_VALIDITY = 4 * SECOND  # after this, peers are asked again whether a majority reaches none of the zone
+CONFIRMATION_VALIDITY = (
+    4 * SECOND
+)  # after this, peers are asked again whether a majority reaches no machine of the zone
 NODE_LOSS_WINDOW = 4 * SECOND  # maximum time between the loss of a node and of its zone's machines in one partition
 
 Release = Callable[[list[Machine], str], Awaitable[None]]  # takes the machines and the reason for the release
@@ -61,7 +63,8 @@
         if not cluster.zones.partitioned:
             return []
         to_release = self._evacuation.machines_to_release(now, self._zones_with_proxy())
-        # A leader in the same partition may answer heartbeats until then, and no node can ask it what it received.
+        # An earlier leader in the same partition may answer heartbeats until `answered_until`, and no node can ask it
+        # which completions it received.
         answered_until = leader.led_since + micros(leader.settings.cluster.workers.cancel_s)
         return [m for m in to_release if not cluster.completions.may_hold_unknown_completions(m, now, answered_until)]
 
--- a/oatport/service/peer_contact.py
+++ b/oatport/service/peer_contact.py
@@ -1,4 +1,4 @@
-"""Contact with the other nodes: pings in both directions, and requests that this node answers by itself."""
+"""Contact with the other nodes: pings in both directions, and replies to requests for this node's view."""
 
 from __future__ import annotations
 
@@ -108,15 +108,15 @@
         reached = await count_reachable(self._net, probe.addresses)
         return ProbeResult(reached, self._node.state_service_answers())
 
-    async def on_explain(self, question: ExplainJob) -> JobExplanation | No:
-        """Returns why a job is waiting; operators ask on the internal address, and the leader provides the answer."""
+    async def on_explain(self, request: ExplainJob) -> JobExplanation | No:
+        """Returns why a job is waiting; operators ask on the internal address, and the leader provides the reply."""
         leader = self._election.leader
         if leader is not None:
-            return JobExplanation(leader.explain(question.job_id))
+            return JobExplanation(leader.explain(request.job_id))
         peer = self._node.leading_peer()
-        if peer is None or question.forwarded:
+        if peer is None or request.forwarded:
             return No("no leader is known: ask again in a few seconds")
-        return await peer.ask(ExplainJob(question.job_id, forwarded=True), decode_explanation)
+        return await peer.ask(ExplainJob(request.job_id, forwarded=True), decode_explanation)
 
     async def on_schema_version(self, request: SchemaVersionRequest) -> SchemaVersionReply:
         """Returns the schema version that this process reads."""
--- a/oatport/service/peer_notifications.py
+++ b/oatport/service/peer_notifications.py
@@ -73,7 +73,7 @@
         """Records a cancellation and sends the leader a hint; called before each confirmation is sent to a user.
 
         `revision` is that of this node's own commit, which also marked the job's live record; it is 0 if this node
-        learnt of the cancellation in another way.
+        observed the cancellation in another way.
         """
         is_new = self.confirmed_cancellations.record(job_id, steady())
         if is_new and (revision or self._node.leader is not None):
@@ -114,7 +114,7 @@
             await asyncio.sleep(jitter(COLLECT_INTERVAL))
 
     async def collect(self, leader: Leader) -> None:
-        """Carries out confirmed cancellations, and advances the watermark if all nodes gave complete answers."""
+        """Carries out confirmed cancellations, and advances the watermark if all nodes gave complete replies."""
         asked_at, since = steady(), leader.lease_renewal_limit.cancellations_read_at
         request = ConfirmedCancellationsRequest(asked_at - since)
         replies = await asyncio.gather(
--- a/oatport/service/planning_loop.py
+++ b/oatport/service/planning_loop.py
@@ -13,8 +13,8 @@
 
 MAX_WAIT_S = 0.5  # the maximum time between two passes
 PAUSED_INTERVAL_S = 0.1
-MIN_REST = 30 * MS
-REST_PER_PASS = 3  # the rest after a planning pass, as a multiple of its duration
+MIN_DELAY = 30 * MS
+DELAY_FACTOR = 3  # the delay after a planning pass, as a multiple of the duration of the pass
 
 
 class PlanningLoop:
@@ -27,7 +27,7 @@
         self.wakeup = asyncio.Event()
 
     async def loop(self) -> None:
-        """Runs planning passes, with rests between them, until the leader stops."""
+        """Runs planning passes, with delays between them, until the leader stops."""
         leader = self._leader
         router = PendingJobRouter(leader.cluster, self._availability)
         while not leader.stopped:
@@ -45,6 +45,6 @@
             if self.placer.is_due(now):
                 self.placer.plan(now)
                 leader.wake()
-            # Rests leave most of the CPU to heartbeats and lease renewals, however much there is to plan.
+            # The delay leaves most of the CPU to heartbeats and lease renewals, however much there is to plan.
             pass_duration = steady() - now
-            await asyncio.sleep(seconds(max(MIN_REST, REST_PER_PASS * pass_duration)))
+            await asyncio.sleep(seconds(max(MIN_DELAY, DELAY_FACTOR * pass_duration)))
--- a/oatport/service/reachability.py
+++ b/oatport/service/reachability.py
@@ -29,7 +29,7 @@
     """Holds the result of asking the other nodes about silent machines.
 
     `reached_by` is a node that reaches at least half of them. `majority_reaches_none` means that a majority of all
-    nodes, including this one, answered and reach none of them.
+    nodes, including this one, replied and reach none of them.
     """
 
     reached_by: str | None
@@ -79,7 +79,7 @@
         except (NoResponseError, RequestRefusedError):
             return False
         if found is None or found[1] != self._leader.token:
-            self._leader.step_down("the leader key has another version")
+            self._leader.step_down("the leader key has another revision")
             return False
         return True
 
@@ -115,9 +115,9 @@
     async def survey_peers(self, machines: list[Machine]) -> PeerSurvey:
         """Asks the other nodes which of these machines they reach.
 
-        A majority of all nodes, including this one, must answer, but not every node: a node in a partitioned zone does
-        not answer either, and waiting for it would leave the zone's tasks unplaced until the partition ends. A leader
-        that is itself partitioned gets no answers.
+        A majority of all nodes, including this one, must reply, but not every node: a node in a partitioned zone does
+        not reply either, and waiting for it would leave the zone's tasks unplaced until the partition ends. A leader
+        that is itself partitioned gets no replies.
         """
         addresses = [m.address for m in machines if m.address][:MAX_PEER_PROBE_ADDRESSES]
         request = ProbeWorkers(addresses)
@@ -126,15 +126,15 @@
             *(peer.ask(request, ProbeResult.decode_reply, timeout_us=PEER_PROBE_TIMEOUT) for peer in peers.values()),
             return_exceptions=True,
         )
-        answering, some_reached = 1, False
+        responding_nodes, any_reached = 1, False
         for name, reply in zip(peers, replies, strict=True):
             if isinstance(reply, NoResponseError):
                 continue
             if isinstance(reply, BaseException):
-                some_reached = True  # a malformed answer proves nothing
+                any_reached = True  # a malformed reply proves nothing
             else:
                 if reply.reached * 2 >= len(addresses) > 0 and reply.state_service_answers:
                     return PeerSurvey(name, majority_reaches_none=False)
-                some_reached = some_reached or reply.reached > 0
-            answering += 1
-        return PeerSurvey(None, not some_reached and answering * 2 > len(peers) + 1)
+                any_reached = any_reached or reply.reached > 0
+            responding_nodes += 1
+        return PeerSurvey(None, not any_reached and responding_nodes * 2 > len(peers) + 1)
--- a/oatport/service/scaling_controller.py
+++ b/oatport/service/scaling_controller.py
@@ -18,7 +18,7 @@
 CATALOG_INTERVAL = 30 * SECOND
 CATALOG_RETRY_INTERVAL = SECOND  # while no types are known
 REBALANCE_INTERVAL = SECOND
-VIEW_COMPLETE_AFTER = 6 * SECOND  # of leading; machines that are unconfirmed by then are not waited for
+VIEW_COMPLETE_AFTER = 6 * SECOND  # since this node began to lead; unconfirmed machines are not waited for any longer
 CONFIRMATION_TIMEOUT = 3 * SECOND
 
 
@@ -50,10 +50,10 @@
         ):
             self._catalog_refreshed_at = now
             leader.background.spawn("catalog", self._cloud_controller.refresh_catalog())
-        if self._view_is_complete(now) and not leader.decisions_paused(now):
+        if self._is_view_complete(now) and not leader.decisions_paused(now):
             self._scale_out(now)
         idle = self._capacity_planner.scale_in.machines_to_release(now)
-        if idle and self._view_is_complete(now) and leader.holds_lease():
+        if idle and self._is_view_complete(now) and leader.holds_lease():
             await self._cloud_controller.release(idle, "returned")
 
     def _scale_out(self, now: int) -> None:
@@ -66,8 +66,8 @@
             cluster.planning_needed = cluster.planning_needed or self._has_uncordoned
         if now - self._rebalanced_at > REBALANCE_INTERVAL:
             self._rebalance(now)
-        # Only a few requests are in flight: a queue of requests that the cloud refuses would delay those that it grants
-        # until their machines are no longer needed.
+        # Few requests are in flight at a time: a queue of requests that the cloud refuses would delay those that it
+        # grants until their machines are no longer needed.
         requests = self._capacity_planner.scale_out.plan(now) if is_due and not self._has_uncordoned else []
         in_flight = self._capacity_planner.availability.requests_in_flight
         for request in requests[: max(0, MAX_REQUESTS_IN_FLIGHT - len(in_flight))]:
@@ -83,7 +83,7 @@
             cluster.tasks.stop(task, 0.0)
         self._leader.wake()
 
-    def _view_is_complete(self, now: int) -> bool:
+    def _is_view_complete(self, now: int) -> bool:
         """Returns whether the view suffices to rent and release: the list was read and machines are confirmed."""
         leader = self._leader
         if now - leader.led_since > VIEW_COMPLETE_AFTER:
--- a/oatport/settings.py
+++ b/oatport/settings.py
@@ -22,7 +22,7 @@
 
 
 class Peer(msgspec.Struct, frozen=True):
-    """Another controller node; `endpoint` is its internal address as host:port."""
+    """Holds the name and zone of another controller node; `endpoint` is its internal address as host:port."""
 
     node_name: str
     endpoint: str
@@ -30,14 +30,14 @@
 
 
 class Services(msgspec.Struct, frozen=True):
-    """The addresses of the services that a node calls, as host:port."""
+    """Holds the addresses of the services that a node calls, as host:port."""
 
     cloud: str
     state: str
 
 
 class Team(msgspec.Struct, frozen=True):
-    """A team's guaranteed cpus and gpus, and the maximum that it may use at a time; 0: no maximum."""
+    """Holds a team's guaranteed cpus and gpus, and the maximum that it may use at a time; 0: no maximum."""
 
     name: str
     cpus: float = 0.0
@@ -47,7 +47,7 @@
 
 
 class Objective(msgspec.Struct, frozen=True):
-    """A service objective for the start or the finish of a class of jobs; repeats the users' objectives."""
+    """Holds a service objective for the start or the finish of a class of jobs; repeats the users' objectives."""
 
     kind: str
     job_class: str = msgspec.field(name="class", default="")
@@ -57,7 +57,7 @@
 
 
 class Workers(msgspec.Struct, frozen=True):
-    """Timing of the workers: the heartbeat interval, the lease of their tasks, and the wait times of gangs.
+    """Holds the timing of the workers: the heartbeat interval, the lease of their tasks, and the wait times of gangs.
 
     `cancel_s`: the time within which a cancelled job's tasks have to be stopped.
     """
@@ -70,7 +70,7 @@
 
 
 class NextLimits(msgspec.Struct, frozen=True):
-    """Limits of the state service from an unknown time in the future on; a missing field keeps its present limit."""
+    """Holds the state service's limits from an unknown future time on; a missing field keeps its present limit."""
 
     rps: float | None = None
     write_rps: float | None = None
@@ -79,7 +79,7 @@
 
 
 class StateLimits(msgspec.Struct, frozen=True):
-    """Limits of the state service. Sizes are those of values encoded as JSON.
+    """Holds the limits of the state service. Sizes are those of values encoded as JSON.
 
     The `min_` properties are the lower of the present and the next limit, so they hold now and later.
     """
@@ -92,34 +92,34 @@
 
     @property
     def min_rps(self) -> float:
-        """Allowed requests per second."""
+        """Returns the allowed requests per second."""
         return min(self.rps, self.next.rps or self.rps)
 
     @property
     def min_write_rps(self) -> float:
-        """Allowed write operations per second."""
+        """Returns the allowed write operations per second."""
         return min(self.write_rps, self.next.write_rps or self.write_rps)
 
     @property
     def min_value_bytes(self) -> int:
-        """Allowed size of a value as JSON."""
+        """Returns the allowed size of a value as JSON."""
         return int(min(self.value_kb, self.next.value_kb or self.value_kb) * 1024)
 
     @property
     def min_txn_ops(self) -> int:
-        """Allowed operations in one transaction."""
+        """Returns the allowed number of operations in one transaction."""
         return min(self.txn_ops, self.next.txn_ops or self.txn_ops)
 
 
 class CloudLimits(msgspec.Struct, frozen=True):
-    """Limits of the cloud; `list_lag_s` is the maximum age of the machine list that it returns."""
+    """Holds the limits of the cloud; `list_lag_s` is the maximum age of the machine list that it returns."""
 
     rps: float
     list_lag_s: float
 
 
 class Resources(msgspec.Struct, frozen=True):
-    """Resources that one node may use."""
+    """Holds the resources that one node may use."""
 
     cpu_share: float = 1.0
     mem_mb: float = 512.0
@@ -127,7 +127,7 @@
 
 
 class ClusterSettings(msgspec.Struct, frozen=True):
-    """Settings that are the same for all nodes."""
+    """Holds the settings that are the same for all nodes."""
 
     workers: Workers
     state: StateLimits
@@ -141,7 +141,7 @@
 
 
 class Settings(msgspec.Struct, frozen=True):
-    """The platform's settings file for one node."""
+    """Holds the platform's settings file for one node."""
 
     node_name: str
     bind: str
@@ -158,7 +158,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tuning:
-    """Operators' settings (INI), all optional. Times are in seconds; docs/operations.md documents each setting."""
+    """Holds operators' settings (INI), all optional. Times are in seconds; docs/operations.md documents each one."""
 
     # [leadership]
     leader_lease_s: float = field(default=3.0, metadata={"section": "leadership", "min": 0.5, "max": 60.0})
@@ -210,7 +210,9 @@
     _check_peers(settings)
     _check_limits(settings.cluster)
     if settings.cluster.workers.cancel_s <= settings.cluster.workers.lease_s:
-        raise SettingsError("cluster.workers.cancel_s: must be above lease_s, or no cancellation is kept")
+        raise SettingsError(
+            "cluster.workers.cancel_s: must be above lease_s, or cancellations can't be enforced in time"
+        )
     _check_teams(settings.cluster.teams)
     return settings
 
@@ -293,10 +295,10 @@
     return value
 
 
-def unknown_setting_error(name: str, known: Iterable[str], where: str) -> SettingsError:
+def unknown_setting_error(name: str, existing: Iterable[str], where: str) -> SettingsError:
     """Returns the error for a setting that doesn't exist, with the most similar existing setting as a suggestion."""
-    near = difflib.get_close_matches(name, list(known), 1)
-    return SettingsError(f"{where} {name}: no such setting" + (f", did you mean {near[0]}?" if near else ""))
+    matches = difflib.get_close_matches(name, list(existing), 1)
+    return SettingsError(f"{where} {name}: no such setting" + (f", did you mean {matches[0]}?" if matches else ""))
 
 
 def load_tuning(path: str | Path | None) -> Tuning:
@@ -304,15 +306,17 @@
     if path is None:
         return Tuning()
     parser = read_ini(path)
-    known = {(setting.metadata["section"], setting.name): setting for setting in fields(Tuning)}
+    existing = {(setting.metadata["section"], setting.name): setting for setting in fields(Tuning)}
     values: dict[str, float] = {}
     for section in parser.sections():
         if section.split(" ")[0] in SECTIONS_VALIDATED_ELSEWHERE:
             continue
         for name, text in parser.items(section):
-            setting = known.get((section, name))
+            setting = existing.get((section, name))
             if setting is None:
-                raise unknown_setting_error(name, (key for at, key in known if at == section), f"{path}: [{section}]")
+                raise unknown_setting_error(
+                    name, (key for at, key in existing if at == section), f"{path}: [{section}]"
+                )
             low, high = setting.metadata["min"], setting.metadata["max"]
             values[name] = parse_ini_number(text, f"{path}: [{section}] {name}", low, high)
     return Tuning(**values)
--- a/oatport/times.py
+++ b/oatport/times.py
@@ -31,10 +31,10 @@
 
 
 class Clock(Protocol):
-    """The two clocks of one machine."""
+    """Provides the two clocks of one machine."""
 
     def steady(self) -> int:
-        """Returns microseconds from an arbitrary start; never goes backwards."""
+        """Returns microseconds since an arbitrary start; the value never decreases."""
 
     def time_of_day(self) -> int:
         """Returns microseconds since 1970 by the machine's clock."""
--- a/oatport/wire/cloud.py
+++ b/oatport/wire/cloud.py
@@ -11,7 +11,7 @@
 
 
 class MachineType(msgspec.Struct, frozen=True):
-    """One machine type of GET /catalog; prices are per hour."""
+    """Holds one machine type of GET /catalog; prices are per hour."""
 
     name: str = msgspec.field(name="label")
     cpus: float = msgspec.field(name="cores")
@@ -35,14 +35,14 @@
 
 
 class MachineStatus(StrEnum):
-    """The machine states of the cloud that oatport evaluates; the cloud may report others."""
+    """Lists the machine states that oatport evaluates; the cloud may report others."""
 
     BOOTING = "booting"
     FAILED = "failed"
 
 
 class ListedMachine(msgspec.Struct, frozen=True):
-    """One machine in a response of GET /hosts."""
+    """Holds one machine in a response of GET /hosts."""
 
     machine_name: str = msgspec.field(name="ref")
     address: str
@@ -54,7 +54,7 @@
 
 
 class MachinePage(msgspec.Struct, frozen=True):
-    """One page of GET /hosts."""
+    """Holds one page of GET /hosts."""
 
     machines: list[ListedMachine]
     has_next: bool
--- a/oatport/wire/state_service.py
+++ b/oatport/wire/state_service.py
@@ -8,14 +8,14 @@
 
 
 class StoredValue(NamedTuple):
-    """The value of a key and the revision of its last change."""
+    """Holds the value of a key and the revision of its last change."""
 
     value: Any
     revision: int
 
 
 class StoredEntry(NamedTuple):
-    """A key, its value and the revision of its last change."""
+    """Holds a key, its value and the revision of its last change."""
 
     key: str
     value: Any
@@ -23,7 +23,7 @@
 
 
 class EntryPage(NamedTuple):
-    """One page of GET /store; `revision` is that of the whole store."""
+    """Holds one page of GET /store; `revision` is that of the whole store."""
 
     entries: list[StoredEntry]
     revision: int
@@ -31,7 +31,7 @@
 
 
 class Change(NamedTuple):
-    """A change of a key; `value` is None if it was deleted."""
+    """Holds a change of a key; `value` is None if the key was deleted."""
 
     key: str
     value: Any
@@ -40,7 +40,7 @@
 
 
 class ChangeSet(NamedTuple):
-    """Changes in revision order, complete up to the store's `revision`."""
+    """Holds changes in revision order, complete up to the store's `revision`."""
 
     revision: int
     changes: list[Change]
--- a/oatport/wire/submission.py
+++ b/oatport/wire/submission.py
@@ -26,7 +26,7 @@
 
 
 class JobStatus(StrEnum):
-    """The state of a job, as shown to users and as stored in the job's record."""
+    """Lists the states of a job, as shown to users and as stored in the job's record."""
 
     QUEUED = "queued"
     RUNNING = "running"
@@ -42,7 +42,7 @@
 
 
 class Submission(msgspec.Struct, frozen=True, kw_only=True):
-    """The body of POST /submissions: a user's description of a job. Quantities are per task."""
+    """Holds the body of POST /submissions, a user's description of a job. Quantities are per task."""
 
     job_id: str = msgspec.field(name="ref")
     job_class: str = msgspec.field(name="cargo")
@@ -69,7 +69,7 @@
 
     @property
     def stop_grace_s(self) -> float:
-        """The time that a stopped task gets to exit: enough to save a checkpoint, or 0 if the job has none."""
+        """Returns the time that a stopped task gets to exit: enough to save a checkpoint, or 0 if the job has none."""
         return self.checkpoint_duration_s + 1.0 if self.checkpoint_interval_s > 0 else 0.0
 
 
--- a/oatport/wire/worker.py
+++ b/oatport/wire/worker.py
@@ -11,7 +11,7 @@
 
 
 class TaskStatus(StrEnum):
-    """The phases of a task that workers report; other values may occur and are stored unchanged."""
+    """Lists the phases of a task that workers report; other values may occur and are stored unchanged."""
 
     FETCHING_IMAGE = "pulling"
     WAITING_FOR_GANG = "waiting"
@@ -21,7 +21,7 @@
 
 
 class ExitReason(StrEnum):
-    """The reason why a task exited or its start was refused."""
+    """Lists the reasons why a task exited or its start was refused."""
 
     COMPLETED = "done"
     STOPPED = "halted"
@@ -34,7 +34,7 @@
 
 
 class TaskReport(msgspec.Struct, frozen=True):
-    """One task in a worker's heartbeat. `checkpointed`: the task's progress was saved before the task exited."""
+    """Holds one task of a heartbeat. `checkpointed`: the task's progress was saved before the task exited."""
 
     task_name: str = msgspec.field(name="leg")
     attempt: int = msgspec.field(name="sailing")
@@ -44,7 +44,7 @@
 
 
 class Heartbeat(msgspec.Struct, frozen=True):
-    """The body of POST /hello, and of every response of /commands and /show.
+    """Holds the body of POST /hello, and of every response of /commands and /show.
 
     `agent_epoch` counts the worker's starts, `heartbeat_seq` the heartbeats since the last start; `fencing_token` is
     the highest token of a leader that the worker has seen; `reclamation_notice_s` is set once the cloud has announced
