--- a/oatport/service/command_sender.py
+++ b/oatport/service/command_sender.py
@@ -60,7 +60,7 @@
                 self._leader.background.spawn("send", self.send(machine))
 
     async def send(self, machine: Machine) -> None:
-        """Sends a machine its commands, and applies the report in its response."""
+        """Sends a machine its commands, and applies the heartbeat in its response."""
         try:
             await self._send(machine)
         finally:
@@ -82,7 +82,7 @@
         self._requests += 1
         try:
             client = WorkerClient(self._net, machine.address)
-            report = await client.send_commands(leader.token, machine.agent_epoch, commands)
+            heartbeat = await client.send_commands(leader.token, machine.agent_epoch, commands)
         except RequestNotSentError:
             # No connection was made, so the commands can't arrive later.
             cluster.commands.on_start_response(machine, sent_starts)
@@ -90,9 +90,9 @@
         except NoResponseError as error:
             log.debug('commands got no response machine=%s error="%s"', machine.name, error)
             return
-        if report.fencing_token > leader.token:
-            leader.step_down(f"a worker has seen token {report.fencing_token}")
+        if heartbeat.fencing_token > leader.token:
+            leader.step_down(f"a worker has seen token {heartbeat.fencing_token}")
             return
         cluster.commands.on_start_response(machine, sent_starts)
         cluster.commands.on_contact(machine)
-        leader.receive_heartbeat(report, steady())
+        leader.receive_heartbeat(heartbeat, steady())
--- a/oatport/service/dependency_controller.py
+++ b/oatport/service/dependency_controller.py
@@ -25,7 +25,7 @@
         self.state = leader.state
 
     def start(self) -> None:
-        """Starts the loop."""
+        """Starts `loop` in the background."""
         self._leader.background.supervise("dependencies", self.loop)
 
     async def loop(self) -> None:
@@ -34,7 +34,7 @@
             await asyncio.sleep(INTERVAL_S)
             await self._read(sorted(self.cluster.dependencies.graph.unresolved))
             if self.cluster.dependencies.graph.unresolved:
-                await asyncio.sleep(REREAD_INTERVAL_S)  # a job accepted just now arrives through the watch
+                await asyncio.sleep(REREAD_INTERVAL_S)  # the watch may report jobs accepted just now
 
     async def _read(self, pending_ids: list[str]) -> None:
         """Reads several records per request, with one request in flight at a time."""
--- a/oatport/service/failover.py
+++ b/oatport/service/failover.py
@@ -89,10 +89,10 @@
         if leader.stopped or machine.removed or machine.has_reported_under(leader.token):
             return
         try:
-            report = await client.fetch_status()
+            heartbeat = await client.fetch_status()
             leader.cluster.commands.on_contact(machine)
-            leader.receive_heartbeat(report, steady())
-            if report.fencing_token < leader.token:
-                leader.receive_heartbeat(await client.send_commands(leader.token, report.agent_epoch, []), steady())
+            leader.receive_heartbeat(heartbeat, steady())
+            if heartbeat.fencing_token < leader.token:
+                leader.receive_heartbeat(await client.send_commands(leader.token, heartbeat.agent_epoch, []), steady())
         except NoResponseError:
             await asyncio.sleep(jitter(ANNOUNCE_RETRY_INTERVAL))
--- a/oatport/service/failure_detector.py
+++ b/oatport/service/failure_detector.py
@@ -1,4 +1,4 @@
-"""The failure detector: finds silent machines, and releases them unless this node itself is partitioned."""
+"""The failure detector: finds silent machines, and releases them unless this node is the one that failed."""
 
 from __future__ import annotations
 
--- a/oatport/service/group_commit.py
+++ b/oatport/service/group_commit.py
@@ -166,8 +166,8 @@
 
         One key proves nothing: a job that the batch cancels may have been cancelled by its user with an identical
         record, while bindings of the same batch were never written. A record that was changed since does not match, so
-        the batch counts as not applied. Other
-        processes write only `jobs/REF`, and only if the commit was not applied first.
+        the batch counts as not applied. Other processes write only `jobs/REF`, and only if the commit was not applied
+        first.
         """
         revisions: set[int] = set()
         for key in (*batch.sets, *batch.deletes):
--- a/oatport/service/handover.py
+++ b/oatport/service/handover.py
@@ -1,4 +1,4 @@
-"""Hands leadership over to a better placed node: its successor or the state service answers it."""
+"""Hands leadership over to a better placed node: one whose successor is up, or that the state service answers."""
 
 from __future__ import annotations
 
--- a/oatport/service/heartbeat_controller.py
+++ b/oatport/service/heartbeat_controller.py
@@ -1,4 +1,4 @@
-"""Handles machines' heartbeats; the leader's responses renew their leases and carry commands."""
+"""Handles workers' heartbeats; the leader's responses renew the workers' leases and carry commands."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class HeartbeatController:
-    """Answers workers' heartbeats for a leader."""
+    """Applies workers' heartbeats to the `ClusterState` of a leader, and builds the responses."""
 
     def __init__(
         self,
@@ -37,20 +37,20 @@
         leader = self._leader
         return leader.loaded and not leader.stopped and steady() < leader.lease_renewal_limit.until
 
-    def answer(self, report: wire.Heartbeat) -> dict[str, Any] | None:
+    def answer(self, heartbeat: wire.Heartbeat) -> dict[str, Any] | None:
         """Returns the response to a heartbeat, or None if the heartbeat must stay unanswered."""
         if not self.may_answer():
             return None
         leader, cluster = self._leader, self._leader.cluster
-        if report.fencing_token > leader.token:
-            leader.step_down(f"a worker has seen token {report.fencing_token}")
+        if heartbeat.fencing_token > leader.token:
+            leader.step_down(f"a worker has seen token {heartbeat.fencing_token}")
             return None
         now = leader.now()
-        is_outdated = self._is_outdated(report)
-        machine = self.receive(report, now)
+        is_outdated = self._is_outdated(heartbeat)
+        machine = self.receive(heartbeat, now)
         if machine is None:
             return wire.heartbeat_response(leader.token, [])
-        cluster.commands.on_heartbeat_delivered(machine, report)
+        cluster.commands.on_heartbeat_delivered(machine, heartbeat)
         if machine.command_unreachable:
             self._probe([machine], now)
         if cluster.commands.must_let_lease_expire(machine, now):
@@ -58,8 +58,8 @@
             log.warning("lease is left to expire machine=%s", machine.name)
             return None
         commands, starts = cluster.commands.for_machine(machine, now, direct=False)
-        # An outdated report is a late copy, or was overtaken by the response to a command. Its sender may not receive
-        # the response, so no start command in the response may count as sent.
+        # An outdated heartbeat is a late copy, or was overtaken by the response to a command. Its sender may not
+        # receive this response, so no start command in the response may count as sent.
         if is_outdated or not leader.holds_lease() or machine.releasing:
             # Tasks keep running, but none is started while the state service is unreachable, or after a process pause.
             # Machines that are being released are still sent stops: their release may stay unanswered for long, and
@@ -71,18 +71,18 @@
             cluster.machines_to_command.discard(machine)
         return wire.heartbeat_response(leader.token, commands)
 
-    def _is_outdated(self, report: wire.Heartbeat) -> bool:
+    def _is_outdated(self, heartbeat: wire.Heartbeat) -> bool:
         """Returns whether this heartbeat or a later one of the same machine was received before."""
-        machine = self._leader.cluster.machines.get(report.machine_name)
-        return machine is not None and (report.agent_epoch, report.heartbeat_seq) <= (
+        machine = self._leader.cluster.machines.get(heartbeat.machine_name)
+        return machine is not None and (heartbeat.agent_epoch, heartbeat.heartbeat_seq) <= (
             machine.agent_epoch,
             machine.heartbeat_seq,
         )
 
-    def receive(self, report: wire.Heartbeat, now: int) -> Machine | None:
-        """Applies a machine's report; returns None if the machine is unknown and cannot be added."""
+    def receive(self, heartbeat: wire.Heartbeat, now: int) -> Machine | None:
+        """Applies a machine's heartbeat; returns None if the machine is unknown and cannot be added."""
         cluster = self._leader.cluster
-        machine = cluster.heartbeats.receive(report, now, time_of_day())
+        machine = cluster.heartbeats.receive(heartbeat, now, time_of_day())
         if cluster.quotas.attempts_of_unknown_jobs:
             self._orphaned_job_lookup.look_up()
         self._leader.wake()
--- a/oatport/service/job_watch.py
+++ b/oatport/service/job_watch.py
@@ -33,7 +33,7 @@
         self._leader = leader
         self._commits = commits
         self.on_admitted: Callable[[Job], None] | None = None  # called for each job that is not blocked
-        self.revision = 0  # all change_set of job records up to this revision are known
+        self.revision = 0  # all changes of job records up to this revision are applied
         self._early_hints: list[JobAccepted | JobCancelled] = []  # received before the records were loaded
 
     def start_from(self, revision: int) -> None:
@@ -99,7 +99,7 @@
         """Watches the job records until the leader stops, and advances the time up to which cancellations are known."""
         leader = self._leader
         while not leader.stopped:
-            asked_at = steady()
+            requested_at = steady()
             try:
                 change_set = await leader.state.watch(JOBS_PREFIX, self.revision, WATCH_TIMEOUT)
             except (NoResponseError, RequestRefusedError):
@@ -119,7 +119,7 @@
             for key, change in latest.items():
                 self._apply_change(key[len(JOBS_PREFIX) :], change.value, change.revision)
             self._advance(change_set.revision)
-            leader.lease_renewal_limit.on_cancellations_read(asked_at)
+            leader.lease_renewal_limit.on_cancellations_read(requested_at)
             leader.wake()
 
     async def _read_overflow(self, latest: dict[str, wire.Change]) -> None:
--- a/oatport/service/leader.py
+++ b/oatport/service/leader.py
@@ -131,7 +131,7 @@
         self.wake()
 
     async def _load(self) -> None:
-        asked_at = steady()  # cancellations confirmed while the records are read may not be among them
+        requested_at = steady()  # cancellations confirmed while the records are read may not be among them
         snapshot, earlier = await asyncio.gather(read_records(self.state), self.node.completions_before(self.token))
         await self._load_machine_types(recorded_machine_types(snapshot.rows))
         load_cluster(self.cluster, snapshot.rows, steady(), time_of_day())
@@ -140,7 +140,7 @@
         self.cluster.completions.may_miss_earlier_completions = not earlier.complete
         if self.window_controller is not None:
             await self.window_controller.fail_over()
-        self.lease_renewal_limit.on_cancellations_read(asked_at)
+        self.lease_renewal_limit.on_cancellations_read(requested_at)
         self.loaded = True
         self.job_watch.start_from(snapshot.revision)
 
@@ -230,13 +230,13 @@
             self.cluster.completions.apply(completions)
             self.wake()
 
-    def answer_heartbeat(self, report: wire.Heartbeat) -> dict[str, Any] | None:
+    def answer_heartbeat(self, heartbeat: wire.Heartbeat) -> dict[str, Any] | None:
         """Returns the response to a worker's heartbeat, or None if this leader may not renew leases now."""
-        return self.heartbeats.answer(report)
+        return self.heartbeats.answer(heartbeat)
 
-    def receive_heartbeat(self, report: wire.Heartbeat, now: int) -> Machine | None:
-        """Applies a machine's report; returns None if the machine is unknown and cannot be added."""
-        return self.heartbeats.receive(report, now)
+    def receive_heartbeat(self, heartbeat: wire.Heartbeat, now: int) -> Machine | None:
+        """Applies a machine's heartbeat; returns None if the machine is unknown and cannot be added."""
+        return self.heartbeats.receive(heartbeat, now)
 
     def cancellation_watermark_age(self) -> int:
         """Returns the age (us) of the cancellation watermark, or -1 if there is none.
--- a/oatport/service/leader_context.py
+++ b/oatport/service/leader_context.py
@@ -80,5 +80,5 @@
     def wake(self) -> None:
         """Wakes the loops that have pending planning, writes or commands."""
 
-    def receive_heartbeat(self, report: wire.Heartbeat, now: int) -> Machine | None:
-        """Applies a machine's report; returns None if the machine is unknown and cannot be added."""
+    def receive_heartbeat(self, heartbeat: wire.Heartbeat, now: int) -> Machine | None:
+        """Applies a machine's heartbeat; returns None if the machine is unknown and cannot be added."""
--- a/oatport/service/lease_proxy_service.py
+++ b/oatport/service/lease_proxy_service.py
@@ -47,10 +47,10 @@
         self.proxy = LeaseProxy.create(settings)
         self._other_proxies: dict[str, int] = {}  # node name -> when it last reported that it answers workers (steady)
 
-    def may_answer(self, report: wire.Heartbeat) -> bool:
+    def may_answer(self, heartbeat: wire.Heartbeat) -> bool:
         """Returns whether this node may answer a heartbeat on behalf of the leader."""
         state = self._node.state
-        return self.proxy.may_answer(report.fencing_token, steady(), state.last_success_at, state.last_failure_at)
+        return self.proxy.may_answer(heartbeat.fencing_token, steady(), state.last_success_at, state.last_failure_at)
 
     def redirect_target(self, leader: str | None) -> str | None:
         """Returns the node to which workers are redirected: the leader, or if isolated from it, another lease proxy.
@@ -87,15 +87,15 @@
 
     async def refresh_from_leader(self, peer: PeerClient) -> None:
         """Updates the proxy state from the leader. Raises NoResponseError or MalformedReplyError."""
-        asked_at = steady()
+        requested_at = steady()
         watermark = await peer.ask(CancellationWatermarkRequest(), CancellationWatermark.decode_if_known)
         if watermark is not None:
-            self.proxy.on_watermark(watermark.fencing_token, asked_at, watermark.age_us)
+            self.proxy.on_watermark(watermark.fencing_token, requested_at, watermark.age_us)
 
     async def refresh_from_proxy(self, peer: PeerClient) -> None:
         """Updates the proxy state from another node while the state service is unreachable; ignores request errors."""
         self._other_proxies.pop(peer.name, None)
-        asked_at = steady()
+        requested_at = steady()
         try:
             # A node of an earlier version responds with status 400.
             state = await peer.ask(LeaseProxyStateRequest(), LeaseProxyState.decode_if_known)
@@ -103,6 +103,6 @@
             return
         if state is None:
             return
-        self.proxy.on_watermark(state.fencing_token, asked_at, state.watermark_age_us, state.contact_age_us)
+        self.proxy.on_watermark(state.fencing_token, requested_at, state.watermark_age_us, state.contact_age_us)
         if state.answering:
-            self._other_proxies[peer.name] = asked_at
+            self._other_proxies[peer.name] = requested_at
--- a/oatport/service/machine_list_controller.py
+++ b/oatport/service/machine_list_controller.py
@@ -37,7 +37,7 @@
         """Lists machines until the leader stops."""
         interval_s = max(MIN_INTERVAL_S, REQUESTS_PER_LIST / self._leader.settings.cluster.cloud.rps)
         while not self._leader.stopped:
-            asked_at = steady()
+            requested_at = steady()
             try:
                 rows = await self._cloud_controller.cloud.list_machines()
             except (NoResponseError, RequestRefusedError, wire.InvalidMessageError) as error:
@@ -45,7 +45,7 @@
                 await asyncio.sleep(jitter(RETRY_INTERVAL))
                 continue
             await self._apply(rows)
-            self.listed_at = asked_at
+            self.listed_at = requested_at
             self._leader.wake()
             await asyncio.sleep(jitter(round(interval_s * SECOND)))
 
--- a/oatport/service/node.py
+++ b/oatport/service/node.py
@@ -220,13 +220,13 @@
 
     # --- heartbeats -------------------------------------------------------------------------
 
-    def answer_heartbeat(self, report: wire.Heartbeat) -> dict[str, Any] | None:
+    def answer_heartbeat(self, heartbeat: wire.Heartbeat) -> dict[str, Any] | None:
         """Returns the response to a heartbeat, or None if this node may not renew leases now."""
         if self.leader is not None:
-            return self.leader.answer_heartbeat(report)
-        if not self.lease_proxy.may_answer(report):
+            return self.leader.answer_heartbeat(heartbeat)
+        if not self.lease_proxy.may_answer(heartbeat):
             return None
-        return wire.heartbeat_response(report.fencing_token, [])  # a response without commands only renews the lease
+        return wire.heartbeat_response(heartbeat.fencing_token, [])  # a response without commands only renews the lease
 
     def leader_name(self) -> str | None:
         """Returns the name of the node to which workers should send heartbeats, or None if that node is not known."""
--- a/oatport/service/peer_contact.py
+++ b/oatport/service/peer_contact.py
@@ -1,4 +1,4 @@
-"""Contact with the other nodes: pings in both directions, and replies to requests for this node's view."""
+"""Contact with the other nodes: pings in both directions, and handlers of probes, queries and progress updates."""
 
 from __future__ import annotations
 
--- a/oatport/service/peer_notifications.py
+++ b/oatport/service/peer_notifications.py
@@ -115,8 +115,8 @@
 
     async def collect(self, leader: Leader) -> None:
         """Carries out confirmed cancellations, and advances the watermark if all nodes gave complete replies."""
-        asked_at, since = steady(), leader.lease_renewal_limit.cancellations_read_at
-        request = ConfirmedCancellationsRequest(asked_at - since)
+        requested_at, since = steady(), leader.lease_renewal_limit.cancellations_read_at
+        request = ConfirmedCancellationsRequest(requested_at - since)
         replies = await asyncio.gather(
             *(peer.ask(request, ConfirmedCancellationsReply.decode) for peer in self._node.peers.values()),
             return_exceptions=True,
@@ -135,8 +135,8 @@
                 raise reply
             job_ids |= dict.fromkeys(reply.job_ids)
             confirmed = ConfirmedCancellations(reply.job_ids, reply.complete_us)
-            complete = complete and confirmed.is_complete_since(since, asked_at, answered_at)
+            complete = complete and confirmed.is_complete_since(since, requested_at, answered_at)
         for job_id in job_ids:
             leader.on_job_hint(JobCancelled(job_id, None, 0))
         if complete:
-            leader.lease_renewal_limit.on_cancellations_read(asked_at)
+            leader.lease_renewal_limit.on_cancellations_read(requested_at)
--- a/oatport/service/planning_loop.py
+++ b/oatport/service/planning_loop.py
@@ -11,7 +11,7 @@
 from oatport.service.leader_context import LeaderContext
 from oatport.times import MS, seconds, steady, time_of_day
 
-MAX_WAIT_S = 0.5  # the maximum time between two passes
+MAX_WAIT_S = 0.5  # the maximum wait for `wakeup` before a pass
 PAUSED_INTERVAL_S = 0.1
 MIN_DELAY = 30 * MS
 DELAY_FACTOR = 3  # the delay after a planning pass, as a multiple of the duration of the pass
--- a/oatport/service/reachability.py
+++ b/oatport/service/reachability.py
@@ -54,9 +54,9 @@
 
     async def _probe(self, machine: Machine) -> None:
         try:
-            report = await WorkerClient(self._net, machine.address, ConnectionReuse.NEVER).fetch_status()
+            heartbeat = await WorkerClient(self._net, machine.address, ConnectionReuse.NEVER).fetch_status()
             self._leader.cluster.commands.on_contact(machine)
-            self._leader.receive_heartbeat(report, steady())
+            self._leader.receive_heartbeat(heartbeat, steady())
         except NoResponseError:
             pass
         finally:
@@ -85,12 +85,12 @@
 
     async def step_down_if_reached_by_peer(self, machines: list[Machine]) -> PeerSurvey:
         """Steps down if another node reaches these machines, which are silent to this one."""
-        asked_at = steady()
+        requested_at = steady()
         # This node probes once more itself: after a busy period, heartbeats may have arrived but not been read yet.
         own = asyncio.gather(*(self._probe(m) for m in machines[:MAX_OWN_PROBES] if m.address))
         survey = await self.survey_peers(machines)
         await own
-        if any(m.last_heartbeat_at >= asked_at for m in machines):
+        if any(m.last_heartbeat_at >= requested_at for m in machines):
             return PeerSurvey(None, survey.majority_reaches_none)
         if survey.reached_by is not None:
             log.warning("machines are silent to this node only count=%d peer=%s", len(machines), survey.reached_by)
--- a/oatport/service/schema_version_controller.py
+++ b/oatport/service/schema_version_controller.py
@@ -36,7 +36,7 @@
         self._leader = leader
 
     def start(self) -> None:
-        """Starts the loop."""
+        """Starts `loop` in the background."""
         self._leader.background.supervise("schema version", self.loop)
 
     async def loop(self) -> None:
--- a/oatport/service/window_controller.py
+++ b/oatport/service/window_controller.py
@@ -59,7 +59,7 @@
         return {"book": self.book.record(self.wall()), **self.deferrals.record()}
 
     def start(self) -> None:
-        """Starts the loops."""
+        """Starts the window loop and, if a price feed is configured, its client."""
         self._leader.background.supervise("windows", self._loop)
         if self.settings.feed:
             client = FeedClient(
