--- a/oatport/clients/http.py
+++ b/oatport/clients/http.py
@@ -133,4 +133,4 @@
         try:
             return status, wire.decode(raw)
         except wire.InvalidMessageError as error:
-            raise NoResponseError(f"status {status} with a body that is {error}") from error
+            raise NoResponseError(f"status {status}, invalid body: {error}") from error
--- a/oatport/service/failure_detector.py
+++ b/oatport/service/failure_detector.py
@@ -26,7 +26,7 @@
 INTERVAL_S = 0.5
 INTERVAL_PARTITIONED_S = 0.25  # while any zone is partitioned
 PROBES_PER_STEP = 8  # probes of machines in partitioned zones, or of those that commands do not reach
-NEVER = -(1 << 62)
+NEVER = -(1 << 62)  # a time long before the start of any process
 
 
 class FailureDetector:
--- a/oatport/service/group_commit.py
+++ b/oatport/service/group_commit.py
@@ -136,21 +136,23 @@
         self.cluster.writes.is_value_limit_lowered = True
         self.cluster.writes.restore_batch(batch)
 
-    async def _on_conflict(self, batch: WriteBatch, failed: tuple[str, ...], failed_attempts: int) -> None:
-        if LEADER_KEY in failed:
+    async def _on_conflict(self, batch: WriteBatch, failed_keys: tuple[str, ...], failed_attempts: int) -> None:
+        if LEADER_KEY in failed_keys:
             self._leader.step_down("the leader key has another revision")
             return
         if failed_attempts and await self._was_applied(batch):
             return
-        others = [key for key in failed if not key.startswith(JOBS_PREFIX)]
-        if others or not failed:
+        leader_keys = [key for key in failed_keys if not key.startswith(JOBS_PREFIX)]
+        if leader_keys or not failed_keys:
             # Another process wrote a key that only the leader writes: the leader's view differs from the records.
-            log.error("records differ from the view fencing_token=%d keys=%s", self._leader.token, ",".join(others))
+            log.error(
+                "records differ from the view fencing_token=%d keys=%s", self._leader.token, ",".join(leader_keys)
+            )
             self._leader.step_down("records differ from what was expected")
             return
-        cancelled = {key: await self._refresh_job(key[len(JOBS_PREFIX) :]) for key in failed}
+        cancellations = {key: await self._refresh_job(key[len(JOBS_PREFIX) :]) for key in failed_keys}
         self.cluster.writes.restore_batch(batch)
-        for key, revision in cancelled.items():
+        for key, revision in cancellations.items():
             job_id = key[len(JOBS_PREFIX) :]
             if revision:
                 # The user cancelled the blocked job before the outcome of its dependency was applied.
--- a/oatport/service/reachability.py
+++ b/oatport/service/reachability.py
@@ -87,9 +87,9 @@
         """Steps down if another node reaches these machines, which are silent to this one."""
         requested_at = steady()
         # This node probes once more itself: after a busy period, heartbeats may have arrived but not been read yet.
-        own = asyncio.gather(*(self._probe(m) for m in machines[:MAX_OWN_PROBES] if m.address))
+        own_probes = asyncio.gather(*(self._probe(m) for m in machines[:MAX_OWN_PROBES] if m.address))
         survey = await self.survey_peers(machines)
-        await own
+        await own_probes
         if any(m.last_heartbeat_at >= requested_at for m in machines):
             return PeerSurvey(None, survey.majority_reaches_none)
         if survey.reached_by is not None:
--- a/oatport/service/scaling_controller.py
+++ b/oatport/service/scaling_controller.py
@@ -18,8 +18,8 @@
 CATALOG_INTERVAL = 30 * SECOND
 CATALOG_RETRY_INTERVAL = SECOND  # while no types are known
 REBALANCE_INTERVAL = SECOND
-VIEW_COMPLETE_AFTER = 6 * SECOND  # since this node began to lead; unconfirmed machines are not waited for any longer
-CONFIRMATION_TIMEOUT = 3 * SECOND
+VIEW_COMPLETE_AFTER = 6 * SECOND  # after the start of leadership, whatever has not been confirmed by then
+CONFIRMATION_TIMEOUT = 3 * SECOND  # after the start of leadership, to wait for unconfirmed machines
 
 
 class ScalingController:
--- a/oatport/service/state_service_contact.py
+++ b/oatport/service/state_service_contact.py
@@ -17,7 +17,7 @@
 log = logging.getLogger(__name__)
 
 ANSWER_VALIDITY = 2 * SECOND
-CHECK_INTERVAL = 500 * MS  # of contact, while this node does not lead
+CHECK_INTERVAL = 500 * MS  # between contact checks while this node does not lead
 RETRY_INTERVAL = 250 * MS
 RENEWALS_PER_LEASE = 4
 
--- a/oatport/settings.py
+++ b/oatport/settings.py
@@ -47,7 +47,7 @@
 
 
 class Objective(msgspec.Struct, frozen=True):
-    """Holds a service objective for the start or the finish of a class of jobs; repeats the users' objectives."""
+    """Holds a service objective for the start or the finish of a class of jobs; it repeats one that the users set."""
 
     kind: str
     job_class: str = msgspec.field(name="class", default="")
