--- a/oatport/service/leader_context.py
+++ b/oatport/service/leader_context.py
@@ -57,7 +57,7 @@
     settings: Settings
     tuning: Tuning
     state: StateClient
-    token: int  # the fencing token: the version of the leader key
+    token: int  # the fencing token: the revision of the leader key
     cluster: ClusterState
     background: BackgroundTasks  # cancelled when the leader steps down
     led_since: int  # when this leader took the leader key (steady)
