--- a/oatport/clients/http.py
+++ b/oatport/clients/http.py
@@ -43,7 +43,7 @@
 
 
 class ConnectionReuse(StrEnum):
-    """Whether a connection is kept open after a response."""
+    """Defines whether a connection is kept open after a response."""
 
     KEEP_ALIVE = "keep_alive"  # kept for IDLE_TIMEOUT
     WHILE_SPARE = "while_spare"  # kept as long as enough sockets are free
@@ -133,4 +133,4 @@
         try:
             return status, wire.decode(raw)
         except wire.InvalidMessageError as error:
-            raise NoResponseError(f"status {status} with a body that is {error}") from error
+            raise NoResponseError(f"status {status}, invalid body: {error}") from error
--- a/oatport/service/peer_notifications.py
+++ b/oatport/service/peer_notifications.py
@@ -73,7 +73,7 @@
         """Records a cancellation and sends the leader a hint; called before each confirmation is sent to a user.
 
         `revision` is that of this node's own commit, which also marked the job's live record; it is 0 if this node
-        learnt of the cancellation in another way.
+        observed the cancellation in another way.
         """
         is_new = self.confirmed_cancellations.record(job_id, steady())
         if is_new and (revision or self._node.leader is not None):
@@ -114,9 +114,9 @@
             await asyncio.sleep(jitter(COLLECT_INTERVAL))
 
     async def collect(self, leader: Leader) -> None:
-        """Carries out confirmed cancellations, and advances the watermark if all nodes gave complete answers."""
-        asked_at, since = steady(), leader.lease_renewal_limit.cancellations_read_at
-        request = ConfirmedCancellationsRequest(asked_at - since)
+        """Carries out confirmed cancellations, and advances the watermark if all nodes gave complete replies."""
+        requested_at, since = steady(), leader.lease_renewal_limit.cancellations_read_at
+        request = ConfirmedCancellationsRequest(requested_at - since)
         replies = await asyncio.gather(
             *(peer.ask(request, ConfirmedCancellationsReply.decode) for peer in self._node.peers.values()),
             return_exceptions=True,
@@ -135,8 +135,8 @@
                 raise reply
             job_ids |= dict.fromkeys(reply.job_ids)
             confirmed = ConfirmedCancellations(reply.job_ids, reply.complete_us)
-            complete = complete and confirmed.is_complete_since(since, asked_at, answered_at)
+            complete = complete and confirmed.is_complete_since(since, requested_at, answered_at)
         for job_id in job_ids:
             leader.on_job_hint(JobCancelled(job_id, None, 0))
         if complete:
-            leader.lease_renewal_limit.on_cancellations_read(asked_at)
+            leader.lease_renewal_limit.on_cancellations_read(requested_at)
