--- a/oatport/simulation/cloud_service.py
+++ b/oatport/simulation/cloud_service.py
@@ -19,7 +19,7 @@
 
 
 class MachineRegistry:
-    """Holds the rented machines and the rental requests, without a clock: `CloudService` adds time and limits."""
+    """Holds the rented machines and the rental requests. It has no clock: `CloudService` adds delays and limits."""
 
     def __init__(self, types: list[dict[str, Any]], capacity: int | dict[Offering, int] = 20) -> None:
         self.types = types
@@ -31,7 +31,7 @@
         self.rented_count = 0
 
     def catalog(self) -> dict[str, Any]:
-        """Returns the machine types."""
+        """Returns the machine types as the cloud's catalog lists them."""
         return {"berthKinds": self.types}
 
     def _available(self, offering: Offering) -> int:
@@ -114,7 +114,7 @@
             self._snapshots.popleft()
 
     async def serve(self, method: str, target: str, body: Any) -> ServiceResponse:
-        """Responds to one request after a delay."""
+        """Responds to one request of the cloud's API after 20 to 80 ms."""
         self.request_counts["requests"] += 1
         await asyncio.sleep(seconds(20 * MS + self.rng.randrange(60 * MS)))
         now = self.host.loop.time()
--- a/oatport/simulation/crash_patterns.py
+++ b/oatport/simulation/crash_patterns.py
@@ -117,7 +117,7 @@
 
 
 def overtaken_starts(builder: PlanBuilder) -> None:
-    """Delays start commands so that they are sent again; the late ones arrive when the tasks run elsewhere."""
+    """Delays start commands so that they are sent again; the delayed ones arrive when the tasks run elsewhere."""
     rng = builder.rng
     for at_s in builder.wave_times_s():
         builder.add_delayed_starts(at_s, 1.2, rng.uniform(4, 6))
@@ -133,15 +133,15 @@
 
 
 def long_zone_partition(builder: PlanBuilder) -> None:
-    """Cuts a zone, which may be that of the leader, off for longer than a cancellation may take."""
+    """Cuts off a zone, which may be that of the leader, for longer than a cancellation may take (`cancel_s`)."""
     rng = builder.rng
     at_s = rng.uniform(10, max(11.0, builder.for_s - 75))
     builder.add("zone_cut", at_s, rng.uniform(46, 60), zone=rng.choice(builder.zones), mode="hold")
     builder.add("users_cancel", at_s + rng.uniform(0, 3), count=builder.tenth_of_machines * 2)
 
 
-# Each random plan has one of these patterns, drawn by weight. Overtaken starts have the highest weight: their effects
-# are rare, and other faults mask them.
+# Each random plan has one of these patterns, drawn by weight. Overtaken starts have the highest weight, because their
+# effects are rare and other faults mask them.
 TARGETED_PATTERNS: dict[Pattern, int] = {
     overtaken_starts: 10,
     crash_with_starts_in_flight: 7,
--- a/oatport/simulation/deployment.py
+++ b/oatport/simulation/deployment.py
@@ -117,7 +117,7 @@
 
 
 def capacity(plan: Plan) -> dict[tuple[str, str, bool], int]:
-    """Returns the cloud's capacity by type, zone and spot: a tenth are large machines, and half are spot."""
+    """Returns the cloud's capacity by type, zone and spot; a tenth are large machines, and half are spot machines."""
     capacities: dict[tuple[str, str, bool], int] = {}
     for number in range(plan.machines):
         type_name = "g16" if number % 10 == 9 else "m8"
--- a/oatport/simulation/fault_interactions.py
+++ b/oatport/simulation/fault_interactions.py
@@ -1,6 +1,6 @@
-"""Fault plans in which two faults interact. Their times are drawn around leases, `cancel_s`, takeovers and handovers.
+"""Fault plans in which two faults interact, at times drawn around leases, `cancel_s`, takeovers and handovers.
 
-Each function adds the faults of one interaction of docs/fault-interactions.md.
+Each function adds the faults of one interaction that docs/fault-interactions.md lists.
 """
 
 from __future__ import annotations
@@ -57,28 +57,28 @@
 
 
 def stale_heartbeats(builder: PlanBuilder) -> None:
-    """Delivers stale copies of heartbeats: of an earlier session, of an earlier attempt, or under an earlier leader."""
+    """Delivers stale copies of heartbeats: of an earlier agent epoch, attempt or leader's term."""
     rng = builder.rng
     at_s = builder.random_time_s(60)
     builder.add("report_copies", at_s - 5, 45, amount=rng.choice([4.0, LEASE_S + 2, 2 * LEASE_S, 50.0]))
-    for fault in rng.sample(("blink", "deaf", "hang", "taken", "lead", "cut"), 3):
+    for fault in rng.sample(("restart", "deaf", "hang", "reclaim", "leader crash", "cut"), 3):
         begin_s = at_s + rng.uniform(0, 20)
-        if fault == "blink":
+        if fault == "restart":
             builder.add("machine_blink", begin_s, count=builder.tenth_of_machines * 2, amount=rng.choice([0.0, 1.0]))
         elif fault == "deaf":
             builder.add("machine_deaf", begin_s, LEASE_S + rng.uniform(-3, 6), count=builder.tenth_of_machines * 2)
         elif fault == "hang":
             builder.add("machine_hang", begin_s, LEASE_S + rng.uniform(-6, 6), count=builder.tenth_of_machines * 2)
-        elif fault == "taken":
+        elif fault == "reclaim":
             builder.add("machines_taken", begin_s, count=builder.tenth_of_machines, amount=rng.choice([0.0, 4.0]))
-        elif fault == "lead":
+        elif fault == "leader crash":
             builder.crash_leader(begin_s)
         else:
             builder.add("machine_cut", begin_s, LEASE_S + rng.uniform(-3, 4), count=builder.tenth_of_machines * 2)
 
 
 def isolated_leader(builder: PlanBuilder) -> None:
-    """Cuts the leader off from state service and peers, not from workers and users; other nodes cancel jobs."""
+    """Cuts the leader off from state service and peers, not from workers and users, while users cancel jobs."""
     rng = builder.rng
     at_s = builder.random_time_s(70)
     duration_s = rng.choice([rng.uniform(4, 20), CANCEL_S - LEASE_S + rng.uniform(-4, 6), 50.0])
@@ -128,7 +128,7 @@
 
 
 def unreachable_machines(builder: PlanBuilder) -> None:
-    """Crashes the leader while machines are unreachable, or don't get the responses of the new leader."""
+    """Crashes the leader while machines are unreachable or do not receive the responses of the new leader."""
     rng = builder.rng
     at_s = builder.random_time_s(70)
     kind = rng.choice(["machine_deaf", "machine_cut", "machine_hang"])
@@ -142,7 +142,7 @@
 
 
 def delayed_transactions(builder: PlanBuilder) -> None:
-    """Applies transactions without a response late, after newer ones of the same node."""
+    """Delays transactions whose responses are lost, so that they are applied after newer ones of the same node."""
     rng = builder.rng
     at_s = builder.random_time_s(60)
     builder.add("late_writes", at_s, rng.uniform(5, 25), amount=rng.uniform(0.1, 0.8))
@@ -161,7 +161,7 @@
 
 
 def reads_after_status_changes(builder: PlanBuilder) -> None:
-    """Lets users poll all nodes right after each status change, among slow responses and changes of the leader."""
+    """Makes users poll all nodes right after each status change, during slow responses and changes of the leader."""
     rng = builder.rng
     at_s = builder.random_time_s(60)
     builder.add("close_looks", 6.0, builder.for_s - 30)
@@ -191,7 +191,7 @@
 
 
 def lost_commit_answers(builder: PlanBuilder) -> None:
-    """Loses only the responses of transactions, which are applied at once, while other nodes read their writes."""
+    """Applies transactions at once but loses their responses, while other nodes read the written values."""
     rng = builder.rng
     at_s = builder.random_time_s(50)
     builder.add("lost_answers", at_s, rng.uniform(4, 20), amount=rng.choice([0.3, 0.7, 1.0]))
@@ -239,7 +239,7 @@
 
 
 def zone_bound_jobs(builder: PlanBuilder) -> None:
-    """Lets machines of jobs that are bound to one zone, array jobs included, fail or become unreachable."""
+    """Makes machines that run jobs bound to one zone, array jobs included, fail or become unreachable."""
     rng = builder.rng
     at_s = builder.random_time_s(60)
     for name in ("local", "train"):
@@ -288,7 +288,7 @@
 
 
 def overload_on_slow_links(builder: PlanBuilder) -> None:
-    """Submits more jobs than the machines can run, urgent and not urgent, over slow links."""
+    """Submits more jobs than the machines can run, of all priorities, over slow links."""
     rng = builder.rng
     at_s = builder.random_time_s(60)
     for name in ("batch", "guest", "train", "serve"):
@@ -331,7 +331,7 @@
 def fault_interaction_plan(
     seed: int, nodes: int = 3, machines: int = 40, zones: tuple[str, ...] = ("a", "b"), for_s: float = 120.0
 ) -> Plan:
-    """Returns a plan with the interaction of this seed's turn.
+    """Returns a plan with one interaction; consecutive seeds go through FAULT_INTERACTIONS in order.
 
     A quarter of the plans has a second interaction, another quarter a crash of a random node.
     """
--- a/oatport/simulation/fault_plan.py
+++ b/oatport/simulation/fault_plan.py
@@ -13,10 +13,10 @@
 # kind -> the fields that it takes besides `at_s` and `for_s`
 FAULT_FIELDS: dict[str, tuple[str, ...]] = {
     "node_cut": ("node", "what", "mode", "way"),  # what: all, state, workers, nodes
-    "node_refused": ("node",),  # only the state service refuses its requests
+    "node_refused": ("node",),  # the state service refuses the requests of this node
     "peers_refuse": (),
     "node_freeze": ("node",),
-    "node_crash": ("node",),  # its process ends, and restarts after for_s
+    "node_crash": ("node",),  # the node's process ends, and restarts after for_s
     "node_slow": ("node", "amount"),
     "machine_cut": ("count", "mode"),
     "machine_hang": ("count",),
@@ -31,23 +31,25 @@
     "cloud_down": (),
     "no_capacity": (),
     "rush": ("name", "amount"),  # name: a job class; amount: factor on its submission rate
-    # count: users of unfinished jobs that cancel; amount: seconds within which they do; 0: at their next poll
+    # count: unfinished jobs that their users cancel; amount: seconds within which they cancel; 0: at their next poll
     "users_cancel": ("count", "amount"),
-    # Users cancel when the last task has just ended. amount: share of all jobs; 0: mostly jobs that others depend on
+    # Users cancel jobs whose last task has just ended. amount: share of all jobs; 0: only jobs that others depend on
     "cancel_at_end": ("amount",),
     "cancel_needed": ("count",),  # count: jobs that others depend on and that their users cancel
-    "upgrade": ("count", "amount"),  # count: nodes that get the new version at a time; amount: interval in seconds
+    "upgrade": ("count", "amount"),  # count: nodes that are upgraded at a time; amount: interval in seconds
     "state_limits": (),  # the state service's next limits take effect
-    # Reports of the machines arrive, but answers and commands don't reach them. Selected by number (count), by share
-    # (amount) or by zone.
+    # Heartbeats of the machines arrive, but responses and commands don't reach them. Machines are selected by number
+    # (count), by share (amount) or by zone.
     "machine_deaf": ("count", "amount", "zone"),
-    "report_copies": ("amount",),  # copies of reports arrive again; amount: maximum delay in seconds
+    "report_copies": ("amount",),  # copies of heartbeats arrive later; amount: maximum delay in seconds
     "node_alone": ("node", "mode"),  # cut off from the state service and the other nodes, but not from workers
-    "machine_blink": ("count", "amount"),  # restart at once without tasks; amount 1: their agent epochs start over
-    "late_writes": ("amount",),  # amount: share of transactions that get no answer and are applied 2 to 12 s later
-    "lost_answers": ("amount",),  # amount: share of transactions that are applied at once, but whose answer is lost
-    "copies_for_next": ("amount",),  # amount: share of reports of which the next leader gets a copy when it begins
-    # Reports of the machines reach no node, but direct commands reach them. Selected as for machine_deaf.
+    "machine_blink": ("count", "amount"),  # restart at once without tasks; amount > 0: agent epochs begin at 1 again
+    "late_writes": ("amount",),  # amount: share of transactions that get no response and are applied 2 to 12 s later
+    "lost_answers": ("amount",),  # amount: share of transactions that are applied at once, but whose response is lost
+    "copies_for_next": (
+        "amount",
+    ),  # amount: share of heartbeats of which the next leader gets a copy when its term begins
+    # Heartbeats of the machines reach no node, but commands reach the machines. Selected as for machine_deaf.
     "machine_mute": ("count", "amount", "zone"),
     # count: running jobs that are cancelled at once; amount: seconds for which some of their machines hang
     "cancel_now": ("count", "amount"),
@@ -58,7 +60,7 @@
     "odd_requests": (),
     "singles": ("amount",),  # amount: single-task jobs per second, a quarter of which are cancelled
     "quick_boots": (),  # new machines boot within two seconds
-    "late_repeats": ("amount",),  # executed requests arrive a second time; amount: maximum delay in seconds
+    "late_repeats": ("amount",),  # copies of executed requests arrive later; amount: maximum delay in seconds
 }
 NODE_CUT_TARGETS = ("all", "state", "workers", "nodes")
 CUT_DIRECTIONS = ("both", "to", "from")
@@ -75,7 +77,7 @@
 
 @dataclass(frozen=True)
 class Fault:
-    """Describes a fault: `at_s` is its time since the start of the run, `for_s` its duration, both in seconds.
+    """Describes a fault: `at_s` is its begin since the start of the run, `for_s` its duration, both in seconds.
 
     The kind defines which other fields it takes (FAULT_FIELDS).
     """
@@ -124,7 +126,7 @@
         return any(fault.kind == "state_limits" for fault in self.faults)
 
     def toml(self) -> str:
-        """Returns the plan as the contents of a file for `read`."""
+        """Returns the plan as the contents of a TOML file that `read` accepts."""
         values = {f.name: getattr(self, f.name) for f in fields(self) if f.name != "faults"}
         rows = [f"{key} = {str(value).lower() if isinstance(value, bool) else value}" for key, value in values.items()]
         return "\n".join([*rows, "faults = [", *(fault.toml() for fault in self.faults), "]"])
@@ -137,12 +139,14 @@
     path_prefix: str
 
     def parse_number(self, table: dict[str, Any], key: str, low: float, high: float) -> float:
+        """Returns a number of the table. Raises InvalidPlanError unless it is between `low` and `high`."""
         value = table[key]
         if isinstance(value, bool) or not isinstance(value, int | float) or not low <= value <= high:
             raise InvalidPlanError(f"{self.path_prefix}{key}: must be a number from {low:g} to {high:g}, not {value!r}")
         return float(value)
 
     def parse_choice(self, table: dict[str, Any], key: str, allowed: tuple[str, ...]) -> str:
+        """Returns a string of the table. Raises InvalidPlanError unless it is one of the allowed values."""
         value = table[key]
         if value not in allowed:
             raise InvalidPlanError(f"{self.path_prefix}{key}: must be one of {', '.join(allowed)}, not {value!r}")
@@ -150,7 +154,7 @@
 
 
 def read(path: Path) -> Plan:
-    """Returns the plan of a TOML file. Raises InvalidPlanError, which names the field."""
+    """Returns the plan in a TOML file. Raises InvalidPlanError, which names the invalid field."""
     try:
         table = tomllib.loads(path.read_text(encoding="utf-8"))
     except (OSError, UnicodeError, tomllib.TOMLDecodeError) as error:
@@ -170,7 +174,7 @@
 
 
 def parse(table: dict[str, Any]) -> Plan:
-    """Returns the plan of a parsed TOML file. Raises InvalidPlanError, which names the field."""
+    """Returns the plan in a parsed TOML file. Raises InvalidPlanError, which names the invalid field."""
     parser = _FieldParser("")
     values: dict[str, Any] = {}
     for key, value in table.items():
--- a/oatport/simulation/faults/__init__.py
+++ b/oatport/simulation/faults/__init__.py
@@ -1,7 +1,7 @@
-"""Implements each kind of fault on a simulated deployment, grouped by the part that is affected.
+"""Implements each kind of fault on a simulated deployment, grouped by the component that is affected.
 
-Each class takes the deployment and lists its faults in `handlers`, by their names in plan files. A handler begins a
-fault and returns a function that ends it, or None if the fault needs no end.
+Each class takes the deployment and maps kinds of faults, as named in plan files, to functions in `handlers`. A handler
+begins a fault and returns a function that ends it, or None if the fault needs no end.
 """
 
 from __future__ import annotations
--- a/oatport/simulation/faults/machines.py
+++ b/oatport/simulation/faults/machines.py
@@ -25,7 +25,7 @@
         }
 
     def hang_some(self, fault: Fault) -> None:
-        """Lets some machines hang for the duration of the fault."""
+        """Makes some machines hang for the duration of the fault."""
         self.hang(self._machines.sample(fault.count), fault.for_s)
 
     def hang(self, machines: list[MachineHost], for_s: float) -> None:
@@ -46,7 +46,7 @@
     def _kill_at_lease_end(self, machine: MachineHost) -> None:
         """Kills the tasks of a hanging machine when its lease ends.
 
-        Within its lease a machine that hangs may continue at any time (PROTOCOL); after it no task is left.
+        A machine that hangs may continue at any time within its lease (PROTOCOL); after the lease no task is left.
         """
         if not machine.host.frozen or machine.host.dead:
             return
@@ -57,12 +57,12 @@
             self._deployed.loop.call_later_us(remaining_us + 1000, None, self._kill_at_lease_end, machine)
 
     def kill_some(self, fault: Fault) -> None:
-        """Lets some machines die."""
+        """Terminates some machines without notice."""
         for machine in self._machines.sample(fault.count):
             self._machines.kill(machine.host.name)
 
     def kill_at_gang_completion(self, fault: Fault) -> EndFault:
-        """Lets a machine of a completed gang die before it can report the completion, for a share of all gangs."""
+        """Terminates a machine of the share `amount` of completed gangs before it can report the completion."""
         gangs, rng = self._machines.gangs, self._deployed.rng
         previous_handler = gangs.on_completed
 
@@ -78,19 +78,19 @@
         return end
 
     def reclaim_spot_machines(self, fault: Fault) -> None:
-        """Lets the cloud reclaim some spot machines; `amount` is its notice in seconds."""
+        """Makes the cloud reclaim some spot machines; `amount` is its notice in seconds."""
         spot = [machine for machine in self._machines.sample(10**6) if machine.worker.spot]
         for machine in spot[: fault.count]:
             self._machines.reclaim(machine, fault.amount)
 
     def restart_some(self, fault: Fault) -> None:
-        """Restarts some machines at once without their tasks; if `amount` > 0 their agent epochs start over."""
+        """Restarts some machines at once without their tasks; if `amount` > 0 their agent epochs begin at 1 again."""
         for machine in self._machines.sample(fault.count):
             if not machine.host.frozen:
                 machine.worker.restart(reset_session=fault.amount > 0)
 
     def boot_quickly(self, fault: Fault) -> EndFault:
-        """Lets new machines boot within two seconds."""
+        """Makes new machines boot within two seconds."""
         self._machines.quick_boots = True
 
         def end() -> None:
--- a/oatport/simulation/faults/network.py
+++ b/oatport/simulation/faults/network.py
@@ -60,13 +60,13 @@
         return self._cut(self._deployed.target_node(fault), CUT_TAGS[fault.what], fault.mode, fault.way)
 
     def deny_state_service(self, fault: Fault) -> EndFault:
-        """Lets the state service answer 503 to one node only."""
+        """Makes the state service respond with 503 to one node only."""
         route = (self._deployed.target_node(fault), deployment.STATE_SERVICE_ADDRESS)
         self._net.denied_routes.append(route)
         return lambda: self._net.denied_routes.remove(route)
 
     def refuse_peer_connections(self, fault: Fault) -> EndFault:
-        """Lets nodes refuse connections from each other."""
+        """Makes nodes refuse connections from each other."""
         return self._apply(LinkRule("node", "node", "refuse"))
 
     def isolate_node(self, fault: Fault) -> EndFault:
@@ -93,7 +93,7 @@
         return self._apply(*(LinkRule("node", name, "deaf") for name in self._affected_machines(fault)))
 
     def block_heartbeats(self, fault: Fault) -> EndFault:
-        """Partitions machines one way: their heartbeats reach no node, but commands reach them and are answered."""
+        """Partitions machines one way: their heartbeats reach no node, but commands reach them and get responses."""
         return self._apply(*(LinkRule(name, "node", "mute") for name in self._affected_machines(fault)))
 
     def _affected_machines(self, fault: Fault) -> list[str]:
@@ -118,7 +118,7 @@
         return self._apply_both_ways(fault, "slow")
 
     def lossy_links(self, fault: Fault) -> EndFault:
-        """Lets the share `amount` of packets between hosts be retransmitted, in both directions."""
+        """Loses the share `amount` of packets between hosts, which are then retransmitted, in both directions."""
         return self._apply_both_ways(fault, "lossy")
 
     def _apply_both_ways(self, fault: Fault, effect: str) -> EndFault:
@@ -130,7 +130,7 @@
     # --- duplicated messages -------------------------------------------------------------------
 
     def duplicate_heartbeats(self, fault: Fault) -> EndFault:
-        """Delivers copies of heartbeats up to `amount` seconds later, at any node."""
+        """Delivers copies of heartbeats to random nodes up to `amount` seconds later."""
         return self._duplicate("reports", fault)
 
     def duplicate_requests(self, fault: Fault) -> EndFault:
@@ -143,7 +143,7 @@
         return lambda: self._net.duplications.remove(duplication)
 
     def keep_heartbeats_for_next_leader(self, fault: Fault) -> EndFault:
-        """Keeps a copy of the share `amount` of heartbeats, and delivers the copies to the next leader as it begins."""
+        """Keeps copies of the share `amount` of heartbeats, and delivers them to the next leader as it takes over."""
         self._net.duplicate_for_next_leader_share += fault.amount
 
         def end() -> None:
--- a/oatport/simulation/faults/nodes.py
+++ b/oatport/simulation/faults/nodes.py
@@ -8,7 +8,7 @@
 from oatport.simulation.virtual_time import Host
 from oatport.times import SECOND
 
-CALLBACK_US_PER_UNIT = 50  # duration of each callback of a node, per unit of the amount of a node_slow
+CALLBACK_US_PER_UNIT = 50  # duration of each callback of a node, per unit of `amount` of a node_slow fault
 
 
 class NodeFaults:
@@ -49,7 +49,7 @@
         return end
 
     def slow_down(self, fault: Fault) -> EndFault | None:
-        """Lets each callback of a process take time."""
+        """Slows a process down: each of its callbacks takes time."""
         host = self._host(fault)
         if host is None:
             return None
--- a/oatport/simulation/faults/services.py
+++ b/oatport/simulation/faults/services.py
@@ -19,19 +19,19 @@
             "state_down": self.stop_state_service,
             "state_slow": self.slow_state_service,
             "late_writes": self.delay_commits,
-            "lost_answers": self.lose_commit_answers,
+            "lost_answers": self.lose_commit_responses,
             "state_limits": self.lower_state_limits,
             "cloud_down": self.stop_cloud,
             "no_capacity": self.exhaust_cloud_capacity,
         }
 
     def stop_state_service(self, fault: Fault) -> EndFault:
-        """Lets the state service answer 503; no lease expires during the outage."""
+        """Makes the state service respond with 503; no lease expires during the outage."""
         self._state.set_down(True)
         return lambda: self._state.set_down(False)
 
     def slow_state_service(self, fault: Fault) -> EndFault:
-        """Lets the share `amount` of requests take 100 to 400 ms."""
+        """Delays the share `amount` of requests by 100 to 400 ms."""
         self._state.slow_response_share += fault.amount
 
         def end() -> None:
@@ -40,7 +40,7 @@
         return end
 
     def delay_commits(self, fault: Fault) -> EndFault:
-        """Lets the share `amount` of transactions get no response and be applied seconds later."""
+        """Applies the share `amount` of transactions 2 to 12 s late and without a response."""
         self._state.delayed_commit_share += fault.amount
 
         def end() -> None:
@@ -48,7 +48,7 @@
 
         return end
 
-    def lose_commit_answers(self, fault: Fault) -> EndFault:
+    def lose_commit_responses(self, fault: Fault) -> EndFault:
         """Applies the share `amount` of transactions at once, but loses their responses."""
         self._state.lost_response_share += fault.amount
 
@@ -63,7 +63,7 @@
         self._state.set_limits(limits.min_value_bytes, limits.min_txn_ops, limits.min_write_rps)
 
     def stop_cloud(self, fault: Fault) -> EndFault:
-        """Lets the cloud's API answer 503."""
+        """Makes the cloud's API respond with 503."""
         self._cloud.down = True
 
         def end() -> None:
@@ -72,7 +72,7 @@
         return end
 
     def exhaust_cloud_capacity(self, fault: Fault) -> EndFault:
-        """Leaves the cloud without machines to rent."""
+        """Makes the cloud refuse all rentals for lack of capacity."""
         registry = self._cloud.registry
         original_capacity, registry.capacity = registry.capacity, {}
 
--- a/oatport/simulation/faults/users.py
+++ b/oatport/simulation/faults/users.py
@@ -12,7 +12,7 @@
 from oatport.times import SECOND
 
 MAX_HUNG_MACHINES = 8  # machines that hang when running jobs are cancelled at once
-DEPENDENCY_CANCEL_SHARE = 0.7  # share of the jobs that others depend on that are cancelled as they complete
+DEPENDENCY_CANCEL_SHARE = 0.7  # share that is cancelled at completion, of the jobs that others depend on
 
 
 class UserFaults:
@@ -45,7 +45,7 @@
         self._loop.call_later_us(round((at - now) * SECOND), None, self._cancel, job)
 
     def cancel_unfinished_jobs(self, fault: Fault) -> None:
-        """Lets the users of `count` unfinished jobs cancel within `amount` seconds; 0: at their next poll."""
+        """Makes the users of `count` unfinished jobs cancel within `amount` seconds; 0: at their next poll."""
         now = self._loop.time()
         jobs = [job for job in self._checker.jobs.values() if job.is_cancellable]
         for job in self._rng.sample(jobs, min(fault.count, len(jobs))):
@@ -55,7 +55,7 @@
                 job.cancel_at = now
 
     def cancel_running_jobs(self, fault: Fault) -> None:
-        """Lets users cancel `count` running jobs at once; some of their machines hang for `amount` seconds."""
+        """Makes users cancel `count` running jobs at once; some of the jobs' machines hang for `amount` seconds."""
         now = self._loop.time()
         running = {task.rsplit("/", 1)[0]: location.worker for task, location in self._checker.locations.items()}
         jobs = [job for job_id, job in self._checker.jobs.items() if job_id in running and job.is_cancellable]
@@ -76,7 +76,7 @@
         )
 
     def cancel_dependencies(self, fault: Fault) -> None:
-        """Lets the users of `count` jobs that others depend on cancel them at once."""
+        """Makes the users of `count` jobs that others depend on cancel them at once."""
         now = self._loop.time()
         jobs = [job for job in self._dependencies() if job.is_cancellable]
         for job in self._rng.sample(jobs, min(fault.count, len(jobs))):
@@ -84,7 +84,7 @@
             self._cancel(job)
 
     def cancel_at_completion(self, fault: Fault) -> EndFault:
-        """Lets users cancel jobs as their last task ends; the event that is recorded first takes effect."""
+        """Makes users cancel jobs as the last task ends; the first recorded completion or cancellation counts."""
         previous_handler = self._checker.on_job_completed
         dependencies = {job.job_id for job in self._dependencies()}
 
@@ -110,7 +110,7 @@
     # --- reads and odd requests ----------------------------------------------------------------
 
     def read_after_status_changes(self, fault: Fault) -> EndFault:
-        """Lets users poll all nodes as soon as a job is accepted, done or cancelled; some cancel at once."""
+        """Makes users poll all nodes as soon as a job is accepted, done or cancelled; some cancel at once."""
 
         def on_status_change(job: SubmittedJob) -> None:
             self._loop.call_later_us(self._rng.randrange(5_000), None, self._query_all_nodes, job)
--- a/oatport/simulation/gang_coordinator.py
+++ b/oatport/simulation/gang_coordinator.py
@@ -14,8 +14,8 @@
 class GangCoordinator:
     """Starts and completes the tasks of a gang together, and records which attempts have lost a task.
 
-    `assembly_timeout_us`: how long a task with its image waits for the others; `peer_loss_timeout_us`: how long a task
-    runs on after another task of its attempt is gone.
+    `assembly_timeout_us` is how long a task that has its image waits for the others, `peer_loss_timeout_us` how long a
+    task continues after another task of its attempt is gone.
     """
 
     def __init__(self, assembly_timeout_us: int, peer_loss_timeout_us: int) -> None:
@@ -32,7 +32,7 @@
         self.members.setdefault(key.gang_attempt, {})[key.task] = (worker, attempt)
 
     def on_image_ready(self, key: AttemptKey, now: int) -> None:
-        """Records that a task has its image and waits, and notifies the workers of the gang."""
+        """Records that a task has its image and waits for the others, and notifies the workers of the gang."""
         self.first_image_at.setdefault(key.gang_attempt, now)
         for worker, _ in list(self.members.get(key.gang_attempt, {}).values()):
             worker.on_change()
@@ -55,7 +55,7 @@
     def on_task_gone(self, key: AttemptKey, now: int, *, done: bool) -> None:
         """Handles a task that left its machine.
 
-        The tasks of a gang complete together: if the task is done, all others complete; else the attempt counts as
+        The tasks of a gang complete together: if the task is done, all others complete; otherwise the attempt is
         broken from now on.
         """
         members = self.members.get(key.gang_attempt, {})
@@ -86,12 +86,12 @@
     # --- deadlines -----------------------------------------------------------------------------
 
     def peer_loss_deadline(self, key: AttemptKey) -> int | None:
-        """Returns when a task ends because another task of its attempt is gone; None: no task is gone."""
+        """Returns the time at which a task ends because another task of its attempt is gone; None: no task is gone."""
         broken_at = self.broken_at.get(key.gang_attempt)
         return None if broken_at is None else broken_at + self.peer_loss_timeout_us
 
     def assembly_deadline(self, key: AttemptKey, default: int) -> int:
-        """Returns until when a task with its image waits for the others.
+        """Returns the time until which a task that has its image waits for the others.
 
         The wait begins with the first image of the attempt, or at `default` if no task has reported one.
         """
--- a/oatport/simulation/invariant_checker.py
+++ b/oatport/simulation/invariant_checker.py
@@ -1,6 +1,6 @@
 """Checks the invariants of PROTOCOL against the tasks on machines and the responses to users.
 
-The state that nodes hold is never consulted.
+The checker never reads the state that nodes hold.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 from oatport.simulation.worker import Worker
 from oatport.times import SECOND
 
-UNANSWERED_MAX_S = 75.0  # a job whose polls all fail for this long violates the invariant "forgotten"
-EXTERNAL_LOSSES = ("died", "taken", "lease")  # causes that destroy a result and are not actions of the service
+UNANSWERED_MAX_S = 75.0  # if all polls of a job fail for this long, the invariant "forgotten" is violated
+EXTERNAL_LOSSES = ("died", "taken", "lease")  # exit reasons that destroy a result and are not actions of the service
 UNFINISHED_STATUSES = ("queued", "running")  # statuses of a job on the wire
 
 
 @dataclass
 class TaskLocation:
-    """Holds the worker that a task is on, the number of its attempt, and when it started there (the loop's seconds)."""
+    """Holds the worker that runs a task, the attempt number, and the start time in seconds of the event loop."""
 
     worker: Worker
     attempt: int
@@ -46,14 +46,14 @@
     on_status_change: Callable[[SubmittedJob], None] = lambda job: None
     on_job_completed: Callable[[SubmittedJob], None] = lambda job: None  # called when all tasks of a job are done
     last_fault_ends_at: float = 0.0
-    unanswered_s_max: float = 0.0  # the longest time without an answered poll of a job, after all faults
+    unanswered_s_max: float = 0.0  # the longest time without a response to a poll of a job, after all faults
     is_closed: bool = False  # set at the end of the run: later events are ignored
     locations: dict[str, TaskLocation] = field(default_factory=dict)  # by task
     _workers_by_job: defaultdict[str, dict[str, Worker]] = field(default_factory=lambda: defaultdict(dict))
     _completed_tasks: defaultdict[str, set[str]] = field(default_factory=lambda: defaultdict(set))  # by job
     _completed_on: dict[str, Worker] = field(default_factory=dict)  # task -> the worker on which it completed
-    # Tasks whose completion a leader acknowledged by answering the heartbeat that listed it -> the listed task: the
-    # task itself, or another member of its gang.
+    # Task whose completion a leader acknowledged by responding to a heartbeat -> the completed task in the heartbeat:
+    # the task itself, or another member of its gang.
     _acknowledged: dict[str, str] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
@@ -73,7 +73,7 @@
     # --- machines ------------------------------------------------------------------------------
 
     def on_task_started(self, worker: Worker, task: str, attempt: int) -> None:
-        """Records that a task has its image and is on a machine from now on, and checks that it may start there."""
+        """Records that a task has its image and counts as on the machine now, and checks that it may start there."""
         if self.is_closed:
             return
         now = self.loop.time()
@@ -124,7 +124,7 @@
 
         The start violates an invariant if a leader had acknowledged the completion, unless a fault destroyed the result
         before the completion could be recorded: the machine died, was reclaimed, or its lease ended. An action of the
-        service on the machine is not accepted as a cause.
+        service on the machine does not excuse the start.
         """
         self.counts["starts_after_done"] += 1
         if task not in self._acknowledged:
@@ -141,7 +141,7 @@
         )
 
     def on_completions_acknowledged(self, tasks: list[str]) -> None:
-        """Records that a leader answered a heartbeat that listed these completions.
+        """Records that a leader responded to a heartbeat that listed these completions.
 
         The completion of one task of a gang implies that of all its tasks (PROTOCOL).
         """
@@ -207,7 +207,7 @@
     # --- users ---------------------------------------------------------------------------------
 
     def on_user_answer(self, job: SubmittedJob, request: str, status: int, value: Any) -> None:
-        """Checks the response to a user's request (submit, poll or cancel); `status` is 0 if there was none."""
+        """Checks the response to a user's request (submit, poll or cancel); `status` is 0 if there was no response."""
         if self.is_closed:
             return
         self.counts["answers" if status else "no_answer"] += 1
@@ -264,7 +264,7 @@
             self.on_status_change(job)
 
     def _on_poll(self, job: SubmittedJob, status: int, now: float) -> None:
-        """Checks that polls are answered: UNANSWERED_MAX_S without an answer, after all faults, is a violation."""
+        """Checks that polls get responses: UNANSWERED_MAX_S without one, after all faults, is a violation."""
         if status in (200, 404):
             job.answered_at = now
             return
--- a/oatport/simulation/load_balancer.py
+++ b/oatport/simulation/load_balancer.py
@@ -28,7 +28,7 @@
     exclusion_s: float = 3.0
     removed_at: float = -1000.0
     open_connections: int = 0
-    # Breaks ties between nodes with equally few open connections, so that not always the first one is chosen.
+    # Breaks ties between nodes with equally few open connections; otherwise the first one would always be chosen.
     connections_opened: int = 0
 
 
@@ -40,7 +40,7 @@
         self.nodes = [BackendNode(address) for address in addresses]
 
     async def probe(self, node: BackendNode) -> None:
-        """Probes a node for readiness, without end."""
+        """Probes a node's readiness every PROBE_INTERVAL_S until it is cancelled."""
         while True:
             await asyncio.sleep(PROBE_INTERVAL_S)
             try:
--- a/oatport/simulation/machine_host.py
+++ b/oatport/simulation/machine_host.py
@@ -37,21 +37,21 @@
         self._heartbeat_us = micros(timing.report_s)
         self._half_lease_us = micros(timing.lease_s) // 2
         self._heartbeat_needed = asyncio.Event()
-        self._reported_signature: tuple[Any, ...] = ()
+        self._reported_state: tuple[Any, ...] = ()
         self._token_reported_at = -self._half_lease_us
         self._timer: asyncio.TimerHandle | None = None
         worker.on_change = self._schedule_wake
         # Called when a node has responded to a heartbeat, with the node's name and the attempts in the heartbeat.
-        self.on_heartbeat_answered: Callable[[str, list[dict[str, Any]]], None] = lambda node, legs: None
+        self.on_heartbeat_answered: Callable[[str, list[dict[str, Any]]], None] = lambda node, attempts: None
         net.listen(worker.address, host, self._serve)
 
     def start(self) -> None:
-        """Starts to send heartbeats."""
+        """Starts sending heartbeats."""
         self.host.loop.create_task(self._heartbeat_loop(), context=self.host.context)
         self._schedule_wake()
 
     def terminate(self, reason: str) -> None:
-        """Ends the host and all attempts on the worker, with `reason` as their exit reason."""
+        """Ends the host and all attempts of its worker, with `reason` as their exit reason."""
         self.worker.kill(reason)
         self._net.on_machine_gone(self.worker.address)
         self.host.end()
@@ -62,16 +62,17 @@
         self._timer = self.host.loop.call_later_us(0, self.host, self._wake)
 
     def _wake(self) -> None:
-        """Advances the worker, requests a heartbeat if its state changed, and schedules the call at its next event."""
+        """Advances the worker, requests a heartbeat if its state changed, and schedules itself for the next event."""
         self.worker.advance()
-        if self._signature() != self._reported_signature:
+        if self._state_to_report() != self._reported_state:
             self._heartbeat_needed.set()
         delay = max(self.worker.next_event_at() - self.host.steady(), 0) + MS
         if self._timer is not None:
             self._timer.cancel()
         self._timer = self.host.loop.call_later_us(delay, self.host, self._wake)
 
-    def _signature(self) -> tuple[Any, ...]:
+    def _state_to_report(self) -> tuple[Any, ...]:
+        """Returns the state of which each change is reported by a heartbeat without delay."""
         worker = self.worker
         return (
             worker.session,
@@ -89,7 +90,7 @@
         return response
 
     def _on_token_received(self, previous_token: int) -> None:
-        """Requests a heartbeat for a higher fencing token, at most once per half of the lease."""
+        """Requests a heartbeat after a higher fencing token, at most once per half of the lease."""
         now = self.host.steady()
         if self.worker.token > previous_token and now - self._token_reported_at >= self._half_lease_us:
             self._token_reported_at = now
@@ -117,12 +118,11 @@
     async def _send_heartbeat(self, sent_at: int) -> int:
         """Sends a heartbeat and returns when the next one is due.
 
-        The next heartbeat goes to the node that a 421 response names as leader, and after a failure to the next node
-        of the list.
+        The next heartbeat goes to the leader that a 421 response names, or after a failure to the next node in turn.
         """
         worker, host = self.worker, self.host
         body, session, token = worker.report(), worker.session, worker.token
-        self._reported_signature = self._signature()
+        self._reported_state = self._state_to_report()
         try:
             status, value = await self._net.request(
                 host, self._addresses[self._node_index], "POST", wire.HEARTBEAT_PATH, body, HEARTBEAT_TIMEOUT, ""
--- a/oatport/simulation/machine_pool.py
+++ b/oatport/simulation/machine_pool.py
@@ -43,7 +43,7 @@
         # Called when a task has stopped, with worker, task, attempt and reason.
         self.on_task_stopped: Callable[[Worker, str, int, str], None] = checker.on_task_stopped
         # Called when a node has responded to a heartbeat, with the node's name and the attempts in the heartbeat.
-        self.on_heartbeat_answered: Callable[[str, list[dict[str, Any]]], None] = lambda node, legs: None
+        self.on_heartbeat_answered: Callable[[str, list[dict[str, Any]]], None] = lambda node, attempts: None
         self._completed_tasks: set[str] = set()
         self._progress: dict[str, int] = {}
         self.registry.on_rent, self.registry.on_release = self._on_rented, self.release
@@ -62,7 +62,7 @@
         if self.quick_boots and delay:
             delay = round(self._rng.uniform(0.2, 2.0) * SECOND)
         if self._rng.random() < 0.01:
-            return  # the machine never boots, and is charged until it is released
+            return  # the machine never boots, but is charged until it is released
         self._loop.call_later_us(delay, None, self._boot, row)
 
     def _boot(self, row: dict[str, Any]) -> None:
@@ -98,14 +98,16 @@
         worker.completed_tasks, worker.progress = self._completed_tasks, self._progress
         worker.speed = rng.uniform(0.92, 1.05) if rng.random() > 0.03 else 0.3
         worker.runtime_us = self._runtime_us
-        worker.failure_delay_us = self._failure_source(rng, faulty=rng.random() < 0.04)
+        worker.failure_delay_us = self._make_failure_delay(rng, faulty=rng.random() < 0.04)
         worker.on_task_started, worker.on_task_stopped = self._checker.on_task_started, self.on_task_stopped
         return worker
 
-    def _failure_source(self, rng: random.Random, *, faulty: bool) -> Callable[[str, dict[str, Any]], int | None]:
+    def _make_failure_delay(self, rng: random.Random, *, faulty: bool) -> Callable[[str, dict[str, Any]], int | None]:
+        """Returns a function that draws the time after which a task of this worker fails; None: it does not fail."""
+
         def failure_delay_us(task: str, job: dict[str, Any]) -> int | None:
-            flaky = random.Random(f"flaky {self._seed} {task}").random() < 0.06 and rng.random() < 0.6
-            if self._checker.jobs[str(job["ref"])].always_fails or (faulty and rng.random() < 0.7) or flaky:
+            is_flaky = random.Random(f"flaky {self._seed} {task}").random() < 0.06 and rng.random() < 0.6
+            if self._checker.jobs[str(job["ref"])].always_fails or (faulty and rng.random() < 0.7) or is_flaky:
                 return rng.randrange(200_000, 4_000_000)
             return None
 
@@ -116,7 +118,7 @@
         return job.body if job is not None and job.submit_at <= self._loop.time() else None
 
     def _runtime_us(self, task: str, job: dict[str, Any]) -> int:
-        """Returns a task's actual run time. Estimates are off by half and more: it is 0.6 to 1.5 times the estimate."""
+        """Returns a task's actual run time: 0.6 to 1.5 times the estimate, since estimates are off by half and more."""
         return micros(float(job["voyageS"]) * random.Random(f"{self._seed} {task}").uniform(0.6, 1.5))
 
     # --- termination ---------------------------------------------------------------------------
@@ -139,7 +141,7 @@
             self.registry.machines[name]["status"] = "failed"
 
     def reclaim(self, machine: MachineHost, notice_s: float) -> None:
-        """Reclaims a spot machine after a notice; 0: without notice."""
+        """Reclaims a spot machine after a notice; 0 means without notice."""
         if notice_s > 0:
             machine.worker.reclaimed_at = machine.host.steady() + micros(notice_s)
             machine.worker.on_change()
--- a/oatport/simulation/mutations.py
+++ b/oatport/simulation/mutations.py
@@ -1,6 +1,6 @@
-"""Injected mutations: each disables one safety check, to show that the invariant checker detects its absence.
+"""Mutations that each disable one safety check, to show that the invariant checker detects its absence.
 
-Each corresponds to an item of "Safety" in docs/design.md and replaces methods of the nodes by name.
+Each mutation corresponds to an item of "Safety" in docs/design.md, and patches methods of the nodes.
 """
 
 from __future__ import annotations
@@ -40,20 +40,20 @@
 
 
 def _fencing() -> list[Any]:
-    """Lets a leader continue without its lease and its key, and adopt the higher token that a worker reports."""
+    """Makes a leader continue without its lease and the leader key, and adopt the higher token of a worker's report."""
     commit, send_commands, step_down = StateClient.commit, WorkerClient.send_commands, Election.step_down
 
     async def commit_without_leader_key(
-        self: StateClient, conditions: dict[str, int], sets: Any, *args: Any, **more: Any
+        self: StateClient, conditions: dict[str, int], sets: Any, *args: Any, **options: Any
     ) -> Any:
         if LEADER_KEY in conditions and LEADER_KEY not in sets and len(conditions) > 1:
             conditions = {key: version for key, version in conditions.items() if key != LEADER_KEY}
-        return await commit(self, conditions, sets, *args, **more)
+        return await commit(self, conditions, sets, *args, **options)
 
-    async def send_commands_unfenced(self: WorkerClient, token: int, session: int, orders: Any) -> Any:
-        report = await send_commands(self, token, session, orders)
+    async def send_commands_unfenced(self: WorkerClient, token: int, agent_epoch: int, commands: Any) -> Any:
+        report = await send_commands(self, token, agent_epoch, commands)
         if report.fencing_token > token:
-            report = await send_commands(self, report.fencing_token, report.agent_epoch, orders)
+            report = await send_commands(self, report.fencing_token, report.agent_epoch, commands)
             return replace(report, fencing_token=token)
         return report
 
@@ -76,8 +76,8 @@
     """Sends start commands before their bindings are recorded."""
     begin_binding = TaskLifecycle.begin_binding
 
-    def bind_and_send(self: TaskLifecycle, *args: Any, **more: Any) -> Any:
-        task = begin_binding(self, *args, **more)
+    def bind_and_send(self: TaskLifecycle, *args: Any, **options: Any) -> Any:
+        task = begin_binding(self, *args, **options)
         task.phase = TaskPhase.BOUND
         assert task.machine is not None
         self.cluster.unacknowledged_tasks.add(task)
@@ -107,7 +107,7 @@
 
 
 def _process_identity() -> list[Any]:
-    """Lets a process reuse the token and the lease of the previous process of the same name."""
+    """Makes a process reuse the token and the lease of the previous process of the same name."""
     run_for_leader = Election._run_for_leader
 
     async def resume_leadership(self: Election) -> None:
@@ -124,8 +124,8 @@
     """Releases the dependents of a job before its completion is recorded."""
     complete = TaskLifecycle.complete
 
-    def complete_and_release(self: TaskLifecycle, task: Any, now: int, **more: Any) -> None:
-        complete(self, task, now, **more)
+    def complete_and_release(self: TaskLifecycle, task: Any, now: int, **options: Any) -> None:
+        complete(self, task, now, **options)
         if task.job.completing:
             self.cluster.dependencies.on_completion_recorded(task.job.job_id, now + self.cluster.wall_offset)
 
@@ -136,26 +136,26 @@
     """Cancels only the direct dependents of a cancelled job, not the dependents of those."""
     propagate_cancellation = JobStatusCache._propagate_cancellation
 
-    def cancel_direct_dependents(self: DependencyGraph, ref: str) -> list[str]:
-        found = self.dependents_of(ref)
+    def cancel_direct_dependents(self: DependencyGraph, job_id: str) -> list[str]:
+        found = self.dependents_of(job_id)
         for dependent in found:
             self.remove(dependent)
-        self._dependents.pop(ref, None)
+        self._dependents.pop(job_id, None)
         return found
 
-    async def propagate_one_step(self: JobStatusCache, ref: str, snapshot: Any, fresh: bool) -> Any:
+    async def propagate_one_step(self: JobStatusCache, job_id: str, snapshot: Any, fresh: bool) -> Any:
         dependencies = [self.snapshot(dependency) for dependency in snapshot.dependencies]
         if any(job is not None and job.state == "queued" for job in dependencies) or not dependencies:
             return snapshot
-        return await propagate_cancellation(self, ref, snapshot, fresh)
+        return await propagate_cancellation(self, job_id, snapshot, fresh)
 
-    def cancel_blocked_dependents(self: DependencyTracker, ref: str) -> None:
-        for name in self.graph.cancel(ref):
+    def cancel_blocked_dependents(self: DependencyTracker, job_id: str) -> None:
+        for name in self.graph.cancel(job_id):
             self._cancel_blocked(self.blocked_jobs.pop(name))
 
-    def apply_completion_only(self: DependencyController, ref: str, state: str, ended: int) -> None:
+    def apply_completion_only(self: DependencyController, job_id: str, state: str, ended: int) -> None:
         if state == "done":
-            self.cluster.dependencies.on_completion_recorded(ref, ended)
+            self.cluster.dependencies.on_completion_recorded(job_id, ended)
 
     return [
         patch.object(DependencyGraph, "cancel", cancel_direct_dependents),
@@ -171,7 +171,7 @@
 
 
 def _record_size() -> list[Any]:
-    """Lets records grow beyond the limits of the state service."""
+    """Writes records that exceed the limits of the state service."""
     return [
         patch.object(RecordLayout, "tasks_per_part", property(lambda self: TASKS_PER_CHUNK)),
         patch.object(RecordLayout, "tasks_in_head_record", lambda self, job: TASKS_PER_CHUNK),
@@ -180,7 +180,7 @@
 
 
 def _heartbeat_order() -> list[Any]:
-    """Treats each heartbeat as the newest, whenever it was sent."""
+    """Accepts each heartbeat as the newest, regardless of its agent epoch and sequence number."""
     receive = HeartbeatReceiver.receive
 
     def receive_as_newest(self: HeartbeatReceiver, report: Any, now: int, wall: int) -> Any:
@@ -196,12 +196,12 @@
 
 
 def _transaction_conditions() -> list[Any]:
-    """Sends transactions without the versions of the keys that they depend on; a leader's keep its fencing token."""
+    """Sends transactions without the versions of the keys that they depend on, except the leader's fencing token."""
     commit = StateClient.commit
 
-    async def commit_unconditionally(self: StateClient, conditions: dict[str, int], *args: Any, **more: Any) -> Any:
+    async def commit_unconditionally(self: StateClient, conditions: dict[str, int], *args: Any, **options: Any) -> Any:
         token = {key: version for key, version in conditions.items() if key == LEADER_KEY}
-        return await commit(self, token or {"none": 0}, *args, **more)
+        return await commit(self, token or {"none": 0}, *args, **options)
 
     return [patch.object(StateClient, "commit", commit_unconditionally)]
 
@@ -219,11 +219,11 @@
 
 def _cancellation_log() -> list[Any]:
     """Keeps nodes from logging the cancellations that they confirmed to users."""
-    return [patch.object(CancellationLog, "record", lambda self, ref, now: True)]
+    return [patch.object(CancellationLog, "record", lambda self, job_id, now: True)]
 
 
 def _unwritten_completions() -> list[Any]:
-    """Releases machines, or treats them as lost, although only they report a completion."""
+    """Releases machines or treats them as lost although they hold the only report of a completion."""
     return [
         patch.object(UnwrittenCompletions, "has_unwritten_completions", lambda self, machine: False),
         patch.object(UnwrittenCompletions, "expedite", lambda self, machine: None),
@@ -250,10 +250,10 @@
     """Runs tasks of a completed gang again if their own completions were not reported."""
     requeue = TaskLifecycle.requeue
 
-    def requeue_despite_completion(self: TaskLifecycle, task: Any, **more: Any) -> None:
+    def requeue_despite_completion(self: TaskLifecycle, task: Any, **options: Any) -> None:
         completed, task.job.completed = task.job.completed, set()
         try:
-            requeue(self, task, **more)
+            requeue(self, task, **options)
         finally:
             task.job.completed = completed
 
--- a/oatport/simulation/network.py
+++ b/oatport/simulation/network.py
@@ -1,9 +1,10 @@
 """The simulated network between hosts, with one link per direction for each pair of hosts.
 
-A request uses a kept-alive connection if there is one; else a new connection is opened first. A connection opens only
-while both links deliver, and an attempt that was given up never completes later. A message that was sent on a
-connection arrives whatever its sender does meanwhile: after the cut if the rule's effect is `hold` (each connection at
-its own time, since connections retry at growing intervals), or never if the effect is `lost`.
+A request uses a kept-alive connection if there is one; otherwise a new connection is opened first. A connection opens
+only while both links deliver, and an attempt that timed out never completes later. A message that was sent on a
+connection is delivered even if its sender ends. During a cut, a message is delivered after the cut if the rule's effect
+is `hold` (at a different time on each connection, since connections retry at growing intervals), or never if the effect
+is `lost`.
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
 ANY_HOST = "any"  # tag of all hosts
 LATENCY_US = MS // 2
 IDLE_CONNECTION_US = 30 * SECOND  # an idle connection is closed after this time
-RETRANSMIT_US = 200 * MS  # delay of a lost packet until it is sent again
+RETRANSMIT_US = 200 * MS  # delay until a lost packet is retransmitted
 # Longest delay after a cut until a connection retries: for most connections, and for the slow quarter of them.
 RECONNECT_US, RECONNECT_MAX_US = 300 * MS, 12 * SECOND
 CONNECT_RETRY_US = SECOND  # interval between attempts to open a connection
@@ -58,7 +59,7 @@
 
 @dataclass(slots=True)
 class Link:
-    """Holds one direction between two hosts. Each message in transit is on a connection of its own."""
+    """Holds the messages that a cut delays from one host to another. Each message is on a separate connection."""
 
     source: Host
     target: Host
@@ -73,7 +74,7 @@
 
 
 class SimulatedNetwork:
-    """The network of one run: listening addresses, link rules and all requests in progress."""
+    """Holds the network of one run: listening addresses, link rules and all requests in progress."""
 
     def __init__(self, loop: VirtualLoop, seed: int) -> None:
         self.loop = loop
@@ -81,13 +82,13 @@
         self._links: dict[tuple[Host, Host], Link] = {}
         self._listeners: dict[str, tuple[Host, RequestHandler]] = {}
         self._hosts: dict[str, Host] = {}  # by address, including hosts that do not listen
-        # Loop times up to which the kept-alive connections are usable.
+        # Loop times until which the kept-alive connections are usable, by host and address.
         self._idle: dict[tuple[Host, str], deque[float]] = {}
         self._requests_in_progress: dict[Host, dict[PendingRequest, Host]] = {}
         self.rules: list[LinkRule] = []
         self.duplications: list[tuple[str, float, list[str]]] = []  # kind, longest delay (s), addresses
         self.duplicate_for_next_leader_share = 0.0  # share of heartbeats of which a copy is kept for the next leader
-        self._kept_duplicates: list[tuple[Host, str, str, bytes | None]] = []  # sender, method, target, data
+        self._copies_for_next_leader: list[tuple[Host, str, str, bytes | None]] = []  # sender, method, target, data
         self.denied_routes: list[tuple[str, str]] = []  # (host name, address): all requests get 503
         self.messages: deque[str] = deque(maxlen=MAX_RECORDED_MESSAGES)
         self.request_count = 0
@@ -102,7 +103,7 @@
         self._hosts[address] = host
 
     def listen(self, address: str, host: Host, serve: RequestHandler) -> None:
-        """Starts to serve an address by a host's request handler."""
+        """Starts serving an address with a host's request handler."""
         self._hosts[address] = host
         self._listeners[address] = (host, serve)
 
@@ -134,7 +135,7 @@
                     del self._idle[key]
 
     def remove_rule(self, rule: LinkRule) -> None:
-        """Removes a rule and delivers the messages that it held, each after a delay of its own."""
+        """Removes a rule and delivers the messages that it held, each after a random delay."""
         self.rules.remove(rule)
         for link in list(self._links.values()):
             if link.held and not self._cut_mode(link.source, link.target):
@@ -157,7 +158,7 @@
         return ""
 
     def can_deliver(self, source: Host, target: Host) -> bool:
-        """Returns whether a message that is sent now arrives, with or without additional delay."""
+        """Returns whether a message that is sent now is delivered, possibly with additional delay."""
         return not self._cut_mode(source, target) and self._rule_amount(source, target, "deaf") is None
 
     def _transmit(self, source: Host, target: Host, call: Callable[[], None]) -> None:
@@ -200,7 +201,7 @@
             if self.duplications:
                 self._duplicate(source, address, method, target, data)
             if path == wire.HEARTBEAT_PATH and self._chance(self.duplicate_for_next_leader_share):
-                self._kept_duplicates.append((source, method, target, data))
+                self._copies_for_next_leader.append((source, method, target, data))
             self._transmit(source, host, lambda: self._serve(source, host, address, method, target, data, pending))
             status, raw = await pending.future
         finally:
@@ -232,7 +233,7 @@
                         return
                 elif "node" in host.tags:
                     raise RequestNotSentError("refused")  # the node's machine is up, its process is not
-            # No response: the attempt is repeated until the request times out.
+            # No response: the connection attempt is repeated until the request times out.
             await asyncio.wait([pending.future], timeout=CONNECT_RETRY_US / SECOND)
         await pending.future
 
@@ -281,9 +282,9 @@
         self._reply(host, source, value, pending)
 
     def _duplicate(self, source: Host, address: str, method: str, target: str, data: bytes | None) -> None:
-        """Sends a copy of a request later: of a heartbeat to any node, of another request to the same address.
+        """Sends a copy of a request later: heartbeats go to any node, other requests to the same address.
 
-        Commands are not duplicated: a command is not executed again after the response to it. PROTOCOL allows copies
+        Commands are not duplicated, because a command is not executed again after its response. PROTOCOL allows copies
         of heartbeats, and of requests that their sender repeats.
         """
         path = target.split("?")[0]
@@ -299,13 +300,13 @@
             delay = round(self._rng.uniform(0.05, max_delay_s) * SECOND)
             self.loop.call_later_us(delay, None, self._send_copy, source, destination, method, target, data)
 
-    def deliver_kept_duplicates(self, address: str) -> None:
+    def deliver_copies_for_next_leader(self, address: str) -> None:
         """Sends the copies that were kept for the next leader to `address`, each after a delay of up to one second."""
-        for source, method, target, data in self._kept_duplicates:
+        for source, method, target, data in self._copies_for_next_leader:
             self.loop.call_later_us(
                 self._rng.randrange(SECOND), None, self._send_copy, source, address, method, target, data
             )
-        self._kept_duplicates.clear()
+        self._copies_for_next_leader.clear()
 
     def _send_copy(self, source: Host, address: str, method: str, target: str, data: bytes | None) -> None:
         host = self._hosts.get(address)
--- a/oatport/simulation/node_network.py
+++ b/oatport/simulation/node_network.py
@@ -74,6 +74,8 @@
 
 
 class _Listener:
+    """Serves an address with a node's handler, with the interface of `api.server.Server`."""
+
     def __init__(self, net: SimulatedNetwork, host: Host, address: str, handler: Handler, limit: int) -> None:
         self._net, self._host, self._address, self._handler, self._limit = net, host, address, handler, limit
 
--- a/oatport/simulation/node_processes.py
+++ b/oatport/simulation/node_processes.py
@@ -37,7 +37,7 @@
 
     @property
     def names(self) -> list[str]:
-        """Returns the names of all nodes, whether their processes run or not."""
+        """Returns the names of all nodes, also of those whose process does not run."""
         return list(self.addresses)
 
     @property
@@ -61,8 +61,8 @@
         for address in (settings.bind, settings.internal_addr):
             self._net.register_address(address, host)
         boot = f"{name}-{self._start_counts[name]}"
-        # The node is created in its host's context, so that it reads the host's clocks. With the clocks of the real
-        # machine, its start time depended on that machine's uptime.
+        # The node is created in its host's context, so that it reads the host's clocks. With the real machine's clocks,
+        # its start time would depend on that machine's uptime.
         if name in self.upgraded:
             network = NodeNetwork(self._net, host)
             node: Any = host.context.run(Node, settings, self._tuning, net=network, boot=boot)
@@ -80,6 +80,6 @@
             self._net.on_process_ended(host)
 
     def ensure_started(self, name: str) -> None:
-        """Starts a node unless it runs already because another fault has ended first."""
+        """Starts a node unless it runs already, because another fault on the same node has ended earlier."""
         if name not in self.hosts:
             self.start(name)
--- a/oatport/simulation/plan_builder.py
+++ b/oatport/simulation/plan_builder.py
@@ -7,7 +7,7 @@
 from oatport.simulation.fault_plan import LEADER, Fault, Plan
 
 PIPELINES_A_MINUTE = 5.0
-# Settings of `deployment.cluster_settings`: faults are placed around the expiry of these times.
+# Timeouts set in `deployment.cluster_settings`: faults are placed around their expiry.
 CANCEL_S, LEASE_S = 36.0, 12.0
 
 
@@ -51,7 +51,7 @@
     # --- random choices ------------------------------------------------------------------------
 
     def random_node(self) -> str:
-        """Returns a node's name, mostly LEADER."""
+        """Returns LEADER or, less often, the name of a node."""
         return self.rng.choice([LEADER] * 3 + self.node_names)
 
     def restart_after_s(self) -> float:
@@ -63,7 +63,7 @@
         return self.rng.uniform(12, max(13.0, self.for_s - margin_s))
 
     def wave_times_s(self) -> list[float]:
-        """Returns times of task bursts that are so close that the machines of one are still idle at the next."""
+        """Returns times of task bursts, so close together that the machines of one are still idle at the next."""
         first_s = self.rng.uniform(9, 14)
         return [first_s + number * self.rng.uniform(17, 20) for number in range(self.rng.randint(4, 5))]
 
@@ -74,11 +74,11 @@
         self.add("node_crash", at_s, self.restart_after_s())
 
     def crash_random_node(self, at_s: float) -> None:
-        """Crashes a node, mostly the leader, which restarts after a fraction of a second or several seconds."""
+        """Crashes a node, usually the leader, which restarts after a fraction of a second or several seconds."""
         self.add("node_crash", at_s, self.restart_after_s(), node=self.random_node())
 
     def add_task_burst(self, at_s: float, name: str = "guest") -> None:
-        """Adds a burst of many tasks of a class."""
+        """Adds a burst of submissions of a job class."""
         self.add("rush", at_s - 1, 2.2, name=name, amount=self.rng.uniform(36, 60))
 
     def add_delayed_starts(self, at_s: float, window_s: float, delay_s: float, name: str = "guest") -> None:
@@ -87,5 +87,5 @@
         self.add("links_slow", at_s, window_s, source="node", target="worker", amount=delay_s)
 
     def cancel_jobs(self, at_s: float, span_s: float, tenths: int = 4) -> None:
-        """Lets users cancel jobs within `span_s`: `tenths` times a tenth of the number of machines."""
+        """Makes users cancel jobs within `span_s` seconds; `tenths` is the number of jobs in tenths of the machines."""
         self.add("users_cancel", at_s, count=self.tenth_of_machines * tenths, amount=max(span_s, 0.1))
--- a/oatport/simulation/production_build.py
+++ b/oatport/simulation/production_build.py
@@ -3,7 +3,7 @@
 The source tree of that version comes from the repository's history (`production` in deploy/service.toml) and is
 unpacked under target/. Its modules are imported under their own names while this version's modules are removed from
 `sys.modules`; then this version's are put back, and each version keeps its own classes. Only the interface between the
-two has to be adapted: the clocks of a node's context, and the errors of the network.
+two versions is adapted: the clocks of a node's context, and the errors of the network.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True)
 class Build:
-    """Holds the modules of another version."""
+    """Holds the modules of the version in production."""
 
     node: Any
     net: Any
@@ -63,9 +63,9 @@
 
 
 def leader_of(node: Any) -> LeaderView | None:
-    """Returns the state of the node's leader; None: the node does not lead.
+    """Returns the leader state of a node; None: the node does not lead.
 
-    The version in production has other names for these attributes.
+    The version in production names these attributes differently.
     """
     if isinstance(node, Node):
         leader = node.leader
@@ -105,7 +105,7 @@
         archive_file.extractall(partial_tree, filter="data")
     try:
         partial_tree.rename(tree)
-    except OSError:  # another process has unpacked the tree meanwhile
+    except OSError:  # another process has unpacked the tree concurrently
         if not (tree / PACKAGE).is_dir():
             raise
     return tree
--- a/oatport/simulation/quota_scenarios.py
+++ b/oatport/simulation/quota_scenarios.py
@@ -11,7 +11,7 @@
 
 
 def _change_leader(builder: PlanBuilder, at_s: float) -> None:
-    """Adds one or two faults that make the leader change, of random kinds."""
+    """Adds one or two random faults that cause a change of the leader."""
     rng = builder.rng
     leader_changes: list[Callable[[float], None]] = [
         lambda begin_s: builder.crash_leader(begin_s),
@@ -85,7 +85,7 @@
 
 
 def new_machines(builder: PlanBuilder, at_s: float) -> None:
-    """Lets new machines boot at once and get tasks while writes are delayed."""
+    """Makes new machines boot quickly and get tasks while writes are delayed."""
     rng = builder.rng
     builder.add("quick_boots", at_s - 6, 14.0)
     builder.add("machine_die", at_s - 5, count=builder.tenth_of_machines * 2)
@@ -103,7 +103,7 @@
 
 
 def gang_completions(builder: PlanBuilder, at_s: float) -> None:
-    """Lets a machine of a gang die just as the gang completes, and changes the leader."""
+    """Terminates a machine of a gang just as the gang completes, and changes the leader."""
     rng = builder.rng
     builder.add("rush", max(1.0, at_s - 10), 10.0, name="train", amount=rng.uniform(10, 25))
     builder.add("die_at_end", max(2.0, at_s - 6), 40.0, amount=0.5)
@@ -141,7 +141,7 @@
 def quota_plan(
     seed: int, nodes: int = 3, machines: int = 40, zones: tuple[str, ...] = ("a", "b"), for_s: float = 120.0
 ) -> Plan:
-    """Returns a plan with all teams at their quotas, and three rounds of faults."""
+    """Returns a plan with all teams at their quotas, and three of FAULT_ROUNDS, selected by the seed."""
     builder = PlanBuilder(seed, nodes, machines, zones, for_s)
     rng = builder.rng
     at_s = rng.uniform(18, 28)
--- a/oatport/simulation/runner.py
+++ b/oatport/simulation/runner.py
@@ -23,11 +23,11 @@
 from oatport.simulation.simulation import RunResult, Simulation
 from oatport.simulation.state_outage_scenario import state_outage_plan
 
-# Share of the time that some team must be at its limit; a run with a smaller share hardly tests limits.
+# Smallest share of the time in which some team must be at its limit; with a smaller share a run hardly tests limits.
 MIN_SHARE_AT_LIMIT = 0.3
 MAX_SHRINK_RUNS = 40  # runs that are spent on shrinking a failing plan
-MAX_SHOWN_MESSAGES, MAX_MESSAGE_CHARS = 40, 400  # the newest messages about the jobs and machines of the violations
-MAX_SHOWN_DIGESTS = 20  # figures of more runs than this list no digests
+MAX_SHOWN_MESSAGES, MAX_MESSAGE_CHARS = 40, 400  # of the newest messages about the violations' jobs and machines
+MAX_SHOWN_DIGESTS = 20  # the digests are omitted from the figures of more runs
 
 # name -> generator of plans, which takes a seed and the numbers of nodes and machines
 SCENARIOS: dict[str, Callable[[int, int, int], Plan]] = {
--- a/oatport/simulation/scenario_generator.py
+++ b/oatport/simulation/scenario_generator.py
@@ -46,9 +46,9 @@
 def unreachable_machines_plan(
     seed: int, nodes: int = 3, machines: int = 40, zones: tuple[str, ...] = ("a", "b"), for_s: float = 120.0
 ) -> Plan:
-    """Returns a plan with one or two faults that make machines unreachable, among others.
+    """Returns a plan with one or two faults that make machines unreachable, and possibly others.
 
-    After the faults the run leaves time in which every request must be answered.
+    The run continues long enough after the faults that every request must get a response.
     """
     builder = PlanBuilder(seed, nodes, machines, zones, for_s)
     rng, count = builder.rng, builder.tenth_of_machines
@@ -73,7 +73,7 @@
     """Returns a plan in which nodes crash and restart with the new version, one or two at a time, among other faults.
 
     Once all nodes have the new version, the state service's limits are lowered, and pipelines are submitted; some are
-    cancelled at their first stage, or when a stage has just ended.
+    cancelled during a stage, or when a stage has just ended.
     """
     builder = PlanBuilder(seed, nodes, machines, zones, for_s)
     upgraded_s = _add_upgrade(builder, nodes)
@@ -100,7 +100,7 @@
 
 def _add_faults_during_upgrade(builder: PlanBuilder, upgraded_s: float) -> None:
     rng = builder.rng
-    for _ in range(rng.randint(0, 2)):  # a node that crashes before its upgrade restarts old
+    for _ in range(rng.randint(0, 2)):  # a node that crashes before its upgrade restarts with the old version
         builder.crash_random_node(rng.uniform(6, upgraded_s))
     if rng.random() < 0.5:
         rng.choice(UPGRADE_PATTERNS)(builder)
--- a/oatport/simulation/service_statistics.py
+++ b/oatport/simulation/service_statistics.py
@@ -31,7 +31,7 @@
     def _should_have_started(self, job: SubmittedJob) -> bool:
         """Returns whether a job should have started.
 
-        Such a job was accepted `START_ALLOWANCE_S` before the end, is not one that always fails, and is not blocked.
+        Such a job was accepted at least `START_ALLOWANCE_S` before the end, does not always fail, and is not blocked.
         """
         return (
             job.accepted_at is not None
@@ -86,7 +86,7 @@
     def starved_groups(self, workers: list[Worker]) -> list[str]:
         """Returns a line for each starved class and team.
 
-        A group is starved if less than half of its jobs ever started although a waiting one fits on a machine now.
+        A group is starved if less than half of its jobs started although one of its waiting jobs fits on a machine.
         """
 
         def is_eligible(job: SubmittedJob) -> bool:
@@ -112,10 +112,10 @@
     # --- large jobs and pipelines --------------------------------------------------------------
 
     def largest_job_figures(self) -> tuple[float, float]:
-        """Returns the lowest share of large jobs that started in any class, and the longest wait of one (s).
+        """Returns the lowest share of large jobs that started in any class, and the longest wait of a large job (s).
 
-        Large jobs are a class's largest tenth by tasks times CPUs, among those that could start: not cancelled, not
-        failing always, not blocked, and accepted `START_ALLOWANCE_S` before the end.
+        Large jobs are a class's largest tenth by tasks times CPUs, among the jobs that should have started and that
+        neither their users nor a cancelled dependency cancel.
         """
 
         def is_eligible(job: SubmittedJob) -> bool:
@@ -131,7 +131,7 @@
         return min_share, max_wait_s
 
     def pipeline_figures(self) -> dict[str, int]:
-        """Returns the number of due pipelines whose last job was accepted and not cancelled, and of those in time."""
+        """Returns the number of due pipelines with an accepted, uncancelled last job, and of those in time."""
         last_jobs = [
             job
             for job in self._jobs.values()
--- a/oatport/simulation/simulated_deployment.py
+++ b/oatport/simulation/simulated_deployment.py
@@ -1,4 +1,4 @@
-"""Assembly of a whole deployment in one process: network, external services, nodes, machines and users.
+"""Assembles a whole deployment in one process: network, external services, nodes, machines and users.
 
 `simulation.py` runs the deployment, with its users and faults.
 """
@@ -73,14 +73,14 @@
             return leader_node_of(self.store) or "n0"
         return fault.node
 
-    def _on_heartbeat_answered(self, node_name: str, legs: list[dict[str, Any]]) -> None:
-        """Records the completions in a heartbeat as acknowledged if the node that responded leads.
+    def _on_heartbeat_answered(self, node_name: str, attempts: list[dict[str, Any]]) -> None:
+        """Records the completions in a heartbeat as acknowledged if the node that responded is the leader.
 
         Other nodes only renew leases.
         """
         node = self.nodes.nodes.get(node_name)
         if node is not None and production_build.leader_of(node) is not None:
-            completed = [leg["leg"] for leg in legs if leg.get("wreckCause") == EXIT_DONE]
+            completed = [attempt["leg"] for attempt in attempts if attempt.get("wreckCause") == EXIT_DONE]
             self.checker.on_completions_acknowledged(completed)
 
     def _on_task_stopped(self, worker: Worker, task: str, attempt: int, reason: str) -> None:
@@ -90,7 +90,7 @@
         self.checker.on_task_stopped(worker, task, attempt, reason)
 
     def _is_reachable(self, machine: Host) -> bool:
-        """Returns whether messages pass both ways between a machine and at least one running node now."""
+        """Returns whether messages now pass both ways between a machine and at least one running node."""
         return not machine.frozen and any(
             not node.frozen and self.net.can_deliver(machine, node) and self.net.can_deliver(node, machine)
             for node in self.nodes.hosts.values()
--- a/oatport/simulation/simulation.py
+++ b/oatport/simulation/simulation.py
@@ -20,13 +20,13 @@
 from oatport.times import SECOND
 
 SAMPLE_INTERVAL_S = 0.25
-CLOUD_SNAPSHOT_INTERVAL_S = 1.0  # the cloud lists its machines from such a snapshot, not from its current state
+CLOUD_SNAPSHOT_INTERVAL_S = 1.0  # the cloud lists its machines from a past snapshot, not from its current state
 UNKNOWN_JOB_POLLS = 5  # polls of jobs that no user submitted
 
 
 @dataclass
 class RunResult:
-    """Holds the result of one run. `counts` has totals by name; shares are between 0 and 1."""
+    """Holds the result of one run. `counts` holds totals by name; shares are between 0 and 1."""
 
     seed: int
     violations: list[str]
@@ -40,7 +40,7 @@
     last_messages: list[str] = field(default_factory=list)  # the newest ones at the first violation of an invariant
     # Classes and teams less than half of whose jobs started although capacity was free.
     starved: list[str] = field(default_factory=list)
-    unanswered_s_max: float = 0.0  # the longest time without an answered poll of a job, after the end of all faults
+    unanswered_s_max: float = 0.0  # the longest time without a response to a poll of a job, after all faults
     largest_jobs_started_share: float = 1.0  # the smallest share, over all classes, of the largest jobs that started
     largest_jobs_wait_s_max: float = 0.0  # the longest time that one of these jobs waited for its first task
     at_limit: dict[str, float] = field(default_factory=dict)  # team -> share of the time in which it was at its limit
@@ -66,7 +66,7 @@
         self.leaderless_s_max = 0.0
 
     def sample(self) -> None:
-        """Inspects all nodes; the caller does so every SAMPLE_INTERVAL_S."""
+        """Inspects all nodes. Must be called every SAMPLE_INTERVAL_S."""
         has_leader = False
         nodes = self._deployed.nodes
         for name, node in nodes.nodes.items():
@@ -74,15 +74,15 @@
             if leader is None or leader.stopped or nodes.hosts[name].frozen:
                 continue
             has_leader = has_leader or leader.loaded
-            if leader.token > self._last_fencing_token:  # a new leader: it gets the heartbeat copies kept for it
+            if leader.token > self._last_fencing_token:  # a new leader: receives the copies kept for it
                 self._last_fencing_token = leader.token
-                self._deployed.net.deliver_kept_duplicates(nodes.addresses[name][0])
+                self._deployed.net.deliver_copies_for_next_leader(nodes.addresses[name][0])
         self._leaderless_s = 0.0 if has_leader else self._leaderless_s + SAMPLE_INTERVAL_S
         self.leaderless_s_max = max(self.leaderless_s_max, self._leaderless_s)
 
 
 class Simulation:
-    """Runs a plan once. `tuning` holds the operators' settings of all nodes."""
+    """Runs a plan once. `tuning` holds the operator-set tuning of all nodes."""
 
     def __init__(self, plan: Plan, seed: int, tuning: Tuning | None = None) -> None:
         self.plan, self.seed = plan, seed
@@ -183,7 +183,7 @@
             await asyncio.sleep(SAMPLE_INTERVAL_S)
 
     def _start_deployment(self) -> None:
-        """Adds the machines that are rented at the beginning, and starts all nodes."""
+        """Adds the initially rented machines and starts all nodes."""
         for (kind, zone, spot), count in deployment.capacity(self.plan).items():
             for _ in range(count // 2 if not spot else count // 4):
                 self.deployed.cloud.registry.add(kind, zone, spot)
--- a/oatport/simulation/single_faults.py
+++ b/oatport/simulation/single_faults.py
@@ -1,4 +1,4 @@
-"""Draws single faults: one generator for each kind, which draws the fault's fields at random."""
+"""Generators of single faults. Each draws the fields of one kind of fault at random."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 
 
 def _random_machine_count(builder: PlanBuilder) -> int:
-    """Returns a number of machines from one to a tenth of all."""
+    """Returns a random number of machines, from one to a tenth of all machines."""
     return builder.rng.randint(1, builder.tenth_of_machines)
 
 
