--- a/oatport/simulation/faults/machines.py
+++ b/oatport/simulation/faults/machines.py
@@ -87,7 +87,7 @@
         """Restarts some machines at once without their tasks; if `amount` > 0 their agent epochs begin at 1 again."""
         for machine in self._machines.sample(fault.count):
             if not machine.host.frozen:
-                machine.worker.restart(reset_session=fault.amount > 0)
+                machine.worker.restart(reset_epoch=fault.amount > 0)
 
     def boot_quickly(self, fault: Fault) -> EndFault:
         """Makes new machines boot within two seconds."""
--- a/oatport/simulation/state_outage_scenario.py
+++ b/oatport/simulation/state_outage_scenario.py
@@ -1,6 +1,6 @@
-"""Fault plans in which the state service refuses the leader while peers confirm cancellations, then is down for all.
+"""Fault plans in which the state service first refuses only the leader, while peers confirm cancellations, then fails.
 
-The leader must find out which cancellations its peers have confirmed to users; additional faults obstruct that.
+The leader must learn which cancellations its peers have confirmed to users; additional faults obstruct that.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from oatport.simulation.fault_plan import LEADER, Plan
 from oatport.simulation.plan_builder import CANCEL_S, LEASE_S, PlanBuilder
 
-# Takes the builder, and the start and the length of the time in which other nodes confirm cancellations.
+# Adds a fault. Takes the builder, and the start and duration of the time in which other nodes confirm cancellations.
 Obstacle = Callable[[PlanBuilder, float, float], None]
 
 
@@ -21,10 +21,10 @@
     )
 
 
-def _lose_commit_answers(builder: PlanBuilder, at_s: float, span_s: float) -> None:
+def _lose_commit_responses(builder: PlanBuilder, at_s: float, span_s: float) -> None:
     """Loses responses to commits, so that no node knows that a job is cancelled.
 
-    The cancellation becomes known by a repeated request at another node, by a poll, or by what a node reads later.
+    A node learns of the cancellation from a repeated request at another node, from a poll, or from a later read.
     """
     rng = builder.rng
     builder.add(
@@ -37,7 +37,7 @@
     )
 
 
-def _lose_users_answers(builder: PlanBuilder, at_s: float, span_s: float) -> None:
+def _lose_user_responses(builder: PlanBuilder, at_s: float, span_s: float) -> None:
     rng = builder.rng
     builder.add("links_lossy", at_s, span_s + 4, source="node", target="users", amount=rng.uniform(0.3, 0.9))
     builder.add(
@@ -82,7 +82,7 @@
 
 
 def _delay_starts(builder: PlanBuilder, at_s: float, span_s: float) -> None:
-    """Delays start commands of jobs that are cancelled a moment later, some of them for seconds."""
+    """Delays start commands of jobs that are cancelled shortly afterwards by 1 to 5 s."""
     rng = builder.rng
     builder.add("rush", at_s - 2, 2.2, name="batch", amount=rng.uniform(8, 20))
     builder.add("links_slow", at_s - 1, span_s + 1, source="node", target="worker", amount=rng.uniform(1, 5))
@@ -91,8 +91,8 @@
 OBSTACLES: tuple[Obstacle, ...] = (
     _lose_peer_notifications,
     _lose_peer_notifications,  # twice as often as the others
-    _lose_commit_answers,
-    _lose_users_answers,
+    _lose_commit_responses,
+    _lose_user_responses,
     _cancel_dependencies,
     _crash_confirming_node,
     _refuse_leader_twice,
--- a/oatport/simulation/state_service.py
+++ b/oatport/simulation/state_service.py
@@ -1,4 +1,4 @@
-"""The simulated state service: the key store by PROTOCOL on an injected clock (us), and the service that exposes it."""
+"""The simulated state service: the key store of PROTOCOL on an injected clock (us), and the service that exposes it."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 ServiceResponse = tuple[int, Any]
 
-MAX_KEPT_CHANGES = 10_000
+MAX_RETAINED_CHANGES = 10_000
 COMMIT_DELAY_S = (2.0, 12.0)  # range of the delay after which a transaction without a response is applied
 
 
 class KeyStore:
-    """Holds keys, versions, leases and changes. Responses are a status and a body as on the wire."""
+    """Holds keys, versions, leases and the change log. Methods return a status and a body as on the wire."""
 
     def __init__(self, clock: Callable[[], int], value_limit: int = 32 * 1024, ops_limit: int = 16) -> None:
         self._clock = clock
@@ -33,11 +33,11 @@
         self.log: list[tuple[int, str, Any]] = []
         self.revision = 0
         self._next_lease = 1
-        self._compacted_revision = 0  # changes up to this revision are dropped
+        self._compacted_revision = 0  # the log no longer holds the changes up to this revision
         self.changed = asyncio.Event()
         self.commit_count = 0
         self.down = False  # no lease expires during an outage
-        self.over_limit_count = 0  # transactions refused for their size or that of a value
+        self.over_limit_count = 0  # transactions refused for too many operations or too large values
 
     def expire(self) -> None:
         """Ends the leases that have expired. No lease expires during an outage."""
@@ -69,15 +69,15 @@
             else:
                 self.items.pop(op["drop"], None)
                 self.log.append((self.revision, op["drop"], None))
-        if len(self.log) > 2 * MAX_KEPT_CHANGES:
-            self._compacted_revision = self.log[-MAX_KEPT_CHANGES - 1][0]
-            del self.log[:-MAX_KEPT_CHANGES]
+        if len(self.log) > 2 * MAX_RETAINED_CHANGES:
+            self._compacted_revision = self.log[-MAX_RETAINED_CHANGES - 1][0]
+            del self.log[:-MAX_RETAINED_CHANGES]
         self.changed.set()
         self.changed = asyncio.Event()
         return self.revision
 
     def get(self, key: str) -> ServiceResponse:
-        """Returns the value, version and lease of one key."""
+        """Returns the value, version and lease of one key; 404 if the key does not exist."""
         self.expire()
         if key not in self.items:
             return 404, {"ledgerRev": self.revision}
@@ -85,7 +85,7 @@
         return 200, {"path": key, "value": value, "entryRev": version, "permit": lease}
 
     def list(self, prefix: str, after: str = "", page: int = 1000) -> ServiceResponse:
-        """Returns a page of the keys with a prefix, in order."""
+        """Returns a page of the keys with a prefix, in order, beginning after the key `after`."""
         self.expire()
         keys = sorted(k for k in self.items if k.startswith(prefix) and k > after)
         rows = [{"path": k, "value": self.items[k][0], "entryRev": self.items[k][1]} for k in keys[:page]]
@@ -96,7 +96,7 @@
         self.expire()
         self.commit_count += 1
         conditions, ops = body.get("if") or [], body.get("then") or []
-        error = self._refusal(conditions, ops)
+        error = self._validation_error(conditions, ops)
         if error:
             return 400, {"error": error}
         failed = [row["path"] for row in conditions if self._version(row["path"]) != row["entryRev"]]
@@ -107,7 +107,7 @@
     def _version(self, key: str) -> int:
         return self.items[key][1] if key in self.items else 0
 
-    def _refusal(self, conditions: Sequence[Any], ops: Sequence[dict[str, Any]]) -> str:
+    def _validation_error(self, conditions: Sequence[Any], ops: Sequence[dict[str, Any]]) -> str:
         """Returns why a transaction is refused regardless of its conditions; empty if it is valid."""
         if len(ops) > self.ops_limit or len(conditions) > 4 * self.ops_limit:
             self.over_limit_count += 1
@@ -121,7 +121,7 @@
         return ""
 
     def grant_lease(self, duration_ms: int) -> ServiceResponse:
-        """Grants a new lease."""
+        """Grants a new lease and returns its id."""
         lease, self._next_lease = self._next_lease, self._next_lease + 1
         self.leases[lease] = (self._clock() + duration_ms * 1000, duration_ms * 1000)
         return 200, {"permit": lease}
@@ -136,7 +136,7 @@
         return 200, {"permit": lease}
 
     def changes(self, prefix: str, after: int) -> ServiceResponse:
-        """Returns the changes of keys with a prefix after a revision; 410 if these changes are dropped."""
+        """Returns the changes of keys with a prefix after a revision; 410 if the log no longer holds them."""
         self.expire()
         if after < self._compacted_revision:
             return 410, None
@@ -156,7 +156,7 @@
 
     def __init__(self, host: Host, rng: random.Random, rps: float, write_rps: float, store: KeyStore) -> None:
         self._host, self._rng, self.store = host, rng, store
-        # Token buckets: rate, level, time of the level.
+        # Token buckets: rate, level, time at which the level was computed.
         self._rates = {"requests": [rps, rps, 0.0], "changes": [write_rps, write_rps, 0.0]}
         self.down = False
         self.slow_response_share = 0.01
@@ -171,7 +171,7 @@
         self.down = self.store.down = down
 
     def set_limits(self, value_bytes: int, txn_ops: int, write_rps: float) -> None:
-        """Sets lower limits without notice; stored values stay."""
+        """Lowers the limits without notice; stored values stay."""
         self.store.value_limit, self.store.ops_limit = value_bytes, txn_ops
         _, level, at = self._rates["changes"]
         self._rates["changes"] = [write_rps, min(level, write_rps), at]
@@ -185,7 +185,7 @@
         return allowed
 
     async def serve(self, method: str, target: str, body: Any) -> ServiceResponse:
-        """Responds to one request after a delay."""
+        """Responds to one request after 2 to 8 ms, or 100 to 400 ms for the share of slow responses."""
         self.request_counts["requests"] += 1
         delay = 2 * MS + self._rng.randrange(6 * MS)
         if self._rng.random() < self.slow_response_share:
--- a/oatport/simulation/submitted_job.py
+++ b/oatport/simulation/submitted_job.py
@@ -1,4 +1,4 @@
-"""A job as its user knows it: the submission and the results that the user has seen."""
+"""A job as its user sees it: the submission and the results that responses reported."""
 
 from __future__ import annotations
 
@@ -14,23 +14,23 @@
     submit_at: float
     cancel_at: float | None = None
     accepted_at: float | None = None
-    always_fails: bool = False  # fails on every machine until its user cancels it
+    always_fails: bool = False  # the job fails on every machine until its user cancels it
     refusal_count: int = 0  # submissions that were not accepted
     cancelled_at: float | None = None  # when its user received the cancellation
     done_at: float | None = None  # when its user received the completion
-    is_abandoned: bool = False  # it was never accepted, and its user has stopped trying
+    is_abandoned: bool = False  # the job was never accepted, and its user no longer submits it
     started_at: float | None = None  # start of its first task
     completed_at: float | None = None  # completion of its last task
     completed_tasks: int = 0
     replica_uptime_us: int = 0  # total run time of its replicas
     dependencies: list[SubmittedJob] = field(default_factory=list)  # jobs that it depends on
     is_last_in_pipeline: bool = False  # whether it is the last job of a pipeline
-    submitted_after_dependencies: bool = False  # its user submits it only once its dependencies are done or cancelled
-    answered_at: float = 0.0  # time of the last response to a query about it
+    submitted_after_dependencies: bool = False  # the job is submitted only after its dependencies ended
+    answered_at: float = 0.0  # time of the last response to a poll of the job
 
     @property
     def is_cancellable(self) -> bool:
-        """Returns whether the job was accepted, is not known to be done, and has no past or planned cancellation."""
+        """Returns whether the job is accepted, not reported as done, and has no past or planned cancellation."""
         return self.accepted_at is not None and self.done_at is None and self.cancel_at is None
 
     @property
@@ -67,12 +67,12 @@
 
     @property
     def startable_at(self) -> float:
-        """Returns from when on the job could start: it was accepted, and its dependencies were complete."""
+        """Returns the time from which the job could start: accepted, with all dependencies complete."""
         return max([self.accepted_at or self.submit_at, *(job.completed_at or 0.0 for job in self.dependencies)])
 
     @property
     def deadline_at(self) -> float:
-        """Returns the deadline, counted from the submission. Only for jobs that have one."""
+        """Returns the deadline, counted from the submission. Must be called only for jobs with a deadline."""
         return self.submit_at + float(self.body["tideS"])
 
     @property
--- a/oatport/simulation/team_usage.py
+++ b/oatport/simulation/team_usage.py
@@ -9,7 +9,7 @@
 from oatport.settings import Team
 
 EPSILON = 1e-6
-AT_LIMIT_SHARE = 0.9  # share of its limit from which on a team has no capacity left for most of its tasks
+AT_LIMIT_SHARE = 0.9  # above this share of its limit a team has no capacity for most of its tasks
 
 
 @dataclass
@@ -34,13 +34,13 @@
         return self._usage[team]
 
     def add(self, body: dict[str, Any]) -> None:
-        """Adds the resources of a task that is on a machine now; `body`: its job."""
+        """Adds the resources of a task that is on a machine now; `body` is the submission of its job."""
         usage = self._usage[str(body["crew"])]
         usage.cpus += float(body["cores"])
         usage.gpus += float(body["accelerators"])
 
     def remove(self, body: dict[str, Any]) -> None:
-        """Subtracts the resources of a task that has left its machine; `body`: its job."""
+        """Subtracts the resources of a task that has left its machine; `body` is the submission of its job."""
         usage = self._usage[str(body["crew"])]
         usage.cpus -= float(body["cores"])
         usage.gpus -= float(body["accelerators"])
--- a/oatport/simulation/users.py
+++ b/oatport/simulation/users.py
@@ -1,4 +1,4 @@
-"""Simulated users behind the load balancer: they submit, poll and cancel jobs, and record the responses."""
+"""Simulated users behind the load balancer, who submit, poll and cancel jobs and report each response."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 class User:
     """Sends one user's requests for one job.
 
-    `on_answer` receives every response: job, request name, status (0: no response) and body.
+    `on_response` is called with every response: job, request name, status (0: no response) and body.
     """
 
     def __init__(
@@ -31,13 +31,13 @@
         host: Host,
         job: SubmittedJob,
         rng: random.Random,
-        on_answer: Callable[[SubmittedJob, str, int, Any], None],
+        on_response: Callable[[SubmittedJob, str, int, Any], None],
     ) -> None:
-        self._balancer, self._host, self.job, self._rng, self._on_answer = balancer, host, job, rng, on_answer
+        self._balancer, self._host, self.job, self._rng, self._on_response = balancer, host, job, rng, on_response
         self._request_lock = asyncio.Lock()  # one request at a time, so that no response overtakes another
 
     async def run(self) -> None:
-        """Submits the job at its time, polls it until it is done, and cancels it if a cancellation is due."""
+        """Submits the job at `submit_at`, polls it until it is done, and cancels it if a cancellation is due."""
         loop, job = self._host.loop, self.job
         await asyncio.sleep(max(0.0, job.submit_at - loop.time()))
         if not await self._wait_for_dependencies() or not await self._submit():
@@ -61,7 +61,7 @@
                 return
 
     async def _wait_for_dependencies(self) -> bool:
-        """Waits until all dependencies allow the submission; returns False if the user of one has given it up."""
+        """Waits until all dependencies allow the submission; returns False if one of them is abandoned."""
         job = self.job
         while not all(job.can_be_submitted_after(dependency) for dependency in job.dependencies):
             if any(dependency.is_abandoned for dependency in job.dependencies):
@@ -73,9 +73,9 @@
         return True
 
     async def _submit(self) -> bool:
-        """Submits until there is a response; returns False if the job was refused or there was no response."""
+        """Submits until there is a final response; returns False if the job was refused or there was none."""
         job = self.job
-        accepted = await self._retry_until_answered(
+        accepted = await self._retry_until_final_response(
             "submit", "POST", wire.SUBMISSIONS_PATH, job.body, (200, 201), (400, 422)
         )
         if accepted:
@@ -90,10 +90,10 @@
     async def cancel(self) -> bool:
         """Requests the cancellation until it is confirmed, for up to `RETRY_DURATION_S`; returns whether it was."""
         path = f"{wire.SUBMISSIONS_PATH}/{self.job.job_id}/cancel"
-        return await self._retry_until_answered("cancel", "POST", path, None, (200,), ())
+        return await self._retry_until_final_response("cancel", "POST", path, None, (200,), ())
 
     async def query_all_nodes(self, addresses: list[str], cancel_first: bool) -> None:
-        """Polls the job at every node twice, in random order, and repeats the submission now and then.
+        """Sends two requests to every node in random order: polls and, with a probability of 0.3, repeated submissions.
 
         `cancel_first`: the user first cancels the job, unless it is done or its cancellation is planned.
         """
@@ -115,13 +115,13 @@
                     )
                 except NoResponseError:
                     status, value = 0, None
-                self._on_answer(self.job, "submit" if is_resubmission else "poll", status, value)
+                self._on_response(self.job, "submit" if is_resubmission else "poll", status, value)
 
     def _start_resubmission(self) -> None:
         self._host.loop.create_task(self.resubmit())
 
     async def resubmit(self) -> None:
-        """Repeats the submission once, whatever the state of the job."""
+        """Repeats the submission once, in any state of the job."""
         await self._request_once("submit", "POST", wire.SUBMISSIONS_PATH, self.job.body, SUBMIT_TIMEOUT)
 
     async def submit_other(self, body: dict[str, Any]) -> int:
@@ -139,10 +139,10 @@
                 status, value = await self._balancer.request(self._host, method, path, body, timeout_us)
             except NoResponseError:
                 status, value = 0, None
-            self._on_answer(self.job, request_name, status, value)
+            self._on_response(self.job, request_name, status, value)
         return status, value
 
-    async def _retry_until_answered(
+    async def _retry_until_final_response(
         self,
         request_name: str,
         method: str,
--- a/oatport/simulation/virtual_time.py
+++ b/oatport/simulation/virtual_time.py
@@ -23,7 +23,7 @@
 
 
 class Host:
-    """A simulated computer of a node, a worker, a service or the users. Link rules refer to hosts by their `tags`."""
+    """Represents the computer of a node, worker, service or of the users. Link rules refer to hosts by their `tags`."""
 
     def __init__(self, loop: VirtualLoop, name: str, *tags: str, drift: float = 0.0, clock_offset_us: int = 0) -> None:
         self.loop, self.name = loop, name
@@ -49,7 +49,7 @@
         return self.loop.now() + self.clock_offset_us + 1_000_000 * SECOND
 
     def freeze(self) -> None:
-        """Pauses the host: its callbacks are deferred, its clocks run on."""
+        """Pauses the host: its callbacks are deferred, while its clocks continue."""
         self.frozen = True
 
     def thaw(self) -> None:
@@ -58,7 +58,7 @@
         self.loop.run_deferred(self)
 
     def end(self) -> None:
-        """Ends the host's process: none of its callbacks run any more, not even cleanup."""
+        """Ends the host's process: no callback runs any more, not even cleanup code."""
         self.dead = True
 
 
@@ -186,6 +186,6 @@
     def call_later_us(
         self, delay_us: int, host: Host | None, callback: Callable[..., Any], *args: Any
     ) -> asyncio.TimerHandle:
-        """Calls `callback` on a host after a delay; without a host it runs in no host's context."""
+        """Schedules `callback` in a host's context after a delay; without a host, outside of any host's context."""
         context = host.context if host is not None else self._empty_context
         return self.call_at(self._now_s + delay_us / SECOND, callback, *args, context=context)
--- a/oatport/simulation/worker.py
+++ b/oatport/simulation/worker.py
@@ -1,4 +1,4 @@
-"""A model of a machine's worker by PROTOCOL: tasks, images, gangs, tokens and lease, on an injected clock (us)."""
+"""The model of a worker that follows PROTOCOL: tasks, images, gangs, tokens and lease, on an injected clock (us)."""
 
 from __future__ import annotations
 
@@ -46,16 +46,16 @@
         self.cores, self.machine_type, self.gang_coordinator = cores, hardware, gangs
         self._job_of = job_of
         self.lease_us = lease_us
-        self.session = 1
-        self.seq = 0
-        self.token = 0
+        self.session = 1  # the agent epoch
+        self.heartbeat_seq = 0
+        self.token = 0  # highest fencing token received
         self.reclaimed_at: int | None = None
         self.notice_s: float | None = None
         self.tasks: dict[AttemptKey, Attempt] = {}
         self.cached_images: set[str] = set()
         self.images_ready_at: dict[str, int] = {}  # image -> time at which its fetch completes
-        self.completed_tasks: set[str] = set()  # completed tasks of all machines; a completion is never dropped
-        self.lost_completions: dict[str, str] = {}  # task -> why its completion can no longer be reported
+        self.completed_tasks: set[str] = set()  # completed tasks, shared by all machines; completions are never dropped
+        self.lost_completions: dict[str, str] = {}  # task -> reason why its completion can no longer be reported
         self.progress: dict[str, int] = {}  # task -> run time saved in checkpoints (us), shared by all machines
         self.speed = 1.0
         self.lease_renewed_at = clock()
@@ -70,7 +70,7 @@
     # --- time ----------------------------------------------------------------------------------
 
     def advance(self) -> None:
-        """Processes all due events: expiry of the lease, image fetches, and starts, checkpoints and ends of tasks."""
+        """Processes all due events: lease expiry, image fetches, and starts, checkpoints and ends of tasks."""
         now = self._clock()
         if now - self.lease_renewed_at > self.lease_us:
             self.kill("lease")
@@ -114,7 +114,7 @@
                 self._exit(key, attempt, EXIT_DONE)
 
     def next_event_at(self) -> int:
-        """Returns the time of the next event for `advance`, if no message arrives before."""
+        """Returns when `advance` must be called next if no message arrives before."""
         times = [self.lease_renewed_at + self.lease_us + 1, *self.images_ready_at.values()]
         for key, attempt in self.tasks.items():
             if attempt.status == "pulling":
@@ -156,16 +156,17 @@
         self.tasks.clear()
         self.images_ready_at.clear()
 
-    def restart(self, *, reset_session: bool) -> None:
-        """Restarts the machine at once without tasks and images, under its name and address.
+    def restart(self, *, reset_epoch: bool) -> None:
+        """Restarts the machine at once without tasks and images, with the same name and address.
 
-        `reset_session`: session and heartbeat numbers begin at their first values again.
+        With `reset_epoch`, the agent epoch and heartbeat numbers begin at their first values again; otherwise the epoch
+        increases by one.
         """
         self.kill("died")
         self.cached_images.clear()
         self.token = 0
-        self.session = 1 if reset_session else self.session + 1
-        self.seq = 0 if reset_session else self.seq
+        self.session = 1 if reset_epoch else self.session + 1
+        self.heartbeat_seq = 0 if reset_epoch else self.heartbeat_seq
         self.lease_renewed_at = self._clock()
         self.on_change()
 
@@ -184,7 +185,7 @@
             self.run_attempt(key, attempt, now)
 
     def run_attempt(self, key: AttemptKey, attempt: Attempt, now: int) -> None:
-        """Starts to run a task, from its last checkpoint on."""
+        """Runs a task from its last checkpoint."""
         attempt.status, attempt.started_at = "running", now
         failure_delay = self.failure_delay_us(key.task, attempt.job)
         attempt.fails_at = None if failure_delay is None else now + failure_delay
@@ -230,7 +231,7 @@
     def report(self) -> dict[str, Any]:
         """Returns a heartbeat with the machine and all its attempts."""
         self.advance()
-        self.seq += 1
+        self.heartbeat_seq += 1
         legs: list[dict[str, Any]] = []
         for (name, number), attempt in self.tasks.items():
             leg: dict[str, Any] = {"leg": name, "sailing": number, "status": attempt.status}
@@ -248,16 +249,16 @@
             "harbor": self.zone,
             "driftwood": self.spot,
             "watch": self.session,
-            "logline": self.seq,
+            "logline": self.heartbeat_seq,
             "helm": self.token,
             "recallS": self.notice_s,
             "legs": legs,
         }
 
     def on_heartbeat_response(self, sent_at: int, session: int, body: dict[str, Any]) -> bool:
-        """Processes a 200 response to a heartbeat; returns False if it is dropped.
+        """Processes a 200 response to a heartbeat; returns False if the response is dropped.
 
-        A response from an older leader or to an earlier session is dropped.
+        A response from an earlier leader or for an earlier agent epoch is dropped.
         """
         self.advance()
         if body.get("helm", -1) < self.token or session != self.session:
@@ -270,7 +271,7 @@
     def commands(self, body: dict[str, Any]) -> tuple[int, dict[str, Any]]:
         """Executes a leader's commands and returns status and response.
 
-        409: the commands are from an older leader or for an earlier session.
+        Status 409 means that the commands are from an earlier leader or for another agent epoch.
         """
         self.advance()
         if "helm" not in body or "watch" not in body:
@@ -305,8 +306,8 @@
         gang = self._gang_of(attempt)
         if attempt.status == "running" and gang is not None:
             gang.on_stop_ordered(key)
-        saves = attempt.checkpoint_interval_us > 0 and grace_s >= float(attempt.job.get("stowS") or 0.0)
-        if attempt.status == "running" and saves:
+        saves_checkpoint = attempt.checkpoint_interval_us > 0 and grace_s >= float(attempt.job.get("stowS") or 0.0)
+        if attempt.status == "running" and saves_checkpoint:
             attempt.status, attempt.stopped_at = "flushing", self._clock()
             attempt.checkpoint_done_at = attempt.stopped_at + micros(float(attempt.job["stowS"]))
         elif attempt.status != "flushing" or grace_s <= 0:
@@ -320,9 +321,9 @@
 
     def _start(self, key: AttemptKey) -> None:
         job = self._job_of(key.job_id)
-        refusal = self._refusal(key, job)
-        if job is None or refusal:
-            self.tasks[key] = Attempt("ended", refusal)
+        rejection_reason = self._rejection_reason(key, job)
+        if job is None or rejection_reason:
+            self.tasks[key] = Attempt("ended", rejection_reason)
             return
         self.started_attempts.append(key)
         now = self._clock()
@@ -336,8 +337,8 @@
             self._on_image_ready(key, attempt, now)
         self.on_change()
 
-    def _refusal(self, key: AttemptKey, job: dict[str, Any] | None) -> str:
-        """Returns the exit reason of a task that can't be started; empty if it can be."""
+    def _rejection_reason(self, key: AttemptKey, job: dict[str, Any] | None) -> str:
+        """Returns the exit reason of a task that can't be started; empty if the task can be started."""
         if job is None:
             return "unknown"
         live = [(other, attempt) for other, attempt in self.tasks.items() if not attempt.is_ended]
--- a/oatport/simulation/workload.py
+++ b/oatport/simulation/workload.py
@@ -1,6 +1,6 @@
 """Generates the jobs that users submit in a run: by class at random times, in bursts, and in pipelines.
 
-Bodies are submissions as on the wire.
+The body of a job is its submission as on the wire.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 # class -> share of all jobs; `_job_body` draws the fields of each job
 CLASS_SHARES = {"serve": 0.12, "batch": 0.5, "train": 0.08, "guest": 0.2, "local": 0.1}
 TEAM_OF_CLASS = {"serve": "north", "batch": "south", "train": "north", "guest": "east", "local": "east"}
-SERVICES_PER_MACHINE = 0.15  # services per machine that are submitted at the start
+SERVICES_PER_MACHINE = 0.15  # number of services submitted at the start, per machine
 FIRST_SUBMISSION_S = 4.0  # seconds from the start of the run to the first submission
 CANCELLED_SHARE, CANCELLED_SHARE_OF_SINGLE_TASKS, ALWAYS_FAILS_SHARE = 0.12, 0.25, 0.04
 
@@ -41,8 +41,8 @@
 def _jobs_of_class(plan: Plan, rng: random.Random, start_s: float, name: str, share: float) -> list[SubmittedJob]:
     """Returns the jobs of a class.
 
-    Arrivals are drawn at the highest rate and thinned to the current one, since a burst shorter than the usual gap
-    between arrivals would otherwise be skipped.
+    Arrivals are drawn at the highest rate and thinned to the current rate; otherwise a burst that is shorter than the
+    usual gap between arrivals would be skipped.
     """
     submitted: list[SubmittedJob] = []
     rate = plan.jobs_a_minute * share / 60
@@ -100,7 +100,7 @@
 def generate_pipelines(plan: Plan, rng: random.Random, start_s: float) -> list[SubmittedJob]:
     """Returns the jobs of all pipelines.
 
-    Users submit the stages one after another, and some last stages only once the others are done or cancelled.
+    A stage is submitted once its dependencies are accepted; some last stages only once these are done or cancelled.
     """
     submitted: list[SubmittedJob] = []
     at = plan.pipelines_from_s
@@ -114,7 +114,7 @@
 
 def _pipeline(plan: Plan, rng: random.Random, submit_at: float, earlier_jobs: list[SubmittedJob]) -> list[SubmittedJob]:
     jobs_of_stages: list[SubmittedJob] = []
-    # Some pipelines also depend on the last job of an earlier pipeline, which may have ended long before.
+    # Some pipelines also depend on the last job of an earlier pipeline, which may have ended long ago.
     earlier_last_jobs = [job for job in earlier_jobs if job.is_last_in_pipeline and rng.random() < 0.1][:1]
     for number, stage in enumerate(STAGES):
         body = _stage_body(plan, rng, stage, f"j-{700_000 + len(earlier_jobs) + number}")
@@ -224,7 +224,7 @@
 
 def _best_effort(rng: random.Random, plan: Plan) -> dict[str, Any]:
     fields = {"legs": rng.randint(4, 30), "urgency": "idle", "voyageS": rng.uniform(3, 12)}
-    if plan.old_nodes:  # records that the old version writes larger than the next limits allow
+    if plan.old_nodes:  # so that the old version writes records that exceed the next limits
         fields |= {"legs": rng.randint(60, 140), "cores": 0.25, "voyageS": rng.uniform(20, 60)}
     return fields
 
