--- a/emulators/amqp_broker.py
+++ b/emulators/amqp_broker.py
@@ -2,7 +2,7 @@
 
 The broker implements only what the tests and the lab need: queues (durable or not, dead letters), exchanges (direct,
 fanout, topic), prefetch, confirms, mandatory returns, the redelivery flag, heartbeats and connection.blocked. `fault`
-is called at each point where a connection may break, and drops the connection by returning True. `restart` keeps the
+is called at each point where a connection may break; the connection is dropped if it returns True. `restart` keeps the
 persistent messages of durable queues.
 """
 
@@ -19,7 +19,7 @@
 from emulators.amqp_queue import Queue, StoredMessage
 
 # Exceptions that end a connection: the connection broke, or the client sent a malformed frame.
-BROKEN_CONNECTION = (
+CONNECTION_ERRORS = (
     ConnectionError,
     asyncio.IncompleteReadError,
     TimeoutError,
@@ -73,7 +73,7 @@
     async def restart(self, *, lose_unconfirmed: bool = False) -> None:
         """Restarts the broker: keeps only persistent messages of durable queues, and redelivers unacknowledged ones.
 
-        `lose_unconfirmed` also drops messages that were received in part.
+        With `lose_unconfirmed`, messages that were received in part are dropped too.
         """
         if lose_unconfirmed:
             for connection in self.connections:
@@ -103,7 +103,7 @@
         self.connections.add(connection)
         try:
             await connection.run()
-        except BROKEN_CONNECTION:
+        except CONNECTION_ERRORS:
             pass  # ends this connection only
         finally:
             self.connections.discard(connection)
@@ -134,7 +134,7 @@
         self.deliver(queue)
 
     def deliver(self, queue: Queue) -> None:
-        """Delivers messages of a queue to its consumers as long as a prefetch limit allows another."""
+        """Delivers messages of a queue to its consumers, as far as the prefetch limits allow."""
         while queue.messages:
             ready = [(channel, tag) for channel, tag in queue.consumers if channel.can_take_more()]
             if not ready:
--- a/emulators/amqp_connection.py
+++ b/emulators/amqp_connection.py
@@ -1,4 +1,4 @@
-"""Connections and channels of the AMQP broker emulator: frames in and out, and the handling of each method."""
+"""Connections and channels of the AMQP broker emulator: parsing and sending of frames, handling of each method."""
 
 from __future__ import annotations
 
@@ -110,13 +110,13 @@
             if len(data) >= 7 and int.from_bytes(data[3:7]) > MAX_FRAME_BYTES:
                 return None
             try:
-                used, number, value = frame.unmarshal(data)
+                consumed_bytes, number, value = frame.unmarshal(data)
             except exceptions.UnmarshalingException:
                 incomplete = len(data) < 7 or len(data) < int.from_bytes(data[3:7]) + 8
                 return data if incomplete else None
-            if not used or value is None:
+            if not consumed_bytes or value is None:
                 break
-            data = data[used:]
+            data = data[consumed_bytes:]
             if self.broker.delay_s:
                 await asyncio.sleep(self.broker.delay_s)
             self._on_frame(number, value)
@@ -172,9 +172,9 @@
             payload += value.value
         if head is not None and len(payload) >= head.body_size:
             channel.incoming = None
-            self._published(channel, method, head.properties, bytes(payload))
+            self._on_published(channel, method, head.properties, bytes(payload))
 
-    def _published(
+    def _on_published(
         self, channel: Channel, method: commands.Basic.Publish, properties: commands.Basic.Properties, payload: bytes
     ) -> None:
         if self.broker.fault("publish"):
--- a/emulators/price_feed.py
+++ b/emulators/price_feed.py
@@ -28,7 +28,7 @@
         self._runner: web.AppRunner | None = None
 
     async def start(self, host: str = "127.0.0.1", port: int = 0) -> str:
-        """Starts the server, and returns the URL for the setting `feed`."""
+        """Starts the server and returns its URL, the value of the setting `feed`."""
         app = web.Application()
         app.router.add_get("/prices", self._respond)
         self._runner = web.AppRunner(app, shutdown_timeout=0.1)
--- a/emulators/serve.py
+++ b/emulators/serve.py
@@ -1,7 +1,7 @@
 """Runs the emulators as HTTP servers on loopback: state service, cloud and workers in one process.
 
     python3 -m emulators.serve --state 127.0.0.1:2379 --cloud 127.0.0.1:8443 \
-        --nodes berth-0=127.0.0.1:8080,berth-1=127.0.0.1:8082,berth-2=127.0.0.1:8084
+        --nodes n0=127.0.0.1:8080,n1=127.0.0.1:8082,n2=127.0.0.1:8084
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
 
 
 def monotonic_us() -> int:
-    """Returns the monotonic clock in microseconds."""
+    """Returns the time of the monotonic clock in whole microseconds."""
     return time.monotonic_ns() // 1000
 
 
@@ -83,8 +83,8 @@
         """Starts the servers of the state service and the cloud."""
         self._session = make_session(512)
         self._runners = [
-            await _listen(self._addresses[0], self._on_state),
-            await _listen(self._addresses[1], self._on_cloud),
+            await _listen(self._addresses[0], self._serve_state),
+            await _listen(self._addresses[1], self._serve_cloud),
         ]
 
     async def close(self) -> None:
@@ -96,7 +96,7 @@
         if self._session:
             await self._session.close()
 
-    async def _on_state(self, request: web.BaseRequest) -> web.Response:
+    async def _serve_state(self, request: web.BaseRequest) -> web.Response:
         path, query = request.rel_url.path, request.rel_url.query
         raw = await request.read()
         body = wire.decode(raw) if raw else {}
@@ -116,17 +116,17 @@
             return await self._watch(query.get("under", ""), int(query["from"]), monotonic_us() + wait_us)
         return _response(404, None)
 
-    async def _watch(self, under: str, after: int, deadline: int) -> web.Response:
+    async def _watch(self, prefix: str, after: int, deadline: int) -> web.Response:
         """Returns the changes after a revision; waits for changes until `deadline` if there are none."""
         while True:
-            status, value = self.state.changes(under, after)
-            left_s = (deadline - monotonic_us()) / 1e6
-            if value["news"] or left_s <= 0:
+            status, value = self.state.changes(prefix, after)
+            remaining_s = (deadline - monotonic_us()) / 1e6
+            if value["news"] or remaining_s <= 0:
                 return _response(status, value)
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(self.state.changed.wait(), min(left_s, 0.2))
+                await asyncio.wait_for(self.state.changed.wait(), min(remaining_s, 0.2))
 
-    async def _on_cloud(self, request: web.BaseRequest) -> web.Response:
+    async def _serve_cloud(self, request: web.BaseRequest) -> web.Response:
         path = request.rel_url.path
         raw = await request.read()
         body = wire.decode(raw) if raw else {}
@@ -185,12 +185,12 @@
         await self._send_heartbeats(worker)
 
     async def _send_heartbeats(self, worker: Worker) -> None:
-        """Sends heartbeats to the leader that responses name; on an error, to the next node in turn."""
+        """Sends heartbeats to the leader that a 421 response names; after another failure, to the next node in turn."""
         names = list(self.nodes)
         node = random.choice(names)
         assert self._session is not None
         while True:
-            sent_at, session = monotonic_us(), worker.session
+            sent_at, agent_epoch = monotonic_us(), worker.session
             try:
                 status, value = await HttpClient(self._session, self.nodes[node]).request(
                     "POST", wire.HEARTBEAT_PATH, worker.report(), timeout_us=HEARTBEAT_TIMEOUT_US
@@ -198,7 +198,7 @@
             except NoResponseError:
                 status, value = 0, None
             if status == 200:
-                worker.on_heartbeat_response(sent_at, session, value)
+                worker.on_heartbeat_response(sent_at, agent_epoch, value)
                 await asyncio.sleep(self._heartbeat_s)
             elif status == 421 and value.get("harbormaster") in self.nodes and value["harbormaster"] != node:
                 node = value["harbormaster"]
@@ -208,10 +208,10 @@
 
 
 async def _main() -> None:
-    parser = argparse.ArgumentParser(description="Emulators of the outside systems, on loopback.")
+    parser = argparse.ArgumentParser(description="Emulate the state service, the cloud and workers on loopback.")
     parser.add_argument("--state", default="127.0.0.1:2379")
     parser.add_argument("--cloud", default="127.0.0.1:8443")
-    parser.add_argument("--nodes", required=True, help="name=host:port of each node, with commas")
+    parser.add_argument("--nodes", required=True, help="comma-separated name=host:port of each node")
     arguments = parser.parse_args()
     nodes = dict(item.split("=", 1) for item in arguments.nodes.split(","))
     emulators = Emulators(arguments.state, arguments.cloud, nodes)
--- a/emulators/smoke_test.py
+++ b/emulators/smoke_test.py
@@ -36,10 +36,7 @@
 
 
 def settings(index: int, ports: list[int]) -> str:
-    """Returns the platform settings file of node `index`.
-
-    `ports` holds the ports of the state service and the cloud, then the bind and internal ports of each node.
-    """
+    """Returns node `index`'s settings file; `ports`: state service, cloud, then bind and internal port of each node."""
     lines = [
         f'node_name = "n{index}"',
         f'zone = "{"ab"[index % 2]}"',
@@ -115,7 +112,7 @@
 
 
 async def _wait_until(description: str, condition: Any, timeout_s: float = 30.0) -> None:
-    """Waits until a condition is true; the timeout makes sure that the smoke test always ends."""
+    """Waits until a condition is true. Exits after the timeout, so that the smoke test always ends."""
     for _ in range(int(timeout_s / 0.2)):
         try:
             if await condition():
@@ -124,7 +121,7 @@
         except NoResponseError:
             pass
         await asyncio.sleep(0.2)
-    raise SystemExit(f"smoke: FAILED, did not happen in {timeout_s:.0f} s: {description}")
+    raise SystemExit(f"smoke: FAILED, timed out after {timeout_s:.0f} s: {description}")
 
 
 async def _run_scenario(ports: list[int], nodes: list[subprocess.Popen[bytes]]) -> None:
@@ -149,28 +146,30 @@
     try:
         await _wait_until("all nodes are ready", is_ready)
         await _wait_until("an array is accepted", lambda: is_accepted("j-000001", "array", 6, 1.0, 0))
-        await _wait_until("the array is done, says another node", lambda: has_status("j-000001", "done", 1))
+        await _wait_until("another node reports that the array is done", lambda: has_status("j-000001", "done", 1))
         await _wait_until("a service is accepted", lambda: is_accepted("j-000002", "standing", 2, 0.0, 2))
         await _wait_until("the service runs", lambda: has_status("j-000002", "running", 0))
         cancelled = (await request(1, "POST", f"{wire.SUBMISSIONS_PATH}/j-000002/cancel"))[1]
         if cancelled != {"ref": "j-000002", "status": "aborted"}:
-            raise SystemExit(f"smoke: FAILED, cancel said {cancelled}")
+            raise SystemExit(f"smoke: FAILED, unexpected response to a cancellation: {cancelled}")
         unknown_status = (await request(0, "GET", f"{wire.SUBMISSIONS_PATH}/j-999999"))[0]
         if unknown_status != 404:
-            raise SystemExit(f"smoke: FAILED, an unknown job got {unknown_status}")
-        # Kill the leader, the only node that answers a heartbeat with a status other than 421.
+            raise SystemExit(f"smoke: FAILED, expected status 404 for an unknown job, got {unknown_status}")
+        # Kill the leader, the only node that responds to a heartbeat with a status other than 421.
         leader = await _find_leader(request)
         nodes[leader].kill()
         print(f"smoke: killed the leader, n{leader}")
         other = (leader + 1) % 3
-        await _wait_until("another array is accepted", lambda: is_accepted("j-000003", "array", 4, 0.5, other))
-        await _wait_until("and done under a new leader", lambda: has_status("j-000003", "done", (leader + 2) % 3))
+        await _wait_until("a second array is accepted", lambda: is_accepted("j-000003", "array", 4, 0.5, other))
+        await _wait_until(
+            "the second array is done under a new leader", lambda: has_status("j-000003", "done", (leader + 2) % 3)
+        )
     finally:
         await session.close()
 
 
 async def _find_leader(request: Any) -> int:
-    # The heartbeat is harmless to a leader because neither the worker nor its machine type exists.
+    # The heartbeat does not affect a leader, because neither the worker nor its machine type exists.
     heartbeat = {
         "berth": "vm-none",
         "address": "127.0.0.1:1",
@@ -209,7 +208,7 @@
             await _run_scenario(ports, nodes)
             exited = [n.args for i, n in enumerate(nodes) if n.poll() is not None]
             if len(exited) > 1:
-                raise SystemExit(f"smoke: FAILED, processes ended by themselves: {json.dumps(exited)}")
+                raise SystemExit(f"smoke: FAILED, processes ended unexpectedly: {json.dumps(exited)}")
         except BaseException:
             log.seek(0)
             sys.stderr.write(log.read().decode(errors="replace")[-6000:])
--- a/oatport/lab/cli.py
+++ b/oatport/lab/cli.py
@@ -17,21 +17,25 @@
     experiments = lab.add_subparsers(dest="experiment", required=True, metavar="{windows,queues,simulate}")
     _add_windows(experiments)
     _add_queues(experiments)
-    _add_simulate(experiments, "simulate", help="whole deployments in virtual time, checked against the invariants")
+    _add_simulate(experiments, "simulate", help="simulate whole deployments in virtual time and check the invariants")
     _add_simulate(experiments, "rehearse")  # deprecated spelling of `simulate`, without a help text
 
 
 def _add_windows(experiments: Any) -> None:
-    windows = experiments.add_parser("windows", help="a night at once, by windows, and the least it could cost")
+    windows = experiments.add_parser(
+        "windows", help="compare a night of jobs run immediately, run in execution windows, and a cost lower bound"
+    )
     windows.add_argument("--seed", type=int, default=1)
     windows.add_argument("--jobs", type=int, default=500)
     windows.add_argument("--fault", choices=WINDOW_FAULTS, default="none")
-    windows.add_argument("--json", action="store_true", help="the figures as one JSON object")
-    windows.add_argument("--html", metavar="FILE", help="write a page with plots")
+    windows.add_argument("--json", action="store_true", help="print the figures as one JSON object")
+    windows.add_argument("--html", metavar="FILE", help="write an HTML report with plots")
 
 
 def _add_queues(experiments: Any) -> None:
-    queues = experiments.add_parser("queues", help="moves over AMQP through kills, counted from the outside")
+    queues = experiments.add_parser(
+        "queues", help="send jobs over AMQP while processes are killed, and audit the answers"
+    )
     queues.add_argument("--seed", type=int, default=1)
     queues.add_argument("--moves", type=int, default=1000)
     queues.add_argument("--kills", type=int, default=20)
@@ -40,17 +44,19 @@
     queues.add_argument(
         "--break", dest="disable_check", choices=QUEUE_SAFETY_CHECKS, action=DeprecatedOption, new="--disable-check"
     )
-    queues.add_argument("--json", action="store_true", help="the figures as one JSON object")
+    queues.add_argument("--json", action="store_true", help="print the figures as one JSON object")
 
 
 def _add_simulate(experiments: Any, name: str, **options: Any) -> None:
     simulate = experiments.add_parser(name, **options)
     simulate.add_argument("--seed", type=int, default=1)
-    simulate.add_argument("--seeds", type=int, default=1, help="so many, from --seed on")
+    simulate.add_argument("--seeds", type=int, default=1, help="number of consecutive seeds, beginning with --seed")
     simulate.add_argument("--nodes", type=int, default=3)
     simulate.add_argument("--machines", type=int, default=40)
-    simulate.add_argument("--plan", metavar="FILE", help="faults from a TOML file instead of generated ones")
-    simulate.add_argument("--scenario", default="random", help=f"a family of fault plans: {', '.join(SCENARIOS)}")
+    simulate.add_argument(
+        "--plan", metavar="FILE", help="read the fault plan from a TOML file instead of generating it"
+    )
+    simulate.add_argument("--scenario", default="random", help=f"generator of the fault plans: {', '.join(SCENARIOS)}")
     simulate.add_argument("--story", dest="scenario", action=DeprecatedOption, new="--scenario")
     checks = (*SAFETY_CHECKS, *deprecated_names.SAFETY_CHECKS)
     simulate.add_argument(
@@ -63,8 +69,8 @@
     simulate.add_argument(
         "--break", dest="disable_check", choices=checks, action=DeprecatedOption, new="--disable-check"
     )
-    simulate.add_argument("--jobs", type=int, default=0, help="runs at a time (default: all processors)")
-    simulate.add_argument("--json", action="store_true", help="the figures as one JSON object")
+    simulate.add_argument("--jobs", type=int, default=0, help="number of parallel runs (default: one per processor)")
+    simulate.add_argument("--json", action="store_true", help="print the figures as one JSON object")
 
 
 def run(arguments: argparse.Namespace) -> int:
@@ -162,7 +168,7 @@
     for name in ("deadlines_met", "cost"):
         print(f"  {name:14}" + "  ".join(f"{column} {value:,}" for column, value in result[name].items()))
     print(
-        f"  released late {result['released_late']}, plans made anew {result['replans']}, "
+        f"  released late {result['released_late']}, replans {result['replans']}, "
         f"planning {result['plan_ms_p99']} ms (99th percentile)"
     )
     return 0
--- a/oatport/lab/cost_lower_bound.py
+++ b/oatport/lab/cost_lower_bound.py
@@ -1,9 +1,9 @@
-"""Computes a lower bound of the cost of a night's work under perfect knowledge, by linear programming (HiGHS in scipy).
+"""Computes a lower bound of the cost of a night's jobs by linear programming (HiGHS in scipy).
 
-The program is a relaxation, so that no schedule can be cheaper: work is divisible at will, jobs that are submitted and
-due in the same slots are merged, and the slot in which a job is submitted or due counts in full. Jobs that no schedule
-can finish in time, and jobs that missed their deadline for lack of capacity even when every job started immediately,
-may be done at any later time.
+All prices and run times are known to the program. The program is a relaxation, so that no schedule can be cheaper: work
+is arbitrarily divisible, jobs that are submitted and due in the same slots are merged, and the slot in which a job is
+submitted or due counts in full. Jobs that no schedule can finish in time, and jobs that missed their deadline for lack
+of capacity even when every job started immediately, may be done at any later time.
 """
 
 from __future__ import annotations
--- a/oatport/lab/deprecated_names.py
+++ b/oatport/lab/deprecated_names.py
@@ -1,6 +1,6 @@
 """Deprecated spellings of the commands, options and values of `oatport lab`.
 
-Each is still accepted, and writes one line to stderr that names the current spelling.
+Each deprecated spelling is still accepted, and its use writes one line to stderr that names the current spelling.
 """
 
 from __future__ import annotations
--- a/oatport/lab/report_page.py
+++ b/oatport/lab/report_page.py
@@ -1,4 +1,4 @@
-"""Renders the results of a night as an HTML page: figures and plots in one file, by jinja2 and matplotlib."""
+"""Renders the results of a night as one HTML file with figures and plots, using jinja2 and matplotlib."""
 
 from __future__ import annotations
 
@@ -18,27 +18,27 @@
 from oatport.times import SECOND
 
 TEMPLATE = jinja2.Environment(autoescape=True, undefined=jinja2.StrictUndefined).from_string("""<!doctype html>
-<html lang="en"><head><meta charset="utf-8"><title>oatport: a night by windows, seed {{ result.seed }}</title>
+<html lang="en"><head><meta charset="utf-8"><title>oatport: execution windows, seed {{ result.seed }}</title>
 <style>
 body { font: 15px/1.5 system-ui, sans-serif; max-width: 64rem; margin: 2rem auto; padding: 0 1rem; color: #222 }
 table { border-collapse: collapse } td, th { padding: .3rem .9rem; border-bottom: 1px solid #ddd; text-align: right }
 th:first-child, td:first-child { text-align: left } svg { width: 100%; height: auto }
 .note { color: #666 }
 </style></head><body>
-<h1>A night by windows</h1>
+<h1>Execution windows for one night</h1>
 <p>{{ result.jobs }} jobs on {{ result.capacity_cpus|round|int }} CPUs, seed {{ result.seed }}, fault
-<b>{{ result.fault }}</b>. In virtual time; the jobs and prices are drawn, not recorded.</p>
+<b>{{ result.fault }}</b>. In virtual time; the jobs and prices are generated, not recorded.</p>
 <table>
-<tr><th></th><th>all at once</th><th>by windows</th><th>bound</th></tr>
+<tr><th></th><th>immediate</th><th>with windows</th><th>lower bound</th></tr>
 <tr><td>deadlines met</td>{% for column in columns %}<td>{{ result.deadlines_met[column] }}</td>{% endfor %}</tr>
 <tr><td>cost (CPU-hours times price)</td>{% for column in columns %}
 <td>{{ "%.0f"|format(result.cost[column]) }}</td>{% endfor %}</tr>
-<tr><td>cost against the bound</td>{% for column in columns %}
+<tr><td>cost relative to the lower bound</td>{% for column in columns %}
 <td>{{ "%.2f"|format(result.cost[column] / result.cost.bound) }}</td>{% endfor %}</tr>
 </table>
-<p class="note">Released after the latest safe start: {{ result.released_late }}. Plans made anew: {{ result.replans }}.
-Planning, 99th percentile: {{ result.plan_ms_p99 }} ms. The bound knows all prices and run times beforehand and treats
-work as a fluid: no schedule can reach it.</p>
+<p class="note">Released after the latest safe start: {{ result.released_late }}. Replans: {{ result.replans }}.
+Planning, 99th percentile: {{ result.plan_ms_p99 }} ms. The lower bound assumes that all prices and run times are known
+in advance and that work is divisible: no schedule can reach it.</p>
 {% for title, svg in plots %}<h2>{{ title }}</h2>{{ svg }}{% endfor %}
 </body></html>
 """)
@@ -56,7 +56,7 @@
     figure, (above, middle, below) = pyplot.subplots(3, 1, figsize=(10, 8), sharex=True, layout="constrained")
     above.step(range(len(workload.prices)), workload.prices, where="post", color="#b3541e")
     above.set_ylabel("price")
-    for outcome, name, colour in ((immediate, "all at once", "#999999"), (windows, "by windows", "#1f6f8b")):
+    for outcome, name, colour in ((immediate, "immediate", "#999999"), (windows, "with windows", "#1f6f8b")):
         hours = [number * TICK_INTERVAL / (3600 * SECOND) for number in range(len(outcome.cpus_in_use))]
         middle.fill_between(hours, outcome.cpus_in_use, alpha=0.5, label=name, color=colour, linewidth=0)
     middle.axhline(workload.capacity, color="#333333", linewidth=0.8)
@@ -75,7 +75,7 @@
 def _plot_slack(immediate: ScheduleOutcome, windows: ScheduleOutcome) -> Any:
     figure, axes = pyplot.subplots(figsize=(10, 3), layout="constrained")
     both = [list(outcome.slack_hours.values()) for outcome in (immediate, windows)]
-    axes.hist(both, bins=40, label=["all at once", "by windows"], color=["#999999", "#1f6f8b"])
+    axes.hist(both, bins=40, label=["immediate", "with windows"], color=["#999999", "#1f6f8b"])
     axes.axvline(0, color="#b3541e")
     axes.set_xlabel("hours between a job's end and its deadline (right of 0: in time)")
     axes.set_ylabel("jobs")
@@ -89,7 +89,7 @@
     """Writes the report on a night to a file. Raises OSError if the file can't be written."""
     matplotlib.rcParams["svg.hashsalt"] = "oatport"  # constant, so that the same seed gives the same page
     plots = [
-        ("Price, load and held work", _plot_timeline(workload, immediate, windows)),
+        ("Price, CPUs in use and held tasks", _plot_timeline(workload, immediate, windows)),
         ("Jobs by slack", _plot_slack(immediate, windows)),
     ]
     html = TEMPLATE.render(result=result, columns=("immediate", "windows", "bound"), plots=plots)
--- a/oatport/lab/window_workload.py
+++ b/oatport/lab/window_workload.py
@@ -1,4 +1,4 @@
-"""Generates a night of deferrable jobs, its prices and the answers of its price feed from a seed.
+"""Generates a night of deferrable jobs, its prices and the responses of its price feed from a seed.
 
 Times are whole microseconds of the time of day; the night lasts from 20:00 to 08:00.
 """
@@ -54,7 +54,7 @@
         return self.prices[min(max((at - NIGHT_START) // HOUR, 0), len(self.prices) - 1)]
 
     def published_intervals(self, now: int) -> list[Interval] | None:
-        """Returns the price intervals that the feed publishes at a time, or None if the feed doesn't answer."""
+        """Returns the price intervals that the feed publishes at a time, or None if the feed does not respond."""
         if self.fault == "silent" and now >= NIGHT_START + 3 * HOUR:
             return None
         prices = list(self.prices)
@@ -71,7 +71,7 @@
 
 
 def generate_workload(seed: int, jobs: int, fault: str) -> NightWorkload:
-    """Returns a night with `jobs` jobs; the fault `burst` adds half as many.
+    """Returns a night with `jobs` jobs; the fault `burst` adds half that number.
 
     Raises ValueError for an unknown fault or a number of jobs out of range.
     """
--- a/oatport/lab/windows.py
+++ b/oatport/lab/windows.py
@@ -1,8 +1,8 @@
-"""Compares two schedules of one night, immediate and by windows, with a cost lower bound, in virtual time from a seed.
+"""Compares two schedules of one night, immediate and with windows, with a cost lower bound, in virtual time.
 
 The cluster is simulated as a number of CPUs on which released tasks start in the order of their deadlines, the earliest
 first. Jobs are held and released by the code that the leader runs: `ClusterState`, `DeferralManager` and its planner,
-and the price book. The same seed gives the same schedules.
+and the price book. The same seed gives the same jobs and schedules.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 
 @dataclass(slots=True)
 class ScheduleOutcome:
-    """Holds what one schedule of a night achieved and cost."""
+    """Holds the results of one schedule of a night: jobs on time, cost, and measurements by tick."""
 
     jobs_on_time: set[str] = field(default_factory=set)
     cost: float = 0.0  # CPU-hours times the actual price
@@ -94,9 +94,9 @@
     def _compute_cost(self, started_at: int, ended_at: int) -> float:
         cost = 0.0
         while started_at < ended_at:
-            part = min((started_at - NIGHT_START) // HOUR * HOUR + HOUR + NIGHT_START, ended_at) - started_at
-            cost += part / HOUR * self._workload.price_at(started_at) * CPUS_PER_TASK
-            started_at += part
+            interval = min((started_at - NIGHT_START) // HOUR * HOUR + HOUR + NIGHT_START, ended_at) - started_at
+            cost += interval / HOUR * self._workload.price_at(started_at) * CPUS_PER_TASK
+            started_at += interval
         return cost
 
     @property
@@ -110,7 +110,7 @@
         return not self._queue and not self._running
 
 
-def _cluster() -> ClusterState:
+def _make_cluster() -> ClusterState:
     limits = ClusterSettings(
         workers=Workers(report_s=1.0, lease_s=10.0, gang_wait_s=40.0, gang_peer_s=4.0, cancel_s=35.0),
         state=StateLimits(rps=100.0, write_rps=50.0, value_kb=8.0, txn_ops=12),
@@ -149,10 +149,10 @@
 
 
 def run_with_windows(workload: NightWorkload) -> ScheduleOutcome:
-    """Runs a night in which the leader's code holds jobs for cheaper windows."""
+    """Runs a night in which the leader's code holds jobs until cheaper windows."""
     outcome = ScheduleOutcome()
     capacity = SimulatedCapacity(workload, outcome)
-    cluster = _cluster()
+    cluster = _make_cluster()
     book = PriceBook(3 * HOUR, 12 * HOUR)
     now = NIGHT_START
     book.add_series(workload.published_intervals(now) or [], now, now)
@@ -222,7 +222,7 @@
 
 
 def run_comparison(workload: NightWorkload) -> tuple[ScheduleOutcome, ScheduleOutcome, float]:
-    """Returns the immediate schedule, the schedule by windows, and the cost lower bound.
+    """Returns the immediate schedule, the schedule with windows, and the cost lower bound.
 
     The bound keeps the deadlines that the immediate schedule met, and ignores the others.
     """
