--- a/oatport/simulation/fault_interactions.py
+++ b/oatport/simulation/fault_interactions.py
@@ -78,7 +78,7 @@
 
 
 def isolated_leader(builder: PlanBuilder) -> None:
-    """Cuts the leader off from state service and peers, not from workers and users, while users cancel jobs."""
+    """Cuts the leader off from state service and peers, not from workers and users; users cancel at other nodes."""
     rng = builder.rng
     at_s = builder.random_time_s(70)
     duration_s = rng.choice([rng.uniform(4, 20), CANCEL_S - LEASE_S + rng.uniform(-4, 6), 50.0])
--- a/oatport/simulation/fault_plan.py
+++ b/oatport/simulation/fault_plan.py
@@ -33,7 +33,7 @@
     "rush": ("name", "amount"),  # name: a job class; amount: factor on its submission rate
     # count: unfinished jobs that their users cancel; amount: seconds within which they cancel; 0: at their next poll
     "users_cancel": ("count", "amount"),
-    # Users cancel jobs whose last task has just ended. amount: share of all jobs; 0: only jobs that others depend on
+    # Users cancel jobs whose last task has just ended. amount: share of all jobs; 0: most jobs that others depend on
     "cancel_at_end": ("amount",),
     "cancel_needed": ("count",),  # count: jobs that others depend on and that their users cancel
     "upgrade": ("count", "amount"),  # count: nodes that are upgraded at a time; amount: interval in seconds
@@ -46,9 +46,7 @@
     "machine_blink": ("count", "amount"),  # restart at once without tasks; amount > 0: agent epochs begin at 1 again
     "late_writes": ("amount",),  # amount: share of transactions that get no response and are applied 2 to 12 s later
     "lost_answers": ("amount",),  # amount: share of transactions that are applied at once, but whose response is lost
-    "copies_for_next": (
-        "amount",
-    ),  # amount: share of heartbeats of which the next leader gets a copy when its term begins
+    "copies_for_next": ("amount",),  # amount: share of heartbeats of which the next leader gets a copy
     # Heartbeats of the machines reach no node, but commands reach the machines. Selected as for machine_deaf.
     "machine_mute": ("count", "amount", "zone"),
     # count: running jobs that are cancelled at once; amount: seconds for which some of their machines hang
@@ -77,7 +75,7 @@
 
 @dataclass(frozen=True)
 class Fault:
-    """Describes a fault: `at_s` is its begin since the start of the run, `for_s` its duration, both in seconds.
+    """Describes a fault: `at_s` is its start, counted from the start of the run, `for_s` its duration, both in seconds.
 
     The kind defines which other fields it takes (FAULT_FIELDS).
     """
--- a/oatport/simulation/faults/network.py
+++ b/oatport/simulation/faults/network.py
@@ -29,7 +29,7 @@
             "zone_cut": self.partition_zone,
             "links_cut": self.cut_links,
             "links_slow": self.slow_links,
-            "links_lossy": self.lossy_links,
+            "links_lossy": self.lose_packets,
             "report_copies": self.duplicate_heartbeats,
             "late_repeats": self.duplicate_requests,
             "copies_for_next": self.keep_heartbeats_for_next_leader,
@@ -117,7 +117,7 @@
         """Delays messages between hosts by `amount` seconds, in both directions."""
         return self._apply_both_ways(fault, "slow")
 
-    def lossy_links(self, fault: Fault) -> EndFault:
+    def lose_packets(self, fault: Fault) -> EndFault:
         """Loses the share `amount` of packets between hosts, which are then retransmitted, in both directions."""
         return self._apply_both_ways(fault, "lossy")
 
--- a/oatport/simulation/faults/users.py
+++ b/oatport/simulation/faults/users.py
@@ -22,8 +22,8 @@
         self._deployed, self._machine_faults = deployed, machine_faults
         self._loop, self._rng, self._checker = deployed.loop, deployed.rng, deployed.checker
         self.handlers: Handlers = {
-            "rush": self.already_in_workload,
-            "singles": self.already_in_workload,
+            "rush": self.ignore_workload_fault,
+            "singles": self.ignore_workload_fault,
             "users_cancel": self.cancel_unfinished_jobs,
             "cancel_now": self.cancel_running_jobs,
             "cancel_needed": self.cancel_dependencies,
@@ -32,7 +32,7 @@
             "odd_requests": self.send_odd_requests,
         }
 
-    def already_in_workload(self, fault: Fault) -> None:
+    def ignore_workload_fault(self, fault: Fault) -> None:
         """Does nothing: the workload generator has already included the jobs of this fault."""
 
     # --- cancellations -------------------------------------------------------------------------
--- a/oatport/simulation/worker.py
+++ b/oatport/simulation/worker.py
@@ -255,13 +255,13 @@
             "legs": legs,
         }
 
-    def on_heartbeat_response(self, sent_at: int, session: int, body: dict[str, Any]) -> bool:
+    def on_heartbeat_response(self, sent_at: int, agent_epoch: int, body: dict[str, Any]) -> bool:
         """Processes a 200 response to a heartbeat; returns False if the response is dropped.
 
         A response from an earlier leader or for an earlier agent epoch is dropped.
         """
         self.advance()
-        if body.get("helm", -1) < self.token or session != self.session:
+        if body.get("helm", -1) < self.token or agent_epoch != self.session:
             return False
         self.token = body["helm"]
         self.lease_renewed_at = max(self.lease_renewed_at, sent_at)
