--- a/emulators/serve.py
+++ b/emulators/serve.py
@@ -190,7 +190,7 @@
         node = random.choice(names)
         assert self._session is not None
         while True:
-            sent_at, agent_epoch = monotonic_us(), worker.session
+            sent_at, worker_epoch = monotonic_us(), worker.session
             try:
                 status, value = await HttpClient(self._session, self.nodes[node]).request(
                     "POST", wire.HEARTBEAT_PATH, worker.report(), timeout_us=HEARTBEAT_TIMEOUT_US
@@ -198,7 +198,7 @@
             except NoResponseError:
                 status, value = 0, None
             if status == 200:
-                worker.on_heartbeat_response(sent_at, agent_epoch, value)
+                worker.on_heartbeat_response(sent_at, worker_epoch, value)
                 await asyncio.sleep(self._heartbeat_s)
             elif status == 421 and value.get("harbormaster") in self.nodes and value["harbormaster"] != node:
                 node = value["harbormaster"]
--- a/oatport/clients/worker.py
+++ b/oatport/clients/worker.py
@@ -33,9 +33,11 @@
     ) -> None:
         self._http = connector.client(address, reuse)
 
-    async def send_commands(self, fencing_token: int, agent_epoch: int, commands: list[wire.Command]) -> wire.Heartbeat:
+    async def send_commands(
+        self, fencing_token: int, worker_epoch: int, commands: list[wire.Command]
+    ) -> wire.Heartbeat:
         """Sends commands and returns the worker's heartbeat, also if the worker refused the commands (409)."""
-        body = wire.command_request(fencing_token, agent_epoch, commands)
+        body = wire.command_request(fencing_token, worker_epoch, commands)
         status, value = await self._http.request("POST", wire.COMMANDS_PATH, body, timeout_us=COMMANDS_TIMEOUT)
         return self._decode_response(status, value)
 
--- a/oatport/control/scaling/cloud_availability.py
+++ b/oatport/control/scaling/cloud_availability.py
@@ -43,16 +43,16 @@
     granted_at: dict[Offering, int] = field(default_factory=dict)  # time of the last full grant (steady clock)
     refusals_in_a_row: dict[Offering, int] = field(default_factory=dict)  # requests that got no machine, minus one
 
-    def refuse(self, request: ScaleOutRequest, now: int) -> None:
+    def on_refused(self, request: ScaleOutRequest, now: int) -> None:
         """Records that the cloud granted no machine; the backoff grows with each refusal in a row."""
         refusals = self.refusals_in_a_row.get(request.offering, -1) + 1
         self._back_off(request.offering, refusals, now)
 
-    def grant_partially(self, request: ScaleOutRequest, now: int) -> None:
+    def on_partly_granted(self, request: ScaleOutRequest, now: int) -> None:
         """Records that the cloud granted a part of a request; the backoff is the shortest, as more may follow soon."""
         self._back_off(request.offering, 0, now)
 
-    def grant(self, request: ScaleOutRequest, now: int) -> None:
+    def on_granted(self, request: ScaleOutRequest, now: int) -> None:
         """Records that the cloud granted a request in full."""
         self.granted_at[request.offering] = now
         self.refusals_in_a_row.pop(request.offering, None)
--- a/oatport/control/state/heartbeats.py
+++ b/oatport/control/state/heartbeats.py
@@ -39,11 +39,11 @@
         )
         if machine is None:
             return None
-        if (report.agent_epoch, report.heartbeat_seq) <= (machine.agent_epoch, machine.heartbeat_seq):
+        if (report.worker_epoch, report.heartbeat_seq) <= (machine.worker_epoch, machine.heartbeat_seq):
             cluster.now = now
             cluster.completions.apply_stale_heartbeat(machine, report)
             return machine  # an older message that arrived late: only its completions are still valid
-        is_new_epoch = report.agent_epoch != machine.agent_epoch
+        is_new_epoch = report.worker_epoch != machine.worker_epoch
         if now - machine.last_heartbeat_at > cluster.max_heartbeat_age_us:
             cluster.planning_needed = True  # its free capacity is usable again
         machine.last_heartbeat_at = cluster.now = now
@@ -56,9 +56,9 @@
             cluster.planning_needed = True
         if is_new_epoch:
             self._on_new_epoch(machine, now)
-        elif machine.command_unreachable and now - machine.agent_epoch_seen_at > cluster.lease_us:
+        elif machine.command_unreachable and now - machine.worker_epoch_seen_at > cluster.lease_us:
             machine.command_unreachable = False  # otherwise the worker's lease and epoch would have ended
-        machine.agent_epoch, machine.heartbeat_seq = report.agent_epoch, report.heartbeat_seq
+        machine.worker_epoch, machine.heartbeat_seq = report.worker_epoch, report.heartbeat_seq
         machine.fencing_token = report.fencing_token
         self._apply_reclamation_notice(machine, report.reclamation_notice_s, now)
         if machine.settled_heartbeat is not None and not is_new_epoch and machine.settled_heartbeat == report.tasks:
@@ -79,11 +79,11 @@
     @staticmethod
     def _on_new_epoch(machine: Machine, now: int) -> None:
         """Handles a new worker epoch: all tasks of the machine ended, and starts of earlier epochs are refused."""
-        if machine.agent_epoch:
+        if machine.worker_epoch:
             # The worker received no response for a whole lease, though its heartbeats may have arrived all the time.
             # The machine is now empty and would otherwise look like the best place for the next tasks.
             machine.command_unreachable = True
-        machine.agent_epoch_seen_at = now
+        machine.worker_epoch_seen_at = now
         # From now on the worker refuses starts sent under an earlier epoch, and starts under an earlier fencing token
         # once it has seen this leader's token.
         machine.unacknowledged_starts.clear()
@@ -155,9 +155,9 @@
     def _on_listed_task(
         self, task: Task, machine: Machine, row: wire.TaskReport, report: wire.Heartbeat, now: int
     ) -> None:
-        if task.start_acknowledged is None and task.start_epoch == report.agent_epoch:
+        if task.start_acknowledged is None and task.start_epoch == report.worker_epoch:
             machine.command_unreachable = False
-        task.start_acknowledged = (report.agent_epoch, report.heartbeat_seq)
+        task.start_acknowledged = (report.worker_epoch, report.heartbeat_seq)
         self.cluster.unacknowledged_tasks.discard(task)
         if row.status == wire.TaskStatus.EXITED:
             self._on_exit(task, machine, row, now)
@@ -215,7 +215,7 @@
             self.cluster.machines_to_command.add(machine)  # bound by this leader, and its first start is due now
             return
         is_start_in_flight = bool(machine.unacknowledged_starts.get((task.name, task.attempt)))
-        if task.start_epoch and report.agent_epoch <= task.start_epoch:
+        if task.start_epoch and report.worker_epoch <= task.start_epoch:
             if self._is_cancelled_and_not_started(task, machine):
                 pass  # no start is in flight and none will be sent: the task is not on the machine and never will be
             elif task.start_acknowledged is None or is_start_in_flight:
@@ -226,7 +226,7 @@
         log.info("task gone from machine task=%s attempt=%d machine=%s", task.name, task.attempt, machine.name)
         # The epoch is that of the binding, and no heartbeat to this leader listed the attempt: no start was executed.
         unexecuted = (
-            task.start_acknowledged is None and report.agent_epoch == task.binding_epoch and not is_start_in_flight
+            task.start_acknowledged is None and report.worker_epoch == task.binding_epoch and not is_start_in_flight
         )
         self.cluster.tasks.requeue(task, lost=bool(task.start_epoch), unexecuted=unexecuted)
 
--- a/oatport/control/state/machine.py
+++ b/oatport/control/state/machine.py
@@ -29,7 +29,7 @@
     rented_at_wall: int = 0  # time of day, for the record
     ready_at: int = 0  # first heartbeat received by this leader; 0: none
     was_ready: bool = False  # per its record, ready under an earlier leader
-    agent_epoch: int = 0
+    worker_epoch: int = 0
     heartbeat_seq: int = -1
     fencing_token: int = 0  # as in the newest heartbeat
     last_heartbeat_at: int = 0
@@ -70,7 +70,7 @@
     persisted: bool = False  # in a committed fleet record, so tasks may be placed
     # The tasks of its newest heartbeat, if the same list again would change nothing.
     settled_heartbeat: list[wire.TaskReport] | None = None
-    agent_epoch_seen_at: int = 0  # when this leader first received its present epoch
+    worker_epoch_seen_at: int = 0  # when this leader first received its present epoch
     # One-way partition: the heartbeats arrive, but neither responses nor commands seem to reach the machine. No tasks
     # are placed on the machine until it has shown that they do.
     command_unreachable: bool = False
--- a/oatport/control/state/machine_commands.py
+++ b/oatport/control/state/machine_commands.py
@@ -75,7 +75,7 @@
             task.job.cancelled
             and not task.job.failure_reason
             and task.start_acknowledged is None
-            and task.start_epoch == machine.agent_epoch
+            and task.start_epoch == machine.worker_epoch
             and machine.unacknowledged_starts.get((task.name, task.attempt))
             and now >= self.cluster.job_lifecycle.lease_renewal_bound(task.job)
             for task in machine.tasks
@@ -108,7 +108,7 @@
         A worker has one heartbeat in flight at a time, so the commands in an earlier response have been executed by now
         or are dropped (PROTOCOL, "Workers -> controller nodes").
         """
-        heartbeat_id = (report.agent_epoch, report.heartbeat_seq)
+        heartbeat_id = (report.worker_epoch, report.heartbeat_seq)
         if heartbeat_id > machine.answered_heartbeat:  # not a heartbeat that a partition delayed
             machine.answered_heartbeat = heartbeat_id
             machine.starts_in_response.clear()
@@ -116,7 +116,7 @@
     def on_sent(self, machine: Machine, starts: Iterable[Task], now: int, *, direct: bool) -> None:
         """Records starts that are about to be sent under the machine's present epoch."""
         for task in starts:
-            task.start_epoch = machine.agent_epoch
+            task.start_epoch = machine.worker_epoch
             self.cluster.unacknowledged_tasks.add(task)
             if direct:
                 key = (task.name, task.attempt)
--- a/oatport/control/state/task_lifecycle.py
+++ b/oatport/control/state/task_lifecycle.py
@@ -35,7 +35,7 @@
         task.attempt = attempt if attempt is not None else task.attempt + 1
         task.phase = TaskPhase.BINDING
         task.binding_at = now
-        task.binding_epoch = machine.agent_epoch
+        task.binding_epoch = machine.worker_epoch
         job.unplaced_since = now if job.pending else 0
         self.bind(task, machine)
         machine.images.setdefault(job.spec.image, now)
--- a/oatport/lab/queues.py
+++ b/oatport/lab/queues.py
@@ -27,7 +27,7 @@
 from oatport.queues.core import HttpSchedulerClient
 from oatport.queues.gateway import Gateway
 from oatport.queues.identity import identity_of, job_id_of
-from oatport.queues.link import Link
+from oatport.queues.link import BrokerConnection
 from oatport.queues.rows import MessageRow
 from oatport.queues.settings import GatewaySettings, QueueSettings
 from oatport.queues.templates import Template
@@ -56,7 +56,7 @@
         return int(probe.getsockname()[1])
 
 
-class UnsafeLink(Link):
+class UnsafeBrokerConnection(BrokerConnection):
     """Represents an AMQP link with one safety check disabled, so that the audit has a violation to find."""
 
     def __init__(self, settings: GatewaySettings, disabled_check: str) -> None:
@@ -92,7 +92,7 @@
         self._emulators = Emulators(*self._service_addresses, self.addresses, heartbeat_s=0.25)
         self.broker = Broker()
         self.nodes: dict[str, tuple[Node, asyncio.Task[None]]] = {}
-        self.gateways: dict[str, tuple[Gateway, Link]] = {}
+        self.gateways: dict[str, tuple[Gateway, BrokerConnection]] = {}
         self._gateway_names = [f"g{i}" for i in range(gateways)]
         self.released_starts: Counter[str] = Counter()  # starts on machines that were released, by task
         self.closed_gateway_writes = 0
@@ -181,7 +181,9 @@
             txn_ops=16,
             queues=queues,
         )
-        link = UnsafeLink(settings, self.disabled_check) if self.disabled_check else Link(settings)
+        link = (
+            UnsafeBrokerConnection(settings, self.disabled_check) if self.disabled_check else BrokerConnection(settings)
+        )
         state = StateClient(HttpConnector(self.session), settings.state)
         gateway = Gateway(settings, state, HttpSchedulerClient(self.session, settings.nodes), link.publish)
         gateway.start()
--- a/oatport/queues/gateway.py
+++ b/oatport/queues/gateway.py
@@ -1,6 +1,6 @@
 """The gateway's control loops: membership, ownership of parts, watches on the state service and publishing of answers.
 
-The AMQP side is in `link`.
+The AMQP side is in `link.py`.
 """
 
 from __future__ import annotations
--- a/oatport/queues/link.py
+++ b/oatport/queues/link.py
@@ -25,7 +25,7 @@
 REASON_HEADER = "x-oatport-reason"
 
 
-class Link:
+class BrokerConnection:
     """Maintains a connection to the broker, passes its messages to the gateway's intake and publishes the answers."""
 
     def __init__(self, settings: GatewaySettings) -> None:
@@ -238,7 +238,7 @@
     from oatport.queues.core import HttpSchedulerClient
 
     session = make_session(512)
-    link = Link(settings)
+    link = BrokerConnection(settings)
     state = StateClient(HttpConnector(session), settings.state)
     gateway = Gateway(settings, state, HttpSchedulerClient(session, settings.nodes), link.publish)
     gateway.start()
--- a/oatport/service/cloud_controller.py
+++ b/oatport/service/cloud_controller.py
@@ -96,7 +96,7 @@
             except RequestRefusedError as error:
                 reason = error.value.get("error") if isinstance(error.value, dict) else None
                 if error.status == 503 and reason == NO_CAPACITY:
-                    self.capacity_planner.availability.refuse(request, steady())
+                    self.capacity_planner.availability.on_refused(request, steady())
                     log.info("no capacity type=%s zone=%s spot=%s", request.type, request.zone, request.spot)
                     return None
                 await asyncio.sleep(jitter(RENT_REFUSED_RETRY_INTERVAL))
@@ -110,11 +110,11 @@
     def _on_rented(self, request: ScaleOutRequest, names: list[str]) -> None:
         availability = self.capacity_planner.availability
         if not names:
-            availability.refuse(request, steady())
+            availability.on_refused(request, steady())
         elif len(names) < request.count:
-            availability.grant_partially(request, steady())
+            availability.on_partly_granted(request, steady())
         else:
-            availability.grant(request, steady())
+            availability.on_granted(request, steady())
         log.info(
             "rented machines count=%d type=%s zone=%s spot=%s", len(names), request.type, request.zone, request.spot
         )
--- a/oatport/service/command_sender.py
+++ b/oatport/service/command_sender.py
@@ -52,7 +52,7 @@
             if machine in self._sending or machine.releasing:
                 continue
             cluster.machines_to_command.discard(machine)
-            if not machine.address or not machine.agent_epoch:
+            if not machine.address or not machine.worker_epoch:
                 continue
             commands, _ = cluster.commands.for_machine(machine, now, direct=True)
             if commands:  # usually empty: most commands are already in flight
@@ -82,7 +82,7 @@
         self._requests += 1
         try:
             client = WorkerClient(self._net, machine.address)
-            heartbeat = await client.send_commands(leader.token, machine.agent_epoch, commands)
+            heartbeat = await client.send_commands(leader.token, machine.worker_epoch, commands)
         except RequestNotSentError:
             # No connection was made, so the commands can't arrive later.
             cluster.commands.on_start_response(machine, sent_starts)
--- a/oatport/service/election.py
+++ b/oatport/service/election.py
@@ -71,7 +71,7 @@
 
     # --- the current leader -----------------------------------------------------------------
 
-    def learn_leader(self, name: str | None, token: int) -> None:
+    def observe_leader(self, name: str | None, token: int) -> None:
         """Records that a node leads or led with this token; the node with the highest token is the current leader."""
         if token <= self.leader_token:
             return
@@ -115,7 +115,7 @@
             return 0
         value, revision = found
         name = value.get("node")
-        self.learn_leader(name, revision)
+        self.observe_leader(name, revision)
         if name == self._node.node_name and value.get("boot") != self._node.boot_id and self.leader is None:
             # An earlier process of this node wrote the record: it is replaced without waiting for its lease to expire.
             self.handover_token = revision
@@ -177,7 +177,7 @@
             await asyncio.sleep(seconds(await self.backoff()))
             found = await self._node.state.get(LEADER_KEY)
         if found is not None:
-            self.learn_leader(found[0].get("node"), found[1])
+            self.observe_leader(found[0].get("node"), found[1])
             if found[1] != self.handover_token or steady() > self.handover_until:
                 return
             revision = found[1]
--- a/oatport/service/failover.py
+++ b/oatport/service/failover.py
@@ -93,6 +93,6 @@
             leader.cluster.commands.on_contact(machine)
             leader.receive_heartbeat(heartbeat, steady())
             if heartbeat.fencing_token < leader.token:
-                leader.receive_heartbeat(await client.send_commands(leader.token, heartbeat.agent_epoch, []), steady())
+                leader.receive_heartbeat(await client.send_commands(leader.token, heartbeat.worker_epoch, []), steady())
         except NoResponseError:
             await asyncio.sleep(jitter(ANNOUNCE_RETRY_INTERVAL))
--- a/oatport/service/heartbeat_controller.py
+++ b/oatport/service/heartbeat_controller.py
@@ -74,8 +74,8 @@
     def _is_outdated(self, heartbeat: wire.Heartbeat) -> bool:
         """Returns whether this heartbeat or a later one of the same machine was received before."""
         machine = self._leader.cluster.machines.get(heartbeat.machine_name)
-        return machine is not None and (heartbeat.agent_epoch, heartbeat.heartbeat_seq) <= (
-            machine.agent_epoch,
+        return machine is not None and (heartbeat.worker_epoch, heartbeat.heartbeat_seq) <= (
+            machine.worker_epoch,
             machine.heartbeat_seq,
         )
 
--- a/oatport/service/leader.py
+++ b/oatport/service/leader.py
@@ -197,7 +197,7 @@
         """Returns whether no other node can be leading; must be checked right before each action."""
         return not self.stopped and self.leader_lease.is_held(steady())
 
-    def decisions_paused(self, now: int) -> bool:
+    def are_decisions_paused(self, now: int) -> bool:
         """Returns whether new decisions must wait: a commit is unanswered, or the leader lease is not held."""
         return self.commits.is_stuck(now) or not self.holds_lease()
 
--- a/oatport/service/leader_context.py
+++ b/oatport/service/leader_context.py
@@ -74,7 +74,7 @@
     def holds_lease(self) -> bool:
         """Returns whether no other node can be leading; must be checked right before each action."""
 
-    def decisions_paused(self, now: int) -> bool:
+    def are_decisions_paused(self, now: int) -> bool:
         """Returns whether new decisions must wait: a commit is unanswered, or the leader lease is not held."""
 
     def wake(self) -> None:
--- a/oatport/service/network.py
+++ b/oatport/service/network.py
@@ -62,7 +62,7 @@
         self._budget = ConnectionBudget(connections)
         self._sessions: dict[ConnectionReuse, aiohttp.ClientSession] = {}
         self._idle_timeout_us = MAX_IDLE_TIMEOUT
-        self._replaced: set[asyncio.Task[None]] = set()
+        self._session_closers: set[asyncio.Task[None]] = set()
         self._servers: list[Server] = []
         self._open_connections, self._counted_at = 0, -CONNECTION_COUNT_VALIDITY
 
@@ -93,8 +93,8 @@
         replaced_session = self._sessions[ConnectionReuse.WHILE_SPARE]
         self._sessions[ConnectionReuse.WHILE_SPARE] = make_session(self._budget.limit, idle_us=idle_timeout_us)
         task = asyncio.get_running_loop().create_task(self._close_later(replaced_session))
-        self._replaced.add(task)
-        task.add_done_callback(self._replaced.discard)
+        self._session_closers.add(task)
+        task.add_done_callback(self._session_closers.discard)
 
     @staticmethod
     async def _close_later(session: aiohttp.ClientSession) -> None:
@@ -122,8 +122,8 @@
 
     async def close(self) -> None:
         """Closes all connections that this node opened."""
-        for task in list(self._replaced):
+        for task in list(self._session_closers):
             task.cancel()
-        await asyncio.gather(*self._replaced, return_exceptions=True)
+        await asyncio.gather(*self._session_closers, return_exceptions=True)
         for session in self._sessions.values():
             await session.close()
--- a/oatport/service/node.py
+++ b/oatport/service/node.py
@@ -87,7 +87,7 @@
         self.peers: dict[str, PeerClient] = {}
         self.background = BackgroundTasks()
         self.state: StateClient  # set by `run`, like `users`
-        self.users: JobApi
+        self.user_api: JobApi
         self.lease_proxy = LeaseProxyService(self, settings.cluster)
         self.peer_notifier = PeerNotifier(self, settings.cluster)
         self.completion_replicator = CompletionReplicator(self)
@@ -111,7 +111,7 @@
         net = self.net
         net.open()
         self.state = StateClient(net, self.settings.services.state)
-        self.users = JobApi(self.settings, self.state, self)
+        self.user_api = JobApi(self.settings, self.state, self)
         for peer in self.settings.peers:
             self.peers[peer.node_name] = PeerClient(net, peer.node_name, peer.endpoint)
         servers = [
@@ -167,7 +167,7 @@
         connections = self.net.open_connections()
         if self.connection_budget.is_exhausted(connections) and path != wire.READY_PATH:
             return Response(503, {"error": "no connections left"}, dict(OVERLOADED_HEADERS))
-        response = await self.users.handle(method, path, body)
+        response = await self.user_api.handle(method, path, body)
         if self.connection_budget.should_close_after_response(connections):
             response.headers["Connection"] = "close"
         return response
--- a/oatport/service/partition_controller.py
+++ b/oatport/service/partition_controller.py
@@ -42,7 +42,7 @@
         """Releases the machines that are due, after confirming that this node is not the partitioned one."""
         leader = self._leader
         to_release = self._machines_to_release(now)
-        if not to_release or leader.decisions_paused(now):
+        if not to_release or leader.are_decisions_paused(now):
             return
         if now - self.confirmed_at > CONFIRMATION_VALIDITY:
             survey = await self._reachability.step_down_if_reached_by_peer(to_release)
--- a/oatport/service/peer_contact.py
+++ b/oatport/service/peer_contact.py
@@ -71,7 +71,7 @@
         ping = Ping(node.node_name, election.leader_name, election.leader_token, node.state_service_answers())
         pong = await peer.ask(ping, Pong.decode_reply)
         self._peer_status.record_contact(peer.name)
-        election.learn_leader(pong.leader_name, pong.leader_token)
+        election.observe_leader(pong.leader_name, pong.leader_token)
         self._peer_status.update(pong.node_name, pong.state_service_answers)
         if leader is not None and leader is election.leader and pong.state_service_answers:
             await self._handover.hand_over_if_isolated(leader, peer)
@@ -84,7 +84,7 @@
 
     async def on_ping(self, ping: Ping) -> Pong:
         """Applies a peer's status and returns this node's."""
-        self._election.learn_leader(ping.leader_name, ping.leader_token)
+        self._election.observe_leader(ping.leader_name, ping.leader_token)
         self._peer_status.update(ping.node_name, ping.state_service_answers)
         quiet_us = self._peer_notifier.confirmed_cancellations.quiet_us(steady())
         election = self._election
--- a/oatport/service/planning_loop.py
+++ b/oatport/service/planning_loop.py
@@ -36,7 +36,7 @@
                     await self.wakeup.wait()
             self.wakeup.clear()
             now, now_wall = leader.now(), time_of_day()
-            if leader.decisions_paused(now):
+            if leader.are_decisions_paused(now):
                 # While the state service is unavailable, bindings would only pile up unwritten, and the work of tasks
                 # that are preempted for them would be lost.
                 await asyncio.sleep(PAUSED_INTERVAL_S)
--- a/oatport/service/scaling_controller.py
+++ b/oatport/service/scaling_controller.py
@@ -50,7 +50,7 @@
         ):
             self._catalog_refreshed_at = now
             leader.background.spawn("catalog", self._cloud_controller.refresh_catalog())
-        if self._is_view_complete(now) and not leader.decisions_paused(now):
+        if self._is_view_complete(now) and not leader.are_decisions_paused(now):
             self._scale_out(now)
         idle = self._capacity_planner.scale_in.machines_to_release(now)
         if idle and self._is_view_complete(now) and leader.holds_lease():
--- a/oatport/simulation/fault_interactions.py
+++ b/oatport/simulation/fault_interactions.py
@@ -57,7 +57,7 @@
 
 
 def stale_heartbeats(builder: PlanBuilder) -> None:
-    """Delivers stale copies of heartbeats: of an earlier agent epoch, attempt or leader's term."""
+    """Delivers stale copies of heartbeats: of an earlier worker epoch, attempt or leader's term."""
     rng = builder.rng
     at_s = builder.random_time_s(60)
     builder.add("report_copies", at_s - 5, 45, amount=rng.choice([4.0, LEASE_S + 2, 2 * LEASE_S, 50.0]))
--- a/oatport/simulation/fault_plan.py
+++ b/oatport/simulation/fault_plan.py
@@ -43,7 +43,7 @@
     "machine_deaf": ("count", "amount", "zone"),
     "report_copies": ("amount",),  # copies of heartbeats arrive later; amount: maximum delay in seconds
     "node_alone": ("node", "mode"),  # cut off from the state service and the other nodes, but not from workers
-    "machine_blink": ("count", "amount"),  # restart at once without tasks; amount > 0: agent epochs begin at 1 again
+    "machine_blink": ("count", "amount"),  # restart at once without tasks; amount > 0: worker epochs begin at 1 again
     "late_writes": ("amount",),  # amount: share of transactions that get no response and are applied 2 to 12 s later
     "lost_answers": ("amount",),  # amount: share of transactions that are applied at once, but whose response is lost
     "copies_for_next": ("amount",),  # amount: share of heartbeats of which the next leader gets a copy
--- a/oatport/simulation/faults/machines.py
+++ b/oatport/simulation/faults/machines.py
@@ -84,7 +84,7 @@
             self._machines.reclaim(machine, fault.amount)
 
     def restart_some(self, fault: Fault) -> None:
-        """Restarts some machines at once without their tasks; if `amount` > 0 their agent epochs begin at 1 again."""
+        """Restarts some machines at once without their tasks; if `amount` > 0 their worker epochs begin at 1 again."""
         for machine in self._machines.sample(fault.count):
             if not machine.host.frozen:
                 machine.worker.restart(reset_epoch=fault.amount > 0)
--- a/oatport/simulation/invariant_checker.py
+++ b/oatport/simulation/invariant_checker.py
@@ -206,7 +206,7 @@
 
     # --- users ---------------------------------------------------------------------------------
 
-    def on_user_answer(self, job: SubmittedJob, request: str, status: int, value: Any) -> None:
+    def on_user_response(self, job: SubmittedJob, request: str, status: int, value: Any) -> None:
         """Checks the response to a user's request (submit, poll or cancel); `status` is 0 if there was no response."""
         if self.is_closed:
             return
--- a/oatport/simulation/machine_host.py
+++ b/oatport/simulation/machine_host.py
@@ -121,7 +121,7 @@
         The next heartbeat goes to the leader that a 421 response names, or after a failure to the next node in turn.
         """
         worker, host = self.worker, self.host
-        body, agent_epoch, token = worker.report(), worker.session, worker.token
+        body, worker_epoch, token = worker.report(), worker.session, worker.token
         self._reported_state = self._state_to_report()
         try:
             status, value = await self._net.request(
@@ -131,7 +131,7 @@
             status, value = 0, None
         if status == 200:
             self.on_heartbeat_answered(self._names[self._node_index], body["legs"])
-            worker.on_heartbeat_response(sent_at, agent_epoch, value)
+            worker.on_heartbeat_response(sent_at, worker_epoch, value)
             self._on_token_received(token)
             return sent_at + round(self._heartbeat_us * self._rng.uniform(0.75, 1.25))
         leader_name = value.get("harbormaster") if status == 421 and isinstance(value, dict) else None
--- a/oatport/simulation/mutations.py
+++ b/oatport/simulation/mutations.py
@@ -50,10 +50,10 @@
             conditions = {key: version for key, version in conditions.items() if key != LEADER_KEY}
         return await commit(self, conditions, sets, *args, **options)
 
-    async def send_commands_unfenced(self: WorkerClient, token: int, agent_epoch: int, commands: Any) -> Any:
-        report = await send_commands(self, token, agent_epoch, commands)
+    async def send_commands_unfenced(self: WorkerClient, token: int, worker_epoch: int, commands: Any) -> Any:
+        report = await send_commands(self, token, worker_epoch, commands)
         if report.fencing_token > token:
-            report = await send_commands(self, report.fencing_token, report.agent_epoch, commands)
+            report = await send_commands(self, report.fencing_token, report.worker_epoch, commands)
             return replace(report, fencing_token=token)
         return report
 
@@ -180,16 +180,16 @@
 
 
 def _heartbeat_order() -> list[Any]:
-    """Accepts each heartbeat as the newest, regardless of its agent epoch and sequence number."""
+    """Accepts each heartbeat as the newest, regardless of its worker epoch and sequence number."""
     receive = HeartbeatReceiver.receive
 
     def receive_as_newest(self: HeartbeatReceiver, report: Any, now: int, wall: int) -> Any:
         machine = self.cluster.machines.get(report.machine_name)
-        if machine is not None and (report.agent_epoch, report.heartbeat_seq) < (
-            machine.agent_epoch,
+        if machine is not None and (report.worker_epoch, report.heartbeat_seq) < (
+            machine.worker_epoch,
             machine.heartbeat_seq,
         ):
-            machine.agent_epoch, machine.heartbeat_seq = 0, -1
+            machine.worker_epoch, machine.heartbeat_seq = 0, -1
         return receive(self, report, now, wall)
 
     return [patch.object(HeartbeatReceiver, "receive", receive_as_newest)]
--- a/oatport/simulation/network.py
+++ b/oatport/simulation/network.py
@@ -58,7 +58,7 @@
 
 
 @dataclass(slots=True)
-class Link:
+class BrokerConnection:
     """Holds the messages that a cut delays from one host to another. Each message is on a separate connection."""
 
     source: Host
@@ -79,7 +79,7 @@
     def __init__(self, loop: VirtualLoop, seed: int) -> None:
         self.loop = loop
         self._rng = random.Random(seed)
-        self._links: dict[tuple[Host, Host], Link] = {}
+        self._links: dict[tuple[Host, Host], BrokerConnection] = {}
         self._listeners: dict[str, tuple[Host, RequestHandler]] = {}
         self._hosts: dict[str, Host] = {}  # by address, including hosts that do not listen
         # Loop times until which the kept-alive connections are usable, by host and address.
@@ -165,7 +165,7 @@
         """Sends a message over a link: `call` runs on the target when the message arrives."""
         link = self._links.get((source, target))
         if link is None:
-            link = self._links[source, target] = Link(source, target)
+            link = self._links[source, target] = BrokerConnection(source, target)
         cut = self._cut_mode(source, target) if self.rules else ""
         if cut == "lost" or (self.rules and self._rule_amount(source, target, "deaf") is not None):
             return
@@ -174,7 +174,9 @@
             return
         self._schedule_delivery(link, target, call)
 
-    def _schedule_delivery(self, link: Link, host: Host, call: Callable[[], None], extra_delay_us: int = 0) -> None:
+    def _schedule_delivery(
+        self, link: BrokerConnection, host: Host, call: Callable[[], None], extra_delay_us: int = 0
+    ) -> None:
         delay = LATENCY_US + self._rng.randrange(LATENCY_US)
         if self.rules:
             delay += round((self._rule_amount(link.source, host, "slow") or 0.0) * SECOND)
--- a/oatport/simulation/simulation.py
+++ b/oatport/simulation/simulation.py
@@ -211,7 +211,7 @@
         deployed = self.deployed
         deployed.checker.jobs[job.job_id] = job
         rng = random.Random(f"user {self.seed} {job.job_id}")
-        user = User(balancer, deployed.users_host, job, rng, deployed.checker.on_user_answer)
+        user = User(balancer, deployed.users_host, job, rng, deployed.checker.on_user_response)
         deployed.users[job.job_id] = user
         deployed.loop.create_task(user.run(), context=deployed.users_host.context)
 
--- a/oatport/simulation/worker.py
+++ b/oatport/simulation/worker.py
@@ -46,7 +46,7 @@
         self.cores, self.machine_type, self.gang_coordinator = cores, hardware, gangs
         self._job_of = job_of
         self.lease_us = lease_us
-        self.session = 1  # the agent epoch
+        self.session = 1  # the worker epoch
         self.heartbeat_seq = 0
         self.token = 0  # highest fencing token received
         self.reclaimed_at: int | None = None
@@ -159,8 +159,8 @@
     def restart(self, *, reset_epoch: bool) -> None:
         """Restarts the machine at once without tasks and images, with the same name and address.
 
-        With `reset_epoch`, the agent epoch and heartbeat numbers begin at their first values again; otherwise the epoch
-        increases by one.
+        With `reset_epoch`, the worker epoch and heartbeat numbers begin at their first values again; otherwise the
+        epoch increases by one.
         """
         self.kill("died")
         self.cached_images.clear()
@@ -255,13 +255,13 @@
             "legs": legs,
         }
 
-    def on_heartbeat_response(self, sent_at: int, agent_epoch: int, body: dict[str, Any]) -> bool:
+    def on_heartbeat_response(self, sent_at: int, worker_epoch: int, body: dict[str, Any]) -> bool:
         """Processes a 200 response to a heartbeat; returns False if the response is dropped.
 
-        A response from an earlier leader or for an earlier agent epoch is dropped.
+        A response from an earlier leader or for an earlier worker epoch is dropped.
         """
         self.advance()
-        if body.get("helm", -1) < self.token or agent_epoch != self.session:
+        if body.get("helm", -1) < self.token or worker_epoch != self.session:
             return False
         self.token = body["helm"]
         self.lease_renewed_at = max(self.lease_renewed_at, sent_at)
@@ -271,7 +271,7 @@
     def commands(self, body: dict[str, Any]) -> tuple[int, dict[str, Any]]:
         """Executes a leader's commands and returns status and response.
 
-        Status 409 means that the commands are from an earlier leader or for another agent epoch.
+        Status 409 means that the commands are from an earlier leader or for another worker epoch.
         """
         self.advance()
         if "helm" not in body or "watch" not in body:
--- a/oatport/wire/worker.py
+++ b/oatport/wire/worker.py
@@ -46,7 +46,7 @@
 class Heartbeat(msgspec.Struct, frozen=True):
     """Holds the body of POST /hello, and of every response of /commands and /show.
 
-    `agent_epoch` counts the worker's starts, `heartbeat_seq` the heartbeats since the last start; `fencing_token` is
+    `worker_epoch` counts the worker's starts, `heartbeat_seq` the heartbeats since the last start; `fencing_token` is
     the highest token of a leader that the worker has seen; `reclamation_notice_s` is set once the cloud has announced
     that it will reclaim the machine.
     """
@@ -56,7 +56,7 @@
     machine_type: str = msgspec.field(name="berthKind")
     zone: str = msgspec.field(name="harbor")
     spot: bool = msgspec.field(name="driftwood")
-    agent_epoch: int = msgspec.field(name="watch")
+    worker_epoch: int = msgspec.field(name="watch")
     heartbeat_seq: int = msgspec.field(name="logline")
     fencing_token: int = msgspec.field(name="helm")
     tasks: list[TaskReport] = msgspec.field(name="legs")
@@ -101,9 +101,9 @@
     return {"helm": fencing_token, "orders": msgspec.to_builtins(commands)}
 
 
-def command_request(fencing_token: int, agent_epoch: int, commands: list[Command]) -> dict[str, Any]:
-    """Returns the body of POST /commands; a worker that was restarted since `agent_epoch` refuses the request."""
-    return {"helm": fencing_token, "watch": agent_epoch, "orders": msgspec.to_builtins(commands)}
+def command_request(fencing_token: int, worker_epoch: int, commands: list[Command]) -> dict[str, Any]:
+    """Returns the body of POST /commands; a worker that was restarted since `worker_epoch` refuses the request."""
+    return {"helm": fencing_token, "watch": worker_epoch, "orders": msgspec.to_builtins(commands)}
 
 
 def leader_redirect(leader: str | None) -> dict[str, Any]:
--- a/tests/cluster_fixture.py
+++ b/tests/cluster_fixture.py
@@ -203,7 +203,7 @@
             self.cluster.commands.on_sent(machine, starts, self.now, direct=True)
             if machine.name in self.unreachable_machines | self.one_way_partitioned or machine.name not in self.workers:
                 continue
-            body = wire.command_request(self.cluster.fencing_token, machine.agent_epoch, due_commands)
+            body = wire.command_request(self.cluster.fencing_token, machine.worker_epoch, due_commands)
             _, report = self.workers[machine.name].commands(body)
             self.cluster.commands.on_start_response(machine, [(t.name, t.attempt) for t in starts])
             self.cluster.heartbeats.receive(wire.decode_heartbeat(report), self.now, self.now)
@@ -418,7 +418,7 @@
             raise RequestRefusedError(status, value)
         return Applied(value["ledgerRev"]) if status == 200 else Conflict(tuple(value["failed"]))
 
-    def deliver_late(self) -> list[int]:
+    def deliver_delayed(self) -> list[int]:
         """Applies the transactions delayed by "late" faults; returns their statuses."""
         delayed, self.delayed_transactions = self.delayed_transactions, []
         return [self.state.commit(body)[0] for body in delayed]
--- a/tests/test_amqp_queues.py
+++ b/tests/test_amqp_queues.py
@@ -27,7 +27,7 @@
 from oatport.queues.gateway import Gateway
 from oatport.queues.identity import PART_COUNT, answer_id, identity_of, job_id_of, part_of
 from oatport.queues.intake import ACK, DEAD_LETTER, REQUEUE, Message, MessageIntake
-from oatport.queues.link import REASON_HEADER, Link
+from oatport.queues.link import REASON_HEADER, BrokerConnection
 from oatport.queues.members import parts_for
 from oatport.queues.outbox import RECONCILE_INTERVAL, Outbox
 from oatport.queues.rows import MessageRow, RowState, answer_of_record, part_key, row_key
@@ -260,7 +260,7 @@
     harness = GatewayHarness()
     harness.client.faults = [fault]
     assert (await harness.process()).action == ACK
-    harness.client.deliver_late()
+    harness.client.deliver_delayed()
     await harness.settle()
     assert len(harness.published) == 1
     assert harness.scheduler.submitted == [job_id_of("moves", "m-1")]
@@ -394,7 +394,7 @@
     assert len(successor.published) == 1
 
 
-def make_gateway(state: KeyStore, name: str, link: Link | None = None, port: int = 1) -> Gateway:
+def make_gateway(state: KeyStore, name: str, link: BrokerConnection | None = None, port: int = 1) -> Gateway:
     gateway_settings = GatewaySettings(
         name,
         "h:1",
@@ -481,7 +481,7 @@
     def __init__(self) -> None:
         self.broker = Broker(heartbeat_s=2)
         self.state = KeyStore(steady, ops_limit=16)
-        self.gateways: list[tuple[Gateway, Link]] = []
+        self.gateways: list[tuple[Gateway, BrokerConnection]] = []
 
     async def start(self) -> None:
         await self.broker.start()
@@ -494,7 +494,7 @@
 
     def add(self, name: str) -> None:
         gateway = make_gateway(self.state, name, port=self.broker.port)
-        link = Link(gateway.settings)
+        link = BrokerConnection(gateway.settings)
         gateway.outbox._publish = link.publish
         gateway.start()
         link.start(gateway)
--- a/tests/test_best_effort_jobs.py
+++ b/tests/test_best_effort_jobs.py
@@ -27,7 +27,7 @@
     assert rentals
     assert all(rental.spot for rental in rentals)
     for rental in rentals:
-        harness.fleet.availability.refuse(rental, harness.now)
+        harness.fleet.availability.on_refused(rental, harness.now)
     harness.plan()
     assert not any(not rental.spot for rental in harness.fleet.scale_out.plan(harness.now))
 
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -393,7 +393,7 @@
     bound = renewals_allowed_until(harness.settings.workers, harness.now)
     harness.now = bound
     assert order_kinds() == ["stop"]
-    # The first start may still arrive, so the machine's lease has to expire, which ends the agent session.
+    # The first start may still arrive, so the machine's lease has to expire, which ends the worker epoch.
     assert harness.cluster.commands.must_let_lease_expire(machine, harness.now)
     harness.now += round(harness.settings.workers.lease_s * SECOND)
     worker.advance()
--- a/tests/test_client_consistency.py
+++ b/tests/test_client_consistency.py
@@ -77,7 +77,7 @@
     client.faults = ["late"]
     assert (await api.submit(job())).status == 201
     await api.cancel("j-000001")
-    assert client.deliver_late() == [409]
+    assert client.deliver_delayed() == [409]
     assert (await api.show("j-000001")).value["status"] == "aborted"
 
 
@@ -105,7 +105,7 @@
     assert response.headers["Retry-After"]
     assert len(client.delayed_transactions) == 2
     client.faults = []
-    client.deliver_late()  # whichever of the delayed commits is applied, a retry finds the job
+    client.deliver_delayed()  # whichever of the delayed commits is applied, a retry finds the job
     assert (await api.submit(job())).status == 200
 
 
@@ -160,7 +160,7 @@
 
     client.get = finish_first  # type: ignore[method-assign]
     assert (await api.cancel("j-000001")).value["status"] == "done"
-    assert client.deliver_late() == [409]
+    assert client.deliver_delayed() == [409]
     assert (await api.show("j-000001")).value["status"] == "done"
 
 
--- a/tests/test_connection_budget.py
+++ b/tests/test_connection_budget.py
@@ -46,7 +46,7 @@
             handled_paths.append(path)
             return Response(200)
 
-    node.users = JobApi()  # type: ignore[assignment]
+    node.user_api = JobApi()  # type: ignore[assignment]
     node.state = FakeStateClient(KeyStore(lambda: 0))  # type: ignore[assignment]
     max_connections = node.settings.cluster.resources.sockets
     used_connections = 0
@@ -93,7 +93,7 @@
         previous_client = net.client(address, ConnectionReuse.WHILE_SPARE)
         net.set_expected_load(929, 30.0)
         net.set_expected_load(929, 31.0)  # a small difference: the connections remain
-        assert len(net._replaced) == 1
+        assert len(net._session_closers) == 1
         # Requests in flight on the previous client complete.
         for client in (previous_client, net.client(address, ConnectionReuse.WHILE_SPARE)):
             assert (await client.request("GET", "/show", timeout_us=SECOND))[0] == 200
--- a/tests/test_limits_properties.py
+++ b/tests/test_limits_properties.py
@@ -188,10 +188,10 @@
         for machine in list(cluster.machines_to_command):
             cluster.machines_to_command.discard(machine)
             due_commands, starts = cluster.commands.for_machine(machine, self.harness.now, direct=True)
-            if not due_commands or not machine.agent_epoch:
+            if not due_commands or not machine.worker_epoch:
                 continue
             cluster.commands.on_sent(machine, starts, self.harness.now, direct=True)
-            body = wire.command_request(cluster.fencing_token, machine.agent_epoch, due_commands)
+            body = wire.command_request(cluster.fencing_token, machine.worker_epoch, due_commands)
             if delivered and machine.name in self.harness.workers:
                 _, report = self.harness.workers[machine.name].commands(body)
                 cluster.commands.on_start_response(machine, [(t.name, t.attempt) for t in starts])
--- a/tests/test_node_failures.py
+++ b/tests/test_node_failures.py
@@ -133,7 +133,7 @@
     client.faults = ["late"]
     await lead.commits.commit(WriteBatch(conditions={"fleet/000000": 0}, sets={"fleet/000000": {"m": []}}))
     assert leading_node.step_down_reasons == []
-    assert client.deliver_late() == [409]
+    assert client.deliver_delayed() == [409]
 
 
 async def test_a_deposed_leader_stops(state: KeyStore) -> None:
--- a/tests/test_one_way_partitions.py
+++ b/tests/test_one_way_partitions.py
@@ -17,7 +17,7 @@
 def test_a_machine_unreachable_for_commands_gets_no_tasks_until_a_command_reaches_it() -> None:
     """Guards against binding lost tasks to the machine that lost them.
 
-    Its agent session expired and its heartbeats listed no tasks, so it ranked best.
+    Its worker epoch ended and its heartbeats listed no tasks, so it ranked best.
     """
     harness = ClusterHarness()
     command_unreachable, other = harness.machine(1), harness.machine(2)
@@ -83,11 +83,11 @@
     task = lead.cluster.tasks.begin_binding(waiting, machine, steady())
     batch = lead.cluster.writes.take_batch(12)
     lead.cluster.writes.committed(batch, 9, steady())
-    initial_heartbeat = (machine.agent_epoch, machine.heartbeat_seq, machine.last_heartbeat_at)
+    initial_heartbeat = (machine.worker_epoch, machine.heartbeat_seq, machine.last_heartbeat_at)
     response = lead.answer_heartbeat(late_copy)
     assert response == {"helm": lead.token, "orders": []}
     assert not task.start_epoch
-    assert (machine.agent_epoch, machine.heartbeat_seq, machine.last_heartbeat_at) == initial_heartbeat
+    assert (machine.worker_epoch, machine.heartbeat_seq, machine.last_heartbeat_at) == initial_heartbeat
     response = lead.answer_heartbeat(wire.decode_heartbeat(worker.report()))
     assert response is not None
     assert [order["orderKind"] for order in response["orders"]] == ["start"]
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -253,16 +253,16 @@
     rental = ScaleOutRequest("m8", "a", True, 5)
     pauses = []
     for _ in range(6):
-        harness.fleet.availability.refuse(rental, harness.now)
+        harness.fleet.availability.on_refused(rental, harness.now)
         pauses.append(harness.fleet.availability.refused_until["m8", "a", True] - harness.now)
     assert pauses[0] == REFUSAL_BACKOFF
     assert pauses == sorted(pauses)
     assert pauses[-1] == REFUSAL_BACKOFF_MAX
-    harness.fleet.availability.grant_partially(rental, harness.now)  # a partial grant: more capacity may follow soon
+    harness.fleet.availability.on_partly_granted(rental, harness.now)  # a partial grant: more capacity may follow soon
     assert harness.fleet.availability.refused_until["m8", "a", True] - harness.now == REFUSAL_BACKOFF
-    harness.fleet.availability.refuse(rental, harness.now)
-    harness.fleet.availability.grant(rental, harness.now)
-    harness.fleet.availability.refuse(rental, harness.now)
+    harness.fleet.availability.on_refused(rental, harness.now)
+    harness.fleet.availability.on_granted(rental, harness.now)
+    harness.fleet.availability.on_refused(rental, harness.now)
     assert harness.fleet.availability.refused_until["m8", "a", True] - harness.now == REFUSAL_BACKOFF
 
 
@@ -302,7 +302,7 @@
     harness, machine, _ = settled_cluster(cores=4.0)
     other = harness.submit(legs=1, cores=1.0, berthKinds=["g16"], sizeGb=0.0)
     harness.workers[machine.name].commands(
-        wire.command_request(harness.cluster.fencing_token, machine.agent_epoch, [wire.StartCommand(f"{other}/0", 7)])
+        wire.command_request(harness.cluster.fencing_token, machine.worker_epoch, [wire.StartCommand(f"{other}/0", 7)])
     )
     report = wire.decode_heartbeat(harness.workers[machine.name].report())
     harness.cluster.heartbeats.receive(report, harness.now, harness.now)
@@ -316,7 +316,7 @@
     assert harness.task_locations(ref) == {}
 
 
-def test_a_new_agent_epoch_of_a_settled_machine_is_detected() -> None:
+def test_a_new_worker_epoch_of_a_settled_machine_is_detected() -> None:
     harness, machine, ref = settled_cluster()
     harness.workers[machine.name].lease_renewed_at = harness.now - 60 * SECOND
     harness.settle()
--- a/tests/test_process_pauses.py
+++ b/tests/test_process_pauses.py
@@ -94,7 +94,7 @@
         await cloud.release(["vm-000002"])
     with pytest.raises(RequestNotSentError):
         await cloud.rent("r-1-1", "m8", "a", True, 1)
-    assert lead.decisions_paused(clock.at)
+    assert lead.are_decisions_paused(clock.at)
     machine = lead.cluster.add_machine("vm-000003", "m8", "a", False, "h:1", clock.at, 0)
     assert machine is not None
     await lead.cloud_controller.release([machine], "returned")
--- a/tests/test_retry_policy.py
+++ b/tests/test_retry_policy.py
@@ -151,7 +151,7 @@
 def test_an_unsent_binding_of_a_killed_leader_never_began(policy: RetryPolicy) -> None:
     """The leader was killed between commit and send.
 
-    The worker's agent epoch is still that of the binding, and the worker does not list the attempt.
+    The worker's worker epoch is still that of the binding, and the worker does not list the attempt.
     """
     harness, ref, _ = harness_with_unsent_binding(policy)
     harness.fail_over()
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -119,10 +119,10 @@
     harness.submit(legs=2, voyageS=30.0)
     harness.plan()
     (first,) = harness.fleet.scale_out.plan(harness.now)
-    harness.fleet.availability.refuse(first, harness.now)
+    harness.fleet.availability.on_refused(first, harness.now)
     (second,) = harness.fleet.scale_out.plan(harness.now)
     assert second.zone != first.zone
-    harness.fleet.availability.refuse(second, harness.now)
+    harness.fleet.availability.on_refused(second, harness.now)
     assert harness.fleet.scale_out.plan(harness.now) == []  # GPU machines are too expensive for this job
 
 
@@ -147,7 +147,7 @@
     harness.submit(legs=20, cores=8.0)
     harness.plan()
     assert {rental.zone for rental in harness.fleet.scale_out.plan(harness.now)} == {"b"}
-    harness.fleet.availability.refuse(ScaleOutRequest("m8", "b", True, 1), harness.now + 20 * SECOND)
+    harness.fleet.availability.on_refused(ScaleOutRequest("m8", "b", True, 1), harness.now + 20 * SECOND)
     assert harness.fleet.scale_out.plan(harness.now) == []
     harness.now += 25 * SECOND
     (probe,) = harness.fleet.scale_out.plan(harness.now)
@@ -312,7 +312,7 @@
     in_time = harness.submit(ref="j-000002", legs=2, voyageS=50.0, tideS=80.0)
     for zone in "ab":
         for kind in ("m8", "g16"):
-            harness.fleet.availability.refuse(ScaleOutRequest(kind, zone, True, 1), harness.now)
+            harness.fleet.availability.on_refused(ScaleOutRequest(kind, zone, True, 1), harness.now)
     harness.plan()
     jobs = harness.cluster.jobs
     assert (jobs[too_late].tier, jobs[in_time].tier) == (SPOT, ON_DEMAND)
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -294,7 +294,7 @@
         return f"{self.job.job_id}/{number}"
 
     def respond(self, request: str, status: int, state: str = "") -> None:
-        self.checker.on_user_answer(self.job, request, status, {"status": state} if state else None)
+        self.checker.on_user_response(self.job, request, status, {"status": state} if state else None)
 
 
 def broken_invariants(checked: CheckedJob) -> set[str]:
--- a/tests/test_task_locations.py
+++ b/tests/test_task_locations.py
@@ -318,10 +318,10 @@
     node.peers["cut"] = Peer(NoResponseError("timeout"))  # type: ignore[assignment]
     # The unreachable node may have led, and may have more completions.
     assert not (await node.completion_replicator.completions_before(9)).complete
-    node.election.learn_leader("n3", 8)
+    node.election.observe_leader("n3", 8)
     assert (await node.completion_replicator.completions_before(9)).complete
-    node.election.learn_leader("cut", 9)
-    node.election.learn_leader("n0", 10)  # this node itself
+    node.election.observe_leader("cut", 9)
+    node.election.observe_leader("n0", 10)  # this node itself
     earlier = await node.completion_replicator.completions_before(11)
     assert not earlier.complete
     assert len(earlier.completions) == 2
--- a/tests/test_zone_partitions.py
+++ b/tests/test_zone_partitions.py
@@ -187,7 +187,7 @@
     assert set(names_to_release(harness, True)) == {m.name for m in zone_machines} - with_replicas
     harness.now += RELEASE_UNMOVABLE_AFTER
     assert set(names_to_release(harness, True)) == {m.name for m in zone_machines}
-    # The zone recovers: agents start new sessions, and replicas are bound to the machines with their image.
+    # The zone recovers: the workers begin new epochs, and replicas are bound to the machines with their image.
     harness.unreachable_machines.clear()
     harness.now = alive + 10 * SECOND
     harness.settle()
@@ -235,9 +235,9 @@
     zone_machines = partition_zone(harness, "b")
     harness.now += 20 * SECOND  # the tasks have completed by now, and complete at once if they are started again
     assert names_to_release(harness, True) == []  # it is unknown whether other machines are available
-    harness.fleet.availability.grant(ScaleOutRequest("m8", "b", False, 1), harness.now)
+    harness.fleet.availability.on_granted(ScaleOutRequest("m8", "b", False, 1), harness.now)
     assert names_to_release(harness, True) == []
-    harness.fleet.availability.grant(ScaleOutRequest("m8", "a", False, 1), harness.now)
+    harness.fleet.availability.on_granted(ScaleOutRequest("m8", "a", False, 1), harness.now)
     assert names_to_release(harness, True) == [m.name for m in zone_machines]
 
 
@@ -301,7 +301,7 @@
     harness.unreachable_machines.clear()
     harness.step(1.0)
     machine = harness.cluster.machines[worker.name]
-    assert machine.agent_epoch == 2
+    assert machine.worker_epoch == 2
     assert machine.images == {"img-1": 1}
 
 
