--- a/oatport/service/cloud_controller.py
+++ b/oatport/service/cloud_controller.py
@@ -29,7 +29,7 @@
 
 
 class CloudController:
-    """Sends cloud requests for a leader; all decisions are based on the leader's `ClusterState`."""
+    """Sends a leader's requests to the cloud API, based on the leader's `ClusterState`."""
 
     def __init__(self, leader: LeaderContext, net: Network) -> None:
         self._leader = leader
@@ -63,7 +63,7 @@
             recorded = found or RecordedCatalog({}, 0)
             leader.node.types = types
             layout = self.cluster.writes.layout
-            merged = RecordedCatalog({**recorded.types, **types}, recorded.version)
+            merged = RecordedCatalog({**recorded.types, **types}, recorded.revision)
             await write_catalog(
                 leader.state,
                 leader.token,
@@ -96,7 +96,7 @@
             except RequestRefusedError as error:
                 reason = error.value.get("error") if isinstance(error.value, dict) else None
                 if error.status == 503 and reason == NO_CAPACITY:
-                    self.capacity_planner.availability.refuse(request, steady())
+                    self.capacity_planner.availability.on_refused(request, steady())
                     log.info("no capacity type=%s zone=%s spot=%s", request.type, request.zone, request.spot)
                     return None
                 await asyncio.sleep(jitter(RENT_REFUSED_RETRY_INTERVAL))
@@ -110,11 +110,11 @@
     def _on_rented(self, request: ScaleOutRequest, names: list[str]) -> None:
         availability = self.capacity_planner.availability
         if not names:
-            availability.refuse(request, steady())
+            availability.on_refused(request, steady())
         elif len(names) < request.count:
-            availability.grant_partially(request, steady())
+            availability.on_partly_granted(request, steady())
         else:
-            availability.grant(request, steady())
+            availability.on_granted(request, steady())
         log.info(
             "rented machines count=%d type=%s zone=%s spot=%s", len(names), request.type, request.zone, request.spot
         )
--- a/oatport/service/leader_context.py
+++ b/oatport/service/leader_context.py
@@ -57,7 +57,7 @@
     settings: Settings
     tuning: Tuning
     state: StateClient
-    token: int  # the fencing token: the version of the leader key
+    token: int  # the fencing token: the revision of the leader key
     cluster: ClusterState
     background: BackgroundTasks  # cancelled when the leader steps down
     led_since: int  # when this leader took the leader key (steady)
@@ -74,11 +74,11 @@
     def holds_lease(self) -> bool:
         """Returns whether no other node can be leading; must be checked right before each action."""
 
-    def decisions_paused(self, now: int) -> bool:
+    def are_decisions_paused(self, now: int) -> bool:
         """Returns whether new decisions must wait: a commit is unanswered, or the leader lease is not held."""
 
     def wake(self) -> None:
         """Wakes the loops that have pending planning, writes or commands."""
 
-    def receive_heartbeat(self, report: wire.Heartbeat, now: int) -> Machine | None:
-        """Applies a machine's report; returns None if the machine is unknown and cannot be added."""
+    def receive_heartbeat(self, heartbeat: wire.Heartbeat, now: int) -> Machine | None:
+        """Applies a machine's heartbeat; returns None if the machine is unknown and cannot be added."""
--- a/oatport/service/lease_proxy_service.py
+++ b/oatport/service/lease_proxy_service.py
@@ -26,7 +26,7 @@
 from oatport.settings import ClusterSettings
 from oatport.times import SECOND, steady
 
-PROXY_STATUS_VALIDITY = 2 * SECOND  # workers are redirected to a proxy whose last answer is no older
+PROXY_STATUS_VALIDITY = 2 * SECOND  # workers are redirected to a proxy whose last reply is no older
 
 
 class ProxyNode(Protocol):
@@ -40,17 +40,17 @@
 
 
 class LeaseProxyService:
-    """Renews agents' leases on behalf of an unreachable leader, as long as this is safe."""
+    """Renews workers' leases on behalf of an unreachable leader, as long as this is safe."""
 
     def __init__(self, node: ProxyNode, settings: ClusterSettings) -> None:
         self._node = node
         self.proxy = LeaseProxy.create(settings)
         self._other_proxies: dict[str, int] = {}  # node name -> when it last reported that it answers workers (steady)
 
-    def may_answer(self, report: wire.Heartbeat) -> bool:
+    def may_answer(self, heartbeat: wire.Heartbeat) -> bool:
         """Returns whether this node may answer a heartbeat on behalf of the leader."""
         state = self._node.state
-        return self.proxy.may_answer(report.fencing_token, steady(), state.last_success_at, state.last_failure_at)
+        return self.proxy.may_answer(heartbeat.fencing_token, steady(), state.last_success_at, state.last_failure_at)
 
     def redirect_target(self, leader: str | None) -> str | None:
         """Returns the node to which workers are redirected: the leader, or if isolated from it, another lease proxy.
@@ -70,7 +70,7 @@
     # --- messages between nodes -------------------------------------------------------------
 
     async def on_watermark_request(self, request: CancellationWatermarkRequest) -> CancellationWatermark | No:
-        """Returns the cancellation watermark, which only the leader has; other nodes answer `No`."""
+        """Returns the cancellation watermark, which only the leader has; other nodes reply `No`."""
         leader = self._node.leader
         if leader is None:
             return No()
@@ -79,30 +79,30 @@
     async def on_proxy_state_request(self, request: LeaseProxyStateRequest) -> LeaseProxyState | No:
         """Returns this node's lease proxy state to a restarted node, or `No` if this node leads or has none."""
         now = steady()
-        known = self.proxy.share(now)
-        if self._node.leader is not None or known is None:
+        shared = self.proxy.share(now)
+        if self._node.leader is not None or shared is None:
             return No()
         answering = self._is_isolated(now) and now < self.proxy.valid_until()
-        return LeaseProxyState(known.fencing_token, known.watermark_age_us, known.contact_age_us, answering)
+        return LeaseProxyState(shared.fencing_token, shared.watermark_age_us, shared.contact_age_us, answering)
 
     async def refresh_from_leader(self, peer: PeerClient) -> None:
         """Updates the proxy state from the leader. Raises NoResponseError or MalformedReplyError."""
-        asked_at = steady()
+        requested_at = steady()
         watermark = await peer.ask(CancellationWatermarkRequest(), CancellationWatermark.decode_if_known)
         if watermark is not None:
-            self.proxy.on_watermark(watermark.fencing_token, asked_at, watermark.age_us)
+            self.proxy.on_watermark(watermark.fencing_token, requested_at, watermark.age_us)
 
     async def refresh_from_proxy(self, peer: PeerClient) -> None:
         """Updates the proxy state from another node while the state service is unreachable; ignores request errors."""
         self._other_proxies.pop(peer.name, None)
-        asked_at = steady()
+        requested_at = steady()
         try:
-            # A node of an earlier version answers with status 400.
+            # A node of an earlier version responds with status 400.
             state = await peer.ask(LeaseProxyStateRequest(), LeaseProxyState.decode_if_known)
         except (NoResponseError, MalformedReplyError):
             return
         if state is None:
             return
-        self.proxy.on_watermark(state.fencing_token, asked_at, state.watermark_age_us, state.contact_age_us)
+        self.proxy.on_watermark(state.fencing_token, requested_at, state.watermark_age_us, state.contact_age_us)
         if state.answering:
-            self._other_proxies[peer.name] = asked_at
+            self._other_proxies[peer.name] = requested_at
--- a/oatport/service/peer_contact.py
+++ b/oatport/service/peer_contact.py
@@ -1,4 +1,4 @@
-"""Contact with the other nodes: pings in both directions, and requests that this node answers by itself."""
+"""Contact with the other nodes: pings in both directions, and handlers of probes, queries and progress updates."""
 
 from __future__ import annotations
 
@@ -71,7 +71,7 @@
         ping = Ping(node.node_name, election.leader_name, election.leader_token, node.state_service_answers())
         pong = await peer.ask(ping, Pong.decode_reply)
         self._peer_status.record_contact(peer.name)
-        election.learn_leader(pong.leader_name, pong.leader_token)
+        election.observe_leader(pong.leader_name, pong.leader_token)
         self._peer_status.update(pong.node_name, pong.state_service_answers)
         if leader is not None and leader is election.leader and pong.state_service_answers:
             await self._handover.hand_over_if_isolated(leader, peer)
@@ -84,7 +84,7 @@
 
     async def on_ping(self, ping: Ping) -> Pong:
         """Applies a peer's status and returns this node's."""
-        self._election.learn_leader(ping.leader_name, ping.leader_token)
+        self._election.observe_leader(ping.leader_name, ping.leader_token)
         self._peer_status.update(ping.node_name, ping.state_service_answers)
         quiet_us = self._peer_notifier.confirmed_cancellations.quiet_us(steady())
         election = self._election
@@ -108,15 +108,15 @@
         reached = await count_reachable(self._net, probe.addresses)
         return ProbeResult(reached, self._node.state_service_answers())
 
-    async def on_explain(self, question: ExplainJob) -> JobExplanation | No:
-        """Returns why a job is waiting; operators ask on the internal address, and the leader provides the answer."""
+    async def on_explain(self, request: ExplainJob) -> JobExplanation | No:
+        """Returns why a job is waiting; operators ask on the internal address, and the leader provides the reply."""
         leader = self._election.leader
         if leader is not None:
-            return JobExplanation(leader.explain(question.job_id))
+            return JobExplanation(leader.explain(request.job_id))
         peer = self._node.leading_peer()
-        if peer is None or question.forwarded:
+        if peer is None or request.forwarded:
             return No("no leader is known: ask again in a few seconds")
-        return await peer.ask(ExplainJob(question.job_id, forwarded=True), decode_explanation)
+        return await peer.ask(ExplainJob(request.job_id, forwarded=True), decode_explanation)
 
     async def on_schema_version(self, request: SchemaVersionRequest) -> SchemaVersionReply:
         """Returns the schema version that this process reads."""
--- a/tests/test_connection_budget.py
+++ b/tests/test_connection_budget.py
@@ -1,4 +1,4 @@
-"""Connection budget: how connections scale with the machines, and which requests are refused first at the limit."""
+"""Tests the connection budget: connections as the cluster grows, and requests that are refused at the limit."""
 
 from __future__ import annotations
 
@@ -21,7 +21,10 @@
 
 @pytest.mark.parametrize(("sockets", "machines"), [(2044, 929), (1515, 836), (1208, 929), (1087, 836), (600, 28)])
 def test_a_leader_keeps_connections_free_for_all_workers_and_for_users_at_any_size(sockets: int, machines: int) -> None:
-    """At 929 machines, 1,873 of 2,044 connections were open: one per machine for reports, one for 30 s per command."""
+    """Guards against 1,873 of 2,044 connections open at 929 machines.
+
+    Each machine kept one open for its heartbeats, and each command kept one open for another 30 s.
+    """
     budget = ConnectionBudget(sockets)
     for commands_per_s in (0.0, 3.0, 30.0, 300.0):
         idle_connections = budget.idle_timeout_us(machines, commands_per_s) / SECOND * commands_per_s
@@ -43,7 +46,7 @@
             handled_paths.append(path)
             return Response(200)
 
-    node.users = JobApi()  # type: ignore[assignment]
+    node.user_api = JobApi()  # type: ignore[assignment]
     node.state = FakeStateClient(KeyStore(lambda: 0))  # type: ignore[assignment]
     max_connections = node.settings.cluster.resources.sockets
     used_connections = 0
@@ -90,7 +93,7 @@
         previous_client = net.client(address, ConnectionReuse.WHILE_SPARE)
         net.set_expected_load(929, 30.0)
         net.set_expected_load(929, 31.0)  # a small difference: the connections remain
-        assert len(net._replaced) == 1
+        assert len(net._session_closers) == 1
         # Requests in flight on the previous client complete.
         for client in (previous_client, net.client(address, ConnectionReuse.WHILE_SPARE)):
             assert (await client.request("GET", "/show", timeout_us=SECOND))[0] == 200
