--- a/oatport/peer_messages.py
+++ b/oatport/peer_messages.py
@@ -31,6 +31,7 @@
 
 from __future__ import annotations
 
+import reprlib
 from typing import Any
 
 from oatport.control.state import completions
@@ -324,7 +325,9 @@
                 isinstance(job_id, str) for job_id in job_ids
             ):
                 return cls(complete_us, job_ids)
-        raise ValueError("not what was told")
+        # reprlib bounds the depth: the built-in repr() raises RecursionError for a deeply nested reply.
+        received = f"{reprlib.repr(message):.80}"
+        raise ValueError(f"malformed reply, expected ['told', complete_us, [job_id, ...]]: {received}")
 
 
 # --- completions that are not in a record yet --------------------------------------------------
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import re
 from collections.abc import Callable
 from typing import Any
 
@@ -125,7 +126,8 @@
     ],
 )
 def test_a_malformed_reply_is_rejected(reply: object) -> None:
-    with pytest.raises(ValueError, match="not what was told"):
+    expected = f"malformed reply, expected ['told', complete_us, [job_id, ...]]: {reply!r}"
+    with pytest.raises(ValueError, match=f"^{re.escape(expected)}$"):
         ConfirmedCancellationsReply.decode(reply)  # type: ignore[arg-type]
 
 
