--- a/tests/cluster_fixture.py
+++ b/tests/cluster_fixture.py
@@ -341,7 +341,7 @@
 class FakeStateClient:
     """Offers the calls of StateClient on a KeyStore, and applies `faults` to the next requests in order.
 
-    Faults: "refuse"; "lose" (applied, but without a response); "late" (applied only by `deliver_late`).
+    Faults: "refuse"; "lose" (applied, but without a response); "late" (applied only by `deliver_delayed`).
     """
 
     def __init__(self, state: KeyStore) -> None:
